--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -106,7 +106,7 @@
         )  # fmt: skip
         made = self.modules[who] = Balancer(settings, who)
         told = START + BACK if self.heard and who in self.joins else 1.0
-        listed = tuple(Endpoint(i, since=told if i == COLD_ONE else 1.0) for i in range(self.servers))
+        listed = tuple(Endpoint(i, started_at=told if i == COLD_ONE else 1.0) for i in range(self.servers))
         made.handle(now, EndpointList(ListKind.FULL, listed))
         if self.peers and who in self.joins:
             known = self._snapshot(now, who)
--- a/millgw/build.py
+++ b/millgw/build.py
@@ -12,7 +12,7 @@
 import tempfile
 from pathlib import Path
 
-from millgw.compiled import GROUP, MODULES, PACKAGE, Finder, key
+from millgw.compiled import LIBRARY_NAME, MODULES, PACKAGE, Finder, build_key
 
 SCRIPT = """
 import sys
@@ -26,14 +26,14 @@
 """
 
 
-class NotBuilt(Exception):
+class BuildError(Exception):
     """The modules can't be compiled here; the text says why."""
 
 
 def build(into: Path, package: Path = PACKAGE, force: bool = False) -> Path:
     """The folder of the compiled modules, made where it is not there yet; others' folders are removed."""
-    folder = into / key(package)
-    if not force and Finder(folder).whole():
+    folder = into / build_key(package)
+    if not force and Finder(folder).is_complete():
         return folder
     with tempfile.TemporaryDirectory(prefix="millgw-build-") as work:
         tree = Path(work) / "src"
@@ -41,7 +41,7 @@
         paths = [str(Path("millgw", *name.split(".")).with_suffix(".py")) for name in MODULES]
         out = Path(work) / "out"
         before = os.environ.get("PYTHONPATH", "")
-        script = SCRIPT.format(group=GROUP, paths=paths, out=str(out), temp=str(Path(work) / "temp"))
+        script = SCRIPT.format(group=LIBRARY_NAME, paths=paths, out=str(out), temp=str(Path(work) / "temp"))
         done = subprocess.run(
             [sys.executable, "-c", script],
             cwd=tree,
@@ -52,9 +52,9 @@
         )
         if done.returncode:
             lines = (done.stderr or done.stdout).strip().splitlines()
-            raise NotBuilt(lines[-1] if lines else f"the compiler ended with {done.returncode}")
-        if not Finder(out).whole():
-            raise NotBuilt("the compiler left modules out")
+            raise BuildError(lines[-1] if lines else f"the compiler ended with {done.returncode}")
+        if not Finder(out).is_complete():
+            raise BuildError("the compiler left modules out")
         into.mkdir(exist_ok=True)
         # Moved into place as a whole: a build that is cut off, or two at once, leave no half of it behind.
         fresh = Path(tempfile.mkdtemp(prefix="new-", dir=into))
--- a/millgw/cli/own.py
+++ b/millgw/cli/own.py
@@ -10,7 +10,7 @@
 from click.shell_completion import get_completion_class
 
 from millgw import VERSION, compiled
-from millgw.build import NotBuilt
+from millgw.build import BuildError
 from millgw.build import build as make
 from millgw.cli.exits import HELD, NOT_HELD, BadInput
 from millgw.cli.report import Out, Reporting, Serving
@@ -45,8 +45,8 @@
     """
     begun, count = time.monotonic(), len(compiled.MODULES)
     try:
-        folder = make(compiled.FOLDER, compiled.PACKAGE, force)
-    except NotBuilt as error:
+        folder = make(compiled.COMPILED_FOLDER, compiled.PACKAGE, force)
+    except BuildError as error:
         print(f"millgw: not compiled: {error}; the sources serve as they are", file=sys.stderr)
         return out.end(HELD if if_possible else NOT_HELD, {"compiled": 0, "why": str(error)})
     except OSError as error:
--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -21,10 +21,10 @@
 from types import ModuleType
 
 PACKAGE = Path(__file__).parent
-FOLDER = PACKAGE / "_compiled"
-PURE = "MILLGW_PURE"
-SUFFIX = importlib.machinery.EXTENSION_SUFFIXES[0]  # names the interpreter and its ABI
-GROUP = "millgw_compiled"  # what the library that holds all of them is named after
+COMPILED_FOLDER = PACKAGE / "_compiled"
+PURE_VARIABLE = "MILLGW_PURE"
+EXTENSION_SUFFIX = importlib.machinery.EXTENSION_SUFFIXES[0]  # names the interpreter and its ABI
+LIBRARY_NAME = "millgw_compiled"  # what the library that holds all of them is named after
 
 MODULES = (
     "interface",
@@ -71,18 +71,18 @@
 """What is on a call's way, in the order of imports."""
 
 
-def sources(package: Path = PACKAGE) -> list[Path]:
+def source_files(package: Path = PACKAGE) -> list[Path]:
     """The files that are compiled."""
     return [package.joinpath(*name.split(".")).with_suffix(".py") for name in MODULES]
 
 
-def key(package: Path = PACKAGE) -> str:
+def build_key(package: Path = PACKAGE) -> str:
     """Names one state of the sources for one interpreter; an OSError where a source is missing."""
     digest = blake2b(digest_size=12)
-    for path in sources(package):
+    for path in source_files(package):
         data = path.read_bytes()
         digest.update(b"%d %b\n" % (len(data), path.name.encode()) + data)
-    return f"{SUFFIX.split('.')[1]}-{digest.hexdigest()}"
+    return f"{EXTENSION_SUFFIX.split('.')[1]}-{digest.hexdigest()}"
 
 
 class Finder:
@@ -90,10 +90,10 @@
 
     def __init__(self, folder: Path) -> None:
         self.files = {f"millgw.{name}": folder.joinpath("millgw", *name.split(".")) for name in MODULES}
-        self.files[f"{GROUP}__mypyc"] = folder / f"{GROUP}__mypyc"
-        self.files = {name: path.with_name(path.name + SUFFIX) for name, path in self.files.items()}
+        self.files[f"{LIBRARY_NAME}__mypyc"] = folder / f"{LIBRARY_NAME}__mypyc"
+        self.files = {name: path.with_name(path.name + EXTENSION_SUFFIX) for name, path in self.files.items()}
 
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Guards against a build that was cut off: all of them are there, or none is used."""
         return all(path.is_file() for path in self.files.values())
 
@@ -106,15 +106,15 @@
 
 def install() -> bool:
     """Have imports find the compiled modules, if there are any of these sources; tells whether."""
-    if not FOLDER.is_dir() or os.environ.get(PURE):
+    if not COMPILED_FOLDER.is_dir() or os.environ.get(PURE_VARIABLE):
         return False
     if any(isinstance(finder, Finder) for finder in sys.meta_path):
         return True
     try:
-        finder = Finder(FOLDER / key())
+        finder = Finder(COMPILED_FOLDER / build_key())
     except OSError:
         return False
-    if not finder.whole():
+    if not finder.is_complete():
         return False
     sys.meta_path.insert(0, finder)
     return True
@@ -123,9 +123,9 @@
 def describe() -> str:
     """What serves, in words: for `python -m millgw version` and the log."""
     if any(isinstance(finder, Finder) for finder in sys.meta_path):
-        return f"compiled {key()}"
-    if os.environ.get(PURE):
-        return f"pure: {PURE} is set"
-    if not FOLDER.is_dir() or not any(FOLDER.iterdir()):
+        return f"compiled {build_key()}"
+    if os.environ.get(PURE_VARIABLE):
+        return f"pure: {PURE_VARIABLE} is set"
+    if not COMPILED_FOLDER.is_dir() or not any(COMPILED_FOLDER.iterdir()):
         return "pure: nothing is compiled (python -m millgw build)"
     return "pure: what is compiled is not of these sources (python -m millgw build)"
--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -22,7 +22,7 @@
 from millgw.operator.files import Files
 from millgw.platform.config import Config, with_settings
 from millgw.services.parts import merged, pool_config
-from millgw.settings import REPEATS, SCOPES, items, table
+from millgw.settings import REPEATS, SCOPES, read_list, read_table
 
 if TYPE_CHECKING:
     from millgw.connections.tended import Tended
@@ -134,10 +134,10 @@
         if word in over:
             if not isinstance(over[word], dict):
                 raise RefusedVersionError(f"{path}.{word}: not an object")
-            _check_known(f"{path}.{word}", over[word], known | table(dict(base), word).keys())
+            _check_known(f"{path}.{word}", over[word], known | read_table(dict(base), word).keys())
     for word, known in (("classes", CLASS), ("projects", PROJECT)):
         if word in over:
-            filed = [row.keys() for row in items(dict(base), word) if isinstance(row, dict)]
+            filed = [row.keys() for row in read_list(dict(base), word) if isinstance(row, dict)]
             _check_rows(f"{path}.{word}", over[word], known.union(*filed))
 
 
--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -32,7 +32,7 @@
         if server.missed >= LOST_AFTER:
             return 0.0, False  # its standing is what counts: it is tried by one connection
         since = server.started(self.now())
-        return since, since == server.info.since
+        return since, since == server.info.started_at
 
     def budget(self) -> int:
         most = self.pool.most(CONNECTIONS)
--- a/millgw/connections/introduction.py
+++ b/millgw/connections/introduction.py
@@ -19,7 +19,7 @@
 
 
 class Introduction:
-    """The list as the module has it, and who is kept back. Times are those of `Endpoint.since`."""
+    """The list as the module has it, and who is kept back. Times are those of `Endpoint.started_at`."""
 
     def __init__(self, cold_time: float) -> None:
         self.cold_time = cold_time
@@ -30,10 +30,10 @@
         self, now: float, kind: ListKind, entries: Sequence[Endpoint], connected: Callable[[int], bool]
     ) -> list[Endpoint]:
         """What to tell the module of a list. `connected` tells whether a connection to one is there."""
-        if kind.lost:
+        if kind.watch_ended:
             return list(entries)
         before = dict(self.shown)
-        if kind.whole:
+        if kind.complete:
             self.shown.clear()
             self.hidden.clear()
         told = []
@@ -44,7 +44,7 @@
                 told.append(entry)
                 continue
             known = before.get(entry.id)
-            same = known is not None and known.since == entry.since
+            same = known is not None and known.started_at == entry.started_at
             if same or not self._cold(entry, now) or connected(entry.id):
                 self.shown[entry.id] = entry
                 told.append(entry)
@@ -58,13 +58,13 @@
         return told + over
 
     def _cold(self, entry: Endpoint, now: float) -> bool:
-        return entry.since > 0 and now < entry.since + self.cold_time
+        return entry.started_at > 0 and now < entry.started_at + self.cold_time
 
     def _too_many(self) -> list[Endpoint]:
         """Those that can't be kept back: the ones that have started first are the warmest."""
         known = len(self.shown.keys() | self.hidden.keys())
         freed = []
-        for entry in sorted(self.hidden.values(), key=lambda e: (e.since, e.id)):
+        for entry in sorted(self.hidden.values(), key=lambda e: (e.started_at, e.id)):
             if len(self.hidden) <= HIDDEN_MOST * known:
                 break
             freed.append(self._show(entry))
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -37,7 +37,7 @@
 
 
 class Sight(Protocol):
-    """What the pool knows of its endpoints. Times are those of `Endpoint.since`."""
+    """What the pool knows of its endpoints. Times are those of `Endpoint.started_at`."""
 
     def now(self) -> float: ...
 
--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -15,29 +15,30 @@
 import random
 
 from millgw.interface import (
-    NEVER_RAN,
+    NO_EFFECT_OUTCOMES,
     Action,
     AttemptEnded,
-    BodyGone,
+    BodyDiscarded,
+    CloseConnections,
     Condition,
-    Distrust,
     Endpoint,
+    EndpointEvidence,
     EndpointList,
     Event,
     Fail,
     GivenUp,
-    Hearsay,
     ListKind,
     Locality,
     Outcome,
+    PeerReports,
     Probe,
     ProbeEnded,
     Refuse,
     Repeat,
     RequestAborted,
     RequestArrived,
+    RequestBodyComplete,
     RequestClass,
-    RequestWhole,
     ResponseStarted,
     Scope,
     Send,
@@ -45,7 +46,6 @@
     Settings,
     Subscribe,
     TimerFired,
-    Told,
 )
 from millgw.policy.backoff import Backoff
 from millgw.policy.freshness import Freshness
@@ -243,7 +243,7 @@
 
     def started(self, now: float) -> float:
         """When it last started, as told or as seen; a machine that is out of reach has yet to."""
-        return now if self.missed >= LOST_AFTER else max(self.info.since, self.back, self.rejoined)
+        return now if self.missed >= LOST_AFTER else max(self.info.started_at, self.back, self.rejoined)
 
     def slowness(self, now: float) -> float:
         """The recent time of its calls against the usual; what is old fades to 'usual'."""
@@ -564,16 +564,16 @@
             self._arrived(now, event)
         elif isinstance(event, AttemptEnded):
             self._attempt_ended(now, event)
-        elif isinstance(event, RequestWhole):
+        elif isinstance(event, RequestBodyComplete):
             self._whole(event)
-        elif isinstance(event, BodyGone):
+        elif isinstance(event, BodyDiscarded):
             if event.request in self.requests:
                 self.requests[event.request].body_gone = True
         elif isinstance(event, TimerFired):
             self._timer(now, event.timer)
         elif isinstance(event, EndpointList):
             self._list(now, event)
-        elif isinstance(event, Hearsay):
+        elif isinstance(event, PeerReports):
             self._hear(now, event)
         elif isinstance(event, ProbeEnded):
             self._probe_ended(now, event)
@@ -649,7 +649,7 @@
     def _buffer(self, cls: RequestClass) -> float:
         return max(BUFFER * cls.aim, BUFFER_TICKS * self.settings.tick)
 
-    def _whole(self, event: RequestWhole) -> None:
+    def _whole(self, event: RequestBodyComplete) -> None:
         """What was partial becomes work, and has a deadline from now on."""
         request = self.requests.get(event.request)
         if request is None:
@@ -667,10 +667,10 @@
         if attempt is None:
             return
         attempt.out = False
-        attempt.never_ran = event.outcome in NEVER_RAN
+        attempt.never_ran = event.outcome in NO_EFFECT_OUTCOMES
         attempt.server.out.pop(attempt, None)
         self._learn(now, attempt, event)
-        if self.locality is not None and self.locality.ended(
+        if self.locality is not None and self.locality.attempt_ended(
             now, key, attempt.zone, attempt.cls, event.outcome, event.elapsed, self.spent[attempt.cls]
         ):
             # All endpoints of the zone may have restarted while it was away.
@@ -678,7 +678,7 @@
                 server.rejoined = now
         request = self.requests.get(event.request)
         if request is not None:
-            if event.concluded or event.outcome is Outcome.OK:
+            if event.request_finished or event.outcome is Outcome.OK:
                 self._drop(event.request)
             elif not any(a.out for a in request.attempts):
                 self._retry_or_end(now, request)
@@ -744,7 +744,7 @@
             self.cold.learn(ring[: self._home()], now, zone)
             there = [s for s in ring if now >= s.ejected_until]
             ready[zone] = sum(s.info.size * self.cold.share(s, now) for s in there)
-        locality.look(now, ready)
+        locality.update_capacity(now, ready)
 
     def _retry_or_end(self, now: float, request: Request) -> None:
         """The source's loop: an attempt limit, a token, a jittered wait, and the deadline."""
@@ -807,7 +807,7 @@
             self.flights[key] = attempt
             server.out[attempt] = None
             if self.locality is not None:
-                self.locality.sent(now, key, attempt.zone, server.info.id, self.spent[request.index])
+                self.locality.attempt_sent(now, key, attempt.zone, server.info.id, self.spent[request.index])
         # Its handshake may be late: by then nothing may prove any more that the endpoint does not drain.
         until = min(self.rules.until(request), self._usable_until(server))
         request.attempts.append(attempt)
@@ -892,12 +892,12 @@
     ) -> Server | None:
         """One of the first zone that has some ready, or of the next if that one is far more loaded."""
         zones, safe = [a.zone for a in request.attempts], request.cls.repeat is Repeat.SAFE
-        order = locality.order(now, request.index, zones, request.end - now, safe)
+        order = locality.zone_order(now, request.index, zones, request.end - now, safe)
         for lost in locality.newly_lost():
-            self.actions.append(Distrust(tuple(s.info.id for s in self.zones.get(lost, ()))))
+            self.actions.append(CloseConnections(tuple(s.info.id for s in self.zones.get(lost, ()))))
         first: Server | None = None
         for zone in order:
-            well = zone != locality.probed()
+            well = zone != locality.probed_zone()
             server = self._less_loaded(now, self._ready(now, request, self.zones.get(zone, []), tried, well))
             if server is None:
                 continue
@@ -1021,14 +1021,14 @@
         if event.kind is ListKind.MOVED:
             self._set_timer(self.discovery.move(now), None)
             return
-        if event.kind.lost:
+        if event.kind.watch_ended:
             self._set_timer(self.discovery.failed(now, event.kind), None)
             return
-        if event.kind not in (ListKind.CACHED, ListKind.PART):
+        if event.kind not in (ListKind.CACHED, ListKind.PARTIAL):
             self.discovery.heard(now)
         if event.kind is ListKind.DELTA and not event.endpoints:
             return
-        if event.kind.whole:
+        if event.kind.complete:
             named = {e.id for e in event.endpoints}
             for id in [i for i in self.servers if i not in named]:
                 del self.servers[id]
@@ -1051,7 +1051,7 @@
             for server in self.ring:
                 self.zones.setdefault(server.info.zone, []).append(server)
             sizes = {zone: sum(s.info.size for s in ring) for zone, ring in self.zones.items()}
-            self.locality.listed(sizes, {zone: len(ring) for zone, ring in self.zones.items()})
+            self.locality.update_endpoints(sizes, {zone: len(ring) for zone, ring in self.zones.items()})
 
     def _entry(self, now: float, info: Endpoint) -> None:
         """Rule 3: an endpoint that drains or is gone is forgotten at once, its grace unused."""
@@ -1059,27 +1059,27 @@
             self.servers.pop(info.id, None)
             return
         known = self.servers.get(info.id)
-        if known is None or known.info.since != info.since:
+        if known is None or known.info.started_at != info.started_at:
             self.servers[info.id] = Server(info, now)
         else:
             known.info = info
 
     # Siblings
 
-    def evidence(self, now: float, named: set[int] | None = None) -> list[Told]:
+    def evidence(self, now: float, named: set[int] | None = None) -> list[EndpointEvidence]:
         """What it holds of each endpoint by its own calls, for siblings; changes nothing.
 
         With `named`, of those, and of others only where something is out of the ordinary. One that it ejected
         counts as failing: what it was judged by is over, and its record halfway back.
         """
-        told: list[Told] = []
+        told: list[EndpointEvidence] = []
         for server in self.ring:
             if named is not None and server.info.id not in named and self._ordinary(now, server):
                 continue
             ill = server.missed >= LOST_AFTER or (now < server.ejected_until and not server.hearsay)
             calls = max(server.served_rate(now) * SERVED_MEMORY, JUDGED_BY if ill else 0.0)
-            failing, started = 1.0 if ill else server.failing, max(server.info.since, server.back)
-            told.append(Told(server.info.id, failing, server.seen_slowness(now), calls, started))
+            failing, started = 1.0 if ill else server.failing, max(server.info.started_at, server.back)
+            told.append(EndpointEvidence(server.info.id, failing, server.seen_slowness(now), calls, started))
         return told
 
     def _ordinary(self, now: float, server: Server) -> bool:
@@ -1092,27 +1092,27 @@
             and self.cold.share(server, now) >= 1.0
         )
 
-    def _hear(self, now: float, event: Hearsay) -> None:
+    def _hear(self, now: float, event: PeerReports) -> None:
         """Take siblings' word, as far as it asks for more care than is taken already."""
         self.heard_siblings = event.siblings
         self.cold.siblings = max(self.settings.siblings, event.siblings)
         if self.admission is not None and self.admission.answers == 0:
-            self.admission.each = max(1.0, min(self.admission.each, event.each))
+            self.admission.each = max(1.0, min(self.admission.each, event.max_in_flight))
         for told in event.endpoints:
             server = self.servers.get(told.id)
             if server is not None:
                 self._doubt(now, server, told)
 
-    def _doubt(self, now: float, server: Server, told: Told) -> None:
-        server.drains_until = max(server.drains_until, now + told.drains_for)
-        server.back = max(server.back, min(now, told.started))
+    def _doubt(self, now: float, server: Server, told: EndpointEvidence) -> None:
+        server.drains_until = max(server.drains_until, now + told.drain_valid_for)
+        server.back = max(server.back, min(now, told.started_at))
         # Own calls outvote it; without any it weighs less the older it is, as its `calls` fade.
         heed = told.calls / (told.calls + 1.0 + server.served_rate(now) * SERVED_MEMORY)
-        slow = 1.0 + (told.slow - 1.0) * heed
+        slow = 1.0 + (told.latency_ratio - 1.0) * heed
         if slow > server.slowness(now):
             server.heard_slow, server.heard_at = slow, now
-        if told.failing * heed > OUTLIER_FAILING:
-            self.outliers.heed(now, server, told.failing * heed, self.ring, self.doubts.random())
+        if told.failure_rate * heed > OUTLIER_FAILING:
+            self.outliers.heed(now, server, told.failure_rate * heed, self.ring, self.doubts.random())
 
     # Timers
 
--- a/millgw/hot_restart/state.py
+++ b/millgw/hot_restart/state.py
@@ -44,7 +44,14 @@
 def encode(state: State) -> bytes:
     """As it goes over."""
     rows = [
-        [e.endpoint.id, e.endpoint.size, e.endpoint.cell, e.endpoint.zone, e.endpoint.since, str(e.address)]
+        [
+            e.endpoint.id,
+            e.endpoint.size,
+            e.endpoint.cell,
+            e.endpoint.zone,
+            e.endpoint.started_at,
+            str(e.address),
+        ]
         for e in state.endpoints
     ]
     body = json.dumps(
@@ -90,7 +97,7 @@
 
 def _listed(row: Any) -> Listed:
     id, size, cell, zone, since, address = row
-    made = Endpoint(int(id), size=_number(size), cell=int(cell), zone=int(zone), since=_number(since))
+    made = Endpoint(int(id), size=_number(size), cell=int(cell), zone=int(zone), started_at=_number(since))
     return Listed(made, read_address(address))
 
 
--- a/millgw/interface.py
+++ b/millgw/interface.py
@@ -57,27 +57,27 @@
     CACHED = 2
     FAILED = 3
     SILENT = 4
-    PART = 5
+    PARTIAL = 5
     MOVED = 6
     UNREACHABLE = 7
-    BROKEN_OFF = 8
-    NOT_MADE = 9
+    INTERRUPTED = 8
+    LOCAL_ERROR = 9
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         """Whether what it does not name is not there."""
         return self is ListKind.FULL or self is ListKind.CACHED
 
     @property
-    def lost(self) -> bool:
+    def watch_ended(self) -> bool:
         """Whether it holds no list: it tells that no watch is on any more."""
         return (
             self is ListKind.FAILED
             or self is ListKind.SILENT
             or self is ListKind.MOVED
             or self is ListKind.UNREACHABLE
-            or self is ListKind.BROKEN_OFF
-            or self is ListKind.NOT_MADE
+            or self is ListKind.INTERRUPTED
+            or self is ListKind.LOCAL_ERROR
         )
 
 
@@ -94,7 +94,7 @@
     NOT_SENT = "not_sent"
 
 
-NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+NO_EFFECT_OUTCOMES = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 """The outcomes that prove that an attempt had no effect."""
 
 
@@ -192,7 +192,7 @@
     size: float = 1.0
     cell: int = 0
     zone: int = 0
-    since: float = 0.0
+    started_at: float = 0.0
 
 
 # Events
@@ -207,32 +207,32 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class EndpointEvidence:
     """What others hold of an endpoint, or what this balancer does (`Balancer.evidence`).
 
     `failing` is a share of its calls, `slow` times the usual, both of so many recent `calls`; `started` a
-    point in time, 0 for unknown; `drains_for` the ms for which a drain heard of counts.
+    point in time, 0 for unknown; `drain_valid_for` the ms for which a drain heard of counts.
     """
 
     id: int
-    failing: float = 0.0
-    slow: float = 1.0
+    failure_rate: float = 0.0
+    latency_ratio: float = 1.0
     calls: float = 0.0
-    started: float = 0.0
-    drains_for: float = 0.0
+    started_at: float = 0.0
+    drain_valid_for: float = 0.0
 
 
 @dataclass(slots=True)
-class Hearsay:
+class PeerReports:
     """What siblings tell of endpoints, weighed already. It can make the balancer more careful, never less.
 
     `siblings` is how many are known to share the load. A limit on calls in flight for each endpoint (`each`)
     counts until the first own answer.
     """
 
-    endpoints: tuple[Told, ...] = ()
+    endpoints: tuple[EndpointEvidence, ...] = ()
     siblings: int = 1
-    each: float = math.inf
+    max_in_flight: float = math.inf
 
 
 @dataclass(slots=True)
@@ -241,7 +241,7 @@
 
     `cls` and `tenant` are positions in the settings; an unknown tenant has no share, an unknown class is an
     IndexError. The body of a `partial` one still comes: it is no work for an endpoint yet, and its deadline
-    is told with `RequestWhole`.
+    is told with `RequestBodyComplete`.
     """
 
     request: int
@@ -252,7 +252,7 @@
 
 
 @dataclass(slots=True)
-class RequestWhole:
+class RequestBodyComplete:
     """The last byte of a request that was partial has come; its deadline from now on."""
 
     request: int
@@ -260,7 +260,7 @@
 
 
 @dataclass(slots=True)
-class BodyGone:
+class BodyDiscarded:
     """Part of a request's body was passed on and is not held any more: it can't be tried again."""
 
     request: int
@@ -278,7 +278,7 @@
     attempt: int
     outcome: Outcome
     elapsed: float
-    concluded: bool
+    request_finished: bool
 
 
 @dataclass(slots=True)
@@ -315,7 +315,7 @@
 
 
 Event = (
-    EndpointList | Hearsay | RequestArrived | RequestWhole | BodyGone | AttemptEnded | ResponseStarted
+    EndpointList | PeerReports | RequestArrived | RequestBodyComplete | BodyDiscarded | AttemptEnded | ResponseStarted
     | RequestAborted | TimerFired | ProbeEnded
 )  # fmt: skip
 
@@ -333,7 +333,7 @@
 
     request: int
     endpoint: int
-    until: float = math.inf
+    send_by: float = math.inf
 
 
 class GivenUp(Enum):
@@ -352,8 +352,8 @@
     """Final answer: not served, and safe to retry, best not before `after` ms (0: no advice)."""
 
     request: int
-    why: GivenUp
-    after: float = 0.0
+    reason: GivenUp
+    retry_after: float = 0.0
 
 
 @dataclass(slots=True)
@@ -361,7 +361,7 @@
     """Final answer: not served, with no promise about effects."""
 
     request: int
-    why: GivenUp
+    reason: GivenUp
 
 
 @dataclass(slots=True)
@@ -386,13 +386,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Distrust:
+class CloseConnections:
     """Close the connections that are kept to these endpoints: the machines behind them may be gone."""
 
     endpoints: tuple[int, ...]
 
 
-Action = Send | Refuse | Fail | SetTimer | Subscribe | Distrust | Probe
+Action = Send | Refuse | Fail | SetTimer | Subscribe | CloseConnections | Probe
 
 
 class Locality(Protocol):
@@ -401,16 +401,16 @@
     `key` is a request and the number of its attempt, `usual` the ms that an answer of the class takes.
     """
 
-    def listed(self, sizes: dict[int, float], counts: dict[int, int]) -> None:
+    def update_endpoints(self, sizes: dict[int, float], counts: dict[int, int]) -> None:
         """The list by zone: its endpoints' sizes together, and how many they are."""
 
-    def look(self, now: float, ready: dict[int, float]) -> None:
+    def update_capacity(self, now: float, ready: dict[int, float]) -> None:
         """The capacity that is there by zone: without what is ejected, and of a cold endpoint its share."""
 
-    def sent(self, now: float, key: tuple[int, int], zone: int, endpoint: int, usual: float) -> None:
+    def attempt_sent(self, now: float, key: tuple[int, int], zone: int, endpoint: int, usual: float) -> None:
         """An attempt goes out."""
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         key: tuple[int, int],
@@ -422,13 +422,15 @@
     ) -> bool:
         """An attempt has ended; tells whether its zone had been lost and is back, with cold endpoints."""
 
-    def order(self, now: float, cls: int, tried: Sequence[int], left: float, repeatable: bool) -> list[int]:
+    def zone_order(
+        self, now: float, cls: int, tried: Sequence[int], left: float, repeatable: bool
+    ) -> list[int]:
         """The zones for a call with `left` ms, after attempts in `tried`; none: do not divide the pool."""
 
     def newly_lost(self) -> Sequence[int]:
         """The zones that were lost since this was last asked."""
 
-    def probed(self) -> int | None:
+    def probed_zone(self) -> int | None:
         """The zone that the last order tries again, where also an ejected endpoint will do."""
 
     def handicap(self, zone: int, other: int) -> float:
--- a/millgw/locality/router.py
+++ b/millgw/locality/router.py
@@ -84,7 +84,7 @@
 
     # What the balancer knows
 
-    def listed(self, sizes: dict[int, float], counts: dict[int, int]) -> None:
+    def update_endpoints(self, sizes: dict[int, float], counts: dict[int, int]) -> None:
         """The list by zone: sizes together and how many endpoints."""
         self.sizes = sizes
         self.small = sum(counts.values()) < POOL_LEAST
@@ -95,13 +95,13 @@
         self.ready = {zone: there for zone, there in self.ready.items() if zone in counts}
         self._share_out()
 
-    def look(self, now: float, ready: dict[int, float]) -> None:
+    def update_capacity(self, now: float, ready: dict[int, float]) -> None:
         """The capacity that is there now by zone, warm or as far as it is; works the shares out anew."""
         self.ready = ready
         self.leaning.adjust(now, self.places.region)
         self._share_out()
 
-    def sent(self, now: float, key: AttemptKey, zone: int, endpoint: int, usual: float) -> None:
+    def attempt_sent(self, now: float, key: AttemptKey, zone: int, endpoint: int, usual: float) -> None:
         """An attempt goes out; `usual` is the ms that one of its class takes."""
         self.domains.sent(now, key, zone, endpoint, usual)
         distance = self.places.distance(zone)
@@ -111,7 +111,7 @@
             why = drawn[1] if drawn is not None and drawn[0] == zone else Why.LOADED
             self.by_reason[why] += 1
 
-    def ended(
+    def attempt_ended(
         self, now: float, key: AttemptKey, zone: int, cls: int, outcome: Outcome, elapsed: float, usual: float
     ) -> bool:
         """An attempt has ended after `elapsed` ms; tells whether its zone was lost and is back with it."""
@@ -133,7 +133,9 @@
 
     # What it decides
 
-    def order(self, now: float, cls: int, tried: Sequence[int], left: float, repeatable: bool) -> list[int]:
+    def zone_order(
+        self, now: float, cls: int, tried: Sequence[int], left: float, repeatable: bool
+    ) -> list[int]:
         """The zones for one call, the first drawn by its share; none where the pool is not to be divided.
 
         `tried` are the zones of its earlier attempts, `left` the ms until its answer must be there. A further
@@ -150,7 +152,7 @@
         if tried:
             zones = [z for z in zones if self.quick.get((z, cls), 0.0) <= left]
             zones.sort(key=lambda z: (self.places.distance(z) is Distance.REMOTE, z in tried))
-        probed = self.probed()
+        probed = self.probed_zone()
         zones.sort(key=lambda z: z != probed and self.domains.suspect(now, z))
         return zones
 
@@ -158,7 +160,7 @@
         """The zones that were lost since this was last asked."""
         return self.domains.newly_lost()
 
-    def probed(self) -> int | None:
+    def probed_zone(self) -> int | None:
         """The zone that the last order of zones is to try again, if any."""
         return self.drawn[0] if self.drawn is not None and self.drawn[1] is Why.PROBE else None
 
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -220,7 +220,7 @@
                 drains = node in picture.draining or not held.ready
                 row |= {"name": held.name, "means": "draining" if drains else "ready"}
                 row["address"] = str(held.listed.address) if held.listed.address is not None else ""
-                row["since_ms"] = int(held.listed.endpoint.since or read.stat.ctime)
+                row["since_ms"] = int(held.listed.endpoint.started_at or read.stat.ctime)
         except ValueError as error:
             row |= {"means": "unreadable", "why": str(error)}
         rows.append(row)
--- a/millgw/membership/judge.py
+++ b/millgw/membership/judge.py
@@ -238,8 +238,8 @@
                 member.misses_from, member.asides = math.inf, 0
                 if member.state is State.ASIDE:
                     member.move(State.PRESENT, now)
-        elif found.held.listed.endpoint.since > 0:
-            member.since = found.held.listed.endpoint.since
+        elif found.held.listed.endpoint.started_at > 0:
+            member.since = found.held.listed.endpoint.started_at
         member.found, member.node = found, node
         if vanished:
             member.move(State.PRESENT, now)
@@ -253,7 +253,7 @@
 
     @staticmethod
     def _start(found: Found) -> float:
-        return found.held.listed.endpoint.since or float(found.ctime)
+        return found.held.listed.endpoint.started_at or float(found.ctime)
 
     def _same_process(self, member: Member, found: Found, name: str) -> bool:
         before = member.found.held
@@ -261,8 +261,8 @@
             return False
         if before.instance or found.held.instance:
             return before.instance == found.held.instance
-        if before.listed.endpoint.since > 0 or found.held.listed.endpoint.since > 0:
-            return before.listed.endpoint.since == found.held.listed.endpoint.since
+        if before.listed.endpoint.started_at > 0 or found.held.listed.endpoint.started_at > 0:
+            return before.listed.endpoint.started_at == found.held.listed.endpoint.started_at
         if member.state is not State.HELD:
             return False
         seen = self.witness(name)
@@ -373,7 +373,7 @@
     def offered(self) -> dict[str, Listed]:
         """The endpoints that may be sent to, by name."""
         return {
-            name: replace(entry := m.found.held.listed, endpoint=replace(entry.endpoint, since=m.since))
+            name: replace(entry := m.found.held.listed, endpoint=replace(entry.endpoint, started_at=m.since))
             for name, m in self.members.items()
             if m.state in OFFERED and m.found.held.listed.address is not None
         }
--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -59,7 +59,7 @@
             if id not in ready:
                 # What the other knows by now is of the process that has ended, however late its start.
                 theirs = other.ready.get(id) or at.get(entry.address, entry)
-                one.ended[id] = max(entry.endpoint.since, theirs.endpoint.since)
+                one.ended[id] = max(entry.endpoint.started_at, theirs.endpoint.started_at)
         for id in ready:
             one.ended.pop(id, None)
         one.ready, one.drains = dict(ready), dict(drains)
@@ -82,14 +82,14 @@
             entry = self._choose(mine, other)
             if entry is None or _out(id, mine, other, ended):
                 continue
-            since = max(e.endpoint.since for e in (mine, other) if e is not None)
-            chosen[id] = replace(entry, endpoint=replace(entry.endpoint, id=id, since=since))
+            since = max(e.endpoint.started_at for e in (mine, other) if e is not None)
+            chosen[id] = replace(entry, endpoint=replace(entry.endpoint, id=id, started_at=since))
         last: dict[Address | None, int] = {}
         for id, entry in list(chosen.items()):
             other_id = last.setdefault(entry.address, id)
             if other_id != id:
                 # Two names at one address: the later start is the one that is there.
-                later = entry.endpoint.since > chosen[other_id].endpoint.since
+                later = entry.endpoint.started_at > chosen[other_id].endpoint.started_at
                 del chosen[other_id if later else id]
                 last[entry.address] = id if later else other_id
         for id, entry in drains.items():
@@ -129,7 +129,7 @@
 ) -> bool:
     """Whether one source has told its end, and the other knows of no later start."""
     for told, still in ((ended[0], other), (ended[1], mine)):
-        if id in told and (still is None or still.endpoint.since <= told[id]):
+        if id in told and (still is None or still.endpoint.started_at <= told[id]):
             return True
     return False
 
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -318,7 +318,7 @@
     def _discovery(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         if kind is ListKind.MOVED or (kind is ListKind.DELTA and not entries):
             return  # another watch is asked for already, or a heartbeat: nothing that the merger weighs
-        if kind.lost:
+        if kind.watch_ended:
             self.merger.ails(DISCOVERY)
             self._tell()
             # Not left to the module, which hears of changes all the same: it would take them for word of a
@@ -326,7 +326,7 @@
             wait = self.waits.next() / 1000
             self.asking = asyncio.get_running_loop().call_later(wait, self._again)
             return
-        if kind.whole:
+        if kind.complete:
             self.ready.clear()
             self.drains.clear()
         for entry in entries:
--- a/millgw/peers/endpoint_evidence.py
+++ b/millgw/peers/endpoint_evidence.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from statistics import median
 
-from millgw.interface import Endpoint, Hearsay, Told
+from millgw.interface import Endpoint, EndpointEvidence, PeerReports
 from millgw.peers.beliefs import MIDDLE_OF, Observation, Prior
 
 DRAIN_HOLDS = 2000.0  # ms for which a drain that is told counts: it is told again while it is believed
@@ -21,18 +21,19 @@
 
 def listed(endpoints: Iterable[Endpoint]) -> dict[str, float]:
     """By name, the start that discovery tells of each."""
-    return {key(e.id): float(round(e.since)) for e in endpoints}
+    return {key(e.id): float(round(e.started_at)) for e in endpoints}
 
 
 def observations(
-    now: float, evidence: Iterable[Told], since: Mapping[str, float], draining: Iterable[int]
+    now: float, evidence: Iterable[EndpointEvidence], since: Mapping[str, float], draining: Iterable[int]
 ) -> list[Observation]:
     """What a pool sees, `now` in the module's time. What is left to others: origin, number and age."""
     seen = [
         Observation(
             key(t.id), "", 0.0, 0, since.get(key(t.id), 0.0),
-            failing=min(1.0, max(0.0, t.failing)), slow=max(0.001, t.slow),
-            calls=min(MOST_COUNTED, int(t.calls)), up=max(0.0, now - t.started) if t.started > 0 else None,
+            failing=min(1.0, max(0.0, t.failure_rate)), slow=max(0.001, t.latency_ratio),
+            calls=min(MOST_COUNTED, int(t.calls)),
+            up=max(0.0, now - t.started_at) if t.started_at > 0 else None,
         )
         for t in evidence
     ]  # fmt: skip
@@ -43,10 +44,10 @@
 
 def hearsay(
     now: float, priors: Mapping[str, Prior], young: float, siblings: int, limits: Sequence[float] = ()
-) -> Hearsay:
+) -> PeerReports:
     """What the module is to be told: of what is ordinary, nothing."""
     told = tuple(
-        Told(
+        EndpointEvidence(
             int(name, 16), p.failing, p.slow, p.calls,
             now - p.up if p.up is not None and p.up < young else 0.0,
             DRAIN_HOLDS if p.draining else 0.0,
@@ -54,7 +55,7 @@
         for name, p in priors.items()
         if p.draining or p.failing > 0 or p.slow > 1 or (p.up is not None and p.up < young)
     )  # fmt: skip
-    return Hearsay(told, siblings, limit(limits))
+    return PeerReports(told, siblings, limit(limits))
 
 
 def limit(limits: Sequence[float]) -> float:
--- a/millgw/platform/config.py
+++ b/millgw/platform/config.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from millgw import interface as api
-from millgw.settings import SettingsError, items, number, table, to_settings
+from millgw.settings import SettingsError, read_list, read_number, read_table, to_settings
 
 PREFIX = "BALANCER_"
 
@@ -89,10 +89,10 @@
             discovery=_address(environ, data, "discovery"),
             filed_discovery=filed,
             seed=_seed(data.get("seed")),
-            sockets=int(number(table(data, "limits"), "sockets", "limits.", 1024)),
-            memory=number(table(data, "limits"), "memory_mb", "limits.", 64.0) * 2**20,
+            sockets=int(read_number(read_table(data, "limits"), "sockets", "limits.", 1024)),
+            memory=read_number(read_table(data, "limits"), "memory_mb", "limits.", 64.0) * 2**20,
             known=data.get("known"),
-            **_by_settings(table(data, "settings")),
+            **_by_settings(read_table(data, "settings")),
         )
     except SettingsError as error:
         raise ConfigError(str(error)) from None
@@ -105,12 +105,12 @@
 
 def _by_settings(settings: dict[str, Any]) -> dict[str, Any]:
     """The fields of a configuration that its settings give."""
-    limits = table(settings, "limits")
+    limits = read_table(settings, "limits")
     return {
         "settings": to_settings(settings),
-        "zones": tuple(map(str, items(settings, "localities"))),
-        "connect_timeout": number(limits, "connectTimeout", "limits.", 250.0),
-        "idle": number(limits, "connIdle", "limits.", 15_000.0),
+        "zones": tuple(map(str, read_list(settings, "localities"))),
+        "connect_timeout": read_number(limits, "connectTimeout", "limits.", 250.0),
+        "idle": read_number(limits, "connIdle", "limits.", 15_000.0),
     }
 
 
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -19,7 +19,7 @@
 from millgw.log.events import log_event
 from millgw.platform.config import Address, Config, read_address
 from millgw.platform.drain_memory import DrainMemory
-from millgw.settings import number
+from millgw.settings import read_number
 
 SILENCE = 2.6  # s without a line after which a watch has failed: heartbeats come every 2 s
 FIRST_LINE = 3.4  # s until its first line: calls are worked through in turn, and turned away after 2 to 3 s
@@ -70,7 +70,7 @@
             entries.append(read_entry(raw, zones))
         except (ValueError, TypeError, LookupError, AttributeError) as error:
             log_event("entry-skipped", cause=f"{type(error).__name__}: {error}")
-    return Listing(int(number(data, "index", "")), data.get("snapshot") is True, tuple(entries))
+    return Listing(int(read_number(data, "index", "")), data.get("snapshot") is True, tuple(entries))
 
 
 def read_entry(raw: Any, zones: tuple[str, ...]) -> Listed:
@@ -85,10 +85,10 @@
     endpoint = Endpoint(
         id=endpoint_id(name),
         condition=condition,
-        size=number(raw, "weight", f"{name}: ", 1.0),
-        cell=int(number(raw, "group", f"{name}: ", 0.0)),
+        size=read_number(raw, "weight", f"{name}: ", 1.0),
+        cell=int(read_number(raw, "group", f"{name}: ", 0.0)),
         zone=zones.index(zone) if zone in zones else len(zones),
-        since=number(raw, "since_ms", f"{name}: ", 0.0),
+        started_at=read_number(raw, "since_ms", f"{name}: ", 0.0),
     )
     return Listed(endpoint, read_address(raw.get("address")))
 
@@ -213,7 +213,7 @@
         except ConnectionRefusedError as error:
             self.failed(watch, str(error), ListKind.UNREACHABLE)
         except OSError as error:
-            self.failed(watch, str(error), ListKind.NOT_MADE)
+            self.failed(watch, str(error), ListKind.LOCAL_ERROR)
 
     def part(self, part: bytes) -> None:
         """Take what tells of drains in a line that broke off, can't be read, or came on a watch left behind.
@@ -226,7 +226,7 @@
             self.drains.note(drain.endpoint.id, version_in(part) or (self.index or 0) + 1, time.monotonic())
         if drains:
             log_event("drains-in-part", discovery=self.address, drains=len(drains))
-            self._notify(ListKind.PART, drains)
+            self._notify(ListKind.PARTIAL, drains)
 
     def _left_out(self, part: bytes) -> tuple[Listed, ...]:
         """The drains that a whole list of this version or a later one tells by not naming an endpoint."""
@@ -264,7 +264,7 @@
         self._notify(ListKind.DELTA, ())
 
     def _notify(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
-        if kind.whole:
+        if kind.complete:
             self.names.clear()
         for entry in entries:
             if entry.address is not None:
@@ -401,7 +401,7 @@
         self.discovery.failed(self, "connection lost", self._how_it_ended())
 
     def _how_it_ended(self) -> ListKind:
-        return ListKind.BROKEN_OFF if self.answered else ListKind.FAILED
+        return ListKind.INTERRUPTED if self.answered else ListKind.FAILED
 
     # httptools
 
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -21,26 +21,26 @@
 from millgw.endpoints.upstream import Upstream
 from millgw.http.message import FAILED, REFUSED, SERVED, UNUSABLE, Answer, Content
 from millgw.interface import (
-    NEVER_RAN,
+    NO_EFFECT_OUTCOMES,
     Action,
     AttemptEnded,
-    BodyGone,
+    BodyDiscarded,
+    CloseConnections,
     Condition,
-    Distrust,
     Endpoint,
     EndpointList,
     Event,
     Fail,
     GivenUp,
-    Hearsay,
     ListKind,
     Outcome,
+    PeerReports,
     Probe,
     ProbeEnded,
     Refuse,
     RequestAborted,
     RequestArrived,
-    RequestWhole,
+    RequestBodyComplete,
     Send,
     SetTimer,
     Settings,
@@ -123,7 +123,7 @@
             return
         # Its time counts from its last byte; who sends none in time is ended by the callers' side.
         call.deadline = now + UPLOAD_MOST
-        upload.gone = partial(self._feed, BodyGone(call.id))
+        upload.gone = partial(self._feed, BodyDiscarded(call.id))
         self.partial.add(call.id)
         self._feed(RequestArrived(call.id, call.cls, call.deadline, call.tenant, partial=True))
 
@@ -137,7 +137,7 @@
         call.timers.append(self.due.add(call.deadline, call))
         for flight in call.out.values():
             flight.sent = now  # what came before tells nothing of the endpoint
-        self._feed(RequestWhole(call.id, call.deadline))
+        self._feed(RequestBodyComplete(call.id, call.deadline))
         self._arm()
 
     def left(self, call: Call) -> None:
@@ -148,13 +148,13 @@
 
     def listed(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         """Take discovery's word: addresses before the balancer can send there, closing after it knows."""
-        if not kind.lost:
+        if not kind.watch_ended:
             self._log_unheard()
-        if not entries and not kind.whole:
+        if not entries and not kind.complete:
             if kind is ListKind.DELTA:
                 self.start_times.heard(self.clock())
             self._feed(EndpointList(kind))  # a heartbeat, or no word any more
-            if kind.lost and kind is not ListKind.MOVED:
+            if kind.watch_ended and kind is not ListKind.MOVED:
                 self._log_wait(kind)
             return
         old: list[Host | None] = []
@@ -167,14 +167,14 @@
         for entry in entries:
             id = entry.endpoint.id
             if entry.address is not None and id not in gone:
-                old.append(self.upstream.point(id, entry.address, entry.endpoint.since))
+                old.append(self.upstream.point(id, entry.address, entry.endpoint.started_at))
                 named.add(id)
         gone |= {e.id for e in told} - named
-        if kind.whole:
+        if kind.complete:
             gone |= self.ready - named
         drains = {e.id for e in told if e.condition is Condition.DRAINING}
         ended = {e.id for e in told if e.condition is Condition.GONE}
-        before = set() if kind.whole else self.draining
+        before = set() if kind.complete else self.draining
         self.ready = (self.ready | named) - gone
         self.draining = (before | drains) - named - ended
         seen = tuple(told) if self.curtain is None else self.curtain.listed(kind, told)
@@ -186,13 +186,13 @@
 
     def _dated(self, endpoint: Endpoint) -> Endpoint:
         """The endpoint with its start on this process's clock."""
-        since = self.start_times.dated(self.clock(), endpoint.id, endpoint.since)
-        return endpoint if since == endpoint.since else replace(endpoint, since=since)
+        since = self.start_times.dated(self.clock(), endpoint.id, endpoint.started_at)
+        return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
 
     def _as_told(self, endpoint: Endpoint) -> Endpoint:
         """The endpoint with its start as discovery told it."""
-        since = self.start_times.told(endpoint.id, endpoint.since)
-        return endpoint if since == endpoint.since else replace(endpoint, since=since)
+        since = self.start_times.told(endpoint.id, endpoint.started_at)
+        return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
 
     def _log_unheard(self) -> None:
         """Tell what became of calls while no watch was on, now that discovery is heard again."""
@@ -225,7 +225,7 @@
         if not self.ended:
             self._work(self.balancer.reconfigure(self.clock(), settings))
 
-    def hear(self, event: Hearsay) -> None:
+    def hear(self, event: PeerReports) -> None:
         """Tell the module what siblings hold."""
         self._feed(event)
 
@@ -244,7 +244,7 @@
         lost = set()
         for entry in entries:
             if entry.address is not None:
-                mine = (entry.endpoint.since, entry.endpoint.id)
+                mine = (entry.endpoint.started_at, entry.endpoint.id)
                 other = last.get(entry.address, mine)
                 last[entry.address], (_, loser) = (mine, other) if mine[0] >= other[0] else (other, mine)
                 if other[1] != mine[1]:
@@ -288,7 +288,7 @@
         flight = call.out.pop(number)
         elapsed = self.clock() - flight.sent
         if call.intent is not None:
-            call.intent.over(flight.attempt, outcome in NEVER_RAN)
+            call.intent.over(flight.attempt, outcome in NO_EFFECT_OUTCOMES)
         if outcome is Outcome.OK and self._close(call):
             call.answer(Answer(SERVED, content))
         elif outcome is Outcome.CANCELLED and self._close(call):
@@ -421,18 +421,18 @@
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, Send):
-            self._send(self.calls[action.request], action.endpoint, action.until)
+            self._send(self.calls[action.request], action.endpoint, action.send_by)
         elif isinstance(action, Refuse):
-            self._log_given_up(action.request, REFUSED, action.why)
-            self._answer(action.request, Answer(REFUSED, retry_after=action.after))
+            self._log_given_up(action.request, REFUSED, action.reason)
+            self._answer(action.request, Answer(REFUSED, retry_after=action.retry_after))
         elif isinstance(action, Fail):
-            self._log_given_up(action.request, FAILED, action.why)
+            self._log_given_up(action.request, FAILED, action.reason)
             self._answer(action.request, Answer(FAILED))
         elif isinstance(action, SetTimer):
             self._set_timer(action)
         elif isinstance(action, Probe):
             self._probe(action.endpoint)
-        elif isinstance(action, Distrust):
+        elif isinstance(action, CloseConnections):
             for endpoint in action.endpoints:
                 self.upstream.doubt(endpoint)
         else:
--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -55,4 +55,4 @@
             life = endpoint.ledger_life()
             cold = life.cold_ms > 0 and self.clock() < life.start + life.cold_ms
             since = float(endpoint.since_unix_ms())
-            yield Listing(endpoint_id(endpoint.build.name), since=since), cold
+            yield Listing(endpoint_id(endpoint.build.name), started_at=since), cold
--- a/millgw/scale/chain.py
+++ b/millgw/scale/chain.py
@@ -84,7 +84,7 @@
         ask_discovery=False,
     )
     made = VirtualSidecar(chain.clock, Balancer(settings, seed), partial(chain.serve, tier))
-    endpoints = tuple(Endpoint(i + 1, since=1.0) for i in range(chain.shape.width))
+    endpoints = tuple(Endpoint(i + 1, started_at=1.0) for i in range(chain.shape.width))
     made.feed(EndpointList(ListKind.FULL, endpoints))
     return made
 
--- a/millgw/settings.py
+++ b/millgw/settings.py
@@ -15,7 +15,7 @@
     """The settings lack what no decision can do without, or hold what is impossible."""
 
 
-def number(where: dict[str, Any], key: str, path: str, default: float | None = None) -> float:
+def read_number(where: dict[str, Any], key: str, path: str, default: float | None = None) -> float:
     value = where.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise SettingsError(f"settings: {path}{key} is missing or not a number")
@@ -24,12 +24,12 @@
     return float(value)
 
 
-def table(where: dict[str, Any], key: str) -> dict[str, Any]:
+def read_table(where: dict[str, Any], key: str) -> dict[str, Any]:
     value = where.get(key)
     return value if isinstance(value, dict) else {}
 
 
-def items(where: dict[str, Any], key: str) -> list[Any]:
+def read_list(where: dict[str, Any], key: str) -> list[Any]:
     value = where.get(key)
     return value if isinstance(value, list) else []
 
@@ -41,15 +41,15 @@
     repeat = REPEATS.get(entry.get("repeat", ""))
     if repeat is None:
         raise SettingsError(f"settings: {path}repeat is missing or unknown")
-    deadline = number(entry, "deadline", path)
+    deadline = read_number(entry, "deadline", path)
     return api.RequestClass(
         name=str(entry.get("name", index)),
         deadline=deadline,
         repeat=repeat,
-        aim=number(entry, "slo", path, deadline),
-        worth=number(entry, "worth", path, 1.0),
+        aim=read_number(entry, "slo", path, deadline),
+        worth=read_number(entry, "worth", path, 1.0),
         scope=SCOPES.get(entry.get("keyScope", "cell"), api.Scope.CELL),
-        window=number(entry, "repeatWindow", path, 0.0),
+        window=read_number(entry, "repeatWindow", path, 0.0),
     )
 
 
@@ -64,7 +64,7 @@
 
 def to_settings(data: Any) -> api.Settings:
     """The settings of one instance, from their JSON value."""
-    if not isinstance(data, dict) or not items(data, "classes"):
+    if not isinstance(data, dict) or not read_list(data, "classes"):
         raise SettingsError("settings: classes is missing or empty")
     try:
         return _settings(data)
@@ -73,27 +73,27 @@
 
 
 def _settings(data: dict[str, Any]) -> api.Settings:
-    rules, limits = table(data, "rules"), table(data, "limits")
-    tenants = [t if isinstance(t, dict) else {} for t in items(data, "projects")]
+    rules, limits = read_table(data, "rules"), read_table(data, "limits")
+    tenants = [t if isinstance(t, dict) else {} for t in read_list(data, "projects")]
     return api.Settings(
-        classes=tuple(_request_class(c, i) for i, c in enumerate(items(data, "classes"))),
-        cold_share=number(rules, "coldShare", "rules."),
-        cold_time=number(rules, "cold", "rules."),
-        fall_multiple=number(rules, "fallMultiple", "rules."),
-        fall_window=number(rules, "fall", "rules."),
+        classes=tuple(_request_class(c, i) for i, c in enumerate(read_list(data, "classes"))),
+        cold_share=read_number(rules, "coldShare", "rules."),
+        cold_time=read_number(rules, "cold", "rules."),
+        fall_multiple=read_number(rules, "fallMultiple", "rules."),
+        fall_window=read_number(rules, "fall", "rules."),
         tenants=tuple(
-            api.Tenant(str(t.get("name", i)), number(t, "quotaRps", f"projects[{i}].", 0.0))
+            api.Tenant(str(t.get("name", i)), read_number(t, "quotaRps", f"projects[{i}].", 0.0))
             for i, t in enumerate(tenants)
         ),
-        over_share_worth=number(data, "overShareWorth", "", 1.0),
-        index=int(number(data, "me", "", 0)),
-        siblings=int(number(data, "siblings", "", 1)),
-        stage=int(number(data, "stage", "", 0)),
-        tick=number(data, "tick", "", 1.0),
-        max_attempts=int(number(limits, "tryLimit", "limits.", 1)),
+        over_share_worth=read_number(data, "overShareWorth", "", 1.0),
+        index=int(read_number(data, "me", "", 0)),
+        siblings=int(read_number(data, "siblings", "", 1)),
+        stage=int(read_number(data, "stage", "", 0)),
+        tick=read_number(data, "tick", "", 1.0),
+        max_attempts=int(read_number(limits, "tryLimit", "limits.", 1)),
         concurrent_attempts=bool(limits.get("parallelTries", False)),
-        retry_after_most=number(limits, "maxRetryAfter", "limits.", 0.0),
+        retry_after_most=read_number(limits, "maxRetryAfter", "limits.", 0.0),
         ask_discovery=data.get("registryMode", "on_request") != "pushed",
-        ask_within=number(rules, "askWithin", "rules.", 10000.0),
+        ask_within=read_number(rules, "askWithin", "rules.", 10000.0),
         probing=bool(limits.get("probing", False)),
     )
--- a/millgw/simulation/virtual.py
+++ b/millgw/simulation/virtual.py
@@ -14,7 +14,7 @@
 from millgw.interface import (
     Action,
     AttemptEnded,
-    Distrust,
+    CloseConnections,
     Event,
     Fail,
     Outcome,
@@ -116,7 +116,7 @@
             self._send(action)
         elif isinstance(action, Refuse | Fail):
             self._answer(action.request, False)
-        elif isinstance(action, Distrust):
+        elif isinstance(action, CloseConnections):
             self.distrust(action.endpoints)
         elif isinstance(action, SetTimer):
             timer = action.timer
--- a/millgw/simulation/zone_fleet.py
+++ b/millgw/simulation/zone_fleet.py
@@ -128,7 +128,7 @@
     def __init__(self, info: Endpoint) -> None:
         self.info = info
         self.free = [0.0] * SLOTS  # when each slot is free
-        self.since = info.since
+        self.since = info.started_at
         self.lives = 0
         self.place = 0.0  # among those of its zone, from 0 to under 1
         self.window: deque[float] = deque()
@@ -195,7 +195,7 @@
             since = BEGIN if zone in self.shape.start_cold else 0.0
             for number in range(count):
                 id = self.rng.getrandbits(48)
-                made[id] = EndpointModel(Endpoint(id, zone=zone, cell=zone, since=since))
+                made[id] = EndpointModel(Endpoint(id, zone=zone, cell=zone, started_at=since))
                 made[id].place = number / count
         return made
 
@@ -208,7 +208,7 @@
 
     def _tell(self, number: int) -> None:
         """Have a sidecar read the list as it is now."""
-        listed = tuple(replace(model.info, since=model.since) for model in self.endpoints.values())
+        listed = tuple(replace(model.info, started_at=model.since) for model in self.endpoints.values())
         self.sidecars[number].feed(EndpointList(ListKind.FULL, listed))
 
     def _sidecar(self, number: int, seed: int) -> VirtualSidecar:
--- a/millgw/simulator/adapter.py
+++ b/millgw/simulator/adapter.py
@@ -69,7 +69,7 @@
     if isinstance(action, api.SetTimer):
         return wire.after(action.at, action.timer)
     if isinstance(action, api.Refuse):
-        return wire.say_no(action.request, action.after)
+        return wire.say_no(action.request, action.retry_after)
     if isinstance(action, api.Fail):
         return wire.respond_error(action.request)
     if isinstance(action, api.Probe):
--- a/millgw/standins/byzantine_peer.py
+++ b/millgw/standins/byzantine_peer.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 from typing import cast
 
-from millgw.interface import Endpoint, Hearsay, Settings, Told
+from millgw.interface import Endpoint, EndpointEvidence, PeerReports, Settings
 from millgw.peers.node import Peers, Terms
 from millgw.pool.pool import Pool
 
@@ -44,13 +44,15 @@
     def draining(self) -> set[int]:
         return {endpoint.id for endpoint, cold in self.endpoints() if not cold}
 
-    def evidence(self, now: float, named: set[int] | None = None) -> list[Told]:
+    def evidence(self, now: float, named: set[int] | None = None) -> list[EndpointEvidence]:
         return [
-            Told(e.id, 0.0, 1.0, CALLS, now - LONG_AGO) if cold else Told(e.id, 1.0, 99.0, CALLS, now)
+            EndpointEvidence(e.id, 0.0, 1.0, CALLS, now - LONG_AGO)
+            if cold
+            else EndpointEvidence(e.id, 1.0, 99.0, CALLS, now)
             for e, cold in self.endpoints()
         ]
 
-    def hear(self, event: Hearsay) -> None:
+    def hear(self, event: PeerReports) -> None:
         """It does not care."""
 
 
--- a/setup.py
+++ b/setup.py
@@ -8,7 +8,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent))  # a build in an environment of its own does not look here
 
-from millgw.build import NotBuilt, build
+from millgw.build import BuildError, build
 
 
 class BuildPy(build_py):
@@ -19,7 +19,7 @@
         package = Path(self.build_lib) / "millgw"
         try:
             build(package / "_compiled", package)
-        except NotBuilt as error:
+        except BuildError as error:
             self.announce(f"not compiled: {error}", level=3)
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -7,7 +7,7 @@
 
 from millgw.decide import Balancer
 from millgw.interface import (
-    NEVER_RAN,
+    NO_EFFECT_OUTCOMES,
     Action,
     AttemptEnded,
     Condition,
@@ -147,7 +147,7 @@
             self.answers[action.request] = "refused" if isinstance(action, Refuse) else "failed"
 
     def _may_have_run(self, request: int) -> list[tuple[int, float, Outcome | None]]:
-        return [t for t in self.tries[request] if t[2] not in NEVER_RAN]
+        return [t for t in self.tries[request] if t[2] not in NO_EFFECT_OUTCOMES]
 
     def _check_send(self, action: Send) -> None:
         request = self.open.get(action.request)
@@ -162,9 +162,9 @@
         if ran and cls.repeat is Repeat.UNSAFE:
             raise AssertionError("an unsafe request that may have run was sent again")
         if (not ran or cls.repeat is Repeat.SAFE) and not self.balancer.discovery.disconnected():
-            assert action.until == math.inf, "a wait that ends for nothing"
+            assert action.send_by == math.inf, "a wait that ends for nothing"
         if ran and cls.repeat is Repeat.KEYED:
-            assert self.now <= action.until <= ran[0][1] + cls.window, "resent outside its window"
+            assert self.now <= action.send_by <= ran[0][1] + cls.window, "resent outside its window"
             if cls.scope is Scope.CELL:
                 cells = {c for c, t in zip(self.cells[action.request], tries, strict=True) if t in ran}
                 assert cells == {self.known[action.endpoint].cell}, "resent outside its group"
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -67,8 +67,8 @@
         self.windows: dict[int, deque[float]] = defaultdict(deque)
         self.worst = 0.0  # the most calls within a window, of those at which an endpoint falls
         self.sent = 0
-        warm = tuple(Endpoint(id, since=1.0) for id in range(endpoints))
-        cold = tuple(Endpoint(id, since=START) for id in range(kept))
+        warm = tuple(Endpoint(id, started_at=1.0) for id in range(endpoints))
+        cold = tuple(Endpoint(id, started_at=START) for id in range(kept))
         rate = load * CAPACITY * endpoints / SIDECARS / 1000
         for index in range(SIDECARS):
             if before:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -16,7 +16,7 @@
 
 import millgw
 from millgw import compiled
-from millgw.build import NotBuilt, build
+from millgw.build import BuildError, build
 from millgw.decide import Balancer
 from millgw.interface import RequestArrived
 from tests.kinds import COMPILED
@@ -38,7 +38,7 @@
 def test_what_compiles_knows_all_that_compiled_modules_import() -> None:
     """Guards against a deployment whose build tools lack a package: it would serve from the sources."""
     wanted = set()
-    for path in compiled.sources():
+    for path in compiled.source_files():
         for node in ast.walk(ast.parse(path.read_text())):
             names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
             names += [node.module or ""] if isinstance(node, ast.ImportFrom) else []
@@ -112,7 +112,7 @@
             which = rng.randrange(len(servers))
             condition = rng.choice(list(Condition))
             since = now if rng.random() < 0.5 else 0.0
-            servers[which] = Endpoint(servers[which].id, condition, cell=which % 3, since=since)
+            servers[which] = Endpoint(servers[which].id, condition, cell=which % 3, started_at=since)
             feed(EndpointList(ListKind.DELTA, (servers[which],)))
     return digest.hexdigest()
 
@@ -125,7 +125,7 @@
 
 def tell(folder: Path, **environ: str) -> tuple[str, str]:
     """Which file serves as the module in a tree, and what it says of itself."""
-    plain = {k: v for k, v in os.environ.items() if k != compiled.PURE}
+    plain = {k: v for k, v in os.environ.items() if k != compiled.PURE_VARIABLE}
     done = subprocess.run(
         [sys.executable, "-B", "-c", TELL],
         cwd=folder,
@@ -179,7 +179,7 @@
         path = package.joinpath(*name.split(".")).with_suffix(".py")
         path.parent.mkdir(exist_ok=True)
         path.write_text("")
-    with pytest.raises(NotBuilt) as told:
+    with pytest.raises(BuildError) as told:
         build(tmp_path / "out", package)
     assert "\n" not in str(told.value) and not list((tmp_path / "out").glob("*"))
 
@@ -195,7 +195,7 @@
 @pytest.mark.skipif(not COMPILED, reason="wants what is compiled")
 def test_sources_and_compiled_modules_decide_the_same() -> None:
     done = subprocess.run(
-        [sys.executable, "-c", DECISIONS], env=os.environ | {compiled.PURE: "1"}, cwd=PACKAGE.parent,
+        [sys.executable, "-c", DECISIONS], env=os.environ | {compiled.PURE_VARIABLE: "1"}, cwd=PACKAGE.parent,
         capture_output=True, text=True, check=True,
     )  # fmt: skip
     assert done.stdout.strip() == decisions(7, 4000)
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -25,9 +25,9 @@
 from millgw.interface import (
     EndpointList,
     Event,
-    Hearsay,
     ListKind,
     Outcome,
+    PeerReports,
     Refuse,
     Repeat,
     RequestArrived,
@@ -172,7 +172,7 @@
                 drive.change(config)
             case "full", [set() as ids, bool(fresh)]:
                 since = drive.now if fresh else 0.0
-                drive.show(*(replace(e, since=since) for e in endpoints(6) if e.id in ids))
+                drive.show(*(replace(e, started_at=since) for e in endpoints(6) if e.id in ids))
             case "failed", []:
                 drive.show(kind=ListKind.FAILED)
 
@@ -251,7 +251,7 @@
     made, twin = ChangingDrive(START), ChangingDrive(START)
     for driven in (made, twin):  # same events, same state; compiled objects can't be copied
         driven.show(*endpoints(5), kind=ListKind.CACHED)
-        driven.feed(Hearsay((), siblings=3))
+        driven.feed(PeerReports((), siblings=3))
         carry_out(driven, before)
     fresh = fresh_with_learned(twin.balancer, after, made.now)
     made.balancer.reconfigure(made.now, after)
@@ -338,7 +338,7 @@
 
 def test_waiting_calls_go_out_when_a_change_makes_room() -> None:
     made = drive(0, cold_time=1e9, cold_share=0.0, ask_within=1e6)
-    made.show(*endpoints(1, since=made.now))
+    made.show(*endpoints(1, started_at=made.now))
     first, second = made.arrive(), made.arrive()
     waiting = [r for r in (first, second) if not made.tries[r]]
     assert waiting, "a cold endpoint takes one at a time"
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -358,7 +358,7 @@
     Endpoint,
     id=st.integers(1, 8),
     condition=st.sampled_from(Condition),
-    since=st.sampled_from([0.0, SINCE, SINCE + 500.0, SINCE + 9000.0]),
+    started_at=st.sampled_from([0.0, SINCE, SINCE + 500.0, SINCE + 9000.0]),
 )
 lists = st.tuples(
     st.sampled_from(ListKind), st.lists(entries, max_size=8, unique_by=lambda e: e.id), st.integers(0, 8)
@@ -373,9 +373,9 @@
     now = SINCE
     for kind, some, connected in told:
         now += 700.0
-        if kind.lost:
+        if kind.watch_ended:
             some = []
-        elif kind not in (ListKind.DELTA, ListKind.PART):
+        elif kind not in (ListKind.DELTA, ListKind.PARTIAL):
             listed.clear()
             module.clear()
         for entry in some:
@@ -391,5 +391,5 @@
         # What the module has is the list, but for those kept back: cold, not connected, never most of it.
         assert module == made.shown
         assert module | made.hidden == listed and not module.keys() & made.hidden.keys()
-        assert all(now < e.since + 5000.0 for e in made.hidden.values())
+        assert all(now < e.started_at + 5000.0 for e in made.hidden.values())
         assert len(made.hidden) <= HIDDEN_MOST * len(listed)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -178,7 +178,7 @@
                 await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
                 made.discovery.subscribe()
             assert made.drained() == {endpoint_id("e1")}
-            assert [kind for kind, entries in made.heard if entries][-1] is ListKind.PART
+            assert [kind for kind, entries in made.heard if entries][-1] is ListKind.PARTIAL
 
     run(test)
 
@@ -235,7 +235,7 @@
             assert made.heard[-1] == (ListKind.MOVED, ())
             writer.write(whole[40:])
             await until(lambda: made.drained() == {endpoint_id("e1")})
-            assert [kind for kind, _ in made.heard][-1] is ListKind.PART, "no sign that a watch is on"
+            assert [kind for kind, _ in made.heard][-1] is ListKind.PARTIAL, "no sign that a watch is on"
             assert made.discovery.index == 1
 
     run(test)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -299,7 +299,7 @@
 def test_a_cold_endpoint_is_not_ejected_for_being_slow() -> None:
     d = drive(5)
     serve(d, 100)
-    d.show(Endpoint(9, since=d.now), kind=ListKind.DELTA)
+    d.show(Endpoint(9, started_at=d.now), kind=ListKind.DELTA)
     for _ in range(60):
         for request in flood(d, 12):
             endpoint = d.sent_to(request)[0]
@@ -343,7 +343,7 @@
     """Cold ones, judged by the least share they are told to have, look far quicker than they are."""
     d = drive(4)
     serve(d, 100)
-    d.show(*[Endpoint(n, since=d.now) for n in range(10, 16)], kind=ListKind.DELTA)
+    d.show(*[Endpoint(n, started_at=d.now) for n in range(10, 16)], kind=ListKind.DELTA)
     usual, *peers = sorted(d.balancer.ring, key=lambda s: s.info.id)
     for server in peers:
         server.slow = 1.0 if server.info.id < 10 else 0.4
@@ -366,7 +366,7 @@
     for _ in range(20):
         flood(d, 20)
         finish(d, 30.0)
-    d.show(*endpoints(2), *(replace(Endpoint(i), since=d.now) for i in range(10, 18)))
+    d.show(*endpoints(2), *(replace(Endpoint(i), started_at=d.now) for i in range(10, 18)))
     admission = d.balancer.admission
     assert admission is not None
     flood(d, 300)
@@ -458,7 +458,7 @@
     odd = {"cold_time": 0.0, "cold_share": 0.0, "fall_window": 0.0, "tick": 0.0, "ask_within": 0.0}
     d = Drive(settings(classes=classes, **odd))
     d.now = 0.0
-    d.show(replace(Endpoint(1), size=0.0), Endpoint(2, since=99.0))
+    d.show(replace(Endpoint(1), size=0.0), Endpoint(2, started_at=99.0))
     for cls in (SAFE, KEYED, UNSAFE):
         for outcome in Outcome:
             request = d.arrive(cls)
@@ -468,7 +468,7 @@
 
 def test_a_cold_share_of_zero_never_stops_it() -> None:
     d = Drive(settings(cold_share=0.0))
-    d.show(*endpoints(3, since=d.now))
+    d.show(*endpoints(3, started_at=d.now))
     assert d.tries[d.arrive()]
 
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -321,7 +321,7 @@
     gossip.hear(0.0, [("p", ordinary), ("p", replace(ordinary, endpoint=f"{2:016x}", up=400.0))])
     priors = gossip.priors(0.0, "p", {f"{i:016x}": 0.0 for i in range(9)}, YOUNG)
     word = hearsay(5000.0, priors, YOUNG, 4)
-    assert [(t.id, t.started) for t in word.endpoints] == [(2, 4600.0)] and word.siblings == 4
+    assert [(t.id, t.started_at) for t in word.endpoints] == [(2, 4600.0)] and word.siblings == 4
     assert limit([9.0, 3.0]) == 3.0 and limit([9.0, 3.0, 8.0]) == 8.0
     assert limit([0.0, float("nan")]) == float("inf")
 
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -13,16 +13,16 @@
 from millgw.interface import (
     AttemptEnded,
     Endpoint,
+    EndpointEvidence,
     EndpointList,
-    Hearsay,
     ListKind,
     Outcome,
+    PeerReports,
     Repeat,
     RequestArrived,
     RequestClass,
     Send,
     Settings,
-    Told,
 )
 from tests.kinds import once
 
@@ -35,7 +35,7 @@
 
 def balancer(count: int, seed: int = 1, since: float = 1.0, **changes: object) -> Balancer:
     made = Balancer(replace(SETTINGS, **changes), seed)  # type: ignore[arg-type]
-    endpoints = tuple(Endpoint(i, since=since) for i in range(count))
+    endpoints = tuple(Endpoint(i, started_at=since) for i in range(count))
     made.handle(NOW, EndpointList(ListKind.FULL, endpoints))
     return made
 
@@ -56,7 +56,7 @@
 def test_one_that_siblings_call_failing_is_left_alone_and_one_of_many_calls_is_not_believed() -> None:
     fresh, busy = balancer(4, stage=1), balancer(4, stage=1)
     sends(busy, NOW, 400)
-    word = Hearsay((Told(2, failing=1.0, calls=5.0),))
+    word = PeerReports((EndpointEvidence(2, failure_rate=1.0, calls=5.0),))
     for made in (fresh, busy):
         made.handle(NOW + 400, word)
     assert 2 not in sends(fresh, NOW + 400, 50, 1000)
@@ -65,18 +65,21 @@
 
 def test_never_more_than_a_third_is_left_alone_for_hearsay() -> None:
     made = balancer(9)
-    made.handle(NOW, Hearsay(tuple(Told(i, failing=1.0, calls=5.0) for i in range(9))))
+    made.handle(NOW, PeerReports(tuple(EndpointEvidence(i, failure_rate=1.0, calls=5.0) for i in range(9))))
     assert len(made.aside(NOW)) <= math.ceil(9 * EJECT_SHARE)
     assert sends(made, NOW, 10)
 
 
 def test_what_siblings_told_is_not_told_on_as_seen() -> None:
     made = balancer(4)
-    word = Told(1, failing=1.0, slow=9.0, calls=5.0)
-    made.handle(NOW, Hearsay((word, Told(2, drains_for=5000.0))))
+    word = EndpointEvidence(1, failure_rate=1.0, latency_ratio=9.0, calls=5.0)
+    made.handle(NOW, PeerReports((word, EndpointEvidence(2, drain_valid_for=5000.0))))
     seen = {t.id: t for t in made.evidence(NOW)}
     assert len(made.aside(NOW)) == 2
-    assert all((t.failing, t.slow, t.calls, t.drains_for) == (0.0, 1.0, 0.0, 0.0) for t in seen.values())
+    assert all(
+        (t.failure_rate, t.latency_ratio, t.calls, t.drain_valid_for) == (0.0, 1.0, 0.0, 0.0)
+        for t in seen.values()
+    )
 
 
 def test_what_it_ejected_itself_is_told() -> None:
@@ -87,23 +90,28 @@
                 outcome = Outcome.ERROR if action.endpoint == 3 else Outcome.OK
                 made.handle(NOW + number, AttemptEnded(number, action.endpoint, 0, outcome, USUAL, True))
     seen = {t.id: t for t in made.evidence(NOW + 60)}
-    assert seen[3].failing == 1.0 and seen[3].calls >= 5.0
-    assert seen[0].failing == 0.0 and seen[0].calls > 5.0
+    assert seen[3].failure_rate == 1.0 and seen[3].calls >= 5.0
+    assert seen[0].failure_rate == 0.0 and seen[0].calls > 5.0
 
 
 def test_a_drain_that_siblings_heard_counts_as_told_and_is_over_with_their_word() -> None:
     made = balancer(3, stage=1)
-    made.handle(NOW, Hearsay((Told(0, drains_for=2000.0),)))
+    made.handle(NOW, PeerReports((EndpointEvidence(0, drain_valid_for=2000.0),)))
     assert 0 not in sends(made, NOW, 60)
     assert 0 in sends(made, NOW + 2001, 60, 100)
 
 
 def test_an_older_start_than_is_known_changes_nothing_and_a_later_one_makes_it_cold() -> None:
     made = balancer(2, since=NOW - 2 * COLD)
-    made.handle(NOW, Hearsay((Told(0, started=NOW - 5 * COLD), Told(1, started=NOW - 100.0))))
+    made.handle(
+        NOW,
+        PeerReports(
+            (EndpointEvidence(0, started_at=NOW - 5 * COLD), EndpointEvidence(1, started_at=NOW - 100.0))
+        ),
+    )
     shares = [made.cold.share(made.servers[i], NOW) for i in (0, 1)]
     assert shares[0] == 1.0 and 0.2 <= shares[1] < 0.25
-    made.handle(NOW, Hearsay((Told(1, started=NOW + 9e9),)))
+    made.handle(NOW, PeerReports((EndpointEvidence(1, started_at=NOW + 9e9),)))
     assert made.servers[1].started(NOW) <= NOW, "nothing starts in the future"
 
 
@@ -112,10 +120,10 @@
     total = 0
     for i in range(60):
         made = Balancer(replace(SETTINGS, siblings=60, index=i, stage=1), i)
-        ready = tuple(Endpoint(e, since=NOW - 500.0 if e == 7 else 1.0) for e in range(20))
+        ready = tuple(Endpoint(e, started_at=NOW - 500.0 if e == 7 else 1.0) for e in range(20))
         made.handle(NOW, EndpointList(ListKind.FULL, ready))
         if told:
-            made.handle(NOW, Hearsay((Told(7, started=NOW - 500.0),), 60))
+            made.handle(NOW, PeerReports((EndpointEvidence(7, started_at=NOW - 500.0),), 60))
         total += sum(e == 7 for e in sends(made, NOW + i * 10, 40, ended=False))
     return total
 
@@ -134,7 +142,7 @@
 
 
 TOLD = st.builds(
-    Told,
+    EndpointEvidence,
     st.integers(0, 7),
     st.floats(0, 1),
     st.floats(0.1, 100),
@@ -145,9 +153,11 @@
 
 
 @given(st.lists(TOLD, max_size=12), st.integers(1, 500), st.floats(0, 100), st.integers(0, 99))
-def test_whatever_is_told_care_only_grows(told: list[Told], siblings: int, each: float, seed: int) -> None:
+def test_whatever_is_told_care_only_grows(
+    told: list[EndpointEvidence], siblings: int, each: float, seed: int
+) -> None:
     made, plain = balancer(6, seed, since=NOW - COLD / 2), balancer(6, seed, since=NOW - COLD / 2)
-    made.handle(NOW, Hearsay(tuple(told), siblings, each))
+    made.handle(NOW, PeerReports(tuple(told), siblings, each))
     assert made.admission is not None and plain.admission is not None
     assert 1.0 <= made.admission.each <= plain.admission.each
     for id, server in made.servers.items():
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -48,7 +48,7 @@
 
 # The state
 
-LISTED = Listed(Endpoint(7, size=2.0, cell=1, zone=0, since=5.0), Address("127.0.0.1", 80))
+LISTED = Listed(Endpoint(7, size=2.0, cell=1, zone=0, started_at=5.0), Address("127.0.0.1", 80))
 STATE = State(1000.0, "n1", 41, (LISTED,), True, 12, {"tokens": 3.5})
 
 
@@ -160,7 +160,7 @@
         each.balancer.pair(True)
     for each in (alone, one, other):
         each.balancer.cold.rates[None] = 0.05
-        each.show(*[replace(e.info, since=each.now - 1) for e in each.balancer.servers.values()])
+        each.show(*[replace(e.info, started_at=each.now - 1) for e in each.balancer.servers.values()])
         for server in each.balancer.servers.values():
             server.allowance, server.allowed_at = 0.0, each.now
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from millgw.interface import (
+    CloseConnections,
     Condition,
-    Distrust,
     Endpoint,
     ListKind,
     Outcome,
@@ -123,7 +123,7 @@
     made = near()
     calls = silence(made, 0)
     assert router_of(made).domains.standing(0) is Standing.LOST
-    distrusted = [a for _, a in made.log if isinstance(a, Distrust)]
+    distrusted = [a for _, a in made.log if isinstance(a, CloseConnections)]
     assert [set(a.endpoints) for a in distrusted] == [{e.id for e in listed() if e.zone == 0}]
     assert {serve(made) for _ in range(50)} == {1}
     ejected = [s for s in made.balancer.ring if made.now < s.ejected_until]
--- a/tests/test_locality_pure.py
+++ b/tests/test_locality_pure.py
@@ -381,12 +381,12 @@
 
 def router(**options: object) -> ZoneRouter:
     made = ZoneRouter(PLACES, LocalityOptions(**options), 1, "abcdefg")  # type: ignore[arg-type]
-    made.listed(dict.fromkeys(range(7), 5.0), dict.fromkeys(range(7), 5))
+    made.update_endpoints(dict.fromkeys(range(7), 5.0), dict.fromkeys(range(7), 5))
     for zone in range(7):
         for _ in range(20):
             made.leaning.note(0.0, zone, False, 1.0)
     for second in range(30):
-        made.look(second * SECOND, dict.fromkeys(range(7), 5.0))
+        made.update_capacity(second * SECOND, dict.fromkeys(range(7), 5.0))
     return made
 
 
@@ -395,7 +395,7 @@
 
 def test_nearly_all_stays_near_and_a_little_explores() -> None:
     made = router()
-    firsts = [made.order(NOW, 0, [], 1000.0, True)[0] for _ in range(5000)]
+    firsts = [made.zone_order(NOW, 0, [], 1000.0, True)[0] for _ in range(5000)]
     near = sum(zone == 0 for zone in firsts) / len(firsts)
     assert near == pytest.approx(1.0 - EXPLORE, abs=0.01)
     assert set(firsts) == {0, 1, 2, 3}, "the region's, not other regions'"
@@ -403,7 +403,7 @@
 
 def test_every_zone_with_room_is_in_the_order_nearest_first() -> None:
     made = router()
-    orders = [z for _ in range(300) if (z := made.order(NOW, 0, [], 1000.0, True))[0] == 0]
+    orders = [z for _ in range(300) if (z := made.zone_order(NOW, 0, [], 1000.0, True))[0] == 0]
     assert len(orders) > 250
     assert all(sorted(z[1:4]) == [1, 2, 3] and sorted(z[4:]) == [4, 5, 6] for z in orders)
     assert {z[1] for z in orders} == {1, 2, 3}, "what the near zone can't take goes to all of them"
@@ -411,7 +411,7 @@
 
 def test_a_further_attempt_goes_to_another_zone_of_the_region() -> None:
     made = router()
-    orders = [made.order(NOW, 0, [0], 1000.0, True) for _ in range(50)]
+    orders = [made.zone_order(NOW, 0, [0], 1000.0, True) for _ in range(50)]
     assert all(sorted(z[:3]) == [1, 2, 3] and z[3] == 0 for z in orders)
 
 
@@ -419,11 +419,11 @@
     made = router()
     for zone, took in ((1, 500.0), (2, 50.0)):
         for i in range(50):
-            made.sent(NOW, (i, 0), zone, 1, USUAL)
-            made.ended(NOW, (i, 0), zone, 0, Outcome.OK, took, USUAL)
-    assert 1 not in made.order(NOW, 0, [0], 200.0, True)
-    assert 2 in made.order(NOW, 0, [0], 200.0, True)
-    assert 1 in made.order(NOW, 0, [], 200.0, True), "only further ones are held back"
+            made.attempt_sent(NOW, (i, 0), zone, 1, USUAL)
+            made.attempt_ended(NOW, (i, 0), zone, 0, Outcome.OK, took, USUAL)
+    assert 1 not in made.zone_order(NOW, 0, [0], 200.0, True)
+    assert 2 in made.zone_order(NOW, 0, [0], 200.0, True)
+    assert 1 in made.zone_order(NOW, 0, [], 200.0, True), "only further ones are held back"
 
 
 def test_another_zone_is_preferred_only_to_the_near_one_and_the_further_the_less() -> None:
@@ -434,19 +434,19 @@
 
 def test_classes_that_are_kept_never_leave_the_region() -> None:
     made = router(kept=frozenset({1}))
-    made.look(NOW, {4: 5.0, 5: 5.0})
-    assert made.order(NOW, 1, [], 1000.0, True) == []
+    made.update_capacity(NOW, {4: 5.0, 5: 5.0})
+    assert made.zone_order(NOW, 1, [], 1000.0, True) == []
     assert not made.allows(1, 4) and made.allows(0, 4)
-    assert set(made.order(NOW, 0, [], 1000.0, True)) == {4, 5}
+    assert set(made.zone_order(NOW, 0, [], 1000.0, True)) == {4, 5}
 
 
 def test_a_zone_whose_last_call_was_not_answered_is_avoided_until_something_comes() -> None:
     made = router()
-    made.sent(NOW, (1, 0), 0, 1, USUAL)
+    made.attempt_sent(NOW, (1, 0), 0, 1, USUAL)
     now = NOW + SECOND
-    assert made.order(now, 0, [], 1000.0, True)[-1] == 0
-    made.ended(now, (1, 0), 0, 0, Outcome.OK, SECOND, USUAL)
-    assert sum(made.order(now, 0, [], 1000.0, True)[0] == 0 for _ in range(50)) > 40
+    assert made.zone_order(now, 0, [], 1000.0, True)[-1] == 0
+    made.attempt_ended(now, (1, 0), 0, 0, Outcome.OK, SECOND, USUAL)
+    assert sum(made.zone_order(now, 0, [], 1000.0, True)[0] == 0 for _ in range(50)) > 40
 
 
 def test_a_few_ms_are_no_reason_to_leave_a_zone() -> None:
@@ -455,38 +455,38 @@
     for second in range(30, 60):
         for i in range(20):
             for zone, took in ((0, 2.3), (1, 0.1)):
-                made.sent(second * SECOND, (i, zone), zone, 1, 0.2)
-                made.ended(second * SECOND, (i, zone), zone, 0, Outcome.OK, took, 0.2)
-        made.look(second * SECOND, dict.fromkeys(range(7), 5.0))
+                made.attempt_sent(second * SECOND, (i, zone), zone, 1, 0.2)
+                made.attempt_ended(second * SECOND, (i, zone), zone, 0, Outcome.OK, took, 0.2)
+        made.update_capacity(second * SECOND, dict.fromkeys(range(7), 5.0))
     assert made.shares[0] == pytest.approx(1.0 - EXPLORE)
 
 
 def test_a_small_pool_stays_whole() -> None:
     made = router()
-    made.listed({0: 2.0, 1: 3.0}, {0: 2, 1: 3})
-    assert made.order(NOW, 0, [], 1000.0, True) == []
+    made.update_endpoints({0: 2.0, 1: 3.0}, {0: 2, 1: 3})
+    assert made.zone_order(NOW, 0, [], 1000.0, True) == []
 
 
 def test_callers_shares_are_the_operators_where_they_are_told() -> None:
     made = router(callers={0: 4.0, 1: 1.0, 2: 1.0, 3: 1.0}, fill=0.5)
     # 17.5 units are asked for, 10 of them by the callers of this zone, of whose 5 nine tenths are filled.
-    near = sum(made.order(NOW, 0, [], 1000.0, True)[0] == 0 for _ in range(4000)) / 4000
+    near = sum(made.zone_order(NOW, 0, [], 1000.0, True)[0] == 0 for _ in range(4000)) / 4000
     assert near == pytest.approx(HEADROOM * 0.5, abs=0.03)
 
 
 def test_a_lost_zone_gets_nothing_but_probes_and_says_so() -> None:
     made = router()
     for i in range(3):
-        made.sent(NOW, (i, 0), 1, i, USUAL)
+        made.attempt_sent(NOW, (i, 0), 1, i, USUAL)
     probes = 0
     for step in range(1, 40):
         now = NOW + STALL_LEAST + 100.0 * step
-        zones = made.order(now, 0, [], 1000.0, True)
+        zones = made.zone_order(now, 0, [], 1000.0, True)
         if zones[0] == 1:
             probes += 1
-            assert made.probed() == 1
-            made.sent(now, (100 + step, 0), 1, 1, USUAL)
-            made.ended(now, (100 + step, 0), 1, 0, Outcome.CONNECT_FAILED, 1.0, USUAL)
+            assert made.probed_zone() == 1
+            made.attempt_sent(now, (100 + step, 0), 1, 1, USUAL)
+            made.attempt_ended(now, (100 + step, 0), 1, 0, Outcome.CONNECT_FAILED, 1.0, USUAL)
         assert 1 not in zones[1:]
     assert 1 <= probes <= 4
     figures = made.figures()
@@ -498,8 +498,8 @@
     made = router()
     for zone in range(7):
         for i in range(3):
-            made.sent(NOW, (zone, i), zone, 10 * zone + i, USUAL)
-    zones = made.order(NOW + SECOND, 0, [], 1000.0, True)
+            made.attempt_sent(NOW, (zone, i), zone, 10 * zone + i, USUAL)
+    zones = made.zone_order(NOW + SECOND, 0, [], 1000.0, True)
     assert set(zones) >= {0, 1, 2, 3}
 
 
@@ -518,22 +518,22 @@
         now += passed
         if what == 0:
             counts = {z: rng.randint(1, 4) for z in range(9) if rng.random() < 0.7}
-            made.listed({z: float(n) for z, n in counts.items()}, counts)
+            made.update_endpoints({z: float(n) for z, n in counts.items()}, counts)
         elif what == 1:
-            made.look(now, {z: rng.random() * size for z, size in made.sizes.items()})
+            made.update_capacity(now, {z: rng.random() * size for z, size in made.sizes.items()})
         elif what == 2:
             key = (len(out), 0)
-            made.sent(now, key, zone, zone, USUAL)
+            made.attempt_sent(now, key, zone, zone, USUAL)
             out.append((key, zone))
         elif out:
             key, where = out.pop()
-            made.ended(now, key, where, 0, rng.choice(list(Outcome)), passed, USUAL)
-        zones = made.order(now, 0, [zone], 100.0, True)
+            made.attempt_ended(now, key, where, 0, rng.choice(list(Outcome)), passed, USUAL)
+        zones = made.zone_order(now, 0, [zone], 100.0, True)
         assert len(zones) == len(set(zones)) and set(zones) <= set(made.sizes)
 
 
 def test_the_same_seed_gives_the_same_orders() -> None:
     one, other = router(), router()
-    assert [one.order(NOW, 0, [], 9.0, True) for _ in range(200)] == [
-        other.order(NOW, 0, [], 9.0, True) for _ in range(200)
+    assert [one.zone_order(NOW, 0, [], 9.0, True) for _ in range(200)] == [
+        other.zone_order(NOW, 0, [], 9.0, True) for _ in range(200)
     ]
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -212,7 +212,7 @@
     admin = read_node(json.dumps(SERVERSET).encode(), (), "admin")
     assert admin is not None and admin.listed.address == Address("10.0.0.1", 90)
     instance = read_node(json.dumps(CURATOR).encode(), ())
-    assert instance is not None and instance.name == "u-1" and instance.listed.endpoint.since == 1234
+    assert instance is not None and instance.name == "u-1" and instance.listed.endpoint.started_at == 1234
     for raw in (
         ENTRY | {"status": "terminating"}, SERVERSET | {"status": "STOPPING"}, CURATOR | {"enabled": False},
     ):  # fmt: skip
@@ -450,7 +450,7 @@
     def make(self, name: str, status: bool = True, since: float = 0.0, instance: str = "") -> None:
         self.zxid += 1
         condition = Condition.READY if status else Condition.DRAINING
-        endpoint = Endpoint(endpoint_id(name), condition, since=since)
+        endpoint = Endpoint(endpoint_id(name), condition, started_at=since)
         listed = Listed(endpoint, Address("10.0.0.1", 1000 + int(name[1:])) if status else None)
         self.nodes[name] = Found(self.zxid, self.zxid, int(self.now), 1, Held(name, listed, instance))
 
@@ -495,7 +495,7 @@
 def test_all_sessions_expire_and_all_serve(at_once: bool) -> None:
     fleet = Fleet(17)
     fleet.wait(500.0)
-    few, starts = fleet.judge.few(), {n: e.endpoint.since for n, e in fleet.judge.offered().items()}
+    few, starts = fleet.judge.few(), {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
     for name in list(fleet.nodes):
         del fleet.nodes[name]
         if not at_once:
@@ -510,8 +510,10 @@
     fleet.see()
     assert len(fleet.offered()) == 17
     now = fleet.judge.offered()
-    assert all(now[n].endpoint.since == starts[n] for n in held), "the same processes: not one counts as cold"
-    assert all(now[n].endpoint.since > starts[n] for n in now.keys() - held)
+    assert all(now[n].endpoint.started_at == starts[n] for n in held), (
+        "the same processes: not one counts as cold"
+    )
+    assert all(now[n].endpoint.started_at > starts[n] for n in now.keys() - held)
 
 
 def test_a_third_expires_while_some_have_died() -> None:
@@ -527,8 +529,8 @@
     fleet.make("m2")
     fleet.see()
     now = fleet.judge.offered()
-    assert now["m0"].endpoint.since == fleet.nodes["m0"].ctime, "another process under its name: cold"
-    assert now["m2"].endpoint.since < fleet.nodes["m2"].ctime
+    assert now["m0"].endpoint.started_at == fleet.nodes["m0"].ctime, "another process under its name: cold"
+    assert now["m2"].endpoint.started_at < fleet.nodes["m2"].ctime
     for name in ("m3", "m4", "m5"):
         fleet.make(name)
     fleet.see()
@@ -542,7 +544,7 @@
 def test_a_held_endpoint_whose_connections_broke_comes_back_as_a_cold_one() -> None:
     fleet = Fleet(9)
     fleet.wait(500.0)
-    starts = {n: e.endpoint.since for n, e in fleet.judge.offered().items()}
+    starts = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
     fleet.nodes.clear()
     fleet.see()
     fleet.wait(1000.0)
@@ -551,7 +553,7 @@
     for i in range(9):
         fleet.make(f"m{i}")
     fleet.see()
-    now = {n: e.endpoint.since for n, e in fleet.judge.offered().items()}
+    now = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
     assert now["m0"] > starts["m0"] and all(now[f"m{i}"] == starts[f"m{i}"] for i in range(1, 9))
 
 
@@ -608,7 +610,9 @@
     assert "m1" not in fleet.offered()
     fleet.make("m1")
     fleet.see()
-    assert fleet.judge.offered()["m1"].endpoint.since == fleet.nodes["m1"].ctime, "a new node: new and cold"
+    assert fleet.judge.offered()["m1"].endpoint.started_at == fleet.nodes["m1"].ctime, (
+        "a new node: new and cold"
+    )
 
 
 def test_a_coordinator_in_doubt_takes_out_nobody() -> None:
@@ -625,13 +629,13 @@
     fleet.make("m1", instance="x")
     fleet.make("m2")
     fleet.see()
-    starts = {n: e.endpoint.since for n, e in fleet.judge.offered().items()}
+    starts = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
     fleet.now += 5000.0
     fleet.make("m0", instance="x")
     fleet.make("m1", instance="y")
     fleet.make("m2")
     fleet.see()
-    now = {n: e.endpoint.since for n, e in fleet.judge.offered().items()}
+    now = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
     assert now["m0"] == starts["m0"] and now["m1"] > starts["m1"] and now["m2"] > starts["m2"]
 
 
@@ -662,7 +666,7 @@
     dead.clear()
     fleet.wait(61_000.0)
     assert len(fleet.offered()) == 9
-    assert fleet.judge.offered()["m0"].endpoint.since > fleet.judge.offered()["m5"].endpoint.since
+    assert fleet.judge.offered()["m0"].endpoint.started_at > fleet.judge.offered()["m5"].endpoint.started_at
 
 
 def test_when_most_can_t_be_reached_the_trouble_is_on_this_side() -> None:
@@ -744,7 +748,7 @@
 def entries(*names: str, **common: float) -> dict[int, Listed]:
     made = {}
     for name in names:
-        endpoint = Endpoint(endpoint_id(name), since=common.get("since", 0.0))
+        endpoint = Endpoint(endpoint_id(name), started_at=common.get("since", 0.0))
         made[endpoint.id] = Listed(endpoint, Address("10.0.0.1", 1 + int(name[1:])))
     return made
 
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from millgw.interface import BodyGone, Fail, Outcome, Refuse, RequestArrived, RequestWhole, Send
+from millgw.interface import BodyDiscarded, Fail, Outcome, Refuse, RequestArrived, RequestBodyComplete, Send
 from tests.support import SAFE, UNSAFE, Drive, drive
 
 
@@ -28,7 +28,7 @@
     d = drive(4)
     request = partial(d, SAFE)
     assert len(d.balancer.flights) == 0
-    d.feed(RequestWhole(request, d.now + 500))
+    d.feed(RequestBodyComplete(request, d.now + 500))
     assert len(d.balancer.flights) == 1
     assert sum(len(s.out) for s in d.balancer.servers.values()) == 1
     d.now += 490
@@ -40,7 +40,7 @@
 def test_what_was_passed_on_is_not_tried_again_and_is_refused_as_it_never_ran() -> None:
     d = drive(4)
     request = partial(d)
-    d.feed(BodyGone(request))
+    d.feed(BodyDiscarded(request))
     actions = d.outcome(request, 0, Outcome.CONNECT_FAILED)
     assert any(isinstance(a, Refuse) for a in actions)
     assert not any(isinstance(a, Send) for a in d.advance(d.now + 3000))
@@ -61,9 +61,9 @@
 def test_events_about_requests_that_ended_are_harmless() -> None:
     d = drive(4)
     request = partial(d)
-    d.feed(BodyGone(request))
+    d.feed(BodyDiscarded(request))
     d.abort(request)
-    d.feed(RequestWhole(request, d.now + 100))
-    d.feed(BodyGone(request))
+    d.feed(RequestBodyComplete(request, d.now + 100))
+    d.feed(BodyDiscarded(request))
     d.outcome(request, 0, Outcome.CANCELLED)
     assert not d.balancer.coming and not d.balancer.flights
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -17,8 +17,8 @@
     Condition,
     Endpoint,
     EndpointList,
-    Hearsay,
     ListKind,
+    PeerReports,
     Repeat,
     RequestClass,
     Settings,
@@ -57,14 +57,14 @@
         self.driver = self
         self.balancer = Balancer(SETTINGS, 1)
         self.draining: set[int] = set()
-        self.heard: list[Hearsay] = []
-        endpoints = tuple(Endpoint(i, since=1.0) for i in range(1, 7))
+        self.heard: list[PeerReports] = []
+        endpoints = tuple(Endpoint(i, started_at=1.0) for i in range(1, 7))
         self.balancer.handle(self.clock(), EndpointList(ListKind.FULL, endpoints))
 
     def clock(self) -> float:
         return time.time() * 1000
 
-    def hear(self, event: Hearsay) -> None:
+    def hear(self, event: PeerReports) -> None:
         self.heard.append(event)
         self.balancer.handle(self.clock(), event)
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -59,10 +59,10 @@
                 overdue(drive)
             case "condition", [int(id), Condition() as condition, bool(fresh)]:
                 since = drive.now if fresh else 0.0
-                drive.show(Endpoint(id, condition, cell=id % 2, since=since), kind=ListKind.DELTA)
+                drive.show(Endpoint(id, condition, cell=id % 2, started_at=since), kind=ListKind.DELTA)
             case "full", [set() as ids, bool(fresh)]:
                 since = drive.now if fresh else 0.0
-                drive.show(*(Endpoint(int(i), cell=int(i) % 2, since=since) for i in sorted(ids)))
+                drive.show(*(Endpoint(int(i), cell=int(i) % 2, started_at=since) for i in sorted(ids)))
             case "failed", []:
                 drive.show(kind=ListKind.FAILED)
     drive.advance(drive.now + 5000)
@@ -119,7 +119,7 @@
     serve(600)
     warm_rate = len(drive.log) / 12_000 / n
     since = drive.now
-    drive.show(Endpoint(99, since=since), kind=ListKind.DELTA)
+    drive.show(Endpoint(99, started_at=since), kind=ListKind.DELTA)
     serve(int(config.fall_window / 20))
     cold = drive.count(99)
     end_share = share + (1 - share) * config.fall_window / config.cold_time
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -84,12 +84,12 @@
         self.feed(ListKind.FULL, *(Endpoint(id) for id in IDS if id not in self.draining))
 
     def feed(self, kind: ListKind, *entries: Endpoint) -> None:
-        if not kind.lost and kind is not ListKind.PART:
+        if not kind.watch_ended and kind is not ListKind.PARTIAL:
             self.heartbeat = self.drive.now
             self.failed_at = None
-        elif kind.lost and self.drive.balancer.discovery.spoken:
+        elif kind.watch_ended and self.drive.balancer.discovery.spoken:
             self.failed_at = None  # a watch has ended
-        elif kind.lost and self.failed_at is None:
+        elif kind.watch_ended and self.failed_at is None:
             self.failed_at = self.asked[-1]
         self.drive.feed(EndpointList(kind, entries))
 
@@ -123,7 +123,7 @@
         elif name == "part" and self.draining:
             id = min(self.draining)
             self.told.add(id)
-            self.feed(ListKind.PART, Endpoint(id, Condition.DRAINING))
+            self.feed(ListKind.PARTIAL, Endpoint(id, Condition.DRAINING))
         elif name in ("answers", "fails", "hangs", "refuses", "is down"):
             self.go(name)
         elif name in ("wait", "rest"):
@@ -331,7 +331,7 @@
     lost = drive.now
     drive.advance(lost + 500.0)
     drive.arrive(SAFE)
-    sends = [a.until for _, a in drive.log if isinstance(a, Send)]
+    sends = [a.send_by for _, a in drive.log if isinstance(a, Send)]
     assert sends == [lost + TOLD_AFTER_END]
 
 
@@ -396,7 +396,7 @@
     assert world.served == served, "it may have told of a drain by then"
 
 
-@pytest.mark.parametrize("kind", [ListKind.SILENT, ListKind.BROKEN_OFF])
+@pytest.mark.parametrize("kind", [ListKind.SILENT, ListKind.INTERRUPTED])
 def test_a_call_that_discovery_has_taken_up_shows_no_outage_whoever_vouches(kind: ListKind) -> None:
     drive = Drive(settings(calls_fail_only_in_outages=True), 1)
     drive.show(*map(Endpoint, IDS))
@@ -463,7 +463,7 @@
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     wait = drive.balancer.discovery.wait
-    drive.feed(EndpointList(ListKind.PART, (Endpoint(1, Condition.DRAINING),)))
+    drive.feed(EndpointList(ListKind.PARTIAL, (Endpoint(1, Condition.DRAINING),)))
     assert drive.balancer.discovery.disconnected() and drive.balancer.discovery.wait == wait
     assert set(drive.balancer.servers) == {2, 3, 4}
 
@@ -494,7 +494,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ListKind.SILENT, ListKind.BROKEN_OFF, ListKind.UNREACHABLE, ListKind.NOT_MADE]
+    "kind", [ListKind.SILENT, ListKind.INTERRUPTED, ListKind.UNREACHABLE, ListKind.LOCAL_ERROR]
 )
 def test_a_call_that_ends_otherwise_is_no_reason_to_assume_it(kind: ListKind) -> None:
     made = turned_away_after()
@@ -601,7 +601,7 @@
     assert drive.sent_to(request) == []
     drive.feed(ProbeEnded(probed[2], Outcome.OK, 2.0))
     assert drive.sent_to(request) == [probed[2]]
-    (until,) = (action.until for _, action in drive.log if isinstance(action, Send))
+    (until,) = (action.send_by for _, action in drive.log if isinstance(action, Send))
     assert until == min(drive.now - 2.0 + 2000.0, balancer.discovery.assumed_down_until())
 
 
@@ -664,4 +664,4 @@
     made.heard(HEARTBEAT)
     asked = made.failed(HEARTBEAT + NOTICED, ListKind.SILENT)
     made.asked(asked)
-    assert made.failed(asked + 100.0, ListKind.BROKEN_OFF) < made.fresh_until()
+    assert made.failed(asked + 100.0, ListKind.INTERRUPTED) < made.fresh_until()
