--- a/millgw/build.py
+++ b/millgw/build.py
@@ -1,6 +1,6 @@
-"""Compiles the modules on a call's way, in place, with mypyc and a C compiler.
+"""Compiles the modules that process calls, with mypyc and a C compiler.
 
-It wants the packages of requirements-build.txt and a C compiler; without them the sources serve as they are.
+Requires the packages of requirements-build.txt and a C compiler; without them the Python sources are used.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 class BuildError(Exception):
-    """The modules can't be compiled here; the text says why."""
+    """The modules can't be compiled on this machine; the message says why."""
 
 
 def build(into: Path, package: Path = PACKAGE, force: bool = False) -> Path:
-    """The folder of the compiled modules, made where it is not there yet; others' folders are removed."""
+    """Return the folder of the compiled modules, building it if needed; remove outdated folders."""
     folder = into / build_key(package)
     if not force and Finder(folder).is_complete():
         return folder
@@ -45,7 +45,7 @@
         done = subprocess.run(
             [sys.executable, "-c", script],
             cwd=tree,
-            # Before what is there: a build in an environment of its own has its tools from there.
+            # Prepended to the present value: an isolated build environment provides its tools through it.
             env=os.environ | {"PYTHONPATH": os.pathsep.join(filter(None, (str(tree), before)))},
             capture_output=True,
             text=True,
@@ -56,7 +56,7 @@
         if not Finder(out).is_complete():
             raise BuildError("the compiler left modules out")
         into.mkdir(exist_ok=True)
-        # Moved into place as a whole: a build that is cut off, or two at once, leave no half of it behind.
+        # Renamed into place atomically: an interrupted build or two concurrent ones leave no partial result.
         fresh = Path(tempfile.mkdtemp(prefix="new-", dir=into))
         shutil.copytree(out, fresh, dirs_exist_ok=True)
         if folder.exists():
--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -1,11 +1,11 @@
-"""Compiled modules: the same sources, by mypyc, found only where they are made of exactly these sources.
+"""Imports modules compiled by mypyc, but only if they were built from exactly the present sources.
 
-`python -m millgw build` puts them into `_compiled/KEY/`, where KEY is a digest of the sources and names the
-interpreter. At the start the key is worked out from the sources that are there: what was compiled from
-others, or for another interpreter, has another key and is not found, so nothing stale can stand before its
-source. Without compiled modules the sources serve as they are.
+`python -m millgw build` puts them into `_compiled/KEY/`, where KEY consists of the interpreter's name and a
+digest of the sources. At start-up the key is computed from the present sources: modules compiled from other
+sources, or for another interpreter, have another key and are not found, so a stale module never shadows its
+source. Without compiled modules the Python sources are imported.
 
-`MILLGW_PURE=1` has the sources serve even where compiled modules are at hand.
+With `MILLGW_PURE=1` the sources are imported even if compiled modules exist.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 COMPILED_FOLDER = PACKAGE / "_compiled"
 PURE_VARIABLE = "MILLGW_PURE"
 EXTENSION_SUFFIX = importlib.machinery.EXTENSION_SUFFIXES[0]  # names the interpreter and its ABI
-LIBRARY_NAME = "millgw_compiled"  # what the library that holds all of them is named after
+LIBRARY_NAME = "millgw_compiled"  # mypyc group name: the shared library with all modules is named after it
 
 MODULES = (
     "interface",
@@ -68,16 +68,16 @@
     "services.shares",
     "services.front",
 )
-"""What is on a call's way, in the order of imports."""
+"""The modules that process calls, in import order."""
 
 
 def source_files(package: Path = PACKAGE) -> list[Path]:
-    """The files that are compiled."""
+    """The source files of the compiled modules."""
     return [package.joinpath(*name.split(".")).with_suffix(".py") for name in MODULES]
 
 
 def build_key(package: Path = PACKAGE) -> str:
-    """Names one state of the sources for one interpreter; an OSError where a source is missing."""
+    """Identify the interpreter and the state of the sources; raises OSError if a source is missing."""
     digest = blake2b(digest_size=12)
     for path in source_files(package):
         data = path.read_bytes()
@@ -86,7 +86,7 @@
 
 
 class Finder:
-    """Finds the compiled modules, before the path finder finds their sources."""
+    """A meta path finder for the compiled modules; it runs before the finder of their sources."""
 
     def __init__(self, folder: Path) -> None:
         self.files = {f"millgw.{name}": folder.joinpath("millgw", *name.split(".")) for name in MODULES}
@@ -94,7 +94,7 @@
         self.files = {name: path.with_name(path.name + EXTENSION_SUFFIX) for name, path in self.files.items()}
 
     def is_complete(self) -> bool:
-        """Guards against a build that was cut off: all of them are there, or none is used."""
+        """Whether all files exist; otherwise none is used, as the build may have been interrupted."""
         return all(path.is_file() for path in self.files.values())
 
     def find_spec(
@@ -105,7 +105,7 @@
 
 
 def install() -> bool:
-    """Have imports find the compiled modules, if there are any of these sources; tells whether."""
+    """Make imports use compiled modules if they exist for these sources; return whether they do."""
     if not COMPILED_FOLDER.is_dir() or os.environ.get(PURE_VARIABLE):
         return False
     if any(isinstance(finder, Finder) for finder in sys.meta_path):
@@ -121,7 +121,7 @@
 
 
 def describe() -> str:
-    """What serves, in words: for `python -m millgw version` and the log."""
+    """Describe which modules are in use, for `python -m millgw version` and the log."""
     if any(isinstance(finder, Finder) for finder in sys.meta_path):
         return f"compiled {build_key()}"
     if os.environ.get(PURE_VARIABLE):
--- a/millgw/interface.py
+++ b/millgw/interface.py
@@ -1,12 +1,12 @@
-"""The whole interface of the balancer: settings, endpoints, events in, actions out.
+"""The public interface of the balancer: settings, endpoints, input events and output actions.
 
 All times are milliseconds on the caller's clock; the balancer has no clock of its own.
 Classes, tenants and zones are numbered by their position in the settings' lists.
 
-The caller owns the clock, the timers and the sending. It feeds each event to `Balancer.handle` with the time
-it came at (times never go back) and carries the returned actions out in order. A request id is used once.
-Attempts of a request are numbered 0, 1, 2, ... in the order of their `Send`. Events about ids that are not
-known, or no longer, are harmless and return no action for them.
+The caller owns the clock, the timers and the network I/O. It passes each event to `Balancer.handle` together
+with the time at which it happened (times never decrease) and executes the returned actions in order. A
+request id is used only once. Attempts of a request are numbered 0, 1, 2, ... in the order of their `Send`.
+Events about unknown or already forgotten ids are harmless and return no action for them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Repeat(Enum):
-    """How far a request of a class may be repeated once an attempt may have run."""
+    """Whether a request of a class may be retried after an attempt that may have been executed."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -27,7 +27,7 @@
 
 
 class Scope(Enum):
-    """The endpoints that recognise a repeat of a keyed request."""
+    """The set of endpoints that deduplicate retries of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,7 +35,7 @@
 
 
 class Condition(Enum):
-    """What discovery says of an endpoint."""
+    """The state of an endpoint as reported by discovery."""
 
     GONE = 0
     DRAINING = 1
@@ -43,13 +43,14 @@
 
 
 class ListKind(Enum):
-    """What an endpoint list holds: changes only, all, a cached copy of all, or nothing.
-
-    A call to discovery has failed: it was turned away or ended without an answer, or is silent (neither of
-    these), or was refused a connection, or its answer broke off, or this machine could not make it; a watch
-    ends in the same ways. Or discovery has moved, and another one was asked already. A part is drains and
-    ends that were read out of something that was not whole: no sign that a watch is on. Changes without any
-    endpoint are a heartbeat.
+    """What an endpoint list contains: changes only, all endpoints, a cached copy of all, or nothing.
+
+    The kinds without a list say why a call to discovery failed or a watch ended: it was rejected or ended
+    without an answer (FAILED), nothing arrived, not even an error (SILENT), the connection was refused
+    (UNREACHABLE), the answer was cut off (INTERRUPTED), or this machine could not make the call
+    (LOCAL_ERROR). MOVED: the discovery address has changed and the new one has been asked already. PARTIAL
+    contains drains and removals that were parsed from an incomplete answer; it does not show that a watch is
+    active. A DELTA without any endpoint is a heartbeat.
     """
 
     DELTA = 0
@@ -65,12 +66,12 @@
 
     @property
     def complete(self) -> bool:
-        """Whether what it does not name is not there."""
+        """Whether endpoints missing from the list do not exist."""
         return self is ListKind.FULL or self is ListKind.CACHED
 
     @property
     def watch_ended(self) -> bool:
-        """Whether it holds no list: it tells that no watch is on any more."""
+        """Whether there is no list and no watch is active any more."""
         return (
             self is ListKind.FAILED
             or self is ListKind.SILENT
@@ -95,11 +96,11 @@
 
 
 NO_EFFECT_OUTCOMES = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-"""The outcomes that prove that an attempt had no effect."""
+"""The outcomes which prove that the server did not execute the attempt."""
 
 
 def _check(where: object, least: float, *fields: str) -> None:
-    """Reject a setting that is not a finite number of at least `least`, by its name."""
+    """Raise a ValueError naming the first field that is not a finite number of at least `least`."""
     for field in fields:
         value = getattr(where, field)
         if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
@@ -110,10 +111,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests: what its answers are worth and how it may be repeated.
+    """A class of requests: the value of its responses and the rules for retrying it.
 
-    `deadline` is the client's whole patience, `aim` the time within which an answer earns its full `worth`.
-    A keyed class is recognised by the endpoints of one `scope`, for `window` from its first attempt.
+    `deadline` is the client's total timeout, `aim` the latency up to which a response has its full `worth`.
+    Retries of a keyed class are deduplicated by the endpoints of one `scope`, for `window` after the first
+    attempt.
     """
 
     name: str
@@ -130,10 +132,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the rate, summed over all instances, that is within its share (0: unlimited)."""
+    """A tenant and its rate quota, summed over all instances (0: unlimited)."""
 
     name: str
-    rate: float = 0.0  # requests a second
+    rate: float = 0.0  # requests per second
 
     def __post_init__(self) -> None:
         _check(self, 0.0, "rate")
@@ -141,16 +143,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that an instance is told when it starts. Defaults are the cautious reading.
-
-    An endpoint starts with `cold_share` of its capacity and is warm after `cold_time`; sent more than
-    `fall_multiple` times its present capacity for `fall_window`, by all `siblings` together, it falls over.
-    Clients that are told when to come back heed up to `retry_after_most`; 0 is for clients that are not told.
-    `index` is this instance's number among its `siblings`, `stage` the tier it sends to (0: clients' first).
-    Where `ask_discovery` is set, the list comes only after a `Subscribe`; an instance that has not asked for
-    `ask_within` is taken to know the list. `probing` allows health probes. With `calls_fail_only_in_outages`
-    a discovery that is up answers each call at once, however many come. Impossible values raise a ValueError
-    that names the field.
+    """The configuration of one instance. Defaults are the conservative choice.
+
+    An endpoint starts with `cold_share` of its capacity and is warm after `cold_time`. If all `siblings`
+    together send it more than `fall_multiple` times its current capacity for `fall_window`, it fails under
+    the overload. Clients that receive a retry delay respect it up to `retry_after_most`; 0 means that clients
+    receive none. `index` is this instance's number among its `siblings` (the number of instances), `stage`
+    the tier it sends to (0: the first tier behind the clients). If `ask_discovery` is set, the endpoint list
+    arrives only after a `Subscribe`; an instance that has not asked for `ask_within` is assumed to know the
+    list. `probing` allows health probes. With `calls_fail_only_in_outages`, a discovery server that is up
+    answers every call at once, whatever the load. Invalid values raise a ValueError that names the field.
     """
 
     classes: tuple[RequestClass, ...]
@@ -200,7 +202,7 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """Discovery's view, or word that a call to it failed."""
+    """An endpoint list from discovery, or the failure of a call to it."""
 
     kind: ListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -208,10 +210,11 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointEvidence:
-    """What others hold of an endpoint, or what this balancer does (`Balancer.evidence`).
+    """Health evidence about an endpoint, from peers or from this balancer (`Balancer.evidence`).
 
-    `failing` is a share of its calls, `slow` times the usual, both of so many recent `calls`; `started` a
-    point in time, 0 for unknown; `drain_valid_for` the ms for which a drain heard of counts.
+    `failure_rate` is the failed share of its calls, `latency_ratio` its latency as a multiple of the normal
+    one, both over the number of recent `calls`; `started_at` is a point in time, 0 if unknown;
+    `drain_valid_for` is how many ms a reported drain remains valid.
     """
 
     id: int
@@ -224,10 +227,10 @@
 
 @dataclass(slots=True)
 class PeerReports:
-    """What siblings tell of endpoints, weighed already. It can make the balancer more careful, never less.
+    """Endpoint evidence from peers, already weighted. It can make the balancer more careful, never less.
 
-    `siblings` is how many are known to share the load. A limit on calls in flight for each endpoint (`each`)
-    counts until the first own answer.
+    `siblings` is how many instances are known to share the load. `max_in_flight` limits the calls in flight
+    to each endpoint until this balancer gets its own first answer.
     """
 
     endpoints: tuple[EndpointEvidence, ...] = ()
@@ -237,11 +240,11 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request; one final answer is owed before `deadline` (a point in time).
+    """A new request; exactly one final answer is required before `deadline` (a point in time).
 
-    `cls` and `tenant` are positions in the settings; an unknown tenant has no share, an unknown class is an
-    IndexError. The body of a `partial` one still comes: it is no work for an endpoint yet, and its deadline
-    is told with `RequestBodyComplete`.
+    `cls` and `tenant` are positions in the settings; an unknown tenant has no quota, an unknown class raises
+    an IndexError. The body of a `partial` request is still arriving: it is no load for an endpoint yet, and
+    its deadline follows with `RequestBodyComplete`.
     """
 
     request: int
@@ -253,7 +256,7 @@
 
 @dataclass(slots=True)
 class RequestBodyComplete:
-    """The last byte of a request that was partial has come; its deadline from now on."""
+    """The last byte of a partial request has arrived; `deadline` replaces the earlier one."""
 
     request: int
     deadline: float
@@ -261,16 +264,17 @@
 
 @dataclass(slots=True)
 class BodyDiscarded:
-    """Part of a request's body was passed on and is not held any more: it can't be tried again."""
+    """Part of the request body was forwarded and is no longer buffered: no retry is possible."""
 
     request: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """The end of one attempt, `elapsed` after its `Send`; `concluded` tells that no answer is owed any more.
+    """The end of one attempt, `elapsed` after its `Send`.
 
-    The first OK is taken to have reached the client, whatever `concluded` says.
+    `request_finished`: the request needs no answer any more. The first OK is assumed to have reached the
+    client, whatever `request_finished` says.
     """
 
     request: int
@@ -283,9 +287,10 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """The end of a health probe, `elapsed` after its `Probe`: OK from an endpoint that is well.
+    """The end of a health probe, `elapsed` after its `Probe`: OK from a healthy endpoint.
 
-    ERROR is the endpoint's own word that it is not, as one that drains may say; all else tells nothing.
+    ERROR means that the endpoint itself reports being unhealthy, as a draining one may; any other outcome
+    carries no information.
     """
 
     endpoint: int
@@ -295,28 +300,28 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed answer has begun; the request belongs to that attempt now."""
+    """A streamed response has begun; the request is bound to that attempt from now on."""
 
     request: int
 
 
 @dataclass(slots=True)
 class RequestAborted:
-    """The client has left: no answer is owed any more."""
+    """The client has disconnected: no answer is needed any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set earlier has fallen due."""
+    """A timer requested with `SetTimer` has expired."""
 
     timer: int
 
 
 Event = (
-    EndpointList | PeerReports | RequestArrived | RequestBodyComplete | BodyDiscarded | AttemptEnded | ResponseStarted
-    | RequestAborted | TimerFired | ProbeEnded
+    EndpointList | PeerReports | RequestArrived | RequestBodyComplete | BodyDiscarded | AttemptEnded
+    | ResponseStarted | RequestAborted | TimerFired | ProbeEnded
 )  # fmt: skip
 
 
@@ -325,10 +330,11 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; it waits for its answer until the client gives up.
+    """Start an attempt; it waits for its response until the client's deadline.
 
-    Its last byte may leave up to `until` (ms, as the events' clock), and else it ends as NOT_SENT: between
-    this decision and that byte lie a handshake and a proof of the connection.
+    The last byte of the request must be sent by `send_by` (ms, on the clock of the events); otherwise the
+    attempt ends as NOT_SENT. Between this decision and that byte there may be a handshake and a check that
+    the connection is alive.
     """
 
     request: int
@@ -337,7 +343,7 @@
 
 
 class GivenUp(Enum):
-    """Why a request is given up, for the log."""
+    """Why a request is not served, for the log."""
 
     SHED = "shed on arrival"
     NO_ROOM = "no endpoint has room"
@@ -349,7 +355,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not served, and safe to retry, best not before `after` ms (0: no advice)."""
+    """Final answer: not served, safe to retry, preferably after `retry_after` ms (0: no advice)."""
 
     request: int
     reason: GivenUp
@@ -358,7 +364,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: not served, with no promise about effects."""
+    """Final answer: not served; an attempt may have been executed."""
 
     request: int
     reason: GivenUp
@@ -366,7 +372,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at or after `at`; one for a request is of no use once that is answered."""
+    """Request a `TimerFired` at or after `at`; with `request`, it is obsolete once that is answered."""
 
     timer: int
     at: float
@@ -375,19 +381,19 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for the list and its changes from now on."""
+    """Ask discovery for the endpoint list and watch its changes from now on."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """Ask an endpoint for its health; a `ProbeEnded` follows."""
+    """Start a health probe of an endpoint; a `ProbeEnded` follows."""
 
     endpoint: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseConnections:
-    """Close the connections that are kept to these endpoints: the machines behind them may be gone."""
+    """Close the pooled connections to these endpoints: their machines may no longer exist."""
 
     endpoints: tuple[int, ...]
 
@@ -396,19 +402,19 @@
 
 
 class Locality(Protocol):
-    """Which zones calls may go to, in what order, where places are set (`millgw.locality.router`).
+    """Selects and orders the zones for calls, where zones are configured (`millgw.locality.router`).
 
-    `key` is a request and the number of its attempt, `usual` the ms that an answer of the class takes.
+    `key` is a request id and its attempt number, `usual` the typical latency of the class in ms.
     """
 
     def update_endpoints(self, sizes: dict[int, float], counts: dict[int, int]) -> None:
-        """The list by zone: its endpoints' sizes together, and how many they are."""
+        """Set the total size and the number of the listed endpoints of each zone."""
 
     def update_capacity(self, now: float, ready: dict[int, float]) -> None:
-        """The capacity that is there by zone: without what is ejected, and of a cold endpoint its share."""
+        """Set each zone's available capacity: no ejected endpoints, cold ones at their cold share."""
 
     def attempt_sent(self, now: float, key: tuple[int, int], zone: int, endpoint: int, usual: float) -> None:
-        """An attempt goes out."""
+        """Record that an attempt is sent."""
 
     def attempt_ended(
         self,
@@ -420,24 +426,24 @@
         elapsed: float,
         usual: float,
     ) -> bool:
-        """An attempt has ended; tells whether its zone had been lost and is back, with cold endpoints."""
+        """Record the end of an attempt; return whether its lost zone is back, with cold endpoints."""
 
     def zone_order(
         self, now: float, cls: int, tried: Sequence[int], left: float, repeatable: bool
     ) -> list[int]:
-        """The zones for a call with `left` ms, after attempts in `tried`; none: do not divide the pool."""
+        """The zones for a call with `left` ms, after attempts in `tried`; empty: ignore zones."""
 
     def newly_lost(self) -> Sequence[int]:
-        """The zones that were lost since this was last asked."""
+        """The zones that were lost since the previous call of this method."""
 
     def probed_zone(self) -> int | None:
-        """The zone that the last order tries again, where also an ejected endpoint will do."""
+        """The lost zone that the last `zone_order` retries; there, ejected endpoints may be used too."""
 
     def handicap(self, zone: int, other: int) -> float:
-        """How many times as loaded an endpoint of a zone must be for one of another to be sent to instead."""
+        """The factor by which an endpoint of `zone` must be more loaded for one of `other` to be chosen."""
 
     def allows(self, cls: int, zone: int) -> bool:
         """Whether calls of a class may go to a zone at all."""
 
     def figures(self) -> dict[str, object]:
-        """What operators should know of it."""
+        """Statistics for operators."""
--- a/millgw/settings.py
+++ b/millgw/settings.py
@@ -1,4 +1,4 @@
-"""Settings as the operators word them, read into the balancer's own; shared by adapter and sidecar."""
+"""Parses the operators' JSON settings into `interface.Settings`; shared by adapter and sidecar."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SettingsError(ValueError):
-    """The settings lack what no decision can do without, or hold what is impossible."""
+    """A required setting is missing, or a value is invalid."""
 
 
 def read_number(where: dict[str, Any], key: str, path: str, default: float | None = None) -> float:
@@ -54,7 +54,7 @@
 
 
 def read_settings(raw: bytes) -> api.Settings:
-    """The settings of one instance, from the text of its first message."""
+    """Parse the settings of one instance from the JSON text of its first message."""
     try:
         data = json.loads(raw)
     except ValueError as error:
@@ -63,7 +63,7 @@
 
 
 def to_settings(data: Any) -> api.Settings:
-    """The settings of one instance, from their JSON value."""
+    """Convert the decoded JSON value into the settings of one instance."""
     if not isinstance(data, dict) or not read_list(data, "classes"):
         raise SettingsError("settings: classes is missing or empty")
     try:
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The module's limits, and its purity."""
+"""The decision module's size limits, and its independence of I/O and names."""
 
 from __future__ import annotations
 
