--- a/millgw/build.py
+++ b/millgw/build.py
@@ -1,6 +1,6 @@
-"""Compiles the modules on a call's way, in place, with mypyc and a C compiler.
+"""Compiles the modules that process calls, with mypyc and a C compiler.
 
-It wants the packages of requirements-build.txt and a C compiler; without them the sources serve as they are.
+Requires the packages of requirements-build.txt and a C compiler; without them the Python sources are used.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import tempfile
 from pathlib import Path
 
-from millgw.compiled import GROUP, MODULES, PACKAGE, Finder, key
+from millgw.compiled import LIBRARY_NAME, MODULES, PACKAGE, Finder, build_key
 
 SCRIPT = """
 import sys
@@ -26,14 +26,14 @@
 """
 
 
-class NotBuilt(Exception):
-    """The modules can't be compiled here; the text says why."""
+class BuildError(Exception):
+    """The modules can't be compiled on this machine; the message says why."""
 
 
 def build(into: Path, package: Path = PACKAGE, force: bool = False) -> Path:
-    """The folder of the compiled modules, made where it is not there yet; others' folders are removed."""
-    folder = into / key(package)
-    if not force and Finder(folder).whole():
+    """Return the folder of the compiled modules, building it if needed; remove outdated folders."""
+    folder = into / build_key(package)
+    if not force and Finder(folder).is_complete():
         return folder
     with tempfile.TemporaryDirectory(prefix="millgw-build-") as work:
         tree = Path(work) / "src"
@@ -41,22 +41,22 @@
         paths = [str(Path("millgw", *name.split(".")).with_suffix(".py")) for name in MODULES]
         out = Path(work) / "out"
         before = os.environ.get("PYTHONPATH", "")
-        script = SCRIPT.format(group=GROUP, paths=paths, out=str(out), temp=str(Path(work) / "temp"))
+        script = SCRIPT.format(group=LIBRARY_NAME, paths=paths, out=str(out), temp=str(Path(work) / "temp"))
         done = subprocess.run(
             [sys.executable, "-c", script],
             cwd=tree,
-            # Before what is there: a build in an environment of its own has its tools from there.
+            # Prepended to the present value: an isolated build environment provides its tools through it.
             env=os.environ | {"PYTHONPATH": os.pathsep.join(filter(None, (str(tree), before)))},
             capture_output=True,
             text=True,
         )
         if done.returncode:
             lines = (done.stderr or done.stdout).strip().splitlines()
-            raise NotBuilt(lines[-1] if lines else f"the compiler ended with {done.returncode}")
-        if not Finder(out).whole():
-            raise NotBuilt("the compiler left modules out")
+            raise BuildError(lines[-1] if lines else f"the compiler ended with {done.returncode}")
+        if not Finder(out).is_complete():
+            raise BuildError("the compiler left modules out")
         into.mkdir(exist_ok=True)
-        # Moved into place as a whole: a build that is cut off, or two at once, leave no half of it behind.
+        # Renamed into place atomically: an interrupted build or two concurrent ones leave no partial result.
         fresh = Path(tempfile.mkdtemp(prefix="new-", dir=into))
         shutil.copytree(out, fresh, dirs_exist_ok=True)
         if folder.exists():
