--- a/millgw/interface.py
+++ b/millgw/interface.py
@@ -47,8 +47,8 @@
 
     The kinds without a list say why a call to discovery failed or a watch ended: it was rejected or ended
     without an answer (FAILED), nothing arrived, not even an error (SILENT), the connection was refused
-    (UNREACHABLE), the answer was cut off (INTERRUPTED), or this machine could not make the call
-    (LOCAL_ERROR). MOVED: the discovery address has changed and the new one has been asked already. PARTIAL
+    (UNREACHABLE), the answer was cut off (BROKEN_OFF), or this machine could not make the call
+    (NOT_MADE). MOVED: the discovery address has changed and the new one has been asked already. PARTIAL
     contains drains and removals that were parsed from an incomplete answer; it does not show that a watch is
     active. A DELTA without any endpoint is a heartbeat.
     """
@@ -61,8 +61,8 @@
     PARTIAL = 5
     MOVED = 6
     UNREACHABLE = 7
-    INTERRUPTED = 8
-    LOCAL_ERROR = 9
+    BROKEN_OFF = 8
+    NOT_MADE = 9
 
     @property
     def complete(self) -> bool:
@@ -77,8 +77,8 @@
             or self is ListKind.SILENT
             or self is ListKind.MOVED
             or self is ListKind.UNREACHABLE
-            or self is ListKind.INTERRUPTED
-            or self is ListKind.LOCAL_ERROR
+            or self is ListKind.BROKEN_OFF
+            or self is ListKind.NOT_MADE
         )
 
 
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -213,7 +213,7 @@
         except ConnectionRefusedError as error:
             self.failed(watch, str(error), ListKind.UNREACHABLE)
         except OSError as error:
-            self.failed(watch, str(error), ListKind.LOCAL_ERROR)
+            self.failed(watch, str(error), ListKind.NOT_MADE)
 
     def part(self, part: bytes) -> None:
         """Take what tells of drains in a line that broke off, can't be read, or came on a watch left behind.
@@ -401,7 +401,7 @@
         self.discovery.failed(self, "connection lost", self._how_it_ended())
 
     def _how_it_ended(self) -> ListKind:
-        return ListKind.INTERRUPTED if self.answered else ListKind.FAILED
+        return ListKind.BROKEN_OFF if self.answered else ListKind.FAILED
 
     # httptools
 
--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -164,7 +164,7 @@
     def _fail(self, now: float, kind: ListKind) -> None:
         """A call has brought nothing; it may show that discovery was not there when it was made."""
         self.failures += 1
-        if kind is ListKind.LOCAL_ERROR:
+        if kind is ListKind.NOT_MADE:
             return
         self.failed_in_time = self.failed_in_time or self.called <= self._word_holds_until()
         self.refused = self.refused or kind is ListKind.UNREACHABLE
@@ -212,7 +212,7 @@
             least, most = self.retry, self.silent
         elif spoken:
             least, most = RETRY_LEAST_PART * self.retry, self.retry
-        elif kind is ListKind.INTERRUPTED and self.failures == 1:
+        elif kind is ListKind.BROKEN_OFF and self.failures == 1:
             least, most = self.retry, self.silent  # that connection's own trouble, for all that is known
         elif kind is ListKind.UNREACHABLE:
             least, most = REFUSED_LEAST, REFUSED_MOST
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -396,7 +396,7 @@
     assert world.served == served, "it may have told of a drain by then"
 
 
-@pytest.mark.parametrize("kind", [ListKind.SILENT, ListKind.INTERRUPTED])
+@pytest.mark.parametrize("kind", [ListKind.SILENT, ListKind.BROKEN_OFF])
 def test_a_call_that_discovery_has_taken_up_shows_no_outage_whoever_vouches(kind: ListKind) -> None:
     drive = Drive(settings(calls_fail_only_in_outages=True), 1)
     drive.show(*map(Endpoint, IDS))
@@ -494,7 +494,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind", [ListKind.SILENT, ListKind.INTERRUPTED, ListKind.UNREACHABLE, ListKind.LOCAL_ERROR]
+    "kind", [ListKind.SILENT, ListKind.BROKEN_OFF, ListKind.UNREACHABLE, ListKind.NOT_MADE]
 )
 def test_a_call_that_ends_otherwise_is_no_reason_to_assume_it(kind: ListKind) -> None:
     made = turned_away_after()
@@ -664,4 +664,4 @@
     made.heard(HEARTBEAT)
     asked = made.failed(HEARTBEAT + NOTICED, ListKind.SILENT)
     made.asked(asked)
-    assert made.failed(asked + 100.0, ListKind.INTERRUPTED) < made.fresh_until()
+    assert made.failed(asked + 100.0, ListKind.BROKEN_OFF) < made.fresh_until()
