--- a/millgw/endpoints/__init__.py
+++ b/millgw/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoints' side: connections that go out, attempts on them, and the truth of their outcomes."""
+"""Outgoing connections to endpoints, the attempts sent on them, and the outcome of each attempt."""
--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -1,16 +1,15 @@
-"""One attempt, from its first step to its end.
-
-    state        what holds                               `give_up` tells   if the connection breaks
-    CONNECTING   no connection is up for it yet           never ran         could not connect
-    HELD         all but its last byte is written         never ran         could not connect; a kept
-    connection
-                                                                            is made good for by a new one
-    WRITING      its last byte waits for the kernel       never ran         could not connect
-    WRITTEN      the kernel has taken its last byte       may have run      reset
-    ENDED        its outcome is told, or it is given up   -                 -
-
-A request has not run as long as its last byte was not written (protocol page): the three states before
-WRITTEN prove that, and nothing else does.
+"""State of one attempt at a request, from connecting to its outcome.
+
+    state       meaning                                  `give_up` reports  if the connection breaks
+    CONNECTING  no connection is established for it yet  never ran          could not connect
+    HELD        all but its last byte is written         never ran          could not connect; a reused
+                                                                            connection is replaced by another
+    WRITING     its last byte waits for the kernel       never ran          could not connect
+    WRITTEN     the kernel has taken its last byte       may have run       reset
+    ENDED       outcome reported, or given up            -                  -
+
+An endpoint does not run a request before it has its last byte (protocol specification). So a request is
+known not to have run only in the three states before WRITTEN.
 """
 
 from __future__ import annotations
@@ -31,23 +30,24 @@
 WRITTEN: Final = 3
 ENDED: Final = 4
 
-LOOK_AGAIN = 20.0  # ms after which it is asked again whether the caller has left: a fifth of what is allowed
+# ms between two checks whether the caller has disconnected: a fifth of the time in which it must be noticed.
+LOOK_AGAIN = 20.0
 
 
 class Intent(Protocol):
-    """What must be durable before the last byte of a call that may not run twice may leave."""
+    """The record that must be durable before the last byte of a call that may not run twice is sent."""
 
     def begin(self) -> None:
-        """Have that written; nothing, if it is or was before."""
+        """Start writing the record, unless that was started before."""
 
     def durable(self) -> bool | None:
-        """Whether it is; None while that is not known yet."""
+        """Whether the record is durable; None while that is not known yet."""
 
     def wait(self, then: Callable[[], None]) -> None:
-        """Call this once it is known."""
+        """Call `then` once `durable` has a result."""
 
     def leaves(self, token: object) -> None:
-        """The attempt's last byte leaves."""
+        """Note that the attempt's last byte is about to be sent."""
 
 
 Ended = Callable[[Outcome, Content], None]
@@ -55,18 +55,19 @@
 
 
 class Carrier(Protocol):
-    """The connection that an attempt is on."""
+    """The connection that carries an attempt."""
 
     def leave(self) -> None:
-        """The attempt is given up: the connection is of no further use."""
+        """Close the connection, as its attempt was given up."""
 
 
 class Attempt:
     """One attempt: connecting, then on its connection, until it has ended or is given up.
 
-    `payload` is called when it is written, as it tells the time that is left by then. `ended` is called once,
-    unless the attempt is given up before. A long answer that begins to be passed on ends it as well: `began`
-    is called in place of `ended`, and tells whether anybody waits for the answer.
+    `payload` is called when the request is written, because the request states the time that is left.
+    `ended` is called once, unless the attempt is given up before. The attempt also ends when a long answer
+    starts to be streamed: `began` is then called instead of `ended`, and returns whether the caller still
+    waits for the answer.
     """
 
     __slots__ = (
@@ -84,18 +85,18 @@
         intent: Intent | None = None,
         trace: bytes = b"",
     ) -> None:
-        self.trace = trace  # of its call, for the log
-        self.until = math.inf  # ms, monotonic: its last byte may leave no later
-        self.gone: Callable[[], bool] | None = None  # whether its caller has left, as far as can be seen now
-        self.looked = -math.inf  # ms, monotonic, when that was last asked
+        self.trace = trace  # trace ID of the call, for the log
+        self.until = math.inf  # ms, monotonic: the last byte must not be sent later than this
+        self.gone: Callable[[], bool] | None = None  # whether the caller is seen to have disconnected
+        self.looked = -math.inf  # ms, monotonic: when `gone` was last called
         self.intent = intent
         self.payload = payload
         self.ended = ended
         self.began = began
-        self.upload = upload  # the body that follows the payload, where that is passed on as it comes
+        self.upload = upload  # the body that follows the payload, if the body is streamed
         self.repeat = repeat
         self.state = CONNECTING
-        self.dials: tuple[asyncio.Task[Outcome | None], ...] = ()  # that are under way for it
+        self.dials: tuple[asyncio.Task[Outcome | None], ...] = ()  # connects in progress for this attempt
         self.carrier: Carrier | None = None
 
     @property
@@ -103,9 +104,10 @@
         return self.state == ENDED
 
     def caller_left(self, now: float) -> bool:
-        """Whether nobody waits for it any more; `now` in ms, monotonic.
+        """Whether the caller has disconnected; `now` in ms, monotonic.
 
-        Guards against an attempt that waited, for its connection or its mark, past the end of its caller.
+        Without this check an attempt that waited for its connection or its intent record could be sent
+        after its caller is gone.
         """
         if self.gone is None or now < self.looked + LOOK_AGAIN:
             return False
@@ -113,14 +115,14 @@
         return self.gone()
 
     def end(self, outcome: Outcome, content: Content) -> None:
-        """Tell its outcome, once."""
+        """Report the outcome, unless the attempt has ended already."""
         if self.state != ENDED:
             self.state = ENDED
             self.carrier = None
             self.ended(outcome, content)
 
     def begin(self, flow: Flow) -> bool:
-        """Its answer is passed on from now on; tells whether anybody waits for it."""
+        """End the attempt as its answer is streamed from now on; returns whether the caller still waits."""
         if self.state == ENDED or self.began is None:
             return False
         self.state = ENDED
@@ -128,7 +130,7 @@
         return self.began(flow)
 
     def give_up(self) -> bool:
-        """Stop waiting, without a call to `ended`; tells whether the attempt may have run, or may yet."""
+        """Stop the attempt without calling `ended`; returns whether it may have run, or may still run."""
         written = self.state == WRITTEN
         self.state = ENDED
         carrier, self.carrier = self.carrier, None
@@ -138,6 +140,6 @@
         return written
 
     def hang_up(self) -> None:
-        """Make no more connections for it."""
+        """Cancel the connects in progress for this attempt."""
         for dial in self.dials:
             dial.cancel()
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -1,8 +1,8 @@
-"""A connection to an endpoint: one attempt at a time, kept for the next. The transport round the core.
+"""A persistent connection to an endpoint, which carries one attempt at a time: transport and parser together.
 
-What this file answers for is the truth of an outcome: whether an attempt's last byte was written decides
-whether it may have run. Nothing is ever sent again here but a request that has not run, on a new connection;
-all else is the balancer's to decide.
+This module decides whether a failed attempt may have run: it may, once its last byte was written. The only
+request that is sent again here is one that has not run, on another connection; all other retries are decided
+by the balancer.
 """
 
 from __future__ import annotations
@@ -24,20 +24,23 @@
 from millgw.log.events import BoundLogger
 from millgw.streams.room import StreamRoom
 
-ANSWER_TIME = 1.0  # s in which more of an answer must come: one that has stopped half-way is tried elsewhere
-OPEN_TIME = 0.3  # s after which an answer of unknown length is passed on, as it may become a long one
-STILL_COMES = 0.2  # s since its last bytes, up to which it has not stopped half-way
+ANSWER_TIME = 1.0  # s without data after which an incomplete answer counts as stalled and is tried elsewhere
+OPEN_TIME = 0.3  # s after which an answer of unknown length is streamed, as it may become a long one
+STILL_COMES = 0.2  # s since its last data, up to which an answer of unknown length counts as still arriving
 
 
 class Lanes(Protocol):
-    """Whose turn it is to be worked on, where several pools share the core."""
+    """Schedules work by lane, where the pools of several services share one CPU core.
+
+    A lane is the queue of one service's pool.
+    """
 
     def wait(self, lane: str, connection: Connection) -> None:
-        """Call the connection's `turn` when its lane's has come."""
+        """Call the connection's `turn` when it is the lane's turn."""
 
 
 class Home(Protocol):
-    """What a connection needs of the upstream that it belongs to."""
+    """The part of `Upstream` that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     lanes: Lanes | None
@@ -48,15 +51,15 @@
     written: int
     buffer: bytearray
     streams: StreamRoom
-    log: BoundLogger  # logs events with the service that it is of
+    log: BoundLogger  # adds the name of the service to each event
 
     def most_held(self) -> int:
-        """Bytes of answers that may be coming in at once."""
+        """The limit in bytes for all incomplete answers together."""
 
-    strays_until: float  # ms; until then answers are expected to have something behind them
+    strays_until: float  # ms, monotonic; until then more bytes are expected behind answers
 
     def strayed(self) -> None:
-        """Something came behind an answer, where nothing was asked."""
+        """Note that bytes arrived behind an answer, while no request was outstanding."""
 
     def keep(self, connection: Connection) -> None: ...
 
@@ -65,14 +68,14 @@
     def came_up(self, connection: Connection) -> None: ...
 
     def again(self, connection: Connection, attempt: Attempt) -> None:
-        """Its connection is dead, and the attempt has not run: it goes on another one."""
+        """Send the attempt on another connection: this one is dead, and the attempt has not run."""
 
 
 class Connection:
-    """An asyncio protocol, by its methods: no base class, so that it can be compiled.
+    """An asyncio protocol by its methods. It has no base class, so that it can be compiled.
 
-    Without an `attempt` it is opened ahead of need, and counts as one that was used before: since its
-    handshake it may have died like any other that stood idle.
+    A connection without an `attempt` is opened ahead of need. It is treated as reused, because it may have
+    died since its handshake like any other idle connection.
     """
 
     def __init__(self, home: Home, host: Host, attempt: Attempt | None, most_body: int) -> None:
@@ -87,36 +90,36 @@
         self.reused = False
         self.last_byte = b""
         self.holding: asyncio.TimerHandle | None = None
-        self.prove_until = 0.0  # ms; until then the last byte waits for the rest to be confirmed
-        self.counted = 0  # bytes of this answer that count as held
-        self.idle_since = 0.0  # ms
-        self.opened = 0.0  # ms
+        self.prove_until = 0.0  # ms, monotonic; the last byte waits until then for TCP to acknowledge the rest
+        self.counted = 0  # bytes of this answer that are counted in `home.held`
+        self.idle_since = 0.0  # ms, monotonic
+        self.opened = 0.0  # ms, monotonic
         self.stalled: asyncio.TimerHandle | None = None
-        self.body: RequestBody | None = None  # of its attempt, while that is passed on as it comes
-        self.full = False  # the transport has enough for now
-        self.streamed: StreamedAnswer | None = None  # its answer, while that is passed on as it comes
-        self.arrived = 0.0  # s, of the last bytes of an answer that was not whole
-        self.waits = False  # its answer is whole and waits for its lane's turn
+        self.body: RequestBody | None = None  # the attempt's body, while it is streamed
+        self.full = False  # writing is paused by the transport
+        self.streamed: StreamedAnswer | None = None  # the answer, while it is streamed
+        self.arrived = 0.0  # s, monotonic: when data of an incomplete answer last arrived
+        self.waits = False  # the answer is complete and waits for its lane's turn
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
     def usable(self) -> bool:
-        """Whether it is open and holds no bytes unread: they would be taken for the next request's answer."""
+        """Whether it is open without unread bytes, which would be taken for the next request's answer."""
         return self.transport is not None and not unread(self.transport, self.poll)
 
     # The attempt
 
     def send(self, attempt: Attempt, now: float, prove: float = 0.0) -> None:
-        """Write a request; its last byte only when the connection is proven (see `millgw.endpoints.proof`).
+        """Write a request, and its last byte only once the connection is trusted (`millgw.endpoints.proof`).
 
-        With `prove` it waits for so long (ms) at the most until the other machine has confirmed all before
-        it, and does not go if that does not come.
+        With `prove` the last byte also waits, at most for so long (ms), until TCP has acknowledged all bytes
+        before it. Without that acknowledgement it is not sent.
 
-        A connection that looks open may not be: the endpoint has closed it, or resets it at the next request.
-        A request whose last byte was not written has not run, so it may go again, also one that may never run
-        twice.
+        A connection that looks open may be dead: the endpoint has closed it, or resets it at the next
+        request. A request whose last byte was not written has not run, so it may be sent again, even if it
+        must never run twice.
         """
         assert self.transport is not None and self.core is not None
         self.core.begin()
@@ -146,13 +149,13 @@
             self.note_written()
 
     def hold_back(self, milliseconds: float, then: Callable[[], None]) -> None:
-        """Go on with the request after so long, unless the attempt is over by then."""
+        """Continue the request with `then` after the hold time, unless the attempt has ended by then."""
         self.holding = self.home.loop.call_later(milliseconds / 1000, then)
 
     def note_written(self) -> None:
-        """Its last byte is written: it may have run once the kernel has taken that."""
+        """Note that the last byte is written: the request may have run once the kernel has taken it."""
         assert self.transport is not None
-        # With a high-water mark of 0 the transport keeps only what the kernel did not take at once.
+        # With a high-water mark of 0 the transport buffers only what the kernel did not take at once.
         if self.attempt is not None and not self.transport.get_write_buffer_size():
             self.attempt.state = WRITTEN
             self.home.written += 1
@@ -163,7 +166,7 @@
         if unread(self.transport, self.poll):
             self.leave_broken()
         elif self.last_byte and self.prove_until > 0 and unconfirmed(self.transport):
-            # A box on the way may have forgotten the connection: what is written then vanishes.
+            # A NAT or firewall on the path may have dropped the connection's state: writes are then lost.
             if time.monotonic() * 1000 < self.prove_until:
                 self.hold_back(HOLD_BACK, self._complete)
             else:
@@ -185,12 +188,16 @@
             self.note_written()
 
     def end_unsent(self) -> None:
-        """Its last byte may not leave: its window ended, its caller left, or its mark is not durable."""
+        """End the attempt before its last byte: its send deadline passed, its caller disconnected, or its
+        intent record could not be made durable.
+        """
         self.abort()
         self.finish(Outcome.NOT_SENT)
 
     def may_leave(self, attempt: Attempt, intent: Intent) -> bool:
-        """Whether what must be durable is; else it goes on, or ends unsent, when that is known."""
+        """Whether the intent record is durable. If that is not known yet, the request continues later; if
+        the record can't be made durable, the attempt ends unsent.
+        """
         durable = intent.durable()
         if durable is None:
             intent.wait(lambda: self._known(attempt))
@@ -201,11 +208,11 @@
         return durable is True
 
     def _known(self, attempt: Attempt) -> None:
-        # One that was given up, went on elsewhere or was let go meanwhile must not be written here.
+        # The attempt may have been given up, moved to another connection or ended meanwhile.
         if self.attempt is not attempt or attempt.state != HELD or self.holding is not None:
             return
         if not self.host.used:
-            # The mark may have taken longer than the grace of a drain that came meanwhile.
+            # The endpoint was drained meanwhile, and the record may have taken longer than the drain's grace.
             self.abort()
             self.finish(Outcome.CONNECT_FAILED)
             return
@@ -215,7 +222,10 @@
             self._complete()
 
     def leave_broken(self) -> None:
-        """The connection is of no use, and the request on it has not run: a kept one is made good for."""
+        """Close a dead connection whose request has not run.
+
+        If the connection was reused, the request is sent on another one; otherwise the attempt fails.
+        """
         self.host.proof.broke(time.monotonic() * 1000)
         attempt = self.attempt
         self.abort()
@@ -230,7 +240,7 @@
         self.home.again(self, attempt)
 
     def leave(self) -> None:
-        """The attempt is given up."""
+        """Close the connection, as its attempt was given up."""
         self.attempt = None
         self._let_go_of_body()
         self._stop_timers()
@@ -250,7 +260,7 @@
             self.holding = None
 
     def finish(self, outcome: Outcome) -> None:
-        """Tell what came of the attempt."""
+        """End the attempt with its outcome."""
         self._stop_timers()
         self._let_go_of_body()
         self.last_byte = b""
@@ -273,14 +283,14 @@
         self.home.open += 1
         attempt = self.attempt
         if not self.host.used if attempt is None else attempt.given_up:
-            # The attempt was given up, or its endpoint told to drain, while it was connecting.
+            # While it was connecting the attempt was given up, or the endpoint was told to drain.
             self.attempt = None
             self.abort()
             return
         if attempt is not None and attempt.state != CONNECTING:
-            self.attempt = attempt = None  # it went on another one meanwhile: this one is for the next
+            self.attempt = attempt = None  # it moved to another connection: this one is for the next attempt
             self.ahead = True
-        # Only now: a connection that never comes up has no end at which the cycle could be broken.
+        # Created only here: a failed connect has no `connection_lost` in which the cycle could be broken.
         self.core = AnswerCore(self.most_body)
         self.poll = watcher(transport)
         transport.set_write_buffer_limits(high=0)
@@ -293,7 +303,7 @@
             self.send(attempt, self.opened)
 
     def pause_writing(self) -> None:
-        """The kernel did not take all: `resume_writing` tells when it has."""
+        """The kernel did not take all data; `resume_writing` is called when it has."""
         self.full = True
 
     def resume_writing(self) -> None:
@@ -321,7 +331,7 @@
             self.streamed.received(core, data)
             return
         if attempt is None or core is None:
-            # A late answer would be taken for the next request's.
+            # If the connection were kept, these bytes would be taken for the next request's answer.
             after = time.monotonic() * 1000 - self.idle_since
             self.home.strayed()
             self.home.log.log_event(
@@ -330,10 +340,10 @@
             self.abort()
             return
         if self.last_byte or attempt.state == HELD:
-            self.leave_broken()  # these bytes can't be this request's answer
+            self.leave_broken()  # the request is not fully sent, so these bytes can't be its answer
             return
         if self.waits:
-            self.turn()  # bytes behind an answer would be read as a part of it
+            self.turn()  # otherwise these bytes would be parsed as a part of the answer before them
             self._received(data)
             return
         read = core.feed(data)
@@ -341,37 +351,37 @@
         self.counted += grown
         self.home.held += grown
         if read == WHOLE and core.status == 200 and self._early():
-            self._spoilt("it came before the request was whole")
+            self._spoilt("endpoint answered 200 before the whole request was sent")
         elif read == WHOLE:
             self._stop_timers()
             if self.home.lanes is None:
                 self._whole(attempt, core)
             else:
-                # What an answer causes is most of its cost: it waits its turn, as requests do.
+                # Handling an answer costs more than parsing it, so it waits for its turn as requests do.
                 self.waits = True
                 self.home.lanes.wait(self.home.lane, self)
         elif read == SPOILT:
             self._spoilt(core.why)
         elif self.home.held > self.home.most_held():
-            # The answers of many calls, each within its bound, would fill the memory.
-            self._spoilt("too much is being answered")
+            # Many answers, each within its own limit, could otherwise fill the memory.
+            self._spoilt("answers being received exceed their memory limit")
         elif not core.reading:
-            self._stop_timers()  # a 1xx answer has ended: the next may take its time
+            self._stop_timers()  # a 1xx answer is complete: the final answer is not timed until it begins
         elif core.long and attempt.state == WRITTEN:
             self._begin_streaming()
         else:
-            # What comes in one read is whole mostly: only what does not needs a timer.
+            # Most answers arrive in one read; only the others need a timer.
             self.arrived = time.monotonic()
             if self.stalled is None:
                 within = OPEN_TIME if core.open_ended else ANSWER_TIME
                 self.stalled = self.home.loop.call_later(within, self._look)
 
     def _early(self) -> bool:
-        """Whether some of the request has yet to leave: no endpoint has begun it by then."""
+        """Whether a part of the request is not sent yet, so that no endpoint can have run it."""
         return self.body is not None or bool(self.transport and self.transport.get_write_buffer_size())
 
     def _look(self) -> None:
-        """An answer is not whole yet: it has stopped half-way, or it goes on and may be a long one."""
+        """Stream an incomplete answer of unknown length that still arrives; fail one that has stalled."""
         self.stalled = None
         if self.attempt is None or self.core is None or not self.core.reading:
             return
@@ -385,11 +395,11 @@
             self._spoilt("it stopped half-way")
 
     def _begin_streaming(self) -> None:
-        """Pass the answer on as it comes: from now on it is its caller's, and the attempt is over."""
+        """Stream the answer to its caller from now on; this ends the attempt."""
         attempt, core, home = self.attempt, self.core, self.home
         assert attempt is not None and core is not None
         if home.streams.full():
-            self._spoilt("too many long answers are being passed on")
+            self._spoilt("too many streams are open")
             return
         self._stop_timers()
         first = bytes(core.body)
@@ -401,7 +411,7 @@
         streamed.begin(attempt, first)
 
     def turn(self) -> None:
-        """Its lane's turn has come: what its answer causes happens now."""
+        """Handle the complete answer, as it is its lane's turn."""
         if self.waits:
             self.waits = False
             if self.attempt is not None and self.core is not None:
@@ -413,7 +423,10 @@
         self.finish(outcome)
 
     def give_back(self, reusable: bool) -> None:
-        """Its answer is out. Before what that causes, which may be sent on it at once."""
+        """Keep the connection after its answer, or close it.
+
+        Called before the answer is handled, so that a request which that causes can reuse the connection.
+        """
         if reusable:
             self.idle_since = time.monotonic() * 1000
             self.reused = True
@@ -422,7 +435,7 @@
             self.abort()
 
     def log_failure(self, event: str, why: str, call: bytes) -> None:
-        """Log what went wrong with an answer to this call."""
+        """Log why an answer to this call failed."""
         shown = call.decode("ascii", "backslashreplace")
         self.home.log.log_event(event, endpoint=self.host.address, call=shown, cause=why)
 
@@ -445,9 +458,9 @@
         self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.turn()  # otherwise a whole answer would count as a reset
+        self.turn()  # otherwise a complete answer that waits would count as a reset
         if self.streamed is not None:
-            self.streamed.break_off("its connection broke")
+            self.streamed.break_off("connection to the endpoint broke")
         if self.core is not None:
             self.core.close()
         self.home.lost(self)
--- a/millgw/endpoints/core.py
+++ b/millgw/endpoints/core.py
@@ -1,10 +1,11 @@
-"""The protocol core of the endpoints' side: bytes in, an answer and its truth out. No I/O, no clock.
+"""Sans-I/O parser of endpoints' answers: bytes in, an answer and the attempt's outcome out. No clock.
 
-What comes is not believed: the first whole answer counts and nothing behind it, 1xx answers are passed over
-with their headers, and what can't be read or is too large is spoilt: an attempt that failed and may have run.
+Endpoints are not trusted to be correct: only the first complete answer counts and nothing behind it, 1xx
+answers are skipped with their headers, and an answer that can't be parsed or is too large is `SPOILT`: the
+attempt failed and may have run.
 
-A body is held until it is whole, or goes to `sink` as it comes once there is one. One that ends with its
-connection is whole at the connection's end, if its head said that the connection would end.
+A body is buffered until it is complete, or passed to `sink` as it arrives once that is set. A body that is
+delimited by the end of the connection is complete at that end only if the head announced it.
 """
 
 from __future__ import annotations
@@ -18,16 +19,17 @@
 from millgw.interface import Outcome
 from millgw.streams.room import LONG
 
-MORE: Final = 0  # the answer is not whole yet
+# Results of `AnswerCore.feed`
+MORE: Final = 0  # the answer is incomplete
 WHOLE: Final = 1
 SPOILT: Final = 2
 
-MOST: Final = 64 * 1024 * 1024  # bytes of an answer: a length beyond it is a fault and not a long answer
-BUSY: Final = frozenset({408, 425, 429})  # the 4xx that speak of the endpoint, not of the request
+MOST: Final = 64 * 1024 * 1024  # bytes; an answer that states a greater length is an error, not a long answer
+BUSY: Final = frozenset({408, 425, 429})  # the 4xx statuses that concern the endpoint, not the request
 
 
 class AnswerCore:
-    """One connection's answers, one after another; `begin` before each."""
+    """Parses the answers of one connection, one after another; call `begin` before each."""
 
     __slots__ = (
         "body", "closes", "framing", "headers", "in_head", "length", "most_body", "never_ran", "parser",
@@ -41,12 +43,12 @@
         self.begin()
 
     def begin(self) -> None:
-        """Nothing of this answer has come yet."""
+        """Reset the state for the next answer."""
         self._begin_message()
         self.body.clear()
         self.sink: Callable[[bytes], None] | None = None
-        self.taken = 0  # bytes of its body so far
-        self.framing = 0  # bytes of this answer so far, without its body
+        self.taken = 0  # bytes of its body received so far
+        self.framing = 0  # bytes of this answer received so far, without its body
         self.whole = False
         self.reusable = True
         self.why = ""
@@ -54,39 +56,42 @@
     def _begin_message(self) -> None:
         self.headers = b""
         self.status = 0
-        self.length = -1  # of its body, as its head tells; -1 where it does not
-        self.sized = False  # whether its end shows: by a length or by chunks
-        self.closes = False  # whether its end is that of its connection
+        self.length = -1  # bytes of its body, as its head states; -1 if it does not
+        self.sized = False  # whether it is delimited by a length or by chunks
+        self.closes = False  # whether it is delimited by the end of its connection
         self.never_ran = False
         self.in_head = True
         self.reading = False
 
     def close(self) -> None:
-        """Break the cycle with the parser, which would keep both until the collector comes."""
+        """Break the reference cycle with the parser, which would keep both until a garbage collection."""
         self.parser = None
 
     def feed(self, data: bytes) -> int:
-        """Read on: MORE, WHOLE, or SPOILT with `why`. `reusable` tells whether another may follow."""
+        """Parse more data; sets `why` if the result is `SPOILT`.
+
+        `reusable` then states whether the connection can be used for another answer.
+        """
         before = self.taken
         wrong = self._parse(data)
         self.framing += len(data) - (self.taken - before)
         if self.whole:
             self.reusable = self.reusable and not wrong
-            return WHOLE  # what is wrong behind it does not make it wrong
+            return WHOLE  # an error behind the answer does not invalidate it
         if not wrong and self.framing > MAX_HEAD + (0 if self.in_head else FRAMING_PART * self.taken):
-            wrong = "its head or framing is too large"
+            wrong = "answer head or framing is too large"
         if wrong:
             self.why = wrong
             return SPOILT
         return MORE
 
     def _parse(self, data: bytes) -> str:
-        """What is wrong, if anything."""
+        """Feed the parser; returns the error, empty if there is none."""
         assert self.parser is not None
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            return "it changes the protocol"
+            return "answer switches to another protocol"
         except httptools.HttpParserCallbackError as error:
             return str(error.__context__)
         except httptools.HttpParserError as error:
@@ -94,48 +99,48 @@
         return ""
 
     def finish(self) -> bool:
-        """The connection has ended; tells whether that makes the answer whole."""
+        """Note the end of the connection; returns whether the answer is complete."""
         if self.closes and not self.in_head and not self.whole:
             self.whole, self.reading, self.reusable = True, False, False
         return self.whole
 
     @property
     def long(self) -> bool:
-        """Whether it is one to be passed on as it comes: larger than what is held, and its body has begun."""
+        """Whether the answer is to be streamed: larger than what is buffered, and its body has begun."""
         return self.status == 200 and self.taken > 0 and max(self.length, self.taken) > LONG
 
     @property
     def open_ended(self) -> bool:
-        """Whether it is one of which nobody knows how long it will be."""
+        """Whether the answer's body has begun and its length is unknown."""
         return self.status == 200 and self.taken > 0 and self.length < 0
 
     def content(self) -> Content:
-        """What is passed on of the answer."""
+        """The part of the answer that is passed on to the caller."""
         return Content(self.headers, bytes(self.body))
 
     def outcome(self) -> Outcome:
-        """What a whole answer says of the attempt (protocol page, Sidecars to endpoints)."""
+        """The attempt's outcome by a complete answer (protocol specification, Sidecars to endpoints)."""
         if self.status == 200:
             return Outcome.OK
         if 400 <= self.status < 500 and self.status not in BUSY:
-            return Outcome.CANCELLED  # the request is at fault: no other endpoint could use it
-        # Guards against a plain 503 or 504, which does not prove that nothing ran.
+            return Outcome.CANCELLED  # the request is at fault: another endpoint would refuse it as well
+        # A 503 or 504 alone does not prove that nothing ran.
         return Outcome.REJECTED if self.status in (503, 504) and self.never_ran else Outcome.ERROR
 
     # httptools
 
     def on_message_begin(self) -> None:
         if self.whole:
-            self.reusable = False  # guards against a second answer that would be taken for the next request's
+            self.reusable = False  # a second answer would be taken for the answer to the next request
         else:
-            self._begin_message()  # guards against headers of a 1xx answer in the final one
+            self._begin_message()  # otherwise headers of a 1xx answer would end up in the final one
             self.reading = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.whole:
             return
         lower = name.lower()
-        value = value.rstrip(b" \t")  # left by the parser, no part of the value (RFC 9110 section 5.5)
+        value = value.rstrip(b" \t")  # the parser leaves it; not part of the value (RFC 9110 section 5.5)
         if lower == b"x-never-ran":
             self.never_ran = value == b"1"
         elif lower == b"content-length":
@@ -151,9 +156,10 @@
         if self.whole:
             return
         self.status = self.parser.get_status_code()
-        self.in_head = self.status < 200  # 1xx count with the head behind
+        self.in_head = self.status < 200  # 1xx answers count as part of the head that follows
         if self.length > (MOST if self.status == 200 else self.most_body):
-            raise ValueError(f"its length is {self.length}")  # guards against reading what is no use
+            # Reading on would be wasted, as the answer is refused anyway.
+            raise ValueError(f"answer length {self.length} is over the limit")
         self.closes = not self.sized and not self.parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
@@ -165,7 +171,7 @@
         else:
             self.body += body
             if len(self.body) > self.most_body:
-                raise ValueError(f"its body is over {self.most_body} bytes")
+                raise ValueError(f"answer body is over {self.most_body} bytes")
 
     def on_message_complete(self) -> None:
         assert self.parser is not None
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -1,4 +1,4 @@
-"""What the connections to one endpoint at one address share."""
+"""State shared by all connections to one endpoint at one address."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Host:
-    """One life of an endpoint at one address: kept connections, and attempts still connecting to it.
+    """One run of an endpoint process at one address: its kept connections, and attempts still connecting.
 
-    `missed` and `broken` are when (ms, monotonic) a connection last did not come up, or was ended by the
-    other side: what membership asks when an endpoint's registration has gone.
+    `missed` is when (ms, monotonic) a connect last failed, and `broken` when the endpoint last closed or
+    reset a connection. Membership asks for both when an endpoint's registration disappears.
     """
 
     __slots__ = ("address", "broken", "connecting", "idle", "missed", "proof", "since", "used")
@@ -26,8 +26,8 @@
         self.address = address
         self.since = since
         self.used = True
-        self.idle: list[Connection] = []  # the last used at the end, which goes first
-        self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, the oldest first
+        self.idle: list[Connection] = []  # the most recently used is last, and is reused first
+        self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, oldest first
         self.proof = Proof()
         self.missed = -math.inf
         self.broken = -math.inf
--- a/millgw/endpoints/proof.py
+++ b/millgw/endpoints/proof.py
@@ -1,18 +1,19 @@
-"""When a request's last byte may go with the rest, and when the connection must be proven first. Pure.
+"""Policy for holding back a request's last byte until the connection is known to work. No I/O, no clock.
 
-A connection that looks open may not be: its endpoint closed it, or resets it at the next request. What is
-written in whole to such a one may have run, as far as can be told, and an unsafe call then fails. Holding the
-last byte back until the connection has stood the rest proves that nothing ran, and costs the hold's time.
+A connection that looks open may be dead: its endpoint closed it, or resets it at the next request. A request
+that was written completely to such a connection may have run, as far as the sender can tell, and an unsafe
+call then fails. If the last byte is held back until the connection has carried the rest without breaking, a
+break before that proves that nothing ran. This delays the request by the hold time.
 
-A call that may not simply be made again is always held: that an answer came on the connection a moment ago
-proves nothing of the next request. For safe ones a wrong guess costs another attempt, so a recent answer is
-proof enough, until the endpoint is seen to break connections under requests.
+Calls that can't simply be repeated are always held: a recent answer on the connection says nothing about the
+next request. For safe calls a wrong guess only costs another attempt, so a recent answer is enough, until the
+endpoint is seen to break connections under requests.
 
-The last byte also waits until the answer before is so old that nothing more comes behind it: some endpoints
-answer a second time some milliseconds later, and that would be taken for the next request's answer. Safe
-calls wait for that only where a pool's endpoints were seen to do so, as it would cost most of their speed.
+The last byte also waits until nothing more is expected behind the previous answer: some endpoints send a
+second answer some milliseconds later, which would be taken for the answer to the next request. Safe calls
+wait for that only in pools whose endpoints were seen to do so, because it would cost most of their speed.
 
-Times are milliseconds.
+Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 from millgw.interface import Repeat
 
-HOLD_BACK = 2.0  # for which the last byte is held back: more than there and back takes
-DOUBT_TIME: Final = 30_000.0  # for which an endpoint that broke a connection under a request is not trusted
-PROVEN_SAFE: Final = 1000.0  # since the last answer on it, up to which a connection is proven for safe calls
-REST: Final = 5.0  # since an answer, in which something may still come behind it: up to 4 ms were seen
+HOLD_BACK = 2.0  # ms that the last byte is held back: more than a network round trip
+DOUBT_TIME: Final = 30_000.0  # ms that an endpoint is not trusted after it broke a connection under a request
+PROVEN_SAFE: Final = 1000.0  # ms after an answer during which its connection is trusted for safe calls
+REST: Final = 5.0  # ms after an answer in which more bytes may still follow it: up to 4 ms were observed
 
 
 class Proof:
-    """What is known of one endpoint's connections: whether it breaks them under requests."""
+    """Decides how long to hold back last bytes for one endpoint, by whether it broke connections recently."""
 
     __slots__ = ("doubted_until",)
 
@@ -36,7 +37,7 @@
         self.doubted_until = 0.0
 
     def broke(self, now: float) -> None:
-        """A connection broke, or held bytes that nobody asked for, while a request was on its way to it."""
+        """Note that a connection broke, or held unexpected bytes, while a request was being sent on it."""
         self.doubted_until = now + DOUBT_TIME
 
     def hold(
@@ -44,11 +45,11 @@
     ) -> float:
         """How long (ms) to hold back the last byte of a request of this kind; 0 for not at all.
 
-        `answered` is when the last answer came on the connection, where it is `reused`; `strays_until` until
-        when answers of the pool's endpoints are expected to have something behind them.
+        `answered` is when the last answer came on the connection, if it is `reused`. Until `strays_until`,
+        more bytes are expected behind the answers of the pool's endpoints.
         """
         safe = repeat is Repeat.SAFE
-        # A new one was proven by its handshake, but endpoints are seen that reset it at its first request.
+        # The handshake shows that a new connection works, but some endpoints reset it at its first request.
         proven = safe and now >= self.doubted_until and (not reused or now - answered <= PROVEN_SAFE)
         hold = 0.0 if proven else HOLD_BACK
         if reused and (not safe or now < strays_until):
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -1,4 +1,4 @@
-"""A request's body on its way to an endpoint, written as it comes from the caller."""
+"""Streams a request's body to an endpoint as it arrives from the caller."""
 
 from __future__ import annotations
 
@@ -14,14 +14,13 @@
 if TYPE_CHECKING:
     from millgw.endpoints.connection import Connection
 
-BODY_STALL = 15.0  # s in which the endpoint must take more of a body
+BODY_STALL = 15.0  # s without progress after which an endpoint is taken to have stopped reading a body
 
 
 class RequestBody:
-    """Takes what has come of an upload and writes it on the attempt's connection.
+    """Takes the available part of an upload and writes it to the attempt's connection.
 
-    It stands between the two from the request's head until the body's last byte is written, or the attempt
-    is over.
+    It is in use from the request's head until the body's last byte is written, or the attempt has ended.
     """
 
     __slots__ = ("attempt", "connection", "look_timer", "progress", "upload", "written")
@@ -30,14 +29,14 @@
         self.connection = connection
         self.attempt = attempt
         self.upload = upload
-        self.written = 0  # bytes of the body so far, with their framing
-        self.progress = (0, 0)  # of those, and those left in the transport, when last looked
+        self.written = 0  # bytes of the body written so far, with their framing
+        self.progress = (0, 0)  # `written` and the size of the transport's buffer at the last check
         self.look_timer: asyncio.TimerHandle | None = None
 
     def begin(self, head: bytes) -> None:
-        """Write the head, and the body's first piece once the connection has stood that.
+        """Write the head, and the first part of the body once the connection has not broken under the head.
 
-        On a dead connection the first piece would be lost, and the request with it.
+        On a dead connection that part would be lost, and the request could not be tried again.
         """
         connection, attempt = self.connection, self.attempt
         assert connection.transport is not None
@@ -50,7 +49,7 @@
         connection.hold_back(HOLD_BACK, self.write_first)
 
     def write_first(self) -> None:
-        """Write the first piece, if the connection has stood the head and the attempt may leave."""
+        """Write the first part of the body, if the connection is still open and the attempt may be sent."""
         connection, attempt = self.connection, self.attempt
         connection.holding = None
         if connection.body is not self:
@@ -69,7 +68,7 @@
         self.more()
 
     def more(self) -> None:
-        """Write on what has come of the body, as far as the endpoint takes it."""
+        """Write the available part of the body, unless the endpoint reads too slowly for more."""
         connection, upload = self.connection, self.upload
         transport = connection.transport
         if connection.body is not self or transport is None or connection.full or transport.is_closing():
@@ -82,7 +81,7 @@
         if upload.whole:
             connection.body = None
             self.stop()
-            # From here on the transport tells when the kernel has taken the last byte.
+            # From here on the transport reports when the kernel has taken the last byte.
             transport.set_write_buffer_limits(high=0)
         if data:
             self.written += len(data)
@@ -91,19 +90,19 @@
             connection.note_written()
 
     def stop(self) -> None:
-        """Take no more of the upload: another attempt may."""
+        """Stop taking from the upload, so that another attempt can."""
         self.upload.taker = None
         if self.look_timer is not None:
             self.look_timer.cancel()
             self.look_timer = None
 
     def _look(self) -> None:
-        """End the attempt if the endpoint has stopped reading: its caller would wait for it for ever."""
+        """End the attempt if the endpoint has stopped reading; otherwise the caller would wait forever."""
         self.look_timer = None
         connection = self.connection
         left = 0 if connection.transport is None else connection.transport.get_write_buffer_size()
         if connection.full and (self.written, left) == self.progress:
-            connection.log_failure("answer-spoilt", "it takes no more of a body", self.attempt.trace)
+            connection.log_failure("answer-spoilt", "endpoint stopped reading the body", self.attempt.trace)
             connection.abort()
             connection.finish(Outcome.CONNECT_FAILED)  # its last byte was never written
             return
--- a/millgw/endpoints/streamed_answer.py
+++ b/millgw/endpoints/streamed_answer.py
@@ -1,4 +1,4 @@
-"""An answer on its way from an endpoint, passed on as it comes."""
+"""The endpoint side of an answer that is streamed to its caller as it arrives."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 if TYPE_CHECKING:
     from millgw.endpoints.connection import Connection
 
-ANSWER_STALL = 15.0  # s in which an answer that is passed on must go on, unless its caller takes none of it
+# s without data after which a streamed answer is broken off, unless its caller has stopped reading.
+ANSWER_STALL = 15.0
 
 
 class StreamedAnswer:
-    """The endpoint's side of a flow. The attempt is over once it has begun: the rest is its caller's."""
+    """The source of a flow. The attempt ends when streaming begins: the rest is not tried again."""
 
     __slots__ = ("arrived", "connection", "flow", "held", "look_timer", "trace")
 
     def __init__(self, connection: Connection, core: AnswerCore, trace: bytes) -> None:
         self.connection = connection
-        self.trace = trace  # of its call, for the log
-        self.arrived = time.monotonic()  # s, when its last bytes came
-        self.held = False  # nothing is read: the caller does not take it
+        self.trace = trace  # trace ID of the call, for the log
+        self.arrived = time.monotonic()  # s, when data last arrived
+        self.held = False  # reading is paused, as the caller does not read
         self.look_timer: asyncio.TimerHandle | None = None
         length = None if core.length < 0 else core.length
         flow = Flow(self, core.headers, length, connection.home.streams.enter())
         flow.over_calls.append(self._over)
         core.sink = flow.data
-        self.flow: Flow | None = flow  # until it is over: each would keep the other until the collector comes
+        self.flow: Flow | None = flow  # reset at the end: the cycle would otherwise wait for the collector
 
     def begin(self, attempt: Attempt, first: bytes) -> None:
-        """Pass on what has come by now, if anybody waits for it."""
+        """Pass on what has arrived so far, if the caller still waits for it."""
         flow = self.flow
         assert flow is not None
         if not attempt.begin(flow):
@@ -45,12 +46,12 @@
             self._look_in(ANSWER_STALL)
 
     def received(self, core: AnswerCore, data: bytes) -> None:
-        """Pass on more of it."""
+        """Parse and pass on more of the answer."""
         self.arrived = time.monotonic()
         flow = self.flow
         read = core.feed(data)
         if flow is None or flow.over:
-            return  # its caller left at these bytes
+            return  # the caller disconnected while these bytes were passed on
         if read == WHOLE:
             self.connection.give_back(core.reusable)
             flow.end()
@@ -58,12 +59,12 @@
             self.break_off(core.why)
 
     def end(self) -> None:
-        """Its connection has ended, and that makes it whole."""
+        """End the flow: the answer is delimited by the end of its connection, which has come."""
         if self.flow is not None:
             self.flow.end()
 
     def break_off(self, why: str) -> None:
-        """The rest of it will not come."""
+        """Log that the rest will not arrive, close the connection and break the flow off."""
         flow = self.flow
         self.connection.log_failure("answer-broken-off", why, self.trace)
         self.connection.abort()
@@ -73,7 +74,7 @@
     def _over(self, _: Flow) -> None:
         self.flow = None
         self.connection.streamed = None
-        self.go_on()  # else a kept connection would never be read again
+        self.go_on()  # otherwise a kept connection would stay paused and never be read again
         self.connection.home.streams.leave()
         if self.look_timer is not None:
             self.look_timer.cancel()
@@ -92,17 +93,17 @@
         else:
             self.break_off("it stopped half-way")
 
-    # The flow's source
+    # millgw.streams.flow.Source
 
     def hold(self) -> None:
-        """The caller takes no more for now."""
+        """Pause reading, as the caller takes no more for now."""
         transport = self.connection.transport
         if not self.held and transport is not None and not transport.is_closing():
             self.held = True
             transport.pause_reading()
 
     def go_on(self) -> None:
-        """The caller takes more."""
+        """Resume reading."""
         transport = self.connection.transport
         if self.held and transport is not None:
             self.held = False
@@ -111,5 +112,5 @@
                 transport.resume_reading()
 
     def abandon(self) -> None:
-        """Nobody waits for the rest of the answer."""
+        """Close the connection, as nobody waits for the rest of the answer."""
         self.connection.abort()
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -1,4 +1,4 @@
-"""All connections of one pool to its endpoints: which is used again, when one is opened, when they end."""
+"""Connection pool of one service's endpoints: reuses, opens and closes connections."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from millgw.platform.config import Address
 from millgw.streams.room import READ, StreamRoom
 
-ANSWER_PART = 1 / 32  # of the memory, for one answer's body: endpoints are seen to answer with up to 400 kB
-ANSWERS_PART = 1 / 8  # of the memory, for all answers that are coming in
-IDLE_PART = 0.5  # of the endpoint's idle time, after which a kept connection is not used: it may be closing
-SWEEP = 1.0  # s between two looks for connections that have been idle too long
-LATE_PART = 0.2  # of the time for connecting, after which a connection is late: a handshake takes far less
+ANSWER_PART = 1 / 32  # share of the memory for one answer's body: answers of up to 400 kB were observed
+ANSWERS_PART = 1 / 8  # share of the memory for all incomplete answers
+IDLE_PART = 0.5  # share of an endpoint's idle timeout after which a connection may be closing: no more reuse
+SWEEP = 1.0  # s between two searches for connections that were idle for too long
+LATE_PART = 0.2  # share of the connect timeout after which a connect is late: a handshake takes far less
 
 
 LOCAL_FAILURES = frozenset(
@@ -33,22 +33,25 @@
         errno.ENOMEM,
     }
 )  # fmt: skip
-"""Why this machine can't open a connection, wherever to: they tell nothing of the endpoint."""
+"""Errors for which this machine can't open connections at all: they say nothing about the endpoint."""
 
 
 class Room(Protocol):
-    """The descriptors that an upstream may use."""
+    """The limit of file descriptors, shared with the other users of them."""
 
-    endpoints: Callable[[], int]  # how many it holds: set by the upstream, asked by the room
+    endpoints: Callable[[], int]  # how many descriptors the upstream uses; the upstream sets it
 
     def full(self) -> bool: ...
 
     def make(self) -> bool:
-        """Have others give one back that they need less; tells whether there was one."""
+        """Free a descriptor that is needed less elsewhere; returns whether there was one."""
 
 
 class Tending(Protocol):
-    """What an operator may put in the place of the plain way: see `millgw.connections.tended`."""
+    """Configurable connection management, which replaces the default: see `millgw.connections.tended`.
+
+    If it is set, it chooses which connections are reused, kept, opened and closed.
+    """
 
     def send(self, endpoint: int, host: Host, attempt: Attempt, now: float) -> None: ...
 
@@ -69,11 +72,14 @@
     def stop(self) -> None: ...
 
     def figures(self) -> dict[str, object]:
-        """What happened to connections, for the log."""
+        """Counts of connection events, for the log."""
 
 
 def rested(idle: list[Connection], now: float) -> int:
-    """Which of the idle ones, the last used at the end, goes first: the last used that has had its rest."""
+    """Index of the idle connection to reuse: the most recently used whose answer is at least `REST` old.
+
+    If there is none, the most recently used. `idle` is ordered by last use, the most recent at the end.
+    """
     latest = len(idle) - 1
     if idle[0].idle_since > now - REST:
         return latest
@@ -84,10 +90,10 @@
 
 
 class Upstream:
-    """All connections to endpoints, by endpoint. `most_held` bounds the bytes of answers coming in.
+    """All connections to endpoints, by endpoint. `most_held` limits the bytes of incomplete answers.
 
-    `lanes` are in use where several pools share the core: what answers cause waits there for the turn of
-    `lane`.
+    `lanes` is set where several pools share one CPU core: the handling of answers then waits for the turn
+    of `lane`.
     """
 
     def __init__(
@@ -108,42 +114,43 @@
         self.room.endpoints = self.holds
         self.reconfigure(connect_timeout, idle)
         self.hosts: dict[int, Host] = {}
-        self.buffer = bytearray(READ)  # one for all: each read is taken out before the next
+        self.buffer = bytearray(READ)  # shared by all connections: each read is copied out before the next
         self.streams = StreamRoom(memory)
         self.open = 0
         self.most_body = int(ANSWER_PART * memory)
         self.whole = int(ANSWERS_PART * memory)
         self.bound = most_held
-        self.held = 0  # bytes of answers that are coming in
-        self.strays_until = 0.0  # ms; until then answers here are expected to have something behind them
+        self.held = 0  # bytes of incomplete answers
+        self.strays_until = 0.0  # ms, monotonic; until then more bytes are expected behind answers here
         self.sends = 0
         self.written = 0  # attempts whose last byte the kernel has taken
-        self.held_back = 0  # sends whose last byte waited for a proof of their connection
+        self.held_back = 0  # sends whose last byte was held back
         self.tasks: set[asyncio.Task[Outcome | None]] = set()
         self.sweeping = self.loop.call_later(SWEEP, self._sweep)
         self.tending: Tending | None = None
 
     def reconfigure(self, connect_timeout: float, idle: float) -> None:
-        """Other bounds (ms) for a handshake and for an endpoint's patience with an idle connection."""
+        """Set the timeout (ms) of connects and the time (ms) after which endpoints close idle connections."""
         self.connect_timeout = connect_timeout / 1000
         self.idle_for = IDLE_PART * idle  # ms
 
     def tend(self, tending: Tending) -> None:
-        """Have another part say which connection is used, kept and opened."""
+        """Let `tending` choose which connections are reused, kept and opened."""
         self.sweeping.cancel()
         self.tending = tending
 
     def holds(self) -> int:
-        """Descriptors in use."""
+        """How many file descriptors are in use."""
         return self.open + len(self.tasks)
 
     def most_held(self) -> int:
         return self.whole if self.bound is None else self.bound()
 
     def point(self, endpoint: int, address: Address, since: float = 0.0) -> Host | None:
-        """Use this address from now on; returns the host before, if it is another.
+        """Use this address for the endpoint from now on; returns the previous host if it is a different one.
 
-        Guards against kept connections to a machine that went silent and is back: they end as resets.
+        An endpoint with another start time gets a new host even at the same address: if a machine failed
+        silently and is back, requests on connections kept from before would end as resets.
         """
         host = self.hosts.get(endpoint)
         if host is not None and host.address == address and host.since == since:
@@ -152,14 +159,14 @@
         return host
 
     def forget(self, endpoint: int) -> Host | None:
-        """Send nothing to this endpoint from now on; returns its host."""
+        """Send nothing more to this endpoint; returns its host."""
         return self.hosts.pop(endpoint, None)
 
     def close(self, host: Host) -> None:
-        """End what a host no longer in use holds; attempts that are written go on.
+        """Close a removed host's idle connections, and fail the attempts that are still connecting to it.
 
-        Guards against an attempt that is still connecting when its endpoint drains, and would be written
-        after the drain's grace.
+        An attempt that is still connecting when its endpoint drains could otherwise be written after the
+        drain's grace. Attempts that are written go on.
         """
         host.used = False
         self._close_idle(host)
@@ -171,9 +178,10 @@
             self.tending.close(host)
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
-        """When (ms, monotonic) a kept connection last had an answer, when the oldest of these was opened,
-        when one was last ended by the other side, and when one last did not come up; None where it is not in
-        use.
+        """Times (ms, monotonic) of an endpoint's connections, None if the endpoint is not in use.
+
+        These are: when a kept connection last had an answer, when the oldest of them was opened, when the
+        endpoint last closed or reset a connection, and when a connect last failed.
         """
         host = self.hosts.get(endpoint)
         if host is None:
@@ -185,8 +193,8 @@
     def doubt(self, endpoint: int) -> None:
         """Close an endpoint's kept connections after an attempt there got no answer.
 
-        Guards against a machine that has gone silent: what is written to an open connection only times out,
-        and may have run, where a new connection that does not come up proves soon that nothing did.
+        If its machine has failed silently, a request on an open connection only times out and may have run,
+        whereas a failed connect soon proves that nothing ran.
         """
         host = self.hosts.get(endpoint)
         if host is not None:
@@ -216,29 +224,29 @@
             self.connect(host, attempt)
 
     def _idle(self, host: Host, now: float) -> Connection | None:
-        """A kept connection that may be used, no longer kept."""
+        """Take a usable connection out of the kept ones; None if there is none."""
         while host.idle:
             connection = host.idle.pop(rested(host.idle, now))
-            # Guards against the endpoint's own idle time: what is written to a connection that it is about
-            # to close ends as a reset, and may have run.
+            # A request on a connection that the endpoint is about to close, as its own idle timeout ends,
+            # fails as a reset and may have run.
             if connection.idle_since > now - self.idle_for and connection.usable():
                 return connection
             connection.abort()
         return None
 
     def strayed(self) -> None:
-        """Something came behind an answer, where nothing was asked: the next may do so as well."""
+        """Note that bytes came behind an answer, while no request was outstanding: more are expected."""
         self.strays_until = time.monotonic() * 1000 + DOUBT_TIME
 
     def again(self, connection: Connection, attempt: Attempt) -> None:
-        """An attempt that has not run goes on, as its connection is dead."""
+        """Send an attempt that has not run on another connection, as its own is dead."""
         if self.tending is not None:
             self.tending.again(connection, attempt)
         else:
             self.connect(connection.host, attempt)
 
     def connect(self, host: Host, attempt: Attempt) -> bool:
-        """Make the attempt on a new connection; tells whether one is being opened."""
+        """Send the attempt on a new connection; returns whether one is being opened."""
         if not host.used:
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             return False
@@ -253,10 +261,11 @@
         return True
 
     def _dial_again(self, host: Host, attempt: Attempt) -> None:
-        """Try a second connection where the first is late; whichever is up first carries the attempt.
+        """Open a second connection if the first is late; the first one established carries the attempt.
 
-        Guards against a handshake whose packet was lost: late by a second, it takes the attempt with it.
-        One at a time for an endpoint: one that is crowded is not to be met by twice the handshakes.
+        If a packet of the handshake is lost, it is sent again only after a second, which is too late for the
+        attempt. There is at most one second connect per endpoint at a time, because twice the handshakes
+        would make an overloaded endpoint worse.
         """
         waits = attempt in host.connecting and attempt.state == CONNECTING and bool(attempt.dials)
         if waits and host.used and not self.room.full() and all(len(a.dials) < 2 for a in host.connecting):
@@ -273,11 +282,11 @@
         return task
 
     def _tried(self, host: Host, attempt: Attempt | None, task: asyncio.Task[Outcome | None]) -> None:
-        """A handshake is over: told here, as a task cancelled before its first step runs no `finally`."""
+        """Handle the end of a connect. A callback, as a task cancelled before it starts runs no `finally`."""
         self.tasks.discard(task)
         failure = None if task.cancelled() or task.exception() is not None else task.result()
         if attempt is not None:
-            # Guards also against a cycle through the task's traceback.
+            # This also breaks a reference cycle through the task's traceback.
             attempt.dials = tuple(dial for dial in attempt.dials if dial is not task)
             if not attempt.dials:
                 host.connecting.pop(attempt, None)
@@ -287,7 +296,9 @@
             self.tending.tried(host, failure is Outcome.CONNECT_FAILED)
 
     async def _connect(self, host: Host, attempt: Attempt | None) -> Outcome | None:
-        """Why the connection did not come up: its endpoint, or (not sent) this machine; None if it did."""
+        """Open a connection. Returns None on success, `CONNECT_FAILED` if the endpoint could not be reached,
+        and `NOT_SENT` if this machine could not open a connection.
+        """
         made = cast(asyncio.Protocol, Connection(self, host, attempt, self.most_body))
         try:
             async with asyncio.timeout(self.connect_timeout):
@@ -296,7 +307,7 @@
             if error.errno in LOCAL_FAILURES:
                 self.log.log_event("connect-not-made", endpoint=host.address, cause=error)
                 return Outcome.NOT_SENT
-            host.missed = host.broken = time.monotonic() * 1000  # refused, or not up in time
+            host.missed = host.broken = time.monotonic() * 1000  # refused or timed out
             return Outcome.CONNECT_FAILED
         return None
 
@@ -313,13 +324,13 @@
         elif connection.host.used:
             connection.host.idle.append(connection)
             if connection.host.connecting:
-                # Not now: what its answer causes comes first, and may be sent on it.
+                # Later, because a request caused by the answer comes first and may reuse this connection.
                 self.loop.call_soon(self._hand_over, connection.host)
         else:
             connection.abort()
 
     def _hand_over(self, host: Host) -> None:
-        """An attempt that waits for a connection need not, as another one has given one back."""
+        """Send attempts that wait for a connect on connections that were returned meanwhile."""
         for attempt in [a for a in host.connecting if a.state == CONNECTING]:
             connection = self._idle(host, time.monotonic() * 1000)
             if connection is None:
@@ -336,7 +347,7 @@
             self.tending.lost(connection, idle)
 
     def give_way(self) -> bool:
-        """Close the connection that has been idle for longest, if there is one."""
+        """Close the connection that was idle for longest; returns whether there was one."""
         oldest: Connection | None = None
         for host in self.hosts.values():
             if host.idle and (oldest is None or host.idle[0].idle_since < oldest.idle_since):
@@ -356,7 +367,7 @@
         self.sweeping = self.loop.call_later(SWEEP, self._sweep)
 
     def stop(self) -> None:
-        """Look after connections no longer; there are none left that matter."""
+        """Stop the timers; called when no connection is needed any more."""
         self.sweeping.cancel()
         if self.tending is not None:
             self.tending.stop()
--- a/millgw/streams/__init__.py
+++ b/millgw/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Long bodies and answers, passed on as they come, with back-pressure. No I/O, no clock."""
+"""Streaming of long bodies and answers, with back-pressure. No I/O, no clock."""
--- a/millgw/streams/flow.py
+++ b/millgw/streams/flow.py
@@ -1,7 +1,7 @@
-"""An answer that is passed on as it comes: couples an endpoint's connection with its caller's.
+"""A streamed answer: connects an endpoint's connection to the caller's.
 
-Once it has begun the request is its caller's: it is never tried again. It ends once: whole, broken off by the
-endpoint's side, or cancelled by the caller's.
+Once streaming has begun, the request is never tried again. A flow ends exactly once: complete, broken off by
+the endpoint's side, or cancelled by the caller's side.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
     """The endpoint's connection."""
 
     def hold(self) -> None:
-        """Read no further: what has come is not taken."""
+        """Pause reading, as the caller does not keep up."""
 
     def go_on(self) -> None: ...
 
     def abandon(self) -> None:
-        """Nobody waits for the rest."""
+        """Discard the rest: nobody waits for it."""
 
 
 class Sink(Protocol):
@@ -30,14 +30,14 @@
     def pass_on(self, data: bytes) -> None: ...
 
     def finished(self) -> None:
-        """The answer is whole."""
+        """The answer is complete."""
 
     def broken_off(self) -> None:
-        """The rest will not come: the caller must be able to tell."""
+        """The rest will not arrive. The caller must be able to tell the answer from a complete one."""
 
 
 class Flow:
-    """`headers` and `length` (None: not known ahead) are the answer's, `window` the bytes to be held."""
+    """One streamed answer with its `headers` and `length` (None if unknown); buffers up to `window` bytes."""
 
     __slots__ = ("headers", "length", "over", "over_calls", "passed", "sink", "source", "window")
 
@@ -48,10 +48,10 @@
         self.window = window
         self.sink: Sink | None = None
         self.over = False
-        self.passed = 0  # bytes of the body so far
+        self.passed = 0  # bytes of the body passed on so far
         self.over_calls: list[Callable[[Flow], None]] = []
 
-    # The endpoint's side
+    # Called by the endpoint's side
 
     def data(self, data: bytes) -> None:
         self.passed += len(data)
@@ -71,18 +71,18 @@
                 self.sink.broken_off()
 
     def expire(self) -> None:
-        """The caller's time is up: only a long answer may go on, as its first bytes are what is timed.
+        """End the flow at the caller's deadline, unless the answer is long: only its first bytes are timed.
 
-        Guards against an answer of unknown length that never ends: its caller would wait for it for ever.
+        Otherwise the caller of a small answer of unknown length that never ends would wait forever.
         """
         if not self.over and max(self.passed, self.length or 0) <= LONG:
             self.source.abandon()
             self.break_off()
 
-    # The caller's side
+    # Called by the caller's side
 
     def cancel(self) -> None:
-        """The caller has left, or takes nothing."""
+        """End the flow, as the caller has disconnected or does not read."""
         if not self.over:
             self._over()
             self.source.abandon()
--- a/millgw/streams/room.py
+++ b/millgw/streams/room.py
@@ -1,23 +1,23 @@
-"""How much long bodies and answers may hold at once. Pure.
+"""Memory limits for streamed bodies and answers. No I/O, no clock.
 
-Each holds its window at the most and one read beyond it, as a side is told to stop only after a read. The
-more there are, the narrower the windows; beyond a number there is no room for one more. Small calls have
-bounds of their own, so that long ones never take theirs.
+A stream buffers at most its window plus one read, because a sender is paused only after a read. The more
+streams are open, the smaller the windows of new ones; beyond a number no more may be opened. Small calls have
+limits of their own, so streams never use up their memory.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-LONG: Final = 64 * 1024  # bytes of a body or an answer that is longer than what is held whole
+LONG: Final = 64 * 1024  # bytes; a longer body or answer is streamed, not buffered whole
 READ: Final = 64 * 1024  # bytes of one read
-STREAMS_PART: Final = 1 / 4  # of the memory, for all of them
+STREAMS_PART: Final = 1 / 4  # share of the memory for all streams
 WIDEST: Final = 128 * 1024  # bytes of a window: more does not make a stream faster
-NARROWEST: Final = 16 * 1024
+NARROWEST: Final = 16 * 1024  # bytes of a window
 
 
 class StreamRoom:
-    """The streams of one pool, by number. `memory` in bytes is that of the process."""
+    """Counts the open streams of one pool. `memory` is the memory of the process in bytes."""
 
     __slots__ = ("bytes", "open")
 
@@ -26,17 +26,17 @@
         self.open = 0
 
     def most(self) -> int:
-        """How many there may be: with the narrowest windows all of them stay within the part."""
+        """How many streams may be open: with the smallest windows they all stay within their share."""
         return max(1, self.bytes // (NARROWEST + READ))
 
     def full(self) -> bool:
         return self.open >= self.most()
 
     def enter(self) -> int:
-        """One more is open; its window in bytes, for as long as it is."""
+        """Open one more stream; returns its window in bytes, which does not change later."""
         self.open += 1
         return max(NARROWEST, min(WIDEST, self.bytes // self.open - READ))
 
     def leave(self) -> None:
-        """One has ended."""
+        """Close a stream."""
         self.open -= 1
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -1,6 +1,7 @@
-"""A request's body that is passed on as it comes: couples a caller's connection with its attempt's.
+"""A streamed request body: connects a caller's connection to its attempt's.
 
-What is taken is gone: from then on the request can't be tried again. Until then another attempt may take it.
+Data that was taken is not kept, so the request can't be tried again from then on. Before that, another
+attempt may take it.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 
 
 class Taker(Protocol):
-    """The endpoint's connection that the body goes out on."""
+    """The endpoint's side, which writes the body to the endpoint."""
 
     def more(self) -> None:
-        """There is something to take, or the body is whole."""
+        """There is data to take, or the body is complete."""
 
 
 class Upload:
-    """`length` is the body's, None where it comes in chunks. `window` is how many bytes are held.
+    """A body of `length` bytes (None if it is chunked), of which up to `window` bytes are buffered.
 
-    `room` is called when there is room again, `gone` once when the first piece is taken.
+    `room` is called when the buffer has space again, `gone` once, when the first data is taken.
     """
 
     __slots__ = ("dropped", "gone", "held", "length", "pieces", "room", "taken", "taker", "whole", "window")
@@ -36,7 +37,7 @@
         self.dropped = False
         self.taker: Taker | None = None
 
-    # The caller's side
+    # Called by the caller's side
 
     @property
     def full(self) -> bool:
@@ -51,21 +52,21 @@
         self.whole = True
 
     def drop(self) -> None:
-        """The request is answered: what still comes of its body is of no use."""
+        """Discard the rest of the body, as the request is answered."""
         self.dropped = True
         self.taker = None
         self.pieces.clear()
         self.held = 0
 
     def wake(self) -> None:
-        """Have what has come taken."""
+        """Let the endpoint's side take what has arrived."""
         if self.taker is not None:
             self.taker.more()
 
-    # The endpoint's side
+    # Called by the endpoint's side
 
     def take(self) -> bytes:
-        """All that is there now; never again."""
+        """Return all data that is buffered, and drop it from the buffer."""
         data = b"".join(self.pieces)
         self.pieces.clear()
         self.held = 0
