--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -90,7 +90,7 @@
         self.reused = False
         self.last_byte = b""
         self.holding: asyncio.TimerHandle | None = None
-        self.prove_until = 0.0  # ms, monotonic; the last byte waits until then for TCP to acknowledge the rest
+        self.prove_until = 0.0  # ms, monotonic; until then the last byte may wait for TCP to ACK the rest
         self.counted = 0  # bytes of this answer that are counted in `home.held`
         self.idle_since = 0.0  # ms, monotonic
         self.opened = 0.0  # ms, monotonic
