--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -1,12 +1,12 @@
 """State of one attempt at a request, from connecting to its outcome.
 
-    state       meaning                                  `give_up` reports  if the connection breaks
-    CONNECTING  no connection is established for it yet  never ran          could not connect
-    HELD        all but its last byte is written         never ran          could not connect; a reused
-                                                                            connection is replaced by another
-    WRITING     its last byte waits for the kernel       never ran          could not connect
-    WRITTEN     the kernel has taken its last byte       may have run       reset
-    ENDED       outcome reported, or given up            -                  -
+    state           meaning                                  `give_up` reports  if the connection breaks
+    CONNECTING      no connection is established for it yet  never ran          could not connect
+    LAST_BYTE_HELD  all but its last byte is written         never ran          could not connect; if it was
+                                                                                reused, another one is tried
+    WRITING         its last byte waits for the kernel       never ran          could not connect
+    WRITTEN         the kernel has taken its last byte       may have run       reset
+    ENDED           outcome reported, or given up            -                  -
 
 An endpoint does not run a request before it has its last byte (protocol specification). So a request is
 known not to have run only in the three states before WRITTEN.
@@ -25,7 +25,7 @@
 from millgw.streams.upload import Upload
 
 CONNECTING: Final = 0
-HELD: Final = 1
+LAST_BYTE_HELD: Final = 1
 WRITING: Final = 2
 WRITTEN: Final = 3
 ENDED: Final = 4
@@ -50,14 +50,14 @@
         """Note that the attempt's last byte is about to be sent."""
 
 
-Ended = Callable[[Outcome, Content], None]
-Began = Callable[[Flow], bool]
+OutcomeCallback = Callable[[Outcome, Content], None]
+StreamCallback = Callable[[Flow], bool]
 
 
-class Carrier(Protocol):
+class AttemptConnection(Protocol):
     """The connection that carries an attempt."""
 
-    def leave(self) -> None:
+    def abandon_attempt(self) -> None:
         """Close the connection, as its attempt was given up."""
 
 
@@ -65,39 +65,39 @@
     """One attempt: connecting, then on its connection, until it has ended or is given up.
 
     `payload` is called when the request is written, because the request states the time that is left.
-    `ended` is called once, unless the attempt is given up before. The attempt also ends when a long answer
-    starts to be streamed: `began` is then called instead of `ended`, and returns whether the caller still
-    waits for the answer.
+    `on_outcome` is called once, unless the attempt is given up before. The attempt also ends when a long
+    answer starts to be streamed: `on_stream` is then called instead of `on_outcome`, and returns whether the
+    caller still waits for the answer.
     """
 
     __slots__ = (
-        "began", "carrier", "dials", "ended", "gone", "intent", "looked", "payload", "repeat", "state",
-        "trace", "until", "upload",
+        "connection", "dials", "gone", "intent", "looked", "on_outcome", "on_stream", "payload", "repeat",
+        "state", "trace_id", "until", "upload",
     )  # fmt: skip
 
     def __init__(
         self,
         payload: Callable[[], bytes],
-        ended: Ended,
+        on_outcome: OutcomeCallback,
         repeat: Repeat = Repeat.UNSAFE,
-        began: Began | None = None,
+        on_stream: StreamCallback | None = None,
         upload: Upload | None = None,
         intent: Intent | None = None,
-        trace: bytes = b"",
+        trace_id: bytes = b"",
     ) -> None:
-        self.trace = trace  # trace ID of the call, for the log
+        self.trace_id = trace_id  # trace ID of the call, for the log
         self.until = math.inf  # ms, monotonic: the last byte must not be sent later than this
         self.gone: Callable[[], bool] | None = None  # whether the caller is seen to have disconnected
         self.looked = -math.inf  # ms, monotonic: when `gone` was last called
         self.intent = intent
         self.payload = payload
-        self.ended = ended
-        self.began = began
+        self.on_outcome = on_outcome
+        self.on_stream = on_stream
         self.upload = upload  # the body that follows the payload, if the body is streamed
         self.repeat = repeat
         self.state = CONNECTING
         self.dials: tuple[asyncio.Task[Outcome | None], ...] = ()  # connects in progress for this attempt
-        self.carrier: Carrier | None = None
+        self.connection: AttemptConnection | None = None
 
     @property
     def given_up(self) -> bool:
@@ -118,28 +118,28 @@
         """Report the outcome, unless the attempt has ended already."""
         if self.state != ENDED:
             self.state = ENDED
-            self.carrier = None
-            self.ended(outcome, content)
+            self.connection = None
+            self.on_outcome(outcome, content)
 
-    def begin(self, flow: Flow) -> bool:
+    def begin_stream(self, flow: Flow) -> bool:
         """End the attempt as its answer is streamed from now on; returns whether the caller still waits."""
-        if self.state == ENDED or self.began is None:
+        if self.state == ENDED or self.on_stream is None:
             return False
         self.state = ENDED
-        self.carrier = None
-        return self.began(flow)
+        self.connection = None
+        return self.on_stream(flow)
 
     def give_up(self) -> bool:
-        """Stop the attempt without calling `ended`; returns whether it may have run, or may still run."""
-        written = self.state == WRITTEN
+        """Stop the attempt without calling `on_outcome`; returns whether it may have run or may yet run."""
+        may_run = self.state == WRITTEN
         self.state = ENDED
-        carrier, self.carrier = self.carrier, None
+        carrier, self.connection = self.connection, None
         if carrier is not None:
-            carrier.leave()
-        self.hang_up()
-        return written
+            carrier.abandon_attempt()
+        self.cancel_connects()
+        return may_run
 
-    def hang_up(self) -> None:
+    def cancel_connects(self) -> None:
         """Cancel the connects in progress for this attempt."""
         for dial in self.dials:
             dial.cancel()
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from millgw.endpoints.attempt import CONNECTING, HELD, WRITING, WRITTEN, Attempt, Intent
-from millgw.endpoints.core import SPOILT, WHOLE, AnswerCore
+from millgw.endpoints.attempt import CONNECTING, LAST_BYTE_HELD, WRITING, WRITTEN, Attempt, Intent
+from millgw.endpoints.core import COMPLETE, INVALID, AnswerCore
 from millgw.endpoints.host import Host
 from millgw.endpoints.proof import HOLD_BACK
 from millgw.endpoints.request_body import RequestBody
@@ -22,11 +22,15 @@
 from millgw.http.message import NOTHING, unconfirmed, unread, watcher
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
-from millgw.streams.room import StreamRoom
+from millgw.streams.room import StreamLimiter
 
 ANSWER_TIME = 1.0  # s without data after which an incomplete answer counts as stalled and is tried elsewhere
-OPEN_TIME = 0.3  # s after which an answer of unknown length is streamed, as it may become a long one
-STILL_COMES = 0.2  # s since its last data, up to which an answer of unknown length counts as still arriving
+OPEN_ENDED_STREAM_DELAY = (
+    0.3  # s after which an answer of unknown length is streamed, as it may become a long one
+)
+RECENT_DATA_TIME = (
+    0.2  # s since its last data, up to which an answer of unknown length counts as still arriving
+)
 
 
 class Lanes(Protocol):
@@ -39,7 +43,7 @@
         """Call the connection's `turn` when it is the lane's turn."""
 
 
-class Home(Protocol):
+class ConnectionOwner(Protocol):
     """The part of `Upstream` that its connections use."""
 
     loop: asyncio.AbstractEventLoop
@@ -50,24 +54,24 @@
     held_back: int
     written: int
     buffer: bytearray
-    streams: StreamRoom
+    streams: StreamLimiter
     log: BoundLogger  # adds the name of the service to each event
 
-    def most_held(self) -> int:
+    def answer_bytes_limit(self) -> int:
         """The limit in bytes for all incomplete answers together."""
 
     strays_until: float  # ms, monotonic; until then more bytes are expected behind answers
 
-    def strayed(self) -> None:
+    def note_stray_bytes(self) -> None:
         """Note that bytes arrived behind an answer, while no request was outstanding."""
 
     def keep(self, connection: Connection) -> None: ...
 
     def lost(self, connection: Connection) -> None: ...
 
-    def came_up(self, connection: Connection) -> None: ...
+    def connected(self, connection: Connection) -> None: ...
 
-    def again(self, connection: Connection, attempt: Attempt) -> None:
+    def resend(self, connection: Connection, attempt: Attempt) -> None:
         """Send the attempt on another connection: this one is dead, and the attempt has not run."""
 
 
@@ -78,28 +82,28 @@
     died since its handshake like any other idle connection.
     """
 
-    def __init__(self, home: Home, host: Host, attempt: Attempt | None, most_body: int) -> None:
-        self.home = home
+    def __init__(self, owner: ConnectionOwner, host: Host, attempt: Attempt | None, max_body: int) -> None:
+        self.home = owner
         self.host = host
         self.attempt = attempt
-        self.ahead = attempt is None
-        self.most_body = most_body
+        self.opened_ahead = attempt is None
+        self.max_body = max_body
         self.transport: asyncio.Transport | None = None
         self.poll: select.poll | None = None
         self.core: AnswerCore | None = None
         self.reused = False
         self.last_byte = b""
-        self.holding: asyncio.TimerHandle | None = None
-        self.prove_until = 0.0  # ms, monotonic; until then the last byte may wait for TCP to ACK the rest
-        self.counted = 0  # bytes of this answer that are counted in `home.held`
+        self.hold_timer: asyncio.TimerHandle | None = None
+        self.ack_deadline = 0.0  # ms, monotonic; until then the last byte may wait for TCP to ACK the rest
+        self.counted_bytes = 0  # bytes of this answer that are counted in `home.held`
         self.idle_since = 0.0  # ms, monotonic
-        self.opened = 0.0  # ms, monotonic
-        self.stalled: asyncio.TimerHandle | None = None
+        self.opened_at = 0.0  # ms, monotonic
+        self.stall_timer: asyncio.TimerHandle | None = None
         self.body: RequestBody | None = None  # the attempt's body, while it is streamed
-        self.full = False  # writing is paused by the transport
+        self.write_paused = False  # writing is paused by the transport
         self.streamed: StreamedAnswer | None = None  # the answer, while it is streamed
-        self.arrived = 0.0  # s, monotonic: when data of an incomplete answer last arrived
-        self.waits = False  # the answer is complete and waits for its lane's turn
+        self.last_data_at = 0.0  # s, monotonic: when data of an incomplete answer last arrived
+        self.awaits_turn = False  # the answer is complete and waits for its lane's turn
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -123,7 +127,7 @@
         """
         assert self.transport is not None and self.core is not None
         self.core.begin()
-        self.attempt, attempt.carrier = attempt, self
+        self.attempt, attempt.connection = attempt, self
         if now > attempt.until or attempt.caller_left(now):
             self.end_unsent()
             return
@@ -132,17 +136,19 @@
             self.body = RequestBody(self, attempt, attempt.upload)
             self.body.begin(payload)
             return
-        hold = self.host.proof.hold(now, attempt.repeat, self.reused, self.idle_since, self.home.strays_until)
+        hold = self.host.hold_policy.hold_time(
+            now, attempt.repeat, self.reused, self.idle_since, self.home.strays_until
+        )
         if prove > 0:
-            hold, self.prove_until = max(hold, HOLD_BACK), now + prove
+            hold, self.ack_deadline = max(hold, HOLD_BACK), now + prove
         if hold > 0:
-            attempt.state = HELD
+            attempt.state = LAST_BYTE_HELD
             self.last_byte = payload[-1:]
             self.home.held_back += 1
             if attempt.intent is not None:
                 attempt.intent.begin()
             self.transport.write(payload[:-1])
-            self.hold_back(hold, self._complete)
+            self.hold_back(hold, self._write_last_byte)
         else:
             attempt.state = WRITING
             self.transport.write(payload)
@@ -150,7 +156,7 @@
 
     def hold_back(self, milliseconds: float, then: Callable[[], None]) -> None:
         """Continue the request with `then` after the hold time, unless the attempt has ended by then."""
-        self.holding = self.home.loop.call_later(milliseconds / 1000, then)
+        self.hold_timer = self.home.loop.call_later(milliseconds / 1000, then)
 
     def note_written(self) -> None:
         """Note that the last byte is written: the request may have run once the kernel has taken it."""
@@ -160,17 +166,17 @@
             self.attempt.state = WRITTEN
             self.home.written += 1
 
-    def _complete(self) -> None:
-        self.holding = None
+    def _write_last_byte(self) -> None:
+        self.hold_timer = None
         assert self.transport is not None
         if unread(self.transport, self.poll):
-            self.leave_broken()
-        elif self.last_byte and self.prove_until > 0 and unconfirmed(self.transport):
+            self.abandon_broken()
+        elif self.last_byte and self.ack_deadline > 0 and unconfirmed(self.transport):
             # A NAT or firewall on the path may have dropped the connection's state: writes are then lost.
-            if time.monotonic() * 1000 < self.prove_until:
-                self.hold_back(HOLD_BACK, self._complete)
+            if time.monotonic() * 1000 < self.ack_deadline:
+                self.hold_back(HOLD_BACK, self._write_last_byte)
             else:
-                self.leave_broken()
+                self.abandon_broken()
         elif self.last_byte and self.transport.get_write_buffer_size() == 0:
             attempt = self.attempt
             intent = None if attempt is None else attempt.intent
@@ -178,10 +184,10 @@
             if attempt is not None and (now > attempt.until or attempt.caller_left(now)):
                 self.end_unsent()
                 return
-            if attempt is not None and intent is not None and not self.may_leave(attempt, intent):
+            if attempt is not None and intent is not None and not self.intent_is_durable(attempt, intent):
                 return
             last, self.last_byte = self.last_byte, b""
-            self.prove_until = 0.0
+            self.ack_deadline = 0.0
             if attempt is not None:
                 attempt.state = WRITING
             self.transport.write(last)
@@ -194,22 +200,22 @@
         self.abort()
         self.finish(Outcome.NOT_SENT)
 
-    def may_leave(self, attempt: Attempt, intent: Intent) -> bool:
+    def intent_is_durable(self, attempt: Attempt, intent: Intent) -> bool:
         """Whether the intent record is durable. If that is not known yet, the request continues later; if
         the record can't be made durable, the attempt ends unsent.
         """
         durable = intent.durable()
         if durable is None:
-            intent.wait(lambda: self._known(attempt))
+            intent.wait(lambda: self._intent_resolved(attempt))
         elif durable:
             intent.leaves(attempt)
         else:
             self.end_unsent()
         return durable is True
 
-    def _known(self, attempt: Attempt) -> None:
+    def _intent_resolved(self, attempt: Attempt) -> None:
         # The attempt may have been given up, moved to another connection or ended meanwhile.
-        if self.attempt is not attempt or attempt.state != HELD or self.holding is not None:
+        if self.attempt is not attempt or attempt.state != LAST_BYTE_HELD or self.hold_timer is not None:
             return
         if not self.host.used:
             # The endpoint was drained meanwhile, and the record may have taken longer than the drain's grace.
@@ -219,14 +225,14 @@
         if self.body is not None:
             self.body.write_first()
         else:
-            self._complete()
+            self._write_last_byte()
 
-    def leave_broken(self) -> None:
+    def abandon_broken(self) -> None:
         """Close a dead connection whose request has not run.
 
         If the connection was reused, the request is sent on another one; otherwise the attempt fails.
         """
-        self.host.proof.broke(time.monotonic() * 1000)
+        self.host.hold_policy.note_broken(time.monotonic() * 1000)
         attempt = self.attempt
         self.abort()
         if attempt is None or not self.reused:
@@ -234,44 +240,44 @@
             return
         self._stop_timers()
         self.last_byte = b""
-        self._let_go_of_body()
-        self.attempt = attempt.carrier = None
+        self._stop_body()
+        self.attempt = attempt.connection = None
         attempt.state = CONNECTING
-        self.home.again(self, attempt)
+        self.home.resend(self, attempt)
 
-    def leave(self) -> None:
+    def abandon_attempt(self) -> None:
         """Close the connection, as its attempt was given up."""
         self.attempt = None
-        self._let_go_of_body()
+        self._stop_body()
         self._stop_timers()
         self.abort()
 
-    def _let_go_of_body(self) -> None:
+    def _stop_body(self) -> None:
         if self.body is not None:
             self.body.stop()
             self.body = None
 
     def _stop_timers(self) -> None:
-        if self.stalled is not None:
-            self.stalled.cancel()
-            self.stalled = None
-        if self.holding is not None:
-            self.holding.cancel()
-            self.holding = None
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+            self.stall_timer = None
+        if self.hold_timer is not None:
+            self.hold_timer.cancel()
+            self.hold_timer = None
 
     def finish(self, outcome: Outcome) -> None:
         """End the attempt with its outcome."""
         self._stop_timers()
-        self._let_go_of_body()
+        self._stop_body()
         self.last_byte = b""
-        self.home.held -= self.counted
-        self.counted = 0
+        self.home.held -= self.counted_bytes
+        self.counted_bytes = 0
         attempt, self.attempt = self.attempt, None
         core = self.core
         if core is None:
             content = NOTHING
         else:
-            content = core.content() if core.whole else NOTHING
+            content = core.content() if core.complete else NOTHING
             core.body.clear()
         if attempt is not None:
             attempt.end(outcome, content)
@@ -289,35 +295,35 @@
             return
         if attempt is not None and attempt.state != CONNECTING:
             self.attempt = attempt = None  # it moved to another connection: this one is for the next attempt
-            self.ahead = True
+            self.opened_ahead = True
         # Created only here: a failed connect has no `connection_lost` in which the cycle could be broken.
-        self.core = AnswerCore(self.most_body)
+        self.core = AnswerCore(self.max_body)
         self.poll = watcher(transport)
         transport.set_write_buffer_limits(high=0)
-        self.opened = time.monotonic() * 1000
+        self.opened_at = time.monotonic() * 1000
         if attempt is None:
-            self.reused, self.idle_since = True, self.opened
-        self.home.came_up(self)
+            self.reused, self.idle_since = True, self.opened_at
+        self.home.connected(self)
         if attempt is not None:
             self.host.connecting.pop(attempt, None)
-            self.send(attempt, self.opened)
+            self.send(attempt, self.opened_at)
 
     def pause_writing(self) -> None:
         """The kernel did not take all data; `resume_writing` is called when it has."""
-        self.full = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.full = False
+        self.write_paused = False
         if self.body is not None:
-            if self.body.upload.taker is self.body:
-                self.body.more()
+            if self.body.upload.consumer is self.body:
+                self.body.write_more()
             return
         if not self.last_byte:
             if self.attempt is not None and self.attempt.state == WRITING:
                 self.attempt.state = WRITTEN
                 self.home.written += 1
-        elif self.holding is None:
-            self._complete()
+        elif self.hold_timer is None:
+            self._write_last_byte()
 
     def get_buffer(self, sizehint: int) -> bytearray:
         return self.home.buffer
@@ -332,97 +338,97 @@
             return
         if attempt is None or core is None:
             # If the connection were kept, these bytes would be taken for the next request's answer.
-            after = time.monotonic() * 1000 - self.idle_since
-            self.home.strayed()
+            after_ms = time.monotonic() * 1000 - self.idle_since
+            self.home.note_stray_bytes()
             self.home.log.log_event(
-                "bytes-after-answer", endpoint=self.host.address, after_ms=round(after, 1)
+                "bytes-after-answer", endpoint=self.host.address, after_ms=round(after_ms, 1)
             )
             self.abort()
             return
-        if self.last_byte or attempt.state == HELD:
-            self.leave_broken()  # the request is not fully sent, so these bytes can't be its answer
+        if self.last_byte or attempt.state == LAST_BYTE_HELD:
+            self.abandon_broken()  # the request is not fully sent, so these bytes can't be its answer
             return
-        if self.waits:
+        if self.awaits_turn:
             self.turn()  # otherwise these bytes would be parsed as a part of the answer before them
             self._received(data)
             return
-        read = core.feed(data)
-        grown = len(core.body) - self.counted
-        self.counted += grown
+        result = core.feed(data)
+        grown = len(core.body) - self.counted_bytes
+        self.counted_bytes += grown
         self.home.held += grown
-        if read == WHOLE and core.status == 200 and self._early():
-            self._spoilt("endpoint answered 200 before the whole request was sent")
-        elif read == WHOLE:
+        if result == COMPLETE and core.status == 200 and self._request_incomplete():
+            self._fail_answer("endpoint answered 200 before the whole request was sent")
+        elif result == COMPLETE:
             self._stop_timers()
             if self.home.lanes is None:
-                self._whole(attempt, core)
+                self._handle_answer(attempt, core)
             else:
                 # Handling an answer costs more than parsing it, so it waits for its turn as requests do.
-                self.waits = True
+                self.awaits_turn = True
                 self.home.lanes.wait(self.home.lane, self)
-        elif read == SPOILT:
-            self._spoilt(core.why)
-        elif self.home.held > self.home.most_held():
+        elif result == INVALID:
+            self._fail_answer(core.error)
+        elif self.home.held > self.home.answer_bytes_limit():
             # Many answers, each within its own limit, could otherwise fill the memory.
-            self._spoilt("answers being received exceed their memory limit")
-        elif not core.reading:
+            self._fail_answer("answers being received exceed their memory limit")
+        elif not core.in_message:
             self._stop_timers()  # a 1xx answer is complete: the final answer is not timed until it begins
-        elif core.long and attempt.state == WRITTEN:
+        elif core.too_long_to_buffer and attempt.state == WRITTEN:
             self._begin_streaming()
         else:
             # Most answers arrive in one read; only the others need a timer.
-            self.arrived = time.monotonic()
-            if self.stalled is None:
-                within = OPEN_TIME if core.open_ended else ANSWER_TIME
-                self.stalled = self.home.loop.call_later(within, self._look)
+            self.last_data_at = time.monotonic()
+            if self.stall_timer is None:
+                within = OPEN_ENDED_STREAM_DELAY if core.open_ended else ANSWER_TIME
+                self.stall_timer = self.home.loop.call_later(within, self._check_progress)
 
-    def _early(self) -> bool:
+    def _request_incomplete(self) -> bool:
         """Whether a part of the request is not sent yet, so that no endpoint can have run it."""
         return self.body is not None or bool(self.transport and self.transport.get_write_buffer_size())
 
-    def _look(self) -> None:
+    def _check_progress(self) -> None:
         """Stream an incomplete answer of unknown length that still arrives; fail one that has stalled."""
-        self.stalled = None
-        if self.attempt is None or self.core is None or not self.core.reading:
+        self.stall_timer = None
+        if self.attempt is None or self.core is None or not self.core.in_message:
             return
-        quiet = time.monotonic() - self.arrived
-        if self.core.open_ended and quiet <= STILL_COMES and self.attempt.state == WRITTEN:
+        quiet = time.monotonic() - self.last_data_at
+        if self.core.open_ended and quiet <= RECENT_DATA_TIME and self.attempt.state == WRITTEN:
             self._begin_streaming()
         elif quiet < ANSWER_TIME - 0.001:
-            within = OPEN_TIME if self.core.open_ended else ANSWER_TIME - quiet
-            self.stalled = self.home.loop.call_later(within, self._look)
+            delay = OPEN_ENDED_STREAM_DELAY if self.core.open_ended else ANSWER_TIME - quiet
+            self.stall_timer = self.home.loop.call_later(delay, self._check_progress)
         else:
-            self._spoilt("it stopped half-way")
+            self._fail_answer("it stopped half-way")
 
     def _begin_streaming(self) -> None:
         """Stream the answer to its caller from now on; this ends the attempt."""
         attempt, core, home = self.attempt, self.core, self.home
         assert attempt is not None and core is not None
         if home.streams.full():
-            self._spoilt("too many streams are open")
+            self._fail_answer("too many streams are open")
             return
         self._stop_timers()
         first = bytes(core.body)
         core.body.clear()
-        home.held -= self.counted
-        self.counted = 0
-        self.streamed = streamed = StreamedAnswer(self, core, attempt.trace)
-        self.attempt = attempt.carrier = None
+        home.held -= self.counted_bytes
+        self.counted_bytes = 0
+        self.streamed = streamed = StreamedAnswer(self, core, attempt.trace_id)
+        self.attempt = attempt.connection = None
         streamed.begin(attempt, first)
 
     def turn(self) -> None:
         """Handle the complete answer, as it is its lane's turn."""
-        if self.waits:
-            self.waits = False
+        if self.awaits_turn:
+            self.awaits_turn = False
             if self.attempt is not None and self.core is not None:
-                self._whole(self.attempt, self.core)
+                self._handle_answer(self.attempt, self.core)
 
-    def _whole(self, attempt: Attempt, core: AnswerCore) -> None:
+    def _handle_answer(self, attempt: Attempt, core: AnswerCore) -> None:
         outcome = core.outcome()
-        self.give_back(core.reusable and attempt.state == WRITTEN)
+        self.release(core.reusable and attempt.state == WRITTEN)
         self.finish(outcome)
 
-    def give_back(self, reusable: bool) -> None:
+    def release(self, reusable: bool) -> None:
         """Keep the connection after its answer, or close it.
 
         Called before the answer is handled, so that a request which that causes can reuse the connection.
@@ -434,20 +440,20 @@
         else:
             self.abort()
 
-    def log_failure(self, event: str, why: str, call: bytes) -> None:
+    def log_failure(self, event: str, cause: str, trace_id: bytes) -> None:
         """Log why an answer to this call failed."""
-        shown = call.decode("ascii", "backslashreplace")
-        self.home.log.log_event(event, endpoint=self.host.address, call=shown, cause=why)
+        shown = trace_id.decode("ascii", "backslashreplace")
+        self.home.log.log_event(event, endpoint=self.host.address, call=shown, cause=cause)
 
-    def _spoilt(self, why: str) -> None:
-        self.log_failure("answer-spoilt", why, b"" if self.attempt is None else self.attempt.trace)
+    def _fail_answer(self, cause: str) -> None:
+        self.log_failure("answer-spoilt", cause, b"" if self.attempt is None else self.attempt.trace_id)
         self.abort()
         self.finish(Outcome.ERROR)
 
     def eof_received(self) -> None:
         self.host.broken = time.monotonic() * 1000
         core, attempt, streamed = self.core, self.attempt, self.streamed
-        if core is not None and not self.waits and core.reading and core.finish():
+        if core is not None and not self.awaits_turn and core.in_message and core.connection_ended():
             self.abort()
             if streamed is not None:
                 streamed.end()
@@ -466,10 +472,10 @@
         self.home.lost(self)
         if exc is not None:
             self.host.broken = time.monotonic() * 1000
-        if self.last_byte or (self.attempt is not None and self.attempt.state == HELD):
-            self.leave_broken()
+        if self.last_byte or (self.attempt is not None and self.attempt.state == LAST_BYTE_HELD):
+            self.abandon_broken()
         elif self.attempt is not None and self.attempt.state == WRITTEN:
-            self.host.proof.broke(time.monotonic() * 1000)
+            self.host.hold_policy.note_broken(time.monotonic() * 1000)
             self.finish(Outcome.RESET)
         else:
             self.finish(Outcome.CONNECT_FAILED)
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from millgw.endpoints.attempt import Attempt
-from millgw.endpoints.proof import Proof
+from millgw.endpoints.proof import HoldPolicy
 from millgw.platform.config import Address
 
 if TYPE_CHECKING:
@@ -20,14 +20,14 @@
     reset a connection. Membership asks for both when an endpoint's registration disappears.
     """
 
-    __slots__ = ("address", "broken", "connecting", "idle", "missed", "proof", "since", "used")
+    __slots__ = ("address", "broken", "connecting", "hold_policy", "idle", "missed", "since", "used")
 
-    def __init__(self, address: Address, since: float) -> None:
+    def __init__(self, address: Address, started_at: float) -> None:
         self.address = address
-        self.since = since
+        self.since = started_at
         self.used = True
         self.idle: list[Connection] = []  # the most recently used is last, and is reused first
         self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, oldest first
-        self.proof = Proof()
+        self.hold_policy = HoldPolicy()
         self.missed = -math.inf
         self.broken = -math.inf
--- a/millgw/endpoints/proof.py
+++ b/millgw/endpoints/proof.py
@@ -23,35 +23,41 @@
 from millgw.interface import Repeat
 
 HOLD_BACK = 2.0  # ms that the last byte is held back: more than a network round trip
-DOUBT_TIME: Final = 30_000.0  # ms that an endpoint is not trusted after it broke a connection under a request
-PROVEN_SAFE: Final = 1000.0  # ms after an answer during which its connection is trusted for safe calls
-REST: Final = 5.0  # ms after an answer in which more bytes may still follow it: up to 4 ms were observed
+DISTRUST_TIME: Final = (
+    30_000.0  # ms that an endpoint is not trusted after it broke a connection under a request
+)
+SAFE_REUSE_TIME: Final = 1000.0  # ms after an answer during which its connection is trusted for safe calls
+SETTLE_TIME: Final = (
+    5.0  # ms after an answer in which more bytes may still follow it: up to 4 ms were observed
+)
 
 
-class Proof:
+class HoldPolicy:
     """Decides how long to hold back last bytes for one endpoint, by whether it broke connections recently."""
 
-    __slots__ = ("doubted_until",)
+    __slots__ = ("distrusted_until",)
 
     def __init__(self) -> None:
-        self.doubted_until = 0.0
+        self.distrusted_until = 0.0
 
-    def broke(self, now: float) -> None:
+    def note_broken(self, now: float) -> None:
         """Note that a connection broke, or held unexpected bytes, while a request was being sent on it."""
-        self.doubted_until = now + DOUBT_TIME
+        self.distrusted_until = now + DISTRUST_TIME
 
-    def hold(
-        self, now: float, repeat: Repeat, reused: bool, answered: float, strays_until: float = 0.0
+    def hold_time(
+        self, now: float, repeat: Repeat, reused: bool, answered_at: float, strays_until: float = 0.0
     ) -> float:
         """How long (ms) to hold back the last byte of a request of this kind; 0 for not at all.
 
-        `answered` is when the last answer came on the connection, if it is `reused`. Until `strays_until`,
+        `answered_at` is when the last answer came on the connection, if it is `reused`. Until `strays_until`,
         more bytes are expected behind the answers of the pool's endpoints.
         """
         safe = repeat is Repeat.SAFE
         # The handshake shows that a new connection works, but some endpoints reset it at its first request.
-        proven = safe and now >= self.doubted_until and (not reused or now - answered <= PROVEN_SAFE)
-        hold = 0.0 if proven else HOLD_BACK
+        trusted = (
+            safe and now >= self.distrusted_until and (not reused or now - answered_at <= SAFE_REUSE_TIME)
+        )
+        hold = 0.0 if trusted else HOLD_BACK
         if reused and (not safe or now < strays_until):
-            hold = max(hold, answered + REST - now)
+            hold = max(hold, answered_at + SETTLE_TIME - now)
         return hold
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from millgw.endpoints.attempt import HELD, WRITING, Attempt
+from millgw.endpoints.attempt import LAST_BYTE_HELD, WRITING, Attempt
 from millgw.endpoints.proof import HOLD_BACK
 from millgw.interface import Outcome
 from millgw.streams.upload import Upload
@@ -14,7 +14,9 @@
 if TYPE_CHECKING:
     from millgw.endpoints.connection import Connection
 
-BODY_STALL = 15.0  # s without progress after which an endpoint is taken to have stopped reading a body
+BODY_STALL_TIMEOUT = (
+    15.0  # s without progress after which an endpoint is taken to have stopped reading a body
+)
 
 
 class RequestBody:
@@ -23,7 +25,7 @@
     It is in use from the request's head until the body's last byte is written, or the attempt has ended.
     """
 
-    __slots__ = ("attempt", "connection", "look_timer", "progress", "upload", "written")
+    __slots__ = ("attempt", "connection", "progress", "progress_timer", "upload", "written")
 
     def __init__(self, connection: Connection, attempt: Attempt, upload: Upload) -> None:
         self.connection = connection
@@ -31,7 +33,7 @@
         self.upload = upload
         self.written = 0  # bytes of the body written so far, with their framing
         self.progress = (0, 0)  # `written` and the size of the transport's buffer at the last check
-        self.look_timer: asyncio.TimerHandle | None = None
+        self.progress_timer: asyncio.TimerHandle | None = None
 
     def begin(self, head: bytes) -> None:
         """Write the head, and the first part of the body once the connection has not broken under the head.
@@ -40,7 +42,7 @@
         """
         connection, attempt = self.connection, self.attempt
         assert connection.transport is not None
-        attempt.state = HELD
+        attempt.state = LAST_BYTE_HELD
         if attempt.intent is not None:
             attempt.intent.begin()
         connection.home.held_back += 1
@@ -51,27 +53,32 @@
     def write_first(self) -> None:
         """Write the first part of the body, if the connection is still open and the attempt may be sent."""
         connection, attempt = self.connection, self.attempt
-        connection.holding = None
+        connection.hold_timer = None
         if connection.body is not self:
             return
         if not connection.usable():
-            connection.leave_broken()
+            connection.abandon_broken()
             return
         if attempt.caller_left(time.monotonic() * 1000):
             connection.end_unsent()
             return
-        if attempt.intent is not None and not connection.may_leave(attempt, attempt.intent):
+        if attempt.intent is not None and not connection.intent_is_durable(attempt, attempt.intent):
             return
         attempt.state = WRITING
-        self.look_timer = connection.home.loop.call_later(BODY_STALL, self._look)
-        self.upload.taker = self
-        self.more()
+        self.progress_timer = connection.home.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
+        self.upload.consumer = self
+        self.write_more()
 
-    def more(self) -> None:
+    def write_more(self) -> None:
         """Write the available part of the body, unless the endpoint reads too slowly for more."""
         connection, upload = self.connection, self.upload
         transport = connection.transport
-        if connection.body is not self or transport is None or connection.full or transport.is_closing():
+        if (
+            connection.body is not self
+            or transport is None
+            or connection.write_paused
+            or transport.is_closing()
+        ):
             return
         data = upload.take()
         if upload.length is None:
@@ -91,20 +98,22 @@
 
     def stop(self) -> None:
         """Stop taking from the upload, so that another attempt can."""
-        self.upload.taker = None
-        if self.look_timer is not None:
-            self.look_timer.cancel()
-            self.look_timer = None
+        self.upload.consumer = None
+        if self.progress_timer is not None:
+            self.progress_timer.cancel()
+            self.progress_timer = None
 
-    def _look(self) -> None:
+    def _check_progress(self) -> None:
         """End the attempt if the endpoint has stopped reading; otherwise the caller would wait forever."""
-        self.look_timer = None
+        self.progress_timer = None
         connection = self.connection
         left = 0 if connection.transport is None else connection.transport.get_write_buffer_size()
-        if connection.full and (self.written, left) == self.progress:
-            connection.log_failure("answer-spoilt", "endpoint stopped reading the body", self.attempt.trace)
+        if connection.write_paused and (self.written, left) == self.progress:
+            connection.log_failure(
+                "answer-spoilt", "endpoint stopped reading the body", self.attempt.trace_id
+            )
             connection.abort()
             connection.finish(Outcome.CONNECT_FAILED)  # its last byte was never written
             return
         self.progress = (self.written, left)
-        self.look_timer = connection.home.loop.call_later(BODY_STALL, self._look)
+        self.progress_timer = connection.home.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
--- a/millgw/endpoints/streamed_answer.py
+++ b/millgw/endpoints/streamed_answer.py
@@ -7,30 +7,30 @@
 from typing import TYPE_CHECKING
 
 from millgw.endpoints.attempt import Attempt
-from millgw.endpoints.core import SPOILT, WHOLE, AnswerCore
+from millgw.endpoints.core import COMPLETE, INVALID, AnswerCore
 from millgw.streams.flow import Flow
 
 if TYPE_CHECKING:
     from millgw.endpoints.connection import Connection
 
 # s without data after which a streamed answer is broken off, unless its caller has stopped reading.
-ANSWER_STALL = 15.0
+ANSWER_STALL_TIMEOUT = 15.0
 
 
 class StreamedAnswer:
     """The source of a flow. The attempt ends when streaming begins: the rest is not tried again."""
 
-    __slots__ = ("arrived", "connection", "flow", "held", "look_timer", "trace")
+    __slots__ = ("connection", "flow", "last_data_at", "paused", "progress_timer", "trace_id")
 
-    def __init__(self, connection: Connection, core: AnswerCore, trace: bytes) -> None:
+    def __init__(self, connection: Connection, core: AnswerCore, trace_id: bytes) -> None:
         self.connection = connection
-        self.trace = trace  # trace ID of the call, for the log
-        self.arrived = time.monotonic()  # s, when data last arrived
-        self.held = False  # reading is paused, as the caller does not read
-        self.look_timer: asyncio.TimerHandle | None = None
+        self.trace_id = trace_id  # trace ID of the call, for the log
+        self.last_data_at = time.monotonic()  # s, when data last arrived
+        self.paused = False  # reading is paused, as the caller does not read
+        self.progress_timer: asyncio.TimerHandle | None = None
         length = None if core.length < 0 else core.length
         flow = Flow(self, core.headers, length, connection.home.streams.enter())
-        flow.over_calls.append(self._over)
+        flow.over_calls.append(self._flow_ended)
         core.sink = flow.data
         self.flow: Flow | None = flow  # reset at the end: the cycle would otherwise wait for the collector
 
@@ -38,76 +38,76 @@
         """Pass on what has arrived so far, if the caller still waits for it."""
         flow = self.flow
         assert flow is not None
-        if not attempt.begin(flow):
+        if not attempt.begin_stream(flow):
             flow.cancel()
             return
         flow.data(first)
-        if not flow.over:
-            self._look_in(ANSWER_STALL)
+        if not flow.ended:
+            self._start_progress_timer(ANSWER_STALL_TIMEOUT)
 
     def received(self, core: AnswerCore, data: bytes) -> None:
         """Parse and pass on more of the answer."""
-        self.arrived = time.monotonic()
+        self.last_data_at = time.monotonic()
         flow = self.flow
-        read = core.feed(data)
-        if flow is None or flow.over:
+        result = core.feed(data)
+        if flow is None or flow.ended:
             return  # the caller disconnected while these bytes were passed on
-        if read == WHOLE:
-            self.connection.give_back(core.reusable)
+        if result == COMPLETE:
+            self.connection.release(core.reusable)
             flow.end()
-        elif read == SPOILT:
-            self.break_off(core.why)
+        elif result == INVALID:
+            self.break_off(core.error)
 
     def end(self) -> None:
         """End the flow: the answer is delimited by the end of its connection, which has come."""
         if self.flow is not None:
             self.flow.end()
 
-    def break_off(self, why: str) -> None:
+    def break_off(self, cause: str) -> None:
         """Log that the rest will not arrive, close the connection and break the flow off."""
         flow = self.flow
-        self.connection.log_failure("answer-broken-off", why, self.trace)
+        self.connection.log_failure("answer-broken-off", cause, self.trace_id)
         self.connection.abort()
         if flow is not None:
             flow.break_off()
 
-    def _over(self, _: Flow) -> None:
+    def _flow_ended(self, _: Flow) -> None:
         self.flow = None
         self.connection.streamed = None
-        self.go_on()  # otherwise a kept connection would stay paused and never be read again
+        self.resume()  # otherwise a kept connection would stay paused and never be read again
         self.connection.home.streams.leave()
-        if self.look_timer is not None:
-            self.look_timer.cancel()
-            self.look_timer = None
-
-    def _look_in(self, seconds: float) -> None:
-        self.look_timer = self.connection.home.loop.call_later(seconds, self._look)
-
-    def _look(self) -> None:
-        self.look_timer = None
-        quiet = time.monotonic() - self.arrived
-        if self.held:
-            self._look_in(ANSWER_STALL)
-        elif quiet < ANSWER_STALL - 0.001:
-            self._look_in(ANSWER_STALL - quiet)
+        if self.progress_timer is not None:
+            self.progress_timer.cancel()
+            self.progress_timer = None
+
+    def _start_progress_timer(self, seconds: float) -> None:
+        self.progress_timer = self.connection.home.loop.call_later(seconds, self._check_progress)
+
+    def _check_progress(self) -> None:
+        self.progress_timer = None
+        quiet = time.monotonic() - self.last_data_at
+        if self.paused:
+            self._start_progress_timer(ANSWER_STALL_TIMEOUT)
+        elif quiet < ANSWER_STALL_TIMEOUT - 0.001:
+            self._start_progress_timer(ANSWER_STALL_TIMEOUT - quiet)
         else:
             self.break_off("it stopped half-way")
 
     # millgw.streams.flow.Source
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Pause reading, as the caller takes no more for now."""
         transport = self.connection.transport
-        if not self.held and transport is not None and not transport.is_closing():
-            self.held = True
+        if not self.paused and transport is not None and not transport.is_closing():
+            self.paused = True
             transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume reading."""
         transport = self.connection.transport
-        if self.held and transport is not None:
-            self.held = False
-            self.arrived = time.monotonic()
+        if self.paused and transport is not None:
+            self.paused = False
+            self.last_data_at = time.monotonic()
             if not transport.is_closing():
                 transport.resume_reading()
 
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -13,18 +13,24 @@
 from millgw.endpoints.attempt import CONNECTING, Attempt
 from millgw.endpoints.connection import Connection, Lanes
 from millgw.endpoints.host import Host
-from millgw.endpoints.proof import DOUBT_TIME, REST
+from millgw.endpoints.proof import DISTRUST_TIME, SETTLE_TIME
 from millgw.http.message import NOTHING
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
 from millgw.platform.config import Address
-from millgw.streams.room import READ, StreamRoom
+from millgw.streams.room import READ_SIZE, StreamLimiter
 
-ANSWER_PART = 1 / 32  # share of the memory for one answer's body: answers of up to 400 kB were observed
+ANSWER_MEMORY_SHARE = (
+    1 / 32
+)  # share of the memory for one answer's body: answers of up to 400 kB were observed
 ANSWERS_PART = 1 / 8  # share of the memory for all incomplete answers
-IDLE_PART = 0.5  # share of an endpoint's idle timeout after which a connection may be closing: no more reuse
-SWEEP = 1.0  # s between two searches for connections that were idle for too long
-LATE_PART = 0.2  # share of the connect timeout after which a connect is late: a handshake takes far less
+REUSE_IDLE_SHARE = (
+    0.5  # share of an endpoint's idle timeout after which a connection may be closing: no more reuse
+)
+SWEEP_INTERVAL = 1.0  # s between two searches for connections that were idle for too long
+LATE_CONNECT_SHARE = (
+    0.2  # share of the connect timeout after which a connect is late: a handshake takes far less
+)
 
 
 LOCAL_FAILURES = frozenset(
@@ -47,7 +53,7 @@
         """Free a descriptor that is needed less elsewhere; returns whether there was one."""
 
 
-class Tending(Protocol):
+class ConnectionManager(Protocol):
     """Configurable connection management, which replaces the default: see `millgw.connections.tended`.
 
     If it is set, it chooses which connections are reused, kept, opened and closed.
@@ -75,22 +81,22 @@
         """Counts of connection events, for the log."""
 
 
-def rested(idle: list[Connection], now: float) -> int:
-    """Index of the idle connection to reuse: the most recently used whose answer is at least `REST` old.
+def choose_idle(idle: list[Connection], now: float) -> int:
+    """Index of the idle connection to reuse: the most recently used that has been idle for `SETTLE_TIME`.
 
     If there is none, the most recently used. `idle` is ordered by last use, the most recent at the end.
     """
     latest = len(idle) - 1
-    if idle[0].idle_since > now - REST:
+    if idle[0].idle_since > now - SETTLE_TIME:
         return latest
     at = latest
-    while idle[at].idle_since > now - REST:
+    while idle[at].idle_since > now - SETTLE_TIME:
         at -= 1
     return at
 
 
 class Upstream:
-    """All connections to endpoints, by endpoint. `most_held` limits the bytes of incomplete answers.
+    """All connections to endpoints, by endpoint. `answer_bytes_limit` limits the bytes of incomplete answers.
 
     `lanes` is set where several pools share one CPU core: the handling of answers then waits for the turn
     of `lane`.
@@ -98,11 +104,11 @@
 
     def __init__(
         self,
-        room: Room,
+        descriptors: Room,
         connect_timeout: float,
-        idle: float,
+        idle_timeout: float,
         memory: float,
-        most_held: Callable[[], int] | None = None,
+        answer_bytes_limit: Callable[[], int] | None = None,
         lanes: Lanes | None = None,
         lane: str = "",
     ) -> None:
@@ -110,52 +116,58 @@
         self.lanes = lanes
         self.lane = lane
         self.log = BoundLogger(service=lane) if lane else BoundLogger()
-        self.room = room
+        self.room = descriptors
         self.room.endpoints = self.holds
-        self.reconfigure(connect_timeout, idle)
+        self.reconfigure(connect_timeout, idle_timeout)
         self.hosts: dict[int, Host] = {}
-        self.buffer = bytearray(READ)  # shared by all connections: each read is copied out before the next
-        self.streams = StreamRoom(memory)
+        self.buffer = bytearray(
+            READ_SIZE
+        )  # shared by all connections: each read is copied out before the next
+        self.streams = StreamLimiter(memory)
         self.open = 0
-        self.most_body = int(ANSWER_PART * memory)
-        self.whole = int(ANSWERS_PART * memory)
-        self.bound = most_held
+        self.max_answer_body = int(ANSWER_MEMORY_SHARE * memory)
+        self.default_answer_bytes_limit = int(ANSWERS_PART * memory)
+        self.get_answer_bytes_limit = answer_bytes_limit
         self.held = 0  # bytes of incomplete answers
         self.strays_until = 0.0  # ms, monotonic; until then more bytes are expected behind answers here
         self.sends = 0
         self.written = 0  # attempts whose last byte the kernel has taken
         self.held_back = 0  # sends whose last byte was held back
         self.tasks: set[asyncio.Task[Outcome | None]] = set()
-        self.sweeping = self.loop.call_later(SWEEP, self._sweep)
-        self.tending: Tending | None = None
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
+        self.tending: ConnectionManager | None = None
 
-    def reconfigure(self, connect_timeout: float, idle: float) -> None:
+    def reconfigure(self, connect_timeout: float, idle_timeout: float) -> None:
         """Set the timeout (ms) of connects and the time (ms) after which endpoints close idle connections."""
         self.connect_timeout = connect_timeout / 1000
-        self.idle_for = IDLE_PART * idle  # ms
+        self.idle_for = REUSE_IDLE_SHARE * idle_timeout  # ms
 
-    def tend(self, tending: Tending) -> None:
-        """Let `tending` choose which connections are reused, kept and opened."""
-        self.sweeping.cancel()
-        self.tending = tending
+    def tend(self, manager: ConnectionManager) -> None:
+        """Let `manager` choose which connections are reused, kept and opened."""
+        self.sweep_timer.cancel()
+        self.tending = manager
 
     def holds(self) -> int:
         """How many file descriptors are in use."""
         return self.open + len(self.tasks)
 
-    def most_held(self) -> int:
-        return self.whole if self.bound is None else self.bound()
+    def answer_bytes_limit(self) -> int:
+        return (
+            self.default_answer_bytes_limit
+            if self.get_answer_bytes_limit is None
+            else self.get_answer_bytes_limit()
+        )
 
-    def point(self, endpoint: int, address: Address, since: float = 0.0) -> Host | None:
+    def point(self, endpoint: int, address: Address, started_at: float = 0.0) -> Host | None:
         """Use this address for the endpoint from now on; returns the previous host if it is a different one.
 
         An endpoint with another start time gets a new host even at the same address: if a machine failed
         silently and is back, requests on connections kept from before would end as resets.
         """
         host = self.hosts.get(endpoint)
-        if host is not None and host.address == address and host.since == since:
+        if host is not None and host.address == address and host.since == started_at:
             return None
-        self.hosts[endpoint] = Host(address, since)
+        self.hosts[endpoint] = Host(address, started_at)
         return host
 
     def forget(self, endpoint: int) -> Host | None:
@@ -172,7 +184,7 @@
         self._close_idle(host)
         for attempt in list(host.connecting):
             del host.connecting[attempt]
-            attempt.hang_up()
+            attempt.cancel_connects()
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
         if self.tending is not None:
             self.tending.close(host)
@@ -187,7 +199,7 @@
         if host is None:
             return None
         answered = max([c.idle_since for c in host.idle], default=-math.inf)
-        opened = min([c.opened for c in host.idle], default=math.inf)
+        opened = min([c.opened_at for c in host.idle], default=math.inf)
         return answered, opened, host.broken, host.missed
 
     def doubt(self, endpoint: int) -> None:
@@ -217,16 +229,16 @@
         if self.tending is not None:
             self.tending.send(endpoint, host, attempt, now)
             return
-        connection = self._idle(host, now)
+        connection = self._take_idle(host, now)
         if connection is not None:
             connection.send(attempt, now)
         else:
             self.connect(host, attempt)
 
-    def _idle(self, host: Host, now: float) -> Connection | None:
+    def _take_idle(self, host: Host, now: float) -> Connection | None:
         """Take a usable connection out of the kept ones; None if there is none."""
         while host.idle:
-            connection = host.idle.pop(rested(host.idle, now))
+            connection = host.idle.pop(choose_idle(host.idle, now))
             # A request on a connection that the endpoint is about to close, as its own idle timeout ends,
             # fails as a reset and may have run.
             if connection.idle_since > now - self.idle_for and connection.usable():
@@ -234,11 +246,11 @@
             connection.abort()
         return None
 
-    def strayed(self) -> None:
+    def note_stray_bytes(self) -> None:
         """Note that bytes came behind an answer, while no request was outstanding: more are expected."""
-        self.strays_until = time.monotonic() * 1000 + DOUBT_TIME
+        self.strays_until = time.monotonic() * 1000 + DISTRUST_TIME
 
-    def again(self, connection: Connection, attempt: Attempt) -> None:
+    def resend(self, connection: Connection, attempt: Attempt) -> None:
         """Send an attempt that has not run on another connection, as its own is dead."""
         if self.tending is not None:
             self.tending.again(connection, attempt)
@@ -255,39 +267,46 @@
             attempt.end(Outcome.NOT_SENT, NOTHING)
             return False
         host.connecting[attempt] = None
-        attempt.dials += (self._start(host, attempt),)
+        attempt.dials += (self._start_connect(host, attempt),)
         if self.tending is None:
-            self.loop.call_later(LATE_PART * self.connect_timeout, self._dial_again, host, attempt)
+            self.loop.call_later(
+                LATE_CONNECT_SHARE * self.connect_timeout, self._connect_again, host, attempt
+            )
         return True
 
-    def _dial_again(self, host: Host, attempt: Attempt) -> None:
+    def _connect_again(self, host: Host, attempt: Attempt) -> None:
         """Open a second connection if the first is late; the first one established carries the attempt.
 
         If a packet of the handshake is lost, it is sent again only after a second, which is too late for the
         attempt. There is at most one second connect per endpoint at a time, because twice the handshakes
         would make an overloaded endpoint worse.
         """
-        waits = attempt in host.connecting and attempt.state == CONNECTING and bool(attempt.dials)
-        if waits and host.used and not self.room.full() and all(len(a.dials) < 2 for a in host.connecting):
-            attempt.dials += (self._start(host, attempt),)
+        is_waiting = attempt in host.connecting and attempt.state == CONNECTING and bool(attempt.dials)
+        if (
+            is_waiting
+            and host.used
+            and not self.room.full()
+            and all(len(a.dials) < 2 for a in host.connecting)
+        ):
+            attempt.dials += (self._start_connect(host, attempt),)
 
     def open_ahead(self, host: Host) -> None:
         """Open a connection that no attempt waits for."""
-        self._start(host, None)
+        self._start_connect(host, None)
 
-    def _start(self, host: Host, attempt: Attempt | None) -> asyncio.Task[Outcome | None]:
+    def _start_connect(self, host: Host, attempt: Attempt | None) -> asyncio.Task[Outcome | None]:
         task = self.loop.create_task(self._connect(host, attempt))
         self.tasks.add(task)
-        task.add_done_callback(partial(self._tried, host, attempt))
+        task.add_done_callback(partial(self._connect_ended, host, attempt))
         return task
 
-    def _tried(self, host: Host, attempt: Attempt | None, task: asyncio.Task[Outcome | None]) -> None:
+    def _connect_ended(self, host: Host, attempt: Attempt | None, task: asyncio.Task[Outcome | None]) -> None:
         """Handle the end of a connect. A callback, as a task cancelled before it starts runs no `finally`."""
         self.tasks.discard(task)
         failure = None if task.cancelled() or task.exception() is not None else task.result()
         if attempt is not None:
             # This also breaks a reference cycle through the task's traceback.
-            attempt.dials = tuple(dial for dial in attempt.dials if dial is not task)
+            attempt.dials = tuple(running for running in attempt.dials if running is not task)
             if not attempt.dials:
                 host.connecting.pop(attempt, None)
                 if failure is not None and attempt.state == CONNECTING:
@@ -299,10 +318,10 @@
         """Open a connection. Returns None on success, `CONNECT_FAILED` if the endpoint could not be reached,
         and `NOT_SENT` if this machine could not open a connection.
         """
-        made = cast(asyncio.Protocol, Connection(self, host, attempt, self.most_body))
+        connection = cast(asyncio.Protocol, Connection(self, host, attempt, self.max_answer_body))
         try:
             async with asyncio.timeout(self.connect_timeout):
-                await self.loop.create_connection(lambda: made, host.address.host, host.address.port)
+                await self.loop.create_connection(lambda: connection, host.address.host, host.address.port)
         except OSError as error:
             if error.errno in LOCAL_FAILURES:
                 self.log.log_event("connect-not-made", endpoint=host.address, cause=error)
@@ -311,7 +330,7 @@
             return Outcome.CONNECT_FAILED
         return None
 
-    def came_up(self, connection: Connection) -> None:
+    def connected(self, connection: Connection) -> None:
         if self.tending is not None:
             self.tending.up(connection)
         elif connection.attempt is None:
@@ -325,14 +344,14 @@
             connection.host.idle.append(connection)
             if connection.host.connecting:
                 # Later, because a request caused by the answer comes first and may reuse this connection.
-                self.loop.call_soon(self._hand_over, connection.host)
+                self.loop.call_soon(self._serve_waiting, connection.host)
         else:
             connection.abort()
 
-    def _hand_over(self, host: Host) -> None:
+    def _serve_waiting(self, host: Host) -> None:
         """Send attempts that wait for a connect on connections that were returned meanwhile."""
         for attempt in [a for a in host.connecting if a.state == CONNECTING]:
-            connection = self._idle(host, time.monotonic() * 1000)
+            connection = self._take_idle(host, time.monotonic() * 1000)
             if connection is None:
                 return
             del host.connecting[attempt]
@@ -364,10 +383,10 @@
             for connection in [c for c in host.idle if c.idle_since <= oldest]:
                 host.idle.remove(connection)
                 connection.abort()
-        self.sweeping = self.loop.call_later(SWEEP, self._sweep)
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def stop(self) -> None:
         """Stop the timers; called when no connection is needed any more."""
-        self.sweeping.cancel()
+        self.sweep_timer.cancel()
         if self.tending is not None:
             self.tending.stop()
--- a/millgw/streams/flow.py
+++ b/millgw/streams/flow.py
@@ -15,10 +15,10 @@
 class Source(Protocol):
     """The endpoint's connection."""
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Pause reading, as the caller does not keep up."""
 
-    def go_on(self) -> None: ...
+    def resume(self) -> None: ...
 
     def abandon(self) -> None:
         """Discard the rest: nobody waits for it."""
@@ -39,7 +39,7 @@
 class Flow:
     """One streamed answer with its `headers` and `length` (None if unknown); buffers up to `window` bytes."""
 
-    __slots__ = ("headers", "length", "over", "over_calls", "passed", "sink", "source", "window")
+    __slots__ = ("bytes_passed", "ended", "headers", "length", "over_calls", "sink", "source", "window")
 
     def __init__(self, source: Source, headers: bytes, length: int | None, window: int) -> None:
         self.source = source
@@ -47,26 +47,26 @@
         self.length = length
         self.window = window
         self.sink: Sink | None = None
-        self.over = False
-        self.passed = 0  # bytes of the body passed on so far
+        self.ended = False
+        self.bytes_passed = 0  # bytes of the body passed on so far
         self.over_calls: list[Callable[[Flow], None]] = []
 
     # Called by the endpoint's side
 
     def data(self, data: bytes) -> None:
-        self.passed += len(data)
-        if not self.over and self.sink is not None:
+        self.bytes_passed += len(data)
+        if not self.ended and self.sink is not None:
             self.sink.pass_on(data)
 
     def end(self) -> None:
-        if not self.over:
-            self._over()
+        if not self.ended:
+            self._end()
             if self.sink is not None:
                 self.sink.finished()
 
     def break_off(self) -> None:
-        if not self.over:
-            self._over()
+        if not self.ended:
+            self._end()
             if self.sink is not None:
                 self.sink.broken_off()
 
@@ -75,7 +75,7 @@
 
         Otherwise the caller of a small answer of unknown length that never ends would wait forever.
         """
-        if not self.over and max(self.passed, self.length or 0) <= LONG:
+        if not self.ended and max(self.bytes_passed, self.length or 0) <= LONG:
             self.source.abandon()
             self.break_off()
 
@@ -83,20 +83,20 @@
 
     def cancel(self) -> None:
         """End the flow, as the caller has disconnected or does not read."""
-        if not self.over:
-            self._over()
+        if not self.ended:
+            self._end()
             self.source.abandon()
 
     def hold(self) -> None:
-        if not self.over:
-            self.source.hold()
+        if not self.ended:
+            self.source.pause()
 
     def go_on(self) -> None:
-        if not self.over:
-            self.source.go_on()
+        if not self.ended:
+            self.source.resume()
 
-    def _over(self) -> None:
-        self.over = True
+    def _end(self) -> None:
+        self.ended = True
         for call in self.over_calls:
             call(self)
         self.over_calls.clear()
--- a/millgw/streams/room.py
+++ b/millgw/streams/room.py
@@ -10,32 +10,32 @@
 from typing import Final
 
 LONG: Final = 64 * 1024  # bytes; a longer body or answer is streamed, not buffered whole
-READ: Final = 64 * 1024  # bytes of one read
-STREAMS_PART: Final = 1 / 4  # share of the memory for all streams
-WIDEST: Final = 128 * 1024  # bytes of a window: more does not make a stream faster
-NARROWEST: Final = 16 * 1024  # bytes of a window
+READ_SIZE: Final = 64 * 1024  # bytes of one read
+STREAMS_MEMORY_SHARE: Final = 1 / 4  # share of the memory for all streams
+MAX_WINDOW: Final = 128 * 1024  # bytes of a window: more does not make a stream faster
+MIN_WINDOW: Final = 16 * 1024  # bytes of a window
 
 
-class StreamRoom:
+class StreamLimiter:
     """Counts the open streams of one pool. `memory` is the memory of the process in bytes."""
 
-    __slots__ = ("bytes", "open")
+    __slots__ = ("memory_limit", "open")
 
     def __init__(self, memory: float) -> None:
-        self.bytes = int(STREAMS_PART * memory)
+        self.memory_limit = int(STREAMS_MEMORY_SHARE * memory)
         self.open = 0
 
-    def most(self) -> int:
+    def max_streams(self) -> int:
         """How many streams may be open: with the smallest windows they all stay within their share."""
-        return max(1, self.bytes // (NARROWEST + READ))
+        return max(1, self.memory_limit // (MIN_WINDOW + READ_SIZE))
 
     def full(self) -> bool:
-        return self.open >= self.most()
+        return self.open >= self.max_streams()
 
     def enter(self) -> int:
         """Open one more stream; returns its window in bytes, which does not change later."""
         self.open += 1
-        return max(NARROWEST, min(WIDEST, self.bytes // self.open - READ))
+        return max(MIN_WINDOW, min(MAX_WINDOW, self.memory_limit // self.open - READ_SIZE))
 
     def leave(self) -> None:
         """Close a stream."""
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -10,58 +10,61 @@
 from typing import Protocol
 
 
-class Taker(Protocol):
+class UploadConsumer(Protocol):
     """The endpoint's side, which writes the body to the endpoint."""
 
-    def more(self) -> None:
+    def write_more(self) -> None:
         """There is data to take, or the body is complete."""
 
 
 class Upload:
     """A body of `length` bytes (None if it is chunked), of which up to `window` bytes are buffered.
 
-    `room` is called when the buffer has space again, `gone` once, when the first data is taken.
+    `on_space` is called when the buffer has space again, `gone` once, when the first data is taken.
     """
 
-    __slots__ = ("dropped", "gone", "held", "length", "pieces", "room", "taken", "taker", "whole", "window")
+    __slots__ = (
+        "buffered", "consumer", "discarded", "gone", "length", "on_space", "pieces", "taken", "whole",
+        "window",
+    )  # fmt: skip
 
-    def __init__(self, length: int | None, window: int, room: Callable[[], None]) -> None:
+    def __init__(self, length: int | None, window: int, on_space: Callable[[], None]) -> None:
         self.length = length
         self.window = window
-        self.room = room
+        self.on_space = on_space
         self.gone: Callable[[], None] | None = None
         self.pieces: list[bytes] = []
-        self.held = 0
+        self.buffered = 0
         self.taken = False
         self.whole = False
-        self.dropped = False
-        self.taker: Taker | None = None
+        self.discarded = False
+        self.consumer: UploadConsumer | None = None
 
     # Called by the caller's side
 
     @property
     def full(self) -> bool:
-        return self.held >= self.window and not self.dropped
+        return self.buffered >= self.window and not self.discarded
 
     def put(self, data: bytes) -> None:
-        if not self.dropped:
+        if not self.discarded:
             self.pieces.append(data)
-            self.held += len(data)
+            self.buffered += len(data)
 
     def end(self) -> None:
         self.whole = True
 
     def drop(self) -> None:
         """Discard the rest of the body, as the request is answered."""
-        self.dropped = True
-        self.taker = None
+        self.discarded = True
+        self.consumer = None
         self.pieces.clear()
-        self.held = 0
+        self.buffered = 0
 
     def wake(self) -> None:
         """Let the endpoint's side take what has arrived."""
-        if self.taker is not None:
-            self.taker.more()
+        if self.consumer is not None:
+            self.consumer.write_more()
 
     # Called by the endpoint's side
 
@@ -69,11 +72,11 @@
         """Return all data that is buffered, and drop it from the buffer."""
         data = b"".join(self.pieces)
         self.pieces.clear()
-        self.held = 0
+        self.buffered = 0
         if data and not self.taken:
             self.taken = True
             if self.gone is not None:
                 self.gone()
         if data:
-            self.room()
+            self.on_space()
         return data
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -10,10 +10,10 @@
 
 from millgw.callers.core import RequestCore, word_answer
 from millgw.endpoints.connection import Connection
-from millgw.endpoints.core import MORE, SPOILT, WHOLE, AnswerCore
+from millgw.endpoints.core import COMPLETE, INCOMPLETE, INVALID, AnswerCore
 from millgw.endpoints.host import Host
-from millgw.endpoints.proof import DOUBT_TIME, HOLD_BACK, PROVEN_SAFE, REST, Proof
-from millgw.endpoints.upstream import rested
+from millgw.endpoints.proof import DISTRUST_TIME, HOLD_BACK, SAFE_REUSE_TIME, SETTLE_TIME, HoldPolicy
+from millgw.endpoints.upstream import choose_idle
 from millgw.http.message import REFUSED, Answer, Content
 from millgw.http.request import BadRequest, Head, word
 from millgw.interface import Outcome, Repeat
@@ -80,7 +80,7 @@
     assert body == b"hi"
     answer = AnswerCore(100)
     head = b"HTTP/1.1 503 X\r\nX-Never-Ran: 1 \r\nX-Own: a \r\nContent-Length: 0\t\r\n\r\n"
-    assert answer.feed(head) == WHOLE
+    assert answer.feed(head) == COMPLETE
     assert answer.outcome() is Outcome.REJECTED and answer.content().headers == b"X-Own: a\r\n"
 
 
@@ -176,16 +176,16 @@
     """What comes out of the endpoints' core: whole with content and outcome, spoilt, or more is wanted."""
     made = AnswerCore(1000)
     bounds = [0, *sorted(cuts), len(data)]
-    read = MORE
+    read = INCOMPLETE
     for start, end in itertools.pairwise(bounds):
         if start == end:
             continue
         read = made.feed(data[start:end])
-        if read != MORE:
+        if read != INCOMPLETE:
             break
-    if read == WHOLE:
+    if read == COMPLETE:
         return ("whole", made.content(), made.outcome())
-    return ("spoilt",) if read == SPOILT else ("more",)
+    return ("spoilt",) if read == INVALID else ("more",)
 
 
 ANSWERS = [
@@ -272,20 +272,22 @@
 def test_an_unsafe_request_is_always_proven_and_others_where_the_endpoint_broke_connections(
     now: float, repeat: Repeat, reused: bool, idle: float, since: float
 ) -> None:
-    proof = Proof()
+    proof = HoldPolicy()
     answered = now - idle
-    held = proof.hold(now, repeat, reused, answered)
+    held = proof.hold_time(now, repeat, reused, answered)
     if repeat is not Repeat.SAFE:
         assert held >= HOLD_BACK
     elif reused:
-        assert (held == 0) == (now - answered <= PROVEN_SAFE)
+        assert (held == 0) == (now - answered <= SAFE_REUSE_TIME)
     for strays in (now - 1.0, now + 1.0):
-        held = proof.hold(now, repeat, reused, answered, strays)
+        held = proof.hold_time(now, repeat, reused, answered, strays)
         if reused and (repeat is not Repeat.SAFE or now < strays):
-            assert now + held >= answered + REST, "what comes behind an answer comes before the last byte"
-    proof.broke(now)
-    if since < DOUBT_TIME:
-        assert proof.hold(now + since, repeat, reused, now + since) > 0
+            assert now + held >= answered + SETTLE_TIME, (
+                "what comes behind an answer comes before the last byte"
+            )
+    proof.note_broken(now)
+    if since < DISTRUST_TIME:
+        assert proof.hold_time(now + since, repeat, reused, now + since) > 0
 
 
 @given(st.lists(st.floats(0, 50), min_size=1, max_size=8).map(sorted))
@@ -296,6 +298,6 @@
     for rest in reversed(rests):
         idle.append(Connection(None, Host(Address("127.0.0.1", 1), 0.0), None, 1))  # type: ignore[arg-type]
         idle[-1].idle_since = now - rest
-    at = rested(idle, now)
-    fit = [i for i, c in enumerate(idle) if c.idle_since <= now - REST]
+    at = choose_idle(idle, now)
+    fit = [i for i, c in enumerate(idle) if c.idle_since <= now - SETTLE_TIME]
     assert at == (fit[-1] if fit else len(idle) - 1)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -13,12 +13,12 @@
 
 from millgw.callers import progress
 from millgw.endpoints import request_body, streamed_answer
-from millgw.endpoints.core import MORE, WHOLE, AnswerCore
+from millgw.endpoints.core import COMPLETE, INCOMPLETE, AnswerCore
 from millgw.http.message import Content
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from millgw.standins.scripted import ScriptedEndpoint
-from millgw.streams.room import NARROWEST, READ, WIDEST, StreamRoom
+from millgw.streams.room import MAX_WINDOW, MIN_WINDOW, READ_SIZE, StreamLimiter
 from tests.rig import Rig, request, run, sidecar
 from tests.test_control import call, door_of, figures
 
@@ -88,13 +88,13 @@
 
 @given(st.floats(1e6, 1e9), st.integers(1, 3000))
 def test_all_streams_together_stay_within_their_part(memory: float, wanted: int) -> None:
-    room = StreamRoom(memory)
+    room = StreamLimiter(memory)
     windows: list[int] = []
     while len(windows) < wanted and not room.full():
         windows.append(room.enter())
-    assert all(NARROWEST <= w <= WIDEST for w in windows)
+    assert all(MIN_WINDOW <= w <= MAX_WINDOW for w in windows)
     last = windows[-1] if windows else 0
-    assert room.open == 1 or room.open * (last + READ) <= room.bytes
+    assert room.open == 1 or room.open * (last + READ_SIZE) <= room.memory_limit
     for _ in windows:
         room.leave()
     assert room.open == 0 and not room.full()
@@ -109,7 +109,7 @@
             began.set()
             await reader.read()
 
-        async with serving(serve, memory=4 * (NARROWEST + READ)) as rig:  # room for one
+        async with serving(serve, memory=4 * (MIN_WINDOW + READ_SIZE)) as rig:  # room for one
             first = await rig.connect()
             first.writer.write(request("pay", bytes(LONG), X_Trace_Id="0" * 16)[:-1])
             await began.wait()
@@ -139,25 +139,25 @@
         parts = b"".join(b"%x;ext=1\r\n%b\r\n" % (len(piece), piece) for piece in pieces)
         data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + parts + b"0\r\nTrailer: x\r\n\r\n"
     data = b"HTTP/1.1 100 Continue\r\n\r\n" + data
-    core, at, read = AnswerCore(10_000), 0, MORE
+    core, at, read = AnswerCore(10_000), 0, INCOMPLETE
     for end in [*sorted(c for c in cuts if c < len(data)), len(data)]:
-        assert read == MORE
+        assert read == INCOMPLETE
         read, at = core.feed(data[at:end]), end
     if form == "close":
-        assert read == MORE and core.finish()
+        assert read == INCOMPLETE and core.connection_ended()
     else:
-        assert read == WHOLE
+        assert read == COMPLETE
     assert core.content() == Content(b"", body)
     assert core.reusable == (form != "close")
 
 
 def test_the_end_of_a_connection_ends_no_answer_that_has_a_length() -> None:
     core = AnswerCore(10_000)
-    assert core.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc") == MORE
-    assert not core.finish()
+    assert core.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc") == INCOMPLETE
+    assert not core.connection_ended()
     other = AnswerCore(10_000)
-    assert other.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\n") == MORE
-    assert not other.finish(), "its head is not whole"
+    assert other.feed(b"HTTP/1.1 200 OK\r\nConnection: close\r\n") == INCOMPLETE
+    assert not other.connection_ended(), "its head is not whole"
 
 
 # Answers, on sockets
@@ -344,7 +344,7 @@
 
 
 def test_a_stream_that_stops_for_good_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(streamed_answer, "ANSWER_STALL", 0.3)
+    monkeypatch.setattr(streamed_answer, "ANSWER_STALL_TIMEOUT", 0.3)
 
     async def test() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -488,7 +488,7 @@
     monkeypatch: pytest.MonkeyPatch, interim: bytes
 ) -> None:
     """An interim answer while the body goes out does not end the watch over it."""
-    monkeypatch.setattr(request_body, "BODY_STALL", 0.3)
+    monkeypatch.setattr(request_body, "BODY_STALL_TIMEOUT", 0.3)
 
     async def test() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
