--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -24,13 +24,12 @@
 from millgw.log.events import BoundLogger
 from millgw.streams.room import StreamLimiter
 
-ANSWER_TIME = 1.0  # s without data after which an incomplete answer counts as stalled and is tried elsewhere
-OPEN_ENDED_STREAM_DELAY = (
-    0.3  # s after which an answer of unknown length is streamed, as it may become a long one
-)
-RECENT_DATA_TIME = (
-    0.2  # s since its last data, up to which an answer of unknown length counts as still arriving
-)
+# s without data after which an incomplete answer counts as stalled; the request is then tried elsewhere.
+ANSWER_TIME = 1.0
+# s after which an incomplete answer of unknown length is streamed, as it may become a long one.
+OPEN_ENDED_STREAM_DELAY = 0.3
+# s since its last data, up to which an answer of unknown length counts as still arriving.
+RECENT_DATA_TIME = 0.2
 
 
 class Lanes(Protocol):
@@ -184,7 +183,7 @@
             if attempt is not None and (now > attempt.until or attempt.caller_left(now)):
                 self.end_unsent()
                 return
-            if attempt is not None and intent is not None and not self.intent_is_durable(attempt, intent):
+            if attempt is not None and intent is not None and not self.check_intent(attempt, intent):
                 return
             last, self.last_byte = self.last_byte, b""
             self.ack_deadline = 0.0
@@ -200,7 +199,7 @@
         self.abort()
         self.finish(Outcome.NOT_SENT)
 
-    def intent_is_durable(self, attempt: Attempt, intent: Intent) -> bool:
+    def check_intent(self, attempt: Attempt, intent: Intent) -> bool:
         """Whether the intent record is durable. If that is not known yet, the request continues later; if
         the record can't be made durable, the attempt ends unsent.
         """
@@ -379,8 +378,8 @@
             # Most answers arrive in one read; only the others need a timer.
             self.last_data_at = time.monotonic()
             if self.stall_timer is None:
-                within = OPEN_ENDED_STREAM_DELAY if core.open_ended else ANSWER_TIME
-                self.stall_timer = self.home.loop.call_later(within, self._check_progress)
+                delay = OPEN_ENDED_STREAM_DELAY if core.open_ended else ANSWER_TIME
+                self.stall_timer = self.home.loop.call_later(delay, self._check_progress)
 
     def _request_incomplete(self) -> bool:
         """Whether a part of the request is not sent yet, so that no endpoint can have run it."""
--- a/millgw/endpoints/core.py
+++ b/millgw/endpoints/core.py
@@ -24,12 +24,10 @@
 COMPLETE: Final = 1
 INVALID: Final = 2
 
-MAX_ANSWER_LENGTH: Final = (
-    64 * 1024 * 1024
-)  # bytes; an answer that states a greater length is an error, not a long answer
-ENDPOINT_STATUSES: Final = frozenset(
-    {408, 425, 429}
-)  # the 4xx statuses that concern the endpoint, not the request
+# Bytes; an answer that states a greater length is an error, not a long answer.
+MAX_ANSWER_LENGTH: Final = 64 * 1024 * 1024
+# The 4xx statuses that concern the endpoint, not the request.
+ENDPOINT_STATUSES: Final = frozenset({408, 425, 429})
 
 
 class AnswerCore:
@@ -61,9 +59,9 @@
     def _begin_message(self) -> None:
         self.headers = b""
         self.status = 0
-        self.length = -1  # bytes of its body, as its head states; -1 if it does not
-        self.delimited = False  # whether it is delimited by a length or by chunks
-        self.ends_with_connection = False  # whether it is delimited by the end of its connection
+        self.length = -1  # bytes of its body as stated by its head; -1 if unknown
+        self.delimited = False  # whether its end is marked by a length or by chunks
+        self.ends_with_connection = False  # whether its end is the end of its connection
         self.never_ran = False
         self.in_head = True
         self.in_message = False
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -16,8 +16,8 @@
 class Host:
     """One run of an endpoint process at one address: its kept connections, and attempts still connecting.
 
-    `missed` is when (ms, monotonic) a connect last failed, and `broken` when the endpoint last closed or
-    reset a connection. Membership asks for both when an endpoint's registration disappears.
+    `missed` is when (ms, monotonic) a connect last failed, and `broken` when the endpoint last closed, reset
+    or refused a connection. Membership asks for both when an endpoint's registration disappears.
     """
 
     __slots__ = ("address", "broken", "connecting", "hold_policy", "idle", "missed", "since", "used")
--- a/millgw/endpoints/proof.py
+++ b/millgw/endpoints/proof.py
@@ -23,13 +23,9 @@
 from millgw.interface import Repeat
 
 HOLD_BACK = 2.0  # ms that the last byte is held back: more than a network round trip
-DISTRUST_TIME: Final = (
-    30_000.0  # ms that an endpoint is not trusted after it broke a connection under a request
-)
+DISTRUST_TIME: Final = 30_000.0  # ms without trust in an endpoint after it broke a connection under a request
 SAFE_REUSE_TIME: Final = 1000.0  # ms after an answer during which its connection is trusted for safe calls
-SETTLE_TIME: Final = (
-    5.0  # ms after an answer in which more bytes may still follow it: up to 4 ms were observed
-)
+SETTLE_TIME: Final = 5.0  # ms after an answer in which more bytes may follow it: up to 4 ms were observed
 
 
 class HoldPolicy:
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -14,9 +14,7 @@
 if TYPE_CHECKING:
     from millgw.endpoints.connection import Connection
 
-BODY_STALL_TIMEOUT = (
-    15.0  # s without progress after which an endpoint is taken to have stopped reading a body
-)
+BODY_STALL_TIMEOUT = 15.0  # s without progress after which an endpoint counts as no longer reading a body
 
 
 class RequestBody:
@@ -62,7 +60,7 @@
         if attempt.caller_left(time.monotonic() * 1000):
             connection.end_unsent()
             return
-        if attempt.intent is not None and not connection.intent_is_durable(attempt, attempt.intent):
+        if attempt.intent is not None and not connection.check_intent(attempt, attempt.intent):
             return
         attempt.state = WRITING
         self.progress_timer = connection.home.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -20,17 +20,13 @@
 from millgw.platform.config import Address
 from millgw.streams.room import READ_SIZE, StreamLimiter
 
-ANSWER_MEMORY_SHARE = (
-    1 / 32
-)  # share of the memory for one answer's body: answers of up to 400 kB were observed
-ANSWERS_PART = 1 / 8  # share of the memory for all incomplete answers
-REUSE_IDLE_SHARE = (
-    0.5  # share of an endpoint's idle timeout after which a connection may be closing: no more reuse
-)
+ANSWER_MEMORY_SHARE = 1 / 32  # of the memory, for one answer's body: answers of up to 400 kB were observed
+ANSWERS_PART = 1 / 8  # of the memory, for all incomplete answers
+# Share of an endpoint's idle timeout after which a connection is not reused, as it may be closing.
+REUSE_IDLE_SHARE = 0.5
 SWEEP_INTERVAL = 1.0  # s between two searches for connections that were idle for too long
-LATE_CONNECT_SHARE = (
-    0.2  # share of the connect timeout after which a connect is late: a handshake takes far less
-)
+# Share of the connect timeout after which a connect is late: a handshake takes far less.
+LATE_CONNECT_SHARE = 0.2
 
 
 LOCAL_FAILURES = frozenset(
@@ -120,9 +116,8 @@
         self.room.endpoints = self.holds
         self.reconfigure(connect_timeout, idle_timeout)
         self.hosts: dict[int, Host] = {}
-        self.buffer = bytearray(
-            READ_SIZE
-        )  # shared by all connections: each read is copied out before the next
+        # Shared by all connections: each read is copied out before the next.
+        self.buffer = bytearray(READ_SIZE)
         self.streams = StreamLimiter(memory)
         self.open = 0
         self.max_answer_body = int(ANSWER_MEMORY_SHARE * memory)
