--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -1,4 +1,4 @@
-"""Requests whose bodies still come: what the module makes of them."""
+"""How the balancer handles requests that arrive before their body is complete."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 
 def partial(d: Drive, cls: int = UNSAFE) -> int:
+    """Feed a request whose body is still being received; returns its number."""
     d.next_id += 1
     event = RequestArrived(d.next_id, cls, d.now + 1e6, 0, partial=True)
     d.open[event.request] = event
@@ -15,16 +16,16 @@
     return event.request
 
 
-def test_bodies_that_still_come_fill_no_limit_and_no_endpoint() -> None:
+def test_incomplete_bodies_count_against_no_limit_and_no_endpoint() -> None:
     d = drive(4)
     for _ in range(500):
-        assert d.tries[partial(d)], "held back for room that it does not need yet"
+        assert d.tries[partial(d)], "held back by a limit that it does not count against yet"
     for _ in range(4):
         request = d.arrive()
-        assert d.tries[request], "kept out by bodies that still come"
+        assert d.tries[request], "held back by incomplete bodies"
 
 
-def test_a_body_that_is_whole_is_work_and_has_a_deadline() -> None:
+def test_a_complete_body_counts_against_the_limits_and_has_a_deadline() -> None:
     d = drive(4)
     request = partial(d, SAFE)
     assert len(d.balancer.flights) == 0
@@ -37,7 +38,7 @@
     assert not d.balancer.flights and not d.balancer.coming
 
 
-def test_what_was_passed_on_is_not_tried_again_and_is_refused_as_it_never_ran() -> None:
+def test_a_request_whose_body_was_partly_sent_is_not_tried_again_and_is_refused_as_it_never_ran() -> None:
     d = drive(4)
     request = partial(d)
     d.feed(BodyDiscarded(request))
@@ -47,9 +48,9 @@
     assert not d.balancer.coming
 
 
-def test_an_attempt_that_failed_before_anything_was_passed_on_is_made_again() -> None:
+def test_an_attempt_that_failed_before_any_of_the_body_was_sent_is_made_again() -> None:
     d = drive(4)
-    for _ in range(30):  # tokens
+    for _ in range(30):  # answers fill the retry budget
         d.outcome(d.arrive(), 0, Outcome.OK)
     request = partial(d)
     d.outcome(request, 0, Outcome.CONNECT_FAILED)
