--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -133,9 +133,9 @@
         """Stop the attempt without calling `on_outcome`; returns whether it may have run or may yet run."""
         may_run = self.state == WRITTEN
         self.state = ENDED
-        carrier, self.connection = self.connection, None
-        if carrier is not None:
-            carrier.abandon_attempt()
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.abandon_attempt()
         self.cancel_connects()
         return may_run
 
