--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -1,4 +1,4 @@
-"""What the connections to one endpoint at one address share."""
+"""State shared by all connections to one endpoint at one address."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from millgw.endpoints.attempt import Attempt
-from millgw.endpoints.proof import Proof
+from millgw.endpoints.proof import HoldPolicy
 from millgw.platform.config import Address
 
 if TYPE_CHECKING:
@@ -14,20 +14,20 @@
 
 
 class Host:
-    """One life of an endpoint at one address: kept connections, and attempts still connecting to it.
+    """One run of an endpoint process at one address: its kept connections, and attempts still connecting.
 
-    `missed` and `broken` are when (ms, monotonic) a connection last did not come up, or was ended by the
-    other side: what membership asks when an endpoint's registration has gone.
+    `missed` is when (ms, monotonic) a connect last failed, and `broken` when the endpoint last closed, reset
+    or refused a connection. Membership asks for both when an endpoint's registration disappears.
     """
 
-    __slots__ = ("address", "broken", "connecting", "idle", "missed", "proof", "since", "used")
+    __slots__ = ("address", "broken", "connecting", "hold_policy", "idle", "missed", "since", "used")
 
-    def __init__(self, address: Address, since: float) -> None:
+    def __init__(self, address: Address, started_at: float) -> None:
         self.address = address
-        self.since = since
+        self.since = started_at
         self.used = True
-        self.idle: list[Connection] = []  # the last used at the end, which goes first
-        self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, the oldest first
-        self.proof = Proof()
+        self.idle: list[Connection] = []  # the most recently used is last, and is reused first
+        self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, oldest first
+        self.hold_policy = HoldPolicy()
         self.missed = -math.inf
         self.broken = -math.inf
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -1,4 +1,4 @@
-"""A request's body on its way to an endpoint, written as it comes from the caller."""
+"""Streams a request's body to an endpoint as it arrives from the caller."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from millgw.endpoints.attempt import HELD, WRITING, Attempt
+from millgw.endpoints.attempt import LAST_BYTE_HELD, WRITING, Attempt
 from millgw.endpoints.proof import HOLD_BACK
 from millgw.interface import Outcome
 from millgw.streams.upload import Upload
@@ -14,34 +14,33 @@
 if TYPE_CHECKING:
     from millgw.endpoints.connection import Connection
 
-BODY_STALL = 15.0  # s in which the endpoint must take more of a body
+BODY_STALL_TIMEOUT = 15.0  # s without progress after which an endpoint counts as no longer reading a body
 
 
 class RequestBody:
-    """Takes what has come of an upload and writes it on the attempt's connection.
+    """Takes the available part of an upload and writes it to the attempt's connection.
 
-    It stands between the two from the request's head until the body's last byte is written, or the attempt
-    is over.
+    It is in use from the request's head until the body's last byte is written, or the attempt has ended.
     """
 
-    __slots__ = ("attempt", "connection", "look_timer", "progress", "upload", "written")
+    __slots__ = ("attempt", "connection", "progress", "progress_timer", "upload", "written")
 
     def __init__(self, connection: Connection, attempt: Attempt, upload: Upload) -> None:
         self.connection = connection
         self.attempt = attempt
         self.upload = upload
-        self.written = 0  # bytes of the body so far, with their framing
-        self.progress = (0, 0)  # of those, and those left in the transport, when last looked
-        self.look_timer: asyncio.TimerHandle | None = None
+        self.written = 0  # bytes of the body written so far, with their framing
+        self.progress = (0, 0)  # `written` and the size of the transport's buffer at the last check
+        self.progress_timer: asyncio.TimerHandle | None = None
 
     def begin(self, head: bytes) -> None:
-        """Write the head, and the body's first piece once the connection has stood that.
+        """Write the head, and the first part of the body once the connection has not broken under the head.
 
-        On a dead connection the first piece would be lost, and the request with it.
+        On a dead connection that part would be lost, and the request could not be tried again.
         """
         connection, attempt = self.connection, self.attempt
         assert connection.transport is not None
-        attempt.state = HELD
+        attempt.state = LAST_BYTE_HELD
         if attempt.intent is not None:
             attempt.intent.begin()
         connection.home.held_back += 1
@@ -50,29 +49,34 @@
         connection.hold_back(HOLD_BACK, self.write_first)
 
     def write_first(self) -> None:
-        """Write the first piece, if the connection has stood the head and the attempt may leave."""
+        """Write the first part of the body, if the connection is still open and the attempt may be sent."""
         connection, attempt = self.connection, self.attempt
-        connection.holding = None
+        connection.hold_timer = None
         if connection.body is not self:
             return
         if not connection.usable():
-            connection.leave_broken()
+            connection.abandon_broken()
             return
         if attempt.caller_left(time.monotonic() * 1000):
             connection.end_unsent()
             return
-        if attempt.intent is not None and not connection.may_leave(attempt, attempt.intent):
+        if attempt.intent is not None and not connection.check_intent(attempt, attempt.intent):
             return
         attempt.state = WRITING
-        self.look_timer = connection.home.loop.call_later(BODY_STALL, self._look)
-        self.upload.taker = self
-        self.more()
+        self.progress_timer = connection.home.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
+        self.upload.consumer = self
+        self.write_more()
 
-    def more(self) -> None:
-        """Write on what has come of the body, as far as the endpoint takes it."""
+    def write_more(self) -> None:
+        """Write the available part of the body, unless the endpoint reads too slowly for more."""
         connection, upload = self.connection, self.upload
         transport = connection.transport
-        if connection.body is not self or transport is None or connection.full or transport.is_closing():
+        if (
+            connection.body is not self
+            or transport is None
+            or connection.write_paused
+            or transport.is_closing()
+        ):
             return
         data = upload.take()
         if upload.length is None:
@@ -82,7 +86,7 @@
         if upload.whole:
             connection.body = None
             self.stop()
-            # From here on the transport tells when the kernel has taken the last byte.
+            # From here on the transport reports when the kernel has taken the last byte.
             transport.set_write_buffer_limits(high=0)
         if data:
             self.written += len(data)
@@ -91,21 +95,23 @@
             connection.note_written()
 
     def stop(self) -> None:
-        """Take no more of the upload: another attempt may."""
-        self.upload.taker = None
-        if self.look_timer is not None:
-            self.look_timer.cancel()
-            self.look_timer = None
-
-    def _look(self) -> None:
-        """End the attempt if the endpoint has stopped reading: its caller would wait for it for ever."""
-        self.look_timer = None
+        """Stop taking from the upload, so that another attempt can."""
+        self.upload.consumer = None
+        if self.progress_timer is not None:
+            self.progress_timer.cancel()
+            self.progress_timer = None
+
+    def _check_progress(self) -> None:
+        """End the attempt if the endpoint has stopped reading; otherwise the caller would wait forever."""
+        self.progress_timer = None
         connection = self.connection
         left = 0 if connection.transport is None else connection.transport.get_write_buffer_size()
-        if connection.full and (self.written, left) == self.progress:
-            connection.log_failure("answer-spoilt", "it takes no more of a body", self.attempt.trace)
+        if connection.write_paused and (self.written, left) == self.progress:
+            connection.log_failure(
+                "answer-spoilt", "endpoint stopped reading the body", self.attempt.trace_id
+            )
             connection.abort()
             connection.finish(Outcome.CONNECT_FAILED)  # its last byte was never written
             return
         self.progress = (self.written, left)
-        self.look_timer = connection.home.loop.call_later(BODY_STALL, self._look)
+        self.progress_timer = connection.home.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
