--- a/millgw/control/calls.py
+++ b/millgw/control/calls.py
@@ -4,34 +4,34 @@
 
 from collections.abc import Callable
 
-from millgw.control.core import Asked
+from millgw.control.core import ControlRequest
 from millgw.http.message import Answer, plain
 
-YES, NO = 200, 503
+OK, UNAVAILABLE = 200, 503
 
-Call = Callable[[Asked], Answer]
+Handler = Callable[[ControlRequest], Answer]
 
 
-def said(yes: bool, text: str) -> Answer:
+def yes_no_answer(holds: bool, text: str) -> Answer:
     """Yes or no, and for people whether what `text` says holds."""
-    return plain(YES if yes else NO, text if yes else f"not {text}")
+    return plain(OK if holds else UNAVAILABLE, text if holds else f"not {text}")
 
 
-class Calls:
+class CallTable:
     """The calls by path and method."""
 
     def __init__(self) -> None:
-        self.paths: dict[str, dict[str, Call]] = {}
+        self.paths: dict[str, dict[str, Handler]] = {}
 
-    def add(self, method: str, path: str, call: Call) -> None:
-        self.paths.setdefault(path, {})[method] = call
+    def add(self, method: str, path: str, handler: Handler) -> None:
+        self.paths.setdefault(path, {})[method] = handler
 
-    def __call__(self, asked: Asked) -> Answer:
-        methods = self.paths.get(asked.path)
+    def __call__(self, request: ControlRequest) -> Answer:
+        methods = self.paths.get(request.path)
         if methods is None:
             return plain(404, "no such call")
-        call = methods.get(asked.method)
-        if call is None:
+        handler = methods.get(request.method)
+        if handler is None:
             allow = ", ".join(sorted(methods)).encode()
             return plain(405, "not by this method", b"Allow: %b\r\n" % allow)
-        return call(asked)
+        return handler(request)
--- a/millgw/control/door.py
+++ b/millgw/control/door.py
@@ -12,38 +12,40 @@
 from collections.abc import Callable
 
 from millgw.callers.core import word_answer
-from millgw.control.core import Asked, CallCore
+from millgw.control.core import ControlRequest, ControlRequestParser
 from millgw.http.message import Answer
 from millgw.http.request import BadRequest
 from millgw.log.events import log_event
 from millgw.platform.config import Address, ConfigError
 
-MOST_HELD = 8  # connections at once: their descriptors are of those reserved for the process itself
-CALL_TIME = 6.0  # s for a call from connecting to its last byte
-LINGER = 1.0  # s that an answered connection waits for its caller's end, who could lose the answer to a reset
+MAX_CONNECTIONS = 8  # connections at once: their descriptors are of those reserved for the process itself
+REQUEST_TIMEOUT = 6.0  # s for a call from connecting to its last byte
+LINGER_TIME = (
+    1.0  # s that an answered connection waits for its caller's end, who could lose the answer to a reset
+)
 READ_SIZE = 4096  # bytes of one read
-LOOK = 0.5  # s between two looks for connections whose time has come
-MOST_WRITTEN = 1.0  # s that one answer may take to be written: larger than the kernel's room it is not
+SWEEP_INTERVAL = 0.5  # s between two looks for connections whose time has come
+WRITE_TIMEOUT = 1.0  # s that one answer may take to be written: larger than the kernel's room it is not
 
 
-class Caller:
+class ControlConnection:
     """One connection: its call as it comes in, then its caller's end."""
 
-    __slots__ = ("answered", "core", "since", "socket")
+    __slots__ = ("answered", "parser", "since", "socket")
 
     def __init__(self, connection: socket.socket, now: float) -> None:
         self.socket = connection
-        self.core = CallCore()
+        self.parser = ControlRequestParser()
         self.since = now
         self.answered = False
 
 
-class Door:
+class ControlServer:
     """Listens from the start on; `answer` is called in the door's thread."""
 
-    def __init__(self, address: Address, answer: Callable[[Asked], Answer]) -> None:
+    def __init__(self, address: Address, answer: Callable[[ControlRequest], Answer]) -> None:
         self.answer = answer
-        self.held: dict[Caller, None] = {}  # the oldest first
+        self.connections: dict[ControlConnection, None] = {}  # the oldest first
         self.selector = selectors.DefaultSelector()
         self.stopped = False
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
@@ -63,77 +65,77 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Answer no more; the thread ends within `LOOK`."""
+        """Answer no more; the thread ends within `SWEEP_INTERVAL`."""
         self.stopped = True
 
     def _run(self) -> None:
         while not self.stopped:
-            for key, _ in self.selector.select(LOOK):
-                caller = key.data
+            for key, _ in self.selector.select(SWEEP_INTERVAL):
+                connection = key.data
                 try:
-                    if caller is None:
+                    if connection is None:
                         self._accept()
-                    elif caller in self.held:
-                        self._read(caller)
+                    elif connection in self.connections:
+                        self._read(connection)
                 except Exception as error:  # the door must outlive whatever one call meets
                     log_event("door-call-failed", cause=repr(error))
-                    if caller is not None:
-                        self._drop(caller)
+                    if connection is not None:
+                        self._close(connection)
             now = time.monotonic()
-            for caller in list(self.held):
-                if caller.since + (LINGER if caller.answered else CALL_TIME) < now:
-                    self._drop(caller)
-        for caller in list(self.held):
-            self._drop(caller)
+            for connection in list(self.connections):
+                if connection.since + (LINGER_TIME if connection.answered else REQUEST_TIMEOUT) < now:
+                    self._close(connection)
+        for connection in list(self.connections):
+            self._close(connection)
         self.selector.close()
         self.socket.close()
 
     def _accept(self) -> None:
         try:
-            connection, _ = self.socket.accept()
+            accepted, _ = self.socket.accept()
         except BlockingIOError:
             return
         except OSError as error:
             log_event("accept-failed", cause=error)
             time.sleep(0.01)  # guards against turning round and round without a descriptor
             return
-        connection.setblocking(False)
-        while len(self.held) >= MOST_HELD:
-            self._drop(next((c for c in self.held if c.answered), next(iter(self.held))))
-        caller = Caller(connection, time.monotonic())
-        self.held[caller] = None
-        self.selector.register(connection, selectors.EVENT_READ, caller)
+        accepted.setblocking(False)
+        while len(self.connections) >= MAX_CONNECTIONS:
+            self._close(next((c for c in self.connections if c.answered), next(iter(self.connections))))
+        caller = ControlConnection(accepted, time.monotonic())
+        self.connections[caller] = None
+        self.selector.register(accepted, selectors.EVENT_READ, caller)
         self._read(caller)
 
-    def _drop(self, caller: Caller) -> None:
-        if caller in self.held:
-            del self.held[caller]
-            self.selector.unregister(caller.socket)
-            caller.socket.close()
+    def _close(self, connection: ControlConnection) -> None:
+        if connection in self.connections:
+            del self.connections[connection]
+            self.selector.unregister(connection.socket)
+            connection.socket.close()
 
-    def _read(self, caller: Caller) -> None:
+    def _read(self, connection: ControlConnection) -> None:
         try:
-            data = caller.socket.recv(READ_SIZE)
+            data = connection.socket.recv(READ_SIZE)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
-            self._drop(caller)
-        elif not caller.answered:  # else it is what nobody needs
-            asked = caller.core.feed(data)
-            if isinstance(asked, BadRequest):
-                self._say(caller, asked.answer())
-            elif asked is not None:
-                self._say(caller, self.answer(asked))
-
-    def _say(self, caller: Caller, answer: Answer) -> None:
-        caller.answered = True
-        caller.since = time.monotonic()
-        caller.socket.settimeout(MOST_WRITTEN)
+            self._close(connection)
+        elif not connection.answered:  # else it is what nobody needs
+            request = connection.parser.feed(data)
+            if isinstance(request, BadRequest):
+                self._send(connection, request.answer())
+            elif request is not None:
+                self._send(connection, self.answer(request))
+
+    def _send(self, connection: ControlConnection, answer: Answer) -> None:
+        connection.answered = True
+        connection.since = time.monotonic()
+        connection.socket.settimeout(WRITE_TIMEOUT)
         try:
-            caller.socket.sendall(word_answer(answer, True))
-            caller.socket.shutdown(socket.SHUT_WR)
-            caller.socket.setblocking(False)
+            connection.socket.sendall(word_answer(answer, True))
+            connection.socket.shutdown(socket.SHUT_WR)
+            connection.socket.setblocking(False)
         except OSError:
-            self._drop(caller)
+            self._close(connection)
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -10,7 +10,7 @@
     "failing", "slow", "judged_at", "ejected_until", "served", "served_at", "allowance", "allowed_at", "back",
 )  # fmt: skip
 """What is known of an endpoint; behind it go when discovery last spoke of it, and how often it was missed."""
-SERVER_NUMBERS = len(SERVER_FIELDS) + 2
+SERVER_ROW_LENGTH = len(SERVER_FIELDS) + 2
 
 LIMIT_FIELDS = (
     "each", "normal", "late", "steady", "noise", "undisturbed", "settled", "at", "answers",
@@ -52,15 +52,15 @@
         rows, limit, times = learned["servers"], learned["limit"], learned["times"]
         if not (isinstance(rows, dict) and isinstance(limit, list) and isinstance(times, list)):
             raise TypeError("not tables")
-        known = {int(id): _numbers(row, SERVER_NUMBERS) for id, row in rows.items()}
-        limits = _numbers(limit, len(LIMIT_FIELDS)) if limit else []
-        quick = [_numbers(row, 3) for row in times]
-        tokens, rate, shed = _numbers([learned[k] for k in ("tokens", "cold_rate", "shed")], 3)
+        servers = {int(id): _read_numbers(row, SERVER_ROW_LENGTH) for id, row in rows.items()}
+        limits = _read_numbers(limit, len(LIMIT_FIELDS)) if limit else []
+        quick = [_read_numbers(row, 3) for row in times]
+        tokens, rate, shed = _read_numbers([learned[k] for k in ("tokens", "cold_rate", "shed")], 3)
         if len(quick) != len(balancer.quick):
             raise ValueError("other classes")
     except (LookupError, TypeError, ValueError) as error:
         raise ValueError(f"what was learned can't be read: {error}") from None
-    _adopt_servers(balancer, known)
+    _adopt_servers(balancer, servers)
     if balancer.admission is not None and limits:
         for name, value in zip(LIMIT_FIELDS[:-1], limits, strict=False):
             setattr(balancer.admission, name, value)
@@ -72,8 +72,8 @@
     balancer.shedding.level = min(SHED_MOST, max(0.0, shed))
 
 
-def _adopt_servers(balancer: Balancer, known: dict[int, list[float]]) -> None:
-    for id, row in known.items():
+def _adopt_servers(balancer: Balancer, rows: dict[int, list[float]]) -> None:
+    for id, row in rows.items():
         server = balancer.servers.get(id)
         if server is not None:
             for name, value in zip(SERVER_FIELDS, row, strict=False):
@@ -83,7 +83,7 @@
             balancer.discovery.adopt(heard_at)
 
 
-def _numbers(row: object, count: int) -> list[float]:
+def _read_numbers(row: object, count: int) -> list[float]:
     """So many finite numbers, or a ValueError or TypeError."""
     if not isinstance(row, list) or len(row) != count:
         raise ValueError("not so many numbers")
--- a/millgw/hot_restart/new_process.py
+++ b/millgw/hot_restart/new_process.py
@@ -11,75 +11,82 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from millgw.control.calls import Calls, said
-from millgw.control.core import Asked
-from millgw.hot_restart.old_process import DOOR, STATE, STEERED, SUCCESSOR, TOKEN, answers
+from millgw.control.calls import CallTable, yes_no_answer
+from millgw.control.core import ControlRequest
+from millgw.hot_restart.old_process import (
+    ADDRESS_HEADER,
+    STATE_PATH,
+    STEERED_HEADER,
+    SUCCESSOR_PATH,
+    TOKEN_HEADER,
+    accepts_connections,
+)
 from millgw.http.message import Answer, Content
 from millgw.log.events import log_event
 from millgw.platform.config import Address, read_address
 
-IN_LOOP = 0.8  # s that the loop may take to carry out a call
+LOOP_TIMEOUT = 0.8  # s that the loop may take to carry out a call
 T = TypeVar("T")
 
 
 class NewProcess:
     """Which process takes over from this one, once it has said so. `snapshot` gives what this one knows."""
 
-    def __init__(self, snapshot: Callable[[], bytes], took_over: Callable[[], None]) -> None:
+    def __init__(self, snapshot: Callable[[], bytes], on_takeover: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
         self.snapshot = snapshot
-        self.took_over = took_over
+        self.on_takeover = on_takeover
         self.token = ""
-        self.door: Address | None = None
+        self.control: Address | None = None
         self.steered = False
 
-    def add_to(self, calls: Calls) -> None:
-        calls.add("GET", STATE, self._state)
-        calls.add("PUT", SUCCESSOR, self._successor)
+    def register(self, calls: CallTable) -> None:
+        calls.add("GET", STATE_PATH, self._handle_state)
+        calls.add("PUT", SUCCESSOR_PATH, self._handle_successor)
 
-    def there(self) -> bool:
+    def is_running(self) -> bool:
         """Whether a process has taken over and still answers."""
-        return self.door is not None and answers(self.door)
+        return self.control is not None and accepts_connections(self.control)
 
-    def gone(self) -> None:
+    def forget(self) -> None:
         """The process that had taken over has died: nobody has."""
-        self.door = None
+        self.control = None
         self.steered = False
 
-    def _known(self, asked: Asked) -> bool:
-        return bool(self.token) and hmac.compare_digest(asked.headers.get(TOKEN, ""), self.token)
+    def _is_authorized(self, request: ControlRequest) -> bool:
+        return bool(self.token) and hmac.compare_digest(request.headers.get(TOKEN_HEADER, ""), self.token)
 
-    def _state(self, asked: Asked) -> Answer:
-        if not self._known(asked):
+    def _handle_state(self, request: ControlRequest) -> Answer:
+        if not self._is_authorized(request):
             return Answer(404, Content())
-        data = self._in_loop(self.snapshot)
-        return said(False, "told in time") if data is None else Answer(200, Content(b"", data))
+        data = self._run_in_loop(self.snapshot)
+        return yes_no_answer(False, "told in time") if data is None else Answer(200, Content(b"", data))
 
-    def _successor(self, asked: Asked) -> Answer:
-        if not self._known(asked):
+    def _handle_successor(self, request: ControlRequest) -> Answer:
+        if not self._is_authorized(request):
             return Answer(404, Content())
         try:
-            self.door = read_address(asked.headers.get(DOOR))
+            self.control = read_address(request.headers.get(ADDRESS_HEADER))
         except ValueError:
             return Answer(400, Content())
-        self.steered = asked.headers.get(STEERED) == "1"
-        log_event("successor", control=self.door, steered=self.steered)
-        self._in_loop(self.took_over)
-        return said(True, "succeeded")
+        self.steered = request.headers.get(STEERED_HEADER) == "1"
+        log_event("successor", control=self.control, steered=self.steered)
+        self._run_in_loop(self.on_takeover)
+        return yes_no_answer(True, "succeeded")
 
-    def _in_loop(self, work: Callable[[], T]) -> T | None:
-        made: concurrent.futures.Future[T] = concurrent.futures.Future()
+    def _run_in_loop(self, work: Callable[[], T]) -> T | None:
+        future: concurrent.futures.Future[T] = concurrent.futures.Future()
 
         def carry_out() -> None:
-            if made.set_running_or_notify_cancel():
+            if future.set_running_or_notify_cancel():
                 try:
-                    made.set_result(work())
+                    future.set_result(work())
                 except BaseException as error:
-                    made.set_exception(error)
+                    future.set_exception(error)
 
         self.loop.call_soon_threadsafe(carry_out)
         try:
-            return made.result(IN_LOOP)
+            return future.result(LOOP_TIMEOUT)
         except concurrent.futures.TimeoutError:
-            made.cancel()
+            future.cancel()
             return None
--- a/millgw/hot_restart/state.py
+++ b/millgw/hot_restart/state.py
@@ -19,12 +19,12 @@
 from millgw.platform.discovery import Listed
 
 VERSION = 1
-MOST = 8 * 1024 * 1024  # bytes, far above what any fleet's state takes
-FRESH = 5000.0  # ms; older than that, starts and ejections in it may be over
+MAX_STATE_SIZE = 8 * 1024 * 1024  # bytes, far above what any fleet's state takes
+MAX_STATE_AGE = 5000.0  # ms; older than that, starts and ejections in it may be over
 MAGIC = b"otterslip-handover"
 
 
-class BadState(ValueError):
+class StateError(ValueError):
     """No state that can be used; the text says why."""
 
 
@@ -65,43 +65,45 @@
 
 def decode(data: bytes, name: str, now: float) -> State:
     """The state of the process `name` by what came at `now` (Unix ms); a BadState says what is wrong."""
-    if len(data) > MOST:
-        raise BadState("it is too large")
+    if len(data) > MAX_STATE_SIZE:
+        raise StateError("it is too large")
     head, end, body = data.partition(b"\n")
     words = head.split(b" ")
     if not end or len(words) != 3 or words[0] != MAGIC:
-        raise BadState("it is no hand-over")
+        raise StateError("it is no hand-over")
     if words[1] != b"%d" % VERSION:
-        raise BadState(f"its version is {words[1].decode('latin-1')}, not {VERSION}")
+        raise StateError(f"its version is {words[1].decode('latin-1')}, not {VERSION}")
     if words[2] != _digest(body):
-        raise BadState("it is torn")
+        raise StateError("it is torn")
     try:
         raw = json.loads(body)
         state = State(
-            at=_number(raw["at"]),
+            at=_read_number(raw["at"]),
             name=str(raw["name"]),
             index=None if raw["index"] is None else int(raw["index"]),
-            endpoints=tuple(_listed(row) for row in raw["endpoints"]),
+            endpoints=tuple(_read_entry(row) for row in raw["endpoints"]),
             drained=raw["drained"] is True,
             held=int(raw["held"]),
             learned=raw["learned"],
         )
     except (ValueError, TypeError, LookupError) as error:
-        raise BadState(f"it can't be read: {error}") from None
+        raise StateError(f"it can't be read: {error}") from None
     if state.name != name:
-        raise BadState(f"it is {state.name!r}'s")
-    if not -FRESH <= now - state.at <= FRESH:
-        raise BadState("it is too old")
+        raise StateError(f"it is {state.name!r}'s")
+    if not -MAX_STATE_AGE <= now - state.at <= MAX_STATE_AGE:
+        raise StateError("it is too old")
     return state
 
 
-def _listed(row: Any) -> Listed:
-    id, size, cell, zone, since, address = row
-    made = Endpoint(int(id), size=_number(size), cell=int(cell), zone=int(zone), started_at=_number(since))
-    return Listed(made, read_address(address))
+def _read_entry(row: Any) -> Listed:
+    id, size, cell, zone, started_at, address = row
+    endpoint = Endpoint(
+        int(id), size=_read_number(size), cell=int(cell), zone=int(zone), started_at=_read_number(started_at)
+    )
+    return Listed(endpoint, read_address(address))
 
 
-def _number(value: Any) -> float:
+def _read_number(value: Any) -> float:
     number = float(value)
     if not math.isfinite(number):
         raise ValueError(f"{value!r} is no number")
--- a/millgw/sidecar/commands.py
+++ b/millgw/sidecar/commands.py
@@ -6,24 +6,24 @@
 from collections.abc import Sequence
 
 
-def run_daemon_command(words: Sequence[str]) -> int | None:
+def run_daemon_command(arguments: Sequence[str]) -> int | None:
     """Carry out `serve [--operator FILE] [--log KIND]` or `version`; None for any other command line.
 
     What is not plainly one of these (`serve --help`, a misspelt option) is left to the whole command line.
     """
-    if list(words) == ["version"]:
+    if list(arguments) == ["version"]:
         print(describe())
         return 0
-    if words[:1] != ["serve"]:
+    if arguments[:1] != ["serve"]:
         return None
-    given: dict[str, str] = {}
-    rest = list(words[1:])
-    while rest:
-        name, equals, value = rest.pop(0).partition("=")
-        if name not in ("--operator", "--log") or not (equals or rest):
+    options: dict[str, str] = {}
+    remaining = list(arguments[1:])
+    while remaining:
+        name, equals, value = remaining.pop(0).partition("=")
+        if name not in ("--operator", "--log") or not (equals or remaining):
             return None
-        given[name] = value if equals else rest.pop(0)
-    return serve(given.get("--operator"), given.get("--log"))
+        options[name] = value if equals else remaining.pop(0)
+    return serve(options.get("--operator"), options.get("--log"))
 
 
 def describe() -> str:
@@ -35,11 +35,11 @@
 
 def serve(operator: str | None, log: str | None) -> int:
     """Be one sidecar until it is told to end; the exit code. None leaves what the environment says."""
-    from millgw.sidecar.__main__ import LOG, main
-    from millgw.sidecar.parts import OPERATOR
+    from millgw.sidecar.__main__ import LOG_VARIABLE, main
+    from millgw.sidecar.parts import OPERATOR_VARIABLE
 
     if operator is not None:
-        os.environ[OPERATOR] = operator
+        os.environ[OPERATOR_VARIABLE] = operator
     if log is not None:
-        os.environ[LOG] = log
+        os.environ[LOG_VARIABLE] = log
     return main()
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -7,8 +7,8 @@
 from collections.abc import Mapping
 
 from millgw.callers.steering import steer
-from millgw.control.calls import Calls, said
-from millgw.control.door import Door
+from millgw.control.calls import CallTable, yes_no_answer
+from millgw.control.door import ControlServer
 from millgw.hot_restart import limits, old_process
 from millgw.hot_restart.learned import export_learned
 from millgw.hot_restart.new_process import NewProcess
@@ -20,133 +20,139 @@
 from millgw.pool.metrics import metrics_json, out_of_rotation_json
 from millgw.sidecar.parts import Parts, class_names
 
-JSON = b"Content-Type: application/json\r\n"
-WAIT = 0.02  # s between two looks whether this process can take over
-PAIR = 0.2  # s between two looks whether the other process is still there
-GONE_AFTER = 2  # looks in a row that the process after does not answer: one may meet a full queue at its door
+JSON_HEADER = b"Content-Type: application/json\r\n"
+TAKEOVER_POLL_INTERVAL = 0.02  # s between two looks whether this process can take over
+PROCESS_POLL_INTERVAL = 0.2  # s between two looks whether the other process is still there
+MAX_MISSED_POLLS = (
+    2  # looks in a row that the process after does not answer: one may meet a full queue at its door
+)
 
 
-class Operators:
+class ControlInterface:
     """The door of one process, the process before it and the one after it."""
 
     def __init__(self, config: Config, control: Address, environ: Mapping[str, str], parts: Parts) -> None:
         self.config = config
         self.control = control
         self.parts = parts
-        life = parts.life
-        self.new_process = NewProcess(self._snapshot, self._took_over)
-        calls = Calls()
-        calls.add("GET", "/-/ready", lambda _: said(life.ready(), "able to serve"))
-        calls.add("GET", "/-/metrics", lambda _: Answer(200, Content(JSON, self._metrics())))
+        lifecycle = parts.lifecycle
+        self.new_process = NewProcess(self._snapshot, self._on_takeover)
+        calls = CallTable()
+        calls.add("GET", "/-/ready", lambda _: yes_no_answer(lifecycle.ready(), "able to serve"))
+        calls.add("GET", "/-/metrics", lambda _: Answer(200, Content(JSON_HEADER, self._metrics())))
         calls.add(
-            "GET", "/-/endpoints", lambda _: Answer(200, Content(JSON, out_of_rotation_json(parts.pools())))
+            "GET",
+            "/-/endpoints",
+            lambda _: Answer(200, Content(JSON_HEADER, out_of_rotation_json(parts.pools()))),
         )
-        calls.add("PUT", "/-/drain", lambda _: said(life.drain(time.monotonic()), "drained"))
-        calls.add("PUT", "/-/resume", lambda _: said(life.resume(), "serving"))
-        self.new_process.add_to(calls)
-        self.path = old_process.place(environ)
-        self.before = None if self.path is None else old_process.find(self.path, control)
-        self.pairing: asyncio.Task[None] | None = None  # while the process before runs
-        self.succeeding: asyncio.Task[None] | None = None  # while the process after runs
-        self.door = Door(control, calls)
-        self.door.start()
+        calls.add("PUT", "/-/drain", lambda _: yes_no_answer(lifecycle.drain(time.monotonic()), "drained"))
+        calls.add("PUT", "/-/resume", lambda _: yes_no_answer(lifecycle.resume(), "serving"))
+        self.new_process.register(calls)
+        self.handover_path = old_process.handover_path(environ)
+        self.old_process = (
+            None if self.handover_path is None else old_process.find_old_process(self.handover_path, control)
+        )
+        self.old_process_task: asyncio.Task[None] | None = None  # while the process before runs
+        self.successor_task: asyncio.Task[None] | None = None  # while the process after runs
+        self.server = ControlServer(control, calls)
+        self.server.start()
 
     def _metrics(self) -> bytes:
-        following = self.parts.configuration
-        more: dict[str, object] = {} if following is None else {"configuration": following.figures()}
+        configuration = self.parts.configuration
+        extra: dict[str, object] = {} if configuration is None else {"configuration": configuration.figures()}
         pools = self.parts.pools()
         zones = {pool.name: figures for pool in pools if (figures := pool.locality()) is not None}
         if zones:
-            more["locality"] = zones
-        return metrics_json(pools, more)
+            extra["locality"] = zones
+        return metrics_json(pools, extra)
 
     @property
     def steered(self) -> bool:
         """Whether the process that took over has all new connections."""
         return self.new_process.steered
 
-    async def begin(self, stop: asyncio.Event) -> None:
+    async def start_pools(self, stop: asyncio.Event) -> None:
         """Have the pools begin; where another process serves, only return when this one can take over."""
-        if self.before is None:
+        if self.old_process is None:
             self.parts.begin(None)
             return
-        begun = time.monotonic()
-        state = await asyncio.to_thread(self.before.state, self.config.name)
-        whole = self.parts.descriptors.whole
-        theirs = whole // 2 if state is None else state.held
-        self._hold(limits.descriptors(whole, theirs)[1], paired=True)
+        started_at = time.monotonic()
+        state = await asyncio.to_thread(self.old_process.fetch_state, self.config.name)
+        total = self.parts.descriptors.whole
+        held_by_old = total // 2 if state is None else state.held
+        self._apply_share(limits.split_descriptors(total, held_by_old)[1], paired=True)
         self.parts.begin(state)
         if state is not None and state.drained:
-            self.parts.life.drain(time.monotonic())
+            self.parts.lifecycle.drain(time.monotonic())
         while not stop.is_set():
             pools = self.parts.pools()
-            knows = any(pool.driver.ready for pool in pools)
+            knows_endpoints = any(pool.driver.ready for pool in pools)
             heard = all(not pool.driver.balancer.discovery.disconnected() for pool in pools)
-            if limits.may_serve(knows, heard, time.monotonic() - begun):
+            if limits.may_serve(knows_endpoints, heard, time.monotonic() - started_at):
                 return
-            await asyncio.sleep(WAIT)
+            await asyncio.sleep(TAKEOVER_POLL_INTERVAL)
 
-    async def serving(self) -> None:
+    async def announce(self) -> None:
         """This process listens: have all new connections, leave word for the next, tell the one before.
 
         Returns when that one has heard, or can't be told: SIGTERM may reach it as soon as this one says yes,
         and it must know by then that nobody needs it any more.
         """
-        steered = self.before is not None and all(steer(s.socket) for s in self.parts.servers())
-        self._leave_word()
-        if self.before is not None:
-            await asyncio.to_thread(self.before.succeed, self.control, steered)
-            self.pairing = asyncio.create_task(self._beside(self.before))
+        steered = self.old_process is not None and all(steer(s.socket) for s in self.parts.servers())
+        self._publish_handover()
+        if self.old_process is not None:
+            await asyncio.to_thread(self.old_process.announce_successor, self.control, steered)
+            self.old_process_task = asyncio.create_task(self._watch_old_process(self.old_process))
 
-    def _leave_word(self) -> None:
+    def _publish_handover(self) -> None:
         """Have the next process find this one."""
-        if self.path is not None:
+        if self.handover_path is not None:
             try:
-                self.new_process.token = old_process.leave_word(self.path, self.control)
+                self.new_process.token = old_process.publish_handover(self.handover_path, self.control)
             except OSError as error:
                 log_event("handover-unusable", cause=error)
 
-    async def _beside(self, before: old_process.OldProcess) -> None:
-        while await asyncio.to_thread(before.runs):
-            await asyncio.sleep(PAIR)
-        self.pairing = None
-        self._alone()
-        log_event("alone", control=before.control)
+    async def _watch_old_process(self, old: old_process.OldProcess) -> None:
+        while await asyncio.to_thread(old.is_running):
+            await asyncio.sleep(PROCESS_POLL_INTERVAL)
+        self.old_process_task = None
+        self._reclaim_if_alone()
+        log_event("alone", control=old.control)
 
-    def _hold(self, most: int, paired: bool) -> None:
+    def _apply_share(self, descriptor_limit: int, paired: bool) -> None:
         """Hold so many descriptors, and cold endpoints' allowances together with another process or alone."""
-        self.parts.descriptors.grant(most)
+        self.parts.descriptors.grant(descriptor_limit)
         for pool in self.parts.pools():
             pool.driver.balancer.pair(paired)
 
     # The process after
 
-    async def succeeded(self) -> bool:
-        return await asyncio.to_thread(self.new_process.there)
+    async def has_successor(self) -> bool:
+        return await asyncio.to_thread(self.new_process.is_running)
 
-    def _took_over(self) -> None:
+    def _on_takeover(self) -> None:
         descriptors = self.parts.descriptors
-        self._hold(limits.descriptors(descriptors.whole, descriptors.held())[0], paired=True)
-        if self.succeeding is not None:
-            self.succeeding.cancel()
-        self.succeeding = asyncio.create_task(self._followed())
+        self._apply_share(limits.split_descriptors(descriptors.whole, descriptors.held())[0], paired=True)
+        if self.successor_task is not None:
+            self.successor_task.cancel()
+        self.successor_task = asyncio.create_task(self._watch_successor())
 
-    async def _followed(self) -> None:
+    async def _watch_successor(self) -> None:
         """Take everything back if the process after dies before this one has left."""
         missed = 0
-        while missed < GONE_AFTER:
-            await asyncio.sleep(PAIR)
-            missed = 0 if await self.succeeded() else missed + 1
-        log_event("successor-gone", control=self.new_process.door)
-        self.new_process.gone()
-        self.succeeding = None
-        self._alone()
-        self._leave_word()
-
-    def _alone(self) -> None:
+        while missed < MAX_MISSED_POLLS:
+            await asyncio.sleep(PROCESS_POLL_INTERVAL)
+            missed = 0 if await self.has_successor() else missed + 1
+        log_event("successor-gone", control=self.new_process.control)
+        self.new_process.forget()
+        self.successor_task = None
+        self._reclaim_if_alone()
+        self._publish_handover()
+
+    def _reclaim_if_alone(self) -> None:
         """Have all there is, unless one more process of this sidecar runs beside: upgrades may overlap."""
-        if self.pairing is None and self.succeeding is None:
-            self._hold(self.parts.descriptors.whole, paired=False)
+        if self.old_process_task is None and self.successor_task is None:
+            self._apply_share(self.parts.descriptors.whole, paired=False)
 
     def _snapshot(self) -> bytes:
         index: int | None = None
@@ -157,13 +163,13 @@
         if len(pools) == 1 and isinstance(source, Discovery):
             index, endpoints = source.index, driver.entries()
             learned = export_learned(driver.balancer) | {"classes": class_names(pools[0].settings)}
-        life, held = self.parts.life, self.parts.descriptors.held()
+        life, held = self.parts.lifecycle, self.parts.descriptors.held()
         return encode(
             State(time.time() * 1000, self.config.name, index, endpoints, life.drained, held, learned)
         )
 
     def stop(self) -> None:
-        self.door.stop()
-        for task in (self.pairing, self.succeeding):
+        self.server.stop()
+        for task in (self.old_process_task, self.successor_task):
             if task is not None:
                 task.cancel()
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -26,7 +26,7 @@
     from millgw.peers.node import Peers
     from millgw.services.node import Node
 
-OPERATOR = "BALANCER_OPERATOR"  # names the operator's file
+OPERATOR_VARIABLE = "BALANCER_OPERATOR"  # names the operator's file
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,7 +39,7 @@
     servers: Callable[[], Sequence[Server]]
     pools: Callable[[], Sequence[Pool]]
     reload: Callable[[], None]
-    life: Lifecycle
+    lifecycle: Lifecycle
     descriptors: Descriptors
     begin: Callable[[State | None], None]
     intents: Intents | None = None  # what marks unsafe calls before they are sent, where that is wanted
@@ -47,15 +47,15 @@
     configuration: Client | None = None  # what follows the distributed configuration, where that is wanted
 
 
-def one(
+def assemble_single_pool(
     config: Config,
     environ: Mapping[str, str],
-    life: Lifecycle,
-    tend: Callable[[Pool], object] | None = None,
+    lifecycle: Lifecycle,
+    configure_pool: Callable[[Pool], object] | None = None,
     locality: Locality | None = None,
 ) -> Parts:
     descriptors = Descriptors(config.sockets)
-    whole = Whole(
+    process_limits = Whole(
         {
             CALLS: descriptors.most_calls,
             CONNECTIONS: descriptors.most,
@@ -64,18 +64,18 @@
         }
     )
     pool = Pool(
-        "", config, config.seed, descriptors, whole,
+        "", config, config.seed, descriptors, process_limits,
         lambda heard, _: of_platform(config, heard), locality=locality,
     )  # fmt: skip
-    if tend is not None:
-        tend(pool)
+    if configure_pool is not None:
+        configure_pool(pool)
     assert isinstance(pool.source, Discovery)
-    front = PlainFront(pool, life)
-    server = Server(config.listen, descriptors, front, life)
+    front = PlainFront(pool, lifecycle)
+    server = Server(config.listen, descriptors, front, lifecycle)
     descriptors.callers, descriptors.close_caller = server.held, server.give_way
-    begin = partial(_begin, config, pool)
+    begin = partial(_start_pool, config, pool)
     reload = Reload(environ, config, pool.source)
-    return Parts(lambda: (server,), lambda: (pool,), reload, life, descriptors, begin)
+    return Parts(lambda: (server,), lambda: (pool,), reload, lifecycle, descriptors, begin)
 
 
 def class_names(settings: Settings) -> list[str]:
@@ -83,7 +83,7 @@
     return [c.name for c in settings.classes]
 
 
-def _begin(config: Config, pool: Pool, state: State | None) -> None:
+def _start_pool(config: Config, pool: Pool, state: State | None) -> None:
     names = class_names(config.settings)
     if state is not None and state.learned.get("classes", names) != names:
         # Guards against what was learned by other settings, or by another deployment's sidecar of this name.
@@ -110,22 +110,24 @@
     try:
         from millgw.services.node import Node
     except ModuleNotFoundError as missing:
-        raise ConfigError(f"{OPERATOR}: needs {missing.name}: requirements-operator.txt") from None
+        raise ConfigError(f"{OPERATOR_VARIABLE}: needs {missing.name}: requirements-operator.txt") from None
 
-    node = Node(config, environ, environ[OPERATOR], life)
+    node = Node(config, environ, environ[OPERATOR_VARIABLE], life)
     if node.operator.configuration is not None:
-        return await _following(node, config, environ, life)
+        return await _assemble_with_configuration(node, config, environ, life)
     if not node.operator.services:
-        return _beside(node, config, _one(node, config, environ, life))
-    return _beside(node, config, _opened(node, life))
+        return _with_peers_and_intents(node, config, _assemble_node_pool(node, config, environ, life))
+    return _with_peers_and_intents(node, config, _assemble_services(node, life))
 
 
-def _opened(node: Node, life: Lifecycle) -> Parts:
+def _assemble_services(node: Node, lifecycle: Lifecycle) -> Parts:
     # Services start as any other process does: what their pools have learned does not go over yet.
-    return Parts(*node.open(), life, node.shared, lambda _: None)
+    return Parts(*node.open(), lifecycle, node.shared, lambda _: None)
 
 
-async def _following(node: Node, config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
+async def _assemble_with_configuration(
+    node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
+) -> Parts:
     """The same where the distributed configuration is followed, which comes before the pools."""
     from millgw.configuration.single import SinglePool
     from millgw.services.parts import configuration
@@ -137,21 +139,21 @@
         entries = await client.begin()
         node.start_with(entries)
         if single is None:
-            parts = _opened(node, life)
+            parts = _assemble_services(node, lifecycle)
         else:
-            parts = _one(node, node.config, environ, life)
+            parts = _assemble_node_pool(node, node.config, environ, lifecycle)
             assert isinstance(parts.reload, Reload)
-            single.serve(entries, parts.pools()[0], node.tended, parts.reload.move)
+            single.serve(entries, parts.pools()[0], node.tended, parts.reload.move_discovery)
             parts = replace(parts, reload=single.reload)
     except (ConfigError, OSError):
         client.stop()
         raise
     client.serving = True
     parts.descriptors.reserve(client.descriptors)
-    return replace(_beside(node, config, parts), configuration=client)
+    return replace(_with_peers_and_intents(node, config, parts), configuration=client)
 
 
-def _beside(node: Node, config: Config, parts: Parts) -> Parts:
+def _with_peers_and_intents(node: Node, config: Config, parts: Parts) -> Parts:
     """With what the operator's file has beside the pools."""
     from millgw.services.parts import peers
 
@@ -162,15 +164,19 @@
     return parts
 
 
-def _one(node: Node, config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
+def _assemble_node_pool(
+    node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
+) -> Parts:
     """One pool for all requests, with what the operator's file has for it."""
     from millgw.services.parts import locality
 
-    chosen = locality(node.operator, config, config.seed)
-    return one(config, environ, life, partial(_equip, node, config), chosen)
+    chosen_locality = locality(node.operator, config, config.seed)
+    return assemble_single_pool(
+        config, environ, lifecycle, partial(_apply_operator_options, node, config), chosen_locality
+    )
 
 
-def _equip(node: Node, config: Config, pool: Pool) -> None:
+def _apply_operator_options(node: Node, config: Config, pool: Pool) -> None:
     """Give the one pool what the operator's file has for it."""
     from millgw.services.parts import attach
 
@@ -198,9 +204,9 @@
             if getattr(self.config, name) != getattr(before, name):
                 log_event("reload-takes-restart", field=name)
         log_event("reloaded")
-        self.move(self.config)
+        self.move_discovery(self.config)
 
-    def move(self, config: Config) -> None:
+    def move_discovery(self, config: Config) -> None:
         """Go on at the discovery of another configuration."""
         self.config = config
         self.discovery.move(config.discovery)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,9 +17,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from millgw.callers.lifecycle import DRAIN_IDLE_AFTER, Lifecycle
-from millgw.control.calls import Calls, said
-from millgw.control.core import Asked, CallCore
-from millgw.control.door import MOST_HELD, Door
+from millgw.control.calls import CallTable, yes_no_answer
+from millgw.control.core import ControlRequest, ControlRequestParser
+from millgw.control.door import MAX_CONNECTIONS, ControlServer
 from millgw.http.request import BadRequest
 from millgw.platform.config import Address, ConfigError, read_config
 from millgw.standins.address import free_address
@@ -124,11 +124,11 @@
 @given(st.sets(st.integers(1, 60)))
 def test_a_call_may_be_cut_anywhere(cuts: set[int]) -> None:
     data = b"PUT /-/drain?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi"
-    core, at, got = CallCore(), 0, None
+    core, at, got = ControlRequestParser(), 0, None
     for end in [*sorted(c for c in cuts if c < len(data)), len(data)]:
         assert got is None
         got, at = core.feed(data[at:end]), end
-    assert isinstance(got, Asked)
+    assert isinstance(got, ControlRequest)
     assert (got.method, got.path, got.headers["host"]) == ("PUT", "/-/drain", "a")
 
 
@@ -137,16 +137,16 @@
     [(b"hello\r\n\r\n", 400), (b"GET / HTTP/1.1\r\nA B: x\r\n\r\n", 400), (b"GET /" + b"x" * 9000, 431)],
 )
 def test_what_is_no_call_is_refused(data: bytes, code: int) -> None:
-    got = CallCore().feed(data)
+    got = ControlRequestParser().feed(data)
     assert isinstance(got, BadRequest) and got.status == code
 
 
 def test_another_path_is_404_and_another_method_405_with_allow() -> None:
-    calls = Calls()
-    calls.add("GET", "/a", lambda _: said(True, "fine"))
-    assert calls(Asked("GET", "/a", {})).content.body == b"fine\n"
-    assert calls(Asked("GET", "/b", {})).status == 404
-    wrong = calls(Asked("PUT", "/a", {}))
+    calls = CallTable()
+    calls.add("GET", "/a", lambda _: yes_no_answer(True, "fine"))
+    assert calls(ControlRequest("GET", "/a", {})).content.body == b"fine\n"
+    assert calls(ControlRequest("GET", "/b", {})).status == 404
+    wrong = calls(ControlRequest("PUT", "/a", {}))
     assert wrong.status == 405 and b"Allow: GET\r\n" in wrong.content.headers
 
 
@@ -158,7 +158,7 @@
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint, control=free_address()) as rig:
             door = door_of(rig)
-            stuck = [socket.create_connection((door.host, door.port)) for _ in range(3 * MOST_HELD)]
+            stuck = [socket.create_connection((door.host, door.port)) for _ in range(3 * MAX_CONNECTIONS)]
             for each in stuck:
                 each.sendall(b"GET /-/rea")
 
@@ -181,15 +181,15 @@
 
 def test_a_door_whose_call_fails_answers_the_next() -> None:
     door_address = free_address()
-    answers = iter([RuntimeError("broken"), said(True, "fine")])
+    answers = iter([RuntimeError("broken"), yes_no_answer(True, "fine")])
 
-    def answer(asked: Asked) -> Any:
+    def answer(asked: ControlRequest) -> Any:
         made = next(answers)
         if isinstance(made, Exception):
             raise made
         return made
 
-    door = Door(door_address, answer)
+    door = ControlServer(door_address, answer)
     door.start()
     try:
         for want in (b"", b"HTTP/1.1 200"):
@@ -205,7 +205,7 @@
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         with pytest.raises(ConfigError, match="control"):
-            Door(Address("127.0.0.1", taken.getsockname()[1]), lambda _: said(True, ""))
+            ControlServer(Address("127.0.0.1", taken.getsockname()[1]), lambda _: yes_no_answer(True, ""))
     file = tmp_path / "config.json"
     told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETTINGS}
     file.write_text(json.dumps(told | {"control": "nowhere"}))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -25,12 +25,12 @@
 from millgw.callers.steering import steer
 from millgw.hot_restart import limits
 from millgw.hot_restart.learned import adopt_learned, export_learned
-from millgw.hot_restart.old_process import FILE, find, leave_word
-from millgw.hot_restart.state import FRESH, BadState, State, decode, encode
+from millgw.hot_restart.old_process import HANDOVER_FILE, find_old_process, publish_handover
+from millgw.hot_restart.state import MAX_STATE_AGE, State, StateError, decode, encode
 from millgw.interface import Endpoint, Outcome
 from millgw.platform.config import Address
 from millgw.platform.discovery import Discovery, Listed
-from millgw.sidecar.parts import one
+from millgw.sidecar.parts import assemble_single_pool
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
 from millgw.standins.repeating_clients import RepeatingClients
@@ -64,7 +64,7 @@
     else:
         at = data.draw(st.integers(0, len(whole) - 1))
         bad = whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :]
-    with pytest.raises(BadState):
+    with pytest.raises(StateError):
         decode(bad, "n1", 1000.0)
 
 
@@ -72,13 +72,13 @@
     ("data", "name", "now", "says"),
     [
         (encode(STATE), "n2", 1000.0, "'n1'"),
-        (encode(STATE), "n1", 1001.0 + FRESH, "old"),
+        (encode(STATE), "n1", 1001.0 + MAX_STATE_AGE, "old"),
         (encode(STATE).replace(b"handover 1", b"handover 2"), "n1", 1000.0, "version is 2"),
         (encode(replace(STATE, endpoints=(replace(LISTED, address=None),))), "n1", 1000.0, "read"),
     ],
 )
 def test_a_foreign_old_or_unreadable_state_is_refused(data: bytes, name: str, now: float, says: str) -> None:
-    with pytest.raises(BadState, match=says):
+    with pytest.raises(StateError, match=says):
         decode(data, name, now)
 
 
@@ -113,7 +113,7 @@
     """What was learned is told by the classes' numbers, and those mean other classes there."""
 
     async def test() -> None:
-        parts = one(config([], Address("127.0.0.1", 9)), {}, Lifecycle())
+        parts = assemble_single_pool(config([], Address("127.0.0.1", 9)), {}, Lifecycle())
         (pool,) = parts.pools()
         learned = export_learned(drive(1).balancer) | {"classes": classes, "tokens": 77.0}
         parts.begin(replace(STATE, learned=json.loads(json.dumps(learned))))
@@ -141,7 +141,7 @@
 
 @given(most=st.integers(8, 5000), held=st.integers(0, 6000))
 def test_two_processes_never_hold_more_descriptors_than_one(most: int, held: int) -> None:
-    old, new = limits.descriptors(most, held)
+    old, new = limits.split_descriptors(most, held)
     assert old + new <= most and old >= min(held, most) and new >= 0
 
 
@@ -177,21 +177,21 @@
 
 
 def test_word_of_a_process_that_ended_or_that_is_unreadable_is_no_predecessor(tmp_path: Path) -> None:
-    path, mine = tmp_path / FILE, free_address()
-    assert find(path, mine) is None
-    leave_word(path, free_address())
-    assert find(path, mine) is None, "nobody listens there"
+    path, mine = tmp_path / HANDOVER_FILE, free_address()
+    assert find_old_process(path, mine) is None
+    publish_handover(path, free_address())
+    assert find_old_process(path, mine) is None, "nobody listens there"
     with socket.socket() as door:
         door.bind(("127.0.0.1", 0))
         door.listen()
         address = Address("127.0.0.1", door.getsockname()[1])
-        token = leave_word(path, address)
-        found = find(path, mine)
+        token = publish_handover(path, address)
+        found = find_old_process(path, mine)
         assert found is not None and found.token == token
         assert path.stat().st_mode & 0o077 == 0, "others can read the token"
-        assert find(path, address) is None, "its own door"
+        assert find_old_process(path, address) is None, "its own door"
         path.write_bytes(path.read_bytes()[:20])
-        assert find(path, mine) is None
+        assert find_old_process(path, mine) is None
 
 
 def test_the_kernel_gives_new_connections_to_the_last_listener_and_back() -> None:
@@ -415,13 +415,15 @@
     async def test() -> None:
         async with platform(tmp_path) as fleet:
             old, door = await fleet.start()
-            word = (tmp_path / FILE).read_text()
+            word = (tmp_path / HANDOVER_FILE).read_text()
             new, _ = await fleet.start()
             new.kill()
             new.wait()
             log = tmp_path / "log"
             await until(lambda: "successor-gone" in log.read_text())
-            await until(lambda: json.loads((tmp_path / FILE).read_text())["pid"] == json.loads(word)["pid"])
+            await until(
+                lambda: json.loads((tmp_path / HANDOVER_FILE).read_text())["pid"] == json.loads(word)["pid"]
+            )
             # Half of the descriptors, as while two ran, would have it close 40 of these. Each asks at once:
             # one that asks nothing is closed after 2.2 s, which a busy machine may need to open them all.
             held = []
@@ -461,7 +463,7 @@
 
             door = free_address()
             listening = await asyncio.start_server(old, door.host, door.port)
-            leave_word(tmp_path / FILE, door)
+            publish_handover(tmp_path / HANDOVER_FILE, door)
             starting = asyncio.create_task(fleet.start())
             starting.add_done_callback(lambda _: yes.set())
             await told.wait()
