--- a/millgw/__main__.py
+++ b/millgw/__main__.py
@@ -10,9 +10,9 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Carry out a command line. Exit: 0 held, 1 did not hold, 2 bad input, 3 inconclusive."""
-    words = list(sys.argv[1:] if argv is None else argv)
+    arguments = list(sys.argv[1:] if argv is None else argv)
     # The daemon must not load what only tools need.
-    code = run_daemon_command(words)
+    code = run_daemon_command(arguments)
     if code is not None:
         return code
     try:
@@ -22,18 +22,18 @@
             raise
         print("millgw: click is missing: pip install -r requirements-operator.txt", file=sys.stderr)
         return 2
-    return run(words)
+    return run(arguments)
 
 
 def entry() -> None:
     """Be the process: standard output may be closed by its reader at any time."""
-    words = sys.argv[1:]
-    if words[:1] != ["serve"]:
+    arguments = sys.argv[1:]
+    if arguments[:1] != ["serve"]:
         from millgw.cli.streams import forgiving
 
         forgiving()
     try:
-        code = main(words)
+        code = main(arguments)
     except KeyboardInterrupt:  # before the command itself could take it
         code = 130
     sys.stdout.flush()
--- a/millgw/platform/config.py
+++ b/millgw/platform/config.py
@@ -43,7 +43,7 @@
     listen: Address
     control: Address | None
     discovery: Address
-    filed_discovery: object
+    file_discovery: object
     seed: int
     sockets: int
     memory: float  # bytes
@@ -77,9 +77,9 @@
         raise ConfigError(f"{PREFIX}CONFIG: {error}") from None
     if not isinstance(data, dict):
         raise ConfigError(f"{PREFIX}CONFIG: not a JSON object")
-    filed = data.get("discovery")
+    file_discovery = data.get("discovery")
     if before is not None:
-        unchanged = filed == before.filed_discovery
+        unchanged = file_discovery == before.file_discovery
         environ = {**environ, PREFIX + "DISCOVERY": str(before.discovery) if unchanged else ""}
     try:
         return Config(
@@ -87,12 +87,12 @@
             listen=_address(environ, data, "listen"),
             control=_control(environ, data),
             discovery=_address(environ, data, "discovery"),
-            filed_discovery=filed,
+            file_discovery=file_discovery,
             seed=_seed(data.get("seed")),
             sockets=int(read_number(read_table(data, "limits"), "sockets", "limits.", 1024)),
             memory=read_number(read_table(data, "limits"), "memory_mb", "limits.", 64.0) * 2**20,
             known=data.get("known"),
-            **_by_settings(read_table(data, "settings")),
+            **_settings_fields(read_table(data, "settings")),
         )
     except SettingsError as error:
         raise ConfigError(str(error)) from None
@@ -100,10 +100,10 @@
 
 def with_settings(config: Config, settings: Mapping[str, Any]) -> Config:
     """The same with other settings; a SettingsError names the field that can't be used."""
-    return replace(config, **_by_settings(dict(settings)))
+    return replace(config, **_settings_fields(dict(settings)))
 
 
-def _by_settings(settings: dict[str, Any]) -> dict[str, Any]:
+def _settings_fields(settings: dict[str, Any]) -> dict[str, Any]:
     """The fields of a configuration that its settings give."""
     limits = read_table(settings, "limits")
     return {
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -23,11 +23,13 @@
 
 SILENCE = 2.6  # s without a line after which a watch has failed: heartbeats come every 2 s
 FIRST_LINE = 3.4  # s until its first line: calls are worked through in turn, and turned away after 2 to 3 s
-AGENT_LINE = 0.2  # s for the same where lists are pushed: an agent on this machine answers at once
-LEAVING = 6.0  # s that a watch is still read after a move: what it tells by then counts as told
+AGENT_FIRST_LINE_TIMEOUT = (
+    0.2  # s for the same where lists are pushed: an agent on this machine answers at once
+)
+ABANDONED_WATCH_TIME = 6.0  # s that a watch is still read after a move: what it tells by then counts as told
 MOST_LEFT = 4  # watches that are still read after moves, the latest ones
-MAX_LINE = 8 * 1024 * 1024  # bytes of one line, far above the list of any fleet
-VERSION = re.compile(rb'"index"\s*:\s*(\d{1,18})\s*[,}]')
+MAX_LINE_SIZE = 8 * 1024 * 1024  # bytes of one line, far above the list of any fleet
+VERSION_PATTERN = re.compile(rb'"index"\s*:\s*(\d{1,18})\s*[,}]')
 CONDITIONS = {
     "in_service": Condition.READY,
     "terminating": Condition.DRAINING,
@@ -44,11 +46,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class EndpointUpdate:
     """One list or line of changes, without the entries that can't be read."""
 
     index: int
-    whole: bool
+    complete: bool
     entries: tuple[Listed, ...]
 
 
@@ -60,7 +62,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
-def read_listing(data: Any, zones: tuple[str, ...]) -> Listing:
+def read_listing(data: Any, zones: tuple[str, ...]) -> EndpointUpdate:
     """A list from its JSON value; entries that can't be read are skipped and logged."""
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), list):
         raise ValueError("not a list of endpoints")
@@ -70,7 +72,7 @@
             entries.append(read_entry(raw, zones))
         except (ValueError, TypeError, LookupError, AttributeError) as error:
             log_event("entry-skipped", cause=f"{type(error).__name__}: {error}")
-    return Listing(int(read_number(data, "index", "")), data.get("snapshot") is True, tuple(entries))
+    return EndpointUpdate(int(read_number(data, "index", "")), data.get("snapshot") is True, tuple(entries))
 
 
 def read_entry(raw: Any, zones: tuple[str, ...]) -> Listed:
@@ -93,18 +95,18 @@
     return Listed(endpoint, read_address(raw.get("address")))
 
 
-def drains_in(part: bytes) -> tuple[Listed, ...]:
+def salvage_drains(fragment: bytes) -> tuple[Listed, ...]:
     """The drains and ends that can be read in a line that broke off or can't be read as a whole.
 
     Only these: they make a sidecar more careful, and what else the line held is told again with its version.
     """
-    text = part.decode("utf-8", "replace")
+    text = fragment.decode("utf-8", "replace")
     decoder = json.JSONDecoder()
     found: list[Listed] = []
-    at = text.find("[") + 1
-    while at > 0 and (at := text.find("{", at)) >= 0:
+    position = text.find("[") + 1
+    while position > 0 and (position := text.find("{", position)) >= 0:
         try:
-            raw, at = decoder.raw_decode(text, at)
+            raw, position = decoder.raw_decode(text, position)
             entry = read_entry(raw, ())
         except (ValueError, TypeError, LookupError, AttributeError):
             break  # what follows something that can't be read may be read wrongly too
@@ -113,9 +115,9 @@
     return tuple(found)
 
 
-def version_in(part: bytes) -> int:
+def find_version(fragment: bytes) -> int:
     """The version that a line tells which may not be whole; 0 where it does not come that far."""
-    found = VERSION.search(part)
+    found = VERSION_PATTERN.search(fragment)
     return 0 if found is None else int(found[1])
 
 
@@ -128,26 +130,26 @@
     """The list as last heard, and the watch that is on, if any. When to ask is the balancer's decision."""
 
     def __init__(
-        self, address: Address, zones: tuple[str, ...], heard: Heard, first_line: float = FIRST_LINE
+        self, address: Address, zones: tuple[str, ...], on_update: Heard, first_line: float = FIRST_LINE
     ) -> None:
         self.address = address
         self.first_line = first_line
         self.zones = zones
-        self.heard = heard
+        self.on_update = on_update
         self.index: int | None = None
         self.watch: Watch | None = None
         self.left: list[Watch] = []  # those before moves, of which drains are still taken, the oldest first
-        self.names: set[int] = set()  # the endpoints that the list holds as ready
-        self.drains = DrainMemory()
-        self.asking: asyncio.Task[None] | None = None
+        self.ready_ids: set[int] = set()  # the endpoints that the list holds as ready
+        self.drain_memory = DrainMemory()
+        self.connecting: asyncio.Task[None] | None = None
 
     def start(self, known: Any) -> None:
         """Take the list that this sidecar had before its start, if there is one and it can be read."""
         try:
-            listing = Listing(0, False, ()) if known is None else read_listing(known, self.zones)
+            listing = EndpointUpdate(0, False, ()) if known is None else read_listing(known, self.zones)
         except ValueError as error:
             log_event("known-unusable", cause=error)
-            known, listing = None, Listing(0, False, ())
+            known, listing = None, EndpointUpdate(0, False, ())
         if known is None:
             self._notify(ListKind.CACHED, ())  # otherwise the balancer hears nothing and never asks
             return
@@ -161,20 +163,20 @@
 
     def subscribe(self) -> None:
         """Watch from the version that is known; a watch that is on or asked for ends."""
-        if self.asking is not None:
-            self.asking.cancel()
+        if self.connecting is not None:
+            self.connecting.cancel()
         if self.watch is not None:
             before, self.watch = self.watch, None
             before.leave()
         self.watch = Watch(self)
         log_event("discovery-asked", discovery=self.address, index=self.index)
-        self.watch.expect(self.first_line)
-        self.asking = asyncio.get_running_loop().create_task(self._connect(self.watch))
+        self.watch.set_silence_timeout(self.first_line)
+        self.connecting = asyncio.get_running_loop().create_task(self._connect(self.watch))
 
     def stop(self) -> None:
         """Watch no longer."""
-        if self.asking is not None:
-            self.asking.cancel()
+        if self.connecting is not None:
+            self.connecting.cancel()
         for watch in (self.watch, *self.left):
             if watch is not None:
                 watch.stop()
@@ -187,18 +189,18 @@
             log_event("discovery-moves", before=self.address, to=address)
             self.address = address
             if self.watch is not None and self.watch.transport is not None:
-                self._leave_behind(self.watch)
+                self._abandon(self.watch)
             self.subscribe()
             self._notify(ListKind.MOVED, ())
 
-    def _leave_behind(self, watch: Watch) -> None:
+    def _abandon(self, watch: Watch) -> None:
         """Read a watch on for its drains, also one that has yet to be answered.
 
         What discovery writes there counts as told, and the next one may know it later.
         """
         self.watch = None
         self.left.append(watch)
-        watch.expect(LEAVING)
+        watch.set_silence_timeout(ABANDONED_WATCH_TIME)
         while len(self.left) > MOST_LEFT:
             self.left.pop(0).leave()
 
@@ -211,35 +213,37 @@
         try:
             await loop.create_connection(lambda: watch, self.address.host, self.address.port)
         except ConnectionRefusedError as error:
-            self.failed(watch, str(error), ListKind.UNREACHABLE)
+            self.watch_failed(watch, str(error), ListKind.UNREACHABLE)
         except OSError as error:
-            self.failed(watch, str(error), ListKind.NOT_MADE)
+            self.watch_failed(watch, str(error), ListKind.NOT_MADE)
 
-    def part(self, part: bytes) -> None:
+    def take_fragment(self, fragment: bytes) -> None:
         """Take what tells of drains in a line that broke off, can't be read, or came on a watch left behind.
 
         The version known stays, so all of it is told again. Otherwise drains that discovery has begun to tell
         would be missed: they count as told, however the line ends.
         """
-        drains = self._left_out(part) or drains_in(part)
+        drains = self._unlisted_endpoints(fragment) or salvage_drains(fragment)
         for drain in drains:
-            self.drains.note(drain.endpoint.id, version_in(part) or (self.index or 0) + 1, time.monotonic())
+            self.drain_memory.record(
+                drain.endpoint.id, find_version(fragment) or (self.index or 0) + 1, time.monotonic()
+            )
         if drains:
             log_event("drains-in-part", discovery=self.address, drains=len(drains))
             self._notify(ListKind.PARTIAL, drains)
 
-    def _left_out(self, part: bytes) -> tuple[Listed, ...]:
+    def _unlisted_endpoints(self, fragment: bytes) -> tuple[Listed, ...]:
         """The drains that a whole list of this version or a later one tells by not naming an endpoint."""
         try:
-            listing = read_listing(json.loads(part), self.zones)
+            listing = read_listing(json.loads(fragment), self.zones)
         except ValueError:
             return ()
-        if not listing.whole or listing.index < (self.index or 0):
+        if not listing.complete or listing.index < (self.index or 0):
             return ()
         ready = {e.endpoint.id for e in listing.entries if e.address is not None}
-        return tuple(Listed(Endpoint(id, Condition.GONE), None) for id in self.names - ready)
+        return tuple(Listed(Endpoint(id, Condition.GONE), None) for id in self.ready_ids - ready)
 
-    def line(self, line: bytes, advance: bool) -> None:
+    def take_line(self, line: bytes, advance: bool) -> None:
         """Take one line of the watch; a ValueError tells that it can't be read."""
         listing = read_listing(json.loads(line), self.zones)
         if advance:
@@ -248,32 +252,32 @@
             "list-heard",
             discovery=self.address,
             index=listing.index,
-            whole=str(listing.whole).lower(),
+            whole=str(listing.complete).lower(),
             entries=len(listing.entries),
         )
         now, index = time.monotonic(), listing.index
         entries = tuple(
             e
             for e in listing.entries
-            if e.address is None or not self.drains.contradicts(e.endpoint.id, index, now)
+            if e.address is None or not self.drain_memory.contradicts(e.endpoint.id, index, now)
         )
-        self._notify(ListKind.FULL if listing.whole else ListKind.DELTA, entries)
+        self._notify(ListKind.FULL if listing.complete else ListKind.DELTA, entries)
 
-    def heartbeat(self) -> None:
+    def take_heartbeat(self) -> None:
         """The watch is on, and nothing has changed."""
         self._notify(ListKind.DELTA, ())
 
     def _notify(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         if kind.complete:
-            self.names.clear()
+            self.ready_ids.clear()
         for entry in entries:
             if entry.address is not None:
-                self.names.add(entry.endpoint.id)
+                self.ready_ids.add(entry.endpoint.id)
             elif entry.endpoint.condition is not Condition.READY:
-                self.names.discard(entry.endpoint.id)
-        self.heard(kind, entries)
+                self.ready_ids.discard(entry.endpoint.id)
+        self.on_update(kind, entries)
 
-    def failed(self, watch: Watch, why: str, kind: ListKind = ListKind.FAILED) -> None:
+    def watch_failed(self, watch: Watch, why: str, kind: ListKind = ListKind.FAILED) -> None:
         """Tell the balancer once for each watch that ends by itself, or falls silent."""
         if watch in self.left:
             self.left.remove(watch)
@@ -287,10 +291,10 @@
         self._notify(kind, ())
 
 
-def of_platform(config: Config, heard: Heard) -> Discovery:
+def of_platform(config: Config, on_update: Heard) -> Discovery:
     """The platform's own: a service for all sidecars, or where lists are pushed an agent on this machine."""
-    first_line = FIRST_LINE if config.settings.ask_discovery else AGENT_LINE
-    return Discovery(config.discovery, config.zones, heard, first_line)
+    first_line = FIRST_LINE if config.settings.ask_discovery else AGENT_FIRST_LINE_TIMEOUT
+    return Discovery(config.discovery, config.zones, on_update, first_line)
 
 
 class Watch(asyncio.Protocol):
@@ -300,20 +304,22 @@
         self.discovery = discovery
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
-        self.asked_at = self.came_at = time.monotonic()  # s, when it was asked for and last brought anything
+        self.requested_at = self.last_read_at = (
+            time.monotonic()
+        )  # s, when it was asked for and last brought anything
         self.connected = False
         self.answered = False  # whether an answer has begun that is none that turns it away
         self.stopped = False
-        self.ended = ""
-        self.listed = False  # whether a list or changes have come: heartbeats before those tell nothing
-        self.gap = False
-        self.silence: asyncio.TimerHandle | None = None
-        self.rest = bytearray()
+        self.end_cause = ""
+        self.has_list = False  # whether a list or changes have come: heartbeats before those tell nothing
+        self.has_gap = False
+        self.silence_timer: asyncio.TimerHandle | None = None
+        self.buffer = bytearray()
 
     def stop(self) -> None:
         self.stopped = True
-        if self.silence is not None:
-            self.silence.cancel()
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
         if self.transport is not None:
             self.transport.abort()
 
@@ -324,10 +330,10 @@
         """
         if self.transport is not None:
             with suppress(httptools.HttpParserError):
-                self.parser.feed_data(waiting(self.transport, MAX_LINE))
-        for line in bytes(self.rest).split(b"\n"):
-            self.discovery.part(line)
-        self.rest.clear()
+                self.parser.feed_data(waiting(self.transport, MAX_LINE_SIZE))
+        for line in bytes(self.buffer).split(b"\n"):
+            self.discovery.take_fragment(line)
+        self.buffer.clear()
         self.stop()
 
     def log_end(self, cause: str) -> None:
@@ -337,17 +343,17 @@
             "watch-ended",
             discovery=self.discovery.address,
             cause=cause,
-            asked_ms=round((now - self.asked_at) * 1000, 1),
+            asked_ms=round((now - self.requested_at) * 1000, 1),
             connected=str(self.connected).lower(),
-            quiet_ms=round((now - self.came_at) * 1000, 1),
+            quiet_ms=round((now - self.last_read_at) * 1000, 1),
         )
 
-    def expect(self, within: float) -> None:
+    def set_silence_timeout(self, timeout: float) -> None:
         """Guards against a discovery that is cut off: its connection stays open and says nothing."""
-        if self.silence is not None:
-            self.silence.cancel()
-        self.silence = asyncio.get_running_loop().call_later(
-            within, self.discovery.failed, self, "silent past its time", ListKind.SILENT
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
+        self.silence_timer = asyncio.get_running_loop().call_later(
+            timeout, self.discovery.watch_failed, self, "silent past its time", ListKind.SILENT
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -362,45 +368,45 @@
         self.transport.write(f"GET /v1/endpoints?watch=1{since} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
 
     def data_received(self, data: bytes) -> None:
-        self.came_at = time.monotonic()
+        self.last_read_at = time.monotonic()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.ended = self.ended or f"malformed answer: {error}"
-        *lines, self.rest = self.rest.split(b"\n")
+            self.end_cause = self.end_cause or f"malformed answer: {error}"
+        *lines, self.buffer = self.buffer.split(b"\n")
         for line in lines:
-            self._line(bytes(line))
-        if len(self.rest) > MAX_LINE:
-            self.ended = "a line is too long"
-        if self.ended:
+            self._take_line(bytes(line))
+        if len(self.buffer) > MAX_LINE_SIZE:
+            self.end_cause = "a line is too long"
+        if self.end_cause:
             # Only now: what came before the end, in the same read, has been told and counts for drains.
-            self.discovery.failed(self, self.ended, self._how_it_ended())
+            self.discovery.watch_failed(self, self.end_cause, self._end_kind())
 
-    def _line(self, line: bytes) -> None:
+    def _take_line(self, line: bytes) -> None:
         if self.stopped:
             return
         if self in self.discovery.left:
-            self.discovery.part(line)
+            self.discovery.take_fragment(line)
             return
-        self.expect(SILENCE)
+        self.set_silence_timeout(SILENCE)
         if not line.strip():
-            if self.listed and not self.gap:
-                self.discovery.heartbeat()
+            if self.has_list and not self.has_gap:
+                self.discovery.take_heartbeat()
             return
         try:
-            self.discovery.line(line, advance=not self.gap)
-            self.listed = True
+            self.discovery.take_line(line, advance=not self.has_gap)
+            self.has_list = True
         except ValueError as error:
             # Guards against a change that is missed: what this line held is asked for again. The lines
             # after it are taken, but don't count as heard.
-            self.gap = True
-            self.ended = f"a line can't be read: {error}"
-            self.discovery.part(line)
+            self.has_gap = True
+            self.end_cause = f"a line can't be read: {error}"
+            self.discovery.take_fragment(line)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.discovery.failed(self, "connection lost", self._how_it_ended())
+        self.discovery.watch_failed(self, "connection lost", self._end_kind())
 
-    def _how_it_ended(self) -> ListKind:
+    def _end_kind(self) -> ListKind:
         return ListKind.BROKEN_OFF if self.answered else ListKind.FAILED
 
     # httptools
@@ -410,9 +416,9 @@
 
     def on_body(self, body: bytes) -> None:
         if self.parser.get_status_code() == 200:
-            self.rest += body
+            self.buffer += body
 
     def on_message_complete(self) -> None:
-        if self.rest.strip():
-            self.rest += b"\n"
-        self.ended = f"answered {self.parser.get_status_code()} and ended"
+        if self.buffer.strip():
+            self.buffer += b"\n"
+        self.end_cause = f"answered {self.parser.get_status_code()} and ended"
--- a/millgw/platform/drain_memory.py
+++ b/millgw/platform/drain_memory.py
@@ -6,27 +6,27 @@
 
 from __future__ import annotations
 
-REMEMBERED = 60.0  # s: no list is late by more, and versions may have been counted anew since
+DRAIN_MEMORY_TIME = 60.0  # s: no list is late by more, and versions may have been counted anew since
 
 
 class DrainMemory:
     """Which endpoints drained, at which version at the least, and until when that is remembered (s)."""
 
     def __init__(self) -> None:
-        self.drained: dict[int, tuple[int, float]] = {}
+        self.drains: dict[int, tuple[int, float]] = {}
 
-    def note(self, endpoint: int, version: int, now: float) -> None:
+    def record(self, endpoint: int, version: int, now: float) -> None:
         """A drain was read; `version` is that of its line, or one more than the version known."""
-        before, _ = self.drained.get(endpoint, (version, 0.0))
-        self.drained[endpoint] = (max(before, version), now + REMEMBERED)
+        before, _ = self.drains.get(endpoint, (version, 0.0))
+        self.drains[endpoint] = (max(before, version), now + DRAIN_MEMORY_TIME)
 
     def contradicts(self, endpoint: int, version: int, now: float) -> bool:
         """Whether a list of this version names an endpoint as ready that is known to have drained later."""
-        known = self.drained.get(endpoint)
+        known = self.drains.get(endpoint)
         if known is None:
             return False
-        drained, until = known
-        if version < drained and now < until:
+        drain_version, until = known
+        if version < drain_version and now < until:
             return True
-        del self.drained[endpoint]
+        del self.drains[endpoint]
         return False
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -78,7 +78,7 @@
             return
         started_at = time.monotonic()
         state = await asyncio.to_thread(self.old_process.fetch_state, self.config.name)
-        total = self.parts.descriptors.whole
+        total = self.parts.descriptors.total
         held_by_old = total // 2 if state is None else state.held
         self._apply_share(limits.split_descriptors(total, held_by_old)[1], paired=True)
         self.parts.begin(state)
@@ -121,7 +121,7 @@
 
     def _apply_share(self, descriptor_limit: int, paired: bool) -> None:
         """Hold so many descriptors, and cold endpoints' allowances together with another process or alone."""
-        self.parts.descriptors.grant(descriptor_limit)
+        self.parts.descriptors.set_limit(descriptor_limit)
         for pool in self.parts.pools():
             pool.driver.balancer.pair(paired)
 
@@ -132,7 +132,7 @@
 
     def _on_takeover(self) -> None:
         descriptors = self.parts.descriptors
-        self._apply_share(limits.split_descriptors(descriptors.whole, descriptors.held())[0], paired=True)
+        self._apply_share(limits.split_descriptors(descriptors.total, descriptors.in_use())[0], paired=True)
         if self.successor_task is not None:
             self.successor_task.cancel()
         self.successor_task = asyncio.create_task(self._watch_successor())
@@ -152,7 +152,7 @@
     def _reclaim_if_alone(self) -> None:
         """Have all there is, unless one more process of this sidecar runs beside: upgrades may overlap."""
         if self.old_process_task is None and self.successor_task is None:
-            self._apply_share(self.parts.descriptors.whole, paired=False)
+            self._apply_share(self.parts.descriptors.total, paired=False)
 
     def _snapshot(self) -> bytes:
         index: int | None = None
@@ -163,7 +163,7 @@
         if len(pools) == 1 and isinstance(source, Discovery):
             index, endpoints = source.index, driver.entries()
             learned = export_learned(driver.balancer) | {"classes": class_names(pools[0].settings)}
-        life, held = self.parts.lifecycle, self.parts.descriptors.held()
+        life, held = self.parts.lifecycle, self.parts.descriptors.in_use()
         return encode(
             State(time.time() * 1000, self.config.name, index, endpoints, life.drained, held, learned)
         )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -24,11 +24,13 @@
 from millgw.standins.scripted import ScriptedDiscoveryServer, ScriptedEndpoint, chunk, read_message
 
 LIMIT = 30.0  # s that a test may wait for anything: far over what it takes on a busy machine
-STUCK = 3 * LIMIT  # s after which a test that never lets the loop turn ends the whole run, with its traceback
+BLOCKED_LOOP_TIMEOUT = (
+    3 * LIMIT
+)  # s after which a test that never lets the loop turn ends the whole run, with its traceback
 PATIENCE = 20_000  # ms of a request that is not about time
-LOOK = 0.005  # s between two looks of a test at its own loop
-HEARTBEAT = 0.5  # s between two empty lines of a watch
-numbers = itertools.count(1)
+STALL_POLL_INTERVAL = 0.005  # s between two looks of a test at its own loop
+HEARTBEAT_INTERVAL = 0.5  # s between two empty lines of a watch
+trace_ids = itertools.count(1)
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -51,7 +53,7 @@
         async with asyncio.timeout(LIMIT + waits):
             await test()
 
-    faulthandler.dump_traceback_later(STUCK + waits, exit=True)
+    faulthandler.dump_traceback_later(BLOCKED_LOOP_TIMEOUT + waits, exit=True)
     try:
         uvloop.run(limited())
     finally:
@@ -72,9 +74,9 @@
 
     async def look() -> None:
         while True:
-            due = loop.time() + LOOK
-            await asyncio.sleep(LOOK)
-            if loop.time() >= due + over - LOOK:
+            due = loop.time() + STALL_POLL_INTERVAL
+            await asyncio.sleep(STALL_POLL_INTERVAL)
+            if loop.time() >= due + over - STALL_POLL_INTERVAL:
                 seen.append(loop.time() - due)
 
     looking = asyncio.create_task(look())
@@ -89,11 +91,11 @@
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
         watch.write(chunk(b"\n"))
-        await asyncio.sleep(HEARTBEAT)
+        await asyncio.sleep(HEARTBEAT_INTERVAL)
 
 
 def request(
-    cls: str = "read",
+    request_class: str = "read",
     body: bytes = b"",
     patience: object = PATIENCE,
     target: str = "/api?k=7",
@@ -102,21 +104,21 @@
     """A caller's request; a header given as '' is left out."""
     all_headers = {
         "Host": "app.svc",
-        "X-Trace-Id": f"{next(numbers):016x}",
-        "X-Qos": cls,
+        "X-Trace-Id": f"{next(trace_ids):016x}",
+        "X-Qos": request_class,
         "X-Customer": "acme",
         "X-Expires-In-Ms": str(patience),
-        "Idempotency-Key": "key-1" if cls == "write" else "",
+        "Idempotency-Key": "key-1" if request_class == "write" else "",
         "Content-Length": str(len(body)),
     } | {name.replace("_", "-"): value for name, value in headers.items()}
     lines = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items() if value)
-    return f"{'GET' if cls == 'read' else 'POST'} {target} HTTP/1.1\r\n{lines}\r\n".encode() + body
+    return f"{'GET' if request_class == 'read' else 'POST'} {target} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
 
 def config(endpoints: list[ScriptedEndpoint], discovery: Address, **changes: Any) -> Config:
     values: dict[str, Any] = {
         "name": "n1", "listen": free_address(), "control": None, "discovery": discovery,
-        "filed_discovery": None,
+        "file_discovery": None,
         "seed": 1, "sockets": 1024, "memory": 2.0**26,
         "known": {"index": 1, "snapshot": True, "endpoints": [e.entry() for e in endpoints]},
         "settings": to_settings(SETTINGS), "zones": ("a",), "connect_timeout": 5000.0, "idle": 60_000.0,
--- a/tests/sidecar_process.py
+++ b/tests/sidecar_process.py
@@ -43,7 +43,7 @@
 
 
 @dataclass
-class Process:
+class SidecarProcess:
     """Where the process listens, its id, and the discovery server that it asks."""
 
     listen: Address
@@ -63,7 +63,7 @@
 @asynccontextmanager
 async def sidecar_process(
     folder: Path, endpoints: list[ScriptedEndpoint], **limits: Any
-) -> AsyncIterator[Process]:
+) -> AsyncIterator[SidecarProcess]:
     """The process, ready to be called, with `limits` in its settings; it ends with the context."""
     discovery = ScriptedDiscoveryServer()
     await discovery.start()
@@ -84,7 +84,7 @@
         sys.executable, "-B", "-m", "millgw", "serve", env=os.environ | {"BALANCER_CONFIG": str(file)}
     )
     try:
-        yield Process(listen, process.pid, discovery)
+        yield SidecarProcess(listen, process.pid, discovery)
     finally:
         process.terminate()
         await process.wait()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -56,7 +56,7 @@
 # The life of a process
 
 
-class Lives(RuleBasedStateMachine):
+class LifecycleMachine(RuleBasedStateMachine):
     """Held against what was asked of it last, in words of its own."""
 
     def __init__(self) -> None:
@@ -115,7 +115,7 @@
             assert life.closes_idle(max(self.now, self.told_to_end + 3.5))
 
 
-TestLives = Lives.TestCase
+TestLives = LifecycleMachine.TestCase
 
 
 # The core and the calls
@@ -340,7 +340,7 @@
     run(test)
 
 
-async def tell_all(rig: Rig, spots: list[ScriptedEndpoint]) -> None:
+async def answer_discovery_calls(rig: Rig, spots: list[ScriptedEndpoint]) -> None:
     """Discovery answers each call: without its word nothing is proven 6 s after a start: all is refused."""
     while True:
         _, watch = await rig.discovery.calls.get()
@@ -352,7 +352,7 @@
         spots = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
         async with sidecar(*spots, sockets=32 + 13, control=free_address()) as rig:  # 8 callers, 6 calls
             door = door_of(rig)
-            speaking = asyncio.create_task(tell_all(rig, spots))
+            speaking = asyncio.create_task(answer_discovery_calls(rig, spots))
             callers = [await rig.connect() for _ in range(30)]
             for client in callers:
                 client.writer.write(request("pay"))
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -232,10 +232,10 @@
 # Processes
 
 
-HEARTBEAT = 1.0  # s
+HEARTBEAT_INTERVAL = 1.0  # s
 
 
-class Platform:
+class UpgradeFleet:
     """Starts processes of one sidecar, with a discovery and endpoints round them."""
 
     def __init__(
@@ -273,7 +273,7 @@
                 pass
             await asyncio.sleep(0.02)
 
-    async def ended(self, process: subprocess.Popen[bytes]) -> float:
+    async def terminate(self, process: subprocess.Popen[bytes]) -> float:
         """Tell it to end; the seconds until it has."""
         begun = time.monotonic()
         process.send_signal(signal.SIGTERM)
@@ -282,13 +282,13 @@
 
 
 @asynccontextmanager
-async def platform(folder: Path, endpoints: int = 3) -> AsyncIterator[Platform]:
+async def upgrade_fleet(folder: Path, endpoints: int = 3) -> AsyncIterator[UpgradeFleet]:
     discovery = ScriptedDiscoveryServer()
     await discovery.start()
     spots = [ScriptedEndpoint(f"e{i}") for i in range(endpoints)]
     for spot in spots:
         await spot.start()
-    made = Platform(folder, spots, discovery)
+    made = UpgradeFleet(folder, spots, discovery)
 
     watches: list[asyncio.StreamWriter] = []
 
@@ -301,7 +301,7 @@
     async def heartbeats() -> None:
         """As every discovery sends them: a watch without any is given up, and what it told holds 2 s more."""
         while True:
-            await asyncio.sleep(HEARTBEAT)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
             for writer in watches:
                 if not writer.is_closing():
                     writer.write(chunk(b"\n"))
@@ -318,14 +318,14 @@
                 process.wait()
 
 
-def crowd_at(fleet: Platform) -> RepeatingClients:
+def repeating_clients(fleet: UpgradeFleet) -> RepeatingClients:
     return RepeatingClients(fleet.listen, lambda kept: request("pay", Connection="" if kept else "close"))
 
 
-SERVED_IN_A_ROW = 200  # calls by which a sidecar is seen to have room for all clients
+WARM_UP_CALLS = 200  # calls by which a sidecar is seen to have room for all clients
 
 
-async def room_is_learned(crowd: RepeatingClients) -> None:
+async def wait_until_capacity_is_learned(crowd: RepeatingClients) -> None:
     """Until the sidecar serves all clients: at first three endpoints have 15 places, the rest may be refused.
 
     What was seen by then is forgotten.
@@ -333,7 +333,7 @@
     seen = Counter({"503": 1})
     while seen["503"]:
         crowd.seen.clear()
-        await until(lambda: crowd.seen["200"] >= SERVED_IN_A_ROW)
+        await until(lambda: crowd.seen["200"] >= WARM_UP_CALLS)
         seen = Counter(crowd.seen)
         assert set(seen) <= {"200", "503"}, seen
     crowd.seen.clear()
@@ -341,15 +341,15 @@
 
 def test_upgrades_under_load_hit_no_request_and_double_none(tmp_path: Path) -> None:
     async def test() -> None:
-        async with platform(tmp_path) as fleet:
+        async with upgrade_fleet(tmp_path) as fleet:
             process, _ = await fleet.start()
-            crowd = crowd_at(fleet)
+            crowd = repeating_clients(fleet)
             clients = [asyncio.create_task(crowd.client(0.002 * (n % 10))) for n in range(20)]
-            await room_is_learned(crowd)
+            await wait_until_capacity_is_learned(crowd)
             for _ in range(4):
                 after, _ = await fleet.start()
                 await asyncio.sleep(0.2)
-                assert await fleet.ended(process) < 3.5
+                assert await fleet.terminate(process) < 3.5
                 process = after
             for each in clients:
                 each.cancel()
@@ -367,14 +367,14 @@
 
 def test_an_upgrade_under_a_flood_of_new_connections_hits_none(tmp_path: Path) -> None:
     async def test() -> None:
-        async with platform(tmp_path) as fleet:
+        async with upgrade_fleet(tmp_path) as fleet:
             process, _ = await fleet.start()
-            crowd = crowd_at(fleet)
+            crowd = repeating_clients(fleet)
             clients = [asyncio.create_task(crowd.client(0.0, kept=False)) for _ in range(30)]
             await until(lambda: crowd.sent > 100)
             after, _ = await fleet.start()
             before = crowd.sent
-            assert await fleet.ended(process) < 3.5
+            assert await fleet.terminate(process) < 3.5
             await until(lambda: crowd.sent > before + 300)
             assert after.poll() is None
             for each in clients:
@@ -394,7 +394,7 @@
         return ok(body)
 
     async def test() -> None:
-        async with platform(tmp_path, endpoints=1) as fleet:
+        async with upgrade_fleet(tmp_path, endpoints=1) as fleet:
             process, _ = await fleet.start()
             fleet.endpoints[0].script = long
             reader, writer = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
@@ -413,7 +413,7 @@
 
 def test_a_new_process_that_dies_leaves_the_old_one_serving_with_all_it_had(tmp_path: Path) -> None:
     async def test() -> None:
-        async with platform(tmp_path) as fleet:
+        async with upgrade_fleet(tmp_path) as fleet:
             old, door = await fleet.start()
             word = (tmp_path / HANDOVER_FILE).read_text()
             new, _ = await fleet.start()
@@ -440,7 +440,7 @@
                 writer.close()
             third, _ = await fleet.start()
             assert log.read_text().count("predecessor") == 2, "the third does not know of the first"
-            assert await fleet.ended(old) < 3.5
+            assert await fleet.terminate(old) < 3.5
             assert third.poll() is None
 
     run(test)
@@ -450,7 +450,7 @@
     """SIGTERM follows the yes at once: an old one that knew of no successor would serve on for 2 s."""
 
     async def test() -> None:
-        async with platform(tmp_path) as fleet:
+        async with upgrade_fleet(tmp_path) as fleet:
             told, go, yes = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
             async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -478,7 +478,7 @@
 
 def test_an_upgrade_while_drained_stays_drained_and_open_calls_are_answered(tmp_path: Path) -> None:
     async def test() -> None:
-        async with platform(tmp_path) as fleet:
+        async with upgrade_fleet(tmp_path) as fleet:
             go = asyncio.Event()
 
             async def slow(message: object, _: object) -> bytes:
--- a/tests/test_incident_discovery_returned.py
+++ b/tests/test_incident_discovery_returned.py
@@ -15,9 +15,9 @@
 from tests.rig import heartbeats, run
 from tests.sidecar_process import draining_endpoint, sidecar_process
 
-WATCHED = 1.0  # s for which the watch says nothing but heartbeats before discovery goes down
+WATCH_TIME = 1.0  # s for which the watch says nothing but heartbeats before discovery goes down
 OUTAGE = 2.0  # s
-TOLD_WITHIN = 6.0  # s after discovery's return at which a change of the outage counts as told
+DRAIN_TOLD_AFTER = 6.0  # s after discovery's return at which a change of the outage counts as told
 GRACE = 0.5  # s
 BETWEEN_CALLS = 0.02  # s
 CALLERS = 6  # at once: one alone may be sent to the same endpoint for long
@@ -51,14 +51,14 @@
             discovery = sidecar.discovery
             _, watch = await discovery.calls.get()
             watch.write(STREAM + chunk(line(1, [e.entry() for e in scripted], snapshot=True)))
-            await heartbeats(watch, WATCHED)
+            await heartbeats(watch, WATCH_TIME)
             discovery.stop()
             watch.transport.abort()
             leaving.draining = True
             down = time.monotonic()
 
             async def load() -> None:
-                while time.monotonic() < down + OUTAGE + TOLD_WITHIN + 3 * GRACE:
+                while time.monotonic() < down + OUTAGE + DRAIN_TOLD_AFTER + 3 * GRACE:
                     await sidecar.call()
                     await asyncio.sleep(BETWEEN_CALLS)
 
@@ -68,7 +68,7 @@
             returned = time.monotonic()
             async with turns_calls_away(discovery):
                 await loading
-            late = [at - returned for at in leaving.calls if at > returned + TOLD_WITHIN + GRACE]
+            late = [at - returned for at in leaving.calls if at > returned + DRAIN_TOLD_AFTER + GRACE]
             assert not late, (
                 f"{len(late)} calls later than its grace, the first {late[0]:.2f} s after the return"
             )
--- a/tests/test_incident_unheard_drain.py
+++ b/tests/test_incident_unheard_drain.py
@@ -24,10 +24,10 @@
 from tests.rig import heartbeats, run
 from tests.sidecar_process import draining_endpoint, sidecar_process
 
-WATCHED = 1.0  # s for which the watch says nothing but heartbeats before it ends
+WATCH_TIME = 1.0  # s for which the watch says nothing but heartbeats before it ends
 TOLD_AFTER_END = 2.0  # s after a watch ended at which what it did not tell counts as told
 GRACE = 0.5  # s
-ANSWER_AFTER = 2.8  # s that discovery takes for the call that follows: less than it is waited for
+ANSWER_DELAY = 2.8  # s that discovery takes for the call that follows: less than it is waited for
 BETWEEN_CALLS = 0.02  # s
 CALLERS = 6  # at once: one alone may be sent to the same endpoint for long, as it is the quicker by chance
 
@@ -42,7 +42,7 @@
         async with sidecar_process(tmp_path, scripted, probing=probing) as sidecar:
             _, watch = await sidecar.discovery.calls.get()
             watch.write(STREAM + chunk(line(1, [e.entry() for e in scripted], snapshot=True)))
-            await heartbeats(watch, WATCHED)
+            await heartbeats(watch, WATCH_TIME)
             leaving.draining = True
             watch.transport.abort()
             ended = time.monotonic()
@@ -57,7 +57,7 @@
 
             loading = asyncio.gather(*(load() for _ in range(CALLERS)))
             _, watch = await sidecar.discovery.calls.get()
-            await asyncio.sleep(ANSWER_AFTER)
+            await asyncio.sleep(ANSWER_DELAY)
             await loading
             late = [at - ended for at in leaving.calls if at > ended + TOLD_AFTER_END + GRACE]
             assert not late, (
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -27,17 +27,17 @@
 from tests.rig import SETTINGS, request, run, sidecar, until
 
 T = TypeVar("T")
-KEPT_FOR_EACH = (Call, Head, CallerConnection, Attempt, Connection, Request, Sent)
+RELEASED_TYPES = (Call, Head, CallerConnection, Attempt, Connection, Request, Sent)
 
 
-def living(kind: type[T]) -> list[T]:
+def live_objects(kind: type[T]) -> list[T]:
     return [thing for thing in gc.get_objects() if isinstance(thing, kind)]
 
 
-def the(kind: type[T]) -> T:
+def only_instance(kind: type[T]) -> T:
     """The one of this sidecar: those of tests before may wait for the collector."""
     gc.collect()
-    (thing,) = living(kind)
+    (thing,) = live_objects(kind)
     return thing
 
 
@@ -57,7 +57,7 @@
         async with sidecar(*spots) as rig:
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM)
-            server, driver = the(Server), the(Driver)
+            server, driver = only_instance(Server), only_instance(Driver)
             gc.disable()  # what only the collector can free grows until it comes
             for turn in range(rounds):
                 # Each round all endpoints are new ones, at the addresses of those before.
@@ -70,7 +70,7 @@
                 leaving.writer.write(request("pay")[:-9] if turn % 2 else request("pay"))
                 leaving.writer.close()
             await until(lambda: not server.connections)
-            assert not server.fresh and not server.kept and not the(Pool).bodies
+            assert not server.fresh and not server.kept and not only_instance(Pool).bodies
             assert not driver.calls and not driver.open and not driver.upstream.tasks
             assert len(driver.ready) == len(driver.balancer.servers) == len(driver.upstream.hosts) == 4
             balancer = driver.balancer
@@ -79,9 +79,9 @@
             kept = driver.upstream.open
             assert kept == sum(len(p.idle) for p in driver.upstream.hosts.values())
             await asyncio.sleep(1)
-            await until(lambda: len(living(Connection)) == kept)
-            assert not [k for k in KEPT_FOR_EACH if k is not Connection and living(k)]
-            assert len(living(Host)) == 4
+            await until(lambda: len(live_objects(Connection)) == kept)
+            assert not [k for k in RELEASED_TYPES if k is not Connection and live_objects(k)]
+            assert len(live_objects(Host)) == 4
 
     try:
         run(test)
@@ -94,7 +94,7 @@
 
     async def test() -> None:
         async with sidecar(settings=to_settings(raw)) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             loop = asyncio.get_running_loop()
             before = len(driver.balancer.timers)
             client = await rig.connect()
@@ -114,7 +114,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("old")
         async with sidecar(endpoint) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             _, writer = await rig.discovery.calls.get()
             for _ in range(3):
                 assert (await rig.ask(request("pay"))).status == 200
@@ -140,7 +140,7 @@
 
         endpoints = [ScriptedEndpoint(f"e{i}", script) for i in range(3)]
         async with sidecar(*endpoints) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             assert (await rig.ask(request("write"))).status == 400
             assert sum(len(e.got) for e in endpoints) == 1, "tried again elsewhere"
             assert not any(s.failing or s.out for s in driver.balancer.servers.values())
@@ -153,7 +153,7 @@
         old, new = ScriptedEndpoint("old", silent), ScriptedEndpoint("new")
         await new.start()
         async with sidecar(old) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             _, writer = await rig.discovery.calls.get()
             waiting = await rig.connect()
             waiting.writer.write(request("pay"))
@@ -178,7 +178,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e")
         async with sidecar(endpoint) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             for _ in range(3):
                 client = await rig.connect()
                 client.writer.write(request("pay"))
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -36,7 +36,7 @@
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
 
 
-async def ready(rig: Rig, code: int) -> None:
+async def wait_for_ready_status(rig: Rig, code: int) -> None:
     while (await rig.ask(READY)).status != code:
         await asyncio.sleep(0.005)
 
@@ -54,10 +54,10 @@
             for at in range(len(data)):
                 writer.write(data[at : at + 1])
                 await asyncio.sleep(0)
-            await ready(rig, 200)
+            await wait_for_ready_status(rig, 200)
             assert (await rig.ask(request())).status == 200
             writer.write(chunk(line(4, [endpoint.entry("terminating")])))
-            await ready(rig, 503)
+            await wait_for_ready_status(rig, 503)
 
     run(test)
 
@@ -170,7 +170,7 @@
     ]
     listing = read_listing({"index": 3, "snapshot": True, "endpoints": [*bad, good]}, ("a",))
     assert [e.endpoint.id for e in listing.entries] == [endpoint_id("good")]
-    assert listing.whole and listing.index == 3
+    assert listing.complete and listing.index == 3
 
 
 def test_names_map_to_the_same_numbers_in_every_process() -> None:
@@ -250,7 +250,7 @@
     )
 
 
-async def in_service(
+async def start_serving_sidecar(
     endpoint: ScriptedEndpoint, folder: Path, **changes: Any
 ) -> tuple[subprocess.Popen[str], Address]:
     """A sidecar's process that serves this endpoint, and where."""
@@ -304,7 +304,7 @@
 def test_after_sigterm_what_is_not_answered_in_time_fails_and_it_ends(tmp_path: Path) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", silent)
-        process, listen = await in_service(endpoint, tmp_path)
+        process, listen = await start_serving_sidecar(endpoint, tmp_path)
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
         writer.write(request("pay"))
         await until(lambda: len(endpoint.got) == 1)
@@ -320,7 +320,7 @@
         endpoint, old, new = ScriptedEndpoint("e1"), ScriptedDiscoveryServer(), ScriptedDiscoveryServer()
         await old.start()
         await new.start()
-        process, listen = await in_service(endpoint, tmp_path, discovery=str(old.address))
+        process, listen = await start_serving_sidecar(endpoint, tmp_path, discovery=str(old.address))
         assert process.stderr is not None
         _, writer = await old.calls.get()
         writer.write(STREAM + chunk(line(5, [endpoint.entry()])))
@@ -404,7 +404,7 @@
 def test_sigterm_during_reloads_floods_and_half_sent_requests_ends_with_0_in_time(tmp_path: Path) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
-        process, listen = await in_service(endpoint, tmp_path)
+        process, listen = await start_serving_sidecar(endpoint, tmp_path)
         half, flood, body = [await asyncio.open_connection(listen.host, listen.port) for _ in range(3)]
         half[1].write(request("pay", b"body")[:-1])
         flood[1].write(request(X_Qos="unheard-of") * 300)
