--- a/millgw/__init__.py
+++ b/millgw/__init__.py
@@ -1,8 +1,8 @@
-"""millgw: a load balancer's decisions for services that call services, without any I/O."""
+"""millgw: load balancing decisions for calls between services, without I/O."""
 
 from millgw import compiled
 
-compiled.install()  # before the first import of what may be compiled
+compiled.install()  # before the first import of a module that may be compiled
 
 from millgw.decide import Balancer  # noqa: E402
 from millgw.interface import (  # noqa: E402
--- a/millgw/__main__.py
+++ b/millgw/__main__.py
@@ -1,4 +1,4 @@
-"""The one command line: `python -m millgw COMMAND`, or `millgw COMMAND` where it is installed."""
+"""Command line entry point: `python -m millgw COMMAND`, or `millgw COMMAND` once installed."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Carry out a command line. Exit: 0 held, 1 did not hold, 2 bad input, 3 inconclusive."""
+    """Run a command line. Exit code: 0 success, 1 failure or failed check, 2 bad input, 3 inconclusive."""
     arguments = list(sys.argv[1:] if argv is None else argv)
-    # The daemon must not load what only tools need.
+    # Tried first so that the daemon does not load modules that only the tools need.
     code = run_daemon_command(arguments)
     if code is not None:
         return code
@@ -26,7 +26,7 @@
 
 
 def entry() -> None:
-    """Be the process: standard output may be closed by its reader at any time."""
+    """Process entry point. The reader of standard output may close it at any time."""
     arguments = sys.argv[1:]
     if arguments[:1] != ["serve"]:
         from millgw.cli.streams import forgiving
@@ -34,7 +34,7 @@
         forgiving()
     try:
         code = main(arguments)
-    except KeyboardInterrupt:  # before the command itself could take it
+    except KeyboardInterrupt:  # before the command installed its own handler
         code = 130
     sys.stdout.flush()
     sys.exit(code)
--- a/millgw/control/__init__.py
+++ b/millgw/control/__init__.py
@@ -1,1 +1,1 @@
-"""The door for operators: a few calls over HTTP, answered whatever the loop that serves is busy with."""
+"""Control server for operators: a few HTTP calls, answered even while the event loop is busy."""
--- a/millgw/control/calls.py
+++ b/millgw/control/calls.py
@@ -1,4 +1,4 @@
-"""What each call of the door does. No I/O: asked and answered."""
+"""Dispatch table of the control server: handlers by path and method. No I/O."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def yes_no_answer(holds: bool, text: str) -> Answer:
-    """Yes or no, and for people whether what `text` says holds."""
+    """200 or 503 by whether `text` holds, with `text` or its negation as the body."""
     return plain(OK if holds else UNAVAILABLE, text if holds else f"not {text}")
 
 
 class CallTable:
-    """The calls by path and method."""
+    """Handlers by path and method."""
 
     def __init__(self) -> None:
         self.paths: dict[str, dict[str, Handler]] = {}
@@ -29,9 +29,9 @@
     def __call__(self, request: ControlRequest) -> Answer:
         methods = self.paths.get(request.path)
         if methods is None:
-            return plain(404, "no such call")
+            return plain(404, "no such path")
         handler = methods.get(request.method)
         if handler is None:
             allow = ", ".join(sorted(methods)).encode()
-            return plain(405, "not by this method", b"Allow: %b\r\n" % allow)
+            return plain(405, "method not allowed", b"Allow: %b\r\n" % allow)
         return handler(request)
--- a/millgw/control/core.py
+++ b/millgw/control/core.py
@@ -1,4 +1,4 @@
-"""The protocol core of the door: one call to a connection, bytes in, a call or a refusal out. No I/O."""
+"""HTTP request parser of the control server, one request to a connection. No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from millgw.http.request import BadRequest
 
-MAX_REQUEST_SIZE = 8 * 1024  # bytes of a call with everything: none has use for a body
+MAX_REQUEST_SIZE = 8 * 1024  # bytes of a whole request; no control call needs a body
 
 
 @dataclass(frozen=True)
 class ControlRequest:
-    """What a caller of the door wants."""
+    """A parsed request to the control server."""
 
     method: str
     path: str
@@ -21,7 +21,7 @@
 
 
 class ControlRequestParser:
-    """One connection's call. `feed` until it gives something, then no more."""
+    """Parses the request of one connection. Call `feed` until it returns a result, then no more."""
 
     def __init__(self) -> None:
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
@@ -31,13 +31,13 @@
         self.complete = False
 
     def feed(self, data: bytes) -> ControlRequest | BadRequest | None:
-        """Read on: the call once it is whole, what is wrong with it, or None while there is more to come."""
+        """Parse more bytes: the request once complete, an error, or None while it is incomplete."""
         assert self.parser is not None
         self.received += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # the offer of another protocol is passed over; the call is whole
+            pass  # the offered upgrade is ignored; the request is complete
         except httptools.HttpParserError:
             if not self.complete:
                 self.parser = None
@@ -48,10 +48,10 @@
             return ControlRequest(method, path, self.headers)
         if self.received > MAX_REQUEST_SIZE:
             self.parser = None
-            return BadRequest(431, "the call is too large")
+            return BadRequest(431, "the request is too large")
         return None
 
-    # httptools
+    # Callbacks of httptools
 
     def on_url(self, url: bytes) -> None:
         if not self.complete:
--- a/millgw/control/door.py
+++ b/millgw/control/door.py
@@ -1,6 +1,6 @@
-"""The door's sockets, in a thread of its own: an answer waits for the interpreter's lock, not for the loop.
+"""HTTP server of the control interface, on its own thread: answers need the GIL but not the event loop.
 
-Callers who connect and finish nothing are bounded in number and time; the oldest of them gives way.
+Connections with an unfinished request are limited in number and time; the oldest is closed for a new one.
 """
 
 from __future__ import annotations
@@ -18,18 +18,16 @@
 from millgw.log.events import log_event
 from millgw.platform.config import Address, ConfigError
 
-MAX_CONNECTIONS = 8  # connections at once: their descriptors are of those reserved for the process itself
-REQUEST_TIMEOUT = 6.0  # s for a call from connecting to its last byte
-LINGER_TIME = (
-    1.0  # s that an answered connection waits for its caller's end, who could lose the answer to a reset
-)
-READ_SIZE = 4096  # bytes of one read
-SWEEP_INTERVAL = 0.5  # s between two looks for connections whose time has come
-WRITE_TIMEOUT = 1.0  # s that one answer may take to be written: larger than the kernel's room it is not
+MAX_CONNECTIONS = 8  # at once; their descriptors are among those reserved for the process itself
+REQUEST_TIMEOUT = 6.0  # s from the connect to the last byte of the request
+LINGER_TIME = 1.0  # s to wait for the caller to close: an earlier close may reset the answer away
+READ_SIZE = 4096  # bytes per read
+SWEEP_INTERVAL = 0.5  # s between checks for expired connections
+WRITE_TIMEOUT = 1.0  # s to write one answer, which fits the kernel's send buffer
 
 
 class ControlConnection:
-    """One connection: its call as it comes in, then its caller's end."""
+    """One connection: reads its request, then waits for the caller to close."""
 
     __slots__ = ("answered", "parser", "since", "socket")
 
@@ -41,11 +39,11 @@
 
 
 class ControlServer:
-    """Listens from the start on; `answer` is called in the door's thread."""
+    """Listens as soon as it is made; `answer` is called on the server's thread."""
 
     def __init__(self, address: Address, answer: Callable[[ControlRequest], Answer]) -> None:
         self.answer = answer
-        self.connections: dict[ControlConnection, None] = {}  # the oldest first
+        self.connections: dict[ControlConnection, None] = {}  # oldest first
         self.selector = selectors.DefaultSelector()
         self.stopped = False
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
@@ -65,7 +63,7 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Answer no more; the thread ends within `SWEEP_INTERVAL`."""
+        """Stop answering; the thread ends within `SWEEP_INTERVAL`."""
         self.stopped = True
 
     def _run(self) -> None:
@@ -77,7 +75,7 @@
                         self._accept()
                     elif connection in self.connections:
                         self._read(connection)
-                except Exception as error:  # the door must outlive whatever one call meets
+                except Exception as error:  # a failed call must not end the server
                     log_event("door-call-failed", cause=repr(error))
                     if connection is not None:
                         self._close(connection)
@@ -97,15 +95,15 @@
             return
         except OSError as error:
             log_event("accept-failed", cause=error)
-            time.sleep(0.01)  # guards against turning round and round without a descriptor
+            time.sleep(0.01)  # without the pause this loop spins while no descriptor is free
             return
         accepted.setblocking(False)
         while len(self.connections) >= MAX_CONNECTIONS:
             self._close(next((c for c in self.connections if c.answered), next(iter(self.connections))))
-        caller = ControlConnection(accepted, time.monotonic())
-        self.connections[caller] = None
-        self.selector.register(accepted, selectors.EVENT_READ, caller)
-        self._read(caller)
+        connection = ControlConnection(accepted, time.monotonic())
+        self.connections[connection] = None
+        self.selector.register(accepted, selectors.EVENT_READ, connection)
+        self._read(connection)
 
     def _close(self, connection: ControlConnection) -> None:
         if connection in self.connections:
@@ -122,7 +120,7 @@
             data = b""
         if not data:
             self._close(connection)
-        elif not connection.answered:  # else it is what nobody needs
+        elif not connection.answered:  # data after the request is ignored
             request = connection.parser.feed(data)
             if isinstance(request, BadRequest):
                 self._send(connection, request.answer())
--- a/millgw/hot_restart/__init__.py
+++ b/millgw/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: a second process starts beside the running one, learns what it knows, and takes over."""
+"""Hot restart: a new process starts beside the running one, receives its state and takes over."""
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -1,4 +1,4 @@
-"""What a balancer has learned, as numbers that go over to the process that takes over from it."""
+"""Exports a balancer's learned state as numbers, and restores it in the successor process."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 SERVER_FIELDS = (
     "failing", "slow", "judged_at", "ejected_until", "served", "served_at", "allowance", "allowed_at", "back",
 )  # fmt: skip
-"""What is known of an endpoint; behind it go when discovery last spoke of it, and how often it was missed."""
+"""Exported per endpoint, followed by when discovery was last heard from, and by `missed`, a count."""
 SERVER_ROW_LENGTH = len(SERVER_FIELDS) + 2
 
 LIMIT_FIELDS = (
     "each", "normal", "late", "steady", "noise", "undisturbed", "settled", "at", "answers",
 )  # fmt: skip
-"""What is known of the limit on calls in flight, a count last."""
+"""Exported state of the limit on calls in flight; the last field is a count."""
 
 Learned = dict[str, object]
 
 
 def export_learned(balancer: Balancer) -> Learned:
-    """What it has learned; tokens and allowances are shared out, and half of them kept."""
+    """Export the learned state. Retry tokens and allowances are split: this balancer keeps half of them."""
     balancer.budget.tokens *= PAIR_PART
     for server in balancer.ring:
         server.allowance *= PAIR_PART
@@ -44,22 +44,22 @@
 
 
 def adopt_learned(balancer: Balancer, learned: Learned) -> None:
-    """Take over what another process exported, for endpoints that are listed here.
+    """Restore what the predecessor exported, for the endpoints that are listed here.
 
-    A ValueError tells that it can't be read; nothing is taken then.
+    Raises ValueError if it can't be read; nothing is restored then.
     """
     try:
         rows, limit, times = learned["servers"], learned["limit"], learned["times"]
         if not (isinstance(rows, dict) and isinstance(limit, list) and isinstance(times, list)):
-            raise TypeError("not tables")
+            raise TypeError("servers, limit or times is of the wrong type")
         servers = {int(id): _read_numbers(row, SERVER_ROW_LENGTH) for id, row in rows.items()}
         limits = _read_numbers(limit, len(LIMIT_FIELDS)) if limit else []
         quick = [_read_numbers(row, 3) for row in times]
         tokens, rate, shed = _read_numbers([learned[k] for k in ("tokens", "cold_rate", "shed")], 3)
         if len(quick) != len(balancer.quick):
-            raise ValueError("other classes")
+            raise ValueError("number of request classes differs")
     except (LookupError, TypeError, ValueError) as error:
-        raise ValueError(f"what was learned can't be read: {error}") from None
+        raise ValueError(f"learned state can't be read: {error}") from None
     _adopt_servers(balancer, servers)
     if balancer.admission is not None and limits:
         for name, value in zip(LIMIT_FIELDS[:-1], limits, strict=False):
@@ -84,10 +84,10 @@
 
 
 def _read_numbers(row: object, count: int) -> list[float]:
-    """So many finite numbers, or a ValueError or TypeError."""
+    """Exactly `count` finite numbers; raises ValueError or TypeError otherwise."""
     if not isinstance(row, list) or len(row) != count:
-        raise ValueError("not so many numbers")
+        raise ValueError("not a list of the expected length")
     numbers = [float(value) for value in row]
     if not all(math.isfinite(number) for number in numbers):
-        raise ValueError("not finite")
+        raise ValueError("a number is not finite")
     return numbers
--- a/millgw/hot_restart/limits.py
+++ b/millgw/hot_restart/limits.py
@@ -1,27 +1,26 @@
-"""What the old and the new process of one sidecar grant each other, and when the new one may say yes. Pure.
+"""Descriptor split between the old and new process, and when the new one may report ready. No I/O.
 
 Times are seconds since the new process's start.
 """
 
 from __future__ import annotations
 
-DISCOVERY_WAIT = (
-    2.0  # s that the new one waits for discovery's first word before it serves by what it was told
-)
+DISCOVERY_WAIT = 2.0  # s for discovery's first answer; then the new process serves by the list handed over
 
 
 def may_serve(knows_endpoints: bool, heard_from_discovery: bool, since_start: float) -> bool:
-    """Whether the new process can take calls: it knows where to send them, and what has changed lately.
+    """Whether the new process can take calls: it knows endpoints, and the recent changes of the list.
 
-    Otherwise drains that were told while it started would be broken: they count as told soon after its yes.
+    Otherwise it would send to endpoints whose drain was announced during its start: the announcement counts
+    as told soon after the process reports ready.
     """
     return knows_endpoints and (heard_from_discovery or since_start >= DISCOVERY_WAIT)
 
 
 def split_descriptors(total: int, held_by_old: int) -> tuple[int, int]:
-    """How many of `most` the old one, which holds `held`, and the new one may hold while both run.
+    """Limits of the old process, which holds `held_by_old`, and the new one while both run.
 
-    Half for each; an old one that holds more keeps it, as it can only give it back by and by.
+    Each gets half of `total`; an old process that holds more keeps it, as it can only release it gradually.
     """
     old = min(total, max(total // 2, held_by_old))
     return old, total - old
--- a/millgw/hot_restart/new_process.py
+++ b/millgw/hot_restart/new_process.py
@@ -1,6 +1,6 @@
-"""The new process, as the old one sees it: it is told what is known if it shows the token, and takes over.
+"""The old process's side of a hot restart: hands its state to a new process that presents the token.
 
-The calls come in the door's thread; all that is decided or read of the pools is done in the loop.
+The calls arrive on the control server's thread; pools are read and changed only on the event loop.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from millgw.log.events import log_event
 from millgw.platform.config import Address, read_address
 
-LOOP_TIMEOUT = 0.8  # s that the loop may take to carry out a call
+LOOP_TIMEOUT = 0.8  # s that the event loop may take to carry out a call
 T = TypeVar("T")
 
 
 class NewProcess:
-    """Which process takes over from this one, once it has said so. `snapshot` gives what this one knows."""
+    """The successor of this process, once it has announced itself. `snapshot` encodes this one's state."""
 
     def __init__(self, snapshot: Callable[[], bytes], on_takeover: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
@@ -45,11 +45,11 @@
         calls.add("PUT", SUCCESSOR_PATH, self._handle_successor)
 
     def is_running(self) -> bool:
-        """Whether a process has taken over and still answers."""
+        """Whether a process has taken over and still accepts connections."""
         return self.control is not None and accepts_connections(self.control)
 
     def forget(self) -> None:
-        """The process that had taken over has died: nobody has."""
+        """Forget a successor that has died."""
         self.control = None
         self.steered = False
 
@@ -60,7 +60,7 @@
         if not self._is_authorized(request):
             return Answer(404, Content())
         data = self._run_in_loop(self.snapshot)
-        return yes_no_answer(False, "told in time") if data is None else Answer(200, Content(b"", data))
+        return yes_no_answer(False, "read in time") if data is None else Answer(200, Content(b"", data))
 
     def _handle_successor(self, request: ControlRequest) -> Answer:
         if not self._is_authorized(request):
--- a/millgw/hot_restart/old_process.py
+++ b/millgw/hot_restart/old_process.py
@@ -1,7 +1,7 @@
-"""The old process, as the new one sees it: what `$TMPDIR` tells of one that serves when this one starts.
+"""The new process's side of a hot restart: finds the old process by a file in `$TMPDIR` and calls it.
 
-All of this is done before or beside the loop, on plain sockets with short time limits: an old process that
-does not answer is none.
+Runs before the event loop or on other threads, on blocking sockets with short timeouts: an old process that
+does not answer is treated as gone.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from millgw.platform.config import Address, read_address
 
 HANDOVER_FILE = "otterslip.handover"
-STATE_PATH, SUCCESSOR_PATH = "/-/handover", "/-/successor"  # calls of the door, for whoever knows the token
+STATE_PATH, SUCCESSOR_PATH = "/-/handover", "/-/successor"  # control calls that need the token
 TOKEN_HEADER = "x-handover-token"
 STEERED_HEADER = "x-steered"
 ADDRESS_HEADER = "x-door"
-CALL_TIMEOUT = 1.0  # s for one call, all in all
-PROBE_TIMEOUT = 0.2  # s in which a door that is there takes a connection
+CALL_TIMEOUT = 1.0  # s for one whole call
+PROBE_TIMEOUT = 0.2  # s in which a running process accepts a connection
 
 
 def handover_path(environ: Mapping[str, str]) -> Path | None:
-    """Where the processes of one sidecar find each other, if there is such a place."""
+    """The file by which the processes of one sidecar find each other; None without `$TMPDIR`."""
     directory = environ.get("TMPDIR")
     return Path(directory) / HANDOVER_FILE if directory else None
 
 
 def publish_handover(path: Path, control: Address) -> str:
-    """Have the next process find this one; returns the token it will show. An OSError: no place there."""
+    """Write the file for the successor; returns the token that it will present. Raises OSError."""
     token = secrets.token_hex(16)
     temporary = path.with_name(f"{path.name}.{os.getpid()}")
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -46,7 +46,7 @@
 
 
 def accepts_connections(control: Address) -> bool:
-    """Whether a process listens at its door: asked of the kernel, as process ids are used again."""
+    """Whether a process listens on this control address. Not checked by process id, as ids are reused."""
     try:
         socket.create_connection((control.host, control.port), PROBE_TIMEOUT).close()
     except OSError:
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class OldProcess:
-    """How the process is reached that serves already."""
+    """How to reach the process that is already serving."""
 
     pid: int
     control: Address
@@ -66,7 +66,7 @@
         return accepts_connections(self.control)
 
     def fetch_state(self, name: str) -> State | None:
-        """What it knows; None where that can't be had, with a line in the log."""
+        """Its state; None, and a log line, if that can't be read."""
         try:
             code, body = self._call("GET", STATE_PATH)
             if code != 200:
@@ -77,7 +77,7 @@
             return None
 
     def announce_successor(self, control: Address, steered: bool) -> bool:
-        """Tell it that this process serves now; tells whether it has heard."""
+        """Tell it that this process serves now; returns whether it has acknowledged."""
         try:
             code, _ = self._call(
                 "PUT", SUCCESSOR_PATH, f"{ADDRESS_HEADER}: {control}\r\n{STEERED_HEADER}: {int(steered)}\r\n"
@@ -104,12 +104,12 @@
         head_part, _, body = bytes(received).partition(b"\r\n\r\n")
         words = head_part.split(b" ", 2)
         if len(words) < 3:
-            raise StateError("its answer broke off")
+            raise StateError("its answer was cut short")
         return int(words[1]), body
 
 
 def find_old_process(path: Path, own_control: Address) -> OldProcess | None:
-    """The process that left word there, if it still runs."""
+    """The process that wrote the file, if it still runs."""
     try:
         content = json.loads(path.read_bytes())
         if content["version"] != 1:
@@ -120,7 +120,7 @@
     except (OSError, ValueError, LookupError, TypeError) as error:
         log_event("handover-unusable", pid=0, cause=error)
         return None
-    if found.control == own_control or not found.is_running():  # one at this process's own door has ended
+    if found.control == own_control or not found.is_running():  # at this process's own address it has exited
         return None
     log_event("predecessor", pid=found.pid, control=found.control)
     return found
--- a/millgw/hot_restart/state.py
+++ b/millgw/hot_restart/state.py
@@ -1,9 +1,10 @@
-"""What an old process tells the one that takes over, as bytes: versioned, checked, bounded. Pure.
+"""Encoding of the state handed to a new process: versioned, with a checksum and a size limit. No I/O.
 
     otterslip-handover 1 DIGEST\\n
     {"at": Unix ms, "name": ..., "index": ..., "endpoints": [...], "drained": ..., "held": ..., ...}
 
-What is torn, foreign, of another version or too old is refused as a whole: half a state is worse than none.
+A state that is truncated, of another sidecar or version, or too old is rejected as a whole: a partial state
+is worse than none.
 """
 
 from __future__ import annotations
@@ -19,30 +20,30 @@
 from millgw.platform.discovery import Listed
 
 VERSION = 1
-MAX_STATE_SIZE = 8 * 1024 * 1024  # bytes, far above what any fleet's state takes
-MAX_STATE_AGE = 5000.0  # ms; older than that, starts and ejections in it may be over
+MAX_STATE_SIZE = 8 * 1024 * 1024  # bytes, far above the state of any fleet
+MAX_STATE_AGE = 5000.0  # ms; in an older state, cold starts and ejections may be over
 MAGIC = b"otterslip-handover"
 
 
 class StateError(ValueError):
-    """No state that can be used; the text says why."""
+    """The state can't be used; the message says why."""
 
 
 @dataclass(frozen=True)
 class State:
-    """One process's knowledge. `learned` is the module's own (see `millgw.hot_restart.learned`)."""
+    """State of one process. `learned` is the balancer's own (see `millgw.hot_restart.learned`)."""
 
     at: float
     name: str
     index: int | None
     endpoints: tuple[Listed, ...]
     drained: bool
-    held: int  # descriptors
+    held: int  # open descriptors
     learned: Any
 
 
 def encode(state: State) -> bytes:
-    """As it goes over."""
+    """The bytes that are handed over."""
     rows = [
         [
             e.endpoint.id,
@@ -64,17 +65,17 @@
 
 
 def decode(data: bytes, name: str, now: float) -> State:
-    """The state of the process `name` by what came at `now` (Unix ms); a BadState says what is wrong."""
+    """Decode the state of sidecar `name`, received at `now` (Unix ms); raises `StateError`."""
     if len(data) > MAX_STATE_SIZE:
         raise StateError("it is too large")
     head, end, body = data.partition(b"\n")
     words = head.split(b" ")
     if not end or len(words) != 3 or words[0] != MAGIC:
-        raise StateError("it is no hand-over")
+        raise StateError("it does not start with the handover magic")
     if words[1] != b"%d" % VERSION:
         raise StateError(f"its version is {words[1].decode('latin-1')}, not {VERSION}")
     if words[2] != _digest(body):
-        raise StateError("it is torn")
+        raise StateError("its checksum does not match")
     try:
         raw = json.loads(body)
         state = State(
@@ -89,7 +90,7 @@
     except (ValueError, TypeError, LookupError) as error:
         raise StateError(f"it can't be read: {error}") from None
     if state.name != name:
-        raise StateError(f"it is {state.name!r}'s")
+        raise StateError(f"it is of sidecar {state.name!r}")
     if not -MAX_STATE_AGE <= now - state.at <= MAX_STATE_AGE:
         raise StateError("it is too old")
     return state
@@ -106,7 +107,7 @@
 def _read_number(value: Any) -> float:
     number = float(value)
     if not math.isfinite(number):
-        raise ValueError(f"{value!r} is no number")
+        raise ValueError(f"{value!r} is not a finite number")
     return number
 
 
--- a/millgw/platform/__init__.py
+++ b/millgw/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform tells and gives a sidecar: configuration, descriptors, the list of endpoints."""
+"""What the platform provides to a sidecar: configuration, descriptors and the endpoint list."""
--- a/millgw/platform/config.py
+++ b/millgw/platform/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told: environment and config file, read at its start and again at each SIGHUP."""
+"""Sidecar configuration from the environment and the config file, read at startup and at each SIGHUP."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class ConfigError(ValueError):
-    """The sidecar can't run on this; the text names the field."""
+    """The configuration is invalid; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Address:
-    """Where to listen or connect: an IP address, as there is no DNS, and a port."""
+    """A listen or connect address: IP address and port. Host names are not supported, as there is no DNS."""
 
     host: str
     port: int
 
     @property
     def anywhere(self) -> bool:
-        """Whether it is all addresses of the machine: one to listen at, and none to connect to."""
+        """Whether it means all addresses of the machine (0.0.0.0 or ::): valid for listening only."""
         return ipaddress.ip_address(self.host).is_unspecified
 
     def __str__(self) -> str:
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All of it. Times are milliseconds, as in the settings."""
+    """The whole configuration. Times are milliseconds, as in the settings."""
 
     name: str
     listen: Address
@@ -55,7 +55,7 @@
 
 
 def read_address(value: Any) -> Address:
-    """An address in the form 'IP:port'; a ValueError tells what it is not."""
+    """Parse an address of the form 'IP:port'; raises ValueError."""
     host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not colon or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
         raise ValueError(f"{value!r} is not IP:port")
@@ -63,10 +63,10 @@
 
 
 def read_config(environ: Mapping[str, str], before: Config | None = None) -> Config:
-    """The configuration of this sidecar; a variable goes before the file's field of the same meaning.
+    """The configuration of this sidecar; an environment variable overrides the file's field.
 
-    `before` is the one that a reload replaces. A file that names another discovery than it did then wins over
-    the variable, which is as old as the process.
+    `before` is the configuration that a reload replaces. If the file's discovery address has changed since
+    then, the file wins over the variable, which can't change after the process has started.
     """
     path = environ.get(PREFIX + "CONFIG")
     if not path:
@@ -99,12 +99,12 @@
 
 
 def with_settings(config: Config, settings: Mapping[str, Any]) -> Config:
-    """The same with other settings; a SettingsError names the field that can't be used."""
+    """A copy with other settings; raises `SettingsError`, which names the invalid field."""
     return replace(config, **_settings_fields(dict(settings)))
 
 
 def _settings_fields(settings: dict[str, Any]) -> dict[str, Any]:
-    """The fields of a configuration that its settings give."""
+    """The fields of `Config` that derive from the settings."""
     limits = read_table(settings, "limits")
     return {
         "settings": to_settings(settings),
@@ -115,7 +115,7 @@
 
 
 def read_settings_table(environ: Mapping[str, str]) -> Mapping[str, Any]:
-    """The configuration's settings as they are worded, for others to go over."""
+    """The settings object of the config file, unparsed, for callers that merge their own values into it."""
     try:
         found = json.loads(Path(environ[PREFIX + "CONFIG"]).read_bytes())["settings"]
     except (OSError, ValueError, LookupError, TypeError) as error:
@@ -133,7 +133,7 @@
 
 
 def _control(environ: Mapping[str, str], data: dict[str, Any]) -> Address | None:
-    """Where operators call, if anywhere."""
+    """Address of the control server, if configured."""
     if not environ.get(PREFIX + "CONTROL") and data.get("control") is None:
         return None
     return _address(environ, data, "control")
--- a/millgw/platform/descriptors.py
+++ b/millgw/platform/descriptors.py
@@ -1,16 +1,16 @@
-"""The one budget of descriptors, for callers' and endpoints' connections together."""
+"""File descriptor budget shared by caller and endpoint connections."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-RESERVED = 32  # descriptors for the process itself: log, loop, listener, discovery, and those just closing
-CALLERS_PART = 2 / 3  # of the others, that callers' connections may take: the rest is for endpoints' at least
-CALLS_FRACTION = 1 / 2  # of them, for open calls: each may need a second one, to its endpoint
+RESERVED = 32  # for the process itself: log, event loop, listener, discovery, and sockets that are closing
+CALLERS_PART = 2 / 3  # share of the rest for caller connections; the remainder is kept for endpoints
+CALLS_FRACTION = 1 / 2  # share of the rest for open calls: each may need another one, to its endpoint
 
 
 class Descriptors:
-    """Counts what both sides hold; a call that was taken goes before callers that ask nothing."""
+    """Counts descriptors of both sides; an accepted call has priority over idle caller connections."""
 
     def __init__(self, sockets: int) -> None:
         self.total = max(8, sockets - RESERVED)
@@ -20,12 +20,12 @@
         self.close_caller: Callable[[], bool] = bool
 
     def reserve(self, count: int) -> None:
-        """Keep so many more for the process itself."""
+        """Reserve `count` more descriptors for the process itself."""
         self.total = max(8, self.total - count)
         self.set_limit(self.total)
 
     def set_limit(self, limit: int) -> None:
-        """Hold no more than so many from now on: two processes of one sidecar share what there is."""
+        """Set the limit from now on: two processes of one sidecar split the total."""
         self.most = limit
         self.most_callers = int(CALLERS_PART * limit)
         self.most_calls = int(CALLS_FRACTION * limit)
@@ -37,7 +37,7 @@
         return self.in_use() >= self.most
 
     def make(self) -> bool:
-        """Have a caller that asks nothing give its descriptor back; tells whether there was one."""
+        """Close an idle caller connection to free its descriptor; returns whether there was one."""
         return self.close_caller()
 
     def full_of_callers(self) -> bool:
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: reads its lists and follows one watch at a time."""
+"""Discovery client: reads endpoint lists from a long-lived watch, one at a time."""
 
 from __future__ import annotations
 
@@ -21,13 +21,11 @@
 from millgw.platform.drain_memory import DrainMemory
 from millgw.settings import read_number
 
-SILENCE = 2.6  # s without a line after which a watch has failed: heartbeats come every 2 s
-FIRST_LINE = 3.4  # s until its first line: calls are worked through in turn, and turned away after 2 to 3 s
-AGENT_FIRST_LINE_TIMEOUT = (
-    0.2  # s for the same where lists are pushed: an agent on this machine answers at once
-)
-ABANDONED_WATCH_TIME = 6.0  # s that a watch is still read after a move: what it tells by then counts as told
-MOST_LEFT = 4  # watches that are still read after moves, the latest ones
+SILENCE = 2.6  # s without a line after which a watch has failed; heartbeats come every 2 s
+FIRST_LINE = 3.4  # s until the first line: discovery queues calls and rejects them after 2 to 3 s
+AGENT_FIRST_LINE_TIMEOUT = 0.2  # s for the same with a local agent, which answers at once
+ABANDONED_WATCH_TIME = 6.0  # s that a watch is still read after a move: drains on it count as told until then
+MOST_LEFT = 4  # watches still read after moves; the oldest is closed first
 MAX_LINE_SIZE = 8 * 1024 * 1024  # bytes of one line, far above the list of any fleet
 VERSION_PATTERN = re.compile(rb'"index"\s*:\s*(\d{1,18})\s*[,}]')
 CONDITIONS = {
@@ -39,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Listed:
-    """One entry: what the balancer is told of the endpoint, and where this sidecar reaches it."""
+    """A list entry: the endpoint for the balancer, and its address; None if it drains or is gone."""
 
     endpoint: Endpoint
     address: Address | None
@@ -47,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """One list or line of changes, without the entries that can't be read."""
+    """A full list or a line of changes, without entries that can't be read."""
 
     index: int
     complete: bool
@@ -58,12 +56,12 @@
 
 
 def endpoint_id(name: str) -> int:
-    """A number for a name: the same in every sidecar and after a restart, as the balancer's ring needs."""
+    """A numeric id for a name. Stable across sidecars and restarts, as the balancer's hash ring requires."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def read_listing(data: Any, zones: tuple[str, ...]) -> EndpointUpdate:
-    """A list from its JSON value; entries that can't be read are skipped and logged."""
+    """Parse a list from its JSON value; unreadable entries are skipped and logged."""
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), list):
         raise ValueError("not a list of endpoints")
     entries: list[Listed] = []
@@ -76,12 +74,12 @@
 
 
 def read_entry(raw: Any, zones: tuple[str, ...]) -> Listed:
-    """One entry of a list; a ValueError, TypeError, LookupError or AttributeError says that it is none."""
+    """Parse a list entry; raises ValueError, TypeError, LookupError or AttributeError if it is invalid."""
     name, condition = raw["name"], CONDITIONS.get(raw.get("status"))
     if not isinstance(name, str) or condition is None:
         raise ValueError(f"{name!r} has no known status")
     if condition is not Condition.READY:
-        # Guards against a drain that is missed for the sake of a field that a drain does not need.
+        # The other fields are not read: an invalid one must not hide a drain, which does not need it.
         return Listed(Endpoint(endpoint_id(name), condition), None)
     zone = raw.get("zone")
     endpoint = Endpoint(
@@ -96,9 +94,9 @@
 
 
 def salvage_drains(fragment: bytes) -> tuple[Listed, ...]:
-    """The drains and ends that can be read in a line that broke off or can't be read as a whole.
+    """The drains and removals readable in a line that was cut off or is not valid as a whole.
 
-    Only these: they make a sidecar more careful, and what else the line held is told again with its version.
+    Only these are taken, as they err on the safe side; the rest of the line is sent again with its version.
     """
     text = fragment.decode("utf-8", "replace")
     decoder = json.JSONDecoder()
@@ -109,25 +107,25 @@
             raw, position = decoder.raw_decode(text, position)
             entry = read_entry(raw, ())
         except (ValueError, TypeError, LookupError, AttributeError):
-            break  # what follows something that can't be read may be read wrongly too
+            break  # what follows unreadable text may be misread too
         if entry.address is None:
             found.append(entry)
     return tuple(found)
 
 
 def find_version(fragment: bytes) -> int:
-    """The version that a line tells which may not be whole; 0 where it does not come that far."""
+    """The version in a line that may be incomplete; 0 if it ends before the version."""
     found = VERSION_PATTERN.search(fragment)
     return 0 if found is None else int(found[1])
 
 
 def listed_as(listed: Listed, condition: Condition) -> Listed:
-    """An entry that says of its endpoint that it drains or is gone."""
+    """A copy of an entry with another condition (drains or is gone), without an address."""
     return Listed(replace(listed.endpoint, condition=condition), None)
 
 
 class Discovery:
-    """The list as last heard, and the watch that is on, if any. When to ask is the balancer's decision."""
+    """The last known list and the current watch, if any. The balancer decides when to subscribe."""
 
     def __init__(
         self, address: Address, zones: tuple[str, ...], on_update: Heard, first_line: float = FIRST_LINE
@@ -138,31 +136,31 @@
         self.on_update = on_update
         self.index: int | None = None
         self.watch: Watch | None = None
-        self.left: list[Watch] = []  # those before moves, of which drains are still taken, the oldest first
-        self.ready_ids: set[int] = set()  # the endpoints that the list holds as ready
+        self.left: list[Watch] = []  # watches from before moves, oldest first: their drains are still taken
+        self.ready_ids: set[int] = set()  # ids that the list has as ready
         self.drain_memory = DrainMemory()
         self.connecting: asyncio.Task[None] | None = None
 
     def start(self, known: Any) -> None:
-        """Take the list that this sidecar had before its start, if there is one and it can be read."""
+        """Start from the list given in the configuration, if there is one and it can be read."""
         try:
-            listing = EndpointUpdate(0, False, ()) if known is None else read_listing(known, self.zones)
+            update = EndpointUpdate(0, False, ()) if known is None else read_listing(known, self.zones)
         except ValueError as error:
             log_event("known-unusable", cause=error)
-            known, listing = None, EndpointUpdate(0, False, ())
+            known, update = None, EndpointUpdate(0, False, ())
         if known is None:
-            self._notify(ListKind.CACHED, ())  # otherwise the balancer hears nothing and never asks
+            self._notify(ListKind.CACHED, ())  # without any update the balancer would never subscribe
             return
-        self.index = listing.index
-        self._notify(ListKind.CACHED, listing.entries)
+        self.index = update.index
+        self._notify(ListKind.CACHED, update.entries)
 
     def adopt(self, index: int | None, entries: tuple[Listed, ...]) -> None:
-        """Take the list as another process of this sidecar had it a moment ago, in place of `start`."""
+        """Start from the list of the predecessor process; called in place of `start`."""
         self.index = index
         self._notify(ListKind.CACHED, entries)
 
     def subscribe(self) -> None:
-        """Watch from the version that is known; a watch that is on or asked for ends."""
+        """Open a watch from the known version, and close the current one or the pending connect."""
         if self.connecting is not None:
             self.connecting.cancel()
         if self.watch is not None:
@@ -174,7 +172,7 @@
         self.connecting = asyncio.get_running_loop().create_task(self._connect(self.watch))
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """Close all watches."""
         if self.connecting is not None:
             self.connecting.cancel()
         for watch in (self.watch, *self.left):
@@ -184,7 +182,7 @@
         self.left.clear()
 
     def move(self, address: Address) -> None:
-        """Go on at another address from the version that is known; the list and all learned of it stay."""
+        """Switch to another address, from the known version; the list and the learned state are kept."""
         if address != self.address:
             log_event("discovery-moves", before=self.address, to=address)
             self.address = address
@@ -194,9 +192,9 @@
             self._notify(ListKind.MOVED, ())
 
     def _abandon(self, watch: Watch) -> None:
-        """Read a watch on for its drains, also one that has yet to be answered.
+        """Keep reading a replaced watch for its drains, even one without an answer yet.
 
-        What discovery writes there counts as told, and the next one may know it later.
+        Drains that discovery writes there count as told, and the new server may learn of them later.
         """
         self.watch = None
         self.left.append(watch)
@@ -205,7 +203,7 @@
             self.left.pop(0).leave()
 
     def figures(self) -> dict[str, object]:
-        """Nothing more than the pool's own, for the log."""
+        """Additional figures for the pool's log line: none."""
         return {}
 
     async def _connect(self, watch: Watch) -> None:
@@ -218,10 +216,10 @@
             self.watch_failed(watch, str(error), ListKind.NOT_MADE)
 
     def take_fragment(self, fragment: bytes) -> None:
-        """Take what tells of drains in a line that broke off, can't be read, or came on a watch left behind.
+        """Take the drains from a line that was cut off, can't be read, or came on an abandoned watch.
 
-        The version known stays, so all of it is told again. Otherwise drains that discovery has begun to tell
-        would be missed: they count as told, however the line ends.
+        Drains that discovery has begun to send count as told however the line ends, so they must not be
+        missed. The known version stays, so the whole line is sent again.
         """
         drains = self._unlisted_endpoints(fragment) or salvage_drains(fragment)
         for drain in drains:
@@ -233,38 +231,38 @@
             self._notify(ListKind.PARTIAL, drains)
 
     def _unlisted_endpoints(self, fragment: bytes) -> tuple[Listed, ...]:
-        """The drains that a whole list of this version or a later one tells by not naming an endpoint."""
+        """Removals implied by a complete list, not older than the known version, that omits endpoints."""
         try:
-            listing = read_listing(json.loads(fragment), self.zones)
+            update = read_listing(json.loads(fragment), self.zones)
         except ValueError:
             return ()
-        if not listing.complete or listing.index < (self.index or 0):
+        if not update.complete or update.index < (self.index or 0):
             return ()
-        ready = {e.endpoint.id for e in listing.entries if e.address is not None}
+        ready = {e.endpoint.id for e in update.entries if e.address is not None}
         return tuple(Listed(Endpoint(id, Condition.GONE), None) for id in self.ready_ids - ready)
 
     def take_line(self, line: bytes, advance: bool) -> None:
-        """Take one line of the watch; a ValueError tells that it can't be read."""
-        listing = read_listing(json.loads(line), self.zones)
+        """Process one line of the watch; raises ValueError if it can't be read."""
+        update = read_listing(json.loads(line), self.zones)
         if advance:
-            self.index = listing.index
+            self.index = update.index
         log_event(
             "list-heard",
             discovery=self.address,
-            index=listing.index,
-            whole=str(listing.complete).lower(),
-            entries=len(listing.entries),
+            index=update.index,
+            whole=str(update.complete).lower(),
+            entries=len(update.entries),
         )
-        now, index = time.monotonic(), listing.index
+        now, index = time.monotonic(), update.index
         entries = tuple(
             e
-            for e in listing.entries
+            for e in update.entries
             if e.address is None or not self.drain_memory.contradicts(e.endpoint.id, index, now)
         )
-        self._notify(ListKind.FULL if listing.complete else ListKind.DELTA, entries)
+        self._notify(ListKind.FULL if update.complete else ListKind.DELTA, entries)
 
     def take_heartbeat(self) -> None:
-        """The watch is on, and nothing has changed."""
+        """The watch is alive and nothing has changed."""
         self._notify(ListKind.DELTA, ())
 
     def _notify(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
@@ -278,7 +276,7 @@
         self.on_update(kind, entries)
 
     def watch_failed(self, watch: Watch, why: str, kind: ListKind = ListKind.FAILED) -> None:
-        """Tell the balancer once for each watch that ends by itself, or falls silent."""
+        """Handle the end or silence of a watch; notify the balancer once, and only of the current watch."""
         if watch in self.left:
             self.left.remove(watch)
             watch.leave()
@@ -292,27 +290,25 @@
 
 
 def of_platform(config: Config, on_update: Heard) -> Discovery:
-    """The platform's own: a service for all sidecars, or where lists are pushed an agent on this machine."""
+    """The platform's discovery: a service shared by all sidecars, or a local agent where lists are pushed."""
     first_line = FIRST_LINE if config.settings.ask_discovery else AGENT_FIRST_LINE_TIMEOUT
     return Discovery(config.discovery, config.zones, on_update, first_line)
 
 
 class Watch(asyncio.Protocol):
-    """One watch: an answer that stays open, cut into lines wherever the reads fall."""
+    """A watch: a response that stays open, split into lines independently of how reads fall."""
 
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
         self.parser = httptools.HttpResponseParser(self)
         self.transport: asyncio.Transport | None = None
-        self.requested_at = self.last_read_at = (
-            time.monotonic()
-        )  # s, when it was asked for and last brought anything
+        self.requested_at = self.last_read_at = time.monotonic()
         self.connected = False
-        self.answered = False  # whether an answer has begun that is none that turns it away
+        self.answered = False  # a 200 answer has begun
         self.stopped = False
         self.end_cause = ""
-        self.has_list = False  # whether a list or changes have come: heartbeats before those tell nothing
-        self.has_gap = False
+        self.has_list = False  # a list or changes were read; heartbeats before that carry no information
+        self.has_gap = False  # a line could not be read
         self.silence_timer: asyncio.TimerHandle | None = None
         self.buffer = bytearray()
 
@@ -324,7 +320,7 @@
             self.transport.abort()
 
     def leave(self) -> None:
-        """End it, and take the drains of what has come: also half a line, and what waits in the socket.
+        """Close the watch, and take the drains of a partial line and of unread data in the socket.
 
         All of that was written to this sidecar, so it counts as told.
         """
@@ -337,7 +333,7 @@
         self.stop()
 
     def log_end(self, cause: str) -> None:
-        """Log why it has ended, and how it had gone until then."""
+        """Log why the watch ended, with its timing."""
         now = time.monotonic()
         log_event(
             "watch-ended",
@@ -349,11 +345,11 @@
         )
 
     def set_silence_timeout(self, timeout: float) -> None:
-        """Guards against a discovery that is cut off: its connection stays open and says nothing."""
+        """Fail the watch if no line comes in time: a partitioned discovery leaves the connection open."""
         if self.silence_timer is not None:
             self.silence_timer.cancel()
         self.silence_timer = asyncio.get_running_loop().call_later(
-            timeout, self.discovery.watch_failed, self, "silent past its time", ListKind.SILENT
+            timeout, self.discovery.watch_failed, self, "no data within the timeout", ListKind.SILENT
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -372,14 +368,14 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self.end_cause = self.end_cause or f"malformed answer: {error}"
+            self.end_cause = self.end_cause or f"malformed HTTP response: {error}"
         *lines, self.buffer = self.buffer.split(b"\n")
         for line in lines:
             self._take_line(bytes(line))
         if len(self.buffer) > MAX_LINE_SIZE:
-            self.end_cause = "a line is too long"
+            self.end_cause = "line too long"
         if self.end_cause:
-            # Only now: what came before the end, in the same read, has been told and counts for drains.
+            # Only now: lines before the end in the same read were told, and their drains count.
             self.discovery.watch_failed(self, self.end_cause, self._end_kind())
 
     def _take_line(self, line: bytes) -> None:
@@ -397,10 +393,10 @@
             self.discovery.take_line(line, advance=not self.has_gap)
             self.has_list = True
         except ValueError as error:
-            # Guards against a change that is missed: what this line held is asked for again. The lines
-            # after it are taken, but don't count as heard.
+            # The known version stops here, so that this line's changes are sent again and not missed. The
+            # lines after it are applied without advancing the version.
             self.has_gap = True
-            self.end_cause = f"a line can't be read: {error}"
+            self.end_cause = f"unreadable line: {error}"
             self.discovery.take_fragment(line)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -409,7 +405,7 @@
     def _end_kind(self) -> ListKind:
         return ListKind.BROKEN_OFF if self.answered else ListKind.FAILED
 
-    # httptools
+    # Callbacks of httptools
 
     def on_headers_complete(self) -> None:
         self.answered = self.parser.get_status_code() == 200
@@ -421,4 +417,4 @@
     def on_message_complete(self) -> None:
         if self.buffer.strip():
             self.buffer += b"\n"
-        self.end_cause = f"answered {self.parser.get_status_code()} and ended"
+        self.end_cause = f"response with status {self.parser.get_status_code()} ended"
--- a/millgw/platform/drain_memory.py
+++ b/millgw/platform/drain_memory.py
@@ -1,27 +1,27 @@
-"""Drains that were read ahead of their version: an older list must not bring their endpoints back. Pure.
+"""Drains read ahead of their list version, so that an older list does not bring the endpoint back. No I/O.
 
-A drain may be read out of a line that broke off, or on a watch that was left for another discovery. The
-version known stays as it was then, and the next list may come from a discovery that is behind.
+A drain may be read from a line that was cut off, or on a watch that was abandoned for another discovery
+server. The known version does not advance then, and the next list may come from a server that lags behind.
 """
 
 from __future__ import annotations
 
-DRAIN_MEMORY_TIME = 60.0  # s: no list is late by more, and versions may have been counted anew since
+DRAIN_MEMORY_TIME = 60.0  # s: lists are never later than this, and versions may have restarted since
 
 
 class DrainMemory:
-    """Which endpoints drained, at which version at the least, and until when that is remembered (s)."""
+    """Drained endpoints: lower bound of the drain's version, and when the entry expires (monotonic s)."""
 
     def __init__(self) -> None:
         self.drains: dict[int, tuple[int, float]] = {}
 
     def record(self, endpoint: int, version: int, now: float) -> None:
-        """A drain was read; `version` is that of its line, or one more than the version known."""
+        """Record a drain. `version` is that of its line, or the known version plus one."""
         before, _ = self.drains.get(endpoint, (version, 0.0))
         self.drains[endpoint] = (max(before, version), now + DRAIN_MEMORY_TIME)
 
     def contradicts(self, endpoint: int, version: int, now: float) -> bool:
-        """Whether a list of this version names an endpoint as ready that is known to have drained later."""
+        """Whether a list of this version that has the endpoint as ready is older than its recorded drain."""
         known = self.drains.get(endpoint)
         if known is None:
             return False
--- a/millgw/sidecar/__init__.py
+++ b/millgw/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, clock and timers round the one `Balancer`."""
+"""The sidecar process: sockets, clock and timers around the `Balancer` decision module."""
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""Start and end of a sidecar: puts the parts together, reloads, and leaves in order when it is told to."""
+"""Process entry point of a sidecar: startup, reload on SIGHUP and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 if TYPE_CHECKING:
     from millgw.sidecar.operators import ControlInterface
 
-LONGEST = 3.0  # s of a deadline that SIGKILL waits for at the most, and a little more than ANSWER_WITHIN
-ANSWER_WITHIN = 0.3  # s more by which all is answered
-SERVE_PART = 0.6  # of the time after SIGTERM, for which requests are taken: the rest is for answering them
-FLUSH_TIME = 0.2  # s that answers may take to be read before the process ends
-FLUSH_POLL_INTERVAL = 0.02  # s between two looks meanwhile for connections on which nothing is asked
-READINESS_POLL_INTERVAL = 0.02  # s between two looks whether calls can be served
-SHUTDOWN_POLL_INTERVAL = 0.05  # s between two looks whether all is answered
+LONGEST = 3.0  # s, cap on the deadline waited for: with ANSWER_WITHIN it ends shortly before SIGKILL
+ANSWER_WITHIN = 0.3  # s added to that within which every call is answered
+SERVE_PART = 0.6  # share of the time after SIGTERM in which requests are accepted; the rest is for answering
+FLUSH_TIME = 0.2  # s for callers to read the last answers before the process exits
+FLUSH_POLL_INTERVAL = 0.02  # s between checks for idle connections during that time
+READINESS_POLL_INTERVAL = 0.02  # s between checks whether calls can be served
+SHUTDOWN_POLL_INTERVAL = 0.05  # s between checks whether every call is answered
 
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
-LOG_VARIABLE = "BALANCER_LOG"  # how events are told: text or json
+LOG_VARIABLE = "BALANCER_LOG"  # log format: text or json
 
 
 async def serve(config: Config, environ: Mapping[str, str] = os.environ) -> None:
@@ -47,7 +47,7 @@
     )
     control: ControlInterface | None = None
     if config.control is not None:
-        # Only here: without a door nothing of it is loaded.
+        # Imported here so that a sidecar without a control address does not load it.
         from millgw.sidecar.operators import ControlInterface
 
         control = ControlInterface(config, config.control, environ, parts)
@@ -85,18 +85,18 @@
 
 
 async def watch(parts: Parts) -> None:
-    """Keep `life.able` true to what the pools have."""
+    """Keep `Lifecycle.able` up to date: whether any pool has an endpoint ready."""
     while True:
         parts.lifecycle.able = any(pool.driver.ready for pool in parts.pools())
         await asyncio.sleep(READINESS_POLL_INTERVAL)
 
 
 async def shut_down(parts: Parts, control: ControlInterface | None) -> None:
-    """Serve on for a while, answer all that was taken, and be gone before SIGKILL.
+    """Keep serving for a while, answer every accepted request, and exit before SIGKILL.
 
-    Serving on guards against a rolling restart whose next sidecar leaves before the last one is back: for
-    clients that hold a connection it is the only one there is. /ready tells the front to go elsewhere. Where
-    another process has taken over, or clients were sent away before, nobody needs it.
+    In a rolling restart the next sidecar may leave before the previous one is back, and clients that hold a
+    connection to this one have no other. /ready tells the front proxy to go elsewhere. The extra serving time
+    is skipped where another process has taken over or the sidecar was drained before.
     """
     if parts.peers is not None:
         parts.peers.stop()
@@ -112,22 +112,22 @@
     if not has_successor or control is None or not control.steered:
         for server in servers:
             server.stop()
-    # Else its listeners stay: nothing comes there, unless the other process dies.
+    # Otherwise the listeners stay open: they get no connections unless the successor dies.
     try:
         async with asyncio.timeout(remaining):
             while any(server.held() for server in servers) or not all(server.closed for server in servers):
                 await asyncio.sleep(SHUTDOWN_POLL_INTERVAL)
                 if has_successor and parts.intents is not None and parts.intents.idle():
-                    parts.intents.stop()  # the other process waits for the store
+                    parts.intents.stop()  # the successor waits for the store
                 if lifecycle.closes_idle(time.monotonic()):
                     for server in servers:
                         server.close_idle()
                 if not any(server.held() for server in servers):
                     for server in servers:
-                        server.stop()  # takes what has connected meanwhile, if anything
+                        server.stop()  # also accepts connections still in the backlog
     except TimeoutError:
         log_event("ended-unserved", requests=sum(len(p.driver.calls) for p in parts.pools()))
-        lifecycle.over = True  # guards against calls that the process would not live to answer
+        lifecycle.over = True  # refuse calls that could not be answered before the exit
         for pool in parts.pools():
             pool.driver.fail_all()
         for server in servers:
@@ -140,8 +140,8 @@
 
 
 def main() -> int:
-    # Guards against signals before there are handlers, which would end the process: they wait for these.
-    # Before any thread is started, as a thread has the mask of its starter.
+    # Without the block, a signal that arrives before its handler is installed ends the process; blocked
+    # signals stay pending until then. Done before any thread starts, as threads inherit the mask.
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
     try:
         start_log(os.environ.get(LOG_VARIABLE) or "text")
--- a/millgw/sidecar/commands.py
+++ b/millgw/sidecar/commands.py
@@ -1,4 +1,4 @@
-"""What a daemon's environment carries out without the command line's library: `serve` and `version`."""
+"""The commands `serve` and `version`, parsed without click, which a daemon's environment may not have."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def run_daemon_command(arguments: Sequence[str]) -> int | None:
-    """Carry out `serve [--operator FILE] [--log KIND]` or `version`; None for any other command line.
+    """Run `serve [--operator FILE] [--log KIND]` or `version`; None for any other command line.
 
-    What is not plainly one of these (`serve --help`, a misspelt option) is left to the whole command line.
+    Anything else (`serve --help`, a misspelt option) is left to the full command line parser.
     """
     if list(arguments) == ["version"]:
         print(describe())
@@ -27,14 +27,14 @@
 
 
 def describe() -> str:
-    """Which version this is, and whether compiled modules serve."""
+    """The version, and whether compiled modules are in use."""
     from millgw import VERSION, compiled
 
     return f"otterslip {VERSION}, {compiled.describe()}"
 
 
 def serve(operator: str | None, log: str | None) -> int:
-    """Be one sidecar until it is told to end; the exit code. None leaves what the environment says."""
+    """Run one sidecar until it is stopped; returns the exit code. None keeps the environment's value."""
     from millgw.sidecar.__main__ import LOG_VARIABLE, main
     from millgw.sidecar.parts import OPERATOR_VARIABLE
 
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -1,4 +1,4 @@
-"""What is there for operators only: the door with its calls, and upgrades. Loaded where a door is told."""
+"""Control server and hot restart of one process. Loaded only where a control address is configured."""
 
 from __future__ import annotations
 
@@ -21,15 +21,13 @@
 from millgw.sidecar.parts import Parts, class_names
 
 JSON_HEADER = b"Content-Type: application/json\r\n"
-TAKEOVER_POLL_INTERVAL = 0.02  # s between two looks whether this process can take over
-PROCESS_POLL_INTERVAL = 0.2  # s between two looks whether the other process is still there
-MAX_MISSED_POLLS = (
-    2  # looks in a row that the process after does not answer: one may meet a full queue at its door
-)
+TAKEOVER_POLL_INTERVAL = 0.02  # s between checks whether this process can take over
+PROCESS_POLL_INTERVAL = 0.2  # s between checks whether the other process still runs
+MAX_MISSED_POLLS = 2  # failed checks in a row: a single one may have met a full backlog of the successor
 
 
 class ControlInterface:
-    """The door of one process, the process before it and the one after it."""
+    """The control server of one process, and its links to the predecessor and the successor process."""
 
     def __init__(self, config: Config, control: Address, environ: Mapping[str, str], parts: Parts) -> None:
         self.config = config
@@ -52,8 +50,8 @@
         self.old_process = (
             None if self.handover_path is None else old_process.find_old_process(self.handover_path, control)
         )
-        self.old_process_task: asyncio.Task[None] | None = None  # while the process before runs
-        self.successor_task: asyncio.Task[None] | None = None  # while the process after runs
+        self.old_process_task: asyncio.Task[None] | None = None  # while the predecessor runs
+        self.successor_task: asyncio.Task[None] | None = None  # while the successor runs
         self.server = ControlServer(control, calls)
         self.server.start()
 
@@ -68,11 +66,11 @@
 
     @property
     def steered(self) -> bool:
-        """Whether the process that took over has all new connections."""
+        """Whether the kernel gives all new connections to the successor."""
         return self.new_process.steered
 
     async def start_pools(self, stop: asyncio.Event) -> None:
-        """Have the pools begin; where another process serves, only return when this one can take over."""
+        """Start the pools; if a predecessor serves, return only when this process can take over."""
         if self.old_process is None:
             self.parts.begin(None)
             return
@@ -87,16 +85,16 @@
         while not stop.is_set():
             pools = self.parts.pools()
             knows_endpoints = any(pool.driver.ready for pool in pools)
-            heard = all(not pool.driver.balancer.discovery.disconnected() for pool in pools)
-            if limits.may_serve(knows_endpoints, heard, time.monotonic() - started_at):
+            heard_from_discovery = all(not pool.driver.balancer.discovery.disconnected() for pool in pools)
+            if limits.may_serve(knows_endpoints, heard_from_discovery, time.monotonic() - started_at):
                 return
             await asyncio.sleep(TAKEOVER_POLL_INTERVAL)
 
     async def announce(self) -> None:
-        """This process listens: have all new connections, leave word for the next, tell the one before.
+        """Steer new connections to this process, publish how to reach it, and notify the predecessor.
 
-        Returns when that one has heard, or can't be told: SIGTERM may reach it as soon as this one says yes,
-        and it must know by then that nobody needs it any more.
+        Called once this process listens. Returns when the predecessor has acknowledged or can't be reached:
+        it may get SIGTERM as soon as this process reports ready, and has to know its successor by then.
         """
         steered = self.old_process is not None and all(steer(s.socket) for s in self.parts.servers())
         self._publish_handover()
@@ -105,7 +103,7 @@
             self.old_process_task = asyncio.create_task(self._watch_old_process(self.old_process))
 
     def _publish_handover(self) -> None:
-        """Have the next process find this one."""
+        """Write the file by which a successor finds this process."""
         if self.handover_path is not None:
             try:
                 self.new_process.token = old_process.publish_handover(self.handover_path, self.control)
@@ -120,12 +118,12 @@
         log_event("alone", control=old.control)
 
     def _apply_share(self, descriptor_limit: int, paired: bool) -> None:
-        """Hold so many descriptors, and cold endpoints' allowances together with another process or alone."""
+        """Set the descriptor limit, and share cold endpoints' allowances with another process if `paired`."""
         self.parts.descriptors.set_limit(descriptor_limit)
         for pool in self.parts.pools():
             pool.driver.balancer.pair(paired)
 
-    # The process after
+    # The successor
 
     async def has_successor(self) -> bool:
         return await asyncio.to_thread(self.new_process.is_running)
@@ -138,7 +136,7 @@
         self.successor_task = asyncio.create_task(self._watch_successor())
 
     async def _watch_successor(self) -> None:
-        """Take everything back if the process after dies before this one has left."""
+        """Reclaim the full limits if the successor dies before this process has exited."""
         missed = 0
         while missed < MAX_MISSED_POLLS:
             await asyncio.sleep(PROCESS_POLL_INTERVAL)
@@ -150,7 +148,7 @@
         self._publish_handover()
 
     def _reclaim_if_alone(self) -> None:
-        """Have all there is, unless one more process of this sidecar runs beside: upgrades may overlap."""
+        """Reclaim the full limits unless another process of this sidecar still runs: upgrades may overlap."""
         if self.old_process_task is None and self.successor_task is None:
             self._apply_share(self.parts.descriptors.total, paired=False)
 
@@ -163,9 +161,9 @@
         if len(pools) == 1 and isinstance(source, Discovery):
             index, endpoints = source.index, driver.entries()
             learned = export_learned(driver.balancer) | {"classes": class_names(pools[0].settings)}
-        life, held = self.parts.lifecycle, self.parts.descriptors.in_use()
+        lifecycle, held = self.parts.lifecycle, self.parts.descriptors.in_use()
         return encode(
-            State(time.time() * 1000, self.config.name, index, endpoints, life.drained, held, learned)
+            State(time.time() * 1000, self.config.name, index, endpoints, lifecycle.drained, held, learned)
         )
 
     def stop(self) -> None:
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -1,4 +1,4 @@
-"""A sidecar put together: with one pool for all requests, or with the services of an operator's file."""
+"""Assembles a sidecar: one pool for all requests, or the services of an operator file."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     from millgw.peers.node import Peers
     from millgw.services.node import Node
 
-OPERATOR_VARIABLE = "BALANCER_OPERATOR"  # names the operator's file
+OPERATOR_VARIABLE = "BALANCER_OPERATOR"  # path of the operator file
 
 
 @dataclass(slots=True, frozen=True)
 class Parts:
-    """The callers' sides (one for each listener), the pools whose calls they take, what a SIGHUP does.
+    """The assembled components: a server for each listener, the pools, and the SIGHUP handler.
 
-    `begin` is called once, before anybody listens; with what another process of this sidecar knew, if any.
+    `begin` is called once before the servers listen, with the state of the predecessor process, if any.
     """
 
     servers: Callable[[], Sequence[Server]]
@@ -42,9 +42,9 @@
     lifecycle: Lifecycle
     descriptors: Descriptors
     begin: Callable[[State | None], None]
-    intents: Intents | None = None  # what marks unsafe calls before they are sent, where that is wanted
-    peers: Peers | None = None  # what goes between this sidecar and others, where it does
-    configuration: Client | None = None  # what follows the distributed configuration, where that is wanted
+    intents: Intents | None = None  # records unsafe calls before they are sent, if enabled
+    peers: Peers | None = None  # exchange with other sidecars, if enabled
+    configuration: Client | None = None  # distributed configuration, if enabled
 
 
 def assemble_single_pool(
@@ -65,7 +65,7 @@
     )
     pool = Pool(
         "", config, config.seed, descriptors, process_limits,
-        lambda heard, _: of_platform(config, heard), locality=locality,
+        lambda on_update, _: of_platform(config, on_update), locality=locality,
     )  # fmt: skip
     if configure_pool is not None:
         configure_pool(pool)
@@ -79,20 +79,21 @@
 
 
 def class_names(settings: Settings) -> list[str]:
-    """The settings' classes in their order, by which what was learned of them is told."""
+    """Names of the request classes in the order by which learned state refers to them."""
     return [c.name for c in settings.classes]
 
 
 def _start_pool(config: Config, pool: Pool, state: State | None) -> None:
     names = class_names(config.settings)
     if state is not None and state.learned.get("classes", names) != names:
-        # Guards against what was learned by other settings, or by another deployment's sidecar of this name.
-        log_event("handover-unusable", cause="it is of other classes")
+        # Learned under other settings, or by a sidecar of the same name in another deployment: class indexes
+        # would refer to other classes.
+        log_event("handover-unusable", cause="its request classes differ")
         state = None
     if state is None:
         pool.start(config.known)
         return
-    # Only here: a process that takes over from none needs nothing of it.
+    # Imported here: not needed without a predecessor.
     from millgw.hot_restart.learned import adopt_learned
 
     balancer = pool.driver.balancer
@@ -106,7 +107,7 @@
 
 
 async def several(config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
-    # Only here: an operator's file that is not given must cost nothing.
+    # Imported here so that a sidecar without an operator file does not load it.
     try:
         from millgw.services.node import Node
     except ModuleNotFoundError as missing:
@@ -121,20 +122,20 @@
 
 
 def _assemble_services(node: Node, lifecycle: Lifecycle) -> Parts:
-    # Services start as any other process does: what their pools have learned does not go over yet.
+    # The learned state of services' pools is not handed over yet: they start without it.
     return Parts(*node.open(), lifecycle, node.shared, lambda _: None)
 
 
 async def _assemble_with_configuration(
     node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
 ) -> Parts:
-    """The same where the distributed configuration is followed, which comes before the pools."""
+    """Assemble with the distributed configuration, which has to be read before the pools are built."""
     from millgw.configuration.single import SinglePool
     from millgw.services.parts import configuration
 
     single = None if node.operator.services else SinglePool(node.filed, environ, node.path)
     client = configuration(node.operator, config, single or node)
-    assert client is not None, "the file has the table"
+    assert client is not None, "the operator file has a [configuration] table"
     try:
         entries = await client.begin()
         node.start_with(entries)
@@ -154,7 +155,7 @@
 
 
 def _with_peers_and_intents(node: Node, config: Config, parts: Parts) -> Parts:
-    """With what the operator's file has beside the pools."""
+    """Add the peer exchange and the intent log of the operator file, and reserve their descriptors."""
     from millgw.services.parts import peers
 
     parts = replace(parts, peers=peers(node.operator, config, parts.pools), intents=node.intents)
@@ -167,7 +168,7 @@
 def _assemble_node_pool(
     node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
 ) -> Parts:
-    """One pool for all requests, with what the operator's file has for it."""
+    """One pool for all requests, with the options of the operator file."""
     from millgw.services.parts import locality
 
     chosen_locality = locality(node.operator, config, config.seed)
@@ -177,7 +178,7 @@
 
 
 def _apply_operator_options(node: Node, config: Config, pool: Pool) -> None:
-    """Give the one pool what the operator's file has for it."""
+    """Apply the operator file's connection and intent options to the single pool."""
     from millgw.services.parts import attach
 
     node.tended = attach(pool, node.operator.tends(), config, config.seed)
@@ -185,7 +186,7 @@
 
 
 class Reload:
-    """Reads the configuration again at each SIGHUP and applies what may change in service: `discovery`."""
+    """SIGHUP handler: rereads the configuration and applies `discovery`, the only field that can change."""
 
     def __init__(self, environ: Mapping[str, str], config: Config, discovery: Discovery) -> None:
         self.environ = environ
@@ -197,7 +198,7 @@
         try:
             self.config = read_config(self.environ, before)
         except ConfigError as error:
-            # Guards against a file that is half written or wrong: the sidecar serves on with what it has.
+            # A file that is half written or invalid must not stop the sidecar, which keeps the old one.
             log_event("reload-refused", cause=error)
             return
         for name in ("name", "listen", "sockets", "settings"):
@@ -207,6 +208,6 @@
         self.move_discovery(self.config)
 
     def move_discovery(self, config: Config) -> None:
-        """Go on at the discovery of another configuration."""
+        """Switch to the discovery address of another configuration."""
         self.config = config
         self.discovery.move(config.discovery)
