--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A sidecar on loopback sockets, with the scripted stand-ins round it."""
+"""Test fixture: a sidecar in this process on loopback sockets, with scripted peers."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedDiscoveryServer, ScriptedEndpoint, chunk, read_message
 
-LIMIT = 30.0  # s that a test may wait for anything: far over what it takes on a busy machine
+LIMIT = 30.0  # s, limit for a whole test: far above what one takes on a busy machine
 BLOCKED_LOOP_TIMEOUT = (
     3 * LIMIT
-)  # s after which a test that never lets the loop turn ends the whole run, with its traceback
-PATIENCE = 20_000  # ms of a request that is not about time
-STALL_POLL_INTERVAL = 0.005  # s between two looks of a test at its own loop
-HEARTBEAT_INTERVAL = 0.5  # s between two empty lines of a watch
+)  # s after which a test that blocks the event loop aborts the run with a traceback
+PATIENCE = 20_000  # ms, deadline of requests whose timing is not tested
+STALL_POLL_INTERVAL = 0.005  # s between checks of the event loop for stalls
+HEARTBEAT_INTERVAL = 0.5  # s between empty lines of a watch
 trace_ids = itertools.count(1)
 
 SETTINGS: dict[str, Any] = {
@@ -47,7 +47,7 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]], waits: float = 0.0) -> None:
-    """Run one test on the loop that the sidecar runs on, with a limit on its time beside its `waits` (s)."""
+    """Run a test on the event loop type that the sidecar uses, limited to `LIMIT` + `waits` seconds."""
 
     async def limited() -> None:
         async with asyncio.timeout(LIMIT + waits):
@@ -61,14 +61,14 @@
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Wait for something that no event tells of."""
+    """Poll until a condition holds that no event announces."""
     while not holds():
         await asyncio.sleep(0.005)
 
 
 @asynccontextmanager
 async def stalls(over: float) -> AsyncIterator[list[float]]:
-    """For how long (s) the loop stood still, each time that it did for `over` or more."""
+    """Collect the stalls (s) of the event loop that last `over` seconds or more."""
     loop = asyncio.get_running_loop()
     seen: list[float] = []
 
@@ -87,7 +87,7 @@
 
 
 async def heartbeats(watch: asyncio.StreamWriter, seconds: float) -> None:
-    """Have a watch say for so long that nothing changes."""
+    """Send heartbeats on a watch for that many seconds."""
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
         watch.write(chunk(b"\n"))
@@ -101,7 +101,7 @@
     target: str = "/api?k=7",
     **headers: str,
 ) -> bytes:
-    """A caller's request; a header given as '' is left out."""
+    """Encode a caller's request; a header given as '' is left out."""
     all_headers = {
         "Host": "app.svc",
         "X-Trace-Id": f"{next(trace_ids):016x}",
@@ -139,7 +139,7 @@
 
 
 class Reachable:
-    """A sidecar that callers can ask at `listen`."""
+    """A sidecar that callers reach at `listen`."""
 
     listen: Address
 
@@ -164,14 +164,14 @@
 
 @asynccontextmanager
 async def sidecar(*endpoints: ScriptedEndpoint, **changes: Any) -> AsyncIterator[Rig]:
-    """A sidecar in service, which knows these endpoints."""
+    """A running sidecar that starts with these endpoints."""
     discovery = ScriptedDiscoveryServer()
     await discovery.start()
     for endpoint in endpoints:
         await endpoint.start()
     made = config(list(endpoints), discovery.address, **changes)
     task = asyncio.create_task(serve(made))
-    await asyncio.sleep(0)  # it listens before its first wait
+    await asyncio.sleep(0)  # the sidecar listens before it first yields to the event loop
     try:
         yield Rig(made, discovery, task)
     finally:
@@ -181,7 +181,7 @@
 
 
 class Services(Reachable):
-    """A sidecar in service with an operator's file."""
+    """A running sidecar with an operator file."""
 
     def __init__(self, folder: Path, text: str, discovery: str, control: Address | None = None) -> None:
         self.folder = folder
--- a/tests/sidecar_process.py
+++ b/tests/sidecar_process.py
@@ -1,4 +1,4 @@
-"""A sidecar in a process of its own, beside a scripted discovery server and scripted endpoints."""
+"""Test fixture: a sidecar in its own process, with a scripted discovery server and scripted endpoints."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @dataclass
 class DrainingEndpoint:
-    """An endpoint that serves on while it drains; `healthy` is what it then says to a health probe."""
+    """An endpoint that keeps serving while it drains; `healthy` is its answer to health probes then."""
 
     scripted: ScriptedEndpoint
     healthy: bool = False
     draining: bool = False
-    calls: list[float] = field(default_factory=list)  # when each came, monotonic
+    calls: list[float] = field(default_factory=list)  # arrival times, monotonic s
 
     async def answer(self, message: Message, _: ScriptedEndpoint) -> bytes:
         if message.first.startswith("GET /health"):
@@ -44,14 +44,14 @@
 
 @dataclass
 class SidecarProcess:
-    """Where the process listens, its id, and the discovery server that it asks."""
+    """The process: its listen address, id and discovery server."""
 
     listen: Address
     pid: int
     discovery: ScriptedDiscoveryServer
 
     async def call(self) -> int:
-        """One call; the status of its answer."""
+        """Send one call; returns the status of its answer."""
         reader, writer = await asyncio.open_connection(self.listen.host, self.listen.port)
         try:
             writer.write(request("read", patience=3000))
@@ -64,7 +64,7 @@
 async def sidecar_process(
     folder: Path, endpoints: list[ScriptedEndpoint], **limits: Any
 ) -> AsyncIterator[SidecarProcess]:
-    """The process, ready to be called, with `limits` in its settings; it ends with the context."""
+    """Run the process with `limits` in its settings until the context ends."""
     discovery = ScriptedDiscoveryServer()
     await discovery.start()
     for endpoint in endpoints:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The door for operators: its calls, its figures, and draining."""
+"""The control server: request parsing, its calls, the metrics it reports, and draining."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
 
 
-async def call(door: Address, method: str, path: str) -> tuple[int, bytes]:
-    reader, writer = await asyncio.open_connection(door.host, door.port)
+async def call(control: Address, method: str, path: str) -> tuple[int, bytes]:
+    reader, writer = await asyncio.open_connection(control.host, control.port)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n".encode())
     answer = await reader.read()
     writer.close()
@@ -40,8 +40,8 @@
     return int(head.split()[1]), body
 
 
-async def figures(door: Address) -> dict[str, Any]:
-    code, body = await call(door, "GET", "/-/metrics")
+async def figures(control: Address) -> dict[str, Any]:
+    code, body = await call(control, "GET", "/-/metrics")
     assert code == 200
     found = json.loads(body)
     assert isinstance(found, dict)
@@ -53,18 +53,18 @@
     return rig.config.control
 
 
-# The life of a process
+# Lifecycle of a process
 
 
 class LifecycleMachine(RuleBasedStateMachine):
-    """Held against what was asked of it last, in words of its own."""
+    """Compares `Lifecycle` with an independent model of the last calls made to it."""
 
     def __init__(self) -> None:
         super().__init__()
         self.life = Lifecycle()
         self.now = 0.0
         self.drained_at: float | None = None
-        self.told_to_end: float | None = None
+        self.end_requested_at: float | None = None
         self.succeeded = False
         self.over = False
 
@@ -78,47 +78,47 @@
 
     @rule()
     def drain(self) -> None:
-        assert self.life.drain(self.now) == (self.told_to_end is None)
-        if self.told_to_end is None and self.drained_at is None:
+        assert self.life.drain(self.now) == (self.end_requested_at is None)
+        if self.end_requested_at is None and self.drained_at is None:
             self.drained_at = self.now
 
     @rule()
     def resume(self) -> None:
-        assert self.life.resume() == (self.told_to_end is None)
-        if self.told_to_end is None:
+        assert self.life.resume() == (self.end_requested_at is None)
+        if self.end_requested_at is None:
             self.drained_at = None
 
     @rule(succeeded=st.booleans())
     def leave(self, succeeded: bool) -> None:
         self.life.leave(self.now, succeeded)
-        if self.told_to_end is None:
-            self.told_to_end, self.succeeded = self.now, succeeded
+        if self.end_requested_at is None:
+            self.end_requested_at, self.succeeded = self.now, succeeded
             self.over = succeeded or self.drained_at is not None
 
     @rule()
     def end(self) -> None:
-        if self.told_to_end is not None:
+        if self.end_requested_at is not None:
             self.life.end(self.now)
             self.over = True
 
     @invariant()
-    def answers_are_those_of_the_page(self) -> None:
-        life, leaving = self.life, self.told_to_end is not None
+    def answers_follow_the_lifecycle_rules(self) -> None:
+        life, leaving = self.life, self.end_requested_at is not None
         assert life.ready() == (life.able and not leaving)
         assert life.welcome() == (self.drained_at is None and (not leaving or self.succeeded))
         assert life.last == (self.drained_at is not None or self.over)
         if not life.last:
-            assert not life.closes_idle(self.now), "connections are closed that nobody was told of"
+            assert not life.closes_idle(self.now), "connections are closed without an announcement"
         if self.drained_at is not None and self.now > self.drained_at + 1.5:
-            assert life.closes_idle(self.now), "4 s are all there is"
-        if self.told_to_end is not None and self.over and self.now > self.told_to_end + 3.5:
-            assert life.closes_idle(max(self.now, self.told_to_end + 3.5))
+            assert life.closes_idle(self.now), "a drain has 4 s in all"
+        if self.end_requested_at is not None and self.over and self.now > self.end_requested_at + 3.5:
+            assert life.closes_idle(max(self.now, self.end_requested_at + 3.5))
 
 
 TestLives = LifecycleMachine.TestCase
 
 
-# The core and the calls
+# The request parser and the dispatch table
 
 
 @given(st.sets(st.integers(1, 60)))
@@ -136,7 +136,7 @@
     ("data", "code"),
     [(b"hello\r\n\r\n", 400), (b"GET / HTTP/1.1\r\nA B: x\r\n\r\n", 400), (b"GET /" + b"x" * 9000, 431)],
 )
-def test_what_is_no_call_is_refused(data: bytes, code: int) -> None:
+def test_an_invalid_request_is_refused(data: bytes, code: int) -> None:
     got = ControlRequestParser().feed(data)
     assert isinstance(got, BadRequest) and got.status == code
 
@@ -150,37 +150,39 @@
     assert wrong.status == 405 and b"Allow: GET\r\n" in wrong.content.headers
 
 
-# The door
+# The server
 
 
-def test_callers_who_finish_nothing_delay_nobody_and_a_busy_loop_does_not_either() -> None:
+def test_unfinished_requests_and_a_busy_loop_do_not_delay_a_control_call() -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint, control=free_address()) as rig:
-            door = door_of(rig)
-            stuck = [socket.create_connection((door.host, door.port)) for _ in range(3 * MAX_CONNECTIONS)]
+            control = door_of(rig)
+            stuck = [
+                socket.create_connection((control.host, control.port)) for _ in range(3 * MAX_CONNECTIONS)
+            ]
             for each in stuck:
                 each.sendall(b"GET /-/rea")
 
-            def asks() -> bytes:
-                with socket.create_connection((door.host, door.port)) as asking:
+            def get_ready() -> bytes:
+                with socket.create_connection((control.host, control.port)) as asking:
                     asking.sendall(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                     return asking.recv(1000)
 
-            asked = asyncio.create_task(asyncio.to_thread(asks))
+            asked = asyncio.create_task(asyncio.to_thread(get_ready))
             await asyncio.sleep(0)
-            time.sleep(1.0)  # the loop is in a long turn
+            time.sleep(1.0)  # blocks the event loop
             begun = time.monotonic()
             assert (await asked).startswith(b"HTTP/1.1 200")
-            assert time.monotonic() - begun < 0.5, "the door waited for the loop"
+            assert time.monotonic() - begun < 0.5, "the control server waited for the event loop"
             for each in stuck:
                 each.close()
 
     run(test)
 
 
-def test_a_door_whose_call_fails_answers_the_next() -> None:
-    door_address = free_address()
+def test_a_control_server_whose_handler_fails_answers_the_next_call() -> None:
+    address = free_address()
     answers = iter([RuntimeError("broken"), yes_no_answer(True, "fine")])
 
     def answer(asked: ControlRequest) -> Any:
@@ -189,15 +191,15 @@
             raise made
         return made
 
-    door = ControlServer(door_address, answer)
-    door.start()
+    server = ControlServer(address, answer)
+    server.start()
     try:
         for want in (b"", b"HTTP/1.1 200"):
-            with socket.create_connection((door_address.host, door_address.port)) as asking:
+            with socket.create_connection((address.host, address.port)) as asking:
                 asking.sendall(b"GET / HTTP/1.1\r\n\r\n")
                 assert asking.recv(1000).startswith(want)
     finally:
-        door.stop()
+        server.stop()
 
 
 def test_an_address_that_cannot_be_used_names_the_field(tmp_path: Path) -> None:
@@ -207,21 +209,21 @@
         with pytest.raises(ConfigError, match="control"):
             ControlServer(Address("127.0.0.1", taken.getsockname()[1]), lambda _: yes_no_answer(True, ""))
     file = tmp_path / "config.json"
-    told = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETTINGS}
-    file.write_text(json.dumps(told | {"control": "nowhere"}))
+    fields = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETTINGS}
+    file.write_text(json.dumps(fields | {"control": "nowhere"}))
     with pytest.raises(ConfigError, match="control"):
         read_config({"BALANCER_CONFIG": str(file)})
     over = read_config({"BALANCER_CONFIG": str(file), "BALANCER_CONTROL": "127.0.0.1:5"})
-    assert over.control == Address("127.0.0.1", 5), "the variable goes first"
-    file.write_text(json.dumps(told))
+    assert over.control == Address("127.0.0.1", 5), "the environment variable overrides the file"
+    file.write_text(json.dumps(fields))
     assert read_config({"BALANCER_CONFIG": str(file)}).control is None
 
 
-# Figures
+# Metrics
 
 
-def test_figures_are_what_the_peers_counted() -> None:
-    """Calls under faults, of all classes, some refused: cell by cell."""
+def test_metrics_match_what_clients_and_endpoints_counted() -> None:
+    """Calls of all classes under faults, some refused: each counter by class and result."""
 
     async def test() -> None:
         turn = 0
@@ -231,10 +233,10 @@
             turn += 1
             return {2: status(500), 5: status(503), 7: None}.get(turn % 9, ok())
 
-        spots = [ScriptedEndpoint(f"e{i}", mixed) for i in range(3)]
+        endpoints = [ScriptedEndpoint(f"e{i}", mixed) for i in range(3)]
         seen: Counter[tuple[str, str]] = Counter()
-        async with sidecar(*spots, control=free_address()) as rig:
-            door = door_of(rig)
+        async with sidecar(*endpoints, control=free_address()) as rig:
+            control = door_of(rig)
 
             async def client(offset: int) -> None:
                 mine = await rig.connect()
@@ -248,38 +250,42 @@
             logging.getLogger("millgw").setLevel("ERROR")
             await asyncio.gather(*(client(i) for i in range(12)))
             logging.getLogger("millgw").setLevel("INFO")
-            told = await figures(door)
+            metrics = await figures(control)
         for kind in ("fulfilled", "throttled", "faulted"):
-            assert told[kind] == {cls: seen[kind, cls] for cls in ("read", "write", "pay")}
-        assert seen["faulted", "pay"] and told["open_requests"] == 0
-        assert told["relayed"] == sum(len(spot.got) for spot in spots)
+            assert metrics[kind] == {cls: seen[kind, cls] for cls in ("read", "write", "pay")}
+        assert seen["faulted", "pay"] and metrics["open_requests"] == 0
+        assert metrics["relayed"] == sum(len(endpoint.got) for endpoint in endpoints)
 
     run(test)
 
 
 def test_open_requests_list_and_what_is_avoided() -> None:
     async def test() -> None:
-        spots = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
-        async with sidecar(*spots, control=free_address()) as rig:
-            door = door_of(rig)
+        endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
+        async with sidecar(*endpoints, control=free_address()) as rig:
+            control = door_of(rig)
             clients = [await rig.connect() for _ in range(3)]
             for client in clients:
                 client.writer.write(request())
-            await until(lambda: sum(len(spot.got) for spot in spots) == 3)
-            told = await figures(door)
-            assert (told["open_requests"], told["registry_entries"], told["out_of_rotation"]) == (3, 4, 0)
+            await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 3)
+            metrics = await figures(control)
+            assert (metrics["open_requests"], metrics["registry_entries"], metrics["out_of_rotation"]) == (
+                3,
+                4,
+                0,
+            )
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + chunk(line(2, [spots[0].entry("terminating")])))
-            while (told := await figures(door))["out_of_rotation"] != 1:
+            writer.write(STREAM + chunk(line(2, [endpoints[0].entry("terminating")])))
+            while (metrics := await figures(control))["out_of_rotation"] != 1:
                 pass
-            assert told["registry_entries"] == 4, "one that drains is in the list"
-            writer.write(chunk(line(3, [spots[0].entry("terminated")])))
-            while (told := await figures(door))["out_of_rotation"] != 0:
+            assert metrics["registry_entries"] == 4, "a draining endpoint stays in the list"
+            writer.write(chunk(line(3, [endpoints[0].entry("terminated")])))
+            while (metrics := await figures(control))["out_of_rotation"] != 0:
                 pass
-            assert told["registry_entries"] == 3
+            assert metrics["registry_entries"] == 3
             for client in clients:
                 client.writer.close()
-            while (told := await figures(door))["open_requests"]:
+            while (metrics := await figures(control))["open_requests"]:
                 pass
 
     run(test)
@@ -292,24 +298,24 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint, control=free_address()) as rig:
-            door = door_of(rig)
-            while (await call(door, "GET", "/-/ready"))[0] != 200:
+            control = door_of(rig)
+            while (await call(control, "GET", "/-/ready"))[0] != 200:
                 pass
             idle, used, silent_one = [await rig.connect() for _ in range(3)]
             for client in (idle, used):
                 assert "connection" not in (await client.ask(request())).headers
-            assert (await call(door, "PUT", "/-/drain"))[0] == 200
+            assert (await call(control, "PUT", "/-/drain"))[0] == 200
             begun = time.monotonic()
             assert (await rig.ask(READY)).status == 503
-            assert (await call(door, "GET", "/-/ready"))[0] == 200, "it can serve, and does"
+            assert (await call(control, "GET", "/-/ready"))[0] == 200, "draining is not unready"
             answer = await used.ask(request())
             assert answer.status == 200 and answer.headers["connection"] == "close"
             assert await used.reader.read() == b""
-            assert (await call(door, "PUT", "/-/drain"))[0] == 200, "again"
+            assert (await call(control, "PUT", "/-/drain"))[0] == 200, "a second drain call"
             for client in (idle, silent_one):
                 assert await client.reader.read() == b"", "closed between requests"
             assert DRAIN_IDLE_AFTER - 0.1 < time.monotonic() - begun < 4.0
-            assert (await call(door, "PUT", "/-/resume"))[0] == 200
+            assert (await call(control, "PUT", "/-/resume"))[0] == 200
             assert (await rig.ask(READY)).status == 200
             client = await rig.connect()
             assert "connection" not in (await client.ask(request())).headers
@@ -340,31 +346,31 @@
     run(test)
 
 
-async def answer_discovery_calls(rig: Rig, spots: list[ScriptedEndpoint]) -> None:
-    """Discovery answers each call: without its word nothing is proven 6 s after a start: all is refused."""
+async def answer_discovery_calls(rig: Rig, endpoints: list[ScriptedEndpoint]) -> None:
+    """Answer each discovery call: without an answer, all requests are refused from 6 s after the start."""
     while True:
         _, watch = await rig.discovery.calls.get()
-        watch.write(STREAM + chunk(line(1, [spot.entry() for spot in spots], snapshot=True)))
+        watch.write(STREAM + chunk(line(1, [endpoint.entry() for endpoint in endpoints], snapshot=True)))
 
 
-def test_a_full_sidecar_answers_at_its_door_and_can_be_drained() -> None:
+def test_a_full_sidecar_answers_control_calls_and_can_be_drained() -> None:
     async def test() -> None:
-        spots = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
-        async with sidecar(*spots, sockets=32 + 13, control=free_address()) as rig:  # 8 callers, 6 calls
-            door = door_of(rig)
-            speaking = asyncio.create_task(answer_discovery_calls(rig, spots))
+        endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
+        async with sidecar(*endpoints, sockets=32 + 13, control=free_address()) as rig:  # 8 callers, 6 calls
+            control = door_of(rig)
+            answering = asyncio.create_task(answer_discovery_calls(rig, endpoints))
             callers = [await rig.connect() for _ in range(30)]
             for client in callers:
                 client.writer.write(request("pay"))
-            await until(lambda: sum(len(spot.got) for spot in spots) >= 4)
-            assert (await figures(door))["open_requests"] >= 4
-            assert (await call(door, "PUT", "/-/drain"))[0] == 200
+            await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) >= 4)
+            assert (await figures(control))["open_requests"] >= 4
+            assert (await call(control, "PUT", "/-/drain"))[0] == 200
             for client in callers:
                 client.writer.close()
-            while (await figures(door))["open_requests"]:
+            while (await figures(control))["open_requests"]:
                 await asyncio.sleep(0.01)
             while (await rig.ask(READY)).status != 503:
                 pass
-            speaking.cancel()
+            answering.cancel()
 
     run(test)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Upgrades: what goes over, and real second processes beside running ones under load."""
+"""Hot restart: the state that is handed over, and upgrades of real processes under load."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
 STATE = State(1000.0, "n1", 41, (LISTED,), True, 12, {"tokens": 3.5})
 
 
-def test_a_state_comes_over_as_it_was() -> None:
+def test_a_state_survives_encoding() -> None:
     assert decode(encode(STATE), "n1", 1000.0) == STATE
 
 
 @given(st.data())
-def test_a_torn_or_changed_state_is_refused_whole(data: st.DataObject) -> None:
+def test_a_truncated_or_changed_state_is_refused_whole(data: st.DataObject) -> None:
     whole = encode(STATE)
     if data.draw(st.booleans()):
         bad = whole[: data.draw(st.integers(0, len(whole) - 1))]
@@ -82,7 +82,7 @@
         decode(data, name, now)
 
 
-def test_what_the_module_learned_goes_over_and_tokens_are_shared_out() -> None:
+def test_learned_state_is_handed_over_and_tokens_are_split() -> None:
     old, new = drive(6), drive(6)
     for n in range(60):
         number = old.arrive()
@@ -110,7 +110,7 @@
     ("classes", "taken"), [(["read", "write", "pay"], True), (["pay", "read", "x"], False)]
 )
 def test_a_state_of_other_classes_is_refused_whole(classes: list[str], taken: bool) -> None:
-    """What was learned is told by the classes' numbers, and those mean other classes there."""
+    """Learned state refers to classes by index, and the indexes mean other classes there."""
 
     async def test() -> None:
         parts = assemble_single_pool(config([], Address("127.0.0.1", 9)), {}, Lifecycle())
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("field", ["servers", "limit", "times", "tokens"])
-def test_learned_words_that_cannot_be_read_change_nothing(field: str) -> None:
+def test_learned_state_that_cannot_be_read_changes_nothing(field: str) -> None:
     old, new = drive(3), drive(3)
     learned = export_learned(old.balancer)
     tokens, times = new.balancer.budget.tokens, list(new.balancer.quick)
@@ -146,15 +146,17 @@
 
 
 @given(st.booleans(), st.booleans(), st.floats(0, 10))
-def test_yes_is_said_when_it_can_serve_and_knows_what_changed(knows: bool, heard: bool, since: float) -> None:
-    yes = limits.may_serve(knows, heard, since)
-    assert not yes or knows
-    assert yes or not (knows and heard)
-    assert yes or not (knows and since > 2.5), "a silent discovery must not keep it from serving"
+def test_ready_is_reported_when_it_can_serve_and_knows_what_changed(
+    knows: bool, heard: bool, since: float
+) -> None:
+    ready = limits.may_serve(knows, heard, since)
+    assert not ready or knows
+    assert ready or not (knows and heard)
+    assert ready or not (knows and since > 2.5), "silent discovery must not prevent it"
 
 
-def test_a_pair_sends_a_cold_endpoint_no_more_than_one() -> None:
-    """Both allowances together grow as one does alone."""
+def test_two_processes_send_a_cold_endpoint_no_more_than_one() -> None:
+    """The allowances of both processes together grow as that of a single process does."""
     alone, one, other = drive(6), drive(6), drive(6)
     for each in (one, other):
         each.balancer.pair(True)
@@ -173,23 +175,23 @@
     assert grown(one) + grown(other) == pytest.approx(grown(alone)) and grown(alone) > 0
 
 
-# The place where they meet
+# The handover file
 
 
-def test_word_of_a_process_that_ended_or_that_is_unreadable_is_no_predecessor(tmp_path: Path) -> None:
+def test_a_handover_file_of_an_ended_process_or_an_unreadable_one_is_ignored(tmp_path: Path) -> None:
     path, mine = tmp_path / HANDOVER_FILE, free_address()
     assert find_old_process(path, mine) is None
     publish_handover(path, free_address())
     assert find_old_process(path, mine) is None, "nobody listens there"
-    with socket.socket() as door:
-        door.bind(("127.0.0.1", 0))
-        door.listen()
-        address = Address("127.0.0.1", door.getsockname()[1])
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        address = Address("127.0.0.1", listener.getsockname()[1])
         token = publish_handover(path, address)
         found = find_old_process(path, mine)
         assert found is not None and found.token == token
         assert path.stat().st_mode & 0o077 == 0, "others can read the token"
-        assert find_old_process(path, address) is None, "its own door"
+        assert find_old_process(path, address) is None, "its own control address"
         path.write_bytes(path.read_bytes()[:20])
         assert find_old_process(path, mine) is None
 
@@ -216,12 +218,12 @@
     port = old.getsockname()[1]
     new = listen(port)
     if not steer(new):
-        pytest.skip("this kernel does not steer")
+        pytest.skip("this kernel does not support steering connections")
     clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
     assert (accepted(old), accepted(new)) == (0, 40)
     new.close()
     clients += [socket.create_connection(("127.0.0.1", port)) for _ in range(10)]
-    assert accepted(old) == 10, "the old one serves on if the new one dies"
+    assert accepted(old) == 10, "the old listener gets no connections after the new one closed"
     third = listen(port)
     clients += [socket.create_connection(("127.0.0.1", port)) for _ in range(10)]
     assert (accepted(old), accepted(third)) == (0, 10)
@@ -236,7 +238,7 @@
 
 
 class UpgradeFleet:
-    """Starts processes of one sidecar, with a discovery and endpoints round them."""
+    """Starts processes of one sidecar, with a scripted discovery server and endpoints."""
 
     def __init__(
         self, folder: Path, endpoints: list[ScriptedEndpoint], discovery: ScriptedDiscoveryServer
@@ -247,18 +249,18 @@
         self.discovery = discovery
         self.running: list[subprocess.Popen[bytes]] = []
         deadlines = [c | {"deadline": 3000.0} for c in SETTINGS["classes"]]
-        told = {
+        config_fields = {
             "name": "n1", "listen": str(self.listen), "discovery": str(discovery.address), "seed": "1",
             "known": {"index": 1, "snapshot": True, "endpoints": [e.entry() for e in endpoints]},
             "limits": {"sockets": 384, "memory_mb": 80}, "settings": SETTINGS | {"classes": deadlines},
         }  # fmt: skip
-        (folder / "config.json").write_text(json.dumps(told))
+        (folder / "config.json").write_text(json.dumps(config_fields))
 
     async def start(self) -> tuple[subprocess.Popen[bytes], Address]:
-        """A further process, once its door says yes."""
-        door = free_address()
+        """Start another process; returns once its control server reports ready."""
+        control = free_address()
         environ = os.environ | {
-            "BALANCER_CONFIG": str(self.folder / "config.json"), "BALANCER_CONTROL": str(door),
+            "BALANCER_CONFIG": str(self.folder / "config.json"), "BALANCER_CONTROL": str(control),
             "TMPDIR": str(self.folder),
         }  # fmt: skip
         with (self.folder / "log").open("ab") as log:
@@ -267,14 +269,14 @@
         while True:
             assert process.poll() is None, (self.folder / "log").read_text()
             try:
-                if (await call(door, "GET", "/-/ready"))[0] == 200:
-                    return process, door
+                if (await call(control, "GET", "/-/ready"))[0] == 200:
+                    return process, control
             except OSError:
                 pass
             await asyncio.sleep(0.02)
 
     async def terminate(self, process: subprocess.Popen[bytes]) -> float:
-        """Tell it to end; the seconds until it has."""
+        """Send SIGTERM; returns the seconds until the process has exited."""
         begun = time.monotonic()
         process.send_signal(signal.SIGTERM)
         assert await asyncio.to_thread(process.wait) == 0
@@ -285,28 +287,28 @@
 async def upgrade_fleet(folder: Path, endpoints: int = 3) -> AsyncIterator[UpgradeFleet]:
     discovery = ScriptedDiscoveryServer()
     await discovery.start()
-    spots = [ScriptedEndpoint(f"e{i}") for i in range(endpoints)]
-    for spot in spots:
-        await spot.start()
-    made = UpgradeFleet(folder, spots, discovery)
+    scripted = [ScriptedEndpoint(f"e{i}") for i in range(endpoints)]
+    for endpoint in scripted:
+        await endpoint.start()
+    made = UpgradeFleet(folder, scripted, discovery)
 
     watches: list[asyncio.StreamWriter] = []
 
-    async def watched() -> None:
+    async def answer_watches() -> None:
         while True:
             _, writer = await discovery.calls.get()
             writer.write(STREAM + chunk(line(2, [])))
             watches.append(writer)
 
     async def heartbeats() -> None:
-        """As every discovery sends them: a watch without any is given up, and what it told holds 2 s more."""
+        """Heartbeats as discovery sends them: without any, a watch fails and its list holds for 2 s more."""
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL)
             for writer in watches:
                 if not writer.is_closing():
                     writer.write(chunk(b"\n"))
 
-    serving = [asyncio.create_task(watched()), asyncio.create_task(heartbeats())]
+    serving = [asyncio.create_task(answer_watches()), asyncio.create_task(heartbeats())]
     try:
         yield made
     finally:
@@ -322,13 +324,12 @@
     return RepeatingClients(fleet.listen, lambda kept: request("pay", Connection="" if kept else "close"))
 
 
-WARM_UP_CALLS = 200  # calls by which a sidecar is seen to have room for all clients
+WARM_UP_CALLS = 200  # served calls that show that the sidecar has capacity for all clients
 
 
 async def wait_until_capacity_is_learned(crowd: RepeatingClients) -> None:
-    """Until the sidecar serves all clients: at first three endpoints have 15 places, the rest may be refused.
-
-    What was seen by then is forgotten.
+    """Wait until the sidecar serves all clients: at first it allows 15 calls on three endpoints, and may
+    refuse the rest. The counts are cleared afterwards.
     """
     seen = Counter({"503": 1})
     while seen["503"]:
@@ -339,7 +340,7 @@
     crowd.seen.clear()
 
 
-def test_upgrades_under_load_hit_no_request_and_double_none(tmp_path: Path) -> None:
+def test_upgrades_under_load_fail_no_request_and_send_none_twice(tmp_path: Path) -> None:
     async def test() -> None:
         async with upgrade_fleet(tmp_path) as fleet:
             process, _ = await fleet.start()
@@ -356,7 +357,7 @@
             await asyncio.gather(*clients, return_exceptions=True)
             assert set(crowd.seen) == {"200"}, crowd.seen
             assert crowd.seen["200"] > 200
-            traces = Counter(m.headers["x-trace-id"] for spot in fleet.endpoints for m in spot.got)
+            traces = Counter(m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.got)
             assert max(traces.values()) == 1, "an unsafe request was sent twice"
             log = (tmp_path / "log").read_text()
             assert log.count("successor") == 4 and "handover-unusable" not in log
@@ -365,7 +366,7 @@
     run(test)
 
 
-def test_an_upgrade_under_a_flood_of_new_connections_hits_none(tmp_path: Path) -> None:
+def test_an_upgrade_under_a_flood_of_new_connections_fails_no_request(tmp_path: Path) -> None:
     async def test() -> None:
         async with upgrade_fleet(tmp_path) as fleet:
             process, _ = await fleet.start()
@@ -381,13 +382,13 @@
                 each.cancel()
             await asyncio.gather(*clients, return_exceptions=True)
             assert set(crowd.seen) == {"200"}, crowd.seen
-            traces = Counter(m.headers["x-trace-id"] for spot in fleet.endpoints for m in spot.got)
+            traces = Counter(m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.got)
             assert max(traces.values()) == 1, "an unsafe request was sent twice"
 
     run(test)
 
 
-def test_a_reload_in_the_midst_of_a_long_answer_costs_nothing(tmp_path: Path) -> None:
+def test_a_reload_during_a_long_answer_does_not_break_it(tmp_path: Path) -> None:
     body = os.urandom(1 << 20) * 8
 
     async def long(_: object, __: object) -> bytes:
@@ -414,18 +415,21 @@
 def test_a_new_process_that_dies_leaves_the_old_one_serving_with_all_it_had(tmp_path: Path) -> None:
     async def test() -> None:
         async with upgrade_fleet(tmp_path) as fleet:
-            old, door = await fleet.start()
-            word = (tmp_path / HANDOVER_FILE).read_text()
+            old, control = await fleet.start()
+            handover = (tmp_path / HANDOVER_FILE).read_text()
             new, _ = await fleet.start()
             new.kill()
             new.wait()
             log = tmp_path / "log"
             await until(lambda: "successor-gone" in log.read_text())
             await until(
-                lambda: json.loads((tmp_path / HANDOVER_FILE).read_text())["pid"] == json.loads(word)["pid"]
+                lambda: (
+                    json.loads((tmp_path / HANDOVER_FILE).read_text())["pid"] == json.loads(handover)["pid"]
+                )
             )
-            # Half of the descriptors, as while two ran, would have it close 40 of these. Each asks at once:
-            # one that asks nothing is closed after 2.2 s, which a busy machine may need to open them all.
+            # With half of the descriptors, as while two processes ran, it would close 40 of these. Each sends
+            # a request at once: an idle one is closed after 2.2 s, and a busy machine may take that long to
+            # open them all.
             held = []
             for _ in range(220):
                 reader, writer = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
@@ -435,7 +439,7 @@
             for reader, writer in held[:1] + held[-1:]:
                 writer.write(request("pay"))
                 assert (await read_message(reader)).status == 200
-            assert (await call(door, "GET", "/-/ready"))[0] == 200
+            assert (await call(control, "GET", "/-/ready"))[0] == 200
             for _, writer in held:
                 writer.close()
             third, _ = await fleet.start()
@@ -446,31 +450,31 @@
     run(test)
 
 
-def test_a_new_process_says_yes_only_when_the_old_one_knows_of_it(tmp_path: Path) -> None:
-    """SIGTERM follows the yes at once: an old one that knew of no successor would serve on for 2 s."""
+def test_a_new_process_reports_ready_only_when_the_old_one_knows_of_it(tmp_path: Path) -> None:
+    """SIGTERM may follow at once: an old process that knew of no successor would keep serving for 2 s."""
 
     async def test() -> None:
         async with upgrade_fleet(tmp_path) as fleet:
-            told, go, yes = asyncio.Event(), asyncio.Event(), asyncio.Event()
+            notified, proceed, started = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
             async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 head = await reader.read(1000)
                 if head.startswith(b"PUT"):
-                    told.set()
-                    await go.wait()
+                    notified.set()
+                    await proceed.wait()
                 writer.write(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n")
                 writer.close()
 
-            door = free_address()
-            listening = await asyncio.start_server(old, door.host, door.port)
-            publish_handover(tmp_path / HANDOVER_FILE, door)
+            control = free_address()
+            listening = await asyncio.start_server(old, control.host, control.port)
+            publish_handover(tmp_path / HANDOVER_FILE, control)
             starting = asyncio.create_task(fleet.start())
-            starting.add_done_callback(lambda _: yes.set())
-            await told.wait()
+            starting.add_done_callback(lambda _: started.set())
+            await notified.wait()
             await asyncio.sleep(0.3)
-            assert not yes.is_set()
-            go.set()
-            await yes.wait()
+            assert not started.is_set()
+            proceed.set()
+            await started.wait()
             listening.close()
 
     run(test)
@@ -485,13 +489,13 @@
                 await go.wait()
                 return b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-            old, door = await fleet.start()
-            for spot in fleet.endpoints:
-                spot.script = slow
+            old, control = await fleet.start()
+            for endpoint in fleet.endpoints:
+                endpoint.script = slow
             reader, writer = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
             writer.write(request("pay", patience=3000))
-            await until(lambda: sum(len(spot.got) for spot in fleet.endpoints) == 1)
-            assert (await call(door, "PUT", "/-/drain"))[0] == 200
+            await until(lambda: sum(len(endpoint.got) for endpoint in fleet.endpoints) == 1)
+            assert (await call(control, "PUT", "/-/drain"))[0] == 200
             _, second = await fleet.start()
             asked, writing = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
             writing.write(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -499,9 +503,9 @@
             old.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
             for path in ("/-/drain", "/-/resume"):
-                assert (await call(door, "PUT", path))[0] == 503, "it is leaving"
+                assert (await call(control, "PUT", path))[0] == 503, "the old process is shutting down"
             go.set()
-            assert (await read_message(reader)).status == 200, "taken by the old one, and answered there"
+            assert (await read_message(reader)).status == 200, "accepted by the old process but not answered"
             assert await asyncio.to_thread(old.wait) == 0
             assert (await call(second, "PUT", "/-/resume"))[0] == 200
             asked, writing = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
--- a/tests/test_incident_discovery_returned.py
+++ b/tests/test_incident_discovery_returned.py
@@ -1,4 +1,7 @@
-"""Sent to drained endpoints after an outage of discovery, which was asked again too late."""
+"""Calls sent to a drained endpoint after an outage of discovery, which the sidecar called again too late.
+
+Endpoints that drain may keep answering calls and health probes well, so only discovery reveals the drain.
+"""
 
 from __future__ import annotations
 
@@ -15,17 +18,17 @@
 from tests.rig import heartbeats, run
 from tests.sidecar_process import draining_endpoint, sidecar_process
 
-WATCH_TIME = 1.0  # s for which the watch says nothing but heartbeats before discovery goes down
+WATCH_TIME = 1.0  # s of heartbeats on the watch before discovery goes down
 OUTAGE = 2.0  # s
-DRAIN_TOLD_AFTER = 6.0  # s after discovery's return at which a change of the outage counts as told
-GRACE = 0.5  # s
+DRAIN_TOLD_AFTER = 6.0  # s after discovery's return at which a change made during the outage counts as told
+GRACE = 0.5  # s, tolerance of the test
 BETWEEN_CALLS = 0.02  # s
-CALLERS = 6  # at once: one alone may be sent to the same endpoint for long
+CALLERS = 6  # concurrent: a single one may be sent to the same endpoint for long
 
 
 @asynccontextmanager
-async def turns_calls_away(discovery: ScriptedDiscoveryServer) -> AsyncIterator[None]:
-    """Discovery is up and full: each call is answered 503."""
+async def reject_discovery_calls(discovery: ScriptedDiscoveryServer) -> AsyncIterator[None]:
+    """Have discovery reject each call with 503, as an overloaded one does."""
 
     async def answer() -> None:
         while True:
@@ -55,23 +58,23 @@
             discovery.stop()
             watch.transport.abort()
             leaving.draining = True
-            down = time.monotonic()
+            outage_at = time.monotonic()
 
             async def load() -> None:
-                while time.monotonic() < down + OUTAGE + DRAIN_TOLD_AFTER + 3 * GRACE:
+                while time.monotonic() < outage_at + OUTAGE + DRAIN_TOLD_AFTER + 3 * GRACE:
                     await sidecar.call()
                     await asyncio.sleep(BETWEEN_CALLS)
 
             loading = asyncio.gather(*(load() for _ in range(CALLERS)))
-            await asyncio.sleep(down + OUTAGE - time.monotonic())
+            await asyncio.sleep(outage_at + OUTAGE - time.monotonic())
             await discovery.start()
             returned = time.monotonic()
-            async with turns_calls_away(discovery):
+            async with reject_discovery_calls(discovery):
                 await loading
             late = [at - returned for at in leaving.calls if at > returned + DRAIN_TOLD_AFTER + GRACE]
             assert not late, (
-                f"{len(late)} calls later than its grace, the first {late[0]:.2f} s after the return"
+                f"{len(late)} calls after the grace period, the first {late[0]:.2f} s after the return"
             )
-            assert leaving.calls and staying.calls, "both were in use before"
+            assert leaving.calls and staying.calls, "an endpoint got no calls at all"
 
     run(test)
--- a/tests/test_incident_unheard_drain.py
+++ b/tests/test_incident_unheard_drain.py
@@ -1,15 +1,13 @@
-"""An endpoint drained while discovery could not tell, and the sidecar went on sending to it.
+"""A sidecar kept sending to an endpoint that drained while discovery could not report it.
 
-What was seen: a request reached an endpoint after the grace of its drain. The order of events: a watch named
-the endpoint as in service; 40 ms later it began to drain; the watch ended 2 s after that and told nothing;
-the next call to discovery was answered only 3.4 s after the end. All that time the endpoint served calls.
+A watch listed the endpoint as in service; 40 ms later it began to drain; the watch ended 2 s after that
+without reporting it, and discovery answered the next call only 3.4 s after that end. The endpoint kept
+answering calls with 200 all that time, and one reached it after the grace period of its drain; `GET /health`
+was answered 503 from the drain on.
 
-The cause: the decision module took each served call as proof that its endpoint did not drain, and trusted it
-for 6 s more. Endpoints that drain may go on serving, so the trust had no end but discovery's word. A health
-probe that was answered well took the call's place next; no page says that a drain ends that, either.
-
-What proved it: the endpoint's answers, all 200 for calls that were sent seconds after its drain, beside the
-module's own record, by which it could still be trusted. `GET /health` was answered 503 since its drain.
+The decision module took each successful call as evidence that its endpoint did not drain and trusted it for
+6 s more. An endpoint may keep serving while it drains, so only discovery ended that trust. Good health
+probes were then taken in place of calls, but nothing guarantees that a drain ends those either.
 """
 
 from __future__ import annotations
@@ -24,12 +22,12 @@
 from tests.rig import heartbeats, run
 from tests.sidecar_process import draining_endpoint, sidecar_process
 
-WATCH_TIME = 1.0  # s for which the watch says nothing but heartbeats before it ends
-TOLD_AFTER_END = 2.0  # s after a watch ended at which what it did not tell counts as told
-GRACE = 0.5  # s
-ANSWER_DELAY = 2.8  # s that discovery takes for the call that follows: less than it is waited for
+WATCH_TIME = 1.0  # s of heartbeats on the watch before it ends
+TOLD_AFTER_END = 2.0  # s after the end of a watch at which a change it did not report counts as told
+GRACE = 0.5  # s, tolerance of the test
+ANSWER_DELAY = 2.8  # s that discovery takes to answer the next call: less than the sidecar's timeout
 BETWEEN_CALLS = 0.02  # s
-CALLERS = 6  # at once: one alone may be sent to the same endpoint for long, as it is the quicker by chance
+CALLERS = 6  # concurrent: one alone may be sent to the same endpoint for long, if that is quicker by chance
 
 
 @pytest.mark.parametrize("probing", [True, False], ids=["probes allowed", "no probes"])
@@ -47,7 +45,7 @@
             watch.transport.abort()
             ended = time.monotonic()
 
-            answers: list[tuple[float, int]] = []  # when each call began, monotonic, and its answer's status
+            answers: list[tuple[float, int]] = []  # start of each call (monotonic s), status of its answer
 
             async def load() -> None:
                 while time.monotonic() < ended + TOLD_AFTER_END + 2 * GRACE:
@@ -63,7 +61,7 @@
             assert not late, (
                 f"{len(late)} calls after its drain counted as told, the first after {late[0]:.2f} s"
             )
-            assert leaving.calls and staying.calls, "both were in use before"
+            assert leaving.calls and staying.calls, "an endpoint got no calls at all"
             held = {status for at, status in answers if at < ended + TOLD_AFTER_END - GRACE}
             over = {status for at, status in answers if at > ended + TOLD_AFTER_END + GRACE}
             assert held == {200} and over == {503}, "refused only once the drain counts as told"
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -1,4 +1,4 @@
-"""What a sidecar keeps for requests, connections and endpoints goes with them, and who is where."""
+"""A sidecar keeps no state of finished requests, closed connections and removed endpoints."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 
 def only_instance(kind: type[T]) -> T:
-    """The one of this sidecar: those of tests before may wait for the collector."""
+    """The instance of this sidecar. Collects first, as those of earlier tests may not be freed yet."""
     gc.collect()
     (thing,) = live_objects(kind)
     return thing
 
 
-def test_after_thousands_of_ids_endpoints_and_connections_the_books_are_empty() -> None:
+def test_after_thousands_of_requests_endpoints_and_connections_no_state_is_left() -> None:
     rounds, each = 200, 10
 
     async def test() -> None:
@@ -53,17 +53,17 @@
             bad = b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"
             return {3: None, 5: ok() + b"noise", 7: bad}.get(answers % 10, ok())
 
-        spots = [ScriptedEndpoint(f"spot{i}", mixed) for i in range(4)]
-        async with sidecar(*spots) as rig:
+        endpoints = [ScriptedEndpoint(f"endpoint{i}", mixed) for i in range(4)]
+        async with sidecar(*endpoints) as rig:
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM)
             server, driver = only_instance(Server), only_instance(Driver)
-            gc.disable()  # what only the collector can free grows until it comes
+            gc.disable()  # objects in reference cycles are not freed and show below
             for turn in range(rounds):
-                # Each round all endpoints are new ones, at the addresses of those before.
-                for spot in spots:
-                    spot.name = f"{spot.address.host}-{turn}"
-                entries = [spot.entry(since_ms=turn) for spot in spots]
+                # In each round, new endpoints replace all others at the same addresses.
+                for endpoint in endpoints:
+                    endpoint.name = f"{endpoint.address.host}-{turn}"
+                entries = [endpoint.entry(since_ms=turn) for endpoint in endpoints]
                 writer.write(chunk(line(turn, entries, snapshot=turn % 2 == 0)))
                 await asyncio.gather(*(rig.ask(request("write" if i % 2 else "pay")) for i in range(each)))
                 leaving = await rig.connect()
@@ -98,7 +98,7 @@
             loop = asyncio.get_running_loop()
             before = len(driver.balancer.timers)
             client = await rig.connect()
-            client.writer.write(request("pay"))  # held: there is no endpoint
+            client.writer.write(request("pay"))  # held, as there is no endpoint
             await until(lambda: len(driver.balancer.timers) == before + 1)
             (call,) = driver.calls.values()
             timers = list(call.timers)
@@ -110,7 +110,7 @@
     run(test)
 
 
-def test_an_endpoint_at_the_address_of_one_that_has_gone_takes_nothing_over() -> None:
+def test_an_endpoint_at_the_address_of_a_removed_one_inherits_no_state() -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("old")
         async with sidecar(endpoint) as rig:
@@ -121,10 +121,10 @@
             (old,) = driver.balancer.servers.values()
             endpoint.name = "new"
             writer.write(STREAM + chunk(line(2, [endpoint.entry(since_ms=int(time.time() * 1000))])))
-            await until(lambda: endpoint.lost_connections == 1)  # its kept connection is closed
+            await until(lambda: endpoint.lost_connections == 1)  # its idle connection is closed
             (new,) = driver.balancer.servers.values()
             assert new.info.id != old.info.id and not new.served and driver.balancer.ring == [new]
-            endpoint.name = "old"  # told late, of a time before the new one
+            endpoint.name = "old"  # a late list entry, from before the new endpoint
             writer.write(chunk(line(3, [endpoint.entry(since_ms=1)])))
             writer.write(chunk(line(4, [])))
             assert (await rig.ask(request("pay"))).status == 200
@@ -162,7 +162,7 @@
             while (await rig.ask(request("pay"))).status != 200 or not new.got:
                 pass
             assert [len(s.out) for s in driver.balancer.servers.values()] == [0]
-            assert len(driver.balancer.flights) == 1, "the call that is still out at the old one"
+            assert len(driver.balancer.flights) == 1, "the call that is still in flight at the old endpoint"
             old.served[0].write(ok(b"late"))
             assert (await read_message(waiting.reader)).body == b"late"
             assert not driver.balancer.flights and driver.upstream.open == 1
@@ -170,7 +170,7 @@
     run(test)
 
 
-def test_callers_that_leave_while_their_sends_are_held_back_tell_nothing_of_the_endpoint(
+def test_callers_that_leave_while_their_sends_are_held_back_do_not_count_against_the_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(proof_module, "HOLD_BACK", 300.0)
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -1,4 +1,4 @@
-"""Discovery, readiness, configuration, and the start and end of the process."""
+"""Discovery, readiness, configuration, and startup and shutdown of the process."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
         STREAM + chunk(b"not JSON\n"),
         b"220 mail\r\n",
         None,  # a reset
-        STREAM + chunk(b"\n"),  # and silence
+        STREAM + chunk(b"\n"),  # then silence
     ],
 )
 def test_each_end_of_a_watch_is_asked_again_from_what_is_known(
@@ -87,22 +87,22 @@
                 writer.transport.abort()
             else:
                 writer.write(end)
-            assert (await rig.ask(request())).status == 200, "the list from before the failure holds"
+            assert (await rig.ask(request())).status == 200, "the earlier list is no longer used"
             call, writer = await rig.discovery.calls.get()
             assert call.first.split()[1] == "/v1/endpoints?watch=1&from=1"
             writer.write(STREAM + chunk(line(9, [other.entry()], snapshot=True)))
             while not other.got:
                 await rig.ask(request())
-            _, writer = await rig.discovery.calls.get()  # silent again: from the list that replaced the old
+            _, writer = await rig.discovery.calls.get()  # silent again after the list was replaced
             before = len(endpoint.got)
             for _ in range(5):
                 assert (await rig.ask(request())).status == 200
-            assert len(endpoint.got) == before, "an endpoint that the whole list no longer names"
+            assert len(endpoint.got) == before, "a call to an endpoint that the complete list omits"
 
     run(test)
 
 
-def test_what_comes_in_one_read_with_the_end_of_a_watch_is_heard() -> None:
+def test_lines_in_one_read_with_the_end_of_a_watch_are_applied() -> None:
     async def test() -> None:
         old, new = ScriptedEndpoint("e1"), ScriptedEndpoint("e2")
         await new.start()
@@ -111,7 +111,7 @@
             last = line(3, [old.entry("terminating", weight="?")])[:-1]
             writer.write(STREAM + chunk(line(2, [new.entry()]) + b"{broken\n" + last) + b"0\r\n\r\n")
             call, _ = await rig.discovery.calls.get()
-            assert call.first.split()[1].endswith("from=2"), "the line that can't be read is asked for again"
+            assert call.first.split()[1].endswith("from=2"), "the unreadable line is requested again"
             for _ in range(5):
                 assert (await rig.ask(request())).status == 200
         assert len(new.got) == 5 and not old.got
@@ -119,7 +119,7 @@
     run(test)
 
 
-def test_an_endpoint_that_moved_is_met_at_its_new_address() -> None:
+def test_an_endpoint_that_moved_is_called_at_its_new_address() -> None:
     async def test() -> None:
         old, new = ScriptedEndpoint("e1"), ScriptedEndpoint("e1")
         await new.start()
@@ -143,7 +143,7 @@
     run(test)
 
 
-def test_no_known_list_is_no_warning_and_a_wrong_one_is(caplog: pytest.LogCaptureFixture) -> None:
+def test_no_known_list_logs_no_warning_and_an_invalid_one_does(caplog: pytest.LogCaptureFixture) -> None:
     async def test(known: object) -> None:
         async with sidecar(known=known) as rig:
             call, _ = await rig.discovery.calls.get()
@@ -253,7 +253,7 @@
 async def start_serving_sidecar(
     endpoint: ScriptedEndpoint, folder: Path, **changes: Any
 ) -> tuple[subprocess.Popen[str], Address]:
-    """A sidecar's process that serves this endpoint, and where."""
+    """Start a sidecar process that knows this endpoint; returns it with its listen address."""
     await endpoint.start()
     listen = free_address()
     known = {"index": 1, "snapshot": True, "endpoints": [endpoint.entry()]}
@@ -271,7 +271,7 @@
 
 def test_after_sigterm_it_answers_all_that_was_taken_and_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(main_module, "LONGEST", 20.0)
-    monkeypatch.setattr(main_module, "SERVE_PART", 0.1)  # 2 s, long enough for a busy machine
+    monkeypatch.setattr(main_module, "SERVE_PART", 0.1)  # 2 s: enough on a busy machine
 
     async def test() -> None:
         go = asyncio.Event()
@@ -285,7 +285,9 @@
                 pass
             twice = await rig.connect()
             for _ in range(2):
-                assert (await twice.ask(b"GET /ready HTTP/1.1\r\n\r\n")).status == 503, "served on"
+                assert (await twice.ask(b"GET /ready HTTP/1.1\r\n\r\n")).status == 503, (
+                    "not served in shutdown"
+                )
             late.writer.write(request("pay"))
             after = await rig.connect()
             after.writer.write(request("pay"))
@@ -338,7 +340,7 @@
             write_config(tmp_path, data)
             process.send_signal(signal.SIGHUP)
             while "reload" not in (said := await asyncio.to_thread(process.stderr.readline)):
-                assert said, "ended"
+                assert said, "the process ended"
             return said
 
         file = json.loads((tmp_path / "config.json").read_text())
@@ -359,7 +361,7 @@
 
 @pytest.mark.parametrize("cut", ["lost", "silent", "unreadable"])
 def test_a_drain_in_a_line_that_is_cut_off_is_heard(cut: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """What discovery has begun to tell counts as told, and the next answer may take seconds."""
+    """A drain counts as told once discovery has begun to send it, and the next answer may take seconds."""
     monkeypatch.setattr(discovery_module, "SILENCE", 0.2)
 
     async def test() -> None:
@@ -382,7 +384,7 @@
             before = len(old.got)
             answers = await asyncio.gather(*(rig.ask(request()) for _ in range(20)))
             assert all(answer.status == 200 for answer in answers)
-            assert len(old.got) == before, "the drain was in what came of the line"
+            assert len(old.got) == before, "the drain was in the received part of the line"
 
     run(test)
 
@@ -396,7 +398,7 @@
             await rig.discovery.calls.get()
             begun = time.monotonic()
             await rig.discovery.calls.get()
-            assert time.monotonic() - begun < 4.9, "only the balancer's own patience ended it"
+            assert time.monotonic() - begun < 4.9, "only the balancer's own timeout ended it"
 
     run(test)
 
