--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -23,7 +23,7 @@
     from millgw.sidecar.operators import ControlInterface
 
 LONGEST = 3.0  # s, cap on the deadline waited for: with ANSWER_WITHIN it ends shortly before SIGKILL
-ANSWER_WITHIN = 0.3  # s added to that within which every call is answered
+ANSWER_WITHIN = 0.3  # s after that deadline by which every call is answered
 SERVE_PART = 0.6  # share of the time after SIGTERM in which requests are accepted; the rest is for answering
 FLUSH_TIME = 0.2  # s for callers to read the last answers before the process exits
 FLUSH_POLL_INTERVAL = 0.02  # s between checks for idle connections during that time
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -122,7 +122,7 @@
 
 
 @given(st.sets(st.integers(1, 60)))
-def test_a_call_may_be_cut_anywhere(cuts: set[int]) -> None:
+def test_a_request_may_be_split_anywhere(cuts: set[int]) -> None:
     data = b"PUT /-/drain?x=1 HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi"
     core, at, got = ControlRequestParser(), 0, None
     for end in [*sorted(c for c in cuts if c < len(data)), len(data)]:
@@ -259,7 +259,7 @@
     run(test)
 
 
-def test_open_requests_list_and_what_is_avoided() -> None:
+def test_metrics_of_open_requests_listed_endpoints_and_out_of_rotation() -> None:
     async def test() -> None:
         endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
         async with sidecar(*endpoints, control=free_address()) as rig:
@@ -324,7 +324,7 @@
     run(test)
 
 
-def test_a_drain_waits_for_what_is_open() -> None:
+def test_a_drain_waits_for_open_requests() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -328,8 +328,9 @@
 
 
 async def wait_until_capacity_is_learned(crowd: RepeatingClients) -> None:
-    """Wait until the sidecar serves all clients: at first it allows 15 calls on three endpoints, and may
-    refuse the rest. The counts are cleared afterwards.
+    """Wait until the sidecar serves all clients, then clear the counts.
+
+    At first it allows 15 calls in all on three endpoints, and may refuse the rest.
     """
     seen = Counter({"503": 1})
     while seen["503"]:
@@ -412,7 +413,7 @@
     run(test)
 
 
-def test_a_new_process_that_dies_leaves_the_old_one_serving_with_all_it_had(tmp_path: Path) -> None:
+def test_if_the_new_process_dies_the_old_one_serves_on_with_its_full_limits(tmp_path: Path) -> None:
     async def test() -> None:
         async with upgrade_fleet(tmp_path) as fleet:
             old, control = await fleet.start()
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -58,7 +58,7 @@
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM)
             server, driver = only_instance(Server), only_instance(Driver)
-            gc.disable()  # objects in reference cycles are not freed and show below
+            gc.disable()  # so that objects in reference cycles stay and are found below
             for turn in range(rounds):
                 # In each round, new endpoints replace all others at the same addresses.
                 for endpoint in endpoints:
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -41,7 +41,7 @@
         await asyncio.sleep(0.005)
 
 
-def test_ready_only_with_an_endpoint_and_lists_may_be_cut_anywhere() -> None:
+def test_ready_only_with_an_endpoint_and_lists_may_be_split_anywhere() -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
@@ -73,7 +73,7 @@
         STREAM + chunk(b"\n"),  # then silence
     ],
 )
-def test_each_end_of_a_watch_is_asked_again_from_what_is_known(
+def test_after_each_end_of_a_watch_the_next_starts_from_the_known_version(
     end: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery_module, "SILENCE", 0.05)
@@ -134,7 +134,7 @@
     run(test)
 
 
-def test_a_known_list_that_cannot_be_read_does_not_keep_it_from_asking() -> None:
+def test_an_unreadable_known_list_does_not_prevent_the_watch() -> None:
     async def test() -> None:
         async with sidecar(known={"surprise": 1}) as rig:
             call, _ = await rig.discovery.calls.get()
@@ -201,7 +201,7 @@
     return {"BALANCER_CONFIG": str(path)}
 
 
-def test_a_variable_goes_before_the_file(tmp_path: Path) -> None:
+def test_an_environment_variable_overrides_the_file(tmp_path: Path) -> None:
     environ = write_config(tmp_path, GOOD)
     assert read_config(environ).listen.port == 7070
     made = read_config(environ | {"BALANCER_LISTEN": "127.0.0.1:7071", "BALANCER_NAME": "n2"})
@@ -221,7 +221,7 @@
         (GOOD | {"settings": SETTINGS | {"rules": {}}}, "rules.coldShare"),
     ],
 )
-def test_a_bad_config_is_named(data: object, says: str, tmp_path: Path) -> None:
+def test_the_error_for_an_invalid_config_names_the_field(data: object, says: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=says):
         read_config(write_config(tmp_path, data))
 
@@ -269,7 +269,7 @@
     assert process.returncode == 2 and said.count("\n") == 1 and "BALANCER_CONFIG" in said
 
 
-def test_after_sigterm_it_answers_all_that_was_taken_and_still_comes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_after_sigterm_it_answers_accepted_and_new_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(main_module, "LONGEST", 20.0)
     monkeypatch.setattr(main_module, "SERVE_PART", 0.1)  # 2 s: enough on a busy machine
 
@@ -360,7 +360,7 @@
 
 
 @pytest.mark.parametrize("cut", ["lost", "silent", "unreadable"])
-def test_a_drain_in_a_line_that_is_cut_off_is_heard(cut: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_drain_in_a_line_that_is_cut_off_is_applied(cut: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain counts as told once discovery has begun to send it, and the next answer may take seconds."""
     monkeypatch.setattr(discovery_module, "SILENCE", 0.2)
 
@@ -389,7 +389,7 @@
     run(test)
 
 
-def test_a_watch_that_never_says_a_line_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_without_a_first_line_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery_module, "FIRST_LINE", 0.05)
 
     async def test() -> None:
