--- a/millgw/control/door.py
+++ b/millgw/control/door.py
@@ -1,6 +1,6 @@
-"""The door's sockets, in a thread of its own: an answer waits for the interpreter's lock, not for the loop.
+"""HTTP server of the control interface, on its own thread: answers need the GIL but not the event loop.
 
-Callers who connect and finish nothing are bounded in number and time; the oldest of them gives way.
+Connections with an unfinished request are limited in number and time; the oldest is closed for a new one.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 from collections.abc import Callable
 
 from millgw.callers.core import word_answer
-from millgw.control.core import Asked, CallCore
+from millgw.control.core import ControlRequest, ControlRequestParser
 from millgw.http.message import Answer
 from millgw.http.request import BadRequest
 from millgw.log.events import log_event
 from millgw.platform.config import Address, ConfigError
 
-MOST_HELD = 8  # connections at once: their descriptors are of those reserved for the process itself
-CALL_TIME = 6.0  # s for a call from connecting to its last byte
-LINGER = 1.0  # s that an answered connection waits for its caller's end, who could lose the answer to a reset
-READ_SIZE = 4096  # bytes of one read
-LOOK = 0.5  # s between two looks for connections whose time has come
-MOST_WRITTEN = 1.0  # s that one answer may take to be written: larger than the kernel's room it is not
+MAX_CONNECTIONS = 8  # at once; their descriptors are among those reserved for the process itself
+REQUEST_TIMEOUT = 6.0  # s from the connect to the last byte of the request
+LINGER_TIME = 1.0  # s to wait for the caller to close: an earlier close may reset the answer away
+READ_SIZE = 4096  # bytes per read
+SWEEP_INTERVAL = 0.5  # s between checks for expired connections
+WRITE_TIMEOUT = 1.0  # s to write one answer, which fits the kernel's send buffer
 
 
-class Caller:
-    """One connection: its call as it comes in, then its caller's end."""
+class ControlConnection:
+    """One connection: reads its request, then waits for the caller to close."""
 
-    __slots__ = ("answered", "core", "since", "socket")
+    __slots__ = ("answered", "parser", "since", "socket")
 
     def __init__(self, connection: socket.socket, now: float) -> None:
         self.socket = connection
-        self.core = CallCore()
+        self.parser = ControlRequestParser()
         self.since = now
         self.answered = False
 
 
-class Door:
-    """Listens from the start on; `answer` is called in the door's thread."""
+class ControlServer:
+    """Listens as soon as it is made; `answer` is called on the server's thread."""
 
-    def __init__(self, address: Address, answer: Callable[[Asked], Answer]) -> None:
+    def __init__(self, address: Address, answer: Callable[[ControlRequest], Answer]) -> None:
         self.answer = answer
-        self.held: dict[Caller, None] = {}  # the oldest first
+        self.connections: dict[ControlConnection, None] = {}  # oldest first
         self.selector = selectors.DefaultSelector()
         self.stopped = False
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
@@ -63,77 +63,77 @@
         self.thread.start()
 
     def stop(self) -> None:
-        """Answer no more; the thread ends within `LOOK`."""
+        """Stop answering; the thread ends within `SWEEP_INTERVAL`."""
         self.stopped = True
 
     def _run(self) -> None:
         while not self.stopped:
-            for key, _ in self.selector.select(LOOK):
-                caller = key.data
+            for key, _ in self.selector.select(SWEEP_INTERVAL):
+                connection = key.data
                 try:
-                    if caller is None:
+                    if connection is None:
                         self._accept()
-                    elif caller in self.held:
-                        self._read(caller)
-                except Exception as error:  # the door must outlive whatever one call meets
+                    elif connection in self.connections:
+                        self._read(connection)
+                except Exception as error:  # a failed call must not end the server
                     log_event("door-call-failed", cause=repr(error))
-                    if caller is not None:
-                        self._drop(caller)
+                    if connection is not None:
+                        self._close(connection)
             now = time.monotonic()
-            for caller in list(self.held):
-                if caller.since + (LINGER if caller.answered else CALL_TIME) < now:
-                    self._drop(caller)
-        for caller in list(self.held):
-            self._drop(caller)
+            for connection in list(self.connections):
+                if connection.since + (LINGER_TIME if connection.answered else REQUEST_TIMEOUT) < now:
+                    self._close(connection)
+        for connection in list(self.connections):
+            self._close(connection)
         self.selector.close()
         self.socket.close()
 
     def _accept(self) -> None:
         try:
-            connection, _ = self.socket.accept()
+            accepted, _ = self.socket.accept()
         except BlockingIOError:
             return
         except OSError as error:
             log_event("accept-failed", cause=error)
-            time.sleep(0.01)  # guards against turning round and round without a descriptor
+            time.sleep(0.01)  # without the pause this loop spins while no descriptor is free
             return
-        connection.setblocking(False)
-        while len(self.held) >= MOST_HELD:
-            self._drop(next((c for c in self.held if c.answered), next(iter(self.held))))
-        caller = Caller(connection, time.monotonic())
-        self.held[caller] = None
-        self.selector.register(connection, selectors.EVENT_READ, caller)
-        self._read(caller)
-
-    def _drop(self, caller: Caller) -> None:
-        if caller in self.held:
-            del self.held[caller]
-            self.selector.unregister(caller.socket)
-            caller.socket.close()
-
-    def _read(self, caller: Caller) -> None:
+        accepted.setblocking(False)
+        while len(self.connections) >= MAX_CONNECTIONS:
+            self._close(next((c for c in self.connections if c.answered), next(iter(self.connections))))
+        connection = ControlConnection(accepted, time.monotonic())
+        self.connections[connection] = None
+        self.selector.register(accepted, selectors.EVENT_READ, connection)
+        self._read(connection)
+
+    def _close(self, connection: ControlConnection) -> None:
+        if connection in self.connections:
+            del self.connections[connection]
+            self.selector.unregister(connection.socket)
+            connection.socket.close()
+
+    def _read(self, connection: ControlConnection) -> None:
         try:
-            data = caller.socket.recv(READ_SIZE)
+            data = connection.socket.recv(READ_SIZE)
         except BlockingIOError:
             return
         except OSError:
             data = b""
         if not data:
-            self._drop(caller)
-        elif not caller.answered:  # else it is what nobody needs
-            asked = caller.core.feed(data)
-            if isinstance(asked, BadRequest):
-                self._say(caller, asked.answer())
-            elif asked is not None:
-                self._say(caller, self.answer(asked))
-
-    def _say(self, caller: Caller, answer: Answer) -> None:
-        caller.answered = True
-        caller.since = time.monotonic()
-        caller.socket.settimeout(MOST_WRITTEN)
+            self._close(connection)
+        elif not connection.answered:  # data after the request is ignored
+            request = connection.parser.feed(data)
+            if isinstance(request, BadRequest):
+                self._send(connection, request.answer())
+            elif request is not None:
+                self._send(connection, self.answer(request))
+
+    def _send(self, connection: ControlConnection, answer: Answer) -> None:
+        connection.answered = True
+        connection.since = time.monotonic()
+        connection.socket.settimeout(WRITE_TIMEOUT)
         try:
-            caller.socket.sendall(word_answer(answer, True))
-            caller.socket.shutdown(socket.SHUT_WR)
-            caller.socket.setblocking(False)
+            connection.socket.sendall(word_answer(answer, True))
+            connection.socket.shutdown(socket.SHUT_WR)
+            connection.socket.setblocking(False)
         except OSError:
-            self._drop(caller)
+            self._close(connection)
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -1,4 +1,4 @@
-"""A sidecar put together: with one pool for all requests, or with the services of an operator's file."""
+"""Assembles a sidecar: one pool for all requests, or the services of an operator file."""
 
 from __future__ import annotations
 
@@ -26,36 +26,36 @@
     from millgw.peers.node import Peers
     from millgw.services.node import Node
 
-OPERATOR = "BALANCER_OPERATOR"  # names the operator's file
+OPERATOR_VARIABLE = "BALANCER_OPERATOR"  # path of the operator file
 
 
 @dataclass(slots=True, frozen=True)
 class Parts:
-    """The callers' sides (one for each listener), the pools whose calls they take, what a SIGHUP does.
+    """The assembled components: a server for each listener, the pools, and the SIGHUP handler.
 
-    `begin` is called once, before anybody listens; with what another process of this sidecar knew, if any.
+    `begin` is called once before the servers listen, with the state of the predecessor process, if any.
     """
 
     servers: Callable[[], Sequence[Server]]
     pools: Callable[[], Sequence[Pool]]
     reload: Callable[[], None]
-    life: Lifecycle
+    lifecycle: Lifecycle
     descriptors: Descriptors
     begin: Callable[[State | None], None]
-    intents: Intents | None = None  # what marks unsafe calls before they are sent, where that is wanted
-    peers: Peers | None = None  # what goes between this sidecar and others, where it does
-    configuration: Client | None = None  # what follows the distributed configuration, where that is wanted
+    intents: Intents | None = None  # records unsafe calls before they are sent, if enabled
+    peers: Peers | None = None  # exchange with other sidecars, if enabled
+    configuration: Client | None = None  # distributed configuration, if enabled
 
 
-def one(
+def assemble_single_pool(
     config: Config,
     environ: Mapping[str, str],
-    life: Lifecycle,
-    tend: Callable[[Pool], object] | None = None,
+    lifecycle: Lifecycle,
+    configure_pool: Callable[[Pool], object] | None = None,
     locality: Locality | None = None,
 ) -> Parts:
     descriptors = Descriptors(config.sockets)
-    whole = Whole(
+    process_limits = Whole(
         {
             CALLS: descriptors.most_calls,
             CONNECTIONS: descriptors.most,
@@ -64,35 +64,36 @@
         }
     )
     pool = Pool(
-        "", config, config.seed, descriptors, whole,
-        lambda heard, _: of_platform(config, heard), locality=locality,
+        "", config, config.seed, descriptors, process_limits,
+        lambda on_update, _: of_platform(config, on_update), locality=locality,
     )  # fmt: skip
-    if tend is not None:
-        tend(pool)
+    if configure_pool is not None:
+        configure_pool(pool)
     assert isinstance(pool.source, Discovery)
-    front = PlainFront(pool, life)
-    server = Server(config.listen, descriptors, front, life)
+    front = PlainFront(pool, lifecycle)
+    server = Server(config.listen, descriptors, front, lifecycle)
     descriptors.callers, descriptors.close_caller = server.held, server.give_way
-    begin = partial(_begin, config, pool)
+    begin = partial(_start_pool, config, pool)
     reload = Reload(environ, config, pool.source)
-    return Parts(lambda: (server,), lambda: (pool,), reload, life, descriptors, begin)
+    return Parts(lambda: (server,), lambda: (pool,), reload, lifecycle, descriptors, begin)
 
 
 def class_names(settings: Settings) -> list[str]:
-    """The settings' classes in their order, by which what was learned of them is told."""
+    """Names of the request classes in the order by which learned state refers to them."""
     return [c.name for c in settings.classes]
 
 
-def _begin(config: Config, pool: Pool, state: State | None) -> None:
+def _start_pool(config: Config, pool: Pool, state: State | None) -> None:
     names = class_names(config.settings)
     if state is not None and state.learned.get("classes", names) != names:
-        # Guards against what was learned by other settings, or by another deployment's sidecar of this name.
-        log_event("handover-unusable", cause="it is of other classes")
+        # Learned under other settings, or by a sidecar of the same name in another deployment: class indexes
+        # would refer to other classes.
+        log_event("handover-unusable", cause="its request classes differ")
         state = None
     if state is None:
         pool.start(config.known)
         return
-    # Only here: a process that takes over from none needs nothing of it.
+    # Imported here: not needed without a predecessor.
     from millgw.hot_restart.learned import adopt_learned
 
     balancer = pool.driver.balancer
@@ -106,53 +107,55 @@
 
 
 async def several(config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
-    # Only here: an operator's file that is not given must cost nothing.
+    # Imported here so that a sidecar without an operator file does not load it.
     try:
         from millgw.services.node import Node
     except ModuleNotFoundError as missing:
-        raise ConfigError(f"{OPERATOR}: needs {missing.name}: requirements-operator.txt") from None
+        raise ConfigError(f"{OPERATOR_VARIABLE}: needs {missing.name}: requirements-operator.txt") from None
 
-    node = Node(config, environ, environ[OPERATOR], life)
+    node = Node(config, environ, environ[OPERATOR_VARIABLE], life)
     if node.operator.configuration is not None:
-        return await _following(node, config, environ, life)
+        return await _assemble_with_configuration(node, config, environ, life)
     if not node.operator.services:
-        return _beside(node, config, _one(node, config, environ, life))
-    return _beside(node, config, _opened(node, life))
+        return _with_peers_and_intents(node, config, _assemble_node_pool(node, config, environ, life))
+    return _with_peers_and_intents(node, config, _assemble_services(node, life))
 
 
-def _opened(node: Node, life: Lifecycle) -> Parts:
-    # Services start as any other process does: what their pools have learned does not go over yet.
-    return Parts(*node.open(), life, node.shared, lambda _: None)
+def _assemble_services(node: Node, lifecycle: Lifecycle) -> Parts:
+    # The learned state of services' pools is not handed over yet: they start without it.
+    return Parts(*node.open(), lifecycle, node.shared, lambda _: None)
 
 
-async def _following(node: Node, config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
-    """The same where the distributed configuration is followed, which comes before the pools."""
+async def _assemble_with_configuration(
+    node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
+) -> Parts:
+    """Assemble with the distributed configuration, which has to be read before the pools are built."""
     from millgw.configuration.single import SinglePool
     from millgw.services.parts import configuration
 
     single = None if node.operator.services else SinglePool(node.filed, environ, node.path)
     client = configuration(node.operator, config, single or node)
-    assert client is not None, "the file has the table"
+    assert client is not None, "the operator file has a [configuration] table"
     try:
         entries = await client.begin()
         node.start_with(entries)
         if single is None:
-            parts = _opened(node, life)
+            parts = _assemble_services(node, lifecycle)
         else:
-            parts = _one(node, node.config, environ, life)
+            parts = _assemble_node_pool(node, node.config, environ, lifecycle)
             assert isinstance(parts.reload, Reload)
-            single.serve(entries, parts.pools()[0], node.tended, parts.reload.move)
+            single.serve(entries, parts.pools()[0], node.tended, parts.reload.move_discovery)
             parts = replace(parts, reload=single.reload)
     except (ConfigError, OSError):
         client.stop()
         raise
     client.serving = True
     parts.descriptors.reserve(client.descriptors)
-    return replace(_beside(node, config, parts), configuration=client)
+    return replace(_with_peers_and_intents(node, config, parts), configuration=client)
 
 
-def _beside(node: Node, config: Config, parts: Parts) -> Parts:
-    """With what the operator's file has beside the pools."""
+def _with_peers_and_intents(node: Node, config: Config, parts: Parts) -> Parts:
+    """Add the peer exchange and the intent log of the operator file, and reserve their descriptors."""
     from millgw.services.parts import peers
 
     parts = replace(parts, peers=peers(node.operator, config, parts.pools), intents=node.intents)
@@ -162,16 +165,20 @@
     return parts
 
 
-def _one(node: Node, config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
-    """One pool for all requests, with what the operator's file has for it."""
+def _assemble_node_pool(
+    node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
+) -> Parts:
+    """One pool for all requests, with the options of the operator file."""
     from millgw.services.parts import locality
 
-    chosen = locality(node.operator, config, config.seed)
-    return one(config, environ, life, partial(_equip, node, config), chosen)
+    chosen_locality = locality(node.operator, config, config.seed)
+    return assemble_single_pool(
+        config, environ, lifecycle, partial(_apply_operator_options, node, config), chosen_locality
+    )
 
 
-def _equip(node: Node, config: Config, pool: Pool) -> None:
-    """Give the one pool what the operator's file has for it."""
+def _apply_operator_options(node: Node, config: Config, pool: Pool) -> None:
+    """Apply the operator file's connection and intent options to the single pool."""
     from millgw.services.parts import attach
 
     node.tended = attach(pool, node.operator.tends(), config, config.seed)
@@ -179,7 +186,7 @@
 
 
 class Reload:
-    """Reads the configuration again at each SIGHUP and applies what may change in service: `discovery`."""
+    """SIGHUP handler: rereads the configuration and applies `discovery`, the only field that can change."""
 
     def __init__(self, environ: Mapping[str, str], config: Config, discovery: Discovery) -> None:
         self.environ = environ
@@ -191,16 +198,16 @@
         try:
             self.config = read_config(self.environ, before)
         except ConfigError as error:
-            # Guards against a file that is half written or wrong: the sidecar serves on with what it has.
+            # A file that is half written or invalid must not stop the sidecar, which keeps the old one.
             log_event("reload-refused", cause=error)
             return
         for name in ("name", "listen", "sockets", "settings"):
             if getattr(self.config, name) != getattr(before, name):
                 log_event("reload-takes-restart", field=name)
         log_event("reloaded")
-        self.move(self.config)
+        self.move_discovery(self.config)
 
-    def move(self, config: Config) -> None:
-        """Go on at the discovery of another configuration."""
+    def move_discovery(self, config: Config) -> None:
+        """Switch to the discovery address of another configuration."""
         self.config = config
         self.discovery.move(config.discovery)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A sidecar on loopback sockets, with the scripted stand-ins round it."""
+"""Test fixture: a sidecar in this process on loopback sockets, with scripted peers."""
 
 from __future__ import annotations
 
@@ -23,12 +23,14 @@
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedDiscoveryServer, ScriptedEndpoint, chunk, read_message
 
-LIMIT = 30.0  # s that a test may wait for anything: far over what it takes on a busy machine
-STUCK = 3 * LIMIT  # s after which a test that never lets the loop turn ends the whole run, with its traceback
-PATIENCE = 20_000  # ms of a request that is not about time
-LOOK = 0.005  # s between two looks of a test at its own loop
-HEARTBEAT = 0.5  # s between two empty lines of a watch
-numbers = itertools.count(1)
+LIMIT = 30.0  # s, limit for a whole test: far above what one takes on a busy machine
+BLOCKED_LOOP_TIMEOUT = (
+    3 * LIMIT
+)  # s after which a test that blocks the event loop aborts the run with a traceback
+PATIENCE = 20_000  # ms, deadline of requests whose timing is not tested
+STALL_POLL_INTERVAL = 0.005  # s between checks of the event loop for stalls
+HEARTBEAT_INTERVAL = 0.5  # s between empty lines of a watch
+trace_ids = itertools.count(1)
 
 SETTINGS: dict[str, Any] = {
     "classes": [
@@ -45,13 +47,13 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]], waits: float = 0.0) -> None:
-    """Run one test on the loop that the sidecar runs on, with a limit on its time beside its `waits` (s)."""
+    """Run a test on the event loop type that the sidecar uses, limited to `LIMIT` + `waits` seconds."""
 
     async def limited() -> None:
         async with asyncio.timeout(LIMIT + waits):
             await test()
 
-    faulthandler.dump_traceback_later(STUCK + waits, exit=True)
+    faulthandler.dump_traceback_later(BLOCKED_LOOP_TIMEOUT + waits, exit=True)
     try:
         uvloop.run(limited())
     finally:
@@ -59,22 +61,22 @@
 
 
 async def until(holds: Callable[[], bool]) -> None:
-    """Wait for something that no event tells of."""
+    """Poll until a condition holds that no event announces."""
     while not holds():
         await asyncio.sleep(0.005)
 
 
 @asynccontextmanager
 async def stalls(over: float) -> AsyncIterator[list[float]]:
-    """For how long (s) the loop stood still, each time that it did for `over` or more."""
+    """Collect the stalls (s) of the event loop that last `over` seconds or more."""
     loop = asyncio.get_running_loop()
     seen: list[float] = []
 
     async def look() -> None:
         while True:
-            due = loop.time() + LOOK
-            await asyncio.sleep(LOOK)
-            if loop.time() >= due + over - LOOK:
+            due = loop.time() + STALL_POLL_INTERVAL
+            await asyncio.sleep(STALL_POLL_INTERVAL)
+            if loop.time() >= due + over - STALL_POLL_INTERVAL:
                 seen.append(loop.time() - due)
 
     looking = asyncio.create_task(look())
@@ -85,38 +87,38 @@
 
 
 async def heartbeats(watch: asyncio.StreamWriter, seconds: float) -> None:
-    """Have a watch say for so long that nothing changes."""
+    """Send heartbeats on a watch for that many seconds."""
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
         watch.write(chunk(b"\n"))
-        await asyncio.sleep(HEARTBEAT)
+        await asyncio.sleep(HEARTBEAT_INTERVAL)
 
 
 def request(
-    cls: str = "read",
+    request_class: str = "read",
     body: bytes = b"",
     patience: object = PATIENCE,
     target: str = "/api?k=7",
     **headers: str,
 ) -> bytes:
-    """A caller's request; a header given as '' is left out."""
+    """Encode a caller's request; a header given as '' is left out."""
     all_headers = {
         "Host": "app.svc",
-        "X-Trace-Id": f"{next(numbers):016x}",
-        "X-Qos": cls,
+        "X-Trace-Id": f"{next(trace_ids):016x}",
+        "X-Qos": request_class,
         "X-Customer": "acme",
         "X-Expires-In-Ms": str(patience),
-        "Idempotency-Key": "key-1" if cls == "write" else "",
+        "Idempotency-Key": "key-1" if request_class == "write" else "",
         "Content-Length": str(len(body)),
     } | {name.replace("_", "-"): value for name, value in headers.items()}
     lines = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items() if value)
-    return f"{'GET' if cls == 'read' else 'POST'} {target} HTTP/1.1\r\n{lines}\r\n".encode() + body
+    return f"{'GET' if request_class == 'read' else 'POST'} {target} HTTP/1.1\r\n{lines}\r\n".encode() + body
 
 
 def config(endpoints: list[ScriptedEndpoint], discovery: Address, **changes: Any) -> Config:
     values: dict[str, Any] = {
         "name": "n1", "listen": free_address(), "control": None, "discovery": discovery,
-        "filed_discovery": None,
+        "file_discovery": None,
         "seed": 1, "sockets": 1024, "memory": 2.0**26,
         "known": {"index": 1, "snapshot": True, "endpoints": [e.entry() for e in endpoints]},
         "settings": to_settings(SETTINGS), "zones": ("a",), "connect_timeout": 5000.0, "idle": 60_000.0,
@@ -137,7 +139,7 @@
 
 
 class Reachable:
-    """A sidecar that callers can ask at `listen`."""
+    """A sidecar that callers reach at `listen`."""
 
     listen: Address
 
@@ -162,14 +164,14 @@
 
 @asynccontextmanager
 async def sidecar(*endpoints: ScriptedEndpoint, **changes: Any) -> AsyncIterator[Rig]:
-    """A sidecar in service, which knows these endpoints."""
+    """A running sidecar that starts with these endpoints."""
     discovery = ScriptedDiscoveryServer()
     await discovery.start()
     for endpoint in endpoints:
         await endpoint.start()
     made = config(list(endpoints), discovery.address, **changes)
     task = asyncio.create_task(serve(made))
-    await asyncio.sleep(0)  # it listens before its first wait
+    await asyncio.sleep(0)  # the sidecar listens before it first yields to the event loop
     try:
         yield Rig(made, discovery, task)
     finally:
@@ -179,7 +181,7 @@
 
 
 class Services(Reachable):
-    """A sidecar in service with an operator's file."""
+    """A running sidecar with an operator file."""
 
     def __init__(self, folder: Path, text: str, discovery: str, control: Address | None = None) -> None:
         self.folder = folder
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -1,4 +1,4 @@
-"""What a sidecar keeps for requests, connections and endpoints goes with them, and who is where."""
+"""A sidecar keeps no state of finished requests, closed connections and removed endpoints."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 from tests.rig import SETTINGS, request, run, sidecar, until
 
 T = TypeVar("T")
-KEPT_FOR_EACH = (Call, Head, CallerConnection, Attempt, Connection, Request, Sent)
+RELEASED_TYPES = (Call, Head, CallerConnection, Attempt, Connection, Request, Sent)
 
 
-def living(kind: type[T]) -> list[T]:
+def live_objects(kind: type[T]) -> list[T]:
     return [thing for thing in gc.get_objects() if isinstance(thing, kind)]
 
 
-def the(kind: type[T]) -> T:
-    """The one of this sidecar: those of tests before may wait for the collector."""
+def only_instance(kind: type[T]) -> T:
+    """The instance of this sidecar. Collects first, as those of earlier tests may not be freed yet."""
     gc.collect()
-    (thing,) = living(kind)
+    (thing,) = live_objects(kind)
     return thing
 
 
-def test_after_thousands_of_ids_endpoints_and_connections_the_books_are_empty() -> None:
+def test_after_thousands_of_requests_endpoints_and_connections_no_state_is_left() -> None:
     rounds, each = 200, 10
 
     async def test() -> None:
@@ -53,24 +53,24 @@
             bad = b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"
             return {3: None, 5: ok() + b"noise", 7: bad}.get(answers % 10, ok())
 
-        spots = [ScriptedEndpoint(f"spot{i}", mixed) for i in range(4)]
-        async with sidecar(*spots) as rig:
+        endpoints = [ScriptedEndpoint(f"endpoint{i}", mixed) for i in range(4)]
+        async with sidecar(*endpoints) as rig:
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM)
-            server, driver = the(Server), the(Driver)
-            gc.disable()  # what only the collector can free grows until it comes
+            server, driver = only_instance(Server), only_instance(Driver)
+            gc.disable()  # so that objects in reference cycles stay and are found below
             for turn in range(rounds):
-                # Each round all endpoints are new ones, at the addresses of those before.
-                for spot in spots:
-                    spot.name = f"{spot.address.host}-{turn}"
-                entries = [spot.entry(since_ms=turn) for spot in spots]
+                # In each round, new endpoints replace all others at the same addresses.
+                for endpoint in endpoints:
+                    endpoint.name = f"{endpoint.address.host}-{turn}"
+                entries = [endpoint.entry(since_ms=turn) for endpoint in endpoints]
                 writer.write(chunk(line(turn, entries, snapshot=turn % 2 == 0)))
                 await asyncio.gather(*(rig.ask(request("write" if i % 2 else "pay")) for i in range(each)))
                 leaving = await rig.connect()
                 leaving.writer.write(request("pay")[:-9] if turn % 2 else request("pay"))
                 leaving.writer.close()
             await until(lambda: not server.connections)
-            assert not server.fresh and not server.kept and not the(Pool).bodies
+            assert not server.fresh and not server.kept and not only_instance(Pool).bodies
             assert not driver.calls and not driver.open and not driver.upstream.tasks
             assert len(driver.ready) == len(driver.balancer.servers) == len(driver.upstream.hosts) == 4
             balancer = driver.balancer
@@ -79,9 +79,9 @@
             kept = driver.upstream.open
             assert kept == sum(len(p.idle) for p in driver.upstream.hosts.values())
             await asyncio.sleep(1)
-            await until(lambda: len(living(Connection)) == kept)
-            assert not [k for k in KEPT_FOR_EACH if k is not Connection and living(k)]
-            assert len(living(Host)) == 4
+            await until(lambda: len(live_objects(Connection)) == kept)
+            assert not [k for k in RELEASED_TYPES if k is not Connection and live_objects(k)]
+            assert len(live_objects(Host)) == 4
 
     try:
         run(test)
@@ -94,11 +94,11 @@
 
     async def test() -> None:
         async with sidecar(settings=to_settings(raw)) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             loop = asyncio.get_running_loop()
             before = len(driver.balancer.timers)
             client = await rig.connect()
-            client.writer.write(request("pay"))  # held: there is no endpoint
+            client.writer.write(request("pay"))  # held, as there is no endpoint
             await until(lambda: len(driver.balancer.timers) == before + 1)
             (call,) = driver.calls.values()
             timers = list(call.timers)
@@ -110,21 +110,21 @@
     run(test)
 
 
-def test_an_endpoint_at_the_address_of_one_that_has_gone_takes_nothing_over() -> None:
+def test_an_endpoint_at_the_address_of_a_removed_one_inherits_no_state() -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("old")
         async with sidecar(endpoint) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             _, writer = await rig.discovery.calls.get()
             for _ in range(3):
                 assert (await rig.ask(request("pay"))).status == 200
             (old,) = driver.balancer.servers.values()
             endpoint.name = "new"
             writer.write(STREAM + chunk(line(2, [endpoint.entry(since_ms=int(time.time() * 1000))])))
-            await until(lambda: endpoint.lost_connections == 1)  # its kept connection is closed
+            await until(lambda: endpoint.lost_connections == 1)  # its idle connection is closed
             (new,) = driver.balancer.servers.values()
             assert new.info.id != old.info.id and not new.served and driver.balancer.ring == [new]
-            endpoint.name = "old"  # told late, of a time before the new one
+            endpoint.name = "old"  # a late list entry, from before the new endpoint
             writer.write(chunk(line(3, [endpoint.entry(since_ms=1)])))
             writer.write(chunk(line(4, [])))
             assert (await rig.ask(request("pay"))).status == 200
@@ -140,7 +140,7 @@
 
         endpoints = [ScriptedEndpoint(f"e{i}", script) for i in range(3)]
         async with sidecar(*endpoints) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             assert (await rig.ask(request("write"))).status == 400
             assert sum(len(e.got) for e in endpoints) == 1, "tried again elsewhere"
             assert not any(s.failing or s.out for s in driver.balancer.servers.values())
@@ -153,7 +153,7 @@
         old, new = ScriptedEndpoint("old", silent), ScriptedEndpoint("new")
         await new.start()
         async with sidecar(old) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             _, writer = await rig.discovery.calls.get()
             waiting = await rig.connect()
             waiting.writer.write(request("pay"))
@@ -162,7 +162,7 @@
             while (await rig.ask(request("pay"))).status != 200 or not new.got:
                 pass
             assert [len(s.out) for s in driver.balancer.servers.values()] == [0]
-            assert len(driver.balancer.flights) == 1, "the call that is still out at the old one"
+            assert len(driver.balancer.flights) == 1, "the call that is still in flight at the old endpoint"
             old.served[0].write(ok(b"late"))
             assert (await read_message(waiting.reader)).body == b"late"
             assert not driver.balancer.flights and driver.upstream.open == 1
@@ -170,7 +170,7 @@
     run(test)
 
 
-def test_callers_that_leave_while_their_sends_are_held_back_tell_nothing_of_the_endpoint(
+def test_callers_that_leave_while_their_sends_are_held_back_do_not_count_against_the_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(proof_module, "HOLD_BACK", 300.0)
@@ -178,7 +178,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e")
         async with sidecar(endpoint) as rig:
-            driver = the(Driver)
+            driver = only_instance(Driver)
             for _ in range(3):
                 client = await rig.connect()
                 client.writer.write(request("pay"))
