--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -13,7 +13,7 @@
 from millgw.pool.share import CONNECTIONS, Whole
 
 
-class PoolSight:
+class LivePoolView:
     """What a pool knows of its endpoints, for what tends its connections."""
 
     def __init__(self, pool: Pool) -> None:
@@ -40,7 +40,7 @@
         return most - int(CALLERS_PART * most) if isinstance(self.pool.share, Whole) else most
 
     def show(self, endpoints: tuple[Endpoint, ...]) -> None:
-        self.pool.driver.show(endpoints)
+        self.pool.driver.replace_list(endpoints)
 
 
 def place_of(settings: Settings) -> Place:
@@ -51,7 +51,7 @@
 def tend(pool: Pool, terms: Terms, config: Config, seed: int) -> Tended:
     """Tend a pool's connections from now on; called before it is started."""
     place = place_of(pool.settings)
-    tended = Tended(pool.upstream, terms, place, config.idle, seed, PoolSight(pool))
+    tended = Tended(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
     pool.upstream.tend(tended)
-    pool.driver.curtain = tended
+    pool.driver.list_filter = tended
     return tended
--- a/millgw/connections/introduction.py
+++ b/millgw/connections/introduction.py
@@ -15,10 +15,10 @@
 
 from millgw.interface import Condition, Endpoint, ListKind
 
-HIDDEN_MOST = 0.5  # of the endpoints that are ready
+MAX_HIDDEN_SHARE = 0.5  # of the endpoints that are ready
 
 
-class Introduction:
+class ColdEndpointFilter:
     """The list as the module has it, and who is kept back. Times are those of `Endpoint.started_at`."""
 
     def __init__(self, cold_time: float) -> None:
@@ -50,7 +50,7 @@
                 told.append(entry)
             else:
                 self.hidden[entry.id] = entry
-        told += self._too_many()
+        told += self._show_excess()
         # One that came back under its name is another to the module: the life that it knows is over.
         over = [Endpoint(i, Condition.GONE) for i in self.hidden if i in self.shown]
         for gone in over:
@@ -60,12 +60,12 @@
     def _cold(self, entry: Endpoint, now: float) -> bool:
         return entry.started_at > 0 and now < entry.started_at + self.cold_time
 
-    def _too_many(self) -> list[Endpoint]:
+    def _show_excess(self) -> list[Endpoint]:
         """Those that can't be kept back: the ones that have started first are the warmest."""
         known = len(self.shown.keys() | self.hidden.keys())
         freed = []
         for entry in sorted(self.hidden.values(), key=lambda e: (e.started_at, e.id)):
-            if len(self.hidden) <= HIDDEN_MOST * known:
+            if len(self.hidden) <= MAX_HIDDEN_SHARE * known:
                 break
             freed.append(self._show(entry))
         return freed
@@ -83,13 +83,13 @@
         self._show(entry)
         return True
 
-    def due(self, now: float) -> bool:
+    def show_warm(self, now: float) -> bool:
         """Show those whose cold time is over; tells whether there are any."""
         warm = [e for e in self.hidden.values() if not self._cold(e, now)]
         for entry in warm:
             self._show(entry)
         return bool(warm)
 
-    def whole(self) -> tuple[Endpoint, ...]:
+    def shown_list(self) -> tuple[Endpoint, ...]:
         """The list as the module should have it."""
         return tuple(self.shown.values())
--- a/millgw/connections/keeper.py
+++ b/millgw/connections/keeper.py
@@ -1,6 +1,6 @@
-"""One endpoint's connections: which to use, keep, open and give up. Pure.
+"""Policy for the connections to one endpoint: which to use, keep, open and close. Pure: no I/O, no clock.
 
-The keeper is told what happens and asked what to do. It knows connections by their `Life`; who holds the
+The keeper is told what happens and asked what to do. It knows connections by their `ConnectionRecord`; who holds the
 sockets is somebody else's matter. Times are ms: `now` on any clock that does not go back, the same for all
 calls; endpoints' starts on the clock of `Turns`.
 """
@@ -13,17 +13,24 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from millgw.connections.lifetime import JUST, IdleTime, UseLimit
-from millgw.connections.need import Need
-from millgw.connections.opening import Place, Turns, tries
-from millgw.connections.standing import DOWN, UNPROVEN, UP, Standing
+from millgw.connections.lifetime import AFTER_ANSWER_MS, IdleLimit, UseLimit
+from millgw.connections.need import ConnectionDemand
+from millgw.connections.opening import Place, Turns, retry_turns
+from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
 from millgw.connections.terms import Order, Terms
 
-UNSAFE_PART = 0.5  # of the idle bound, past which a call that may not run twice takes a fresher connection
-AGAIN, AGAIN_MOST = 250.0, 60_000.0  # ms before another is opened ahead: twice that for each wasted in a row
-STILLBORN = 100.0  # ms after its handshake in which one that ends unused never was of use
-CAP_RISE = 10_000.0  # ms after which one connection more than the seen cap is tried
-PROVEN = 1000.0  # ms for which an answer proves that an endpoint is there: what fails then is its cap's doing
+UNSAFE_IDLE_SHARE = (
+    0.5  # of the idle bound, past which a call that may not run twice takes a fresher connection
+)
+AHEAD_BACKOFF_MS, MAX_AHEAD_BACKOFF_MS = (
+    250.0,
+    60_000.0,
+)  # ms before another is opened ahead: twice that for each wasted in a row
+UNUSED_CLOSE_MS = 100.0  # ms after its handshake in which one that ends unused never was of use
+LIMIT_RETRY_MS = 10_000.0  # ms after which one connection more than the seen cap is tried
+ANSWER_PROOF_MS = (
+    1000.0  # ms for which an answer proves that an endpoint is there: what fails then is its cap's doing
+)
 
 
 class GiveUp(Enum):
@@ -44,172 +51,174 @@
 
 
 @dataclass(slots=True, eq=False)
-class Life:
+class ConnectionRecord:
     """One connection's: when it was opened, when its last answer came, how often it was used, its bounds.
 
     `idle_share` is of the endpoint's idle bound, `age` and `uses` are bounds of its own (0: none).
     """
 
-    opened: float
-    proven: float
+    opened_at: float
+    proven_at: float
     idle_share: float = 1.0
-    age: float = 0.0
-    use_most: int = 0
+    max_age: float = 0.0
+    max_uses: int = 0
     uses: int = 0
-    rested: float = 0.0  # for how long it was idle when it was last taken
+    idle_before_use: float = 0.0  # for how long it was idle when it was last taken
 
 
-class Keeper:
-    """One endpoint's policy. `told_idle` is how long the endpoint promises to keep an idle connection."""
+class EndpointPolicy:
+    """One endpoint's policy. `promised_idle` is how long the endpoint promises to keep an idle connection."""
 
     def __init__(self, terms: Terms, place: Place, told_idle: float, rng: random.Random) -> None:
         self.terms = terms
-        self.place = place
+        self.position = place
         self.rng = rng
-        self.idle_time = IdleTime(told_idle, terms.idle_part)
+        self.idle_limit = IdleLimit(told_idle, terms.idle_part)
         self.use_limit = UseLimit()
-        self.need = Need()
-        self.standing = Standing(rng, terms.probe_base, terms.probe_most)
+        self.demand = ConnectionDemand()
+        self.reachability = Reachability(rng, terms.probe_base, terms.probe_most)
         self.turns: Turns | None = None  # while it is cold
-        self.tries = tries(place, terms.cold_rate, rng)  # while it is out of reach
-        self.wasted = 0  # connections in a row that were opened ahead and never used
-        self.ahead_after = 0.0
+        self.retry_turns = retry_turns(place, terms.cold_rate, rng)  # while it is out of reach
+        self.unused_in_a_row = 0  # connections in a row that were opened ahead and never used
+        self.open_ahead_after = 0.0
         self.opening = 0  # handshakes under way
         self.open = 0  # connections that are up
         self.busy = 0  # of them, those that carry a request
-        self.answered = -math.inf
-        self.cap = math.inf  # what the endpoint was seen to take
-        self.cap_at = 0.0
+        self.last_answer_at = -math.inf
+        self.observed_limit = math.inf  # what the endpoint was seen to take
+        self.observed_limit_at = 0.0
 
     def change(self, terms: Terms, told_idle: float) -> None:
         """Go by other terms; what was learned of the endpoint stays."""
         self.terms = terms
-        self.idle_time.bound(terms.idle_part * told_idle)
-        self.tries = tries(self.place, terms.cold_rate, self.rng)
-        self.standing.base, self.standing.most = terms.probe_base, terms.probe_most
+        self.idle_limit.set_maximum(terms.idle_part * told_idle)
+        self.retry_turns = retry_turns(self.position, terms.cold_rate, self.rng)
+        self.reachability.min_wait, self.reachability.max_wait = terms.probe_base, terms.probe_most
 
-    def settle(self, place: Place) -> None:
+    def set_position(self, place: Place) -> None:
         """Go by another place among siblings; whoever knows when it started tells again, if it is cold."""
-        self.place = place
+        self.position = place
         self.turns = None
 
     # What happens
 
-    def starts(self, since: float, common: bool) -> None:
+    def cold_since(self, since: float, common: bool) -> None:
         """The endpoint is cold from a time on; `common` where its siblings know that start too."""
         if self.turns is None or self.turns.since != since:
-            self.turns = Turns(self.place, self.terms.cold_rate, since, common, self.rng)
+            self.turns = Turns(self.position, self.terms.cold_rate, since, common, self.rng)
 
-    def born(self, now: float) -> Life:
+    def connected(self, now: float) -> ConnectionRecord:
         """A connection has come up."""
         self.open += 1
-        if self.open > self.cap:
-            self.cap = float(self.open)
+        if self.open > self.observed_limit:
+            self.observed_limit = float(self.open)
         jitter = self.terms.jitter
-        return Life(
-            opened=now,
-            proven=now,
+        return ConnectionRecord(
+            opened_at=now,
+            proven_at=now,
             idle_share=1.0 - jitter * self.rng.random(),
-            age=self.terms.age * (1.0 - jitter * self.rng.random()),
-            use_most=math.ceil(self.terms.uses * (1.0 - jitter * self.rng.random())),
+            max_age=self.terms.age * (1.0 - jitter * self.rng.random()),
+            max_uses=math.ceil(self.terms.uses * (1.0 - jitter * self.rng.random())),
         )
 
-    def proved(self, wall: float) -> None:
+    def handshake_succeeded(self, wall: float) -> None:
         """A handshake has ended well, at a time on the clock of endpoints' starts."""
-        if self.standing.state == DOWN:
-            self.starts(wall, False)  # it may have started anew, and nobody has said so yet
-        self.standing.up()
+        if self.reachability.state == DOWN:
+            self.cold_since(wall, False)  # it may have started anew, and nobody has said so yet
+        self.reachability.mark_up()
 
-    def missed(self, now: float) -> None:
+    def handshake_failed(self, now: float) -> None:
         """A handshake has not: refused, or not up in time."""
-        if self.open and now - self.answered < PROVEN:
+        if self.open and now - self.last_answer_at < ANSWER_PROOF_MS:
             # It serves on other connections at this moment: it takes no more of them.
-            self.cap, self.cap_at = float(self.open), now
+            self.observed_limit, self.observed_limit_at = float(self.open), now
         else:
-            self.standing.failed(now)
+            self.reachability.mark_down(now)
 
-    def sent(self, now: float) -> None:
+    def request_sent(self, now: float) -> None:
         """A request goes out on a connection, or a handshake is begun for one."""
-        self.need.sent(now, self.busy + 1)
+        self.demand.request_sent(now, self.busy + 1)
 
-    def answer(self, now: float, life: Life) -> None:
+    def answered(self, now: float, life: ConnectionRecord) -> None:
         """An answer has come."""
         if life.uses == 0:
-            self.wasted, self.ahead_after = 0, 0.0
-        self.idle_time.lived(life.rested)
+            self.unused_in_a_row, self.open_ahead_after = 0, 0.0
+        self.idle_limit.survived(life.idle_before_use)
         life.uses += 1
-        life.proven = self.answered = now
+        life.proven_at = self.last_answer_at = now
         self.use_limit.outlived(now, life.uses)
-        self.standing.up()
+        self.reachability.mark_up()
 
-    def takes(self, now: float, life: Life) -> None:
+    def taken(self, now: float, life: ConnectionRecord) -> None:
         """An idle connection is taken for a request."""
-        life.rested = now - life.proven
+        life.idle_before_use = now - life.proven_at
 
-    def ended(self, now: float, life: Life) -> None:
+    def closed_while_idle(self, now: float, life: ConnectionRecord) -> None:
         """The other side ended a connection that was idle."""
-        if self.stillborn(now, life):
-            self.standing.failed(now)
+        if self.closed_unused(now, life):
+            self.reachability.mark_down(now)
             return
         self._unused(now, life, self.open)
         self._learn(now, life)
 
     @staticmethod
-    def stillborn(now: float, life: Life) -> bool:
+    def closed_unused(now: float, life: ConnectionRecord) -> bool:
         """Whether one that ends now never was of any use."""
-        return life.uses == 0 and now - life.opened < STILLBORN
+        return life.uses == 0 and now - life.opened_at < UNUSED_CLOSE_MS
 
-    def dead(self, now: float, life: Life) -> None:
+    def found_dead(self, now: float, life: ConnectionRecord) -> None:
         """A connection turned out to be dead when a request was to go on it: it had ended by then."""
-        if self.stillborn(now, life):
-            self.standing.failed(now)
+        if self.closed_unused(now, life):
+            self.reachability.mark_down(now)
         else:
             self._learn(now, life)
 
-    def _learn(self, now: float, life: Life) -> None:
-        idle = now - life.proven
+    def _learn(self, now: float, life: ConnectionRecord) -> None:
+        idle = now - life.proven_at
         if not self.terms.learn:
             return
-        if idle < JUST and life.uses:
+        if idle < AFTER_ANSWER_MS and life.uses:
             self.use_limit.ended(now, life.uses)
         else:
-            self.idle_time.ended(idle)
+            self.idle_limit.ended(idle)
 
-    def gives_up(self, now: float, life: Life, why: GiveUp) -> None:
+    def given_up(self, now: float, life: ConnectionRecord, why: GiveUp) -> None:
         """This side ends an idle one."""
         if why is GiveUp.IDLE:
-            self.idle_time.lived(now - life.proven)
+            self.idle_limit.survived(now - life.proven_at)
             self._unused(now, life, self.open - 1)
 
-    def _unused(self, now: float, life: Life, left: int) -> None:
+    def _unused(self, now: float, life: ConnectionRecord, left: int) -> None:
         """One ended idle, and so many are left: more than these are not needed.
 
         Guards against connections that are opened ahead, end unused, and are opened again, over and over.
         """
-        self.need.spared(now, left)
+        self.demand.unused_given_up(now, left)
         if life.uses == 0:
-            self.wasted += 1
-            self.ahead_after = now + min(AGAIN_MOST, AGAIN * 2.0 ** min(self.wasted, 30))
+            self.unused_in_a_row += 1
+            self.open_ahead_after = now + min(
+                MAX_AHEAD_BACKOFF_MS, AHEAD_BACKOFF_MS * 2.0 ** min(self.unused_in_a_row, 30)
+            )
 
     # What to do
 
-    def verdict(self, now: float, life: Life) -> GiveUp | None:
+    def give_up_reason(self, now: float, life: ConnectionRecord) -> GiveUp | None:
         """Why an idle connection is of no more use; None where it may be used."""
-        if now - life.proven >= self.idle_time.limit * life.idle_share:
+        if now - life.proven_at >= self.idle_limit.limit * life.idle_share:
             return GiveUp.IDLE
-        if life.age and now - life.opened >= life.age:
+        if life.max_age and now - life.opened_at >= life.max_age:
             return GiveUp.AGE
-        if life.use_most and life.uses >= life.use_most:
+        if life.max_uses and life.uses >= life.max_uses:
             return GiveUp.USES
         limit = self.use_limit.limit(now)
         return GiveUp.USES if limit and life.uses >= limit else None
 
-    def expires(self, now: float, life: Life) -> float:
+    def expires_at(self, now: float, life: ConnectionRecord) -> float:
         """When an idle connection will be of no more use, as far as that is known now."""
-        at = life.proven + self.idle_time.limit * life.idle_share
-        return min(at, life.opened + life.age) if life.age else at
+        at = life.proven_at + self.idle_limit.limit * life.idle_share
+        return min(at, life.opened_at + life.max_age) if life.max_age else at
 
-    def choose(self, now: float, unsafe: bool, idle: Sequence[Life]) -> int | None:
+    def choose_idle(self, now: float, unsafe: bool, idle: Sequence[ConnectionRecord]) -> int | None:
         """Which of the idle connections, in the order of their last answers, a request takes; None for none.
 
         One that may not run twice takes the one proven last, whatever the order, and none that is nearer to
@@ -221,14 +230,14 @@
             numbers = range(len(idle))
         for number in numbers:
             life = idle[number]
-            if self.verdict(now, life) is not None:
+            if self.give_up_reason(now, life) is not None:
                 continue
-            if unsafe and now - life.proven >= UNSAFE_PART * self.idle_time.limit * life.idle_share:
+            if unsafe and now - life.proven_at >= UNSAFE_IDLE_SHARE * self.idle_limit.limit * life.idle_share:
                 return None  # the others are older
             return number
         return None
 
-    def keeps(self, now: float, idle: int, most: int) -> bool:
+    def may_keep_idle(self, now: float, idle: int, most: int) -> bool:
         """Whether one more may stay idle beside so many; `most` is what the budget of descriptors leaves."""
         bound = self.terms.keep_most or most
         return idle < max(bound, self.terms.keep_least)
@@ -238,42 +247,44 @@
 
         `full` tells that there is no room for one more.
         """
-        if self.standing.state == DOWN and not panic:
+        if self.reachability.state == DOWN and not panic:
             return Opening.UNREACHABLE
-        if full or self._crowded(now, all_opening):
+        if full or self._at_limit(now, all_opening):
             return Opening.WAIT
-        if self.standing.state != UP and self.opening:
+        if self.reachability.state != UP and self.opening:
             return Opening.WAIT
         if self.turns is not None and not self.turns.take(wall):
             return Opening.WAIT
         return Opening.NOW
 
-    def _crowded(self, now: float, all_opening: int) -> bool:
+    def _at_limit(self, now: float, all_opening: int) -> bool:
         terms = self.terms
         if self.opening >= terms.at_once or all_opening >= terms.at_once_all:
             return True
-        if self.cap < math.inf and now - self.cap_at >= CAP_RISE:
-            self.cap, self.cap_at = self.cap + 1, now
-        most = min(self.cap, float(terms.open_most or math.inf))
+        if self.observed_limit < math.inf and now - self.observed_limit_at >= LIMIT_RETRY_MS:
+            self.observed_limit, self.observed_limit_at = self.observed_limit + 1, now
+        most = min(self.observed_limit, float(terms.open_most or math.inf))
         return self.open + self.opening >= most
 
-    def ahead(self, now: float, wall: float, idle: int, all_opening: int, most: int, least: int = 0) -> bool:
+    def should_open_ahead(
+        self, now: float, wall: float, idle: int, all_opening: int, most: int, least: int = 0
+    ) -> bool:
         """Whether to open a connection that no call waits for yet; `most` as for `keeps`.
 
         `least` is how many this endpoint should have in any case.
         """
-        if self.standing.state == DOWN:
-            return self.opening == 0 and self.standing.probe(now) and self.tries.take(wall)
-        if now < self.ahead_after:
+        if self.reachability.state == DOWN:
+            return self.opening == 0 and self.reachability.probe_due(now) and self.retry_turns.take(wall)
+        if now < self.open_ahead_after:
             return False
         wanted = max(least, self.terms.keep_least)
         if self.terms.ahead:
-            wanted = max(wanted, self.need.wanted(now, self.busy, self.terms.headroom))
-        if self.open + self.opening >= wanted or not self.keeps(now, idle + self.opening, most):
+            wanted = max(wanted, self.demand.wanted(now, self.busy, self.terms.headroom))
+        if self.open + self.opening >= wanted or not self.may_keep_idle(now, idle + self.opening, most):
             return False
-        if self.standing.state == UNPROVEN and self.opening:
+        if self.reachability.state == UNPROVEN and self.opening:
             return False
-        return not self._crowded(now, all_opening) and self._turn(wall)
+        return not self._at_limit(now, all_opening) and self._take_turn(wall)
 
-    def _turn(self, wall: float) -> bool:
+    def _take_turn(self, wall: float) -> bool:
         return self.turns is None or self.turns.take(wall)
--- a/millgw/connections/lifetime.py
+++ b/millgw/connections/lifetime.py
@@ -12,63 +12,68 @@
 
 import math
 
-CUT = 0.7  # of the idle time that ended one, or rather of the mean (geometric) of it and the bound before
-RISE = 1.03  # times the bound, for each connection that lived about so long
-LIVED = 0.5  # of the bound, from which a connection's idle time speaks for it
-JUST = 50.0  # ms after an answer in which an end is the answer's doing, not time's
-MEMORY = 60_000.0  # ms for which a bound on uses is believed, for each time that it was seen
-LEAST = 10.0  # ms that the idle bound is at the least: under it, nothing would be used again
-AGREE = 2  # connections in a row that must end after as many uses before that counts as a rule
-
-
-class IdleTime:
+CUT_FACTOR = (
+    0.7  # of the idle time that ended one, or rather of the mean (geometric) of it and the bound before
+)
+RAISE_FACTOR = 1.03  # times the bound, for each connection that lived about so long
+SURVIVED_SHARE = 0.5  # of the bound, from which a connection's idle time speaks for it
+AFTER_ANSWER_MS = 50.0  # ms after an answer in which an end is the answer's doing, not time's
+USE_LIMIT_MEMORY_MS = 60_000.0  # ms for which a bound on uses is believed, for each time that it was seen
+MIN_IDLE_LIMIT_MS = 10.0  # ms that the idle bound is at the least: under it, nothing would be used again
+CONFIRMATIONS = 2  # connections in a row that must end after as many uses before that counts as a rule
+
+
+class IdleLimit:
     """After how long idle (ms) a connection is given up. `told` is what the endpoint promises to wait."""
 
-    __slots__ = ("limit", "most")
+    __slots__ = ("limit", "maximum")
 
     def __init__(self, told: float, part: float) -> None:
-        self.most = part * told
-        self.limit = self.most
+        self.maximum = part * told
+        self.limit = self.maximum
 
-    def bound(self, most: float) -> None:
+    def set_maximum(self, most: float) -> None:
         """The most that the bound may be, from now on."""
-        self.most = most
+        self.maximum = most
         self.limit = min(self.limit, most)
 
     def ended(self, idle: float) -> None:
         """The other side ended one that had been idle for so long, or had forgotten it by then."""
         if idle < self.limit:
-            self.limit = max(LEAST, CUT * math.sqrt(idle * self.limit))
+            self.limit = max(MIN_IDLE_LIMIT_MS, CUT_FACTOR * math.sqrt(idle * self.limit))
 
-    def lived(self, idle: float) -> None:
+    def survived(self, idle: float) -> None:
         """One was still there after it had been idle for so long."""
-        if idle >= LIVED * self.limit:
-            self.limit = min(self.most, RISE * self.limit)
+        if idle >= SURVIVED_SHARE * self.limit:
+            self.limit = min(self.maximum, RAISE_FACTOR * self.limit)
 
 
 class UseLimit:
     """After how many requests an endpoint ends a connection, if it does."""
 
-    __slots__ = ("at", "count", "seen")
+    __slots__ = ("confirmations", "count", "seen_at")
 
     def __init__(self) -> None:
         self.count = 0
-        self.seen = 0  # ends in a row after `count` uses
-        self.at = 0.0
+        self.confirmations = 0  # ends in a row after `count` uses
+        self.seen_at = 0.0
 
     def ended(self, now: float, uses: int) -> None:
         """The other side ended one just after the answer to its request of this number."""
         if uses != self.count:
-            self.count, self.seen = uses, 0
-        self.seen += 1
-        self.at = now
+            self.count, self.confirmations = uses, 0
+        self.confirmations += 1
+        self.seen_at = now
 
     def outlived(self, now: float, uses: int) -> None:
         """One was answered for the time of this number: it lives on past what was held for a bound."""
         if uses > self.count:
-            self.count = self.seen = 0
+            self.count = self.confirmations = 0
 
     def limit(self, now: float) -> int:
         """How many requests one may carry; 0 where no bound is known."""
-        known = self.seen >= AGREE and now - self.at < MEMORY * self.seen
+        known = (
+            self.confirmations >= CONFIRMATIONS
+            and now - self.seen_at < USE_LIMIT_MEMORY_MS * self.confirmations
+        )
         return self.count if known else 0
--- a/millgw/connections/need.py
+++ b/millgw/connections/need.py
@@ -9,75 +9,77 @@
 
 import math
 
-PEAK_MEMORY = 20_000.0  # ms after which a peak is mostly forgotten
-QUICK, SLOW = 200.0, 3000.0  # ms over which rates are averaged
-RISE_MOST = 4.0  # times: a guess beyond that is no better
-CHANCE = 3.0  # standard deviations of a count, and calls, up to which more of them than usual is chance
+PEAK_DECAY_MS = 20_000.0  # ms after which a peak is mostly forgotten
+FAST_WINDOW_MS, SLOW_WINDOW_MS = 200.0, 3000.0  # ms over which rates are averaged
+MAX_RISE = 4.0  # times: a guess beyond that is no better
+NOISE_DEVIATIONS = (
+    3.0  # standard deviations of a count, and calls, up to which more of them than usual is chance
+)
 
 
-class Rate:
+class DecayingRate:
     """Events per ms, with a memory that fades."""
 
-    __slots__ = ("at", "memory", "sum")
+    __slots__ = ("at", "decay_ms", "weight")
 
     def __init__(self, memory: float) -> None:
-        self.memory = memory
-        self.sum = 0.0
+        self.decay_ms = memory
+        self.weight = 0.0
         self.at = 0.0
 
     def count(self, now: float) -> None:
-        self.sum = self.fresh(now) + 1.0
+        self.weight = self.decayed(now) + 1.0
         self.at = now
 
-    def fresh(self, now: float) -> float:
+    def decayed(self, now: float) -> float:
         """Events that still count."""
-        return self.sum * math.exp((self.at - now) / self.memory)
+        return self.weight * math.exp((self.at - now) / self.decay_ms)
 
     def rate(self, now: float) -> float:
-        return self.fresh(now) / self.memory
+        return self.decayed(now) / self.decay_ms
 
 
-class Need:
+class ConnectionDemand:
     """One endpoint's. `busy` is how many of its connections carry a request or are being opened for one."""
 
-    __slots__ = ("at", "peak", "quick", "slow")
+    __slots__ = ("fast_rate", "peak", "peak_at", "slow_rate")
 
     def __init__(self) -> None:
         self.peak = 0.0
-        self.at = 0.0
-        self.quick = Rate(QUICK)
-        self.slow = Rate(SLOW)
+        self.peak_at = 0.0
+        self.fast_rate = DecayingRate(FAST_WINDOW_MS)
+        self.slow_rate = DecayingRate(SLOW_WINDOW_MS)
 
-    def sent(self, now: float, busy: int) -> None:
+    def request_sent(self, now: float, busy: int) -> None:
         """A request is sent there, with which so many are in use."""
-        self.peak = max(float(busy), self.level(now))
-        self.at = now
-        self.quick.count(now)
-        self.slow.count(now)
+        self.peak = max(float(busy), self.decayed_peak(now))
+        self.peak_at = now
+        self.fast_rate.count(now)
+        self.slow_rate.count(now)
 
-    def level(self, now: float) -> float:
-        return self.peak * math.exp((self.at - now) / PEAK_MEMORY)
+    def decayed_peak(self, now: float) -> float:
+        return self.peak * math.exp((self.peak_at - now) / PEAK_DECAY_MS)
 
     def rise(self, now: float) -> float:
         """How many times as fast calls come as they did; 1 where they don't come faster."""
-        usual = self.slow.rate(now) * QUICK
-        if self.quick.fresh(now) <= usual + CHANCE * math.sqrt(usual) + CHANCE:
+        usual = self.slow_rate.rate(now) * FAST_WINDOW_MS
+        if self.fast_rate.decayed(now) <= usual + NOISE_DEVIATIONS * math.sqrt(usual) + NOISE_DEVIATIONS:
             return 1.0
         # The slow rate needs its time to fill: until then it looks lower than it is, and a start like a rise.
-        return min(RISE_MOST, self.quick.fresh(now) / max(usual, 1e-9))
+        return min(MAX_RISE, self.fast_rate.decayed(now) / max(usual, 1e-9))
 
     def wanted(self, now: float, busy: int, headroom: float) -> int:
         """How many should be open by now, busy ones among them."""
         rise = self.rise(now)
         if rise > 1.0:
-            return math.floor(max(self.level(now), busy * rise) * (1.0 + headroom) + 0.5)
+            return math.floor(max(self.decayed_peak(now), busy * rise) * (1.0 + headroom) + 0.5)
         # Where nothing rises, the connections that a peak opened are there until they age; one is kept ready.
-        return max(busy, min(math.floor(self.level(now) + 0.5), busy + 1))
+        return max(busy, min(math.floor(self.decayed_peak(now) + 0.5), busy + 1))
 
-    def spared(self, now: float, left: int) -> None:
+    def unused_given_up(self, now: float, left: int) -> None:
         """One was given up as nobody used it, and so many are left: more than these are not needed.
 
         Guards against connections that are opened ahead, stand idle, and are opened again.
         """
-        if left < self.level(now):
-            self.peak, self.at = float(left), now
+        if left < self.decayed_peak(now):
+            self.peak, self.peak_at = float(left), now
--- a/millgw/connections/opening.py
+++ b/millgw/connections/opening.py
@@ -4,7 +4,7 @@
 other, but all know how many they are, which of them each is, and when the endpoint started: enough to share
 out a stated rate of handshakes without a word. The handshakes that it may be asked for since its start are
 counted through, as capacity rises; number k is for the sibling k modulo their count, and falls due when the
-count comes to k. A turn that is not used within `SLACK` is gone: kept ones would all be used at once.
+count comes to k. A turn that is not used within `TURN_VALID_MS` is gone: kept ones would all be used at once.
 
 The same count over all time, at the full rate, shares out the tries of an endpoint that is out of reach:
 what comes up then comes up cold, and all its siblings would try at once.
@@ -19,9 +19,11 @@
 import random
 from dataclasses import dataclass
 
-SLACK = 100.0  # ms for which a turn may be used
-PLANNED = 0.8  # of the stated rate: with SLACK and one that meets the window's edge it stays within
-APART = 0.5  # of that, where siblings don't count from one start
+TURN_VALID_MS = 100.0  # ms for which a turn may be used
+PLANNED_RATE_SHARE = (
+    0.8  # of the stated rate: with SLACK and one that meets the window's edge it stays within
+)
+UNSHARED_START_FACTOR = 0.5  # of that, where siblings don't count from one start
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,34 +43,34 @@
     the same start. Times are ms on the clock that `since` is of.
     """
 
-    __slots__ = ("first", "place", "rate", "since", "used")
+    __slots__ = ("first", "last_used", "position", "rate", "since")
 
     def __init__(self, place: Place, rate: float, since: float, common: bool, rng: random.Random) -> None:
-        self.place = place
-        self.rate = PLANNED * rate / 1000 * (1.0 if common else APART)
+        self.position = place
+        self.rate = PLANNED_RATE_SHARE * rate / 1000 * (1.0 if common else UNSHARED_START_FACTOR)
         self.since = since
         self.first = place.index % place.siblings + 1.0 if common else place.siblings * rng.random()
-        self.used = -1
+        self.last_used = -1
 
     def cold(self, now: float) -> bool:
-        return now < self.since + self.place.cold_time
+        return now < self.since + self.position.cold_time
 
-    def counted(self, now: float) -> float:
+    def handshakes_by(self, now: float) -> float:
         """Handshakes that the endpoint may have been asked for since its start."""
-        share, time = self.place.cold_share, self.place.cold_time
+        share, time = self.position.cold_share, self.position.cold_time
         passed = min(max(0.0, now - self.since), time)
         if time <= 0 or math.isinf(time):
             return self.rate * passed
         return self.rate * (share * passed + (1 - share) * passed * passed / (2 * time))
 
-    def at(self, count: float) -> float:
+    def time_of(self, count: float) -> float:
         """When the count comes to a number; inf where it does not while the endpoint is cold."""
         if count <= 0:
             return self.since
-        share, time = self.place.cold_share, self.place.cold_time
+        share, time = self.position.cold_share, self.position.cold_time
         if math.isinf(time):
             return self.since + count / self.rate
-        if self.rate <= 0 or count > self.counted(self.since + time):
+        if self.rate <= 0 or count > self.handshakes_by(self.since + time):
             return math.inf
         rise, wanted = (1 - share) / time, count / self.rate
         # The root of share * t + rise * t * t / 2 = wanted in the form that nothing cancels out in.
@@ -78,21 +80,27 @@
         """Use the turn that is due now, if there is one."""
         if not self.cold(now):
             return True
-        siblings = self.place.siblings
+        siblings = self.position.siblings
         # Of all turns in the last SLACK only the latest can be open: they are further apart than that.
-        number = math.floor((self.counted(now) - self.first) / siblings)
-        if number <= self.used or number < 0 or now > self.at(self.first + number * siblings) + SLACK:
+        number = math.floor((self.handshakes_by(now) - self.first) / siblings)
+        if (
+            number <= self.last_used
+            or number < 0
+            or now > self.time_of(self.first + number * siblings) + TURN_VALID_MS
+        ):
             return False
-        self.used = number
+        self.last_used = number
         return True
 
-    def next(self, now: float) -> float:
+    def next_due(self, now: float) -> float:
         """When the next turn falls due that is not used; the end of the cold time where none does."""
-        number = max(self.used + 1, math.ceil((self.counted(now) - self.first) / self.place.siblings), 0)
-        due = self.at(self.first + number * self.place.siblings)
-        return min(max(now, due), max(now, self.since + self.place.cold_time))
+        number = max(
+            self.last_used + 1, math.ceil((self.handshakes_by(now) - self.first) / self.position.siblings), 0
+        )
+        due = self.time_of(self.first + number * self.position.siblings)
+        return min(max(now, due), max(now, self.since + self.position.cold_time))
 
 
-def tries(place: Place, rate: float, rng: random.Random) -> Turns:
+def retry_turns(place: Place, rate: float, rng: random.Random) -> Turns:
     """An instance's turns to try an endpoint that is out of reach: by the wall clock, which all share."""
     return Turns(Place(place.index, place.siblings, 1.0, math.inf), rate, 0.0, True, rng)
--- a/millgw/connections/standing.py
+++ b/millgw/connections/standing.py
@@ -19,40 +19,40 @@
 UP, UNPROVEN, DOWN = "up", "unproven", "down"
 
 
-class Standing:
+class Reachability:
     """One endpoint's. Times are ms."""
 
-    __slots__ = ("backoff", "base", "due", "most", "state", "wait")
+    __slots__ = ("backoff", "max_wait", "min_wait", "probe_at", "state", "wait")
 
     def __init__(self, rng: random.Random, base: float, most: float) -> None:
         self.backoff = Backoff(rng)
-        self.base = base
-        self.most = most
+        self.min_wait = base
+        self.max_wait = most
         self.state = UNPROVEN
         self.wait = 0.0
-        self.due = 0.0  # when it may be tried next, while it is down
+        self.probe_at = 0.0  # when it may be tried next, while it is down
 
-    def up(self) -> None:
+    def mark_up(self) -> None:
         self.state = UP
         self.wait = 0.0
 
-    def doubt(self) -> None:
+    def mark_unproven(self) -> None:
         """An attempt there got no answer: it may have gone."""
         if self.state == UP:
             self.state = UNPROVEN
 
-    def failed(self, now: float) -> None:
+    def mark_down(self, now: float) -> None:
         """A connection did not come up, or was ended before it was of any use."""
         self.state = DOWN
-        self.wait = self.backoff.next(self.wait, self.base, self.most)
-        self.due = now + self.wait
+        self.wait = self.backoff.next(self.wait, self.min_wait, self.max_wait)
+        self.probe_at = now + self.wait
 
-    def probe(self, now: float) -> bool:
+    def probe_due(self, now: float) -> bool:
         """Whether it is time to find out if an endpoint that is down is back."""
-        return self.state == DOWN and now >= self.due
+        return self.state == DOWN and now >= self.probe_at
 
 
-def panics(down: int, known: int, share: float) -> bool:
+def panic_mode(down: int, known: int, share: float) -> bool:
     """Whether so many endpoints seem out of reach that the trouble is not theirs: then calls try them all.
 
     Guards against a network's bad moment that would have every call refused (Envoy's panic threshold).
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -14,14 +14,14 @@
 from millgw.streams.upload import Upload
 
 
-class Flight:
+class OpenAttempt:
     """An attempt of a call that is out, by the balancer's words. `sent` in ms on the driver's clock."""
 
-    __slots__ = ("attempt", "endpoint", "sent")
+    __slots__ = ("attempt", "endpoint", "sent_at")
 
     def __init__(self, endpoint: int, sent: float, attempt: Attempt) -> None:
         self.endpoint = endpoint
-        self.sent = sent
+        self.sent_at = sent
         self.attempt = attempt
 
 
@@ -54,8 +54,22 @@
     """A caller's request that is owed one answer. `payload` words an attempt, given the time left in ms."""
 
     __slots__ = (
-        "answer", "cls", "deadline", "gone", "id", "intent", "out", "owner", "patience", "payload", "repeat",
-        "sends", "tenant", "timers", "trace", "upload",
+        "attempts_sent",
+        "build_payload",
+        "cls",
+        "deadline",
+        "gone",
+        "id",
+        "intent",
+        "on_answer",
+        "open_attempts",
+        "owner",
+        "repeat",
+        "tenant",
+        "timeout",
+        "timers",
+        "trace_id",
+        "upload",
     )  # fmt: skip
 
     def __init__(
@@ -71,10 +85,10 @@
     ) -> None:
         self.cls = cls
         self.tenant = tenant
-        self.patience = patience
-        self.payload = payload
-        self.answer = answer
-        self.trace = trace
+        self.timeout = patience
+        self.build_payload = payload
+        self.on_answer = answer
+        self.trace_id = trace
         self.repeat = repeat
         self.owner = owner
         self.gone: Callable[[], bool] | None = None  # whether its caller has left, as far as can be seen now
@@ -82,6 +96,6 @@
         self.upload: Upload | None = None  # its body, where that is passed on as it comes
         self.id = 0
         self.deadline = 0.0
-        self.sends = 0
-        self.out: dict[int, Flight] = {}
+        self.attempts_sent = 0
+        self.open_attempts: dict[int, OpenAttempt] = {}
         self.timers: list[Due[Call | SetTimer | Flow]] = []  # its deadline, those of the module
--- a/millgw/pool/deadlines.py
+++ b/millgw/pool/deadlines.py
@@ -17,11 +17,11 @@
 class Due(Generic[T]):
     """One moment that is waited for, and what for; its slot is -1 once it has fallen due or is cancelled."""
 
-    __slots__ = ("slot", "what")
+    __slots__ = ("item", "slot")
 
     def __init__(self, slot: int, what: T) -> None:
         self.slot = slot
-        self.what = what
+        self.item = what
 
     def cancelled(self) -> bool:
         return self.slot < 0
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.slots: dict[int, dict[Due[T], None]] = {}
-        self.order: list[int] = []  # heap of the slots
+        self.slot_heap: list[int] = []  # heap of the slots
 
     def add(self, at: float, what: T) -> Due[T]:
         """Wait for a moment; it falls due at it or within 1 ms after, never before."""
@@ -41,7 +41,7 @@
         there = self.slots.get(slot)
         if there is None:
             self.slots[slot] = there = {}
-            heapq.heappush(self.order, slot)
+            heapq.heappush(self.slot_heap, slot)
         there[due] = None
         return due
 
@@ -53,11 +53,11 @@
 
     def next(self) -> float | None:
         """When the first falls due; None where nothing is waited for."""
-        while self.order:
-            slot = self.order[0]
+        while self.slot_heap:
+            slot = self.slot_heap[0]
             if self.slots[slot]:
                 return float(slot)
-            heapq.heappop(self.order)
+            heapq.heappop(self.slot_heap)
             del self.slots[slot]
         return None
 
@@ -66,8 +66,8 @@
         first = self.next()
         if first is None or first > now:
             return None
-        there = self.slots[self.order[0]]
+        there = self.slots[self.slot_heap[0]]
         due = next(iter(there))
         del there[due]
         due.slot = -1
-        return due.what
+        return due.item
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -47,13 +47,13 @@
     TimerFired,
 )
 from millgw.platform.discovery import Listed
-from millgw.pool.call import Call, Flight
+from millgw.pool.call import Call, OpenAttempt
 from millgw.pool.deadlines import Deadlines
-from millgw.pool.health_probe import PROBE_TIMEOUT, HealthProbe
+from millgw.pool.health_probe import PROBE_TIMEOUT_MS, HealthProbe
 from millgw.pool.start_times import StartTimes
 from millgw.streams.flow import Flow
 
-UPLOAD_MOST = 3_600_000.0  # ms that a body may take to come in: far over what 64 kB/s need
+MAX_UPLOAD_MS = 3_600_000.0  # ms that a body may take to come in: far over what 64 kB/s need
 ATTEMPT_STATES = ("connecting", "held", "writing", "answer", "ended")  # by `Attempt.state`, for the log
 ANSWER_MARGIN = 30.0  # ms before the client's deadline at which an attempt times out: room for a busy loop
 
@@ -72,7 +72,7 @@
         return (self.offset + time.monotonic()) * 1000
 
 
-class Curtain(Protocol):
+class ListFilter(Protocol):
     """What may stand between the lists and the module (see `millgw.connections.introduction`)."""
 
     def listed(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
@@ -90,21 +90,21 @@
         self.subscribe = subscribe
         self.calls: dict[int, Call] = {}
         self.open: set[bytes] = set()  # their X-Trace-Ids
-        self.partial: set[int] = set()  # calls whose bodies still come
+        self.partial_calls: set[int] = set()  # calls whose bodies still come
         self.flows: set[Flow] = set()  # answers that are being passed on
         self.last_id = 0
         self.start_times = StartTimes()
         self.ready: set[int] = set()
         self.draining: set[int] = set()
         self.events: deque[Event] = deque()
-        self.feeding = False
-        self.due: Deadlines[Call | SetTimer | Flow] = Deadlines()
-        self.waking: asyncio.TimerHandle | None = None
-        self.wakes_at = math.inf
+        self.handling_events = False
+        self.timers: Deadlines[Call | SetTimer | Flow] = Deadlines()
+        self.wake_timer: asyncio.TimerHandle | None = None
+        self.wake_at = math.inf
         self.ended = False
-        self.curtain: Curtain | None = None
+        self.list_filter: ListFilter | None = None
         # At discovery's last word: looks for an endpoint while the list may have been over, and probes.
-        self.looks_before = self.probes_before = 0
+        self.stale_lookups_before = self.probes_before = 0
 
     # What happens
 
@@ -113,56 +113,56 @@
         self.last_id += 1
         call.id = self.last_id
         self.calls[call.id] = call
-        self.open.add(call.trace)
+        self.open.add(call.trace_id)
         upload = call.upload
         if upload is None:
-            call.deadline = now + call.patience - ANSWER_MARGIN
-            call.timers.append(self.due.add(call.deadline, call))
-            self._feed(RequestArrived(call.id, call.cls, call.deadline, call.tenant))
-            self._arm()
+            call.deadline = now + call.timeout - ANSWER_MARGIN
+            call.timers.append(self.timers.add(call.deadline, call))
+            self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant))
+            self._schedule_wake()
             return
         # Its time counts from its last byte; who sends none in time is ended by the callers' side.
-        call.deadline = now + UPLOAD_MOST
-        upload.gone = partial(self._feed, BodyDiscarded(call.id))
-        self.partial.add(call.id)
-        self._feed(RequestArrived(call.id, call.cls, call.deadline, call.tenant, partial=True))
+        call.deadline = now + MAX_UPLOAD_MS
+        upload.gone = partial(self._handle_event, BodyDiscarded(call.id))
+        self.partial_calls.add(call.id)
+        self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant, partial=True))
 
     def whole(self, call: Call) -> None:
         """A body that is passed on as it came is whole: the call is taken, and its time begins."""
         if call.id not in self.calls:
             return
-        self.partial.discard(call.id)
+        self.partial_calls.discard(call.id)
         now = self.clock()
-        call.deadline = now + call.patience - ANSWER_MARGIN
-        call.timers.append(self.due.add(call.deadline, call))
-        for flight in call.out.values():
-            flight.sent = now  # what came before tells nothing of the endpoint
-        self._feed(RequestBodyComplete(call.id, call.deadline))
-        self._arm()
+        call.deadline = now + call.timeout - ANSWER_MARGIN
+        call.timers.append(self.timers.add(call.deadline, call))
+        for flight in call.open_attempts.values():
+            flight.sent_at = now  # what came before tells nothing of the endpoint
+        self._handle_event(RequestBodyComplete(call.id, call.deadline))
+        self._schedule_wake()
 
     def left(self, call: Call) -> None:
         """The client has gone away, or the sidecar has answered in the balancer's place."""
-        if self._close(call):
-            self._feed(RequestAborted(call.id))
-            self._give_up(call, concluded=True)
+        if self._close_call(call):
+            self._handle_event(RequestAborted(call.id))
+            self._give_up_attempts(call, concluded=True)
 
     def listed(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         """Take discovery's word: addresses before the balancer can send there, closing after it knows."""
         if not kind.watch_ended:
-            self._log_unheard()
+            self._log_discovery_restored()
         if not entries and not kind.complete:
             if kind is ListKind.DELTA:
-                self.start_times.heard(self.clock())
-            self._feed(EndpointList(kind))  # a heartbeat, or no word any more
+                self.start_times.discovery_heard(self.clock())
+            self._handle_event(EndpointList(kind))  # a heartbeat, or no word any more
             if kind.watch_ended and kind is not ListKind.MOVED:
-                self._log_wait(kind)
+                self._log_discovery_wait(kind)
             return
         old: list[Host | None] = []
         named = set()
         gone = self._superseded(entries)
-        told = [self._dated(e.endpoint) for e in entries if e.endpoint.id not in gone]
+        told = [self._with_local_start(e.endpoint) for e in entries if e.endpoint.id not in gone]
         if kind is ListKind.DELTA or kind is ListKind.FULL:
-            self.start_times.heard(self.clock())
+            self.start_times.discovery_heard(self.clock())
         told += [Endpoint(id, Condition.GONE) for id in gone]
         for entry in entries:
             id = entry.endpoint.id
@@ -177,29 +177,32 @@
         before = set() if kind.complete else self.draining
         self.ready = (self.ready | named) - gone
         self.draining = (before | drains) - named - ended
-        seen = tuple(told) if self.curtain is None else self.curtain.listed(kind, told)
-        self._feed(EndpointList(kind, seen))
+        seen = tuple(told) if self.list_filter is None else self.list_filter.listed(kind, told)
+        self._handle_event(EndpointList(kind, seen))
         old += [self.upstream.forget(id) for id in gone]
         for host in old:
             if host is not None:
                 self.upstream.close(host)
 
-    def _dated(self, endpoint: Endpoint) -> Endpoint:
+    def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
         """The endpoint with its start on this process's clock."""
-        since = self.start_times.dated(self.clock(), endpoint.id, endpoint.started_at)
+        since = self.start_times.local_start(self.clock(), endpoint.id, endpoint.started_at)
         return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
 
-    def _as_told(self, endpoint: Endpoint) -> Endpoint:
+    def _with_reported_start(self, endpoint: Endpoint) -> Endpoint:
         """The endpoint with its start as discovery told it."""
-        since = self.start_times.told(endpoint.id, endpoint.started_at)
+        since = self.start_times.reported_start(endpoint.id, endpoint.started_at)
         return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
 
-    def _log_unheard(self) -> None:
+    def _log_discovery_restored(self) -> None:
         """Tell what became of calls while no watch was on, now that discovery is heard again."""
         balancer, discovery = self.balancer, self.balancer.discovery
         if not discovery.disconnected() or discovery.lost_at == -math.inf:
             return
-        looks, self.looks_before = balancer.looks_at_stale - self.looks_before, balancer.looks_at_stale
+        looks, self.stale_lookups_before = (
+            balancer.looks_at_stale - self.stale_lookups_before,
+            balancer.looks_at_stale,
+        )
         probes, self.probes_before = balancer.probes - self.probes_before, balancer.probes
         self.upstream.log.log_event(
             "list-fresh-again",
@@ -209,7 +212,7 @@
             probes=probes,
         )
 
-    def _log_wait(self, kind: ListKind) -> None:
+    def _log_discovery_wait(self, kind: ListKind) -> None:
         """Tell when discovery is asked again, now that a call or a watch is over."""
         discovery, now = self.balancer.discovery, self.clock()
         heard_at = discovery.heard_at
@@ -223,15 +226,15 @@
     def reconfigure(self, settings: Settings) -> None:
         """Have the module go by other settings, between events; a ValueError names what can't change."""
         if not self.ended:
-            self._work(self.balancer.reconfigure(self.clock(), settings))
+            self._process(self.balancer.reconfigure(self.clock(), settings))
 
     def hear(self, event: PeerReports) -> None:
         """Tell the module what siblings hold."""
-        self._feed(event)
+        self._handle_event(event)
 
-    def show(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Tell the module the whole list as it should have it: no word of discovery's, which may be down."""
-        self._feed(EndpointList(ListKind.CACHED, endpoints))
+        self._handle_event(EndpointList(ListKind.CACHED, endpoints))
 
     def _superseded(self, entries: tuple[Listed, ...]) -> set[int]:
         """The endpoints at whose address another one has started later.
@@ -251,11 +254,11 @@
                     lost.add(loser)
         return lost
 
-    def on_list(self) -> int:
+    def listed_count(self) -> int:
         """Endpoints that the list names now, those that drain among them."""
         return len(self.ready) + len(self.draining)
 
-    def aside(self) -> dict[int, str]:
+    def out_of_rotation(self) -> dict[int, str]:
         """Those of them that are sent nothing now, and why. Other threads ask too: nothing changes."""
         return dict.fromkeys(self.draining, "drains") | self.balancer.aside(self.clock())
 
@@ -268,7 +271,7 @@
         """The list as it stands, for the process that takes over."""
         servers, hosts = self.balancer.servers, self.upstream.hosts
         known = [id for id in self.ready if id in servers and id in hosts]
-        return tuple(Listed(self._as_told(servers[id].info), hosts[id].address) for id in known)
+        return tuple(Listed(self._with_reported_start(servers[id].info), hosts[id].address) for id in known)
 
     def misses(self, endpoint: int) -> int:
         """How many attempts in a row found no connection to an endpoint."""
@@ -279,76 +282,76 @@
         """Answer all that is owed: the process is about to end."""
         for call in list(self.calls.values()):
             self.left(call)
-            call.answer(Answer(FAILED))
+            call.on_answer(Answer(FAILED))
         for flow in list(self.flows):
             flow.source.abandon()
             flow.break_off()
 
-    def _ended(self, call: Call, number: int, outcome: Outcome, content: Content) -> None:
-        flight = call.out.pop(number)
-        elapsed = self.clock() - flight.sent
+    def _attempt_ended(self, call: Call, number: int, outcome: Outcome, content: Content) -> None:
+        flight = call.open_attempts.pop(number)
+        elapsed = self.clock() - flight.sent_at
         if call.intent is not None:
             call.intent.over(flight.attempt, outcome in NO_EFFECT_OUTCOMES)
-        if outcome is Outcome.OK and self._close(call):
-            call.answer(Answer(SERVED, content))
-        elif outcome is Outcome.CANCELLED and self._close(call):
+        if outcome is Outcome.OK and self._close_call(call):
+            call.on_answer(Answer(SERVED, content))
+        elif outcome is Outcome.CANCELLED and self._close_call(call):
             # The endpoint can't use this request. Guards against one caller's bad requests that are tried
             # again elsewhere and count against the health of every endpoint they come to.
-            call.answer(Answer(UNUSABLE, content))
+            call.on_answer(Answer(UNUSABLE, content))
         owed = call.id in self.calls
         if owed:
             self._log_attempt(call, flight, outcome, elapsed)
-        self._feed(AttemptEnded(call.id, flight.endpoint, number, outcome, elapsed, not owed))
+        self._handle_event(AttemptEnded(call.id, flight.endpoint, number, outcome, elapsed, not owed))
         if not owed:
-            self._give_up(call, concluded=True)
+            self._give_up_attempts(call, concluded=True)
 
-    def _log_attempt(self, call: Call, flight: Flight, outcome: Outcome, elapsed: float) -> None:
+    def _log_attempt(self, call: Call, flight: OpenAttempt, outcome: Outcome, elapsed: float) -> None:
         """Log an attempt that leaves its call unanswered: it is tried again, or given up."""
         self.upstream.log.log_event(
             "attempt-failed",
-            call=_shown(call),
+            call=_trace_text(call),
             endpoint=self.address(flight.endpoint),
             cause=outcome.value,
             took_ms=round(elapsed, 1),
         )
 
-    def _began(self, call: Call, number: int, flow: Flow) -> bool:
+    def _flow_began(self, call: Call, number: int, flow: Flow) -> bool:
         """A long answer begins to be passed on; tells whether it is owed. The module hears that it ended.
 
         Guards against callers who read for a minute, and would fill the limit on calls in flight: what comes
         now is transport, no work.
         """
-        flight = call.out.pop(number)
-        elapsed = self.clock() - flight.sent
-        whole = call.id not in self.partial
-        if not self._close(call):
+        flight = call.open_attempts.pop(number)
+        elapsed = self.clock() - flight.sent_at
+        whole = call.id not in self.partial_calls
+        if not self._close_call(call):
             return False
         self.flows.add(flow)
         flow.over_calls.append(self.flows.discard)
         if whole:  # else its time has not begun
-            due = self.due.add(call.deadline, flow)
-            flow.over_calls.append(lambda _: self.due.cancel(due))
-            self._arm()
-        call.answer(Answer(SERVED, Content(flow.headers), flow=flow))
-        self._feed(AttemptEnded(call.id, flight.endpoint, number, Outcome.OK, elapsed, True))
-        self._give_up(call, concluded=True)
+            due = self.timers.add(call.deadline, flow)
+            flow.over_calls.append(lambda _: self.timers.cancel(due))
+            self._schedule_wake()
+        call.on_answer(Answer(SERVED, Content(flow.headers), flow=flow))
+        self._handle_event(AttemptEnded(call.id, flight.endpoint, number, Outcome.OK, elapsed, True))
+        self._give_up_attempts(call, concluded=True)
         return True
 
-    def _expire(self, call: Call) -> None:
+    def _deadline_passed(self, call: Call) -> None:
         """The deadline: what is still out has timed out, and the balancer words the answer."""
         self.upstream.log.log_event(
-            "deadline-passed", call=_shown(call), where=_where(call), attempts=call.sends
+            "deadline-passed", call=_trace_text(call), where=_wait_state(call), attempts=call.attempts_sent
         )
-        self._give_up(call, concluded=False)
+        self._give_up_attempts(call, concluded=False)
         if call.id in self.calls:
             # Guards the rule itself: the balancer answers by then, and if it does not, the sidecar does.
             self.left(call)
-            call.answer(Answer(FAILED))
+            call.on_answer(Answer(FAILED))
 
-    def _give_up(self, call: Call, concluded: bool) -> None:
+    def _give_up_attempts(self, call: Call, concluded: bool) -> None:
         now = self.clock()
-        for number, flight in list(call.out.items()):
-            del call.out[number]
+        for number, flight in list(call.open_attempts.items()):
+            del call.open_attempts[number]
             written = flight.attempt.give_up()
             if concluded:
                 # Guards also against a crowd that leaves while its sends are held back: that tells nothing of
@@ -359,55 +362,57 @@
             else:
                 outcome = Outcome.TIMEOUT
                 self.upstream.doubt(flight.endpoint)
-            self._feed(AttemptEnded(call.id, flight.endpoint, number, outcome, now - flight.sent, concluded))
+            self._handle_event(
+                AttemptEnded(call.id, flight.endpoint, number, outcome, now - flight.sent_at, concluded)
+            )
 
     def _set_timer(self, action: SetTimer) -> None:
-        due = self.due.add(action.at, action)
+        due = self.timers.add(action.at, action)
         call = self.calls.get(action.request) if action.request is not None else None
         if call is not None:
             call.timers.append(due)
-        self._arm()
+        self._schedule_wake()
 
-    def _arm(self) -> None:
+    def _schedule_wake(self) -> None:
         """Have the loop wake this at the first moment that is waited for; one timer serves them all.
 
         One that is set for too early is left: what it waited for has gone, which is what mostly happens.
         """
-        first = self.due.next()
-        if first is None or first >= self.wakes_at:
+        first = self.timers.next()
+        if first is None or first >= self.wake_at:
             return
-        if self.waking is not None:
-            self.waking.cancel()
-        self.wakes_at = first
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+        self.wake_at = first
         # 1 ms more guards against the loop's clock, which counts whole ms: the balancer drops an early timer.
-        self.waking = self.loop.call_later(max(0.0, first - self.clock()) / 1000 + 0.001, self._wake)
+        self.wake_timer = self.loop.call_later(max(0.0, first - self.clock()) / 1000 + 0.001, self._wake)
 
     def _wake(self) -> None:
-        self.waking = None
-        self.wakes_at = math.inf
+        self.wake_timer = None
+        self.wake_at = math.inf
         now = self.clock()
         # What these cause may cancel others that are due, or add some: those past `now` wait for the next
         # turn.
-        while (what := self.due.pop(now)) is not None:
+        while (what := self.timers.pop(now)) is not None:
             if isinstance(what, Call):
-                self._expire(what)
+                self._deadline_passed(what)
             elif isinstance(what, Flow):
                 what.expire()
             else:
-                self._feed(TimerFired(what.timer))
-        self._arm()
+                self._handle_event(TimerFired(what.timer))
+        self._schedule_wake()
 
-    def _feed(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         """Events in the order they came: one that an action causes waits until the others are carried out."""
         if self.ended:
             return  # guards against what still goes on when its pool has ended, and would keep it in memory
         self.events.append(event)
-        if not self.feeding:
-            self._work(())
+        if not self.handling_events:
+            self._process(())
 
-    def _work(self, actions: Sequence[Action]) -> None:
+    def _process(self, actions: Sequence[Action]) -> None:
         """Carry out these actions, then all that events cause."""
-        self.feeding = True
+        self.handling_events = True
         try:
             for action in actions:
                 self._carry_out(action)
@@ -415,7 +420,7 @@
                 for action in self.balancer.handle(self.clock(), self.events.popleft()):
                     self._carry_out(action)
         finally:
-            self.feeding = False
+            self.handling_events = False
 
     # What the balancer wants
 
@@ -439,77 +444,81 @@
             self.subscribe()
 
     def _probe(self, endpoint: int) -> None:
-        probe = HealthProbe(endpoint, self.clock(), self._probed)
-        self.loop.call_later(PROBE_TIMEOUT / 1000, probe.expire)
+        probe = HealthProbe(endpoint, self.clock(), self._probe_ended)
+        self.loop.call_later(PROBE_TIMEOUT_MS / 1000, probe.expire)
         self.upstream.send(endpoint, probe.attempt)
 
-    def _probed(self, endpoint: int, outcome: Outcome, sent: float) -> None:
+    def _probe_ended(self, endpoint: int, outcome: Outcome, sent: float) -> None:
         if outcome is Outcome.ERROR:
             self.upstream.log.log_event("endpoint-not-well", endpoint=self.address(endpoint))
-        self._feed(ProbeEnded(endpoint, outcome, self.clock() - sent))
+        self._handle_event(ProbeEnded(endpoint, outcome, self.clock() - sent))
 
     def end(self) -> None:
         """Take no more events: its pool has ended."""
         self.ended = True
-        if self.waking is not None:
-            self.waking.cancel()
-            self.waking = None
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+            self.wake_timer = None
 
     def _log_given_up(self, request: int, status: int, why: GivenUp) -> None:
         call = self.calls[request]
         self.upstream.log.log_event(
-            "call-given-up", call=_shown(call), status=status, cause=why.value, attempts=call.sends
+            "call-given-up",
+            call=_trace_text(call),
+            status=status,
+            cause=why.value,
+            attempts=call.attempts_sent,
         )
 
     def _answer(self, request: int, answer: Answer) -> None:
         call = self.calls[request]
         if answer.status == REFUSED and call.intent is not None and call.intent.doubtful:
             answer = Answer(FAILED)  # the module knows of its own attempts only
-        self._close(call)
-        call.answer(answer)
+        self._close_call(call)
+        call.on_answer(answer)
 
     def _send(self, call: Call, endpoint: int, until: float) -> None:
-        now, number = self.clock(), call.sends
-        call.sends += 1
+        now, number = self.clock(), call.attempts_sent
+        call.attempts_sent += 1
         if call.gone is not None and call.gone():
             # Guards against sends for nobody: a caller's end is not seen while its connection is not read.
-            self._feed(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
+            self._handle_event(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
             self.left(call)
             return
-        ended, began = partial(self._ended, call, number), partial(self._began, call, number)
+        ended, began = partial(self._attempt_ended, call, number), partial(self._flow_began, call, number)
         payload = partial(self._payload, call)
-        attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace)
+        attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace_id)
         attempt.gone, attempt.looked = call.gone, time.monotonic() * 1000
         attempt.until = attempt.looked + until - now
-        call.out[number] = Flight(endpoint, now, attempt)
+        call.open_attempts[number] = OpenAttempt(endpoint, now, attempt)
         self.upstream.send(endpoint, attempt)
 
     def _payload(self, call: Call) -> bytes:
-        if call.id in self.partial:
-            return call.payload(max(1, int(call.patience)))
-        return call.payload(max(1, int(call.deadline - self.clock())))
+        if call.id in self.partial_calls:
+            return call.build_payload(max(1, int(call.timeout)))
+        return call.build_payload(max(1, int(call.deadline - self.clock())))
 
-    def _close(self, call: Call) -> bool:
+    def _close_call(self, call: Call) -> bool:
         """Take a call off the books; tells whether it was still owed its answer."""
         for due in call.timers:
-            self.due.cancel(due)  # guards against timers, and what they hold, that outlive their call
+            self.timers.cancel(due)  # guards against timers, and what they hold, that outlive their call
         call.timers.clear()
-        self.partial.discard(call.id)
+        self.partial_calls.discard(call.id)
         if call.upload is not None:
             call.upload.drop()
         if call.intent is not None:
             call.intent.end()
-        self.open.discard(call.trace)
+        self.open.discard(call.trace_id)
         return self.calls.pop(call.id, None) is not None
 
 
-def _shown(call: Call) -> str:
+def _trace_text(call: Call) -> str:
     """A call's X-Trace-Id, for the log."""
-    return call.trace.decode("ascii", "backslashreplace")
+    return call.trace_id.decode("ascii", "backslashreplace")
 
 
-def _where(call: Call) -> str:
+def _wait_state(call: Call) -> str:
     """Where a call waits, for the log."""
-    for flight in call.out.values():
+    for flight in call.open_attempts.values():
         return ATTEMPT_STATES[flight.attempt.state]
-    return "between attempts" if call.sends else "for an endpoint"
+    return "between attempts" if call.attempts_sent else "for an endpoint"
--- a/millgw/pool/health_probe.py
+++ b/millgw/pool/health_probe.py
@@ -9,7 +9,7 @@
 from millgw.http.message import Content
 from millgw.interface import Outcome, Repeat
 
-PROBE_TIMEOUT: Final = 1000.0  # ms: an endpoint that takes longer is no proof of what it is now
+PROBE_TIMEOUT_MS: Final = 1000.0  # ms: an endpoint that takes longer is no proof of what it is now
 
 Ended = Callable[[int, Outcome, float], None]
 
--- a/millgw/pool/metrics.py
+++ b/millgw/pool/metrics.py
@@ -12,8 +12,8 @@
 
 from millgw.http.message import REFUSED, SERVED
 
-TURNED_AWAY = (429, REFUSED)
-MOST_NAMED = 200  # endpoints out of rotation that one answer names: some 16 kB
+THROTTLED_STATUSES = (429, REFUSED)
+MAX_NAMED = 200  # endpoints out of rotation that one answer names: some 16 kB
 
 
 class AnswerCounts:
@@ -31,7 +31,7 @@
         """A caller was given its final answer."""
         if status == SERVED:
             self.fulfilled[cls] += 1
-        elif status in TURNED_AWAY:
+        elif status in THROTTLED_STATUSES:
             self.throttled[cls] += 1
         else:
             self.faulted[cls] += 1
@@ -72,7 +72,7 @@
     }
 
 
-def out_of_rotation_json(pools: Sequence[MeasuredPool], most: int = MOST_NAMED) -> bytes:
+def out_of_rotation_json(pools: Sequence[MeasuredPool], most: int = MAX_NAMED) -> bytes:
     """The endpoints out of rotation, with the service and why, as one line of JSON; `most` are named."""
     rows = [
         {"service": pool.name, "endpoint": endpoint, "why": why}
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -21,10 +21,10 @@
 from millgw.pool.driver import Driver
 from millgw.pool.metrics import AnswerCounts
 from millgw.pool.share import ANSWERS, BODIES, CALLS, CONNECTIONS, Share
-from millgw.pool.terms import Terms
+from millgw.pool.terms import CallFactory
 
-COME_BACK = 500.0  # ms after which a client that is turned away at a bound may find room
-LOOK_FOR_END = 0.1  # s between two looks whether a retired pool's last call has ended
+RETRY_AFTER_MS = 500.0  # ms after which a client that is turned away at a bound may find room
+RETIRE_POLL_S = 0.1  # s between two looks whether a retired pool's last call has ended
 
 
 class Source(Protocol):
@@ -85,9 +85,9 @@
         self.upstream = Upstream(
             room, config.connect_timeout, config.idle, config.memory, lambda: self.most(ANSWERS), lanes, name
         )
-        self.source = source(self._heard, self)
+        self.source = source(self._list_received, self)
         self.driver = Driver(Balancer(self.settings, seed, locality), self.upstream, self.source.subscribe)
-        self.terms = Terms(self.settings, self.driver)
+        self.call_factory = CallFactory(self.settings, self.driver)
         self.intents: Intents | None = None  # where what may not be sent again is marked
         self.answer_counts = AnswerCounts([c.name for c in self.settings.classes])
 
@@ -99,7 +99,7 @@
         """Attempts in a row that found no connection to an endpoint."""
         return self.driver.misses(endpoint)
 
-    def _heard(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
+    def _list_received(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         if not self.retired:
             self.driver.listed(kind, entries)
 
@@ -115,7 +115,7 @@
         A ValueError names a setting that can't be changed in service; nothing has changed then.
         """
         self.driver.reconfigure(config.settings)
-        self.terms.reconfigure(config.settings)
+        self.call_factory.reconfigure(config.settings)
         self.upstream.reconfigure(config.connect_timeout, config.idle)
         self.config, self.settings = config, config.settings
 
@@ -127,11 +127,11 @@
         Guards against a flood: its calls would take the room of other pools, or find no descriptor.
         """
         if self.retired or len(self.driver.calls) >= self.most(CALLS):
-            return self._no_room()
+            return self._refusal()
         return None
 
-    def _no_room(self) -> Answer:
-        return Answer(REFUSED, retry_after=min(COME_BACK, self.settings.retry_after_most))
+    def _refusal(self) -> Answer:
+        return Answer(REFUSED, retry_after=min(RETRY_AFTER_MS, self.settings.retry_after_most))
 
     def call(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
         """The call that a request makes, or the answer to one that there is no room for."""
@@ -139,10 +139,10 @@
         if busy is not None:
             return busy
         if head.long and self.upstream.streams.full():
-            return self._no_room()
-        call = self.terms.call(head, answer)
-        call.patience = self.share.patience(call.patience)
-        if call.trace in self.driver.open:
+            return self._refusal()
+        call = self.call_factory.call(head, answer)
+        call.timeout = self.share.patience(call.timeout)
+        if call.trace_id in self.driver.open:
             # Guards against a second answer for one request, and against attempts that disturb the first.
             raise BadRequest(409, "X-Trace-Id is that of an open request")
         if self.intents is not None and call.repeat is Repeat.UNSAFE:
@@ -170,7 +170,7 @@
 
     def answered(self, head: Head, status: int) -> None:
         """A caller was given the final answer to a request that had come whole."""
-        cls = self.terms.classes.get(head.values.get(b"x-qos", b""))
+        cls = self.call_factory.classes.get(head.values.get(b"x-qos", b""))
         if cls is not None:
             self.answer_counts.answered(cls, status)
 
@@ -180,15 +180,17 @@
 
     def open_requests(self) -> int:
         """Calls taken and not answered to the end."""
-        return len(self.driver.calls) - len(self.driver.partial) + len(self.driver.flows)
+        return len(self.driver.calls) - len(self.driver.partial_calls) + len(self.driver.flows)
 
     def listed(self) -> int:
         """Endpoints in the list, those that drain among them."""
-        return self.driver.on_list()
+        return self.driver.listed_count()
 
     def aside(self) -> list[tuple[str, str]]:
         """Those of them that are sent nothing now, by address, and why: the module's reason, or a drain."""
-        return [(self.driver.address(id) or str(id), why) for id, why in self.driver.aside().items()]
+        return [
+            (self.driver.address(id) or str(id), why) for id, why in self.driver.out_of_rotation().items()
+        ]
 
     # Bounds
 
@@ -209,18 +211,20 @@
         """No new calls; those that are open end as they would. Its endpoints are left when the last has."""
         self.retired = True
         self.share.end()
-        self.driver.subscribe = _nothing  # guards against a module that asks again, as it does now and then
+        self.driver.subscribe = (
+            _do_nothing  # guards against a module that asks again, as it does now and then
+        )
         self.source.stop()
-        self._ended()
+        self._end_when_idle()
 
     def drop(self) -> None:
         """Leave nothing that goes on by itself, and would keep all of this in memory."""
         self.upstream.stop()
         self.driver.end()
 
-    def _ended(self) -> None:
+    def _end_when_idle(self) -> None:
         if self.driver.calls:
-            self.upstream.loop.call_later(LOOK_FOR_END, self._ended)
+            self.upstream.loop.call_later(RETIRE_POLL_S, self._end_when_idle)
             return
         for endpoint in list(self.upstream.hosts):
             host = self.upstream.forget(endpoint)
@@ -269,5 +273,5 @@
     return head.pool.call(head, answer)
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
--- a/millgw/pool/start_times.py
+++ b/millgw/pool/start_times.py
@@ -9,8 +9,8 @@
 
 from collections import OrderedDict
 
-LISTED_LATE = 15_000.0  # ms after a start for which discovery may still not list it
-MOST_KNOWN = 8192  # endpoints whose starts are remembered, also of those that left the list
+MAX_LISTING_DELAY_MS = 15_000.0  # ms after a start for which discovery may still not list it
+MAX_REMEMBERED = 8192  # endpoints whose starts are remembered, also of those that left the list
 
 
 class StartTimes:
@@ -20,31 +20,31 @@
         self.heard_at: float | None = None  # when discovery last told a list, changes or a heartbeat
         self.known: OrderedDict[int, tuple[float, float]] = OrderedDict()  # by endpoint: as told, as dated
 
-    def heard(self, now: float) -> None:
+    def discovery_heard(self, now: float) -> None:
         """Discovery has told something; what it lists from now on that is new has come since."""
         self.heard_at = now
 
-    def dated(self, now: float, endpoint: int, since: float) -> float:
+    def local_start(self, now: float, endpoint: int, since: float) -> float:
         """When an endpoint started that discovery says started at `since` (Unix ms; 0: long ago)."""
         if since <= 0:
             return since
         told, dated = self.known.get(endpoint, (0.0, 0.0))
         if told != since:
-            dated = self._bounded(now, since)
+            dated = self._bounded_start(now, since)
         self.known[endpoint] = (since, dated)
         self.known.move_to_end(endpoint)
-        if len(self.known) > MOST_KNOWN:
+        if len(self.known) > MAX_REMEMBERED:
             self.known.popitem(last=False)
         return dated
 
-    def told(self, endpoint: int, dated: float) -> float:
+    def reported_start(self, endpoint: int, dated: float) -> float:
         """What discovery told of a start, for a process that dates it anew."""
         told, as_dated = self.known.get(endpoint, (dated, dated))
         return told if as_dated == dated else dated
 
-    def _bounded(self, now: float, since: float) -> float:
+    def _bounded_start(self, now: float, since: float) -> float:
         if since > now:
             return now
-        if self.heard_at is not None and since < self.heard_at - LISTED_LATE:
+        if self.heard_at is not None and since < self.heard_at - MAX_LISTING_DELAY_MS:
             return min(now, self.heard_at)  # no start so long ago would be new on the list now
         return since
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -12,21 +12,21 @@
 from millgw.log.events import log_event
 from millgw.pool.call import Call, Owner
 
-MAX_PATIENCE_DIGITS = 9  # of X-Expires-In-Ms: enough for any wait, and a number that is cheap to read
+MAX_TIMEOUT_DIGITS = 9  # of X-Expires-In-Ms: enough for any wait, and a number that is cheap to read
 
 
-def read_patience(given: bytes) -> float:
+def parse_timeout(given: bytes) -> float:
     """The ms of X-Expires-In-Ms; a BadRequest where it is missing or not whole milliseconds.
 
     None left is no fault of the request: an earlier tier has used its time up. It is a call like any other,
     and the module gives it up at once. Bounded by the caller, as timers live that long.
     """
-    if not given.isdigit() or len(given) > MAX_PATIENCE_DIGITS:
+    if not given.isdigit() or len(given) > MAX_TIMEOUT_DIGITS:
         raise BadRequest(400, "X-Expires-In-Ms is missing or not whole milliseconds")
     return float(given)
 
 
-class Terms:
+class CallFactory:
     """Makes calls of requests; all are `owner`'s."""
 
     def __init__(self, settings: Settings, owner: Owner) -> None:
@@ -54,7 +54,7 @@
         if cls.repeat is Repeat.KEYED and not values.get(b"idempotency-key"):
             # Guards against a repeat that no endpoint could recognise.
             raise BadRequest(400, "Idempotency-Key is missing")
-        patience = min(read_patience(values.get(b"x-expires-in-ms", b"")), cls.deadline)
+        patience = min(parse_timeout(values.get(b"x-expires-in-ms", b"")), cls.deadline)
         if not head.long:  # else its time counts from its last byte, which is yet to come
             waited = (time.monotonic() - head.ended) * 1000
             if patience <= waited:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from millgw.connections.lifetime import JUST
+from millgw.connections.lifetime import AFTER_ANSWER_MS
 from millgw.operator.file import OperatorError, parse
 from millgw.platform.discovery import endpoint_id
 from millgw.standins.http import ServerConnection
@@ -76,7 +76,10 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", cut=lambda requests: requests >= 4)
         await endpoint.start()
-        async with services(tmp_path, operator("", endpoint)) as rig, stalls(over=JUST / 1000) as stood_still:
+        async with (
+            services(tmp_path, operator("", endpoint)) as rig,
+            stalls(over=AFTER_ANSWER_MS / 1000) as stood_still,
+        ):
             client = await rig.connect()
             for _ in range(60):
                 assert (await client.ask(request("pay"))).status == 200
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -11,12 +11,21 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millgw.connections.introduction import HIDDEN_MOST, Introduction
-from millgw.connections.keeper import UNSAFE_PART, GiveUp, Keeper, Life, Opening
-from millgw.connections.lifetime import AGREE, CUT, JUST, LEAST, MEMORY, RISE, IdleTime, UseLimit
-from millgw.connections.need import Need
-from millgw.connections.opening import Place, Turns, tries
-from millgw.connections.standing import DOWN, UNPROVEN, UP, Standing, panics
+from millgw.connections.introduction import MAX_HIDDEN_SHARE, ColdEndpointFilter
+from millgw.connections.keeper import UNSAFE_IDLE_SHARE, ConnectionRecord, EndpointPolicy, GiveUp, Opening
+from millgw.connections.lifetime import (
+    AFTER_ANSWER_MS,
+    CONFIRMATIONS,
+    CUT_FACTOR,
+    MIN_IDLE_LIMIT_MS,
+    RAISE_FACTOR,
+    USE_LIMIT_MEMORY_MS,
+    IdleLimit,
+    UseLimit,
+)
+from millgw.connections.need import ConnectionDemand
+from millgw.connections.opening import Place, Turns, retry_turns
+from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.connections.terms import Order, Terms
 from millgw.interface import Condition, Endpoint, ListKind
 from tests.kinds import aside
@@ -81,8 +90,8 @@
 def test_a_count_comes_when_it_was_said_to(share: float, cold: float, rate: float, part: float) -> None:
     turns = Turns(Place(0, 7, share, cold), rate, SINCE, True, random.Random(1))
     at = SINCE + part * cold
-    assert turns.at(turns.counted(at)) == pytest.approx(at, abs=1.0)
-    assert turns.next(at) >= at
+    assert turns.time_of(turns.handshakes_by(at)) == pytest.approx(at, abs=1.0)
+    assert turns.next_due(at) >= at
 
 
 @pytest.mark.parametrize("siblings", [7, 67, 400])
@@ -90,7 +99,7 @@
     """So that all siblings together bring it no more, at the moment at which it is back."""
     rng, opened = random.Random(1), []
     for index in range(siblings):
-        turns = tries(Place(index, siblings, 0.2, 14_000.0), 20.0, rng)
+        turns = retry_turns(Place(index, siblings, 0.2, 14_000.0), 20.0, rng)
         now = WALL + TICK * rng.random()
         while now < WALL + 30_000.0:
             if turns.take(now):
@@ -111,30 +120,30 @@
 def test_the_idle_bound_falls_under_what_ended_a_connection_and_never_leaves_its_range(
     seen: list[tuple[bool, float]],
 ) -> None:
-    known = IdleTime(30_000.0, 0.5)
+    known = IdleLimit(30_000.0, 0.5)
     for ended, idle in seen:
         before = known.limit
         if ended:
             known.ended(idle)
             assert known.limit <= before
-            assert idle >= before or known.limit <= max(LEAST, CUT * before)
+            assert idle >= before or known.limit <= max(MIN_IDLE_LIMIT_MS, CUT_FACTOR * before)
         else:
-            known.lived(idle)
-            assert before <= known.limit <= RISE * before
-        assert LEAST <= known.limit <= 15_000.0
+            known.survived(idle)
+            assert before <= known.limit <= RAISE_FACTOR * before
+        assert MIN_IDLE_LIMIT_MS <= known.limit <= 15_000.0
 
 
 @pytest.mark.parametrize("sharp", [True, False])
 def test_few_connections_end_before_the_idle_bound_that_is_learned(sharp: bool) -> None:
     """Against an endpoint that promises 30 s and ends them after 2 s, or after a random part of 2 s."""
-    rng, known, ended = random.Random(1), IdleTime(30_000.0, 0.5), 0
+    rng, known, ended = random.Random(1), IdleLimit(30_000.0, 0.5), 0
     for i in range(2000):
         end = 2000.0 * (1.0 if sharp else rng.random())
         if end < known.limit:
             known.ended(end)
             ended += i >= 20
         else:
-            known.lived(known.limit)
+            known.survived(known.limit)
     assert ended < 200 and known.limit > 20.0
     assert not sharp or 1300.0 <= known.limit <= 2100.0
 
@@ -147,36 +156,36 @@
     assert known.limit(1.0) == 100
     known.outlived(2.0, 101)
     assert known.limit(2.0) == 0
-    for _ in range(AGREE):
+    for _ in range(CONFIRMATIONS):
         known.ended(3.0, 40)
-    assert known.limit(3.0) == 40 and known.limit(3.0 + MEMORY * AGREE) == 0
+    assert known.limit(3.0) == 40 and known.limit(3.0 + USE_LIMIT_MEMORY_MS * CONFIRMATIONS) == 0
 
 
 PLACE = Place(0, 1, 0.2, 5000.0)
 
 
-def keeper(**terms: object) -> Keeper:
-    return Keeper(Terms(jitter=0.0, **terms), PLACE, 10_000.0, random.Random(1))  # type: ignore[arg-type]
+def keeper(**terms: object) -> EndpointPolicy:
+    return EndpointPolicy(Terms(jitter=0.0, **terms), PLACE, 10_000.0, random.Random(1))  # type: ignore[arg-type]
 
 
 def test_each_cause_ends_a_connection() -> None:
     made = keeper(age=8000.0, uses=3)
-    life = made.born(0.0)
-    assert made.verdict(4999.0, life) is None and made.verdict(5000.0, life) is GiveUp.IDLE
-    life.proven = 7999.0
-    assert made.verdict(7999.0, life) is None and made.verdict(8000.0, life) is GiveUp.AGE
-    life = made.born(8000.0)
+    life = made.connected(0.0)
+    assert made.give_up_reason(4999.0, life) is None and made.give_up_reason(5000.0, life) is GiveUp.IDLE
+    life.proven_at = 7999.0
+    assert made.give_up_reason(7999.0, life) is None and made.give_up_reason(8000.0, life) is GiveUp.AGE
+    life = made.connected(8000.0)
     for i in range(3):
-        assert made.verdict(8000.0 + i, life) is None
-        made.answer(8000.0 + i, life)
-    assert made.verdict(8003.0, life) is GiveUp.USES
+        assert made.give_up_reason(8000.0 + i, life) is None
+        made.answered(8000.0 + i, life)
+    assert made.give_up_reason(8003.0, life) is GiveUp.USES
 
 
 def test_bounds_differ_from_one_connection_to_the_next() -> None:
-    made = Keeper(Terms(age=10_000.0, uses=1000, jitter=0.2), PLACE, 10_000.0, random.Random(1))
-    lives = [made.born(0.0) for _ in range(50)]
-    assert len({x.age for x in lives}) == 50 and len({x.idle_share for x in lives}) == 50
-    assert all(8000 <= x.age <= 10_000 and 800 <= x.use_most <= 1000 for x in lives)
+    made = EndpointPolicy(Terms(age=10_000.0, uses=1000, jitter=0.2), PLACE, 10_000.0, random.Random(1))
+    lives = [made.connected(0.0) for _ in range(50)]
+    assert len({x.max_age for x in lives}) == 50 and len({x.idle_share for x in lives}) == 50
+    assert all(8000 <= x.max_age <= 10_000 and 800 <= x.max_uses <= 1000 for x in lives)
 
 
 idles = st.lists(st.floats(0, 12_000), max_size=8).map(sorted)
@@ -187,34 +196,34 @@
     proven: list[float], unsafe: bool, order: Order, ended: float
 ) -> None:
     made, now = keeper(order=order), 12_000.0
-    made.idle_time.ended(ended)
-    lives = [Life(0.0, at) for at in proven]
-    chosen = made.choose(now, unsafe, lives)
-    usable = [i for i, life in enumerate(lives) if made.verdict(now, life) is None]
+    made.idle_limit.ended(ended)
+    lives = [ConnectionRecord(0.0, at) for at in proven]
+    chosen = made.choose_idle(now, unsafe, lives)
+    usable = [i for i, life in enumerate(lives) if made.give_up_reason(now, life) is None]
     if chosen is None:
         assert unsafe or not usable
         return
     assert chosen in usable
     if unsafe:
-        assert now - lives[chosen].proven < UNSAFE_PART * made.idle_time.limit
+        assert now - lives[chosen].proven_at < UNSAFE_IDLE_SHARE * made.idle_limit.limit
     assert chosen == (usable[-1] if unsafe or order is Order.LIFO else usable[0])
 
 
 def test_what_ends_a_connection_is_learned_from_how_it_ended() -> None:
     made = keeper()
-    for _ in range(AGREE):
-        life = made.born(0.0)
+    for _ in range(CONFIRMATIONS):
+        life = made.connected(0.0)
         for i in range(5):
-            made.answer(float(i), life)
-        made.ended(4.0 + JUST / 2, life)
-    assert made.use_limit.limit(5.0) == 5 and made.idle_time.limit == 5000.0
-    life = made.born(10.0)
-    made.answer(20.0, life)
-    made.dead(20.0 + 4000.0, life)
-    assert made.idle_time.limit == pytest.approx(CUT * math.sqrt(4000.0 * 5000.0))
+            made.answered(float(i), life)
+        made.closed_while_idle(4.0 + AFTER_ANSWER_MS / 2, life)
+    assert made.use_limit.limit(5.0) == 5 and made.idle_limit.limit == 5000.0
+    life = made.connected(10.0)
+    made.answered(20.0, life)
+    made.found_dead(20.0 + 4000.0, life)
+    assert made.idle_limit.limit == pytest.approx(CUT_FACTOR * math.sqrt(4000.0 * 5000.0))
     blind = keeper(learn=False)
-    blind.dead(4020.0, life)
-    assert blind.idle_time.limit == 5000.0
+    blind.found_dead(4020.0, life)
+    assert blind.idle_limit.limit == 5000.0
 
 
 # Standing
@@ -226,15 +235,15 @@
     made.opening = 1
     assert made.may_open(0.0, 0.0, 1, False, False) is Opening.WAIT
     made.opening = 0
-    made.missed(0.0)
+    made.handshake_failed(0.0)
     assert made.may_open(0.0, 0.0, 0, False, False) is Opening.UNREACHABLE
     assert made.may_open(0.0, 0.0, 0, True, False) is Opening.NOW  # all seem out of reach
-    assert not made.ahead(1.0, WALL, 0, 0, 9)
+    assert not made.should_open_ahead(1.0, WALL, 0, 0, 9)
     # Its turn among its siblings must have come too.
-    due = made.standing.due
-    moments = [m for m in range(1000) if made.ahead(due + m, WALL + m, 0, 0, 9)]
+    due = made.reachability.probe_at
+    moments = [m for m in range(1000) if made.should_open_ahead(due + m, WALL + m, 0, 0, 9)]
     assert moments and min(b - a for a, b in pairwise(moments)) > 40
-    made.proved(WALL)
+    made.handshake_succeeded(WALL)
     assert made.turns is not None and made.turns.cold(WALL)  # it may have started anew
     made.turns = None
     assert [made.may_open(0.0, 0.0, i, False, False) for i in (0, 1)] == [Opening.NOW] * 2
@@ -242,69 +251,69 @@
 
 @given(st.integers(0, 99))
 def test_tries_of_an_endpoint_that_is_down_are_apart_and_never_end(seed: int) -> None:
-    standing, now, waits = Standing(random.Random(seed), 100.0, 2000.0), 0.0, []
+    standing, now, waits = Reachability(random.Random(seed), 100.0, 2000.0), 0.0, []
     assert standing.state == UNPROVEN
     for _ in range(30):
-        standing.failed(now)
-        assert standing.state == DOWN and not standing.probe(now)
+        standing.mark_down(now)
+        assert standing.state == DOWN and not standing.probe_due(now)
         waits.append(standing.wait)
-        now = standing.due
-        assert standing.probe(now)
+        now = standing.probe_at
+        assert standing.probe_due(now)
     assert all(100.0 <= w <= 2000.0 for w in waits) and len(set(waits)) > 5
-    standing.up()
-    standing.doubt()
+    standing.mark_up()
+    standing.mark_unproven()
     assert standing.state == UNPROVEN and standing.wait == 0.0
 
 
 def test_many_that_seem_out_of_reach_at_once_are_all_tried() -> None:
-    assert not panics(5, 10, 0.5) and panics(6, 10, 0.5) and not panics(0, 0, 0.5)
+    assert not panic_mode(5, 10, 0.5) and panic_mode(6, 10, 0.5) and not panic_mode(0, 0, 0.5)
 
 
 def test_an_endpoint_that_takes_no_more_connections_is_not_down() -> None:
     made = keeper()
-    life = made.born(0.0)
-    made.proved(WALL)
-    made.answer(10.0, life)
-    made.missed(20.0)
-    assert made.standing.state == UP and made.cap == 1.0
+    life = made.connected(0.0)
+    made.handshake_succeeded(WALL)
+    made.answered(10.0, life)
+    made.handshake_failed(20.0)
+    assert made.reachability.state == UP and made.observed_limit == 1.0
     assert made.may_open(30.0, 0.0, 0, False, False) is Opening.WAIT
     assert made.may_open(30_000.0, 0.0, 0, False, False) is Opening.NOW  # it may take more by now
 
 
 def test_what_is_opened_ahead_and_never_used_is_not_opened_over_and_over() -> None:
     made, now, opened = keeper(keep_least=1), 0.0, 0
-    made.proved(WALL)
+    made.handshake_succeeded(WALL)
     made.turns = None
     for _ in range(6000):  # 60 s, in which each is ended after half a second
         now += 10.0
-        if made.ahead(now, WALL, 0, 0, 9):
+        if made.should_open_ahead(now, WALL, 0, 0, 9):
             opened += 1
-            life = made.born(now)
+            life = made.connected(now)
             made.open -= 1
-            made.ended(now + 500.0, life)
+            made.closed_while_idle(now + 500.0, life)
     assert 4 <= opened <= 8
 
 
 def test_one_that_ends_as_soon_as_it_is_up_was_of_no_use() -> None:
     made = keeper(keep_least=1)
-    life = made.born(0.0)
-    made.proved(WALL)
+    life = made.connected(0.0)
+    made.handshake_succeeded(WALL)
     made.open = 0
-    made.ended(5.0, life)
-    assert made.standing.state == DOWN and not made.ahead(6.0, 0.0, 0, 0, 9)
+    made.closed_while_idle(5.0, life)
+    assert made.reachability.state == DOWN and not made.should_open_ahead(6.0, 0.0, 0, 0, 9)
 
 
 # Need
 
 
 def test_connections_are_wanted_ahead_of_a_crowd_and_let_go_after_it() -> None:
-    need, now = Need(), 0.0
+    need, now = ConnectionDemand(), 0.0
     for _ in range(500):
-        need.sent(now, 1)
+        need.request_sent(now, 1)
         now += 100.0
     assert need.wanted(now, 0, 0.25) == 1 and need.rise(now) == 1.0
     for _ in range(20):
-        need.sent(now, 3)
+        need.request_sent(now, 3)
         now += 5.0
     assert need.rise(now) > 2.0 and need.wanted(now, 3, 0.25) > 6
     assert need.wanted(now + 120_000.0, 0, 0.25) == 0
@@ -314,41 +323,41 @@
 def test_what_was_in_use_is_wanted_and_never_beyond_reason(
     sends: list[tuple[float, int]], headroom: float
 ) -> None:
-    need, now, most = Need(), 0.0, 0
+    need, now, most = ConnectionDemand(), 0.0, 0
     for wait, busy in sends:
         now += wait
-        need.sent(now, busy)
+        need.request_sent(now, busy)
         most = max(most, busy)
         assert busy <= need.wanted(now, busy, headroom) <= math.ceil(4 * most * (1 + headroom))
-    need.spared(now, 1)
+    need.unused_given_up(now, 1)
     assert need.wanted(now, 0, 0.0) <= 1
 
 
 @given(st.data())
 def test_the_books_of_a_keeper_never_open_past_its_bounds(data: st.DataObject) -> None:
     made = keeper(keep_most=4, open_most=6, at_once=2, keep_least=1)
-    now, lives = 0.0, list[Life]()
+    now, lives = 0.0, list[ConnectionRecord]()
     for _ in range(data.draw(st.integers(1, 60))):
         now += data.draw(st.floats(0, 2000))
         step = data.draw(st.sampled_from(["call", "up", "missed", "answer", "end", "ahead"]))
         if step == "call":
-            made.sent(now)
+            made.request_sent(now)
             if made.may_open(now, 0.0, made.opening, False, False) is Opening.NOW:
                 made.opening += 1
-        elif step == "ahead" and made.ahead(now, 0.0, 0, made.opening, 4):
+        elif step == "ahead" and made.should_open_ahead(now, 0.0, 0, made.opening, 4):
             made.opening += 1
         elif step in ("up", "missed") and made.opening:
             made.opening -= 1
             if step == "up":
-                made.proved(WALL)
-                lives.append(made.born(now))
+                made.handshake_succeeded(WALL)
+                lives.append(made.connected(now))
             else:
-                made.missed(now)
+                made.handshake_failed(now)
         elif step == "answer" and lives:
-            made.answer(now, data.draw(st.sampled_from(lives)))
+            made.answered(now, data.draw(st.sampled_from(lives)))
         elif step == "end" and lives:
             made.open -= 1
-            made.ended(now, lives.pop())
+            made.closed_while_idle(now, lives.pop())
         assert 0 <= made.opening <= 2 and made.open + made.opening <= 6 and made.open == len(lives)
 
 
@@ -369,7 +378,7 @@
 def test_the_module_hears_of_all_but_a_few_cold_ones_and_of_every_drain(
     told: list[tuple[ListKind, list[Endpoint], int]],
 ) -> None:
-    made, module, listed = Introduction(5000.0), dict[int, Endpoint](), dict[int, Endpoint]()
+    made, module, listed = ColdEndpointFilter(5000.0), dict[int, Endpoint](), dict[int, Endpoint]()
     now = SINCE
     for kind, some, connected in told:
         now += 700.0
@@ -386,10 +395,10 @@
             module.pop(entry.id, None)
             if entry.condition is Condition.READY:
                 module[entry.id] = entry
-        if made.due(now) or made.connected(connected):
-            module = {e.id: e for e in made.whole()}
+        if made.show_warm(now) or made.connected(connected):
+            module = {e.id: e for e in made.shown_list()}
         # What the module has is the list, but for those kept back: cold, not connected, never most of it.
         assert module == made.shown
         assert module | made.hidden == listed and not module.keys() & made.hidden.keys()
         assert all(now < e.started_at + 5000.0 for e in made.hidden.values())
-        assert len(made.hidden) <= HIDDEN_MOST * len(listed)
+        assert len(made.hidden) <= MAX_HIDDEN_SHARE * len(listed)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -11,7 +11,7 @@
 from millgw.platform.config import Address
 from millgw.platform.discovery import Listed
 from millgw.pool.driver import Driver
-from millgw.pool.start_times import LISTED_LATE, MOST_KNOWN, StartTimes
+from millgw.pool.start_times import MAX_LISTING_DELAY_MS, MAX_REMEMBERED, StartTimes
 from millgw.standins.scripted import ScriptedEndpoint
 from tests.kinds import patched
 from tests.rig import run, sidecar, until
@@ -25,32 +25,32 @@
     """This machine's clock is right, an hour ahead or an hour behind. Otherwise a cold one looks warm, or
     stays cold for an hour."""
     times, started = StartTimes(), NOW + 10_000.0
-    times.heard(NOW + 9_000.0)
-    dated = times.dated(NOW + 12_000.0, 1, started - ahead)
+    times.discovery_heard(NOW + 9_000.0)
+    dated = times.local_start(NOW + 12_000.0, 1, started - ahead)
     assert NOW + 9_000.0 <= dated <= NOW + 12_000.0
-    times.heard(NOW + 60_000.0)
-    assert times.dated(NOW + 60_000.0, 1, started - ahead) == dated, "dated once"
-    assert times.told(1, dated) == started - ahead
+    times.discovery_heard(NOW + 60_000.0)
+    assert times.local_start(NOW + 60_000.0, 1, started - ahead) == dated, "dated once"
+    assert times.reported_start(1, dated) == started - ahead
 
 
 def test_the_first_list_is_taken_at_its_word_but_for_what_has_yet_to_come() -> None:
     times = StartTimes()
-    assert times.dated(NOW, 1, NOW - HOUR) == NOW - HOUR
-    assert times.dated(NOW, 2, NOW + HOUR) == NOW
-    assert times.dated(NOW, 3, 0.0) == 0.0
+    assert times.local_start(NOW, 1, NOW - HOUR) == NOW - HOUR
+    assert times.local_start(NOW, 2, NOW + HOUR) == NOW
+    assert times.local_start(NOW, 3, 0.0) == 0.0
 
 
 def test_one_that_started_while_discovery_was_away_is_as_old_as_it_says() -> None:
     times = StartTimes()
-    times.heard(NOW)
-    assert times.dated(NOW + HOUR, 1, NOW + HOUR / 2) == NOW + HOUR / 2
+    times.discovery_heard(NOW)
+    assert times.local_start(NOW + HOUR, 1, NOW + HOUR / 2) == NOW + HOUR / 2
 
 
 def test_one_that_leaves_the_list_and_comes_back_keeps_its_start() -> None:
     times = StartTimes()
-    assert times.dated(NOW, 1, NOW - HOUR) == NOW - HOUR
-    times.heard(NOW + 5000.0)
-    assert times.dated(NOW + 5000.0, 1, NOW - HOUR) == NOW - HOUR
+    assert times.local_start(NOW, 1, NOW - HOUR) == NOW - HOUR
+    times.discovery_heard(NOW + 5000.0)
+    assert times.local_start(NOW + 5000.0, 1, NOW - HOUR) == NOW - HOUR
 
 
 @given(
@@ -68,19 +68,19 @@
         now += passes
         heard = times.heard_at
         new = times.known.get(endpoint, (0.0, 0.0))[0] != now + since
-        dated = times.dated(now, endpoint, now + since)
+        dated = times.local_start(now, endpoint, now + since)
         assert dated <= now
         if new and heard is not None:
-            assert dated >= heard - LISTED_LATE
+            assert dated >= heard - MAX_LISTING_DELAY_MS
         if hears:
-            times.heard(now)
+            times.discovery_heard(now)
 
 
 def test_what_is_remembered_is_bounded() -> None:
     times = StartTimes()
-    for endpoint in range(MOST_KNOWN + 10):
-        times.dated(NOW, endpoint, NOW - 1.0)
-    assert len(times.known) == MOST_KNOWN and 0 not in times.known
+    for endpoint in range(MAX_REMEMBERED + 10):
+        times.local_start(NOW, endpoint, NOW - 1.0)
+    assert len(times.known) == MAX_REMEMBERED and 0 not in times.known
 
 
 @patched
