--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -51,7 +51,7 @@
 def tend(pool: Pool, terms: Terms, config: Config, seed: int) -> Tended:
     """Tend a pool's connections from now on; called before it is started."""
     place = place_of(pool.settings)
-    tended = Tended(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
-    pool.upstream.tend(tended)
-    pool.driver.list_filter = tended
-    return tended
+    manager = Tended(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
+    pool.upstream.tend(manager)
+    pool.driver.list_filter = manager
+    return manager
--- a/millgw/connections/counts.py
+++ b/millgw/connections/counts.py
@@ -22,8 +22,8 @@
     def reused(self) -> None:
         self.by_event["reused"] += 1
 
-    def given_up(self, why: GiveUp) -> None:
-        self.by_event[f"given-up-{why.value}"] += 1
+    def given_up(self, reason: GiveUp) -> None:
+        self.by_event[f"given-up-{reason.value}"] += 1
 
     def closed_while_idle(self) -> None:
         """The other side ended an idle one."""
--- a/millgw/connections/introduction.py
+++ b/millgw/connections/introduction.py
@@ -36,26 +36,26 @@
         if kind.complete:
             self.shown.clear()
             self.hidden.clear()
-        told = []
+        changed = []
         for entry in entries:
             self.hidden.pop(entry.id, None)
             if entry.condition is not Condition.READY:
                 self.shown.pop(entry.id, None)
-                told.append(entry)
+                changed.append(entry)
                 continue
             known = before.get(entry.id)
             same = known is not None and known.started_at == entry.started_at
             if same or not self._cold(entry, now) or connected(entry.id):
                 self.shown[entry.id] = entry
-                told.append(entry)
+                changed.append(entry)
             else:
                 self.hidden[entry.id] = entry
-        told += self._show_excess()
+        changed += self._show_excess()
         # One that came back under its name is another to the module: the life that it knows is over.
-        over = [Endpoint(i, Condition.GONE) for i in self.hidden if i in self.shown]
-        for gone in over:
+        ended = [Endpoint(i, Condition.GONE) for i in self.hidden if i in self.shown]
+        for gone in ended:
             self.shown.pop(gone.id)
-        return told + over
+        return changed + ended
 
     def _cold(self, entry: Endpoint, now: float) -> bool:
         return entry.started_at > 0 and now < entry.started_at + self.cold_time
@@ -63,21 +63,21 @@
     def _show_excess(self) -> list[Endpoint]:
         """Those that can't be kept back: the ones that have started first are the warmest."""
         known = len(self.shown.keys() | self.hidden.keys())
-        freed = []
+        released = []
         for entry in sorted(self.hidden.values(), key=lambda e: (e.started_at, e.id)):
             if len(self.hidden) <= MAX_HIDDEN_SHARE * known:
                 break
-            freed.append(self._show(entry))
-        return freed
+            released.append(self._show(entry))
+        return released
 
     def _show(self, entry: Endpoint) -> Endpoint:
         del self.hidden[entry.id]
         self.shown[entry.id] = entry
         return entry
 
-    def connected(self, id: int) -> bool:
+    def connected(self, endpoint: int) -> bool:
         """A connection has come up; tells whether the module is to be told of its endpoint."""
-        entry = self.hidden.get(id)
+        entry = self.hidden.get(endpoint)
         if entry is None:
             return False
         self._show(entry)
--- a/millgw/connections/keeper.py
+++ b/millgw/connections/keeper.py
@@ -69,16 +69,16 @@
 class EndpointPolicy:
     """One endpoint's policy. `promised_idle` is how long the endpoint promises to keep an idle connection."""
 
-    def __init__(self, terms: Terms, place: Place, told_idle: float, rng: random.Random) -> None:
+    def __init__(self, terms: Terms, position: Place, promised_idle: float, rng: random.Random) -> None:
         self.terms = terms
-        self.position = place
+        self.position = position
         self.rng = rng
-        self.idle_limit = IdleLimit(told_idle, terms.idle_part)
+        self.idle_limit = IdleLimit(promised_idle, terms.idle_part)
         self.use_limit = UseLimit()
         self.demand = ConnectionDemand()
         self.reachability = Reachability(rng, terms.probe_base, terms.probe_most)
         self.turns: Turns | None = None  # while it is cold
-        self.retry_turns = retry_turns(place, terms.cold_rate, rng)  # while it is out of reach
+        self.retry_turns = retry_turns(position, terms.cold_rate, rng)  # while it is out of reach
         self.unused_in_a_row = 0  # connections in a row that were opened ahead and never used
         self.open_ahead_after = 0.0
         self.opening = 0  # handshakes under way
@@ -88,24 +88,24 @@
         self.observed_limit = math.inf  # what the endpoint was seen to take
         self.observed_limit_at = 0.0
 
-    def change(self, terms: Terms, told_idle: float) -> None:
+    def change(self, terms: Terms, promised_idle: float) -> None:
         """Go by other terms; what was learned of the endpoint stays."""
         self.terms = terms
-        self.idle_limit.set_maximum(terms.idle_part * told_idle)
+        self.idle_limit.set_maximum(terms.idle_part * promised_idle)
         self.retry_turns = retry_turns(self.position, terms.cold_rate, self.rng)
         self.reachability.min_wait, self.reachability.max_wait = terms.probe_base, terms.probe_most
 
-    def set_position(self, place: Place) -> None:
+    def set_position(self, position: Place) -> None:
         """Go by another place among siblings; whoever knows when it started tells again, if it is cold."""
-        self.position = place
+        self.position = position
         self.turns = None
 
     # What happens
 
-    def cold_since(self, since: float, common: bool) -> None:
+    def cold_since(self, since: float, start_shared: bool) -> None:
         """The endpoint is cold from a time on; `common` where its siblings know that start too."""
         if self.turns is None or self.turns.since != since:
-            self.turns = Turns(self.position, self.terms.cold_rate, since, common, self.rng)
+            self.turns = Turns(self.position, self.terms.cold_rate, since, start_shared, self.rng)
 
     def connected(self, now: float) -> ConnectionRecord:
         """A connection has come up."""
@@ -139,62 +139,62 @@
         """A request goes out on a connection, or a handshake is begun for one."""
         self.demand.request_sent(now, self.busy + 1)
 
-    def answered(self, now: float, life: ConnectionRecord) -> None:
+    def answered(self, now: float, record: ConnectionRecord) -> None:
         """An answer has come."""
-        if life.uses == 0:
+        if record.uses == 0:
             self.unused_in_a_row, self.open_ahead_after = 0, 0.0
-        self.idle_limit.survived(life.idle_before_use)
-        life.uses += 1
-        life.proven_at = self.last_answer_at = now
-        self.use_limit.outlived(now, life.uses)
+        self.idle_limit.survived(record.idle_before_use)
+        record.uses += 1
+        record.proven_at = self.last_answer_at = now
+        self.use_limit.outlived(now, record.uses)
         self.reachability.mark_up()
 
-    def taken(self, now: float, life: ConnectionRecord) -> None:
+    def taken(self, now: float, record: ConnectionRecord) -> None:
         """An idle connection is taken for a request."""
-        life.idle_before_use = now - life.proven_at
+        record.idle_before_use = now - record.proven_at
 
-    def closed_while_idle(self, now: float, life: ConnectionRecord) -> None:
+    def closed_while_idle(self, now: float, record: ConnectionRecord) -> None:
         """The other side ended a connection that was idle."""
-        if self.closed_unused(now, life):
+        if self.closed_unused(now, record):
             self.reachability.mark_down(now)
             return
-        self._unused(now, life, self.open)
-        self._learn(now, life)
+        self._unused(now, record, self.open)
+        self._learn(now, record)
 
     @staticmethod
-    def closed_unused(now: float, life: ConnectionRecord) -> bool:
+    def closed_unused(now: float, record: ConnectionRecord) -> bool:
         """Whether one that ends now never was of any use."""
-        return life.uses == 0 and now - life.opened_at < UNUSED_CLOSE_MS
+        return record.uses == 0 and now - record.opened_at < UNUSED_CLOSE_MS
 
-    def found_dead(self, now: float, life: ConnectionRecord) -> None:
+    def found_dead(self, now: float, record: ConnectionRecord) -> None:
         """A connection turned out to be dead when a request was to go on it: it had ended by then."""
-        if self.closed_unused(now, life):
+        if self.closed_unused(now, record):
             self.reachability.mark_down(now)
         else:
-            self._learn(now, life)
+            self._learn(now, record)
 
-    def _learn(self, now: float, life: ConnectionRecord) -> None:
-        idle = now - life.proven_at
+    def _learn(self, now: float, record: ConnectionRecord) -> None:
+        idle = now - record.proven_at
         if not self.terms.learn:
             return
-        if idle < AFTER_ANSWER_MS and life.uses:
-            self.use_limit.ended(now, life.uses)
+        if idle < AFTER_ANSWER_MS and record.uses:
+            self.use_limit.ended(now, record.uses)
         else:
             self.idle_limit.ended(idle)
 
-    def given_up(self, now: float, life: ConnectionRecord, why: GiveUp) -> None:
+    def given_up(self, now: float, record: ConnectionRecord, reason: GiveUp) -> None:
         """This side ends an idle one."""
-        if why is GiveUp.IDLE:
-            self.idle_limit.survived(now - life.proven_at)
-            self._unused(now, life, self.open - 1)
+        if reason is GiveUp.IDLE:
+            self.idle_limit.survived(now - record.proven_at)
+            self._unused(now, record, self.open - 1)
 
-    def _unused(self, now: float, life: ConnectionRecord, left: int) -> None:
+    def _unused(self, now: float, record: ConnectionRecord, left: int) -> None:
         """One ended idle, and so many are left: more than these are not needed.
 
         Guards against connections that are opened ahead, end unused, and are opened again, over and over.
         """
         self.demand.unused_given_up(now, left)
-        if life.uses == 0:
+        if record.uses == 0:
             self.unused_in_a_row += 1
             self.open_ahead_after = now + min(
                 MAX_AHEAD_BACKOFF_MS, AHEAD_BACKOFF_MS * 2.0 ** min(self.unused_in_a_row, 30)
@@ -202,21 +202,21 @@
 
     # What to do
 
-    def give_up_reason(self, now: float, life: ConnectionRecord) -> GiveUp | None:
+    def give_up_reason(self, now: float, record: ConnectionRecord) -> GiveUp | None:
         """Why an idle connection is of no more use; None where it may be used."""
-        if now - life.proven_at >= self.idle_limit.limit * life.idle_share:
+        if now - record.proven_at >= self.idle_limit.limit * record.idle_share:
             return GiveUp.IDLE
-        if life.max_age and now - life.opened_at >= life.max_age:
+        if record.max_age and now - record.opened_at >= record.max_age:
             return GiveUp.AGE
-        if life.max_uses and life.uses >= life.max_uses:
+        if record.max_uses and record.uses >= record.max_uses:
             return GiveUp.USES
         limit = self.use_limit.limit(now)
-        return GiveUp.USES if limit and life.uses >= limit else None
+        return GiveUp.USES if limit and record.uses >= limit else None
 
-    def expires_at(self, now: float, life: ConnectionRecord) -> float:
+    def expires_at(self, now: float, record: ConnectionRecord) -> float:
         """When an idle connection will be of no more use, as far as that is known now."""
-        at = life.proven_at + self.idle_limit.limit * life.idle_share
-        return min(at, life.opened_at + life.max_age) if life.max_age else at
+        at = record.proven_at + self.idle_limit.limit * record.idle_share
+        return min(at, record.opened_at + record.max_age) if record.max_age else at
 
     def choose_idle(self, now: float, unsafe: bool, idle: Sequence[ConnectionRecord]) -> int | None:
         """Which of the idle connections, in the order of their last answers, a request takes; None for none.
@@ -225,21 +225,24 @@
         its end than to its last proof: its last byte may cross the close (RFC 9112, section 9.5).
         """
         if unsafe or self.terms.order is Order.LIFO:
-            numbers = range(len(idle) - 1, -1, -1)
+            indexes = range(len(idle) - 1, -1, -1)
         else:
-            numbers = range(len(idle))
-        for number in numbers:
-            life = idle[number]
-            if self.give_up_reason(now, life) is not None:
+            indexes = range(len(idle))
+        for index in indexes:
+            record = idle[index]
+            if self.give_up_reason(now, record) is not None:
                 continue
-            if unsafe and now - life.proven_at >= UNSAFE_IDLE_SHARE * self.idle_limit.limit * life.idle_share:
+            if (
+                unsafe
+                and now - record.proven_at >= UNSAFE_IDLE_SHARE * self.idle_limit.limit * record.idle_share
+            ):
                 return None  # the others are older
-            return number
+            return index
         return None
 
-    def may_keep_idle(self, now: float, idle: int, most: int) -> bool:
+    def may_keep_idle(self, now: float, idle: int, budget_limit: int) -> bool:
         """Whether one more may stay idle beside so many; `most` is what the budget of descriptors leaves."""
-        bound = self.terms.keep_most or most
+        bound = self.terms.keep_most or budget_limit
         return idle < max(bound, self.terms.keep_least)
 
     def may_open(self, now: float, wall: float, all_opening: int, panic: bool, full: bool) -> Opening:
@@ -267,7 +270,7 @@
         return self.open + self.opening >= most
 
     def should_open_ahead(
-        self, now: float, wall: float, idle: int, all_opening: int, most: int, least: int = 0
+        self, now: float, wall: float, idle: int, all_opening: int, budget_limit: int, minimum: int = 0
     ) -> bool:
         """Whether to open a connection that no call waits for yet; `most` as for `keeps`.
 
@@ -277,10 +280,12 @@
             return self.opening == 0 and self.reachability.probe_due(now) and self.retry_turns.take(wall)
         if now < self.open_ahead_after:
             return False
-        wanted = max(least, self.terms.keep_least)
+        wanted = max(minimum, self.terms.keep_least)
         if self.terms.ahead:
             wanted = max(wanted, self.demand.wanted(now, self.busy, self.terms.headroom))
-        if self.open + self.opening >= wanted or not self.may_keep_idle(now, idle + self.opening, most):
+        if self.open + self.opening >= wanted or not self.may_keep_idle(
+            now, idle + self.opening, budget_limit
+        ):
             return False
         if self.reachability.state == UNPROVEN and self.opening:
             return False
--- a/millgw/connections/lifetime.py
+++ b/millgw/connections/lifetime.py
@@ -28,14 +28,14 @@
 
     __slots__ = ("limit", "maximum")
 
-    def __init__(self, told: float, part: float) -> None:
-        self.maximum = part * told
+    def __init__(self, promised: float, share: float) -> None:
+        self.maximum = share * promised
         self.limit = self.maximum
 
-    def set_maximum(self, most: float) -> None:
+    def set_maximum(self, maximum: float) -> None:
         """The most that the bound may be, from now on."""
-        self.maximum = most
-        self.limit = min(self.limit, most)
+        self.maximum = maximum
+        self.limit = min(self.limit, maximum)
 
     def ended(self, idle: float) -> None:
         """The other side ended one that had been idle for so long, or had forgotten it by then."""
--- a/millgw/connections/need.py
+++ b/millgw/connections/need.py
@@ -22,8 +22,8 @@
 
     __slots__ = ("at", "decay_ms", "weight")
 
-    def __init__(self, memory: float) -> None:
-        self.decay_ms = memory
+    def __init__(self, decay_ms: float) -> None:
+        self.decay_ms = decay_ms
         self.weight = 0.0
         self.at = 0.0
 
--- a/millgw/connections/opening.py
+++ b/millgw/connections/opening.py
@@ -45,11 +45,15 @@
 
     __slots__ = ("first", "last_used", "position", "rate", "since")
 
-    def __init__(self, place: Place, rate: float, since: float, common: bool, rng: random.Random) -> None:
-        self.position = place
-        self.rate = PLANNED_RATE_SHARE * rate / 1000 * (1.0 if common else UNSHARED_START_FACTOR)
+    def __init__(
+        self, position: Place, rate: float, since: float, start_shared: bool, rng: random.Random
+    ) -> None:
+        self.position = position
+        self.rate = PLANNED_RATE_SHARE * rate / 1000 * (1.0 if start_shared else UNSHARED_START_FACTOR)
         self.since = since
-        self.first = place.index % place.siblings + 1.0 if common else place.siblings * rng.random()
+        self.first = (
+            position.index % position.siblings + 1.0 if start_shared else position.siblings * rng.random()
+        )
         self.last_used = -1
 
     def cold(self, now: float) -> bool:
@@ -101,6 +105,6 @@
         return min(max(now, due), max(now, self.since + self.position.cold_time))
 
 
-def retry_turns(place: Place, rate: float, rng: random.Random) -> Turns:
+def retry_turns(position: Place, rate: float, rng: random.Random) -> Turns:
     """An instance's turns to try an endpoint that is out of reach: by the wall clock, which all share."""
-    return Turns(Place(place.index, place.siblings, 1.0, math.inf), rate, 0.0, True, rng)
+    return Turns(Place(position.index, position.siblings, 1.0, math.inf), rate, 0.0, True, rng)
--- a/millgw/connections/standing.py
+++ b/millgw/connections/standing.py
@@ -24,10 +24,10 @@
 
     __slots__ = ("backoff", "max_wait", "min_wait", "probe_at", "state", "wait")
 
-    def __init__(self, rng: random.Random, base: float, most: float) -> None:
+    def __init__(self, rng: random.Random, min_wait: float, max_wait: float) -> None:
         self.backoff = Backoff(rng)
-        self.min_wait = base
-        self.max_wait = most
+        self.min_wait = min_wait
+        self.max_wait = max_wait
         self.state = UNPROVEN
         self.wait = 0.0
         self.probe_at = 0.0  # when it may be tried next, while it is down
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -58,10 +58,10 @@
 
     __slots__ = ("endpoint", "host", "policy", "serve_scheduled", "waiting")
 
-    def __init__(self, endpoint: int, host: Host, keeper: EndpointPolicy) -> None:
+    def __init__(self, endpoint: int, host: Host, policy: EndpointPolicy) -> None:
         self.endpoint = endpoint
         self.host = host
-        self.policy = keeper
+        self.policy = policy
         self.waiting: deque[tuple[Attempt, float]] = deque()
         self.serve_scheduled = False  # a look at those that wait is due this turn
 
@@ -70,20 +70,26 @@
     """One pool's. `promised_idle` (ms) is how long endpoints promise to keep an idle connection."""
 
     def __init__(
-        self, upstream: Upstream, terms: Terms, place: Place, told_idle: float, seed: int, sight: PoolView
+        self,
+        upstream: Upstream,
+        terms: Terms,
+        position: Place,
+        promised_idle: float,
+        seed: int,
+        pool_view: PoolView,
     ) -> None:
         self.upstream = upstream
         self.terms = terms
-        self.place = place
-        self.promised_idle = told_idle
-        self.pool_view = sight
+        self.place = position
+        self.promised_idle = promised_idle
+        self.pool_view = pool_view
         self.rng = random.Random(f"connections {seed}")
         self.counts = ConnectionCounts()
         self.states: dict[Host, HostState] = {}
         self.records: dict[Connection, ConnectionRecord] = {}
         self.busy: set[Connection] = set()  # those that carry a request
         self.opening = 0
-        self.cold_filter = ColdEndpointFilter(place.cold_time)
+        self.cold_filter = ColdEndpointFilter(position.cold_time)
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
         self.tick_at = 0.0
@@ -94,110 +100,110 @@
 
     def send(self, endpoint: int, host: Host, attempt: Attempt, now: float) -> None:
         """A call is to go to an endpoint: on a connection that is there, or a new one, or when one is."""
-        kept = self._state_of(endpoint, host)
-        kept.policy.request_sent(now)
-        if not kept.waiting and self._send_on_idle(kept, attempt, now):
-            self._open_ahead(kept, now)
+        state = self._state_of(endpoint, host)
+        state.policy.request_sent(now)
+        if not state.waiting and self._send_on_idle(state, attempt, now):
+            self._open_ahead(state, now)
             return
-        self._enqueue(kept, attempt, now)
-        self._serve_waiting(kept)
+        self._enqueue(state, attempt, now)
+        self._serve_waiting(state)
 
     def again(self, connection: Connection, attempt: Attempt) -> None:
         """The connection that an attempt was on is dead, and it has not run: it goes on to another."""
         now, host = time.monotonic() * 1000, connection.host
         self.counts.moved(attempt.repeat)
-        life = self._forget(connection)
-        kept = self.states.get(host)
-        if kept is None or not host.used:
+        record = self._forget(connection)
+        state = self.states.get(host)
+        if state is None or not host.used:
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             return
-        if life is not None:
-            kept.policy.found_dead(now, life)
-        self._enqueue(kept, attempt, now)
-        self._schedule_serve(kept)
+        if record is not None:
+            state.policy.found_dead(now, record)
+        self._enqueue(state, attempt, now)
+        self._schedule_serve(state)
 
     def up(self, connection: Connection) -> None:
         """A connection has come up, for an attempt or ahead of need."""
-        kept = self.states.get(connection.host)
-        if kept is None:
+        state = self.states.get(connection.host)
+        if state is None:
             return
         now = time.monotonic() * 1000
-        self.records[connection] = kept.policy.connected(now)
-        kept.policy.handshake_succeeded(self.pool_view.now())
+        self.records[connection] = state.policy.connected(now)
+        state.policy.handshake_succeeded(self.pool_view.now())
         self.counts.opened(connection.attempt is None)
         if connection.attempt is not None:
-            self._mark_busy(kept, connection)
+            self._mark_busy(state, connection)
         elif connection.host.used:
             connection.host.idle.append(connection)
-        self._schedule_serve(kept)
-        if self.cold_filter.connected(kept.endpoint):
+        self._schedule_serve(state)
+        if self.cold_filter.connected(state.endpoint):
             self.pool_view.show(self.cold_filter.shown_list())
 
     def tried(self, host: Host, missed: bool) -> None:
         """A handshake is over: well, in vain (`missed`), or nobody wants it any more."""
         self.opening -= 1
-        kept = self.states.get(host)
-        if kept is None:
+        state = self.states.get(host)
+        if state is None:
             return
-        kept.policy.opening -= 1
+        state.policy.opening -= 1
         if missed:
             self.counts.handshake_failed()
-            kept.policy.handshake_failed(time.monotonic() * 1000)
+            state.policy.handshake_failed(time.monotonic() * 1000)
             self._schedule_tick(FAST_TICK_S)
-        self._schedule_serve(kept)
+        self._schedule_serve(state)
 
     def keep(self, connection: Connection) -> None:
         """A connection's answer is whole, and it may be used again."""
         host, now = connection.host, time.monotonic() * 1000
-        kept, life = self.states.get(host), self.records.get(connection)
-        if kept is None or life is None or not host.used:
+        state, record = self.states.get(host), self.records.get(connection)
+        if state is None or record is None or not host.used:
             connection.abort()
             return
-        self._mark_idle(kept, connection)
-        kept.policy.answered(now, life)
-        why = kept.policy.give_up_reason(now, life)
-        if why is not None:
-            self.counts.given_up(why)
+        self._mark_idle(state, connection)
+        state.policy.answered(now, record)
+        reason = state.policy.give_up_reason(now, record)
+        if reason is not None:
+            self.counts.given_up(reason)
             connection.abort()
             return
         host.idle.append(connection)
-        self._schedule_tick(max(WAITING_TICK_S, (kept.policy.expires_at(now, life) - now) / 1000))
-        if kept.waiting:
-            self._schedule_serve(kept)
-        elif not kept.policy.may_keep_idle(now, len(host.idle) - 1, self._max_idle()):
-            self._give_up_surplus(kept)
+        self._schedule_tick(max(WAITING_TICK_S, (state.policy.expires_at(now, record) - now) / 1000))
+        if state.waiting:
+            self._schedule_serve(state)
+        elif not state.policy.may_keep_idle(now, len(host.idle) - 1, self._max_idle()):
+            self._give_up_surplus(state)
 
     def lost(self, connection: Connection, idle: bool) -> None:
         """A connection has ended; `idle` tells that the other side ended it while it was kept."""
-        kept = self.states.get(connection.host)
+        state = self.states.get(connection.host)
         attempt = connection.attempt
-        life = self._forget(connection)
-        if kept is None or life is None:
+        record = self._forget(connection)
+        if state is None or record is None:
             return
         now = time.monotonic() * 1000
         if idle:
             self.counts.closed_while_idle()
-            kept.policy.closed_while_idle(now, life)
+            state.policy.closed_while_idle(now, record)
         elif attempt is not None:
-            kept.policy.reachability.mark_unproven()
+            state.policy.reachability.mark_unproven()
             if attempt.state == WRITTEN and connection.reused:
                 self.counts.failed_on_reuse(attempt.repeat)
             if attempt.state != WRITTEN or connection.reused:
-                kept.policy.found_dead(now, life)
-        if kept.waiting:
-            self._schedule_serve(kept)
+                state.policy.found_dead(now, record)
+        if state.waiting:
+            self._schedule_serve(state)
 
     def doubt(self, host: Host) -> None:
         """An attempt there got no answer."""
-        kept = self.states.get(host)
-        if kept is not None:
-            kept.policy.reachability.mark_unproven()
+        state = self.states.get(host)
+        if state is not None:
+            state.policy.reachability.mark_unproven()
 
     def close(self, host: Host) -> None:
         """A host is no longer in use: its calls that wait have been told."""
-        kept = self.states.pop(host, None)
-        if kept is not None:
-            kept.waiting.clear()
+        state = self.states.pop(host, None)
+        if state is not None:
+            state.waiting.clear()
 
     def proof(self, connection: Connection, now: float) -> float:
         """For how long (ms) a request's last byte may wait for the other machine's word that the rest came.
@@ -211,20 +217,20 @@
     def change(self, terms: Terms) -> None:
         """Go by other terms from now on; what was learned stays."""
         self.terms = terms
-        for kept in self.states.values():
-            kept.policy.change(terms, self.promised_idle)
+        for state in self.states.values():
+            state.policy.change(terms, self.promised_idle)
         self._schedule_tick(0.0)
 
-    def settle(self, place: Place, told_idle: float) -> None:
+    def settle(self, position: Place, promised_idle: float) -> None:
         """Go by another place among siblings, and other promises of endpoints, from now on."""
-        if (place, told_idle) == (self.place, self.promised_idle):
+        if (position, promised_idle) == (self.place, self.promised_idle):
             return
-        self.promised_idle = told_idle
-        self.place = place
-        self.cold_filter.cold_time = place.cold_time
-        for kept in self.states.values():
-            kept.policy.set_position(self._position_for(kept.endpoint))
-            self._note_cold(kept)
+        self.promised_idle = promised_idle
+        self.place = position
+        self.cold_filter.cold_time = position.cold_time
+        for state in self.states.values():
+            state.policy.set_position(self._position_for(state.endpoint))
+            self._note_cold(state)
         self.change(self.terms)
 
     def _position_for(self, endpoint: int) -> Place:
@@ -246,8 +252,8 @@
 
     def _connected(self, endpoint: int) -> bool:
         host = self.upstream.hosts.get(endpoint)
-        kept = self.states.get(host) if host is not None else None
-        return kept is not None and kept.policy.open > 0
+        state = self.states.get(host) if host is not None else None
+        return state is not None and state.policy.open > 0
 
     def figures(self) -> dict[str, object]:
         """What happened, and how endpoints stand, for the log."""
@@ -260,98 +266,98 @@
     # Its own
 
     def _state_of(self, endpoint: int, host: Host) -> HostState:
-        kept = self.states.get(host)
-        if kept is None:
+        state = self.states.get(host)
+        if state is None:
             # Shifted by the endpoint: siblings are first at different ones, and one's turns are apart.
-            keeper = EndpointPolicy(self.terms, self._position_for(endpoint), self.promised_idle, self.rng)
-            kept = self.states[host] = HostState(endpoint, host, keeper)
-            self._note_cold(kept)
-        return kept
+            policy = EndpointPolicy(self.terms, self._position_for(endpoint), self.promised_idle, self.rng)
+            state = self.states[host] = HostState(endpoint, host, policy)
+            self._note_cold(state)
+        return state
 
-    def _note_cold(self, kept: HostState) -> None:
-        since, common = self.pool_view.cold_since(kept.endpoint)
+    def _note_cold(self, state: HostState) -> None:
+        since, start_shared = self.pool_view.cold_since(state.endpoint)
         if since > 0:
-            kept.policy.cold_since(since, common)
+            state.policy.cold_since(since, start_shared)
 
     def _forget(self, connection: Connection) -> ConnectionRecord | None:
         """Take a connection off the books."""
-        kept = self.states.get(connection.host)
-        life = self.records.pop(connection, None)
-        if life is not None and kept is not None:
-            kept.policy.open -= 1
-            self._mark_idle(kept, connection)
+        state = self.states.get(connection.host)
+        record = self.records.pop(connection, None)
+        if record is not None and state is not None:
+            state.policy.open -= 1
+            self._mark_idle(state, connection)
         self.busy.discard(connection)
-        return life
+        return record
 
-    def _mark_busy(self, kept: HostState, connection: Connection) -> None:
+    def _mark_busy(self, state: HostState, connection: Connection) -> None:
         self.busy.add(connection)
-        kept.policy.busy += 1
+        state.policy.busy += 1
 
-    def _mark_idle(self, kept: HostState, connection: Connection) -> None:
+    def _mark_idle(self, state: HostState, connection: Connection) -> None:
         if connection in self.busy:
             self.busy.discard(connection)
-            kept.policy.busy -= 1
+            state.policy.busy -= 1
 
-    def _send_on_idle(self, kept: HostState, attempt: Attempt, now: float) -> bool:
+    def _send_on_idle(self, state: HostState, attempt: Attempt, now: float) -> bool:
         """Send an attempt on an idle connection; tells whether there was one for it."""
-        idle = kept.host.idle
+        idle = state.host.idle
         unsafe = attempt.repeat is Repeat.UNSAFE
         while idle:
-            number = kept.policy.choose_idle(now, unsafe, [self.records[c] for c in idle])
-            if number is None:
+            index = state.policy.choose_idle(now, unsafe, [self.records[c] for c in idle])
+            if index is None:
                 return False
-            connection = idle.pop(number)
+            connection = idle.pop(index)
             if not connection.usable():
                 # It has ended, and the loop has not said so yet.
-                kept.policy.found_dead(now, self.records[connection])
+                state.policy.found_dead(now, self.records[connection])
                 connection.abort()
                 continue
             self.counts.reused()
-            kept.policy.taken(now, self.records[connection])
-            self._mark_busy(kept, connection)
+            state.policy.taken(now, self.records[connection])
+            self._mark_busy(state, connection)
             connection.send(attempt, now, self.proof(connection, now))
             return True
         return False
 
     # Those that wait
 
-    def _enqueue(self, kept: HostState, attempt: Attempt, now: float) -> None:
-        kept.waiting.append((attempt, now + self.terms.wait))
-        kept.host.connecting[attempt] = None  # a drain ends it there
+    def _enqueue(self, state: HostState, attempt: Attempt, now: float) -> None:
+        state.waiting.append((attempt, now + self.terms.wait))
+        state.host.connecting[attempt] = None  # a drain ends it there
 
-    def _schedule_serve(self, kept: HostState) -> None:
+    def _schedule_serve(self, state: HostState) -> None:
         """In the next turn: what is going on has not come to its end yet."""
-        if kept.waiting and not kept.serve_scheduled:
-            kept.serve_scheduled = True
-            self.loop.call_soon(self._serve_waiting, kept)
+        if state.waiting and not state.serve_scheduled:
+            state.serve_scheduled = True
+            self.loop.call_soon(self._serve_waiting, state)
 
-    def _serve_waiting(self, kept: HostState) -> None:
+    def _serve_waiting(self, state: HostState) -> None:
         """Give those that wait what there is: a connection, a new one, or their outcome."""
-        kept.serve_scheduled = False
+        state.serve_scheduled = False
         waited = False
-        while kept.waiting:
+        while state.waiting:
             now = time.monotonic() * 1000
-            attempt, until = kept.waiting[0]
+            attempt, until = state.waiting[0]
             if attempt.given_up:
-                kept.waiting.popleft()
-                kept.host.connecting.pop(attempt, None)
+                state.waiting.popleft()
+                state.host.connecting.pop(attempt, None)
                 continue
-            if self._send_on_idle(kept, attempt, now):
-                self._dequeue(kept, attempt)
+            if self._send_on_idle(state, attempt, now):
+                self._dequeue(state, attempt)
                 continue
-            opening = kept.policy.may_open(
+            opening = state.policy.may_open(
                 now, self.pool_view.now(), self.opening, self._panic_mode(), self._no_descriptors()
             )
             if opening is Opening.NOW:
-                self._dequeue(kept, attempt)
-                if self.upstream.connect(kept.host, attempt):
-                    self._count_opening(kept)
+                self._dequeue(state, attempt)
+                if self.upstream.connect(state.host, attempt):
+                    self._count_opening(state)
             elif opening is Opening.UNREACHABLE:
-                self._dequeue(kept, attempt)
+                self._dequeue(state, attempt)
                 self.counts.unreachable()
                 attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             elif now >= until:
-                self._dequeue(kept, attempt)
+                self._dequeue(state, attempt)
                 self.counts.wait_timed_out()
                 attempt.end(Outcome.NOT_SENT, NOTHING)
             else:
@@ -362,11 +368,11 @@
             self._schedule_tick(WAITING_TICK_S)
 
     @staticmethod
-    def _dequeue(kept: HostState, attempt: Attempt) -> None:
+    def _dequeue(state: HostState, attempt: Attempt) -> None:
         """Guards against one that is taken twice: what it is told may bring another call here at once."""
-        if kept.waiting and kept.waiting[0][0] is attempt:
-            kept.waiting.popleft()
-        kept.host.connecting.pop(attempt, None)
+        if state.waiting and state.waiting[0][0] is attempt:
+            state.waiting.popleft()
+        state.host.connecting.pop(attempt, None)
 
     def _no_descriptors(self) -> bool:
         room = self.upstream.room
@@ -378,31 +384,31 @@
 
     # Opening and giving up
 
-    def _count_opening(self, kept: HostState) -> None:
-        kept.policy.opening += 1
+    def _count_opening(self, state: HostState) -> None:
+        state.policy.opening += 1
         self.opening += 1
 
-    def _open_ahead(self, kept: HostState, now: float) -> bool:
+    def _open_ahead(self, state: HostState, now: float) -> bool:
         """Open a connection before it is needed, if it will be; never at the cost of one that is in use."""
-        host = kept.host
+        host = state.host
         if not host.used or self.upstream.room.full():
             return False
         if self.upstream.holds() >= AHEAD_BUDGET_SHARE * self.pool_view.budget():
             return False
-        least = 1 if kept.endpoint in self.cold_filter.hidden else 0
-        if not kept.policy.should_open_ahead(
-            now, self.pool_view.now(), len(host.idle), self.opening, self._max_idle(), least
+        minimum = 1 if state.endpoint in self.cold_filter.hidden else 0
+        if not state.policy.should_open_ahead(
+            now, self.pool_view.now(), len(host.idle), self.opening, self._max_idle(), minimum
         ):
             return False
-        self._count_opening(kept)
+        self._count_opening(state)
         self.upstream.open_ahead(host)
         return True
 
     def _max_idle(self) -> int:
         return max(MIN_IDLE_PER_ENDPOINT, self.pool_view.budget() // (2 * max(1, len(self.upstream.hosts))))
 
-    def _give_up_surplus(self, kept: HostState) -> None:
-        connection = kept.host.idle.pop(0)
+    def _give_up_surplus(self, state: HostState) -> None:
+        connection = state.host.idle.pop(0)
         self.counts.given_up(GiveUp.SURPLUS)
         connection.abort()
 
@@ -419,31 +425,31 @@
     def _tick(self) -> None:
         self.timer = None
         now = time.monotonic() * 1000
-        quick = waits = False
+        fast = has_waiting = False
         expires = math.inf
         for endpoint, host in list(self.upstream.hosts.items()):
-            kept = self._state_of(endpoint, host)
-            self._note_cold(kept)
+            state = self._state_of(endpoint, host)
+            self._note_cold(state)
             for connection in list(host.idle):
-                life = self.records[connection]
-                why = kept.policy.give_up_reason(now, life)
-                if why is None:
-                    expires = min(expires, kept.policy.expires_at(now, life))
+                record = self.records[connection]
+                reason = state.policy.give_up_reason(now, record)
+                if reason is None:
+                    expires = min(expires, state.policy.expires_at(now, record))
                     continue
                 host.idle.remove(connection)
-                kept.policy.given_up(now, life, why)
-                self.counts.given_up(why)
+                state.policy.given_up(now, record, reason)
+                self.counts.given_up(reason)
                 connection.abort()
-            while self._open_ahead(kept, now):
+            while self._open_ahead(state, now):
                 pass
-            if kept.waiting:
-                self._serve_waiting(kept)
-            waits = waits or bool(kept.waiting)
-            turns = kept.policy.turns
-            quick = quick or kept.policy.reachability.state == DOWN
-            quick = quick or (turns is not None and turns.cold(self.pool_view.now()))
+            if state.waiting:
+                self._serve_waiting(state)
+            has_waiting = has_waiting or bool(state.waiting)
+            turns = state.policy.turns
+            fast = fast or state.policy.reachability.state == DOWN
+            fast = fast or (turns is not None and turns.cold(self.pool_view.now()))
         if self.cold_filter.show_warm(self.pool_view.now()):
             self.pool_view.show(self.cold_filter.shown_list())
-        tick = WAITING_TICK_S if waits else FAST_TICK_S if quick else TICK_S
+        tick = WAITING_TICK_S if has_waiting else FAST_TICK_S if fast else TICK_S
         # Guards against one that the other side ends first: then nobody knows in time.
         self._schedule_tick(min(tick, max(WAITING_TICK_S, (expires - now) / 1000)))
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -76,19 +76,19 @@
         self,
         cls: int,
         tenant: int,
-        patience: float,
-        payload: Callable[[int], bytes],
-        answer: Callable[[Answer], None],
-        trace: bytes,
+        timeout: float,
+        build_payload: Callable[[int], bytes],
+        on_answer: Callable[[Answer], None],
+        trace_id: bytes,
         repeat: Repeat,
         owner: Owner,
     ) -> None:
         self.cls = cls
         self.tenant = tenant
-        self.timeout = patience
-        self.build_payload = payload
-        self.on_answer = answer
-        self.trace_id = trace
+        self.timeout = timeout
+        self.build_payload = build_payload
+        self.on_answer = on_answer
+        self.trace_id = trace_id
         self.repeat = repeat
         self.owner = owner
         self.gone: Callable[[], bool] | None = None  # whether its caller has left, as far as can be seen now
--- a/millgw/pool/deadlines.py
+++ b/millgw/pool/deadlines.py
@@ -19,9 +19,9 @@
 
     __slots__ = ("item", "slot")
 
-    def __init__(self, slot: int, what: T) -> None:
+    def __init__(self, slot: int, item: T) -> None:
         self.slot = slot
-        self.item = what
+        self.item = item
 
     def cancelled(self) -> bool:
         return self.slot < 0
@@ -34,22 +34,22 @@
         self.slots: dict[int, dict[Due[T], None]] = {}
         self.slot_heap: list[int] = []  # heap of the slots
 
-    def add(self, at: float, what: T) -> Due[T]:
+    def add(self, at: float, item: T) -> Due[T]:
         """Wait for a moment; it falls due at it or within 1 ms after, never before."""
         slot = math.ceil(at)
-        due = Due(slot, what)
-        there = self.slots.get(slot)
-        if there is None:
-            self.slots[slot] = there = {}
+        entry = Due(slot, item)
+        entries = self.slots.get(slot)
+        if entries is None:
+            self.slots[slot] = entries = {}
             heapq.heappush(self.slot_heap, slot)
-        there[due] = None
-        return due
+        entries[entry] = None
+        return entry
 
-    def cancel(self, due: Due[T]) -> None:
+    def cancel(self, entry: Due[T]) -> None:
         """Wait for it no longer; harmless for one that has fallen due."""
-        if due.slot >= 0:
-            self.slots[due.slot].pop(due, None)
-            due.slot = -1
+        if entry.slot >= 0:
+            self.slots[entry.slot].pop(entry, None)
+            entry.slot = -1
 
     def next(self) -> float | None:
         """When the first falls due; None where nothing is waited for."""
@@ -66,8 +66,8 @@
         first = self.next()
         if first is None or first > now:
             return None
-        there = self.slots[self.slot_heap[0]]
-        due = next(iter(there))
-        del there[due]
-        due.slot = -1
-        return due.item
+        entries = self.slots[self.slot_heap[0]]
+        entry = next(iter(entries))
+        del entries[entry]
+        entry.slot = -1
+        return entry.item
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -157,42 +157,42 @@
             if kind.watch_ended and kind is not ListKind.MOVED:
                 self._log_discovery_wait(kind)
             return
-        old: list[Host | None] = []
-        named = set()
+        replaced_hosts: list[Host | None] = []
+        ready = set()
         gone = self._superseded(entries)
-        told = [self._with_local_start(e.endpoint) for e in entries if e.endpoint.id not in gone]
+        changed = [self._with_local_start(e.endpoint) for e in entries if e.endpoint.id not in gone]
         if kind is ListKind.DELTA or kind is ListKind.FULL:
             self.start_times.discovery_heard(self.clock())
-        told += [Endpoint(id, Condition.GONE) for id in gone]
+        changed += [Endpoint(id, Condition.GONE) for id in gone]
         for entry in entries:
             id = entry.endpoint.id
             if entry.address is not None and id not in gone:
-                old.append(self.upstream.point(id, entry.address, entry.endpoint.started_at))
-                named.add(id)
-        gone |= {e.id for e in told} - named
+                replaced_hosts.append(self.upstream.point(id, entry.address, entry.endpoint.started_at))
+                ready.add(id)
+        gone |= {e.id for e in changed} - ready
         if kind.complete:
-            gone |= self.ready - named
-        drains = {e.id for e in told if e.condition is Condition.DRAINING}
-        ended = {e.id for e in told if e.condition is Condition.GONE}
+            gone |= self.ready - ready
+        drains = {e.id for e in changed if e.condition is Condition.DRAINING}
+        ended = {e.id for e in changed if e.condition is Condition.GONE}
         before = set() if kind.complete else self.draining
-        self.ready = (self.ready | named) - gone
-        self.draining = (before | drains) - named - ended
-        seen = tuple(told) if self.list_filter is None else self.list_filter.listed(kind, told)
-        self._handle_event(EndpointList(kind, seen))
-        old += [self.upstream.forget(id) for id in gone]
-        for host in old:
+        self.ready = (self.ready | ready) - gone
+        self.draining = (before | drains) - ready - ended
+        filtered = tuple(changed) if self.list_filter is None else self.list_filter.listed(kind, changed)
+        self._handle_event(EndpointList(kind, filtered))
+        replaced_hosts += [self.upstream.forget(id) for id in gone]
+        for host in replaced_hosts:
             if host is not None:
                 self.upstream.close(host)
 
     def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
         """The endpoint with its start on this process's clock."""
-        since = self.start_times.local_start(self.clock(), endpoint.id, endpoint.started_at)
-        return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
+        started_at = self.start_times.local_start(self.clock(), endpoint.id, endpoint.started_at)
+        return endpoint if started_at == endpoint.started_at else replace(endpoint, started_at=started_at)
 
     def _with_reported_start(self, endpoint: Endpoint) -> Endpoint:
         """The endpoint with its start as discovery told it."""
-        since = self.start_times.reported_start(endpoint.id, endpoint.started_at)
-        return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
+        started_at = self.start_times.reported_start(endpoint.id, endpoint.started_at)
+        return endpoint if started_at == endpoint.started_at else replace(endpoint, started_at=started_at)
 
     def _log_discovery_restored(self) -> None:
         """Tell what became of calls while no watch was on, now that discovery is heard again."""
@@ -242,17 +242,17 @@
         Guards against a machine that has gone without a word: all its calls would go to the new and cold one
         at its address, past the new one's counts.
         """
-        told = {e.endpoint.id for e in entries}
-        last = {p.address: (p.since, id) for id, p in self.upstream.hosts.items() if id not in told}
-        lost = set()
+        listed_ids = {e.endpoint.id for e in entries}
+        newest = {p.address: (p.since, id) for id, p in self.upstream.hosts.items() if id not in listed_ids}
+        superseded = set()
         for entry in entries:
             if entry.address is not None:
                 mine = (entry.endpoint.started_at, entry.endpoint.id)
-                other = last.get(entry.address, mine)
-                last[entry.address], (_, loser) = (mine, other) if mine[0] >= other[0] else (other, mine)
+                other = newest.get(entry.address, mine)
+                newest[entry.address], (_, older_id) = (mine, other) if mine[0] >= other[0] else (other, mine)
                 if other[1] != mine[1]:
-                    lost.add(loser)
-        return lost
+                    superseded.add(older_id)
+        return superseded
 
     def listed_count(self) -> int:
         """Endpoints that the list names now, those that drain among them."""
@@ -288,10 +288,10 @@
             flow.break_off()
 
     def _attempt_ended(self, call: Call, number: int, outcome: Outcome, content: Content) -> None:
-        flight = call.open_attempts.pop(number)
-        elapsed = self.clock() - flight.sent_at
+        attempt = call.open_attempts.pop(number)
+        elapsed = self.clock() - attempt.sent_at
         if call.intent is not None:
-            call.intent.over(flight.attempt, outcome in NO_EFFECT_OUTCOMES)
+            call.intent.over(attempt.attempt, outcome in NO_EFFECT_OUTCOMES)
         if outcome is Outcome.OK and self._close_call(call):
             call.on_answer(Answer(SERVED, content))
         elif outcome is Outcome.CANCELLED and self._close_call(call):
@@ -300,17 +300,17 @@
             call.on_answer(Answer(UNUSABLE, content))
         owed = call.id in self.calls
         if owed:
-            self._log_attempt(call, flight, outcome, elapsed)
-        self._handle_event(AttemptEnded(call.id, flight.endpoint, number, outcome, elapsed, not owed))
+            self._log_attempt(call, attempt, outcome, elapsed)
+        self._handle_event(AttemptEnded(call.id, attempt.endpoint, number, outcome, elapsed, not owed))
         if not owed:
             self._give_up_attempts(call, concluded=True)
 
-    def _log_attempt(self, call: Call, flight: OpenAttempt, outcome: Outcome, elapsed: float) -> None:
+    def _log_attempt(self, call: Call, attempt: OpenAttempt, outcome: Outcome, elapsed: float) -> None:
         """Log an attempt that leaves its call unanswered: it is tried again, or given up."""
         self.upstream.log.log_event(
             "attempt-failed",
             call=_trace_text(call),
-            endpoint=self.address(flight.endpoint),
+            endpoint=self.address(attempt.endpoint),
             cause=outcome.value,
             took_ms=round(elapsed, 1),
         )
@@ -321,19 +321,19 @@
         Guards against callers who read for a minute, and would fill the limit on calls in flight: what comes
         now is transport, no work.
         """
-        flight = call.open_attempts.pop(number)
-        elapsed = self.clock() - flight.sent_at
-        whole = call.id not in self.partial_calls
+        attempt = call.open_attempts.pop(number)
+        elapsed = self.clock() - attempt.sent_at
+        body_complete = call.id not in self.partial_calls
         if not self._close_call(call):
             return False
         self.flows.add(flow)
         flow.over_calls.append(self.flows.discard)
-        if whole:  # else its time has not begun
-            due = self.timers.add(call.deadline, flow)
-            flow.over_calls.append(lambda _: self.timers.cancel(due))
+        if body_complete:  # else its time has not begun
+            timer = self.timers.add(call.deadline, flow)
+            flow.over_calls.append(lambda _: self.timers.cancel(timer))
             self._schedule_wake()
         call.on_answer(Answer(SERVED, Content(flow.headers), flow=flow))
-        self._handle_event(AttemptEnded(call.id, flight.endpoint, number, Outcome.OK, elapsed, True))
+        self._handle_event(AttemptEnded(call.id, attempt.endpoint, number, Outcome.OK, elapsed, True))
         self._give_up_attempts(call, concluded=True)
         return True
 
@@ -367,10 +367,10 @@
             )
 
     def _set_timer(self, action: SetTimer) -> None:
-        due = self.timers.add(action.at, action)
+        timer = self.timers.add(action.at, action)
         call = self.calls.get(action.request) if action.request is not None else None
         if call is not None:
-            call.timers.append(due)
+            call.timers.append(timer)
         self._schedule_wake()
 
     def _schedule_wake(self) -> None:
@@ -393,13 +393,13 @@
         now = self.clock()
         # What these cause may cancel others that are due, or add some: those past `now` wait for the next
         # turn.
-        while (what := self.timers.pop(now)) is not None:
-            if isinstance(what, Call):
-                self._deadline_passed(what)
-            elif isinstance(what, Flow):
-                what.expire()
+        while (item := self.timers.pop(now)) is not None:
+            if isinstance(item, Call):
+                self._deadline_passed(item)
+            elif isinstance(item, Flow):
+                item.expire()
             else:
-                self._handle_event(TimerFired(what.timer))
+                self._handle_event(TimerFired(item.timer))
         self._schedule_wake()
 
     def _handle_event(self, event: Event) -> None:
@@ -460,13 +460,13 @@
             self.wake_timer.cancel()
             self.wake_timer = None
 
-    def _log_given_up(self, request: int, status: int, why: GivenUp) -> None:
+    def _log_given_up(self, request: int, status: int, reason: GivenUp) -> None:
         call = self.calls[request]
         self.upstream.log.log_event(
             "call-given-up",
             call=_trace_text(call),
             status=status,
-            cause=why.value,
+            cause=reason.value,
             attempts=call.attempts_sent,
         )
 
@@ -477,7 +477,7 @@
         self._close_call(call)
         call.on_answer(answer)
 
-    def _send(self, call: Call, endpoint: int, until: float) -> None:
+    def _send(self, call: Call, endpoint: int, send_by: float) -> None:
         now, number = self.clock(), call.attempts_sent
         call.attempts_sent += 1
         if call.gone is not None and call.gone():
@@ -489,7 +489,7 @@
         payload = partial(self._payload, call)
         attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace_id)
         attempt.gone, attempt.looked = call.gone, time.monotonic() * 1000
-        attempt.until = attempt.looked + until - now
+        attempt.until = attempt.looked + send_by - now
         call.open_attempts[number] = OpenAttempt(endpoint, now, attempt)
         self.upstream.send(endpoint, attempt)
 
@@ -500,8 +500,8 @@
 
     def _close_call(self, call: Call) -> bool:
         """Take a call off the books; tells whether it was still owed its answer."""
-        for due in call.timers:
-            self.timers.cancel(due)  # guards against timers, and what they hold, that outlive their call
+        for timer in call.timers:
+            self.timers.cancel(timer)  # guards against timers, and what they hold, that outlive their call
         call.timers.clear()
         self.partial_calls.discard(call.id)
         if call.upload is not None:
--- a/millgw/pool/health_probe.py
+++ b/millgw/pool/health_probe.py
@@ -19,7 +19,7 @@
 
     def __init__(self, endpoint: int, sent: float, ended: Ended) -> None:
         self.endpoint = endpoint
-        self.sent = sent
+        self.sent_at = sent
         self.ended = ended
         self.attempt = Attempt(self._payload, self._answered, Repeat.SAFE)
 
@@ -27,10 +27,10 @@
         return b"GET /health HTTP/1.1\r\nHost: health\r\n\r\n"
 
     def _answered(self, outcome: Outcome, _: Content) -> None:
-        self.ended(self.endpoint, outcome, self.sent)
+        self.ended(self.endpoint, outcome, self.sent_at)
 
     def expire(self) -> None:
         """Its time is over; nothing, if it was answered before."""
         if not self.attempt.given_up:
             self.attempt.give_up()
-            self.ended(self.endpoint, Outcome.TIMEOUT, self.sent)
+            self.ended(self.endpoint, Outcome.TIMEOUT, self.sent_at)
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -146,10 +146,10 @@
             # Guards against a second answer for one request, and against attempts that disturb the first.
             raise BadRequest(409, "X-Trace-Id is that of an open request")
         if self.intents is not None and call.repeat is Repeat.UNSAFE:
-            taken = self.intents.take(self.name, head)
-            if isinstance(taken, Answer):
-                return taken
-            call.intent = taken
+            intent = self.intents.take(self.name, head)
+            if isinstance(intent, Answer):
+                return intent
+            call.intent = intent
         return call
 
     def enter(self) -> int:
--- a/millgw/pool/start_times.py
+++ b/millgw/pool/start_times.py
@@ -24,27 +24,27 @@
         """Discovery has told something; what it lists from now on that is new has come since."""
         self.heard_at = now
 
-    def local_start(self, now: float, endpoint: int, since: float) -> float:
+    def local_start(self, now: float, endpoint: int, reported: float) -> float:
         """When an endpoint started that discovery says started at `since` (Unix ms; 0: long ago)."""
-        if since <= 0:
-            return since
-        told, dated = self.known.get(endpoint, (0.0, 0.0))
-        if told != since:
-            dated = self._bounded_start(now, since)
-        self.known[endpoint] = (since, dated)
+        if reported <= 0:
+            return reported
+        known_reported, local = self.known.get(endpoint, (0.0, 0.0))
+        if known_reported != reported:
+            local = self._bounded_start(now, reported)
+        self.known[endpoint] = (reported, local)
         self.known.move_to_end(endpoint)
         if len(self.known) > MAX_REMEMBERED:
             self.known.popitem(last=False)
-        return dated
+        return local
 
-    def reported_start(self, endpoint: int, dated: float) -> float:
+    def reported_start(self, endpoint: int, local: float) -> float:
         """What discovery told of a start, for a process that dates it anew."""
-        told, as_dated = self.known.get(endpoint, (dated, dated))
-        return told if as_dated == dated else dated
+        reported, known_local = self.known.get(endpoint, (local, local))
+        return reported if known_local == local else local
 
-    def _bounded_start(self, now: float, since: float) -> float:
-        if since > now:
+    def _bounded_start(self, now: float, reported: float) -> float:
+        if reported > now:
             return now
-        if self.heard_at is not None and since < self.heard_at - MAX_LISTING_DELAY_MS:
+        if self.heard_at is not None and reported < self.heard_at - MAX_LISTING_DELAY_MS:
             return min(now, self.heard_at)  # no start so long ago would be new on the list now
-        return since
+        return reported
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -15,15 +15,15 @@
 MAX_TIMEOUT_DIGITS = 9  # of X-Expires-In-Ms: enough for any wait, and a number that is cheap to read
 
 
-def parse_timeout(given: bytes) -> float:
+def parse_timeout(header: bytes) -> float:
     """The ms of X-Expires-In-Ms; a BadRequest where it is missing or not whole milliseconds.
 
     None left is no fault of the request: an earlier tier has used its time up. It is a call like any other,
     and the module gives it up at once. Bounded by the caller, as timers live that long.
     """
-    if not given.isdigit() or len(given) > MAX_TIMEOUT_DIGITS:
+    if not header.isdigit() or len(header) > MAX_TIMEOUT_DIGITS:
         raise BadRequest(400, "X-Expires-In-Ms is missing or not whole milliseconds")
-    return float(given)
+    return float(header)
 
 
 class CallFactory:
@@ -39,11 +39,11 @@
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
-    def call(self, head: Head, answer: Callable[[Answer], None]) -> Call:
+    def call(self, head: Head, on_answer: Callable[[Answer], None]) -> Call:
         """The call that a request to /api makes; a BadRequest tells what is wrong with it."""
         values = head.values
-        trace = values.get(b"x-trace-id", b"")
-        if not trace:
+        trace_id = values.get(b"x-trace-id", b"")
+        if not trace_id:
             raise BadRequest(400, "X-Trace-Id is missing")
         index = self.classes.get(values.get(b"x-qos", b""))
         if index is None:
@@ -54,12 +54,12 @@
         if cls.repeat is Repeat.KEYED and not values.get(b"idempotency-key"):
             # Guards against a repeat that no endpoint could recognise.
             raise BadRequest(400, "Idempotency-Key is missing")
-        patience = min(parse_timeout(values.get(b"x-expires-in-ms", b"")), cls.deadline)
+        timeout = min(parse_timeout(values.get(b"x-expires-in-ms", b"")), cls.deadline)
         if not head.long:  # else its time counts from its last byte, which is yet to come
             waited = (time.monotonic() - head.ended) * 1000
-            if patience <= waited:
-                shown = trace.decode("ascii", "backslashreplace")
-                log_event("no-time-left", call=shown, told_ms=patience, waited_ms=round(waited, 1))
-            patience -= waited
+            if timeout <= waited:
+                shown = trace_id.decode("ascii", "backslashreplace")
+                log_event("no-time-left", call=shown, told_ms=timeout, waited_ms=round(waited, 1))
+            timeout -= waited
         tenant = self.tenants.get(values.get(b"x-customer", b""), len(self.tenants))
-        return Call(index, tenant, patience, partial(word, head), answer, trace, cls.repeat, self.owner)
+        return Call(index, tenant, timeout, partial(word, head), on_answer, trace_id, cls.repeat, self.owner)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -24,7 +24,7 @@
 from tests.rig import Reachable, request, run, services, stalls, until
 
 
-def operator(connections: str, *endpoints: ScriptedEndpoint, service: str = "") -> str:
+def operator_file(connections: str, *endpoints: ScriptedEndpoint, service: str = "") -> str:
     """An operator's file: one service with these endpoints, its connections tended."""
     lines = ["[connections]", connections, "[services.all]", service]
     for endpoint in endpoints:
@@ -58,7 +58,7 @@
                         connection.close()
 
         closing = asyncio.create_task(close_idle())
-        async with services(tmp_path, operator("", endpoint)) as rig:
+        async with services(tmp_path, operator_file("", endpoint)) as rig:
             for i in range(25):
                 assert (await rig.ask(request("pay"))).status == 200
                 await asyncio.sleep(0.02 * (i % 9))
@@ -77,7 +77,7 @@
         endpoint = ScriptedEndpoint("e1", cut=lambda requests: requests >= 4)
         await endpoint.start()
         async with (
-            services(tmp_path, operator("", endpoint)) as rig,
+            services(tmp_path, operator_file("", endpoint)) as rig,
             stalls(over=AFTER_ANSWER_MS / 1000) as stood_still,
         ):
             client = await rig.connect()
@@ -106,7 +106,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator(FORGOTTEN, endpoint)) as rig:
+        async with services(tmp_path, operator_file(FORGOTTEN, endpoint)) as rig:
             assert (await rig.ask(request(cls))).status == 200
             (old,) = endpoint.served
             old.forget()
@@ -125,7 +125,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator("", endpoint)) as rig:
+        async with services(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
             endpoint.served[0].forget()
             assert (await rig.ask(request("pay", patience=600))).status == 502
@@ -145,7 +145,7 @@
 
         endpoint = ScriptedEndpoint("e1", cut=cut)
         await endpoint.start()
-        async with services(tmp_path, operator("", endpoint)) as rig:
+        async with services(tmp_path, operator_file("", endpoint)) as rig:
             for _ in range(3):
                 assert (await rig.ask(request("pay"))).status == 200
             assert (await counts(rig))["moved-unsafe"] == 1
@@ -160,7 +160,7 @@
         await endpoint.start()
         endpoint.listener.silence()
         settings = "[services.all.settings.limits]\ntryLimit = 1"
-        async with services(tmp_path, operator("wait_ms = 30", endpoint, service=settings)) as rig:
+        async with services(tmp_path, operator_file("wait_ms = 30", endpoint, service=settings)) as rig:
             before = time.monotonic()
             got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(12)))
             # All but the one that asks are told within their wait, long before the connect time-out of 5 s.
@@ -191,7 +191,7 @@
         bad, good = Slammed("bad"), [ScriptedEndpoint(f"good{i}") for i in range(2)]
         for endpoint in (bad, *good):
             await endpoint.start()
-        async with services(tmp_path, operator("keep_least = 2", bad, *good)) as rig:
+        async with services(tmp_path, operator_file("keep_least = 2", bad, *good)) as rig:
             got = []
             for _ in range(20):
                 got.append((await rig.ask(request("pay"))).status)
@@ -208,7 +208,7 @@
         some = [ScriptedEndpoint(f"e{i}") for i in range(6)]
         for endpoint in some:
             await endpoint.start()
-        text = operator("keep_least = 40\nat_once = 40", *some)
+        text = operator_file("keep_least = 40\nat_once = 40", *some)
         async with services(tmp_path, text) as rig:  # 256 descriptors
             await until(lambda: sum(e.connections for e in some) >= 50)
             for _ in range(20):
@@ -224,7 +224,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator("keep_least = 3", endpoint)) as rig:
+        async with services(tmp_path, operator_file("keep_least = 3", endpoint)) as rig:
             await until(lambda: endpoint.connections == 3)
             await asyncio.sleep(0.05)
             got = await asyncio.gather(*(rig.ask(request("read")) for _ in range(3)))
@@ -235,7 +235,7 @@
     run(test)
 
 
-async def told(
+async def answer_watch(
     discovery_server: ScriptedDiscoveryServer, *entries: dict[str, object]
 ) -> asyncio.StreamWriter:
     """Answer the sidecar's watch with a whole list, and leave it open."""
@@ -254,7 +254,7 @@
         leaves.listener.silence()  # what is being opened to it does not come up until it listens again
         text = '[connections]\nkeep_least = 2\n[services.all]\n[[routes]]\nto = "all"'
         async with services(tmp_path, text, str(discovery_server.address)) as rig:
-            writer = await told(discovery_server, stays.entry(), leaves.entry())
+            writer = await answer_watch(discovery_server, stays.entry(), leaves.entry())
             await until(lambda: stays.connections == 2)
             writer.write(chunk(line(3, [leaves.entry("terminating")])))
             await asyncio.sleep(0.05)
@@ -310,9 +310,9 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator("", endpoint)) as rig:
+        async with services(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
-            await rig.reload(operator("keep_least = 4", endpoint))
+            await rig.reload(operator_file("keep_least = 4", endpoint))
             await until(lambda: endpoint.connections == 4)
             seen = await counts(rig)
             assert seen["opened"] == 1 and seen["opened-ahead"] == 3  # the pool went on with what it had
@@ -326,7 +326,7 @@
         await discovery_server.start()
         await endpoint.start()
         async with services(tmp_path, "[connections]\nkeep_least = 2", str(discovery_server.address)) as rig:
-            await told(discovery_server, endpoint.entry())
+            await answer_watch(discovery_server, endpoint.entry())
             await until(lambda: endpoint.connections == 2)
             assert (await rig.ask(request("pay"))).status == 200
         assert endpoint.connections == 2
@@ -366,7 +366,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator("at_once = 1\nahead = false", endpoint)) as rig:
+        async with services(tmp_path, operator_file("at_once = 1\nahead = false", endpoint)) as rig:
             for wait in (0.0, 0.0, 0.001, 0.002):
                 clients = [await rig.connect() for _ in range(5)]
                 for client in clients:
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -36,7 +36,9 @@
 TICK = 50.0  # ms between two looks of an instance
 
 
-def storm(siblings: int, rate: float, share: float, cold: float, common: bool, seed: int) -> list[float]:
+def handshakes_of_siblings(
+    siblings: int, rate: float, share: float, cold: float, common: bool, seed: int
+) -> list[float]:
     """When siblings that want all the connections they can have open them at one cold endpoint."""
     rng = random.Random(seed)
     opened = []
@@ -61,12 +63,12 @@
 def test_siblings_never_open_more_than_the_stated_rate(
     siblings: int, rate: float, share: float, cold: float, seed: int
 ) -> None:
-    assert most_in_a_second(storm(siblings, rate, share, cold, True, seed)) <= rate
+    assert most_in_a_second(handshakes_of_siblings(siblings, rate, share, cold, True, seed)) <= rate
 
 
 @pytest.mark.parametrize("siblings", [20, 100, 400])
 def test_turns_are_used_in_step_with_warmth_and_by_each_sibling_alike(siblings: int) -> None:
-    times = storm(siblings, 20.0, 0.2, 14_000.0, True, 1)
+    times = handshakes_of_siblings(siblings, 20.0, 0.2, 14_000.0, True, 1)
     assert most_in_a_second(times) <= 20
     first = sum(at < SINCE + 7000 for at in times)
     # 0.8 of 20/s, at 0.2 to 1.0 of the capacity: 134 in all, of which 45 while it has less than 0.6.
@@ -75,7 +77,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_siblings_that_saw_it_come_back_by_themselves_stay_within_the_rate_too(seed: int) -> None:
-    times = storm(400, 20.0, 0.2, 14_000.0, False, seed)
+    times = handshakes_of_siblings(400, 20.0, 0.2, 14_000.0, False, seed)
     assert most_in_a_second(times) <= 20 and len(times) > 20
 
 
@@ -164,12 +166,12 @@
 PLACE = Place(0, 1, 0.2, 5000.0)
 
 
-def keeper(**terms: object) -> EndpointPolicy:
+def make_policy(**terms: object) -> EndpointPolicy:
     return EndpointPolicy(Terms(jitter=0.0, **terms), PLACE, 10_000.0, random.Random(1))  # type: ignore[arg-type]
 
 
 def test_each_cause_ends_a_connection() -> None:
-    made = keeper(age=8000.0, uses=3)
+    made = make_policy(age=8000.0, uses=3)
     life = made.connected(0.0)
     assert made.give_up_reason(4999.0, life) is None and made.give_up_reason(5000.0, life) is GiveUp.IDLE
     life.proven_at = 7999.0
@@ -195,7 +197,7 @@
 def test_a_call_that_may_not_run_twice_never_takes_one_that_is_about_to_die(
     proven: list[float], unsafe: bool, order: Order, ended: float
 ) -> None:
-    made, now = keeper(order=order), 12_000.0
+    made, now = make_policy(order=order), 12_000.0
     made.idle_limit.ended(ended)
     lives = [ConnectionRecord(0.0, at) for at in proven]
     chosen = made.choose_idle(now, unsafe, lives)
@@ -210,7 +212,7 @@
 
 
 def test_what_ends_a_connection_is_learned_from_how_it_ended() -> None:
-    made = keeper()
+    made = make_policy()
     for _ in range(CONFIRMATIONS):
         life = made.connected(0.0)
         for i in range(5):
@@ -221,7 +223,7 @@
     made.answered(20.0, life)
     made.found_dead(20.0 + 4000.0, life)
     assert made.idle_limit.limit == pytest.approx(CUT_FACTOR * math.sqrt(4000.0 * 5000.0))
-    blind = keeper(learn=False)
+    blind = make_policy(learn=False)
     blind.found_dead(4020.0, life)
     assert blind.idle_limit.limit == 5000.0
 
@@ -230,7 +232,7 @@
 
 
 def test_one_connection_finds_out_about_an_endpoint_and_calls_wait_for_it() -> None:
-    made = keeper()
+    made = make_policy()
     assert made.may_open(0.0, 0.0, 0, False, False) is Opening.NOW
     made.opening = 1
     assert made.may_open(0.0, 0.0, 1, False, False) is Opening.WAIT
@@ -270,7 +272,7 @@
 
 
 def test_an_endpoint_that_takes_no_more_connections_is_not_down() -> None:
-    made = keeper()
+    made = make_policy()
     life = made.connected(0.0)
     made.handshake_succeeded(WALL)
     made.answered(10.0, life)
@@ -281,7 +283,7 @@
 
 
 def test_what_is_opened_ahead_and_never_used_is_not_opened_over_and_over() -> None:
-    made, now, opened = keeper(keep_least=1), 0.0, 0
+    made, now, opened = make_policy(keep_least=1), 0.0, 0
     made.handshake_succeeded(WALL)
     made.turns = None
     for _ in range(6000):  # 60 s, in which each is ended after half a second
@@ -295,7 +297,7 @@
 
 
 def test_one_that_ends_as_soon_as_it_is_up_was_of_no_use() -> None:
-    made = keeper(keep_least=1)
+    made = make_policy(keep_least=1)
     life = made.connected(0.0)
     made.handshake_succeeded(WALL)
     made.open = 0
@@ -335,7 +337,7 @@
 
 @given(st.data())
 def test_the_books_of_a_keeper_never_open_past_its_bounds(data: st.DataObject) -> None:
-    made = keeper(keep_most=4, open_most=6, at_once=2, keep_least=1)
+    made = make_policy(keep_most=4, open_most=6, at_once=2, keep_least=1)
     now, lives = 0.0, list[ConnectionRecord]()
     for _ in range(data.draw(st.integers(1, 60))):
         now += data.draw(st.floats(0, 2000))
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -90,10 +90,10 @@
 ) -> None:
     """By way of the driver: the module is given the start on this process's clock."""
     drivers: list[Driver] = []
-    made = Driver.__init__
+    original_init = Driver.__init__
 
     def noted(self: Driver, *parts: object) -> None:
-        made(self, *parts)  # type: ignore[arg-type]
+        original_init(self, *parts)  # type: ignore[arg-type]
         drivers.append(self)
 
     monkeypatch.setattr(Driver, "__init__", noted)
