--- a/millgw/connections/__init__.py
+++ b/millgw/connections/__init__.py
@@ -1,5 +1,5 @@
-"""Connections to endpoints, tended: how many, which first, opened when, given up when. Off unless asked for.
+"""Managed connections to endpoints: how many, which is used first, when to open and close. Off by default.
 
-`terms`, `lifetime`, `opening`, `standing`, `need` and `keeper` decide, with no I/O and no clock; `counts` is
-what happened; `tended` carries it out for one pool's upstream.
+`terms` has the settings. `lifetime`, `opening`, `standing`, `need` and `keeper` decide, with no I/O and no
+clock; `counts` holds the event counters; `tended` carries out the decisions for the upstream of one pool.
 """
--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -1,4 +1,4 @@
-"""Has a pool's connections tended: hands its upstream and driver the parts, and shows them the pool."""
+"""Sets up connection management for a pool: attaches it to the pool's upstream and driver."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LivePoolView:
-    """What a pool knows of its endpoints, for what tends its connections."""
+    """What connection management needs to know of a running pool and its endpoints."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
@@ -23,20 +23,20 @@
         return self.pool.driver.clock()
 
     def cold_since(self, endpoint: int) -> tuple[float, bool]:
-        """The start that the module goes by: as listed, or as it saw the endpoint come back."""
+        """The start time that the module uses: as listed, or when it saw the endpoint come back."""
         host = self.pool.upstream.hosts.get(endpoint)
         server = self.pool.driver.balancer.servers.get(endpoint)
         if server is None:
-            # Not shown to the module yet: what its list says.
+            # The module does not know the endpoint yet, so use the listed start.
             return (0.0, False) if host is None else (host.since, True)
         if server.missed >= LOST_AFTER:
-            return 0.0, False  # its standing is what counts: it is tried by one connection
+            return 0.0, False  # unreachable: it is probed by one connection at a time
         since = server.started(self.now())
         return since, since == server.info.started_at
 
     def budget(self) -> int:
         most = self.pool.most(CONNECTIONS)
-        # The one pool may have all, callers' part too; what is only kept ready must not take it.
+        # A single pool may use all descriptors, but those for callers must not go to idle connections.
         return most - int(CALLERS_PART * most) if isinstance(self.pool.share, Whole) else most
 
     def show(self, endpoints: tuple[Endpoint, ...]) -> None:
@@ -44,12 +44,12 @@
 
 
 def place_of(settings: Settings) -> Place:
-    """Which of its siblings an instance is, and how endpoints warm up, by its settings."""
+    """The instance's index among its siblings and how endpoints warm up, by its settings."""
     return Place(settings.index, max(1, settings.siblings), settings.cold_share, settings.cold_time)
 
 
 def tend(pool: Pool, terms: Terms, config: Config, seed: int) -> Tended:
-    """Tend a pool's connections from now on; called before it is started."""
+    """Manage a pool's connections from now on; called before the pool is started."""
     place = place_of(pool.settings)
     manager = Tended(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
     pool.upstream.tend(manager)
--- a/millgw/connections/counts.py
+++ b/millgw/connections/counts.py
@@ -1,4 +1,4 @@
-"""What happened to one pool's connections, by cause: for the log and /ready."""
+"""Counters of connection events of one pool, for the log and /ready."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConnectionCounts:
-    """Running counts since the pool began."""
+    """Counts since the pool started."""
 
     __slots__ = ("by_event",)
 
@@ -26,19 +26,19 @@
         self.by_event[f"given-up-{reason.value}"] += 1
 
     def closed_while_idle(self) -> None:
-        """The other side ended an idle one."""
+        """The endpoint closed an idle connection."""
         self.by_event["ended-idle"] += 1
 
     def handshake_failed(self) -> None:
-        """A handshake did not end well."""
+        """A connection could not be established."""
         self.by_event["not-up"] += 1
 
     def moved(self, repeat: Repeat) -> None:
-        """A request went on to another connection, as the one it was on was dead; it had not run."""
+        """A request that had not run was moved to another connection, as its own was dead."""
         self.by_event[f"moved-{repeat.value}"] += 1
 
     def failed_on_reuse(self, repeat: Repeat) -> None:
-        """A request failed on a connection that was not new, and may have run."""
+        """A request that may have run failed on a reused connection."""
         self.by_event[f"failed-on-reuse-{repeat.value}"] += 1
 
     def waited(self) -> None:
@@ -48,7 +48,7 @@
         self.by_event["waited-in-vain"] += 1
 
     def unreachable(self) -> None:
-        """A call was told at once that its endpoint can't be reached."""
+        """A call failed at once because its endpoint is known to be unreachable."""
         self.by_event["unreachable"] += 1
 
     def figures(self) -> dict[str, object]:
--- a/millgw/connections/introduction.py
+++ b/millgw/connections/introduction.py
@@ -1,12 +1,10 @@
-"""Which endpoints the decision module is told of: a cold one only once a connection to it is there. Pure.
+"""Hides cold endpoints from the decision module until a connection to them is established. Pure.
 
-The module picks among the endpoints that it is told of, and a call that is sent to one with no connection
-needs a handshake at once. A cold endpoint is asked for handshakes in turns (`opening`), so one whose turn
-here is still to come is kept from the module until then: it has others to go to. Drains and ends are never
-kept from it.
+The module picks among the endpoints that it knows, and a call to one without a connection needs a handshake
+at once. The siblings open connections to a cold endpoint in turns (`opening`), so an endpoint is hidden until
+this instance's turn has come; calls go to the others until then. Drains and removals are never hidden.
 
-Guards against a list of which too little would be left: at most a share is kept back, and none past its cold
-time.
+At most a share of the endpoints is hidden, and none after its cold time, as too few would remain otherwise.
 """
 
 from __future__ import annotations
@@ -15,11 +13,11 @@
 
 from millgw.interface import Condition, Endpoint, ListKind
 
-MAX_HIDDEN_SHARE = 0.5  # of the endpoints that are ready
+MAX_HIDDEN_SHARE = 0.5  # of the ready endpoints
 
 
 class ColdEndpointFilter:
-    """The list as the module has it, and who is kept back. Times are those of `Endpoint.started_at`."""
+    """The endpoints shown to the module and the hidden ones. Times are those of `Endpoint.started_at`."""
 
     def __init__(self, cold_time: float) -> None:
         self.cold_time = cold_time
@@ -29,7 +27,7 @@
     def listed(
         self, now: float, kind: ListKind, entries: Sequence[Endpoint], connected: Callable[[int], bool]
     ) -> list[Endpoint]:
-        """What to tell the module of a list. `connected` tells whether a connection to one is there."""
+        """The entries of a list to pass on. `connected` tells whether an endpoint has a connection."""
         if kind.watch_ended:
             return list(entries)
         before = dict(self.shown)
@@ -51,7 +49,7 @@
             else:
                 self.hidden[entry.id] = entry
         changed += self._show_excess()
-        # One that came back under its name is another to the module: the life that it knows is over.
+        # An endpoint that restarted under its name is a new one; the module must drop the one it knows.
         ended = [Endpoint(i, Condition.GONE) for i in self.hidden if i in self.shown]
         for gone in ended:
             self.shown.pop(gone.id)
@@ -61,7 +59,7 @@
         return entry.started_at > 0 and now < entry.started_at + self.cold_time
 
     def _show_excess(self) -> list[Endpoint]:
-        """Those that can't be kept back: the ones that have started first are the warmest."""
+        """Show the endpoints over the limit of hidden ones, warmest (earliest started) first."""
         known = len(self.shown.keys() | self.hidden.keys())
         released = []
         for entry in sorted(self.hidden.values(), key=lambda e: (e.started_at, e.id)):
@@ -76,7 +74,7 @@
         return entry
 
     def connected(self, endpoint: int) -> bool:
-        """A connection has come up; tells whether the module is to be told of its endpoint."""
+        """A connection was established; returns whether its endpoint was hidden and is now shown."""
         entry = self.hidden.get(endpoint)
         if entry is None:
             return False
@@ -84,12 +82,12 @@
         return True
 
     def show_warm(self, now: float) -> bool:
-        """Show those whose cold time is over; tells whether there are any."""
+        """Show the endpoints whose cold time is over; returns whether there were any."""
         warm = [e for e in self.hidden.values() if not self._cold(e, now)]
         for entry in warm:
             self._show(entry)
         return bool(warm)
 
     def shown_list(self) -> tuple[Endpoint, ...]:
-        """The list as the module should have it."""
+        """The list that the module should have."""
         return tuple(self.shown.values())
--- a/millgw/connections/keeper.py
+++ b/millgw/connections/keeper.py
@@ -1,8 +1,8 @@
 """Policy for the connections to one endpoint: which to use, keep, open and close. Pure: no I/O, no clock.
 
-The keeper is told what happens and asked what to do. It knows connections by their `ConnectionRecord`; who holds the
-sockets is somebody else's matter. Times are ms: `now` on any clock that does not go back, the same for all
-calls; endpoints' starts on the clock of `Turns`.
+The policy is informed of events and asked what to do. It knows connections by their `ConnectionRecord`; the
+sockets are held elsewhere. Times are in ms: `now` on any monotonic clock, the same for all methods; `wall`
+and endpoints' start times on the clock of `Turns`.
 """
 
 from __future__ import annotations
@@ -19,22 +19,17 @@
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
 from millgw.connections.terms import Order, Terms
 
-UNSAFE_IDLE_SHARE = (
-    0.5  # of the idle bound, past which a call that may not run twice takes a fresher connection
-)
-AHEAD_BACKOFF_MS, MAX_AHEAD_BACKOFF_MS = (
-    250.0,
-    60_000.0,
-)  # ms before another is opened ahead: twice that for each wasted in a row
-UNUSED_CLOSE_MS = 100.0  # ms after its handshake in which one that ends unused never was of use
-LIMIT_RETRY_MS = 10_000.0  # ms after which one connection more than the seen cap is tried
-ANSWER_PROOF_MS = (
-    1000.0  # ms for which an answer proves that an endpoint is there: what fails then is its cap's doing
-)
+UNSAFE_IDLE_SHARE = 0.5  # of the idle limit: an unsafe call needs a connection that was idle for less
+# Delay before another connection is opened ahead of need; doubles with each one in a row that ended unused.
+AHEAD_BACKOFF_MS, MAX_AHEAD_BACKOFF_MS = 250.0, 60_000.0
+UNUSED_CLOSE_MS = 100.0  # an unused connection that ends this soon after its handshake was of no use
+LIMIT_RETRY_MS = 10_000.0  # after this time, one connection over the observed limit is tried
+# This soon after an answer the endpoint is known to run: a failed handshake then hit its connection limit.
+ANSWER_PROOF_MS = 1000.0
 
 
 class GiveUp(Enum):
-    """Why a connection is ended by this side."""
+    """Why this side closes an idle connection."""
 
     IDLE = "idle"
     AGE = "age"
@@ -43,7 +38,7 @@
 
 
 class Opening(Enum):
-    """What becomes of a call that finds no connection."""
+    """What happens to a call for which there is no idle connection."""
 
     NOW = "now"
     WAIT = "wait"
@@ -52,9 +47,10 @@
 
 @dataclass(slots=True, eq=False)
 class ConnectionRecord:
-    """One connection's: when it was opened, when its last answer came, how often it was used, its bounds.
+    """History and limits of one connection.
 
-    `idle_share` is of the endpoint's idle bound, `age` and `uses` are bounds of its own (0: none).
+    `proven_at` is the time of its last answer (or of its handshake). `idle_share` is its fraction of the
+    endpoint's idle limit; `max_age` and `max_uses` are its own limits (0: none).
     """
 
     opened_at: float
@@ -63,11 +59,11 @@
     max_age: float = 0.0
     max_uses: int = 0
     uses: int = 0
-    idle_before_use: float = 0.0  # for how long it was idle when it was last taken
+    idle_before_use: float = 0.0  # how long it was idle before its last use
 
 
 class EndpointPolicy:
-    """One endpoint's policy. `promised_idle` is how long the endpoint promises to keep an idle connection."""
+    """Policy of one endpoint. `promised_idle` is how long (ms) it promises to keep an idle connection."""
 
     def __init__(self, terms: Terms, position: Place, promised_idle: float, rng: random.Random) -> None:
         self.terms = terms
@@ -77,38 +73,38 @@
         self.use_limit = UseLimit()
         self.demand = ConnectionDemand()
         self.reachability = Reachability(rng, terms.probe_base, terms.probe_most)
-        self.turns: Turns | None = None  # while it is cold
-        self.retry_turns = retry_turns(position, terms.cold_rate, rng)  # while it is out of reach
-        self.unused_in_a_row = 0  # connections in a row that were opened ahead and never used
+        self.turns: Turns | None = None  # used while the endpoint is cold
+        self.retry_turns = retry_turns(position, terms.cold_rate, rng)  # used while the endpoint is down
+        self.unused_in_a_row = 0  # consecutive connections that ended without a request
         self.open_ahead_after = 0.0
         self.opening = 0  # handshakes under way
-        self.open = 0  # connections that are up
-        self.busy = 0  # of them, those that carry a request
+        self.open = 0  # established connections
+        self.busy = 0  # established connections that carry a request
         self.last_answer_at = -math.inf
-        self.observed_limit = math.inf  # what the endpoint was seen to take
+        self.observed_limit = math.inf  # connections that the endpoint was seen to accept
         self.observed_limit_at = 0.0
 
     def change(self, terms: Terms, promised_idle: float) -> None:
-        """Go by other terms; what was learned of the endpoint stays."""
+        """Apply other settings; what was learned about the endpoint is kept."""
         self.terms = terms
         self.idle_limit.set_maximum(terms.idle_part * promised_idle)
         self.retry_turns = retry_turns(self.position, terms.cold_rate, self.rng)
         self.reachability.min_wait, self.reachability.max_wait = terms.probe_base, terms.probe_most
 
     def set_position(self, position: Place) -> None:
-        """Go by another place among siblings; whoever knows when it started tells again, if it is cold."""
+        """Apply another position among the siblings; a cold start must be reported again."""
         self.position = position
         self.turns = None
 
-    # What happens
+    # Events
 
-    def cold_since(self, since: float, start_shared: bool) -> None:
-        """The endpoint is cold from a time on; `common` where its siblings know that start too."""
+    def set_cold_start(self, since: float, start_shared: bool) -> None:
+        """The endpoint is cold since a time; `start_shared` is set if the siblings know that start too."""
         if self.turns is None or self.turns.since != since:
             self.turns = Turns(self.position, self.terms.cold_rate, since, start_shared, self.rng)
 
     def connected(self, now: float) -> ConnectionRecord:
-        """A connection has come up."""
+        """A connection was established; returns its record."""
         self.open += 1
         if self.open > self.observed_limit:
             self.observed_limit = float(self.open)
@@ -122,25 +118,25 @@
         )
 
     def handshake_succeeded(self, wall: float) -> None:
-        """A handshake has ended well, at a time on the clock of endpoints' starts."""
+        """A handshake succeeded, at a time on the clock of endpoints' start times."""
         if self.reachability.state == DOWN:
-            self.cold_since(wall, False)  # it may have started anew, and nobody has said so yet
+            self.set_cold_start(wall, False)  # it may have restarted, which discovery has not reported yet
         self.reachability.mark_up()
 
     def handshake_failed(self, now: float) -> None:
-        """A handshake has not: refused, or not up in time."""
+        """A handshake was refused or timed out."""
         if self.open and now - self.last_answer_at < ANSWER_PROOF_MS:
-            # It serves on other connections at this moment: it takes no more of them.
+            # The endpoint is serving on other connections, so it is at its limit rather than down.
             self.observed_limit, self.observed_limit_at = float(self.open), now
         else:
             self.reachability.mark_down(now)
 
     def request_sent(self, now: float) -> None:
-        """A request goes out on a connection, or a handshake is begun for one."""
+        """A request is sent on a connection, or a handshake is started for it."""
         self.demand.request_sent(now, self.busy + 1)
 
     def answered(self, now: float, record: ConnectionRecord) -> None:
-        """An answer has come."""
+        """A connection got an answer."""
         if record.uses == 0:
             self.unused_in_a_row, self.open_ahead_after = 0, 0.0
         self.idle_limit.survived(record.idle_before_use)
@@ -154,26 +150,26 @@
         record.idle_before_use = now - record.proven_at
 
     def closed_while_idle(self, now: float, record: ConnectionRecord) -> None:
-        """The other side ended a connection that was idle."""
+        """The other side closed an idle connection."""
         if self.closed_unused(now, record):
             self.reachability.mark_down(now)
             return
-        self._unused(now, record, self.open)
-        self._learn(now, record)
+        self._idle_unneeded(now, record, self.open)
+        self._learn_from_end(now, record)
 
     @staticmethod
     def closed_unused(now: float, record: ConnectionRecord) -> bool:
-        """Whether one that ends now never was of any use."""
+        """Whether a connection that ends now was closed right after its handshake, without a request."""
         return record.uses == 0 and now - record.opened_at < UNUSED_CLOSE_MS
 
     def found_dead(self, now: float, record: ConnectionRecord) -> None:
-        """A connection turned out to be dead when a request was to go on it: it had ended by then."""
+        """A connection was found dead when a request was to be sent on it."""
         if self.closed_unused(now, record):
             self.reachability.mark_down(now)
         else:
-            self._learn(now, record)
+            self._learn_from_end(now, record)
 
-    def _learn(self, now: float, record: ConnectionRecord) -> None:
+    def _learn_from_end(self, now: float, record: ConnectionRecord) -> None:
         idle = now - record.proven_at
         if not self.terms.learn:
             return
@@ -183,15 +179,15 @@
             self.idle_limit.ended(idle)
 
     def given_up(self, now: float, record: ConnectionRecord, reason: GiveUp) -> None:
-        """This side ends an idle one."""
+        """This side closes an idle connection."""
         if reason is GiveUp.IDLE:
             self.idle_limit.survived(now - record.proven_at)
-            self._unused(now, record, self.open - 1)
+            self._idle_unneeded(now, record, self.open - 1)
 
-    def _unused(self, now: float, record: ConnectionRecord, left: int) -> None:
-        """One ended idle, and so many are left: more than these are not needed.
+    def _idle_unneeded(self, now: float, record: ConnectionRecord, left: int) -> None:
+        """An idle connection ended and `left` remain, so no more than these are needed.
 
-        Guards against connections that are opened ahead, end unused, and are opened again, over and over.
+        Otherwise connections would be opened ahead, end unused and be opened again, over and over.
         """
         self.demand.unused_given_up(now, left)
         if record.uses == 0:
@@ -203,7 +199,7 @@
     # What to do
 
     def give_up_reason(self, now: float, record: ConnectionRecord) -> GiveUp | None:
-        """Why an idle connection is of no more use; None where it may be used."""
+        """Why an idle connection must be closed; None if it may be used."""
         if now - record.proven_at >= self.idle_limit.limit * record.idle_share:
             return GiveUp.IDLE
         if record.max_age and now - record.opened_at >= record.max_age:
@@ -214,15 +210,15 @@
         return GiveUp.USES if limit and record.uses >= limit else None
 
     def expires_at(self, now: float, record: ConnectionRecord) -> float:
-        """When an idle connection will be of no more use, as far as that is known now."""
+        """When an idle connection must be closed, as far as known now."""
         at = record.proven_at + self.idle_limit.limit * record.idle_share
         return min(at, record.opened_at + record.max_age) if record.max_age else at
 
     def choose_idle(self, now: float, unsafe: bool, idle: Sequence[ConnectionRecord]) -> int | None:
-        """Which of the idle connections, in the order of their last answers, a request takes; None for none.
+        """The index of the idle connection for a request; None if there is none. `idle` is by last answer.
 
-        One that may not run twice takes the one proven last, whatever the order, and none that is nearer to
-        its end than to its last proof: its last byte may cross the close (RFC 9112, section 9.5).
+        An unsafe request takes the one that answered last, whatever the order, and none past
+        `UNSAFE_IDLE_SHARE` of its idle limit: its last byte may cross the close (RFC 9112, section 9.5).
         """
         if unsafe or self.terms.order is Order.LIFO:
             indexes = range(len(idle) - 1, -1, -1)
@@ -236,19 +232,22 @@
                 unsafe
                 and now - record.proven_at >= UNSAFE_IDLE_SHARE * self.idle_limit.limit * record.idle_share
             ):
-                return None  # the others are older
+                return None  # the others were idle for longer
             return index
         return None
 
     def may_keep_idle(self, now: float, idle: int, budget_limit: int) -> bool:
-        """Whether one more may stay idle beside so many; `most` is what the budget of descriptors leaves."""
+        """Whether one more connection may stay idle besides `idle` others.
+
+        `budget_limit` is how many idle ones the budget of descriptors allows.
+        """
         bound = self.terms.keep_most or budget_limit
         return idle < max(bound, self.terms.keep_least)
 
     def may_open(self, now: float, wall: float, all_opening: int, panic: bool, full: bool) -> Opening:
-        """Whether a call may have a connection opened. `wall` is the time on the clock of endpoints' starts.
+        """Whether a connection may be opened for a call.
 
-        `full` tells that there is no room for one more.
+        `all_opening` is the pool's number of handshakes under way; `full` means that no descriptor is free.
         """
         if self.reachability.state == DOWN and not panic:
             return Opening.UNREACHABLE
@@ -272,9 +271,9 @@
     def should_open_ahead(
         self, now: float, wall: float, idle: int, all_opening: int, budget_limit: int, minimum: int = 0
     ) -> bool:
-        """Whether to open a connection that no call waits for yet; `most` as for `keeps`.
+        """Whether to open a connection that no call waits for yet.
 
-        `least` is how many this endpoint should have in any case.
+        `budget_limit` is as for `may_keep_idle`; `minimum` is how many this endpoint should have in any case.
         """
         if self.reachability.state == DOWN:
             return self.opening == 0 and self.reachability.probe_due(now) and self.retry_turns.take(wall)
--- a/millgw/connections/lifetime.py
+++ b/millgw/connections/lifetime.py
@@ -1,11 +1,11 @@
-"""How long an endpoint lets a connection live, as it is seen to do, whatever it promises. Pure.
-
-Two things end connections without a word: time, when they stand idle (the endpoint's own bound, or a box on
-the way that forgets them), and use, when an endpoint serves so many requests on each. Both are told here by
-what was seen. The idle bound is searched as TCP searches for its window: cut when a connection ended before
-it, raised a little for each that was idle for about so long and lived. Where endpoints end connections at
-one time, the bound saws between seven tenths of it and all of it; where they end them at any time, it
-settles where few end before it.
+"""Learns from observation how long an endpoint keeps connections, whatever it promises. Pure.
+
+Connections end without notice for two reasons: idle time (the endpoint's own timeout, or a middlebox that
+drops its state) and a limit on the requests per connection. Both are estimated here from what was seen. The
+idle limit is searched like a TCP congestion window: reduced when a connection ended before it, and raised a
+little for each one that survived about that much idle time. If the endpoint closes connections after a fixed
+time, the limit oscillates between 0.7 of it and all of it; if the time varies, the limit settles where few
+connections end before it.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 import math
 
 CUT_FACTOR = (
-    0.7  # of the idle time that ended one, or rather of the mean (geometric) of it and the bound before
+    0.7  # applied to the geometric mean of the idle time that ended a connection and the limit before
 )
-RAISE_FACTOR = 1.03  # times the bound, for each connection that lived about so long
-SURVIVED_SHARE = 0.5  # of the bound, from which a connection's idle time speaks for it
-AFTER_ANSWER_MS = 50.0  # ms after an answer in which an end is the answer's doing, not time's
-USE_LIMIT_MEMORY_MS = 60_000.0  # ms for which a bound on uses is believed, for each time that it was seen
-MIN_IDLE_LIMIT_MS = 10.0  # ms that the idle bound is at the least: under it, nothing would be used again
-CONFIRMATIONS = 2  # connections in a row that must end after as many uses before that counts as a rule
+RAISE_FACTOR = 1.03  # applied to the limit for each connection that survived about that much idle time
+SURVIVED_SHARE = 0.5  # of the limit: the least idle time of a surviving connection that raises it
+AFTER_ANSWER_MS = 50.0  # a connection that ends this soon after an answer hit a limit on uses, not idle time
+USE_LIMIT_MEMORY_MS = 60_000.0  # a limit on uses is trusted this long for each time it was seen
+MIN_IDLE_LIMIT_MS = 10.0  # below this idle limit no connection would ever be reused
+CONFIRMATIONS = 2  # consecutive connections that must end after the same number of uses to set a limit
 
 
 class IdleLimit:
-    """After how long idle (ms) a connection is given up. `told` is what the endpoint promises to wait."""
+    """The idle time (ms) after which a connection is closed. `promised` is the endpoint's stated timeout."""
 
     __slots__ = ("limit", "maximum")
 
@@ -33,45 +33,45 @@
         self.limit = self.maximum
 
     def set_maximum(self, maximum: float) -> None:
-        """The most that the bound may be, from now on."""
+        """Set the upper bound of the limit."""
         self.maximum = maximum
         self.limit = min(self.limit, maximum)
 
     def ended(self, idle: float) -> None:
-        """The other side ended one that had been idle for so long, or had forgotten it by then."""
+        """A connection was closed by the other side, or found dead, after so long an idle time."""
         if idle < self.limit:
             self.limit = max(MIN_IDLE_LIMIT_MS, CUT_FACTOR * math.sqrt(idle * self.limit))
 
     def survived(self, idle: float) -> None:
-        """One was still there after it had been idle for so long."""
+        """A connection still worked after so long an idle time."""
         if idle >= SURVIVED_SHARE * self.limit:
             self.limit = min(self.maximum, RAISE_FACTOR * self.limit)
 
 
 class UseLimit:
-    """After how many requests an endpoint ends a connection, if it does."""
+    """The number of requests after which an endpoint closes a connection, if it does so."""
 
     __slots__ = ("confirmations", "count", "seen_at")
 
     def __init__(self) -> None:
         self.count = 0
-        self.confirmations = 0  # ends in a row after `count` uses
+        self.confirmations = 0  # consecutive connections that ended after `count` uses
         self.seen_at = 0.0
 
     def ended(self, now: float, uses: int) -> None:
-        """The other side ended one just after the answer to its request of this number."""
+        """The other side closed a connection just after the answer to its request number `uses`."""
         if uses != self.count:
             self.count, self.confirmations = uses, 0
         self.confirmations += 1
         self.seen_at = now
 
     def outlived(self, now: float, uses: int) -> None:
-        """One was answered for the time of this number: it lives on past what was held for a bound."""
+        """A connection got the answer to its request number `uses`; more than the limit disproves it."""
         if uses > self.count:
             self.count = self.confirmations = 0
 
     def limit(self, now: float) -> int:
-        """How many requests one may carry; 0 where no bound is known."""
+        """How many requests a connection may carry; 0 if no limit is known."""
         known = (
             self.confirmations >= CONFIRMATIONS
             and now - self.seen_at < USE_LIMIT_MEMORY_MS * self.confirmations
--- a/millgw/connections/need.py
+++ b/millgw/connections/need.py
@@ -1,46 +1,44 @@
-"""How many connections to an endpoint will be needed at once. Pure.
+"""Predicts how many connections to an endpoint will be in use at the same time. Pure.
 
-What was lately in use at once will be again: a peak that fades. And when calls come faster than they did,
-more will be: the rise is the rate over the last fifth of a second against that over some seconds, so that a
-flash crowd finds connections that were opened while it came.
+The basis is the recent peak of concurrent use, which decays. When the call rate rises, more will be needed:
+the rise is the rate over the last 0.2 s divided by the rate over 3 s, so that connections for a flash crowd
+are opened while it builds up.
 """
 
 from __future__ import annotations
 
 import math
 
-PEAK_DECAY_MS = 20_000.0  # ms after which a peak is mostly forgotten
-FAST_WINDOW_MS, SLOW_WINDOW_MS = 200.0, 3000.0  # ms over which rates are averaged
-MAX_RISE = 4.0  # times: a guess beyond that is no better
-NOISE_DEVIATIONS = (
-    3.0  # standard deviations of a count, and calls, up to which more of them than usual is chance
-)
+PEAK_DECAY_MS = 20_000.0  # time constant of the decay of a peak
+FAST_WINDOW_MS, SLOW_WINDOW_MS = 200.0, 3000.0  # time constants of the two call rates
+MAX_RISE = 4.0  # factor: a larger one predicts no better
+NOISE_DEVIATIONS = 3.0  # an excess of so many standard deviations, plus so many calls, is noise and no rise
 
 
 class DecayingRate:
-    """Events per ms, with a memory that fades."""
+    """Events per ms, as an exponentially decaying average."""
 
-    __slots__ = ("at", "decay_ms", "weight")
+    __slots__ = ("updated_at", "decay_ms", "weight")
 
     def __init__(self, decay_ms: float) -> None:
         self.decay_ms = decay_ms
         self.weight = 0.0
-        self.at = 0.0
+        self.updated_at = 0.0
 
     def count(self, now: float) -> None:
         self.weight = self.decayed(now) + 1.0
-        self.at = now
+        self.updated_at = now
 
     def decayed(self, now: float) -> float:
-        """Events that still count."""
-        return self.weight * math.exp((self.at - now) / self.decay_ms)
+        """The decayed count of events."""
+        return self.weight * math.exp((self.updated_at - now) / self.decay_ms)
 
     def rate(self, now: float) -> float:
         return self.decayed(now) / self.decay_ms
 
 
 class ConnectionDemand:
-    """One endpoint's. `busy` is how many of its connections carry a request or are being opened for one."""
+    """Of one endpoint. `busy` is how many of its connections carry a request or are being opened for one."""
 
     __slots__ = ("fast_rate", "peak", "peak_at", "slow_rate")
 
@@ -51,7 +49,7 @@
         self.slow_rate = DecayingRate(SLOW_WINDOW_MS)
 
     def request_sent(self, now: float, busy: int) -> None:
-        """A request is sent there, with which so many are in use."""
+        """A request is sent to the endpoint; `busy` connections are in use with it."""
         self.peak = max(float(busy), self.decayed_peak(now))
         self.peak_at = now
         self.fast_rate.count(now)
@@ -61,25 +59,25 @@
         return self.peak * math.exp((self.peak_at - now) / PEAK_DECAY_MS)
 
     def rise(self, now: float) -> float:
-        """How many times as fast calls come as they did; 1 where they don't come faster."""
+        """The factor by which the call rate has risen; 1 if it has not."""
         usual = self.slow_rate.rate(now) * FAST_WINDOW_MS
         if self.fast_rate.decayed(now) <= usual + NOISE_DEVIATIONS * math.sqrt(usual) + NOISE_DEVIATIONS:
             return 1.0
-        # The slow rate needs its time to fill: until then it looks lower than it is, and a start like a rise.
+        # The slow rate is too low until it has seen enough time, so the first calls look like a rise.
         return min(MAX_RISE, self.fast_rate.decayed(now) / max(usual, 1e-9))
 
     def wanted(self, now: float, busy: int, headroom: float) -> int:
-        """How many should be open by now, busy ones among them."""
+        """How many connections should be open now, including busy ones."""
         rise = self.rise(now)
         if rise > 1.0:
             return math.floor(max(self.decayed_peak(now), busy * rise) * (1.0 + headroom) + 0.5)
-        # Where nothing rises, the connections that a peak opened are there until they age; one is kept ready.
+        # Without a rise, connections opened for a peak remain until they age out; one spare is kept ready.
         return max(busy, min(math.floor(self.decayed_peak(now) + 0.5), busy + 1))
 
     def unused_given_up(self, now: float, left: int) -> None:
-        """One was given up as nobody used it, and so many are left: more than these are not needed.
+        """An unused connection was closed and `left` remain, so no more than these are needed.
 
-        Guards against connections that are opened ahead, stand idle, and are opened again.
+        Otherwise connections would be opened ahead of need, stand idle, be closed, and be opened again.
         """
         if left < self.decayed_peak(now):
             self.peak, self.peak_at = float(left), now
--- a/millgw/connections/opening.py
+++ b/millgw/connections/opening.py
@@ -1,16 +1,16 @@
-"""When a connection to an endpoint may be opened. Pure.
+"""Limits the rate of handshakes to cold and unreachable endpoints, shared among siblings. Pure.
 
-A handshake costs an endpoint work, and a cold one has little to give. Nobody tells the siblings of each
-other, but all know how many they are, which of them each is, and when the endpoint started: enough to share
-out a stated rate of handshakes without a word. The handshakes that it may be asked for since its start are
-counted through, as capacity rises; number k is for the sibling k modulo their count, and falls due when the
-count comes to k. A turn that is not used within `TURN_VALID_MS` is gone: kept ones would all be used at once.
+A handshake costs the endpoint work, and a cold endpoint has little capacity. The siblings don't communicate,
+but each knows their number, its own index and when the endpoint started. That is enough to divide a given
+rate of handshakes among them: the permitted handshakes since the start are numbered, at a rate that rises
+with the endpoint's capacity. Number k belongs to sibling k modulo the number of siblings and is due when the
+count reaches k. A turn not used within `TURN_VALID_MS` expires, as saved turns would all be used at once.
 
-The same count over all time, at the full rate, shares out the tries of an endpoint that is out of reach:
-what comes up then comes up cold, and all its siblings would try at once.
+The same numbering over all time, at the full rate, divides the retries to an unreachable endpoint. It is cold
+when it comes back, and all siblings would try it at once.
 
-Where only this instance saw the endpoint come back, nobody can count from the same start. Then each counts
-from what it saw, from a place drawn by chance, and at half the rate, since chance lets some meet.
+If only this instance saw the endpoint come back, there is no common start to count from. Then each sibling
+counts from the time it saw, with a random offset and at half the rate, as some turns coincide by chance.
 """
 
 from __future__ import annotations
@@ -19,16 +19,14 @@
 import random
 from dataclasses import dataclass
 
-TURN_VALID_MS = 100.0  # ms for which a turn may be used
-PLANNED_RATE_SHARE = (
-    0.8  # of the stated rate: with SLACK and one that meets the window's edge it stays within
-)
-UNSHARED_START_FACTOR = 0.5  # of that, where siblings don't count from one start
+TURN_VALID_MS = 100.0  # how long a turn may be used
+PLANNED_RATE_SHARE = 0.8  # of the given rate: late use of turns and a window's edge then don't exceed it
+UNSHARED_START_FACTOR = 0.5  # applied to the rate if siblings don't count from the same start
 
 
 @dataclass(slots=True, frozen=True)
 class Place:
-    """An instance among its siblings, and how capacity rises: from `cold_share` to 1 in `cold_time` ms."""
+    """An instance's index among its siblings, and how capacity rises: `cold_share` to 1 in `cold_time` ms."""
 
     index: int
     siblings: int
@@ -39,8 +37,8 @@
 class Turns:
     """One instance's turns to open a connection to one endpoint that started at `since`.
 
-    `rate` is handshakes a second over all siblings at full capacity. `common` tells whether the siblings know
-    the same start. Times are ms on the clock that `since` is of.
+    `rate` is the handshakes per second of all siblings at full capacity. `start_shared` tells whether the
+    siblings know the same start. Times are in ms on the clock of `since`.
     """
 
     __slots__ = ("first", "last_used", "position", "rate", "since")
@@ -60,7 +58,7 @@
         return now < self.since + self.position.cold_time
 
     def handshakes_by(self, now: float) -> float:
-        """Handshakes that the endpoint may have been asked for since its start."""
+        """The number of handshakes permitted from the start until now."""
         share, time = self.position.cold_share, self.position.cold_time
         passed = min(max(0.0, now - self.since), time)
         if time <= 0 or math.isinf(time):
@@ -68,7 +66,7 @@
         return self.rate * (share * passed + (1 - share) * passed * passed / (2 * time))
 
     def time_of(self, count: float) -> float:
-        """When the count comes to a number; inf where it does not while the endpoint is cold."""
+        """When the count reaches a number; inf if not while the endpoint is cold."""
         if count <= 0:
             return self.since
         share, time = self.position.cold_share, self.position.cold_time
@@ -77,15 +75,15 @@
         if self.rate <= 0 or count > self.handshakes_by(self.since + time):
             return math.inf
         rise, wanted = (1 - share) / time, count / self.rate
-        # The root of share * t + rise * t * t / 2 = wanted in the form that nothing cancels out in.
+        # The root of share * t + rise * t * t / 2 = wanted, in the form without cancellation.
         return self.since + 2 * wanted / (share + math.sqrt(share * share + 2 * rise * wanted))
 
     def take(self, now: float) -> bool:
-        """Use the turn that is due now, if there is one."""
+        """Use the turn that is due now; returns whether there was one."""
         if not self.cold(now):
             return True
         siblings = self.position.siblings
-        # Of all turns in the last SLACK only the latest can be open: they are further apart than that.
+        # Of one instance's turns only the latest is used: they are further apart than TURN_VALID_MS.
         number = math.floor((self.handshakes_by(now) - self.first) / siblings)
         if (
             number <= self.last_used
@@ -97,7 +95,7 @@
         return True
 
     def next_due(self, now: float) -> float:
-        """When the next turn falls due that is not used; the end of the cold time where none does."""
+        """When the next unused turn is due; the end of the cold time if there is none."""
         number = max(
             self.last_used + 1, math.ceil((self.handshakes_by(now) - self.first) / self.position.siblings), 0
         )
@@ -106,5 +104,5 @@
 
 
 def retry_turns(position: Place, rate: float, rng: random.Random) -> Turns:
-    """An instance's turns to try an endpoint that is out of reach: by the wall clock, which all share."""
+    """An instance's turns to retry an unreachable endpoint, by the wall clock, which all siblings share."""
     return Turns(Place(position.index, position.siblings, 1.0, math.inf), rate, 0.0, True, rng)
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -1,8 +1,8 @@
-"""Connections to one pool's endpoints, tended: carries out what the keepers decide.
+"""Manages the connections to one pool's endpoints: carries out the decisions of the endpoint policies.
 
-Stands beside the pool's `Upstream`, which holds the sockets, and is told by it of all that happens to them.
-It decides nothing of calls: what a call is told when there is no connection for it is an outcome that proves
-that it never ran, and the decision module goes on from there.
+It works beside the pool's `Upstream`, which holds the sockets and reports all their events. It decides
+nothing about calls: an attempt that gets no connection ends with an outcome that proves that it never ran,
+and the decision module continues from there.
 """
 
 from __future__ import annotations
@@ -29,32 +29,30 @@
 from millgw.http.message import NOTHING
 from millgw.interface import Endpoint, ListKind, Outcome, Repeat
 
-TICK_S = 0.25  # s between two looks at what is open, where nothing is waited for
-FAST_TICK_S = 0.05  # s where a turn may fall due, or an endpoint is down: shorter than a turn may be used
-WAITING_TICK_S = 0.01  # s where calls wait for a connection
-AHEAD_BUDGET_SHARE = 0.75  # of the budget, that connections may take which are opened ahead of need
-MIN_IDLE_PER_ENDPOINT = (
-    2  # connections that may stay idle at an endpoint, however many endpoints share the descriptors
-)
+TICK_S = 0.25  # interval of the regular check of all connections
+FAST_TICK_S = 0.05  # with cold or unreachable endpoints: shorter than a handshake turn is valid
+WAITING_TICK_S = 0.01  # while calls wait for a connection
+AHEAD_BUDGET_SHARE = 0.75  # of the budget of descriptors: no connection is opened ahead of need beyond it
+MIN_IDLE_PER_ENDPOINT = 2  # idle connections allowed, however many endpoints share the descriptors
 
 
 class PoolView(Protocol):
-    """What the pool knows of its endpoints. Times are those of `Endpoint.started_at`."""
+    """What the pool knows of its endpoints. Times are on the clock of `Endpoint.started_at`."""
 
     def now(self) -> float: ...
 
     def cold_since(self, endpoint: int) -> tuple[float, bool]:
-        """Since when an endpoint is cold (0: it is not, or is out of reach) and whether its list tells so."""
+        """Since when an endpoint is cold (0: not cold, or unreachable), and whether that start was listed."""
 
     def budget(self) -> int:
-        """Descriptors that the pool may use for connections to endpoints, and nobody else needs."""
+        """How many descriptors the pool may use for connections to endpoints without taking others' ones."""
 
     def show(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Tell the module the whole list, some of which it was not told of before."""
+        """Pass the whole list to the module, including endpoints that were hidden so far."""
 
 
 class HostState:
-    """What is tended at one host: its keeper, and calls that wait for a connection until a time (ms)."""
+    """State of one host: its policy, and attempts that wait for a connection, each until a time (ms)."""
 
     __slots__ = ("endpoint", "host", "policy", "serve_scheduled", "waiting")
 
@@ -63,11 +61,11 @@
         self.host = host
         self.policy = policy
         self.waiting: deque[tuple[Attempt, float]] = deque()
-        self.serve_scheduled = False  # a look at those that wait is due this turn
+        self.serve_scheduled = False  # `_serve_waiting` is scheduled
 
 
 class Tended:
-    """One pool's. `promised_idle` (ms) is how long endpoints promise to keep an idle connection."""
+    """Connections of one pool. `promised_idle` (ms) is how long endpoints promise to keep an idle one."""
 
     def __init__(
         self,
@@ -87,7 +85,7 @@
         self.counts = ConnectionCounts()
         self.states: dict[Host, HostState] = {}
         self.records: dict[Connection, ConnectionRecord] = {}
-        self.busy: set[Connection] = set()  # those that carry a request
+        self.busy: set[Connection] = set()  # connections that carry a request
         self.opening = 0
         self.cold_filter = ColdEndpointFilter(position.cold_time)
         self.loop = asyncio.get_running_loop()
@@ -96,10 +94,10 @@
         self.stopped = False
         self._schedule_tick(TICK_S)
 
-    # What the upstream tells
+    # Events reported by the upstream
 
     def send(self, endpoint: int, host: Host, attempt: Attempt, now: float) -> None:
-        """A call is to go to an endpoint: on a connection that is there, or a new one, or when one is."""
+        """Send an attempt to an endpoint: on an idle connection, on a new one, or after waiting for one."""
         state = self._state_of(endpoint, host)
         state.policy.request_sent(now)
         if not state.waiting and self._send_on_idle(state, attempt, now):
@@ -109,7 +107,7 @@
         self._serve_waiting(state)
 
     def again(self, connection: Connection, attempt: Attempt) -> None:
-        """The connection that an attempt was on is dead, and it has not run: it goes on to another."""
+        """The connection of an attempt is dead, and the attempt has not run: move it to another one."""
         now, host = time.monotonic() * 1000, connection.host
         self.counts.moved(attempt.repeat)
         record = self._forget(connection)
@@ -123,7 +121,7 @@
         self._schedule_serve(state)
 
     def up(self, connection: Connection) -> None:
-        """A connection has come up, for an attempt or ahead of need."""
+        """A connection was established, for an attempt or ahead of need."""
         state = self.states.get(connection.host)
         if state is None:
             return
@@ -140,7 +138,7 @@
             self.pool_view.show(self.cold_filter.shown_list())
 
     def tried(self, host: Host, missed: bool) -> None:
-        """A handshake is over: well, in vain (`missed`), or nobody wants it any more."""
+        """A handshake has ended: it succeeded, failed (`missed`), or was no longer wanted."""
         self.opening -= 1
         state = self.states.get(host)
         if state is None:
@@ -153,7 +151,7 @@
         self._schedule_serve(state)
 
     def keep(self, connection: Connection) -> None:
-        """A connection's answer is whole, and it may be used again."""
+        """The answer on a connection is complete, and the connection may be reused."""
         host, now = connection.host, time.monotonic() * 1000
         state, record = self.states.get(host), self.records.get(connection)
         if state is None or record is None or not host.used:
@@ -174,7 +172,7 @@
             self._give_up_surplus(state)
 
     def lost(self, connection: Connection, idle: bool) -> None:
-        """A connection has ended; `idle` tells that the other side ended it while it was kept."""
+        """A connection has ended; `idle` is set if the other side closed it while idle."""
         state = self.states.get(connection.host)
         attempt = connection.attempt
         record = self._forget(connection)
@@ -194,35 +192,35 @@
             self._schedule_serve(state)
 
     def doubt(self, host: Host) -> None:
-        """An attempt there got no answer."""
+        """An attempt to the host got no answer."""
         state = self.states.get(host)
         if state is not None:
             state.policy.reachability.mark_unproven()
 
     def close(self, host: Host) -> None:
-        """A host is no longer in use: its calls that wait have been told."""
+        """A host is no longer in use; its waiting attempts have already been ended."""
         state = self.states.pop(host, None)
         if state is not None:
             state.waiting.clear()
 
     def proof(self, connection: Connection, now: float) -> float:
-        """For how long (ms) a request's last byte may wait for the other machine's word that the rest came.
+        """How long (ms) the last byte of a request may wait for an acknowledgement of the rest.
 
-        0 where the wait for a reset is enough.
+        0 if the short wait for a reset is enough.
         """
         if self.terms.prove is not Proving.ACK or now - connection.idle_since < self.terms.silent_after:
             return 0.0
         return self.terms.prove_most
 
     def change(self, terms: Terms) -> None:
-        """Go by other terms from now on; what was learned stays."""
+        """Apply other settings; what was learned is kept."""
         self.terms = terms
         for state in self.states.values():
             state.policy.change(terms, self.promised_idle)
         self._schedule_tick(0.0)
 
     def settle(self, position: Place, promised_idle: float) -> None:
-        """Go by another place among siblings, and other promises of endpoints, from now on."""
+        """Apply another position among the siblings and another idle timeout promised by the endpoints."""
         if (position, promised_idle) == (self.place, self.promised_idle):
             return
         self.promised_idle = promised_idle
@@ -242,10 +240,10 @@
             self.timer.cancel()
             self.timer = None
 
-    # What the pool asks
+    # Used by the pool
 
     def listed(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
-        """What the module is to be told of a list."""
+        """The entries of a list to pass to the module."""
         told = self.cold_filter.listed(self.pool_view.now(), kind, entries, self._connected)
         self._schedule_tick(FAST_TICK_S)
         return tuple(told)
@@ -256,19 +254,20 @@
         return state is not None and state.policy.open > 0
 
     def figures(self) -> dict[str, object]:
-        """What happened, and how endpoints stand, for the log."""
+        """Counts of events, of unreachable and of hidden endpoints, for the log."""
         down = sum(k.policy.reachability.state == DOWN for k in self.states.values())
         figures: dict[str, object] = {"down": down} if down else {}
         if self.cold_filter.hidden:
             figures["not_yet_shown"] = len(self.cold_filter.hidden)
         return figures | self.counts.figures()
 
-    # Its own
+    # Internal state
 
     def _state_of(self, endpoint: int, host: Host) -> HostState:
         state = self.states.get(host)
         if state is None:
-            # Shifted by the endpoint: siblings are first at different ones, and one's turns are apart.
+            # The index is shifted by the endpoint's id, so that each sibling is first at other endpoints and
+            # its turns at different endpoints are spread over time.
             policy = EndpointPolicy(self.terms, self._position_for(endpoint), self.promised_idle, self.rng)
             state = self.states[host] = HostState(endpoint, host, policy)
             self._note_cold(state)
@@ -277,10 +276,10 @@
     def _note_cold(self, state: HostState) -> None:
         since, start_shared = self.pool_view.cold_since(state.endpoint)
         if since > 0:
-            state.policy.cold_since(since, start_shared)
+            state.policy.set_cold_start(since, start_shared)
 
     def _forget(self, connection: Connection) -> ConnectionRecord | None:
-        """Take a connection off the books."""
+        """Remove a connection; returns its record."""
         state = self.states.get(connection.host)
         record = self.records.pop(connection, None)
         if record is not None and state is not None:
@@ -299,7 +298,7 @@
             state.policy.busy -= 1
 
     def _send_on_idle(self, state: HostState, attempt: Attempt, now: float) -> bool:
-        """Send an attempt on an idle connection; tells whether there was one for it."""
+        """Send an attempt on an idle connection; returns whether a suitable one was found."""
         idle = state.host.idle
         unsafe = attempt.repeat is Repeat.UNSAFE
         while idle:
@@ -308,7 +307,7 @@
                 return False
             connection = idle.pop(index)
             if not connection.usable():
-                # It has ended, and the loop has not said so yet.
+                # It has ended, but the event loop has not reported that yet.
                 state.policy.found_dead(now, self.records[connection])
                 connection.abort()
                 continue
@@ -319,25 +318,25 @@
             return True
         return False
 
-    # Those that wait
+    # Waiting attempts
 
     def _enqueue(self, state: HostState, attempt: Attempt, now: float) -> None:
         state.waiting.append((attempt, now + self.terms.wait))
-        state.host.connecting[attempt] = None  # a drain ends it there
+        state.host.connecting[attempt] = None  # a drain ends the attempts in this table
 
     def _schedule_serve(self, state: HostState) -> None:
-        """In the next turn: what is going on has not come to its end yet."""
+        """Serve waiting attempts in the next loop iteration, after the current event is fully handled."""
         if state.waiting and not state.serve_scheduled:
             state.serve_scheduled = True
             self.loop.call_soon(self._serve_waiting, state)
 
     def _serve_waiting(self, state: HostState) -> None:
-        """Give those that wait what there is: a connection, a new one, or their outcome."""
+        """Give each waiting attempt an idle connection, a new one, or a final outcome, as far as possible."""
         state.serve_scheduled = False
         waited = False
         while state.waiting:
             now = time.monotonic() * 1000
-            attempt, until = state.waiting[0]
+            attempt, wait_until = state.waiting[0]
             if attempt.given_up:
                 state.waiting.popleft()
                 state.host.connecting.pop(attempt, None)
@@ -356,7 +355,7 @@
                 self._dequeue(state, attempt)
                 self.counts.unreachable()
                 attempt.end(Outcome.CONNECT_FAILED, NOTHING)
-            elif now >= until:
+            elif now >= wait_until:
                 self._dequeue(state, attempt)
                 self.counts.wait_timed_out()
                 attempt.end(Outcome.NOT_SENT, NOTHING)
@@ -369,7 +368,10 @@
 
     @staticmethod
     def _dequeue(state: HostState, attempt: Attempt) -> None:
-        """Guards against one that is taken twice: what it is told may bring another call here at once."""
+        """Remove an attempt from the queue before it is ended: its end may re-enter this class at once.
+
+        Otherwise it could be taken from the queue twice.
+        """
         if state.waiting and state.waiting[0][0] is attempt:
             state.waiting.popleft()
         state.host.connecting.pop(attempt, None)
@@ -382,14 +384,14 @@
         down = sum(k.policy.reachability.state == DOWN for k in self.states.values())
         return panic_mode(down, len(self.upstream.hosts), self.terms.panic)
 
-    # Opening and giving up
+    # Opening and closing
 
     def _count_opening(self, state: HostState) -> None:
         state.policy.opening += 1
         self.opening += 1
 
     def _open_ahead(self, state: HostState, now: float) -> bool:
-        """Open a connection before it is needed, if it will be; never at the cost of one that is in use."""
+        """Open a connection if one will be needed soon, but never at the cost of one in use."""
         host = state.host
         if not host.used or self.upstream.room.full():
             return False
@@ -413,7 +415,7 @@
         connection.abort()
 
     def _schedule_tick(self, after: float) -> None:
-        """Look round after so many seconds, or sooner if that is due."""
+        """Schedule the next check after so many seconds, unless an earlier one is due."""
         at = self.loop.time() + after
         if self.stopped or (self.timer is not None and self.tick_at <= at):
             return
@@ -451,5 +453,5 @@
         if self.cold_filter.show_warm(self.pool_view.now()):
             self.pool_view.show(self.cold_filter.shown_list())
         tick = WAITING_TICK_S if has_waiting else FAST_TICK_S if fast else TICK_S
-        # Guards against one that the other side ends first: then nobody knows in time.
+        # Close expiring connections in time: if the other side closes first, a request may cross the close.
         self._schedule_tick(min(tick, max(WAITING_TICK_S, (expires - now) / 1000)))
--- a/millgw/connections/terms.py
+++ b/millgw/connections/terms.py
@@ -1,6 +1,6 @@
-"""What an operator says of connections to endpoints, as the decisions have it. Pure.
+"""Settings of connection management, in the units that the decisions use. Pure.
 
-Times are milliseconds, shares are of 1; 0 means 'no bound of its own' where a field says so.
+Times are in milliseconds, shares are fractions of 1; 0 means 'no limit of its own' where a field says so.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 class Order(Enum):
     """Which of several idle connections is used first."""
 
-    LIFO = "lifo"  # the last used: the others age out, and what is open follows the need
-    FIFO = "fifo"  # the one whose last proof is the oldest: all stay proven, and none ages out
+    LIFO = "lifo"  # the last used one: the others age out, so the number of connections follows the demand
+    FIFO = "fifo"  # the one proven alive longest ago: all stay proven, and none ages out
 
 
 class Proving(Enum):
-    """How a connection that has long been silent is proven before a request's last byte goes."""
+    """How a long idle connection is proven alive before the last byte of a request is sent."""
 
-    HOLD = "hold"  # the last byte waits for a moment, in which a reset would come
-    ACK = "ack"  # it waits until the other machine's kernel has confirmed the rest (RFC 9293, section 3.4)
+    HOLD = "hold"  # the last byte is delayed a moment, in which a reset would arrive
+    ACK = "ack"  # it is delayed until the remote kernel has acknowledged the rest (RFC 9293, section 3.4)
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """One pool's terms. Counts are of each endpoint unless said otherwise.
+    """Settings of one pool. Counts are per endpoint unless stated otherwise.
 
-    Kept: at least `keep_least` are held open and ready, at most `keep_most` idle (0: by the budget of
-    descriptors); `open_most` bounds all of them (0: none but what the endpoint is seen to take). With `ahead`
-    connections are opened before they are needed, `headroom` over what has lately been in use at once.
+    Pool size: at least `keep_least` connections are kept open, at most `keep_most` idle (0: limited by the
+    budget of descriptors); `open_most` limits all of them (0: only by what the endpoint is seen to accept).
+    With `ahead`, connections are opened before they are needed: `headroom` more than were recently in use at
+    the same time.
 
-    Given up: after `age` and `uses` (0: never for that), and when idle for `idle_part` of what the endpoint
-    promises or, with `learn`, of what it is seen to do. Each connection draws its own bounds, up to `jitter`
-    under these, so that many don't end at once.
+    Closing: after `age` and `uses` (0: no such limit), and when idle for `idle_part` of the time that the
+    endpoint promises or, with `learn`, of the time that it was observed to wait. Each connection draws its
+    own limits, up to `jitter` below these, so that many don't end at once.
 
-    Opened: `at_once` handshakes to one endpoint and `at_once_all` in the pool; `cold_rate` a second at a cold
-    endpoint, over all siblings, when it has its full capacity, and in step with its warmth before. A call
-    waits up to `wait` for a connection that may not be opened yet.
+    Opening: `at_once` concurrent handshakes per endpoint and `at_once_all` in the pool. A cold endpoint gets
+    `cold_rate` handshakes per second from all siblings together once at full capacity, and fewer before, in
+    proportion to its capacity. A call waits up to `wait` for a connection that may not be opened yet.
 
-    Standing: an endpoint that can't be reached is tried by one connection, after waits from `probe_base` to
-    `probe_most`; calls for it are told at once that it can't be reached, unless more than `panic` of the
-    endpoints seem out of reach.
+    Reachability: an unreachable endpoint is probed by one connection at a time, after waits from `probe_base`
+    to `probe_most`. Calls to it fail at once, unless more than `panic` of the endpoints seem unreachable.
 
-    Proven: a connection silent for `silent_after` is proven as `prove` says, for `prove_most` at the most.
+    Proof: a connection silent for `silent_after` is proven alive as `prove` says, for at most `prove_most`.
     """
 
     order: Order = Order.LIFO
--- a/millgw/pool/__init__.py
+++ b/millgw/pool/__init__.py
@@ -1,1 +1,1 @@
-"""One pool: a decision module in service, with its endpoints, connections and bounds."""
+"""One pool: a running decision module with its endpoints, connections and resource limits."""
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -1,4 +1,4 @@
-"""A caller's request that is owed one answer, and its attempts that are out."""
+"""A client request that must get exactly one answer, and its open attempts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OpenAttempt:
-    """An attempt of a call that is out, by the balancer's words. `sent` in ms on the driver's clock."""
+    """An open attempt of a call, as the balancer ordered it. `sent_at` is in ms on the driver's clock."""
 
     __slots__ = ("attempt", "endpoint", "sent_at")
 
@@ -26,32 +26,36 @@
 
 
 class Intent(Sent, Protocol):
-    """The same, of the whole call."""
+    """The intent of a whole call: a record that the call may be sent, kept so that it is not sent twice."""
 
     @property
     def doubtful(self) -> bool:
-        """Whether a refusal would promise what is not known: that no process ever sent it."""
+        """Whether another process may have sent this call: a refusal would wrongly promise it never ran."""
 
     def over(self, token: object, never_ran: bool) -> None:
-        """An attempt has ended."""
+        """An attempt has ended; `never_ran` is set if it certainly had no effect."""
 
     def end(self) -> None:
         """The call is answered, or its client has gone."""
 
 
 class Owner(Protocol):
-    """Who answers for a call."""
+    """Responsible for the answer to a call."""
 
     def take(self, call: Call) -> None: ...
 
     def left(self, call: Call) -> None: ...
 
     def whole(self, call: Call) -> None:
-        """The last byte of a body that was passed on as it came has come."""
+        """The last byte of a streamed request body has arrived."""
 
 
 class Call:
-    """A caller's request that is owed one answer. `payload` words an attempt, given the time left in ms."""
+    """A client request that must get one answer.
+
+    `class_index` and `tenant` are indexes into the settings; `timeout` is in ms. `build_payload` returns the
+    request bytes of an attempt, given the remaining time in ms.
+    """
 
     __slots__ = (
         "attempts_sent",
@@ -91,11 +95,11 @@
         self.trace_id = trace_id
         self.repeat = repeat
         self.owner = owner
-        self.gone: Callable[[], bool] | None = None  # whether its caller has left, as far as can be seen now
-        self.intent: Intent | None = None  # where marks are kept of what may not be sent again
-        self.upload: Upload | None = None  # its body, where that is passed on as it comes
+        self.gone: Callable[[], bool] | None = None  # whether the client is seen to have disconnected
+        self.intent: Intent | None = None  # set for unsafe calls whose sends are recorded
+        self.upload: Upload | None = None  # set if the request body is streamed
         self.id = 0
         self.deadline = 0.0
         self.attempts_sent = 0
         self.open_attempts: dict[int, OpenAttempt] = {}
-        self.timers: list[Due[Call | SetTimer | Flow]] = []  # its deadline, those of the module
+        self.timers: list[Due[Call | SetTimer | Flow]] = []  # for its deadline and those set by the module
--- a/millgw/pool/deadlines.py
+++ b/millgw/pool/deadlines.py
@@ -1,8 +1,8 @@
-"""All points in time that a pool waits for, on one timer of the loop. Pure: no clock, no timers of its own.
+"""Timer queue of a pool, driven by a single timer of the event loop. Pure: no clock, no timers of its own.
 
-A wheel without a rim: moments fall into slots of 1 ms, each a table from which one is taken out as cheaply as
-it is put in. Deadlines are mostly taken out long before they fall due, and slots that have become empty by
-then are passed over. Times are milliseconds.
+Entries are grouped into slots of 1 ms. Each slot is a dict, so that adding and cancelling cost the same; a
+heap orders the slots. Most deadlines are cancelled long before they are due; slots that are empty by then are
+skipped. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Due(Generic[T]):
-    """One moment that is waited for, and what for; its slot is -1 once it has fallen due or is cancelled."""
+    """One queued timer and its item; `slot` is -1 once it has fired or was cancelled."""
 
     __slots__ = ("item", "slot")
 
@@ -28,14 +28,14 @@
 
 
 class Deadlines(Generic[T]):
-    """What falls due when."""
+    """Items ordered by the time at which they are due."""
 
     def __init__(self) -> None:
         self.slots: dict[int, dict[Due[T], None]] = {}
         self.slot_heap: list[int] = []  # heap of the slots
 
     def add(self, at: float, item: T) -> Due[T]:
-        """Wait for a moment; it falls due at it or within 1 ms after, never before."""
+        """Add a timer. It is due at the given time or up to 1 ms later, never earlier."""
         slot = math.ceil(at)
         entry = Due(slot, item)
         entries = self.slots.get(slot)
@@ -46,13 +46,13 @@
         return entry
 
     def cancel(self, entry: Due[T]) -> None:
-        """Wait for it no longer; harmless for one that has fallen due."""
+        """Cancel a timer; no effect if it has already fired."""
         if entry.slot >= 0:
             self.slots[entry.slot].pop(entry, None)
             entry.slot = -1
 
     def next(self) -> float | None:
-        """When the first falls due; None where nothing is waited for."""
+        """When the earliest timer is due; None if there is none."""
         while self.slot_heap:
             slot = self.slot_heap[0]
             if self.slots[slot]:
@@ -62,7 +62,7 @@
         return None
 
     def pop(self, now: float) -> T | None:
-        """One that has fallen due, the earliest first; None where there is none (more)."""
+        """Remove and return the earliest item that is due; None if none is."""
         first = self.next()
         if first is None or first > now:
             return None
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -1,7 +1,7 @@
-"""The driver: feeds events to the one `Balancer` and carries out its actions.
+"""Driver of one pool: feeds events to its `Balancer` and carries out the actions that it returns.
 
-It owns the clock, the timers and the books on what is owed. It decides nothing, but it answers for the rule
-that each call gets exactly one final answer in time, whatever the balancer does.
+It owns the clock, the timers and the table of open calls. It decides nothing, but it ensures that each call
+gets exactly one final answer in time, whatever the balancer does.
 """
 
 from __future__ import annotations
@@ -53,16 +53,16 @@
 from millgw.pool.start_times import StartTimes
 from millgw.streams.flow import Flow
 
-MAX_UPLOAD_MS = 3_600_000.0  # ms that a body may take to come in: far over what 64 kB/s need
-ATTEMPT_STATES = ("connecting", "held", "writing", "answer", "ended")  # by `Attempt.state`, for the log
-ANSWER_MARGIN = 30.0  # ms before the client's deadline at which an attempt times out: room for a busy loop
+MAX_UPLOAD_MS = 3_600_000.0  # ms that a request body may take to arrive; far more than needed at 64 kB/s
+ATTEMPT_STATES = ("connecting", "held", "writing", "answer", "ended")  # log texts, indexed by `Attempt.state`
+ANSWER_MARGIN = 30.0  # ms before the client's deadline at which a call times out here, as a busy loop is late
 
 
 class Clock:
-    """Unix time in ms that never goes back: the wall clock at the start plus what has passed since.
+    """Monotonic clock in Unix time (ms): the wall clock at process start plus the monotonic time since then.
 
-    Unix time, because discovery tells an endpoint's start in it and the balancer compares the two: on a
-    clock that starts at 0, an endpoint that has just started would look as if it were from the future.
+    It is in Unix time because discovery reports endpoint start times that way and the balancer compares the
+    two. On a clock that begins at 0, an endpoint that has just started would seem to start in the future.
     """
 
     def __init__(self) -> None:
@@ -73,14 +73,14 @@
 
 
 class ListFilter(Protocol):
-    """What may stand between the lists and the module (see `millgw.connections.introduction`)."""
+    """Filters endpoint lists before the module gets them (see `millgw.connections.introduction`)."""
 
     def listed(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
-        """What the module is to be told of a list."""
+        """The entries of a list to pass to the module."""
 
 
 class Driver:
-    """One sidecar's balancer in service."""
+    """Runs the balancer of one pool."""
 
     def __init__(self, balancer: Balancer, upstream: Upstream, subscribe: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
@@ -89,9 +89,9 @@
         self.upstream = upstream
         self.subscribe = subscribe
         self.calls: dict[int, Call] = {}
-        self.open: set[bytes] = set()  # their X-Trace-Ids
-        self.partial_calls: set[int] = set()  # calls whose bodies still come
-        self.flows: set[Flow] = set()  # answers that are being passed on
+        self.open: set[bytes] = set()  # X-Trace-Ids of the open calls
+        self.partial_calls: set[int] = set()  # calls whose request bodies are still arriving
+        self.flows: set[Flow] = set()  # answers that are being streamed
         self.last_id = 0
         self.start_times = StartTimes()
         self.ready: set[int] = set()
@@ -103,10 +103,10 @@
         self.wake_at = math.inf
         self.ended = False
         self.list_filter: ListFilter | None = None
-        # At discovery's last word: looks for an endpoint while the list may have been over, and probes.
+        # The balancer's counts of lookups in a stale list and of probes, when discovery was last heard.
         self.stale_lookups_before = self.probes_before = 0
 
-    # What happens
+    # Events
 
     def take(self, call: Call) -> None:
         now = self.clock()
@@ -121,14 +121,14 @@
             self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant))
             self._schedule_wake()
             return
-        # Its time counts from its last byte; who sends none in time is ended by the callers' side.
+        # The timeout counts from the last byte of the body; the caller side ends clients that stop sending.
         call.deadline = now + MAX_UPLOAD_MS
         upload.gone = partial(self._handle_event, BodyDiscarded(call.id))
         self.partial_calls.add(call.id)
         self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant, partial=True))
 
     def whole(self, call: Call) -> None:
-        """A body that is passed on as it came is whole: the call is taken, and its time begins."""
+        """A streamed request body is complete; the timeout of the call begins."""
         if call.id not in self.calls:
             return
         self.partial_calls.discard(call.id)
@@ -136,24 +136,27 @@
         call.deadline = now + call.timeout - ANSWER_MARGIN
         call.timers.append(self.timers.add(call.deadline, call))
         for flight in call.open_attempts.values():
-            flight.sent_at = now  # what came before tells nothing of the endpoint
+            flight.sent_at = now  # the time of the upload says nothing about the endpoint
         self._handle_event(RequestBodyComplete(call.id, call.deadline))
         self._schedule_wake()
 
     def left(self, call: Call) -> None:
-        """The client has gone away, or the sidecar has answered in the balancer's place."""
+        """The client has disconnected, or the sidecar has answered instead of the balancer."""
         if self._close_call(call):
             self._handle_event(RequestAborted(call.id))
             self._give_up_attempts(call, concluded=True)
 
     def listed(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
-        """Take discovery's word: addresses before the balancer can send there, closing after it knows."""
+        """Apply an endpoint list of discovery.
+
+        Addresses are set before the balancer can send to them; connections are closed after it was informed.
+        """
         if not kind.watch_ended:
             self._log_discovery_restored()
         if not entries and not kind.complete:
             if kind is ListKind.DELTA:
                 self.start_times.discovery_heard(self.clock())
-            self._handle_event(EndpointList(kind))  # a heartbeat, or no word any more
+            self._handle_event(EndpointList(kind))  # a heartbeat, or discovery was lost
             if kind.watch_ended and kind is not ListKind.MOVED:
                 self._log_discovery_wait(kind)
             return
@@ -185,17 +188,17 @@
                 self.upstream.close(host)
 
     def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with its start on this process's clock."""
+        """The endpoint with its start time converted to this process's clock."""
         started_at = self.start_times.local_start(self.clock(), endpoint.id, endpoint.started_at)
         return endpoint if started_at == endpoint.started_at else replace(endpoint, started_at=started_at)
 
     def _with_reported_start(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with its start as discovery told it."""
+        """The endpoint with its start time as discovery reported it."""
         started_at = self.start_times.reported_start(endpoint.id, endpoint.started_at)
         return endpoint if started_at == endpoint.started_at else replace(endpoint, started_at=started_at)
 
     def _log_discovery_restored(self) -> None:
-        """Tell what became of calls while no watch was on, now that discovery is heard again."""
+        """Log the effects of a discovery outage that has just ended."""
         balancer, discovery = self.balancer, self.balancer.discovery
         if not discovery.disconnected() or discovery.lost_at == -math.inf:
             return
@@ -213,7 +216,7 @@
         )
 
     def _log_discovery_wait(self, kind: ListKind) -> None:
-        """Tell when discovery is asked again, now that a call or a watch is over."""
+        """Log when discovery is next queried, after a query or a watch has ended."""
         discovery, now = self.balancer.discovery, self.clock()
         heard_at = discovery.heard_at
         self.upstream.log.log_event(
@@ -224,23 +227,23 @@
         )
 
     def reconfigure(self, settings: Settings) -> None:
-        """Have the module go by other settings, between events; a ValueError names what can't change."""
+        """Change the settings of the module between events; a ValueError names one that can't be changed."""
         if not self.ended:
             self._process(self.balancer.reconfigure(self.clock(), settings))
 
     def hear(self, event: PeerReports) -> None:
-        """Tell the module what siblings hold."""
+        """Pass the siblings' reports to the module."""
         self._handle_event(event)
 
     def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Tell the module the whole list as it should have it: no word of discovery's, which may be down."""
+        """Replace the module's whole list. Does not count as news from discovery, which may be down."""
         self._handle_event(EndpointList(ListKind.CACHED, endpoints))
 
     def _superseded(self, entries: tuple[Listed, ...]) -> set[int]:
-        """The endpoints at whose address another one has started later.
+        """The endpoints whose address is now used by another endpoint that started later.
 
-        Guards against a machine that has gone without a word: all its calls would go to the new and cold one
-        at its address, past the new one's counts.
+        A machine may vanish without being removed from the list. All its calls would then go to the new, cold
+        endpoint at its address and would not be counted for that endpoint.
         """
         listed_ids = {e.endpoint.id for e in entries}
         newest = {p.address: (p.since, id) for id, p in self.upstream.hosts.items() if id not in listed_ids}
@@ -255,31 +258,31 @@
         return superseded
 
     def listed_count(self) -> int:
-        """Endpoints that the list names now, those that drain among them."""
+        """The number of listed endpoints, including draining ones."""
         return len(self.ready) + len(self.draining)
 
     def out_of_rotation(self) -> dict[int, str]:
-        """Those of them that are sent nothing now, and why. Other threads ask too: nothing changes."""
+        """The listed endpoints that get no requests now, and why. Read-only, as other threads call it too."""
         return dict.fromkeys(self.draining, "drains") | self.balancer.aside(self.clock())
 
     def address(self, endpoint: int) -> str:
-        """Where an endpoint is; empty where no connection was ever wanted there."""
+        """The address of an endpoint; empty if it has none here."""
         host = self.upstream.hosts.get(endpoint)
         return "" if host is None else str(host.address)
 
     def entries(self) -> tuple[Listed, ...]:
-        """The list as it stands, for the process that takes over."""
+        """The ready endpoints, for the process that takes over."""
         servers, hosts = self.balancer.servers, self.upstream.hosts
         known = [id for id in self.ready if id in servers and id in hosts]
         return tuple(Listed(self._with_reported_start(servers[id].info), hosts[id].address) for id in known)
 
     def misses(self, endpoint: int) -> int:
-        """How many attempts in a row found no connection to an endpoint."""
+        """The number of consecutive attempts that got no connection to an endpoint."""
         server = self.balancer.servers.get(endpoint)
         return 0 if server is None else server.missed
 
     def fail_all(self) -> None:
-        """Answer all that is owed: the process is about to end."""
+        """Answer all open calls with a failure, as the process is about to exit."""
         for call in list(self.calls.values()):
             self.left(call)
             call.on_answer(Answer(FAILED))
@@ -295,8 +298,8 @@
         if outcome is Outcome.OK and self._close_call(call):
             call.on_answer(Answer(SERVED, content))
         elif outcome is Outcome.CANCELLED and self._close_call(call):
-            # The endpoint can't use this request. Guards against one caller's bad requests that are tried
-            # again elsewhere and count against the health of every endpoint they come to.
+            # The endpoint can't process this request. If it were retried elsewhere, one client's bad requests
+            # would count against the health of every endpoint that gets them.
             call.on_answer(Answer(UNUSABLE, content))
         owed = call.id in self.calls
         if owed:
@@ -306,7 +309,7 @@
             self._give_up_attempts(call, concluded=True)
 
     def _log_attempt(self, call: Call, attempt: OpenAttempt, outcome: Outcome, elapsed: float) -> None:
-        """Log an attempt that leaves its call unanswered: it is tried again, or given up."""
+        """Log an attempt that left its call unanswered; the call is then retried or given up."""
         self.upstream.log.log_event(
             "attempt-failed",
             call=_trace_text(call),
@@ -316,10 +319,10 @@
         )
 
     def _flow_began(self, call: Call, number: int, flow: Flow) -> bool:
-        """A long answer begins to be passed on; tells whether it is owed. The module hears that it ended.
+        """Begin to stream a long answer; returns False if the call is no longer open.
 
-        Guards against callers who read for a minute, and would fill the limit on calls in flight: what comes
-        now is transport, no work.
+        The module is informed that the attempt has ended, as what remains is transport and no work for the
+        endpoint. Otherwise clients that read for a minute would fill the limit on calls in flight.
         """
         attempt = call.open_attempts.pop(number)
         elapsed = self.clock() - attempt.sent_at
@@ -328,7 +331,7 @@
             return False
         self.flows.add(flow)
         flow.over_calls.append(self.flows.discard)
-        if body_complete:  # else its time has not begun
+        if body_complete:  # otherwise the timeout has not begun
             timer = self.timers.add(call.deadline, flow)
             flow.over_calls.append(lambda _: self.timers.cancel(timer))
             self._schedule_wake()
@@ -338,13 +341,13 @@
         return True
 
     def _deadline_passed(self, call: Call) -> None:
-        """The deadline: what is still out has timed out, and the balancer words the answer."""
+        """The deadline of a call: its open attempts time out, and the balancer decides the answer."""
         self.upstream.log.log_event(
             "deadline-passed", call=_trace_text(call), where=_wait_state(call), attempts=call.attempts_sent
         )
         self._give_up_attempts(call, concluded=False)
         if call.id in self.calls:
-            # Guards the rule itself: the balancer answers by then, and if it does not, the sidecar does.
+            # The balancer should have answered by now; if not, the call still gets its one answer in time.
             self.left(call)
             call.on_answer(Answer(FAILED))
 
@@ -354,8 +357,8 @@
             del call.open_attempts[number]
             written = flight.attempt.give_up()
             if concluded:
-                # Guards also against a crowd that leaves while its sends are held back: that tells nothing of
-                # the endpoint, which would count as out of reach.
+                # Many clients may disconnect while their sends are held back. That says nothing about the
+                # endpoint, which would otherwise count as unreachable.
                 outcome = Outcome.CANCELLED
             elif not written:
                 outcome = Outcome.CONNECT_FAILED  # its last byte was never written
@@ -374,9 +377,9 @@
         self._schedule_wake()
 
     def _schedule_wake(self) -> None:
-        """Have the loop wake this at the first moment that is waited for; one timer serves them all.
+        """Schedule the one timer of the event loop for the earliest entry of the queue.
 
-        One that is set for too early is left: what it waited for has gone, which is what mostly happens.
+        A timer that is set too early stays: its entry was cancelled, as most are, and waking up is harmless.
         """
         first = self.timers.next()
         if first is None or first >= self.wake_at:
@@ -384,15 +387,15 @@
         if self.wake_timer is not None:
             self.wake_timer.cancel()
         self.wake_at = first
-        # 1 ms more guards against the loop's clock, which counts whole ms: the balancer drops an early timer.
+        # 1 ms is added as the loop's clock has a resolution of 1 ms, and the balancer ignores early timers.
         self.wake_timer = self.loop.call_later(max(0.0, first - self.clock()) / 1000 + 0.001, self._wake)
 
     def _wake(self) -> None:
         self.wake_timer = None
         self.wake_at = math.inf
         now = self.clock()
-        # What these cause may cancel others that are due, or add some: those past `now` wait for the next
-        # turn.
+        # Handling an entry may cancel others that are due, or add some; those after `now` wait for the next
+        # wake-up.
         while (item := self.timers.pop(now)) is not None:
             if isinstance(item, Call):
                 self._deadline_passed(item)
@@ -403,15 +406,15 @@
         self._schedule_wake()
 
     def _handle_event(self, event: Event) -> None:
-        """Events in the order they came: one that an action causes waits until the others are carried out."""
+        """Handle events in order; one caused by an action is queued until all current actions are done."""
         if self.ended:
-            return  # guards against what still goes on when its pool has ended, and would keep it in memory
+            return  # late callbacks would otherwise restart timers and keep the ended pool in memory
         self.events.append(event)
         if not self.handling_events:
             self._process(())
 
     def _process(self, actions: Sequence[Action]) -> None:
-        """Carry out these actions, then all that events cause."""
+        """Carry out these actions, then handle all queued events."""
         self.handling_events = True
         try:
             for action in actions:
@@ -422,7 +425,7 @@
         finally:
             self.handling_events = False
 
-    # What the balancer wants
+    # Actions of the balancer
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, Send):
@@ -454,7 +457,7 @@
         self._handle_event(ProbeEnded(endpoint, outcome, self.clock() - sent))
 
     def end(self) -> None:
-        """Take no more events: its pool has ended."""
+        """Ignore all further events, as the pool has ended."""
         self.ended = True
         if self.wake_timer is not None:
             self.wake_timer.cancel()
@@ -473,7 +476,7 @@
     def _answer(self, request: int, answer: Answer) -> None:
         call = self.calls[request]
         if answer.status == REFUSED and call.intent is not None and call.intent.doubtful:
-            answer = Answer(FAILED)  # the module knows of its own attempts only
+            answer = Answer(FAILED)  # another process may have sent it, unknown to the module
         self._close_call(call)
         call.on_answer(answer)
 
@@ -481,7 +484,7 @@
         now, number = self.clock(), call.attempts_sent
         call.attempts_sent += 1
         if call.gone is not None and call.gone():
-            # Guards against sends for nobody: a caller's end is not seen while its connection is not read.
+            # A disconnect is not noticed while the connection is not read: check before sending in vain.
             self._handle_event(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
             self.left(call)
             return
@@ -499,9 +502,9 @@
         return call.build_payload(max(1, int(call.deadline - self.clock())))
 
     def _close_call(self, call: Call) -> bool:
-        """Take a call off the books; tells whether it was still owed its answer."""
+        """Remove a call from the table; returns whether it was still unanswered."""
         for timer in call.timers:
-            self.timers.cancel(timer)  # guards against timers, and what they hold, that outlive their call
+            self.timers.cancel(timer)  # else the timer and all it references outlive the call
         call.timers.clear()
         self.partial_calls.discard(call.id)
         if call.upload is not None:
@@ -513,12 +516,12 @@
 
 
 def _trace_text(call: Call) -> str:
-    """A call's X-Trace-Id, for the log."""
+    """The X-Trace-Id of a call, for the log."""
     return call.trace_id.decode("ascii", "backslashreplace")
 
 
 def _wait_state(call: Call) -> str:
-    """Where a call waits, for the log."""
+    """What a call is waiting for, for the log."""
     for flight in call.open_attempts.values():
         return ATTEMPT_STATES[flight.attempt.state]
     return "between attempts" if call.attempts_sent else "for an endpoint"
--- a/millgw/pool/health_probe.py
+++ b/millgw/pool/health_probe.py
@@ -1,4 +1,4 @@
-"""One health probe of an endpoint, on a connection of the pool's own: `GET /health`, answered 200 or 503."""
+"""One health probe of an endpoint over the pool's connections: `GET /health`, answered with 200 or 503."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from millgw.http.message import Content
 from millgw.interface import Outcome, Repeat
 
-PROBE_TIMEOUT_MS: Final = 1000.0  # ms: an endpoint that takes longer is no proof of what it is now
+PROBE_TIMEOUT_MS: Final = 1000.0  # a later answer says nothing about the endpoint's present state
 
 Ended = Callable[[int, Outcome, float], None]
 
 
 class HealthProbe:
-    """Asks once. `ended` is called once, with the endpoint, the outcome and when (ms) the probe was sent."""
+    """Sends one probe. `ended` is called once with the endpoint, the outcome and the send time (ms)."""
 
     def __init__(self, endpoint: int, sent: float, ended: Ended) -> None:
         self.endpoint = endpoint
@@ -30,7 +30,7 @@
         self.ended(self.endpoint, outcome, self.sent_at)
 
     def expire(self) -> None:
-        """Its time is over; nothing, if it was answered before."""
+        """Report a timeout, unless the probe was answered before."""
         if not self.attempt.given_up:
             self.attempt.give_up()
             self.ended(self.endpoint, Outcome.TIMEOUT, self.sent_at)
--- a/millgw/pool/metrics.py
+++ b/millgw/pool/metrics.py
@@ -1,7 +1,7 @@
-"""The metrics of pools and their JSON for operators; docs/control.md says what each one means.
+"""Metrics of the pools and their JSON for operators; docs/control.md describes each one.
 
-Reading them passes over the list of endpoints once for `out_of_rotation`: it is asked of the module as it
-stands, which costs some 0.1 µs an endpoint and needs no second count that could differ from it.
+Reading them iterates over the endpoints once for `out_of_rotation`. This is computed from the current state
+of the module, at about 0.1 µs per endpoint, as a separate counter could differ from that state.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from millgw.http.message import REFUSED, SERVED
 
 THROTTLED_STATUSES = (429, REFUSED)
-MAX_NAMED = 200  # endpoints out of rotation that one answer names: some 16 kB
+MAX_NAMED = 200  # endpoints out of rotation listed in one answer: about 16 kB
 
 
 class AnswerCounts:
-    """Final answers by class of one pool."""
+    """Counts of one pool's final answers, by class."""
 
     __slots__ = ("classes", "faulted", "fulfilled", "throttled")
 
@@ -28,7 +28,7 @@
         self.faulted = [0] * len(self.classes)
 
     def answered(self, cls: int, status: int) -> None:
-        """A caller was given its final answer."""
+        """A client got its final answer."""
         if status == SERVED:
             self.fulfilled[cls] += 1
         elif status in THROTTLED_STATUSES:
@@ -38,7 +38,7 @@
 
 
 class MeasuredPool(Protocol):
-    """A pool, as far as its metrics need it."""
+    """What the metrics need of a pool."""
 
     answer_counts: AnswerCounts
 
@@ -54,7 +54,7 @@
 
 
 def metrics(pools: Sequence[MeasuredPool]) -> dict[str, object]:
-    """The metrics of all pools together; each class of the settings is there, with 0 too."""
+    """The metrics summed over all pools; each configured class is included, also with count 0."""
     kinds: dict[str, dict[str, int]] = {"fulfilled": {}, "throttled": {}, "faulted": {}}
     for pool in pools:
         counted = pool.answer_counts
@@ -73,7 +73,7 @@
 
 
 def out_of_rotation_json(pools: Sequence[MeasuredPool], most: int = MAX_NAMED) -> bytes:
-    """The endpoints out of rotation, with the service and why, as one line of JSON; `most` are named."""
+    """One line of JSON: the endpoints out of rotation with service and reason, at most `most` of them."""
     rows = [
         {"service": pool.name, "endpoint": endpoint, "why": why}
         for pool in pools
@@ -83,5 +83,5 @@
 
 
 def metrics_json(pools: Sequence[MeasuredPool], more: Mapping[str, object] | None = None) -> bytes:
-    """The metrics of all pools together as one line of JSON, with further ones after them."""
+    """The metrics summed over all pools as one line of JSON, followed by those of `more`."""
     return json.dumps(metrics(pools) | dict(more or {})).encode() + b"\n"
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -1,6 +1,7 @@
-"""One pool in service: a module instance, an endpoint source, connections and a part of what the process has.
+"""One running pool: a decision module, an endpoint source, connections and a share of the resources.
 
-The plain daemon is one of these with everything for its part; each service of an operator's file is another.
+A sidecar without services has one pool with all resources; otherwise each service of the operator's file has
+a pool of its own.
 """
 
 from __future__ import annotations
@@ -23,28 +24,28 @@
 from millgw.pool.share import ANSWERS, BODIES, CALLS, CONNECTIONS, Share
 from millgw.pool.terms import CallFactory
 
-RETRY_AFTER_MS = 500.0  # ms after which a client that is turned away at a bound may find room
-RETIRE_POLL_S = 0.1  # s between two looks whether a retired pool's last call has ended
+RETRY_AFTER_MS = 500.0  # when a client that was refused at a resource limit may retry
+RETIRE_POLL_S = 0.1  # interval of the check whether a retired pool has open calls left
 
 
 class Source(Protocol):
-    """Where a pool's endpoints are known from. When to ask is the balancer's decision."""
+    """Provides the endpoint list of a pool. The balancer decides when to query it."""
 
     def start(self, known: Any) -> None:
-        """Tell what was known before, if anything; called once, before all else."""
+        """Report the endpoints known before, if any; called once, before all else."""
 
     def subscribe(self) -> None:
-        """Tell the list and its changes from now on."""
+        """Report the list and its changes from now on."""
 
     def stop(self) -> None:
-        """Tell nothing more."""
+        """Report nothing more."""
 
     def figures(self) -> dict[str, object]:
-        """What the log should know of it."""
+        """Its state, for the log."""
 
 
 class Witness(Protocol):
-    """What a pool has seen of its endpoints itself: some sources weigh it against what they are told."""
+    """A pool's own observations of its endpoints; some sources compare them with the reported list."""
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None: ...
 
@@ -52,17 +53,17 @@
 
 
 class Intents(Protocol):
-    """What keeps marks of calls that may not be sent again (see `millgw.intents`)."""
+    """Records calls that must not be sent twice (see `millgw.intents`)."""
 
     def take(self, pool: str, head: Head) -> Intent | Answer:
-        """The intent of a call, or the answer to one that is not to be sent."""
+        """The intent of a call, or the answer to a call that must not be sent."""
 
 
 class Pool:
-    """`retired` once no route leads to it: it ends when its last call has.
+    """One pool. It is `retired` once no route leads to it, and ends with its last call.
 
-    `source` makes the pool's endpoint source, given where its lists go and what the pool has seen itself;
-    `locality` chooses zones, where places are set.
+    `source` makes the pool's endpoint source from a callback for its lists and the pool's own observations;
+    `locality` chooses zones, if places are configured.
     """
 
     def __init__(
@@ -88,15 +89,15 @@
         self.source = source(self._list_received, self)
         self.driver = Driver(Balancer(self.settings, seed, locality), self.upstream, self.source.subscribe)
         self.call_factory = CallFactory(self.settings, self.driver)
-        self.intents: Intents | None = None  # where what may not be sent again is marked
+        self.intents: Intents | None = None  # records unsafe calls, if configured
         self.answer_counts = AnswerCounts([c.name for c in self.settings.classes])
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
-        """What its connections to an endpoint tell (see `Upstream.seen`)."""
+        """What the connections to an endpoint show of its state (see `Upstream.seen`)."""
         return self.upstream.seen(endpoint)
 
     def misses(self, endpoint: int) -> int:
-        """Attempts in a row that found no connection to an endpoint."""
+        """The number of consecutive attempts that got no connection to an endpoint."""
         return self.driver.misses(endpoint)
 
     def _list_received(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
@@ -104,15 +105,15 @@
             self.driver.listed(kind, entries)
 
     def start(self, known: Any) -> None:
-        """Begin, with the list that this sidecar had before, in discovery's form."""
+        """Start with the list that this sidecar had before, in discovery's format."""
         self.source.start(known)
         if not self.settings.ask_discovery:
             self.source.subscribe()
 
     def reconfigure(self, config: Config) -> None:
-        """Go by another configuration from now on, with all that was learned and all calls as they are.
+        """Apply another configuration; learned state and open calls are kept.
 
-        A ValueError names a setting that can't be changed in service; nothing has changed then.
+        Raises ValueError with the name of a setting that can't change at run time; then nothing is changed.
         """
         self.driver.reconfigure(config.settings)
         self.call_factory.reconfigure(config.settings)
@@ -122,9 +123,9 @@
     # Requests
 
     def busy(self) -> Answer | None:
-        """The answer to one more request where there is no room for it: told from its head alone.
+        """The refusal of a new request if the pool is at its limit of calls; needs no part of the request.
 
-        Guards against a flood: its calls would take the room of other pools, or find no descriptor.
+        Without it, the calls of a flood would take the capacity of other pools or find no file descriptor.
         """
         if self.retired or len(self.driver.calls) >= self.most(CALLS):
             return self._refusal()
@@ -134,7 +135,7 @@
         return Answer(REFUSED, retry_after=min(RETRY_AFTER_MS, self.settings.retry_after_most))
 
     def call(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
-        """The call that a request makes, or the answer to one that there is no room for."""
+        """Make the call of a request, or the answer if it can't be accepted."""
         busy = self.busy()
         if busy is not None:
             return busy
@@ -143,7 +144,7 @@
         call = self.call_factory.call(head, answer)
         call.timeout = self.share.patience(call.timeout)
         if call.trace_id in self.driver.open:
-            # Guards against a second answer for one request, and against attempts that disturb the first.
+            # Otherwise one request could get two answers, and the attempts of one call disturb the other's.
             raise BadRequest(409, "X-Trace-Id is that of an open request")
         if self.intents is not None and call.repeat is Repeat.UNSAFE:
             intent = self.intents.take(self.name, head)
@@ -153,49 +154,52 @@
         return call
 
     def enter(self) -> int:
-        """One more body is passed on; the bytes of its window."""
+        """Register a body that is streamed; returns the bytes of its flow control window."""
         return self.upstream.streams.enter()
 
     def leave(self) -> None:
-        """One has come to its end."""
+        """A streamed body has ended."""
         self.upstream.streams.leave()
 
     def hold(self, more: int) -> None:
-        """Guards against memory that fills with the bodies of many clients, each within its bound."""
+        """Account for more (or fewer) bytes of request bodies; raises BadRequest at the pool's limit.
+
+        Otherwise the bodies of many clients, each within its own limit, could fill the memory.
+        """
         if more > 0 and self.bodies + more > self.most(BODIES):
             raise BadRequest(REFUSED, "too much is being sent")
         self.bodies += more
 
-    # What is counted
+    # Metrics
 
     def answered(self, head: Head, status: int) -> None:
-        """A caller was given the final answer to a request that had come whole."""
+        """A client got the final answer to a request that had arrived whole."""
         cls = self.call_factory.classes.get(head.values.get(b"x-qos", b""))
         if cls is not None:
             self.answer_counts.answered(cls, status)
 
     def relayed(self) -> int:
-        """Attempts whose last byte the kernel has taken."""
+        """The number of attempts whose last byte was accepted by the kernel."""
         return self.upstream.written
 
     def open_requests(self) -> int:
-        """Calls taken and not answered to the end."""
+        """The number of accepted calls whose answers are not complete."""
         return len(self.driver.calls) - len(self.driver.partial_calls) + len(self.driver.flows)
 
     def listed(self) -> int:
-        """Endpoints in the list, those that drain among them."""
+        """The number of listed endpoints, including draining ones."""
         return self.driver.listed_count()
 
     def aside(self) -> list[tuple[str, str]]:
-        """Those of them that are sent nothing now, by address, and why: the module's reason, or a drain."""
+        """The listed endpoints that get no requests now: address and reason (the module's, or a drain)."""
         return [
             (self.driver.address(id) or str(id), why) for id, why in self.driver.out_of_rotation().items()
         ]
 
-    # Bounds
+    # Resource limits
 
     def held(self, kind: str) -> int:
-        """How much of a kind it holds now."""
+        """How much of a kind of resource the pool holds now."""
         if kind == CALLS:
             return len(self.driver.calls)
         if kind == CONNECTIONS:
@@ -205,20 +209,18 @@
     def most(self, kind: str) -> int:
         return self.share.most(kind)
 
-    # Its end
+    # Retirement
 
     def retire(self) -> None:
-        """No new calls; those that are open end as they would. Its endpoints are left when the last has."""
+        """Accept no new calls. Open ones run to their end; then the connections are closed."""
         self.retired = True
         self.share.end()
-        self.driver.subscribe = (
-            _do_nothing  # guards against a module that asks again, as it does now and then
-        )
+        self.driver.subscribe = _do_nothing  # the module still asks for subscriptions now and then
         self.source.stop()
         self._end_when_idle()
 
     def drop(self) -> None:
-        """Leave nothing that goes on by itself, and would keep all of this in memory."""
+        """Stop all timers and callbacks, which would keep the pool in memory."""
         self.upstream.stop()
         self.driver.end()
 
@@ -234,7 +236,7 @@
         log_event("pool-ended", pool=self.name)
 
     def figures(self) -> dict[str, object]:
-        """What it holds against its bounds, for the log."""
+        """Resources held and their limits, for the log."""
         figures: dict[str, object] = {"pool": self.name, "endpoints": len(self.driver.ready)}
         for kind in (CALLS, CONNECTIONS, BODIES, ANSWERS):
             figures[kind] = f"{self.held(kind)}/{self.most(kind)}"
@@ -242,17 +244,17 @@
         return figures | {"sends": self.upstream.sends, "held_back": self.upstream.held_back}
 
     def tended(self) -> dict[str, object]:
-        """What happened to its connections, where they are tended."""
+        """Counts of connection events, if connections are managed."""
         tending = self.upstream.tending
         return {} if tending is None else tending.figures()
 
     def locality(self) -> dict[str, object] | None:
-        """How zones are chosen, where they are (see `millgw.locality.router`)."""
+        """The state of zone routing, if configured (see `millgw.locality.router`)."""
         locality = self.driver.balancer.locality
         return None if locality is None else locality.figures()
 
     def status(self) -> str:
-        """The same as one line for people and scripts."""
+        """The same as one line of text, for people and scripts."""
         figures = self.figures()
         state = "ready" if self.driver.ready else "no endpoint"
         kinds = ", ".join(f"{kind} {figures[kind]}" for kind in (CALLS, CONNECTIONS, BODIES, ANSWERS))
@@ -262,7 +264,7 @@
 
 
 def read(head: Head, answer: Callable[[Answer], None], ready: Callable[[Head], Answer]) -> Call | Answer:
-    """What becomes of a whole request, by what its front said of its head; one of no pool asks for /ready."""
+    """Make the call of a complete request, or its answer. A request without a pool is one for /ready."""
     if head.wrong is not None:
         raise head.wrong
     if head.refused is not None:
--- a/millgw/pool/share.py
+++ b/millgw/pool/share.py
@@ -1,7 +1,7 @@
-"""What a pool may hold of each kind of thing that a process has only so much of.
+"""A pool's share of the limited resources of the process.
 
-Kinds: `calls` that are open, `connections` to endpoints, `bodies` (bytes of requests' bodies), `answers`
-(bytes of answers coming in).
+Kinds of resource: open `calls`, `connections` to endpoints, `bodies` (bytes of request bodies) and `answers`
+(bytes of incoming answers).
 """
 
 from __future__ import annotations
@@ -9,24 +9,24 @@
 from typing import Protocol
 
 CALLS, CONNECTIONS, BODIES, ANSWERS = "calls", "connections", "bodies", "answers"
-BODIES_PART = 1 / 8  # of the memory, for bodies of requests that are open or coming in
+BODIES_PART = 1 / 8  # of the memory limit, for request bodies of open or arriving requests
 
 
 class Share(Protocol):
-    """One pool's part."""
+    """The share of one pool."""
 
     def most(self, kind: str) -> int:
-        """How much it may hold now."""
+        """How much of a resource the pool may hold now."""
 
     def end(self) -> None:
-        """The pool is removed: it takes nothing new, and what it has taken may come to its end."""
+        """The pool is removed: it takes nothing new, but keeps what it holds until that is released."""
 
     def patience(self, patience: float) -> float:
-        """For how long (ms) a call that wants so much may be taken now: what is on loan must come back."""
+        """The timeout (ms) granted to a call that asks for `patience` ms: borrowed capacity must return."""
 
 
 class Whole:
-    """The part of a pool that is alone: everything."""
+    """The share of the only pool of a process: everything."""
 
     def __init__(self, totals: dict[str, int]) -> None:
         self.totals = totals
@@ -35,7 +35,7 @@
         return self.totals[kind]
 
     def end(self) -> None:
-        """All stays as it is: there is nobody else."""
+        """Nothing to do, as there is no other pool."""
 
     def patience(self, patience: float) -> float:
         return patience
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -1,4 +1,4 @@
-"""What a request must be like to be taken as a call, by a pool's settings."""
+"""Validates requests against a pool's settings and makes calls of them."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from millgw.log.events import log_event
 from millgw.pool.call import Call, Owner
 
-MAX_TIMEOUT_DIGITS = 9  # of X-Expires-In-Ms: enough for any wait, and a number that is cheap to read
+MAX_TIMEOUT_DIGITS = 9  # of X-Expires-In-Ms: enough for any timeout, and cheap to parse
 
 
 def parse_timeout(header: bytes) -> float:
-    """The ms of X-Expires-In-Ms; a BadRequest where it is missing or not whole milliseconds.
+    """Parse X-Expires-In-Ms; raises BadRequest if it is missing or not whole milliseconds.
 
-    None left is no fault of the request: an earlier tier has used its time up. It is a call like any other,
-    and the module gives it up at once. Bounded by the caller, as timers live that long.
+    A value of 0 is valid: an earlier tier has used up the time, and the module gives the call up at once.
+    The code that calls this bounds the value, as timers live that long.
     """
     if not header.isdigit() or len(header) > MAX_TIMEOUT_DIGITS:
         raise BadRequest(400, "X-Expires-In-Ms is missing or not whole milliseconds")
@@ -27,20 +27,20 @@
 
 
 class CallFactory:
-    """Makes calls of requests; all are `owner`'s."""
+    """Makes calls of requests; `owner` is responsible for all of them."""
 
     def __init__(self, settings: Settings, owner: Owner) -> None:
         self.owner = owner
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Make calls by other settings; calls that are open keep the terms on which they were taken."""
+        """Use other settings for new calls; open calls keep those under which they were accepted."""
         self.settings = settings
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
     def call(self, head: Head, on_answer: Callable[[Answer], None]) -> Call:
-        """The call that a request to /api makes; a BadRequest tells what is wrong with it."""
+        """Make the call of a request to /api; raises BadRequest if the request is invalid."""
         values = head.values
         trace_id = values.get(b"x-trace-id", b"")
         if not trace_id:
@@ -52,10 +52,10 @@
         if head.method != (b"GET" if cls.repeat is Repeat.SAFE else b"POST"):
             raise BadRequest(405, "the method does not fit the class")
         if cls.repeat is Repeat.KEYED and not values.get(b"idempotency-key"):
-            # Guards against a repeat that no endpoint could recognise.
+            # Without the key, no endpoint could recognise a repeat.
             raise BadRequest(400, "Idempotency-Key is missing")
         timeout = min(parse_timeout(values.get(b"x-expires-in-ms", b"")), cls.deadline)
-        if not head.long:  # else its time counts from its last byte, which is yet to come
+        if not head.long:  # otherwise the timeout counts from the last byte, which is yet to arrive
             waited = (time.monotonic() - head.ended) * 1000
             if timeout <= waited:
                 shown = trace_id.decode("ascii", "backslashreplace")
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -107,7 +107,7 @@
             entry = Listed(Endpoint(77, started_at=now - ahead), Address("127.0.0.1", 9))
             driver.listed(ListKind.DELTA, (entry,))
             assert now <= driver.balancer.servers[77].info.started_at <= driver.clock()
-            (handed,) = (e.endpoint for e in driver.entries() if e.endpoint.id == 77)
-            assert handed.started_at == now - ahead, "the next process dates it by what discovery told"
+            (passed_on,) = (e.endpoint for e in driver.entries() if e.endpoint.id == 77)
+            assert passed_on.started_at == now - ahead, "the next process dates it by what discovery told"
 
     run(test)
