--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -34,12 +34,12 @@
         since = server.started(self.now())
         return since, since == server.info.started_at
 
-    def budget(self) -> int:
+    def descriptor_budget(self) -> int:
         most = self.pool.most(CONNECTIONS)
         # A single pool may use all descriptors, but those for callers must not go to idle connections.
         return most - int(CALLERS_PART * most) if isinstance(self.pool.share, Whole) else most
 
-    def show(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
         self.pool.driver.replace_list(endpoints)
 
 
--- a/millgw/connections/lifetime.py
+++ b/millgw/connections/lifetime.py
@@ -12,9 +12,7 @@
 
 import math
 
-CUT_FACTOR = (
-    0.7  # applied to the geometric mean of the idle time that ended a connection and the limit before
-)
+CUT_FACTOR = 0.7  # applied to the geometric mean of the idle time that ended a connection and the old limit
 RAISE_FACTOR = 1.03  # applied to the limit for each connection that survived about that much idle time
 SURVIVED_SHARE = 0.5  # of the limit: the least idle time of a surviving connection that raises it
 AFTER_ANSWER_MS = 50.0  # a connection that ends this soon after an answer hit a limit on uses, not idle time
--- a/millgw/connections/need.py
+++ b/millgw/connections/need.py
@@ -18,7 +18,7 @@
 class DecayingRate:
     """Events per ms, as an exponentially decaying average."""
 
-    __slots__ = ("updated_at", "decay_ms", "weight")
+    __slots__ = ("decay_ms", "updated_at", "weight")
 
     def __init__(self, decay_ms: float) -> None:
         self.decay_ms = decay_ms
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -44,10 +44,10 @@
     def cold_since(self, endpoint: int) -> tuple[float, bool]:
         """Since when an endpoint is cold (0: not cold, or unreachable), and whether that start was listed."""
 
-    def budget(self) -> int:
+    def descriptor_budget(self) -> int:
         """How many descriptors the pool may use for connections to endpoints without taking others' ones."""
 
-    def show(self, endpoints: tuple[Endpoint, ...]) -> None:
+    def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
         """Pass the whole list to the module, including endpoints that were hidden so far."""
 
 
@@ -135,7 +135,7 @@
             connection.host.idle.append(connection)
         self._schedule_serve(state)
         if self.cold_filter.connected(state.endpoint):
-            self.pool_view.show(self.cold_filter.shown_list())
+            self.pool_view.replace_list(self.cold_filter.shown_list())
 
     def tried(self, host: Host, missed: bool) -> None:
         """A handshake has ended: it succeeded, failed (`missed`), or was no longer wanted."""
@@ -395,7 +395,7 @@
         host = state.host
         if not host.used or self.upstream.room.full():
             return False
-        if self.upstream.holds() >= AHEAD_BUDGET_SHARE * self.pool_view.budget():
+        if self.upstream.holds() >= AHEAD_BUDGET_SHARE * self.pool_view.descriptor_budget():
             return False
         minimum = 1 if state.endpoint in self.cold_filter.hidden else 0
         if not state.policy.should_open_ahead(
@@ -407,7 +407,10 @@
         return True
 
     def _max_idle(self) -> int:
-        return max(MIN_IDLE_PER_ENDPOINT, self.pool_view.budget() // (2 * max(1, len(self.upstream.hosts))))
+        return max(
+            MIN_IDLE_PER_ENDPOINT,
+            self.pool_view.descriptor_budget() // (2 * max(1, len(self.upstream.hosts))),
+        )
 
     def _give_up_surplus(self, state: HostState) -> None:
         connection = state.host.idle.pop(0)
@@ -451,7 +454,7 @@
             fast = fast or state.policy.reachability.state == DOWN
             fast = fast or (turns is not None and turns.cold(self.pool_view.now()))
         if self.cold_filter.show_warm(self.pool_view.now()):
-            self.pool_view.show(self.cold_filter.shown_list())
+            self.pool_view.replace_list(self.cold_filter.shown_list())
         tick = WAITING_TICK_S if has_waiting else FAST_TICK_S if fast else TICK_S
         # Close expiring connections in time: if the other side closes first, a request may cross the close.
         self._schedule_tick(min(tick, max(WAITING_TICK_S, (expires - now) / 1000)))
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -146,7 +146,7 @@
             self._handle_event(RequestAborted(call.id))
             self._give_up_attempts(call, concluded=True)
 
-    def listed(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
+    def handle_list(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         """Apply an endpoint list of discovery.
 
         Addresses are set before the balancer can send to them; connections are closed after it was informed.
--- a/millgw/pool/metrics.py
+++ b/millgw/pool/metrics.py
@@ -46,11 +46,11 @@
 
     def open_requests(self) -> int: ...
 
-    def listed(self) -> int: ...
+    def listed_count(self) -> int: ...
 
     name: str
 
-    def aside(self) -> list[tuple[str, str]]: ...
+    def out_of_rotation(self) -> list[tuple[str, str]]: ...
 
 
 def metrics(pools: Sequence[MeasuredPool]) -> dict[str, object]:
@@ -67,8 +67,8 @@
         **kinds,
         "relayed": sum(pool.relayed() for pool in pools),
         "open_requests": sum(pool.open_requests() for pool in pools),
-        "registry_entries": sum(pool.listed() for pool in pools),
-        "out_of_rotation": sum(len(pool.aside()) for pool in pools),
+        "registry_entries": sum(pool.listed_count() for pool in pools),
+        "out_of_rotation": sum(len(pool.out_of_rotation()) for pool in pools),
     }
 
 
@@ -77,7 +77,7 @@
     rows = [
         {"service": pool.name, "endpoint": endpoint, "why": why}
         for pool in pools
-        for endpoint, why in pool.aside()
+        for endpoint, why in pool.out_of_rotation()
     ]
     return json.dumps({"out_of_rotation": rows[:most], "unnamed": max(0, len(rows) - most)}).encode() + b"\n"
 
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -102,7 +102,7 @@
 
     def _list_received(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         if not self.retired:
-            self.driver.listed(kind, entries)
+            self.driver.handle_list(kind, entries)
 
     def start(self, known: Any) -> None:
         """Start with the list that this sidecar had before, in discovery's format."""
@@ -186,11 +186,11 @@
         """The number of accepted calls whose answers are not complete."""
         return len(self.driver.calls) - len(self.driver.partial_calls) + len(self.driver.flows)
 
-    def listed(self) -> int:
+    def listed_count(self) -> int:
         """The number of listed endpoints, including draining ones."""
         return self.driver.listed_count()
 
-    def aside(self) -> list[tuple[str, str]]:
+    def out_of_rotation(self) -> list[tuple[str, str]]:
         """The listed endpoints that get no requests now: address and reason (the module's, or a drain)."""
         return [
             (self.driver.address(id) or str(id), why) for id, why in self.driver.out_of_rotation().items()
@@ -240,10 +240,10 @@
         figures: dict[str, object] = {"pool": self.name, "endpoints": len(self.driver.ready)}
         for kind in (CALLS, CONNECTIONS, BODIES, ANSWERS):
             figures[kind] = f"{self.held(kind)}/{self.most(kind)}"
-        figures |= self.source.figures() | self.tended()
+        figures |= self.source.figures() | self.connection_counts()
         return figures | {"sends": self.upstream.sends, "held_back": self.upstream.held_back}
 
-    def tended(self) -> dict[str, object]:
+    def connection_counts(self) -> dict[str, object]:
         """Counts of connection events, if connections are managed."""
         tending = self.upstream.tending
         return {} if tending is None else tending.figures()
@@ -259,7 +259,7 @@
         state = "ready" if self.driver.ready else "no endpoint"
         kinds = ", ".join(f"{kind} {figures[kind]}" for kind in (CALLS, CONNECTIONS, BODIES, ANSWERS))
         sends = f"{figures['held_back']} of {figures['sends']} sends held back"
-        tended = "".join(f", {name} {value}" for name, value in self.tended().items())
+        tended = "".join(f", {name} {value}" for name, value in self.connection_counts().items())
         return f"{self.name}: {state}, {figures['endpoints']} endpoints, {kinds}, {sends}{tended}"
 
 
--- a/tests/probe_proofs.py
+++ b/tests/probe_proofs.py
@@ -1,6 +1,6 @@
-"""Whether a call may be refused while discovery is lost: only for want of a health probe's answer.
+"""Checks refusals during a discovery outage: a call may be refused only if no health probe was answered.
 
-The stand-in knows when it was asked for its health and when it answered; a refusal is held against that.
+The stand-in endpoint records when it answered probes; each refusal is compared with these times.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedEndpoint
 
-PROVEN_FOR = 1.5  # s from its answer for which a probe proves an endpoint at the least (2 s from its sending)
+PROVEN_FOR = 1.5  # s after its answer that a probe proves an endpoint at least (2 s from its sending)
 READ_WITHIN = 0.5  # s in which a sidecar on a busy machine has read an answer
-PROBED_WITHIN = 1.0  # s round a refusal in which a probe has come: two are half a second apart at the most
+PROBED_WITHIN = 1.0  # s before or after a refusal in which there was a probe: they are at most 0.5 s apart
 
 Script = Callable[[Message, ScriptedEndpoint], Awaitable[bytes]]
 
 
 @dataclass(frozen=True)
 class TimedAnswer:
-    """When (s, monotonic) a caller had its answer, and the answer's status."""
+    """When (s, monotonic) a caller got its answer, and the status."""
 
     at: float
     status: int
@@ -29,23 +29,23 @@
 
 @dataclass
 class ProbeRecord:
-    """When (s, monotonic) one endpoint was asked for its health, and answered that it is well."""
+    """When (s, monotonic) one endpoint answered health probes."""
 
     answered: list[float] = field(default_factory=list)
 
     def noting(self, script: Script) -> Script:
-        """A script of an endpoint that answers as the given one does, and notes its answers to probes."""
+        """Wrap an endpoint's script so that its answers to probes are recorded."""
 
         async def answer(message: Message, endpoint: ScriptedEndpoint) -> bytes:
-            told = await script(message, endpoint)
+            response = await script(message, endpoint)
             if message.first.startswith("GET /health"):
                 self.answered.append(time.monotonic())
-            return told
+            return response
 
         return answer
 
     def unexplained(self, answers: list[TimedAnswer]) -> list[TimedAnswer]:
-        """The refusals that came though a probe's answer proved the endpoint, or with no probe near them."""
+        """The refusals although an answered probe proved the endpoint, or without a probe near them."""
         return [answer for answer in answers if answer.status != 200 and not self._explains(answer)]
 
     def _explains(self, refusal: TimedAnswer) -> bool:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints as a sidecar tends them: each way in which they die, on loopback sockets."""
+"""Managed connections of a sidecar: each way in which connections end, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def operator_file(connections: str, *endpoints: ScriptedEndpoint, service: str = "") -> str:
-    """An operator's file: one service with these endpoints, its connections tended."""
+    """An operator's file: one service with these endpoints and managed connections."""
     lines = ["[connections]", connections, "[services.all]", service]
     for endpoint in endpoints:
         lines.append("[[services.all.endpoints]]")
@@ -34,7 +34,7 @@
 
 
 async def counts(rig: Reachable) -> dict[str, int]:
-    """What /ready says of connections."""
+    """The connection counters in the answer to /ready."""
     text = (await rig.ask(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")).body.decode()
     return {name: int(number) for name, number in re.findall(r", ([a-z_-]+) (\d+)(?=,|$)", text.strip())}
 
@@ -66,13 +66,13 @@
         closing.cancel()
         assert len(set(traces(endpoint))) == len(endpoint.got) == 25
         assert seen.get("failed-on-reuse-unsafe", 0) == 0
-        # 0.1 s, of the 60 s that are promised, is learned from the first few that ended.
+        # The timeout of 0.1 s (60 s are promised) is learned from the first few connections that ended.
         assert seen["ended-idle"] + seen.get("moved-unsafe", 0) <= 6 and seen["given-up-idle"] >= 5
 
     run(test)
 
 
-def test_an_endpoint_that_ends_each_connection_after_some_answers_is_seen_through(tmp_path: Path) -> None:
+def test_the_limit_of_an_endpoint_that_ends_connections_after_some_answers_is_learned(tmp_path: Path) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", cut=lambda requests: requests >= 4)
         await endpoint.start()
@@ -85,10 +85,10 @@
                 assert (await client.ask(request("pay"))).status == 200
             seen = await counts(rig)
         assert len(set(traces(endpoint))) == len(endpoint.got) == 60
-        # Twice to believe it, and no more. One that a stall parts from its answer is put down to time.
+        # Two ends establish the limit. If a stall delays an end after its answer, it is taken for a timeout.
         believed = seen["moved-unsafe"]
         assert 2 <= believed <= 2 + len(stood_still)
-        # The last calls may be parted between two connections: then neither is used up.
+        # The last calls may be divided between two connections, neither of which reaches the limit then.
         used_up = [connection for connection in endpoint.served if connection.requests == 4]
         assert max(connection.requests for connection in endpoint.served) == 4
         assert seen["given-up-uses"] == len(used_up) - believed and len(used_up) >= 14, seen
@@ -120,7 +120,7 @@
 
 
 def test_without_that_proof_such_a_call_is_lost(tmp_path: Path) -> None:
-    """What the proof guards against: the whole request is written, and may have run for all that is known."""
+    """Without the proof the whole request is written to a dead connection, so it may have run: status 502."""
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
@@ -154,7 +154,7 @@
     run(test)
 
 
-def test_one_connection_at_a_time_asks_an_endpoint_that_says_nothing(tmp_path: Path) -> None:
+def test_a_silent_endpoint_is_probed_by_one_connection_at_a_time(tmp_path: Path) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
@@ -163,12 +163,12 @@
         async with services(tmp_path, operator_file("wait_ms = 30", endpoint, service=settings)) as rig:
             before = time.monotonic()
             got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(12)))
-            # All but the one that asks are told within their wait, long before the connect time-out of 5 s.
+            # All calls but the one that connects fail after their wait, well before the connect timeout of 5 s.
             assert time.monotonic() - before < 5.5
             assert [m.status for m in got].count(503) == 12
             seen = await counts(rig)
             assert seen["not-up"] == 1 and seen["waited-in-vain"] >= 3
-            # Now it is known to be down: calls hear so at once, and one connection goes on asking.
+            # The endpoint is now known to be down: calls fail at once, and one connection probes it.
             before = time.monotonic()
             assert (await rig.ask(request("pay"))).status == 503
             assert time.monotonic() - before < 1.0
@@ -177,18 +177,18 @@
                 await asyncio.sleep(0.05)
         assert len(endpoint.got) == 1
 
-    # The one call is more than half of the endpoints: without others, all are tried.
+    # The one endpoint is more than half of all: in panic mode, all are tried.
     run(test)
 
 
-def test_an_endpoint_that_accepts_and_closes_is_not_asked_over_and_over(tmp_path: Path) -> None:
+def test_an_endpoint_that_accepts_and_closes_is_retried_with_delays_only(tmp_path: Path) -> None:
     async def test() -> None:
-        class Slammed(ScriptedEndpoint):
+        class ClosingEndpoint(ScriptedEndpoint):
             def opened(self, connection: ServerConnection) -> None:
                 super().opened(connection)
                 connection.close()
 
-        bad, good = Slammed("bad"), [ScriptedEndpoint(f"good{i}") for i in range(2)]
+        bad, good = ClosingEndpoint("bad"), [ScriptedEndpoint(f"good{i}") for i in range(2)]
         for endpoint in (bad, *good):
             await endpoint.start()
         async with services(tmp_path, operator_file("keep_least = 2", bad, *good)) as rig:
@@ -196,8 +196,8 @@
             for _ in range(20):
                 got.append((await rig.ask(request("pay"))).status)
                 await asyncio.sleep(0.05)
-            assert got.count(200) >= 15  # a call or two finds no token left for another try
-        # Waits of 100 ms to 2 s between tries, where nothing but the machine's speed would bound it else.
+            assert got.count(200) >= 15  # a call or two finds no token left in the retry budget
+        # With waits of 100 ms to 2 s between handshakes; without them only the machine's speed is a limit.
         assert 1 <= bad.connections <= 15 and not bad.got
 
     run(test)
@@ -238,7 +238,7 @@
 async def answer_watch(
     discovery_server: ScriptedDiscoveryServer, *entries: dict[str, object]
 ) -> asyncio.StreamWriter:
-    """Answer the sidecar's watch with a whole list, and leave it open."""
+    """Answer the sidecar's watch with a complete list, and leave the watch open."""
     _, writer = await discovery_server.calls.get()
     writer.write(STREAM + chunk(line(2, list(entries), snapshot=True)))
     return writer
@@ -251,7 +251,7 @@
         await discovery_server.start()
         for endpoint in (stays, leaves):
             await endpoint.start()
-        leaves.listener.silence()  # what is being opened to it does not come up until it listens again
+        leaves.listener.silence()  # its handshakes do not complete until it accepts again
         text = '[connections]\nkeep_least = 2\n[services.all]\n[[routes]]\nto = "all"'
         async with services(tmp_path, text, str(discovery_server.address)) as rig:
             writer = await answer_watch(discovery_server, stays.entry(), leaves.entry())
@@ -271,7 +271,7 @@
 def test_a_cold_endpoint_is_called_once_its_turn_for_a_connection_has_come(
     tmp_path: Path, place: int, shown: bool
 ) -> None:
-    """Of 400 siblings the first has its turn after 0.2 s, the last not while the endpoint is cold."""
+    """Of 400 siblings the first has its turn after 0.2 s, the last one not while the endpoint is cold."""
 
     async def test() -> None:
         discovery_server, warm = ScriptedDiscoveryServer(), [ScriptedEndpoint(f"w{i}") for i in range(2)]
@@ -293,7 +293,7 @@
 """
         async with services(tmp_path, text, str(discovery_server.address)) as rig:
             _, writer = await discovery_server.calls.get()
-            since = int(time.time() * 1000)  # now that it can be told: a turn is gone 0.1 s after it is due
+            since = int(time.time() * 1000)  # set as late as possible: a turn expires 0.1 s after it is due
             entries = [*(e.entry() for e in warm), cold.entry(since_ms=since)]
             writer.write(STREAM + chunk(line(2, entries, snapshot=True)))
             await asyncio.sleep(1.0)
@@ -306,7 +306,7 @@
     run(test)
 
 
-def test_how_connections_are_tended_changes_in_service(tmp_path: Path) -> None:
+def test_connection_settings_can_be_changed_by_a_reload(tmp_path: Path) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
@@ -315,12 +315,12 @@
             await rig.reload(operator_file("keep_least = 4", endpoint))
             await until(lambda: endpoint.connections == 4)
             seen = await counts(rig)
-            assert seen["opened"] == 1 and seen["opened-ahead"] == 3  # the pool went on with what it had
+            assert seen["opened"] == 1 and seen["opened-ahead"] == 3  # the pool kept its connection
 
     run(test)
 
 
-def test_one_pool_without_services_is_tended_too(tmp_path: Path) -> None:
+def test_connections_of_a_pool_without_services_are_managed_too(tmp_path: Path) -> None:
     async def test() -> None:
         discovery_server, endpoint = ScriptedDiscoveryServer(), ScriptedEndpoint("e1")
         await discovery_server.start()
@@ -334,7 +334,7 @@
     run(test)
 
 
-def test_off_costs_nothing() -> None:
+def test_the_connections_package_is_not_loaded_when_off() -> None:
     assert loaded("millgw.sidecar.__main__, millgw.callers.plain", "millgw.connections") == []
 
 
@@ -354,14 +354,14 @@
         ),
     ],
 )
-def test_terms_that_can_not_be_are_refused_by_line(text: str, says: str) -> None:
+def test_invalid_connection_settings_are_rejected_with_their_line(text: str, says: str) -> None:
     with pytest.raises(OperatorError) as caught:
         parse(text, "operator.toml")
     assert str(caught.value).startswith(says)
 
 
-def test_a_handshake_that_nobody_waits_for_any_more_is_off_the_books(tmp_path: Path) -> None:
-    """Callers that leave at once: some before the handshake has begun, some while it goes on."""
+def test_an_abandoned_handshake_is_no_longer_counted_as_opening(tmp_path: Path) -> None:
+    """Callers disconnect at once, some before the handshake has begun and some during it."""
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -1,4 +1,4 @@
-"""The decisions on connections to endpoints: turns, lives, standing, need, what the module is told."""
+"""Decisions on connections: handshake turns, lifetimes, reachability, demand, hidden endpoints."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 pytestmark = aside
 SINCE = 1_000_000.0
 WALL = 1_700_000_000_000.0  # a Unix time
-TICK = 50.0  # ms between two looks of an instance
+TICK = 50.0  # ms between two checks of an instance
 
 
 def handshakes_of_siblings(
     siblings: int, rate: float, share: float, cold: float, common: bool, seed: int
 ) -> list[float]:
-    """When siblings that want all the connections they can have open them at one cold endpoint."""
+    """When siblings that use all their turns open connections to one cold endpoint."""
     rng = random.Random(seed)
     opened = []
     for index in range(siblings):
@@ -71,25 +71,27 @@
     times = handshakes_of_siblings(siblings, 20.0, 0.2, 14_000.0, True, 1)
     assert most_in_a_second(times) <= 20
     first = sum(at < SINCE + 7000 for at in times)
-    # 0.8 of 20/s, at 0.2 to 1.0 of the capacity: 134 in all, of which 45 while it has less than 0.6.
+    # 0.8 of 20/s at 0.2 to 1.0 of the capacity: 134 in all, of which 45 while the capacity is below 0.6.
     assert len(times) >= 120 and 35 <= first <= 47
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_siblings_that_saw_it_come_back_by_themselves_stay_within_the_rate_too(seed: int) -> None:
+def test_siblings_without_a_shared_start_stay_within_the_rate_too(seed: int) -> None:
     times = handshakes_of_siblings(400, 20.0, 0.2, 14_000.0, False, seed)
     assert most_in_a_second(times) <= 20 and len(times) > 20
 
 
-def test_a_turn_that_was_not_used_is_gone() -> None:
+def test_an_unused_turn_expires() -> None:
     turns = Turns(Place(0, 1, 1.0, 10_000.0), 10.0, SINCE, True, random.Random(1))
     assert not turns.take(SINCE + 5)
-    taken = [turns.take(SINCE + 3000) for _ in range(5)]  # 24 turns have been by then
+    taken = [turns.take(SINCE + 3000) for _ in range(5)]  # 24 turns were due by then
     assert sum(taken) <= 1
 
 
 @given(st.floats(0.05, 1), st.floats(100, 60_000), st.floats(1, 1000), st.floats(0, 1))
-def test_a_count_comes_when_it_was_said_to(share: float, cold: float, rate: float, part: float) -> None:
+def test_the_count_of_handshakes_and_its_time_are_inverse_functions(
+    share: float, cold: float, rate: float, part: float
+) -> None:
     turns = Turns(Place(0, 7, share, cold), rate, SINCE, True, random.Random(1))
     at = SINCE + part * cold
     assert turns.time_of(turns.handshakes_by(at)) == pytest.approx(at, abs=1.0)
@@ -97,8 +99,8 @@
 
 
 @pytest.mark.parametrize("siblings", [7, 67, 400])
-def test_an_endpoint_that_is_out_of_reach_is_tried_at_the_stated_rate(siblings: int) -> None:
-    """So that all siblings together bring it no more, at the moment at which it is back."""
+def test_an_unreachable_endpoint_is_retried_within_the_rate(siblings: int) -> None:
+    """So that all siblings together do not exceed the rate when the endpoint comes back."""
     rng, opened = random.Random(1), []
     for index in range(siblings):
         turns = retry_turns(Place(index, siblings, 0.2, 14_000.0), 20.0, rng)
@@ -115,7 +117,7 @@
     assert all(turns.take(SINCE + 1000) for _ in range(9)) and not turns.cold(SINCE + 1000)
 
 
-# Lives
+# Lifetimes
 
 
 @given(st.lists(st.tuples(st.booleans(), st.floats(0, 60_000)), max_size=60))
@@ -137,7 +139,7 @@
 
 @pytest.mark.parametrize("sharp", [True, False])
 def test_few_connections_end_before_the_idle_bound_that_is_learned(sharp: bool) -> None:
-    """Against an endpoint that promises 30 s and ends them after 2 s, or after a random part of 2 s."""
+    """With an endpoint that promises 30 s and closes after 2 s, or after a random part of 2 s."""
     rng, known, ended = random.Random(1), IdleLimit(30_000.0, 0.5), 0
     for i in range(2000):
         end = 2000.0 * (1.0 if sharp else rng.random())
@@ -150,7 +152,7 @@
     assert not sharp or 1300.0 <= known.limit <= 2100.0
 
 
-def test_a_bound_on_uses_is_believed_when_it_is_seen_twice() -> None:
+def test_a_limit_on_uses_is_trusted_once_seen_twice() -> None:
     known = UseLimit()
     known.ended(0.0, 100)
     assert known.limit(0.0) == 0
@@ -194,7 +196,7 @@
 
 
 @given(idles, st.booleans(), st.sampled_from(Order), st.floats(0, 20_000))
-def test_a_call_that_may_not_run_twice_never_takes_one_that_is_about_to_die(
+def test_an_unsafe_call_never_takes_a_connection_that_is_about_to_expire(
     proven: list[float], unsafe: bool, order: Order, ended: float
 ) -> None:
     made, now = make_policy(order=order), 12_000.0
@@ -228,10 +230,10 @@
     assert blind.idle_limit.limit == 5000.0
 
 
-# Standing
+# Reachability
 
 
-def test_one_connection_finds_out_about_an_endpoint_and_calls_wait_for_it() -> None:
+def test_an_unproven_endpoint_is_probed_by_one_connection_and_calls_wait_for_it() -> None:
     made = make_policy()
     assert made.may_open(0.0, 0.0, 0, False, False) is Opening.NOW
     made.opening = 1
@@ -239,14 +241,14 @@
     made.opening = 0
     made.handshake_failed(0.0)
     assert made.may_open(0.0, 0.0, 0, False, False) is Opening.UNREACHABLE
-    assert made.may_open(0.0, 0.0, 0, True, False) is Opening.NOW  # all seem out of reach
+    assert made.may_open(0.0, 0.0, 0, True, False) is Opening.NOW  # panic mode: all seem unreachable
     assert not made.should_open_ahead(1.0, WALL, 0, 0, 9)
-    # Its turn among its siblings must have come too.
+    # This instance's turn among the siblings must be due too.
     due = made.reachability.probe_at
     moments = [m for m in range(1000) if made.should_open_ahead(due + m, WALL + m, 0, 0, 9)]
     assert moments and min(b - a for a, b in pairwise(moments)) > 40
     made.handshake_succeeded(WALL)
-    assert made.turns is not None and made.turns.cold(WALL)  # it may have started anew
+    assert made.turns is not None and made.turns.cold(WALL)  # it may have restarted
     made.turns = None
     assert [made.may_open(0.0, 0.0, i, False, False) for i in (0, 1)] == [Opening.NOW] * 2
 
@@ -267,7 +269,7 @@
     assert standing.state == UNPROVEN and standing.wait == 0.0
 
 
-def test_many_that_seem_out_of_reach_at_once_are_all_tried() -> None:
+def test_panic_mode_begins_when_more_than_a_share_seems_unreachable() -> None:
     assert not panic_mode(5, 10, 0.5) and panic_mode(6, 10, 0.5) and not panic_mode(0, 0, 0.5)
 
 
@@ -279,14 +281,15 @@
     made.handshake_failed(20.0)
     assert made.reachability.state == UP and made.observed_limit == 1.0
     assert made.may_open(30.0, 0.0, 0, False, False) is Opening.WAIT
-    assert made.may_open(30_000.0, 0.0, 0, False, False) is Opening.NOW  # it may take more by now
+    # The observed limit is raised after a time.
+    assert made.may_open(30_000.0, 0.0, 0, False, False) is Opening.NOW
 
 
-def test_what_is_opened_ahead_and_never_used_is_not_opened_over_and_over() -> None:
+def test_connections_opened_ahead_but_never_used_are_reopened_with_backoff() -> None:
     made, now, opened = make_policy(keep_least=1), 0.0, 0
     made.handshake_succeeded(WALL)
     made.turns = None
-    for _ in range(6000):  # 60 s, in which each is ended after half a second
+    for _ in range(6000):  # 60 s, in which each connection is closed after 0.5 s
         now += 10.0
         if made.should_open_ahead(now, WALL, 0, 0, 9):
             opened += 1
@@ -296,7 +299,7 @@
     assert 4 <= opened <= 8
 
 
-def test_one_that_ends_as_soon_as_it_is_up_was_of_no_use() -> None:
+def test_a_connection_closed_right_after_its_handshake_marks_the_endpoint_down() -> None:
     made = make_policy(keep_least=1)
     life = made.connected(0.0)
     made.handshake_succeeded(WALL)
@@ -305,10 +308,10 @@
     assert made.reachability.state == DOWN and not made.should_open_ahead(6.0, 0.0, 0, 0, 9)
 
 
-# Need
+# Demand
 
 
-def test_connections_are_wanted_ahead_of_a_crowd_and_let_go_after_it() -> None:
+def test_connections_are_wanted_ahead_of_a_flash_crowd_and_released_after_it() -> None:
     need, now = ConnectionDemand(), 0.0
     for _ in range(500):
         need.request_sent(now, 1)
@@ -322,7 +325,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 500), st.integers(1, 50)), max_size=60), st.floats(0, 2))
-def test_what_was_in_use_is_wanted_and_never_beyond_reason(
+def test_the_wanted_number_covers_recent_use_and_is_bounded(
     sends: list[tuple[float, int]], headroom: float
 ) -> None:
     need, now, most = ConnectionDemand(), 0.0, 0
@@ -336,7 +339,7 @@
 
 
 @given(st.data())
-def test_the_books_of_a_keeper_never_open_past_its_bounds(data: st.DataObject) -> None:
+def test_a_policy_never_opens_more_connections_than_its_limits(data: st.DataObject) -> None:
     made = make_policy(keep_most=4, open_most=6, at_once=2, keep_least=1)
     now, lives = 0.0, list[ConnectionRecord]()
     for _ in range(data.draw(st.integers(1, 60))):
@@ -363,7 +366,7 @@
         assert 0 <= made.opening <= 2 and made.open + made.opening <= 6 and made.open == len(lives)
 
 
-# What the module is told
+# Endpoints shown to the module
 
 entries = st.builds(
     Endpoint,
@@ -377,7 +380,7 @@
 
 
 @given(st.lists(lists, max_size=12))
-def test_the_module_hears_of_all_but_a_few_cold_ones_and_of_every_drain(
+def test_the_module_gets_all_endpoints_but_a_few_cold_ones_and_every_drain(
     told: list[tuple[ListKind, list[Endpoint], int]],
 ) -> None:
     made, module, listed = ColdEndpointFilter(5000.0), dict[int, Endpoint](), dict[int, Endpoint]()
@@ -399,7 +402,7 @@
                 module[entry.id] = entry
         if made.show_warm(now) or made.connected(connected):
             module = {e.id: e for e in made.shown_list()}
-        # What the module has is the list, but for those kept back: cold, not connected, never most of it.
+        # The module has the list without hidden endpoints: cold, not connected, at most a share of the list.
         assert module == made.shown
         assert module | made.hidden == listed and not module.keys() & made.hidden.keys()
         assert all(now < e.started_at + 5000.0 for e in made.hidden.values())
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -1,4 +1,4 @@
-"""Starts of endpoints where this machine's clock and the one that dates them differ."""
+"""Start times of endpoints with clock skew between this machine and the one that reports them."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 
 @pytest.mark.parametrize("ahead", [HOUR, 0.0, -HOUR])
 def test_an_endpoint_that_starts_in_service_is_cold_from_when_it_was_listed(ahead: float) -> None:
-    """This machine's clock is right, an hour ahead or an hour behind. Otherwise a cold one looks warm, or
-    stays cold for an hour."""
+    """This machine's clock is right, an hour ahead or an hour behind. Without the correction, a cold endpoint
+    looks warm, or stays cold for an hour."""
     times, started = StartTimes(), NOW + 10_000.0
     times.discovery_heard(NOW + 9_000.0)
     dated = times.local_start(NOW + 12_000.0, 1, started - ahead)
     assert NOW + 9_000.0 <= dated <= NOW + 12_000.0
     times.discovery_heard(NOW + 60_000.0)
-    assert times.local_start(NOW + 60_000.0, 1, started - ahead) == dated, "dated once"
+    assert times.local_start(NOW + 60_000.0, 1, started - ahead) == dated, "determined once"
     assert times.reported_start(1, dated) == started - ahead
 
 
-def test_the_first_list_is_taken_at_its_word_but_for_what_has_yet_to_come() -> None:
+def test_the_starts_of_the_first_list_are_kept_unless_in_the_future() -> None:
     times = StartTimes()
     assert times.local_start(NOW, 1, NOW - HOUR) == NOW - HOUR
     assert times.local_start(NOW, 2, NOW + HOUR) == NOW
     assert times.local_start(NOW, 3, 0.0) == 0.0
 
 
-def test_one_that_started_while_discovery_was_away_is_as_old_as_it_says() -> None:
+def test_a_start_reported_after_a_discovery_outage_is_kept() -> None:
     times = StartTimes()
     times.discovery_heard(NOW)
     assert times.local_start(NOW + HOUR, 1, NOW + HOUR / 2) == NOW + HOUR / 2
 
 
-def test_one_that_leaves_the_list_and_comes_back_keeps_its_start() -> None:
+def test_an_endpoint_that_leaves_the_list_and_returns_keeps_its_start() -> None:
     times = StartTimes()
     assert times.local_start(NOW, 1, NOW - HOUR) == NOW - HOUR
     times.discovery_heard(NOW + 5000.0)
@@ -88,7 +88,7 @@
 def test_a_sidecar_whose_clock_is_wrong_takes_a_new_endpoint_for_cold(
     ahead: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """By way of the driver: the module is given the start on this process's clock."""
+    """Through the driver: the module gets the start on this process's clock."""
     drivers: list[Driver] = []
     original_init = Driver.__init__
 
@@ -103,11 +103,13 @@
             await until(lambda: bool(drivers) and bool(drivers[0].ready))
             (driver,) = drivers
             now = driver.clock()
-            driver.listed(ListKind.DELTA, ())
+            driver.handle_list(ListKind.DELTA, ())
             entry = Listed(Endpoint(77, started_at=now - ahead), Address("127.0.0.1", 9))
-            driver.listed(ListKind.DELTA, (entry,))
+            driver.handle_list(ListKind.DELTA, (entry,))
             assert now <= driver.balancer.servers[77].info.started_at <= driver.clock()
             (passed_on,) = (e.endpoint for e in driver.entries() if e.endpoint.id == 77)
-            assert passed_on.started_at == now - ahead, "the next process dates it by what discovery told"
+            assert passed_on.started_at == now - ahead, (
+                "the next process gets the start as discovery reported it"
+            )
 
     run(test)
