--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -255,7 +255,7 @@
 
     def figures(self) -> dict[str, object]:
         """Counts of events, of unreachable and of hidden endpoints, for the log."""
-        down = sum(k.policy.reachability.state == DOWN for k in self.states.values())
+        down = sum(state.policy.reachability.state == DOWN for state in self.states.values())
         figures: dict[str, object] = {"down": down} if down else {}
         if self.cold_filter.hidden:
             figures["not_yet_shown"] = len(self.cold_filter.hidden)
@@ -381,7 +381,7 @@
         return room.full() and not (self.upstream.give_way() or room.make())
 
     def _panic_mode(self) -> bool:
-        down = sum(k.policy.reachability.state == DOWN for k in self.states.values())
+        down = sum(state.policy.reachability.state == DOWN for state in self.states.values())
         return panic_mode(down, len(self.upstream.hosts), self.terms.panic)
 
     # Opening and closing
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -135,8 +135,8 @@
         now = self.clock()
         call.deadline = now + call.timeout - ANSWER_MARGIN
         call.timers.append(self.timers.add(call.deadline, call))
-        for flight in call.open_attempts.values():
-            flight.sent_at = now  # the time of the upload says nothing about the endpoint
+        for open_attempt in call.open_attempts.values():
+            open_attempt.sent_at = now  # the time of the upload says nothing about the endpoint
         self._handle_event(RequestBodyComplete(call.id, call.deadline))
         self._schedule_wake()
 
@@ -202,7 +202,7 @@
         balancer, discovery = self.balancer, self.balancer.discovery
         if not discovery.disconnected() or discovery.lost_at == -math.inf:
             return
-        looks, self.stale_lookups_before = (
+        stale_lookups, self.stale_lookups_before = (
             balancer.looks_at_stale - self.stale_lookups_before,
             balancer.looks_at_stale,
         )
@@ -211,7 +211,7 @@
             "list-fresh-again",
             unheard_ms=round(self.clock() - discovery.lost_at, 1),
             calls=discovery.failures + 1,
-            found_none=looks,
+            found_none=stale_lookups,
             probes=probes,
         )
 
@@ -291,10 +291,10 @@
             flow.break_off()
 
     def _attempt_ended(self, call: Call, number: int, outcome: Outcome, content: Content) -> None:
-        attempt = call.open_attempts.pop(number)
-        elapsed = self.clock() - attempt.sent_at
+        open_attempt = call.open_attempts.pop(number)
+        elapsed = self.clock() - open_attempt.sent_at
         if call.intent is not None:
-            call.intent.over(attempt.attempt, outcome in NO_EFFECT_OUTCOMES)
+            call.intent.over(open_attempt.attempt, outcome in NO_EFFECT_OUTCOMES)
         if outcome is Outcome.OK and self._close_call(call):
             call.on_answer(Answer(SERVED, content))
         elif outcome is Outcome.CANCELLED and self._close_call(call):
@@ -303,17 +303,17 @@
             call.on_answer(Answer(UNUSABLE, content))
         owed = call.id in self.calls
         if owed:
-            self._log_attempt(call, attempt, outcome, elapsed)
-        self._handle_event(AttemptEnded(call.id, attempt.endpoint, number, outcome, elapsed, not owed))
+            self._log_attempt(call, open_attempt, outcome, elapsed)
+        self._handle_event(AttemptEnded(call.id, open_attempt.endpoint, number, outcome, elapsed, not owed))
         if not owed:
             self._give_up_attempts(call, concluded=True)
 
-    def _log_attempt(self, call: Call, attempt: OpenAttempt, outcome: Outcome, elapsed: float) -> None:
+    def _log_attempt(self, call: Call, open_attempt: OpenAttempt, outcome: Outcome, elapsed: float) -> None:
         """Log an attempt that left its call unanswered; the call is then retried or given up."""
         self.upstream.log.log_event(
             "attempt-failed",
             call=_trace_text(call),
-            endpoint=self.address(attempt.endpoint),
+            endpoint=self.address(open_attempt.endpoint),
             cause=outcome.value,
             took_ms=round(elapsed, 1),
         )
@@ -324,8 +324,8 @@
         The module is informed that the attempt has ended, as what remains is transport and no work for the
         endpoint. Otherwise clients that read for a minute would fill the limit on calls in flight.
         """
-        attempt = call.open_attempts.pop(number)
-        elapsed = self.clock() - attempt.sent_at
+        open_attempt = call.open_attempts.pop(number)
+        elapsed = self.clock() - open_attempt.sent_at
         body_complete = call.id not in self.partial_calls
         if not self._close_call(call):
             return False
@@ -336,7 +336,7 @@
             flow.over_calls.append(lambda _: self.timers.cancel(timer))
             self._schedule_wake()
         call.on_answer(Answer(SERVED, Content(flow.headers), flow=flow))
-        self._handle_event(AttemptEnded(call.id, attempt.endpoint, number, Outcome.OK, elapsed, True))
+        self._handle_event(AttemptEnded(call.id, open_attempt.endpoint, number, Outcome.OK, elapsed, True))
         self._give_up_attempts(call, concluded=True)
         return True
 
@@ -353,9 +353,9 @@
 
     def _give_up_attempts(self, call: Call, concluded: bool) -> None:
         now = self.clock()
-        for number, flight in list(call.open_attempts.items()):
+        for number, open_attempt in list(call.open_attempts.items()):
             del call.open_attempts[number]
-            written = flight.attempt.give_up()
+            written = open_attempt.attempt.give_up()
             if concluded:
                 # Many clients may disconnect while their sends are held back. That says nothing about the
                 # endpoint, which would otherwise count as unreachable.
@@ -364,9 +364,11 @@
                 outcome = Outcome.CONNECT_FAILED  # its last byte was never written
             else:
                 outcome = Outcome.TIMEOUT
-                self.upstream.doubt(flight.endpoint)
+                self.upstream.doubt(open_attempt.endpoint)
             self._handle_event(
-                AttemptEnded(call.id, flight.endpoint, number, outcome, now - flight.sent_at, concluded)
+                AttemptEnded(
+                    call.id, open_attempt.endpoint, number, outcome, now - open_attempt.sent_at, concluded
+                )
             )
 
     def _set_timer(self, action: SetTimer) -> None:
@@ -463,13 +465,13 @@
             self.wake_timer.cancel()
             self.wake_timer = None
 
-    def _log_given_up(self, request: int, status: int, reason: GivenUp) -> None:
+    def _log_given_up(self, request: int, status: int, cause: GivenUp) -> None:
         call = self.calls[request]
         self.upstream.log.log_event(
             "call-given-up",
             call=_trace_text(call),
             status=status,
-            cause=reason.value,
+            cause=cause.value,
             attempts=call.attempts_sent,
         )
 
@@ -522,6 +524,6 @@
 
 def _wait_state(call: Call) -> str:
     """What a call is waiting for, for the log."""
-    for flight in call.open_attempts.values():
-        return ATTEMPT_STATES[flight.attempt.state]
+    for open_attempt in call.open_attempts.values():
+        return ATTEMPT_STATES[open_attempt.attempt.state]
     return "between attempts" if call.attempts_sent else "for an endpoint"
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -141,7 +141,7 @@
             return busy
         if head.long and self.upstream.streams.full():
             return self._refusal()
-        call = self.call_factory.call(head, answer)
+        call = self.call_factory.make_call(head, answer)
         call.timeout = self.share.patience(call.timeout)
         if call.trace_id in self.driver.open:
             # Otherwise one request could get two answers, and the attempts of one call disturb the other's.
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -39,7 +39,7 @@
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.tenants = {t.name.encode(): i for i, t in enumerate(settings.tenants)}
 
-    def call(self, head: Head, on_answer: Callable[[Answer], None]) -> Call:
+    def make_call(self, head: Head, on_answer: Callable[[Answer], None]) -> Call:
         """Make the call of a request to /api; raises BadRequest if the request is invalid."""
         values = head.values
         trace_id = values.get(b"x-trace-id", b"")
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -163,7 +163,7 @@
         async with services(tmp_path, operator_file("wait_ms = 30", endpoint, service=settings)) as rig:
             before = time.monotonic()
             got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(12)))
-            # All calls but the one that connects fail after their wait, well before the connect timeout of 5 s.
+            # All calls but the one that connects fail after their wait, before the connect timeout of 5 s.
             assert time.monotonic() - before < 5.5
             assert [m.status for m in got].count(503) == 12
             seen = await counts(rig)
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -173,23 +173,27 @@
 
 
 def test_each_cause_ends_a_connection() -> None:
-    made = make_policy(age=8000.0, uses=3)
-    life = made.connected(0.0)
-    assert made.give_up_reason(4999.0, life) is None and made.give_up_reason(5000.0, life) is GiveUp.IDLE
-    life.proven_at = 7999.0
-    assert made.give_up_reason(7999.0, life) is None and made.give_up_reason(8000.0, life) is GiveUp.AGE
-    life = made.connected(8000.0)
+    policy = make_policy(age=8000.0, uses=3)
+    record = policy.connected(0.0)
+    assert (
+        policy.give_up_reason(4999.0, record) is None and policy.give_up_reason(5000.0, record) is GiveUp.IDLE
+    )
+    record.proven_at = 7999.0
+    assert (
+        policy.give_up_reason(7999.0, record) is None and policy.give_up_reason(8000.0, record) is GiveUp.AGE
+    )
+    record = policy.connected(8000.0)
     for i in range(3):
-        assert made.give_up_reason(8000.0 + i, life) is None
-        made.answered(8000.0 + i, life)
-    assert made.give_up_reason(8003.0, life) is GiveUp.USES
+        assert policy.give_up_reason(8000.0 + i, record) is None
+        policy.answered(8000.0 + i, record)
+    assert policy.give_up_reason(8003.0, record) is GiveUp.USES
 
 
 def test_bounds_differ_from_one_connection_to_the_next() -> None:
-    made = EndpointPolicy(Terms(age=10_000.0, uses=1000, jitter=0.2), PLACE, 10_000.0, random.Random(1))
-    lives = [made.connected(0.0) for _ in range(50)]
-    assert len({x.max_age for x in lives}) == 50 and len({x.idle_share for x in lives}) == 50
-    assert all(8000 <= x.max_age <= 10_000 and 800 <= x.max_uses <= 1000 for x in lives)
+    policy = EndpointPolicy(Terms(age=10_000.0, uses=1000, jitter=0.2), PLACE, 10_000.0, random.Random(1))
+    records = [policy.connected(0.0) for _ in range(50)]
+    assert len({x.max_age for x in records}) == 50 and len({x.idle_share for x in records}) == 50
+    assert all(8000 <= x.max_age <= 10_000 and 800 <= x.max_uses <= 1000 for x in records)
 
 
 idles = st.lists(st.floats(0, 12_000), max_size=8).map(sorted)
@@ -199,34 +203,34 @@
 def test_an_unsafe_call_never_takes_a_connection_that_is_about_to_expire(
     proven: list[float], unsafe: bool, order: Order, ended: float
 ) -> None:
-    made, now = make_policy(order=order), 12_000.0
-    made.idle_limit.ended(ended)
-    lives = [ConnectionRecord(0.0, at) for at in proven]
-    chosen = made.choose_idle(now, unsafe, lives)
-    usable = [i for i, life in enumerate(lives) if made.give_up_reason(now, life) is None]
+    policy, now = make_policy(order=order), 12_000.0
+    policy.idle_limit.ended(ended)
+    records = [ConnectionRecord(0.0, at) for at in proven]
+    chosen = policy.choose_idle(now, unsafe, records)
+    usable = [i for i, record in enumerate(records) if policy.give_up_reason(now, record) is None]
     if chosen is None:
         assert unsafe or not usable
         return
     assert chosen in usable
     if unsafe:
-        assert now - lives[chosen].proven_at < UNSAFE_IDLE_SHARE * made.idle_limit.limit
+        assert now - records[chosen].proven_at < UNSAFE_IDLE_SHARE * policy.idle_limit.limit
     assert chosen == (usable[-1] if unsafe or order is Order.LIFO else usable[0])
 
 
 def test_what_ends_a_connection_is_learned_from_how_it_ended() -> None:
-    made = make_policy()
+    policy = make_policy()
     for _ in range(CONFIRMATIONS):
-        life = made.connected(0.0)
+        record = policy.connected(0.0)
         for i in range(5):
-            made.answered(float(i), life)
-        made.closed_while_idle(4.0 + AFTER_ANSWER_MS / 2, life)
-    assert made.use_limit.limit(5.0) == 5 and made.idle_limit.limit == 5000.0
-    life = made.connected(10.0)
-    made.answered(20.0, life)
-    made.found_dead(20.0 + 4000.0, life)
-    assert made.idle_limit.limit == pytest.approx(CUT_FACTOR * math.sqrt(4000.0 * 5000.0))
+            policy.answered(float(i), record)
+        policy.closed_while_idle(4.0 + AFTER_ANSWER_MS / 2, record)
+    assert policy.use_limit.limit(5.0) == 5 and policy.idle_limit.limit == 5000.0
+    record = policy.connected(10.0)
+    policy.answered(20.0, record)
+    policy.found_dead(20.0 + 4000.0, record)
+    assert policy.idle_limit.limit == pytest.approx(CUT_FACTOR * math.sqrt(4000.0 * 5000.0))
     blind = make_policy(learn=False)
-    blind.found_dead(4020.0, life)
+    blind.found_dead(4020.0, record)
     assert blind.idle_limit.limit == 5000.0
 
 
@@ -234,23 +238,23 @@
 
 
 def test_an_unproven_endpoint_is_probed_by_one_connection_and_calls_wait_for_it() -> None:
-    made = make_policy()
-    assert made.may_open(0.0, 0.0, 0, False, False) is Opening.NOW
-    made.opening = 1
-    assert made.may_open(0.0, 0.0, 1, False, False) is Opening.WAIT
-    made.opening = 0
-    made.handshake_failed(0.0)
-    assert made.may_open(0.0, 0.0, 0, False, False) is Opening.UNREACHABLE
-    assert made.may_open(0.0, 0.0, 0, True, False) is Opening.NOW  # panic mode: all seem unreachable
-    assert not made.should_open_ahead(1.0, WALL, 0, 0, 9)
+    policy = make_policy()
+    assert policy.may_open(0.0, 0.0, 0, False, False) is Opening.NOW
+    policy.opening = 1
+    assert policy.may_open(0.0, 0.0, 1, False, False) is Opening.WAIT
+    policy.opening = 0
+    policy.handshake_failed(0.0)
+    assert policy.may_open(0.0, 0.0, 0, False, False) is Opening.UNREACHABLE
+    assert policy.may_open(0.0, 0.0, 0, True, False) is Opening.NOW  # panic mode: all seem unreachable
+    assert not policy.should_open_ahead(1.0, WALL, 0, 0, 9)
     # This instance's turn among the siblings must be due too.
-    due = made.reachability.probe_at
-    moments = [m for m in range(1000) if made.should_open_ahead(due + m, WALL + m, 0, 0, 9)]
+    due = policy.reachability.probe_at
+    moments = [m for m in range(1000) if policy.should_open_ahead(due + m, WALL + m, 0, 0, 9)]
     assert moments and min(b - a for a, b in pairwise(moments)) > 40
-    made.handshake_succeeded(WALL)
-    assert made.turns is not None and made.turns.cold(WALL)  # it may have restarted
-    made.turns = None
-    assert [made.may_open(0.0, 0.0, i, False, False) for i in (0, 1)] == [Opening.NOW] * 2
+    policy.handshake_succeeded(WALL)
+    assert policy.turns is not None and policy.turns.cold(WALL)  # it may have restarted
+    policy.turns = None
+    assert [policy.may_open(0.0, 0.0, i, False, False) for i in (0, 1)] == [Opening.NOW] * 2
 
 
 @given(st.integers(0, 99))
@@ -274,38 +278,38 @@
 
 
 def test_an_endpoint_that_takes_no_more_connections_is_not_down() -> None:
-    made = make_policy()
-    life = made.connected(0.0)
-    made.handshake_succeeded(WALL)
-    made.answered(10.0, life)
-    made.handshake_failed(20.0)
-    assert made.reachability.state == UP and made.observed_limit == 1.0
-    assert made.may_open(30.0, 0.0, 0, False, False) is Opening.WAIT
+    policy = make_policy()
+    record = policy.connected(0.0)
+    policy.handshake_succeeded(WALL)
+    policy.answered(10.0, record)
+    policy.handshake_failed(20.0)
+    assert policy.reachability.state == UP and policy.observed_limit == 1.0
+    assert policy.may_open(30.0, 0.0, 0, False, False) is Opening.WAIT
     # The observed limit is raised after a time.
-    assert made.may_open(30_000.0, 0.0, 0, False, False) is Opening.NOW
+    assert policy.may_open(30_000.0, 0.0, 0, False, False) is Opening.NOW
 
 
 def test_connections_opened_ahead_but_never_used_are_reopened_with_backoff() -> None:
-    made, now, opened = make_policy(keep_least=1), 0.0, 0
-    made.handshake_succeeded(WALL)
-    made.turns = None
+    policy, now, opened = make_policy(keep_least=1), 0.0, 0
+    policy.handshake_succeeded(WALL)
+    policy.turns = None
     for _ in range(6000):  # 60 s, in which each connection is closed after 0.5 s
         now += 10.0
-        if made.should_open_ahead(now, WALL, 0, 0, 9):
+        if policy.should_open_ahead(now, WALL, 0, 0, 9):
             opened += 1
-            life = made.connected(now)
-            made.open -= 1
-            made.closed_while_idle(now + 500.0, life)
+            record = policy.connected(now)
+            policy.open -= 1
+            policy.closed_while_idle(now + 500.0, record)
     assert 4 <= opened <= 8
 
 
 def test_a_connection_closed_right_after_its_handshake_marks_the_endpoint_down() -> None:
-    made = make_policy(keep_least=1)
-    life = made.connected(0.0)
-    made.handshake_succeeded(WALL)
-    made.open = 0
-    made.closed_while_idle(5.0, life)
-    assert made.reachability.state == DOWN and not made.should_open_ahead(6.0, 0.0, 0, 0, 9)
+    policy = make_policy(keep_least=1)
+    record = policy.connected(0.0)
+    policy.handshake_succeeded(WALL)
+    policy.open = 0
+    policy.closed_while_idle(5.0, record)
+    assert policy.reachability.state == DOWN and not policy.should_open_ahead(6.0, 0.0, 0, 0, 9)
 
 
 # Demand
@@ -340,30 +344,30 @@
 
 @given(st.data())
 def test_a_policy_never_opens_more_connections_than_its_limits(data: st.DataObject) -> None:
-    made = make_policy(keep_most=4, open_most=6, at_once=2, keep_least=1)
-    now, lives = 0.0, list[ConnectionRecord]()
+    policy = make_policy(keep_most=4, open_most=6, at_once=2, keep_least=1)
+    now, records = 0.0, list[ConnectionRecord]()
     for _ in range(data.draw(st.integers(1, 60))):
         now += data.draw(st.floats(0, 2000))
         step = data.draw(st.sampled_from(["call", "up", "missed", "answer", "end", "ahead"]))
         if step == "call":
-            made.request_sent(now)
-            if made.may_open(now, 0.0, made.opening, False, False) is Opening.NOW:
-                made.opening += 1
-        elif step == "ahead" and made.should_open_ahead(now, 0.0, 0, made.opening, 4):
-            made.opening += 1
-        elif step in ("up", "missed") and made.opening:
-            made.opening -= 1
+            policy.request_sent(now)
+            if policy.may_open(now, 0.0, policy.opening, False, False) is Opening.NOW:
+                policy.opening += 1
+        elif step == "ahead" and policy.should_open_ahead(now, 0.0, 0, policy.opening, 4):
+            policy.opening += 1
+        elif step in ("up", "missed") and policy.opening:
+            policy.opening -= 1
             if step == "up":
-                made.handshake_succeeded(WALL)
-                lives.append(made.connected(now))
+                policy.handshake_succeeded(WALL)
+                records.append(policy.connected(now))
             else:
-                made.handshake_failed(now)
-        elif step == "answer" and lives:
-            made.answered(now, data.draw(st.sampled_from(lives)))
-        elif step == "end" and lives:
-            made.open -= 1
-            made.closed_while_idle(now, lives.pop())
-        assert 0 <= made.opening <= 2 and made.open + made.opening <= 6 and made.open == len(lives)
+                policy.handshake_failed(now)
+        elif step == "answer" and records:
+            policy.answered(now, data.draw(st.sampled_from(records)))
+        elif step == "end" and records:
+            policy.open -= 1
+            policy.closed_while_idle(now, records.pop())
+        assert 0 <= policy.opening <= 2 and policy.open + policy.opening <= 6 and policy.open == len(records)
 
 
 # Endpoints shown to the module
@@ -383,7 +387,7 @@
 def test_the_module_gets_all_endpoints_but_a_few_cold_ones_and_every_drain(
     told: list[tuple[ListKind, list[Endpoint], int]],
 ) -> None:
-    made, module, listed = ColdEndpointFilter(5000.0), dict[int, Endpoint](), dict[int, Endpoint]()
+    cold_filter, module, listed = ColdEndpointFilter(5000.0), dict[int, Endpoint](), dict[int, Endpoint]()
     now = SINCE
     for kind, some, connected in told:
         now += 700.0
@@ -396,14 +400,14 @@
             listed.pop(entry.id, None)
             if entry.condition is Condition.READY:
                 listed[entry.id] = entry
-        for entry in made.listed(now, kind, some, lambda id, c=connected: id <= c):  # type: ignore[misc]
+        for entry in cold_filter.listed(now, kind, some, lambda id, c=connected: id <= c):  # type: ignore[misc]
             module.pop(entry.id, None)
             if entry.condition is Condition.READY:
                 module[entry.id] = entry
-        if made.show_warm(now) or made.connected(connected):
-            module = {e.id: e for e in made.shown_list()}
+        if cold_filter.show_warm(now) or cold_filter.connected(connected):
+            module = {e.id: e for e in cold_filter.shown_list()}
         # The module has the list without hidden endpoints: cold, not connected, at most a share of the list.
-        assert module == made.shown
-        assert module | made.hidden == listed and not module.keys() & made.hidden.keys()
-        assert all(now < e.started_at + 5000.0 for e in made.hidden.values())
-        assert len(made.hidden) <= MAX_HIDDEN_SHARE * len(listed)
+        assert module == cold_filter.shown
+        assert module | cold_filter.hidden == listed and not module.keys() & cold_filter.hidden.keys()
+        assert all(now < e.started_at + 5000.0 for e in cold_filter.hidden.values())
+        assert len(cold_filter.hidden) <= MAX_HIDDEN_SHARE * len(listed)
