--- a/millgw/connections/introduction.py
+++ b/millgw/connections/introduction.py
@@ -24,7 +24,7 @@
         self.shown: dict[int, Endpoint] = {}
         self.hidden: dict[int, Endpoint] = {}
 
-    def listed(
+    def filter_list(
         self, now: float, kind: ListKind, entries: Sequence[Endpoint], connected: Callable[[int], bool]
     ) -> list[Endpoint]:
         """The entries of a list to pass on. `connected` tells whether an endpoint has a connection."""
--- a/millgw/connections/standing.py
+++ b/millgw/connections/standing.py
@@ -1,6 +1,6 @@
 """Whether an endpoint is reachable, and how that is probed. Pure.
 
-    state       meaning                                           connections to it
+    state       meaning                                            connections to it
     UP          the last handshake succeeded, or it just answered  as many as are wanted
     UNPROVEN    nothing is known, or an attempt got no answer      one at a time; others wait for its result
     DOWN        a handshake failed, or a connection ended unused   one probe by the pool after each wait;
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -242,11 +242,11 @@
 
     # Used by the pool
 
-    def listed(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
+    def filter_list(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
         """The entries of a list to pass to the module."""
-        told = self.cold_filter.listed(self.pool_view.now(), kind, entries, self._connected)
+        filtered = self.cold_filter.filter_list(self.pool_view.now(), kind, entries, self._connected)
         self._schedule_tick(FAST_TICK_S)
-        return tuple(told)
+        return tuple(filtered)
 
     def _connected(self, endpoint: int) -> bool:
         host = self.upstream.hosts.get(endpoint)
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -19,9 +19,9 @@
 
     __slots__ = ("attempt", "endpoint", "sent_at")
 
-    def __init__(self, endpoint: int, sent: float, attempt: Attempt) -> None:
+    def __init__(self, endpoint: int, sent_at: float, attempt: Attempt) -> None:
         self.endpoint = endpoint
-        self.sent_at = sent
+        self.sent_at = sent_at
         self.attempt = attempt
 
 
@@ -53,32 +53,18 @@
 class Call:
     """A client request that must get one answer.
 
-    `class_index` and `tenant` are indexes into the settings; `timeout` is in ms. `build_payload` returns the
+    `cls` and `tenant` are indexes into the settings; `timeout` is in ms. `build_payload` returns the
     request bytes of an attempt, given the remaining time in ms.
     """
 
     __slots__ = (
-        "attempts_sent",
-        "build_payload",
-        "cls",
-        "deadline",
-        "gone",
-        "id",
-        "intent",
-        "on_answer",
-        "open_attempts",
-        "owner",
-        "repeat",
-        "tenant",
-        "timeout",
-        "timers",
-        "trace_id",
-        "upload",
+        "attempts_sent", "build_payload", "cls", "deadline", "gone", "id", "intent", "on_answer",
+        "open_attempts", "owner", "repeat", "tenant", "timeout", "timers", "trace_id", "upload",
     )  # fmt: skip
 
     def __init__(
         self,
-        cls: int,
+        class_index: int,
         tenant: int,
         timeout: float,
         build_payload: Callable[[int], bytes],
@@ -87,7 +73,7 @@
         repeat: Repeat,
         owner: Owner,
     ) -> None:
-        self.cls = cls
+        self.cls = class_index
         self.tenant = tenant
         self.timeout = timeout
         self.build_payload = build_payload
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -75,7 +75,7 @@
 class ListFilter(Protocol):
     """Filters endpoint lists before the module gets them (see `millgw.connections.introduction`)."""
 
-    def listed(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
+    def filter_list(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
         """The entries of a list to pass to the module."""
 
 
@@ -180,7 +180,7 @@
         before = set() if kind.complete else self.draining
         self.ready = (self.ready | ready) - gone
         self.draining = (before | drains) - ready - ended
-        filtered = tuple(changed) if self.list_filter is None else self.list_filter.listed(kind, changed)
+        filtered = tuple(changed) if self.list_filter is None else self.list_filter.filter_list(kind, changed)
         self._handle_event(EndpointList(kind, filtered))
         replaced_hosts += [self.upstream.forget(id) for id in gone]
         for host in replaced_hosts:
@@ -318,7 +318,7 @@
             took_ms=round(elapsed, 1),
         )
 
-    def _flow_began(self, call: Call, number: int, flow: Flow) -> bool:
+    def _answer_began(self, call: Call, number: int, flow: Flow) -> bool:
         """Begin to stream a long answer; returns False if the call is no longer open.
 
         The module is informed that the attempt has ended, as what remains is transport and no work for the
@@ -490,7 +490,7 @@
             self._handle_event(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
             self.left(call)
             return
-        ended, began = partial(self._attempt_ended, call, number), partial(self._flow_began, call, number)
+        ended, began = partial(self._attempt_ended, call, number), partial(self._answer_began, call, number)
         payload = partial(self._payload, call)
         attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace_id)
         attempt.gone, attempt.looked = call.gone, time.monotonic() * 1000
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -123,7 +123,7 @@
     # Requests
 
     def busy(self) -> Answer | None:
-        """The refusal of a new request if the pool is at its limit of calls; needs no part of the request.
+        """The refusal of a new request if the pool is at its limit of calls; usable once its head is read.
 
         Without it, the calls of a flood would take the capacity of other pools or find no file descriptor.
         """
@@ -259,8 +259,8 @@
         state = "ready" if self.driver.ready else "no endpoint"
         kinds = ", ".join(f"{kind} {figures[kind]}" for kind in (CALLS, CONNECTIONS, BODIES, ANSWERS))
         sends = f"{figures['held_back']} of {figures['sends']} sends held back"
-        tended = "".join(f", {name} {value}" for name, value in self.connection_counts().items())
-        return f"{self.name}: {state}, {figures['endpoints']} endpoints, {kinds}, {sends}{tended}"
+        connections = "".join(f", {name} {value}" for name, value in self.connection_counts().items())
+        return f"{self.name}: {state}, {figures['endpoints']} endpoints, {kinds}, {sends}{connections}"
 
 
 def read(head: Head, answer: Callable[[Answer], None], ready: Callable[[Head], Answer]) -> Call | Answer:
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -400,7 +400,7 @@
             listed.pop(entry.id, None)
             if entry.condition is Condition.READY:
                 listed[entry.id] = entry
-        for entry in cold_filter.listed(now, kind, some, lambda id, c=connected: id <= c):  # type: ignore[misc]
+        for entry in cold_filter.filter_list(now, kind, some, lambda id, c=connected: id <= c):  # type: ignore[misc]
             module.pop(entry.id, None)
             if entry.condition is Condition.READY:
                 module[entry.id] = entry
