--- a/millgw/connections/introduction.py
+++ b/millgw/connections/introduction.py
@@ -1,12 +1,10 @@
-"""Which endpoints the decision module is told of: a cold one only once a connection to it is there. Pure.
+"""Hides cold endpoints from the decision module until a connection to them is established. Pure.
 
-The module picks among the endpoints that it is told of, and a call that is sent to one with no connection
-needs a handshake at once. A cold endpoint is asked for handshakes in turns (`opening`), so one whose turn
-here is still to come is kept from the module until then: it has others to go to. Drains and ends are never
-kept from it.
+The module picks among the endpoints that it knows, and a call to one without a connection needs a handshake
+at once. The siblings open connections to a cold endpoint in turns (`opening`), so an endpoint is hidden until
+this instance's turn has come; calls go to the others until then. Drains and removals are never hidden.
 
-Guards against a list of which too little would be left: at most a share is kept back, and none past its cold
-time.
+At most a share of the endpoints is hidden, and none after its cold time, as too few would remain otherwise.
 """
 
 from __future__ import annotations
@@ -15,81 +13,81 @@
 
 from millgw.interface import Condition, Endpoint, ListKind
 
-HIDDEN_MOST = 0.5  # of the endpoints that are ready
+MAX_HIDDEN_SHARE = 0.5  # of the ready endpoints
 
 
-class Introduction:
-    """The list as the module has it, and who is kept back. Times are those of `Endpoint.started_at`."""
+class ColdEndpointFilter:
+    """The endpoints shown to the module and the hidden ones. Times are those of `Endpoint.started_at`."""
 
     def __init__(self, cold_time: float) -> None:
         self.cold_time = cold_time
         self.shown: dict[int, Endpoint] = {}
         self.hidden: dict[int, Endpoint] = {}
 
-    def listed(
+    def filter_list(
         self, now: float, kind: ListKind, entries: Sequence[Endpoint], connected: Callable[[int], bool]
     ) -> list[Endpoint]:
-        """What to tell the module of a list. `connected` tells whether a connection to one is there."""
+        """The entries of a list to pass on. `connected` tells whether an endpoint has a connection."""
         if kind.watch_ended:
             return list(entries)
         before = dict(self.shown)
         if kind.complete:
             self.shown.clear()
             self.hidden.clear()
-        told = []
+        changed = []
         for entry in entries:
             self.hidden.pop(entry.id, None)
             if entry.condition is not Condition.READY:
                 self.shown.pop(entry.id, None)
-                told.append(entry)
+                changed.append(entry)
                 continue
             known = before.get(entry.id)
             same = known is not None and known.started_at == entry.started_at
             if same or not self._cold(entry, now) or connected(entry.id):
                 self.shown[entry.id] = entry
-                told.append(entry)
+                changed.append(entry)
             else:
                 self.hidden[entry.id] = entry
-        told += self._too_many()
-        # One that came back under its name is another to the module: the life that it knows is over.
-        over = [Endpoint(i, Condition.GONE) for i in self.hidden if i in self.shown]
-        for gone in over:
+        changed += self._show_excess()
+        # An endpoint that restarted under its name is a new one; the module must drop the one it knows.
+        ended = [Endpoint(i, Condition.GONE) for i in self.hidden if i in self.shown]
+        for gone in ended:
             self.shown.pop(gone.id)
-        return told + over
+        return changed + ended
 
     def _cold(self, entry: Endpoint, now: float) -> bool:
         return entry.started_at > 0 and now < entry.started_at + self.cold_time
 
-    def _too_many(self) -> list[Endpoint]:
-        """Those that can't be kept back: the ones that have started first are the warmest."""
+    def _show_excess(self) -> list[Endpoint]:
+        """Show the endpoints over the limit of hidden ones, warmest (earliest started) first."""
         known = len(self.shown.keys() | self.hidden.keys())
-        freed = []
+        released = []
         for entry in sorted(self.hidden.values(), key=lambda e: (e.started_at, e.id)):
-            if len(self.hidden) <= HIDDEN_MOST * known:
+            if len(self.hidden) <= MAX_HIDDEN_SHARE * known:
                 break
-            freed.append(self._show(entry))
-        return freed
+            released.append(self._show(entry))
+        return released
 
     def _show(self, entry: Endpoint) -> Endpoint:
         del self.hidden[entry.id]
         self.shown[entry.id] = entry
         return entry
 
-    def connected(self, id: int) -> bool:
-        """A connection has come up; tells whether the module is to be told of its endpoint."""
-        entry = self.hidden.get(id)
+    def connected(self, endpoint: int) -> bool:
+        """A connection was established; returns whether its endpoint was hidden and is now shown."""
+        entry = self.hidden.get(endpoint)
         if entry is None:
             return False
         self._show(entry)
         return True
 
-    def due(self, now: float) -> bool:
-        """Show those whose cold time is over; tells whether there are any."""
+    def show_warm(self, now: float) -> bool:
+        """Show the endpoints whose cold time is over; returns whether there were any."""
         warm = [e for e in self.hidden.values() if not self._cold(e, now)]
         for entry in warm:
             self._show(entry)
         return bool(warm)
 
-    def whole(self) -> tuple[Endpoint, ...]:
-        """The list as the module should have it."""
+    def shown_list(self) -> tuple[Endpoint, ...]:
+        """The list that the module should have."""
         return tuple(self.shown.values())
--- a/millgw/connections/keeper.py
+++ b/millgw/connections/keeper.py
@@ -1,8 +1,8 @@
-"""One endpoint's connections: which to use, keep, open and give up. Pure.
+"""Policy for the connections to one endpoint: which to use, keep, open and close. Pure: no I/O, no clock.
 
-The keeper is told what happens and asked what to do. It knows connections by their `Life`; who holds the
-sockets is somebody else's matter. Times are ms: `now` on any clock that does not go back, the same for all
-calls; endpoints' starts on the clock of `Turns`.
+The policy is informed of events and asked what to do. It knows connections by their `ConnectionRecord`; the
+sockets are held elsewhere. Times are in ms: `now` on any monotonic clock, the same for all methods; `wall`
+and endpoints' start times on the clock of `Turns`.
 """
 
 from __future__ import annotations
@@ -13,21 +13,23 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from millgw.connections.lifetime import JUST, IdleTime, UseLimit
-from millgw.connections.need import Need
-from millgw.connections.opening import Place, Turns, tries
-from millgw.connections.standing import DOWN, UNPROVEN, UP, Standing
+from millgw.connections.lifetime import AFTER_ANSWER_MS, IdleLimit, UseLimit
+from millgw.connections.need import ConnectionDemand
+from millgw.connections.opening import Place, Turns, retry_turns
+from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
 from millgw.connections.terms import Order, Terms
 
-UNSAFE_PART = 0.5  # of the idle bound, past which a call that may not run twice takes a fresher connection
-AGAIN, AGAIN_MOST = 250.0, 60_000.0  # ms before another is opened ahead: twice that for each wasted in a row
-STILLBORN = 100.0  # ms after its handshake in which one that ends unused never was of use
-CAP_RISE = 10_000.0  # ms after which one connection more than the seen cap is tried
-PROVEN = 1000.0  # ms for which an answer proves that an endpoint is there: what fails then is its cap's doing
+UNSAFE_IDLE_SHARE = 0.5  # of the idle limit: an unsafe call needs a connection that was idle for less
+# Delay before another connection is opened ahead of need; doubles with each one in a row that ended unused.
+AHEAD_BACKOFF_MS, MAX_AHEAD_BACKOFF_MS = 250.0, 60_000.0
+UNUSED_CLOSE_MS = 100.0  # an unused connection that ends this soon after its handshake was of no use
+LIMIT_RETRY_MS = 10_000.0  # after this time, one connection over the observed limit is tried
+# This soon after an answer the endpoint is known to run: a failed handshake then hit its connection limit.
+ANSWER_PROOF_MS = 1000.0
 
 
 class GiveUp(Enum):
-    """Why a connection is ended by this side."""
+    """Why this side closes an idle connection."""
 
     IDLE = "idle"
     AGE = "age"
@@ -36,7 +38,7 @@
 
 
 class Opening(Enum):
-    """What becomes of a call that finds no connection."""
+    """What happens to a call for which there is no idle connection."""
 
     NOW = "now"
     WAIT = "wait"
@@ -44,236 +46,249 @@
 
 
 @dataclass(slots=True, eq=False)
-class Life:
-    """One connection's: when it was opened, when its last answer came, how often it was used, its bounds.
+class ConnectionRecord:
+    """History and limits of one connection.
 
-    `idle_share` is of the endpoint's idle bound, `age` and `uses` are bounds of its own (0: none).
+    `proven_at` is the time of its last answer (or of its handshake). `idle_share` is its fraction of the
+    endpoint's idle limit; `max_age` and `max_uses` are its own limits (0: none).
     """
 
-    opened: float
-    proven: float
+    opened_at: float
+    proven_at: float
     idle_share: float = 1.0
-    age: float = 0.0
-    use_most: int = 0
+    max_age: float = 0.0
+    max_uses: int = 0
     uses: int = 0
-    rested: float = 0.0  # for how long it was idle when it was last taken
+    idle_before_use: float = 0.0  # how long it was idle before its last use
 
 
-class Keeper:
-    """One endpoint's policy. `told_idle` is how long the endpoint promises to keep an idle connection."""
+class EndpointPolicy:
+    """Policy of one endpoint. `promised_idle` is how long (ms) it promises to keep an idle connection."""
 
-    def __init__(self, terms: Terms, place: Place, told_idle: float, rng: random.Random) -> None:
+    def __init__(self, terms: Terms, position: Place, promised_idle: float, rng: random.Random) -> None:
         self.terms = terms
-        self.place = place
+        self.position = position
         self.rng = rng
-        self.idle_time = IdleTime(told_idle, terms.idle_part)
+        self.idle_limit = IdleLimit(promised_idle, terms.idle_part)
         self.use_limit = UseLimit()
-        self.need = Need()
-        self.standing = Standing(rng, terms.probe_base, terms.probe_most)
-        self.turns: Turns | None = None  # while it is cold
-        self.tries = tries(place, terms.cold_rate, rng)  # while it is out of reach
-        self.wasted = 0  # connections in a row that were opened ahead and never used
-        self.ahead_after = 0.0
+        self.demand = ConnectionDemand()
+        self.reachability = Reachability(rng, terms.probe_base, terms.probe_most)
+        self.turns: Turns | None = None  # used while the endpoint is cold
+        self.retry_turns = retry_turns(position, terms.cold_rate, rng)  # used while the endpoint is down
+        self.unused_in_a_row = 0  # consecutive connections that ended without a request
+        self.open_ahead_after = 0.0
         self.opening = 0  # handshakes under way
-        self.open = 0  # connections that are up
-        self.busy = 0  # of them, those that carry a request
-        self.answered = -math.inf
-        self.cap = math.inf  # what the endpoint was seen to take
-        self.cap_at = 0.0
-
-    def change(self, terms: Terms, told_idle: float) -> None:
-        """Go by other terms; what was learned of the endpoint stays."""
+        self.open = 0  # established connections
+        self.busy = 0  # established connections that carry a request
+        self.last_answer_at = -math.inf
+        self.observed_limit = math.inf  # connections that the endpoint was seen to accept
+        self.observed_limit_at = 0.0
+
+    def change(self, terms: Terms, promised_idle: float) -> None:
+        """Apply other settings; what was learned about the endpoint is kept."""
         self.terms = terms
-        self.idle_time.bound(terms.idle_part * told_idle)
-        self.tries = tries(self.place, terms.cold_rate, self.rng)
-        self.standing.base, self.standing.most = terms.probe_base, terms.probe_most
+        self.idle_limit.set_maximum(terms.idle_part * promised_idle)
+        self.retry_turns = retry_turns(self.position, terms.cold_rate, self.rng)
+        self.reachability.min_wait, self.reachability.max_wait = terms.probe_base, terms.probe_most
 
-    def settle(self, place: Place) -> None:
-        """Go by another place among siblings; whoever knows when it started tells again, if it is cold."""
-        self.place = place
+    def set_position(self, position: Place) -> None:
+        """Apply another position among the siblings; a cold start must be reported again."""
+        self.position = position
         self.turns = None
 
-    # What happens
+    # Events
 
-    def starts(self, since: float, common: bool) -> None:
-        """The endpoint is cold from a time on; `common` where its siblings know that start too."""
+    def set_cold_start(self, since: float, start_shared: bool) -> None:
+        """The endpoint is cold since a time; `start_shared` is set if the siblings know that start too."""
         if self.turns is None or self.turns.since != since:
-            self.turns = Turns(self.place, self.terms.cold_rate, since, common, self.rng)
+            self.turns = Turns(self.position, self.terms.cold_rate, since, start_shared, self.rng)
 
-    def born(self, now: float) -> Life:
-        """A connection has come up."""
+    def connected(self, now: float) -> ConnectionRecord:
+        """A connection was established; returns its record."""
         self.open += 1
-        if self.open > self.cap:
-            self.cap = float(self.open)
+        if self.open > self.observed_limit:
+            self.observed_limit = float(self.open)
         jitter = self.terms.jitter
-        return Life(
-            opened=now,
-            proven=now,
+        return ConnectionRecord(
+            opened_at=now,
+            proven_at=now,
             idle_share=1.0 - jitter * self.rng.random(),
-            age=self.terms.age * (1.0 - jitter * self.rng.random()),
-            use_most=math.ceil(self.terms.uses * (1.0 - jitter * self.rng.random())),
+            max_age=self.terms.age * (1.0 - jitter * self.rng.random()),
+            max_uses=math.ceil(self.terms.uses * (1.0 - jitter * self.rng.random())),
         )
 
-    def proved(self, wall: float) -> None:
-        """A handshake has ended well, at a time on the clock of endpoints' starts."""
-        if self.standing.state == DOWN:
-            self.starts(wall, False)  # it may have started anew, and nobody has said so yet
-        self.standing.up()
-
-    def missed(self, now: float) -> None:
-        """A handshake has not: refused, or not up in time."""
-        if self.open and now - self.answered < PROVEN:
-            # It serves on other connections at this moment: it takes no more of them.
-            self.cap, self.cap_at = float(self.open), now
+    def handshake_succeeded(self, wall: float) -> None:
+        """A handshake succeeded, at a time on the clock of endpoints' start times."""
+        if self.reachability.state == DOWN:
+            self.set_cold_start(wall, False)  # it may have restarted, which discovery has not reported yet
+        self.reachability.mark_up()
+
+    def handshake_failed(self, now: float) -> None:
+        """A handshake was refused or timed out."""
+        if self.open and now - self.last_answer_at < ANSWER_PROOF_MS:
+            # The endpoint is serving on other connections, so it is at its limit rather than down.
+            self.observed_limit, self.observed_limit_at = float(self.open), now
         else:
-            self.standing.failed(now)
-
-    def sent(self, now: float) -> None:
-        """A request goes out on a connection, or a handshake is begun for one."""
-        self.need.sent(now, self.busy + 1)
-
-    def answer(self, now: float, life: Life) -> None:
-        """An answer has come."""
-        if life.uses == 0:
-            self.wasted, self.ahead_after = 0, 0.0
-        self.idle_time.lived(life.rested)
-        life.uses += 1
-        life.proven = self.answered = now
-        self.use_limit.outlived(now, life.uses)
-        self.standing.up()
-
-    def takes(self, now: float, life: Life) -> None:
+            self.reachability.mark_down(now)
+
+    def request_sent(self, now: float) -> None:
+        """A request is sent on a connection, or a handshake is started for it."""
+        self.demand.request_sent(now, self.busy + 1)
+
+    def answered(self, now: float, record: ConnectionRecord) -> None:
+        """A connection got an answer."""
+        if record.uses == 0:
+            self.unused_in_a_row, self.open_ahead_after = 0, 0.0
+        self.idle_limit.survived(record.idle_before_use)
+        record.uses += 1
+        record.proven_at = self.last_answer_at = now
+        self.use_limit.outlived(now, record.uses)
+        self.reachability.mark_up()
+
+    def taken(self, now: float, record: ConnectionRecord) -> None:
         """An idle connection is taken for a request."""
-        life.rested = now - life.proven
+        record.idle_before_use = now - record.proven_at
 
-    def ended(self, now: float, life: Life) -> None:
-        """The other side ended a connection that was idle."""
-        if self.stillborn(now, life):
-            self.standing.failed(now)
+    def closed_while_idle(self, now: float, record: ConnectionRecord) -> None:
+        """The other side closed an idle connection."""
+        if self.closed_unused(now, record):
+            self.reachability.mark_down(now)
             return
-        self._unused(now, life, self.open)
-        self._learn(now, life)
+        self._idle_unneeded(now, record, self.open)
+        self._learn_from_end(now, record)
 
     @staticmethod
-    def stillborn(now: float, life: Life) -> bool:
-        """Whether one that ends now never was of any use."""
-        return life.uses == 0 and now - life.opened < STILLBORN
-
-    def dead(self, now: float, life: Life) -> None:
-        """A connection turned out to be dead when a request was to go on it: it had ended by then."""
-        if self.stillborn(now, life):
-            self.standing.failed(now)
+    def closed_unused(now: float, record: ConnectionRecord) -> bool:
+        """Whether a connection that ends now was closed right after its handshake, without a request."""
+        return record.uses == 0 and now - record.opened_at < UNUSED_CLOSE_MS
+
+    def found_dead(self, now: float, record: ConnectionRecord) -> None:
+        """A connection was found dead when a request was to be sent on it."""
+        if self.closed_unused(now, record):
+            self.reachability.mark_down(now)
         else:
-            self._learn(now, life)
+            self._learn_from_end(now, record)
 
-    def _learn(self, now: float, life: Life) -> None:
-        idle = now - life.proven
+    def _learn_from_end(self, now: float, record: ConnectionRecord) -> None:
+        idle = now - record.proven_at
         if not self.terms.learn:
             return
-        if idle < JUST and life.uses:
-            self.use_limit.ended(now, life.uses)
+        if idle < AFTER_ANSWER_MS and record.uses:
+            self.use_limit.ended(now, record.uses)
         else:
-            self.idle_time.ended(idle)
+            self.idle_limit.ended(idle)
 
-    def gives_up(self, now: float, life: Life, why: GiveUp) -> None:
-        """This side ends an idle one."""
-        if why is GiveUp.IDLE:
-            self.idle_time.lived(now - life.proven)
-            self._unused(now, life, self.open - 1)
+    def given_up(self, now: float, record: ConnectionRecord, reason: GiveUp) -> None:
+        """This side closes an idle connection."""
+        if reason is GiveUp.IDLE:
+            self.idle_limit.survived(now - record.proven_at)
+            self._idle_unneeded(now, record, self.open - 1)
 
-    def _unused(self, now: float, life: Life, left: int) -> None:
-        """One ended idle, and so many are left: more than these are not needed.
+    def _idle_unneeded(self, now: float, record: ConnectionRecord, left: int) -> None:
+        """An idle connection ended and `left` remain, so no more than these are needed.
 
-        Guards against connections that are opened ahead, end unused, and are opened again, over and over.
+        Otherwise connections would be opened ahead, end unused and be opened again, over and over.
         """
-        self.need.spared(now, left)
-        if life.uses == 0:
-            self.wasted += 1
-            self.ahead_after = now + min(AGAIN_MOST, AGAIN * 2.0 ** min(self.wasted, 30))
+        self.demand.unused_given_up(now, left)
+        if record.uses == 0:
+            self.unused_in_a_row += 1
+            self.open_ahead_after = now + min(
+                MAX_AHEAD_BACKOFF_MS, AHEAD_BACKOFF_MS * 2.0 ** min(self.unused_in_a_row, 30)
+            )
 
     # What to do
 
-    def verdict(self, now: float, life: Life) -> GiveUp | None:
-        """Why an idle connection is of no more use; None where it may be used."""
-        if now - life.proven >= self.idle_time.limit * life.idle_share:
+    def give_up_reason(self, now: float, record: ConnectionRecord) -> GiveUp | None:
+        """Why an idle connection must be closed; None if it may be used."""
+        if now - record.proven_at >= self.idle_limit.limit * record.idle_share:
             return GiveUp.IDLE
-        if life.age and now - life.opened >= life.age:
+        if record.max_age and now - record.opened_at >= record.max_age:
             return GiveUp.AGE
-        if life.use_most and life.uses >= life.use_most:
+        if record.max_uses and record.uses >= record.max_uses:
             return GiveUp.USES
         limit = self.use_limit.limit(now)
-        return GiveUp.USES if limit and life.uses >= limit else None
+        return GiveUp.USES if limit and record.uses >= limit else None
 
-    def expires(self, now: float, life: Life) -> float:
-        """When an idle connection will be of no more use, as far as that is known now."""
-        at = life.proven + self.idle_time.limit * life.idle_share
-        return min(at, life.opened + life.age) if life.age else at
+    def expires_at(self, now: float, record: ConnectionRecord) -> float:
+        """When an idle connection must be closed, as far as known now."""
+        at = record.proven_at + self.idle_limit.limit * record.idle_share
+        return min(at, record.opened_at + record.max_age) if record.max_age else at
 
-    def choose(self, now: float, unsafe: bool, idle: Sequence[Life]) -> int | None:
-        """Which of the idle connections, in the order of their last answers, a request takes; None for none.
+    def choose_idle(self, now: float, unsafe: bool, idle: Sequence[ConnectionRecord]) -> int | None:
+        """The index of the idle connection for a request; None if there is none. `idle` is by last answer.
 
-        One that may not run twice takes the one proven last, whatever the order, and none that is nearer to
-        its end than to its last proof: its last byte may cross the close (RFC 9112, section 9.5).
+        An unsafe request takes the one that answered last, whatever the order, and none past
+        `UNSAFE_IDLE_SHARE` of its idle limit: its last byte may cross the close (RFC 9112, section 9.5).
         """
         if unsafe or self.terms.order is Order.LIFO:
-            numbers = range(len(idle) - 1, -1, -1)
+            indexes = range(len(idle) - 1, -1, -1)
         else:
-            numbers = range(len(idle))
-        for number in numbers:
-            life = idle[number]
-            if self.verdict(now, life) is not None:
+            indexes = range(len(idle))
+        for index in indexes:
+            record = idle[index]
+            if self.give_up_reason(now, record) is not None:
                 continue
-            if unsafe and now - life.proven >= UNSAFE_PART * self.idle_time.limit * life.idle_share:
-                return None  # the others are older
-            return number
+            if (
+                unsafe
+                and now - record.proven_at >= UNSAFE_IDLE_SHARE * self.idle_limit.limit * record.idle_share
+            ):
+                return None  # the others were idle for longer
+            return index
         return None
 
-    def keeps(self, now: float, idle: int, most: int) -> bool:
-        """Whether one more may stay idle beside so many; `most` is what the budget of descriptors leaves."""
-        bound = self.terms.keep_most or most
+    def may_keep_idle(self, now: float, idle: int, budget_limit: int) -> bool:
+        """Whether one more connection may stay idle besides `idle` others.
+
+        `budget_limit` is how many idle ones the budget of descriptors allows.
+        """
+        bound = self.terms.keep_most or budget_limit
         return idle < max(bound, self.terms.keep_least)
 
     def may_open(self, now: float, wall: float, all_opening: int, panic: bool, full: bool) -> Opening:
-        """Whether a call may have a connection opened. `wall` is the time on the clock of endpoints' starts.
+        """Whether a connection may be opened for a call.
 
-        `full` tells that there is no room for one more.
+        `all_opening` is the pool's number of handshakes under way; `full` means that no descriptor is free.
         """
-        if self.standing.state == DOWN and not panic:
+        if self.reachability.state == DOWN and not panic:
             return Opening.UNREACHABLE
-        if full or self._crowded(now, all_opening):
+        if full or self._at_limit(now, all_opening):
             return Opening.WAIT
-        if self.standing.state != UP and self.opening:
+        if self.reachability.state != UP and self.opening:
             return Opening.WAIT
         if self.turns is not None and not self.turns.take(wall):
             return Opening.WAIT
         return Opening.NOW
 
-    def _crowded(self, now: float, all_opening: int) -> bool:
+    def _at_limit(self, now: float, all_opening: int) -> bool:
         terms = self.terms
         if self.opening >= terms.at_once or all_opening >= terms.at_once_all:
             return True
-        if self.cap < math.inf and now - self.cap_at >= CAP_RISE:
-            self.cap, self.cap_at = self.cap + 1, now
-        most = min(self.cap, float(terms.open_most or math.inf))
+        if self.observed_limit < math.inf and now - self.observed_limit_at >= LIMIT_RETRY_MS:
+            self.observed_limit, self.observed_limit_at = self.observed_limit + 1, now
+        most = min(self.observed_limit, float(terms.open_most or math.inf))
         return self.open + self.opening >= most
 
-    def ahead(self, now: float, wall: float, idle: int, all_opening: int, most: int, least: int = 0) -> bool:
-        """Whether to open a connection that no call waits for yet; `most` as for `keeps`.
+    def should_open_ahead(
+        self, now: float, wall: float, idle: int, all_opening: int, budget_limit: int, minimum: int = 0
+    ) -> bool:
+        """Whether to open a connection that no call waits for yet.
 
-        `least` is how many this endpoint should have in any case.
+        `budget_limit` is as for `may_keep_idle`; `minimum` is how many this endpoint should have in any case.
         """
-        if self.standing.state == DOWN:
-            return self.opening == 0 and self.standing.probe(now) and self.tries.take(wall)
-        if now < self.ahead_after:
+        if self.reachability.state == DOWN:
+            return self.opening == 0 and self.reachability.probe_due(now) and self.retry_turns.take(wall)
+        if now < self.open_ahead_after:
             return False
-        wanted = max(least, self.terms.keep_least)
+        wanted = max(minimum, self.terms.keep_least)
         if self.terms.ahead:
-            wanted = max(wanted, self.need.wanted(now, self.busy, self.terms.headroom))
-        if self.open + self.opening >= wanted or not self.keeps(now, idle + self.opening, most):
+            wanted = max(wanted, self.demand.wanted(now, self.busy, self.terms.headroom))
+        if self.open + self.opening >= wanted or not self.may_keep_idle(
+            now, idle + self.opening, budget_limit
+        ):
             return False
-        if self.standing.state == UNPROVEN and self.opening:
+        if self.reachability.state == UNPROVEN and self.opening:
             return False
-        return not self._crowded(now, all_opening) and self._turn(wall)
+        return not self._at_limit(now, all_opening) and self._take_turn(wall)
 
-    def _turn(self, wall: float) -> bool:
+    def _take_turn(self, wall: float) -> bool:
         return self.turns is None or self.turns.take(wall)
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -1,8 +1,8 @@
-"""Connections to one pool's endpoints, tended: carries out what the keepers decide.
+"""Manages the connections to one pool's endpoints: carries out the decisions of the endpoint policies.
 
-Stands beside the pool's `Upstream`, which holds the sockets, and is told by it of all that happens to them.
-It decides nothing of calls: what a call is told when there is no connection for it is an outcome that proves
-that it never ran, and the decision module goes on from there.
+It works beside the pool's `Upstream`, which holds the sockets and reports all their events. It decides
+nothing about calls: an attempt that gets no connection ends with an outcome that proves that it never ran,
+and the decision module continues from there.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from dataclasses import replace
 from typing import Protocol
 
-from millgw.connections.counts import Counts
-from millgw.connections.introduction import Introduction
-from millgw.connections.keeper import GiveUp, Keeper, Life, Opening
+from millgw.connections.counts import ConnectionCounts
+from millgw.connections.introduction import ColdEndpointFilter
+from millgw.connections.keeper import ConnectionRecord, EndpointPolicy, GiveUp, Opening
 from millgw.connections.opening import Place
-from millgw.connections.standing import DOWN, panics
+from millgw.connections.standing import DOWN, panic_mode
 from millgw.connections.terms import Proving, Terms
 from millgw.endpoints.attempt import WRITTEN, Attempt
 from millgw.endpoints.connection import Connection
@@ -29,203 +29,209 @@
 from millgw.http.message import NOTHING
 from millgw.interface import Endpoint, ListKind, Outcome, Repeat
 
-TICK = 0.25  # s between two looks at what is open, where nothing is waited for
-QUICK_TICK = 0.05  # s where a turn may fall due, or an endpoint is down: shorter than a turn may be used
-WAIT_TICK = 0.01  # s where calls wait for a connection
-AHEAD_PART = 0.75  # of the budget, that connections may take which are opened ahead of need
-KEEP_LEAST = 2  # connections that may stay idle at an endpoint, however many endpoints share the descriptors
+TICK_S = 0.25  # interval of the regular check of all connections
+FAST_TICK_S = 0.05  # with cold or unreachable endpoints: shorter than a handshake turn is valid
+WAITING_TICK_S = 0.01  # while calls wait for a connection
+AHEAD_BUDGET_SHARE = 0.75  # of the budget of descriptors: no connection is opened ahead of need beyond it
+MIN_IDLE_PER_ENDPOINT = 2  # idle connections allowed, however many endpoints share the descriptors
 
 
-class Sight(Protocol):
-    """What the pool knows of its endpoints. Times are those of `Endpoint.started_at`."""
+class PoolView(Protocol):
+    """What the pool knows of its endpoints. Times are on the clock of `Endpoint.started_at`."""
 
     def now(self) -> float: ...
 
     def cold_since(self, endpoint: int) -> tuple[float, bool]:
-        """Since when an endpoint is cold (0: it is not, or is out of reach) and whether its list tells so."""
+        """Since when an endpoint is cold (0: not cold, or unreachable), and whether that start was listed."""
 
-    def budget(self) -> int:
-        """Descriptors that the pool may use for connections to endpoints, and nobody else needs."""
+    def descriptor_budget(self) -> int:
+        """How many descriptors the pool may use for connections to endpoints without taking others' ones."""
 
-    def show(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Tell the module the whole list, some of which it was not told of before."""
+    def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
+        """Pass the whole list to the module, including endpoints that were hidden so far."""
 
 
-class Kept:
-    """What is tended at one host: its keeper, and calls that wait for a connection until a time (ms)."""
+class HostState:
+    """State of one host: its policy, and attempts that wait for a connection, each until a time (ms)."""
 
-    __slots__ = ("endpoint", "host", "keeper", "serving", "waiting")
+    __slots__ = ("endpoint", "host", "policy", "serve_scheduled", "waiting")
 
-    def __init__(self, endpoint: int, host: Host, keeper: Keeper) -> None:
+    def __init__(self, endpoint: int, host: Host, policy: EndpointPolicy) -> None:
         self.endpoint = endpoint
         self.host = host
-        self.keeper = keeper
+        self.policy = policy
         self.waiting: deque[tuple[Attempt, float]] = deque()
-        self.serving = False  # a look at those that wait is due this turn
+        self.serve_scheduled = False  # `_serve_waiting` is scheduled
 
 
 class Tended:
-    """One pool's. `told_idle` (ms) is how long endpoints promise to keep an idle connection."""
+    """Connections of one pool. `promised_idle` (ms) is how long endpoints promise to keep an idle one."""
 
     def __init__(
-        self, upstream: Upstream, terms: Terms, place: Place, told_idle: float, seed: int, sight: Sight
+        self,
+        upstream: Upstream,
+        terms: Terms,
+        position: Place,
+        promised_idle: float,
+        seed: int,
+        pool_view: PoolView,
     ) -> None:
         self.upstream = upstream
         self.terms = terms
-        self.place = place
-        self.told_idle = told_idle
-        self.sight = sight
+        self.place = position
+        self.promised_idle = promised_idle
+        self.pool_view = pool_view
         self.rng = random.Random(f"connections {seed}")
-        self.counts = Counts()
-        self.kept: dict[Host, Kept] = {}
-        self.lives: dict[Connection, Life] = {}
-        self.busy: set[Connection] = set()  # those that carry a request
+        self.counts = ConnectionCounts()
+        self.states: dict[Host, HostState] = {}
+        self.records: dict[Connection, ConnectionRecord] = {}
+        self.busy: set[Connection] = set()  # connections that carry a request
         self.opening = 0
-        self.introduction = Introduction(place.cold_time)
+        self.cold_filter = ColdEndpointFilter(position.cold_time)
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
-        self.due = 0.0
+        self.tick_at = 0.0
         self.stopped = False
-        self._arm(TICK)
+        self._schedule_tick(TICK_S)
 
-    # What the upstream tells
+    # Events reported by the upstream
 
     def send(self, endpoint: int, host: Host, attempt: Attempt, now: float) -> None:
-        """A call is to go to an endpoint: on a connection that is there, or a new one, or when one is."""
-        kept = self._of(endpoint, host)
-        kept.keeper.sent(now)
-        if not kept.waiting and self._reuse(kept, attempt, now):
-            self._ahead(kept, now)
+        """Send an attempt to an endpoint: on an idle connection, on a new one, or after waiting for one."""
+        state = self._state_of(endpoint, host)
+        state.policy.request_sent(now)
+        if not state.waiting and self._send_on_idle(state, attempt, now):
+            self._open_ahead(state, now)
             return
-        self._wait(kept, attempt, now)
-        self._serve(kept)
+        self._enqueue(state, attempt, now)
+        self._serve_waiting(state)
 
     def again(self, connection: Connection, attempt: Attempt) -> None:
-        """The connection that an attempt was on is dead, and it has not run: it goes on to another."""
+        """The connection of an attempt is dead, and the attempt has not run: move it to another one."""
         now, host = time.monotonic() * 1000, connection.host
         self.counts.moved(attempt.repeat)
-        life = self._over(connection)
-        kept = self.kept.get(host)
-        if kept is None or not host.used:
+        record = self._forget(connection)
+        state = self.states.get(host)
+        if state is None or not host.used:
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             return
-        if life is not None:
-            kept.keeper.dead(now, life)
-        self._wait(kept, attempt, now)
-        self._serve_soon(kept)
+        if record is not None:
+            state.policy.found_dead(now, record)
+        self._enqueue(state, attempt, now)
+        self._schedule_serve(state)
 
     def up(self, connection: Connection) -> None:
-        """A connection has come up, for an attempt or ahead of need."""
-        kept = self.kept.get(connection.host)
-        if kept is None:
+        """A connection was established, for an attempt or ahead of need."""
+        state = self.states.get(connection.host)
+        if state is None:
             return
         now = time.monotonic() * 1000
-        self.lives[connection] = kept.keeper.born(now)
-        kept.keeper.proved(self.sight.now())
+        self.records[connection] = state.policy.connected(now)
+        state.policy.handshake_succeeded(self.pool_view.now())
         self.counts.opened(connection.attempt is None)
         if connection.attempt is not None:
-            self._carries(kept, connection)
+            self._mark_busy(state, connection)
         elif connection.host.used:
             connection.host.idle.append(connection)
-        self._serve_soon(kept)
-        if self.introduction.connected(kept.endpoint):
-            self.sight.show(self.introduction.whole())
+        self._schedule_serve(state)
+        if self.cold_filter.connected(state.endpoint):
+            self.pool_view.replace_list(self.cold_filter.shown_list())
 
     def tried(self, host: Host, missed: bool) -> None:
-        """A handshake is over: well, in vain (`missed`), or nobody wants it any more."""
+        """A handshake has ended: it succeeded, failed (`missed`), or was no longer wanted."""
         self.opening -= 1
-        kept = self.kept.get(host)
-        if kept is None:
+        state = self.states.get(host)
+        if state is None:
             return
-        kept.keeper.opening -= 1
+        state.policy.opening -= 1
         if missed:
-            self.counts.missed()
-            kept.keeper.missed(time.monotonic() * 1000)
-            self._arm(QUICK_TICK)
-        self._serve_soon(kept)
+            self.counts.handshake_failed()
+            state.policy.handshake_failed(time.monotonic() * 1000)
+            self._schedule_tick(FAST_TICK_S)
+        self._schedule_serve(state)
 
     def keep(self, connection: Connection) -> None:
-        """A connection's answer is whole, and it may be used again."""
+        """The answer on a connection is complete, and the connection may be reused."""
         host, now = connection.host, time.monotonic() * 1000
-        kept, life = self.kept.get(host), self.lives.get(connection)
-        if kept is None or life is None or not host.used:
+        state, record = self.states.get(host), self.records.get(connection)
+        if state is None or record is None or not host.used:
             connection.abort()
             return
-        self._rests(kept, connection)
-        kept.keeper.answer(now, life)
-        why = kept.keeper.verdict(now, life)
-        if why is not None:
-            self.counts.given_up(why)
+        self._mark_idle(state, connection)
+        state.policy.answered(now, record)
+        reason = state.policy.give_up_reason(now, record)
+        if reason is not None:
+            self.counts.given_up(reason)
             connection.abort()
             return
         host.idle.append(connection)
-        self._arm(max(WAIT_TICK, (kept.keeper.expires(now, life) - now) / 1000))
-        if kept.waiting:
-            self._serve_soon(kept)
-        elif not kept.keeper.keeps(now, len(host.idle) - 1, self._most_idle()):
-            self._give_up_surplus(kept)
+        self._schedule_tick(max(WAITING_TICK_S, (state.policy.expires_at(now, record) - now) / 1000))
+        if state.waiting:
+            self._schedule_serve(state)
+        elif not state.policy.may_keep_idle(now, len(host.idle) - 1, self._max_idle()):
+            self._give_up_surplus(state)
 
     def lost(self, connection: Connection, idle: bool) -> None:
-        """A connection has ended; `idle` tells that the other side ended it while it was kept."""
-        kept = self.kept.get(connection.host)
+        """A connection has ended; `idle` is set if the other side closed it while idle."""
+        state = self.states.get(connection.host)
         attempt = connection.attempt
-        life = self._over(connection)
-        if kept is None or life is None:
+        record = self._forget(connection)
+        if state is None or record is None:
             return
         now = time.monotonic() * 1000
         if idle:
-            self.counts.ended()
-            kept.keeper.ended(now, life)
+            self.counts.closed_while_idle()
+            state.policy.closed_while_idle(now, record)
         elif attempt is not None:
-            kept.keeper.standing.doubt()
+            state.policy.reachability.mark_unproven()
             if attempt.state == WRITTEN and connection.reused:
                 self.counts.failed_on_reuse(attempt.repeat)
             if attempt.state != WRITTEN or connection.reused:
-                kept.keeper.dead(now, life)
-        if kept.waiting:
-            self._serve_soon(kept)
+                state.policy.found_dead(now, record)
+        if state.waiting:
+            self._schedule_serve(state)
 
     def doubt(self, host: Host) -> None:
-        """An attempt there got no answer."""
-        kept = self.kept.get(host)
-        if kept is not None:
-            kept.keeper.standing.doubt()
+        """An attempt to the host got no answer."""
+        state = self.states.get(host)
+        if state is not None:
+            state.policy.reachability.mark_unproven()
 
     def close(self, host: Host) -> None:
-        """A host is no longer in use: its calls that wait have been told."""
-        kept = self.kept.pop(host, None)
-        if kept is not None:
-            kept.waiting.clear()
+        """A host is no longer in use; its waiting attempts have already been ended."""
+        state = self.states.pop(host, None)
+        if state is not None:
+            state.waiting.clear()
 
     def proof(self, connection: Connection, now: float) -> float:
-        """For how long (ms) a request's last byte may wait for the other machine's word that the rest came.
+        """How long (ms) the last byte of a request may wait for an acknowledgement of the rest.
 
-        0 where the wait for a reset is enough.
+        0 if the short wait for a reset is enough.
         """
         if self.terms.prove is not Proving.ACK or now - connection.idle_since < self.terms.silent_after:
             return 0.0
         return self.terms.prove_most
 
     def change(self, terms: Terms) -> None:
-        """Go by other terms from now on; what was learned stays."""
+        """Apply other settings; what was learned is kept."""
         self.terms = terms
-        for kept in self.kept.values():
-            kept.keeper.change(terms, self.told_idle)
-        self._arm(0.0)
+        for state in self.states.values():
+            state.policy.change(terms, self.promised_idle)
+        self._schedule_tick(0.0)
 
-    def settle(self, place: Place, told_idle: float) -> None:
-        """Go by another place among siblings, and other promises of endpoints, from now on."""
-        if (place, told_idle) == (self.place, self.told_idle):
+    def settle(self, position: Place, promised_idle: float) -> None:
+        """Apply another position among the siblings and another idle timeout promised by the endpoints."""
+        if (position, promised_idle) == (self.place, self.promised_idle):
             return
-        self.told_idle = told_idle
-        self.place = place
-        self.introduction.cold_time = place.cold_time
-        for kept in self.kept.values():
-            kept.keeper.settle(self._place_at(kept.endpoint))
-            self._note_cold(kept)
+        self.promised_idle = promised_idle
+        self.place = position
+        self.cold_filter.cold_time = position.cold_time
+        for state in self.states.values():
+            state.policy.set_position(self._position_for(state.endpoint))
+            self._note_cold(state)
         self.change(self.terms)
 
-    def _place_at(self, endpoint: int) -> Place:
+    def _position_for(self, endpoint: int) -> Place:
         return replace(self.place, index=(self.place.index + endpoint) % self.place.siblings)
 
     def stop(self) -> None:
@@ -234,212 +240,221 @@
             self.timer.cancel()
             self.timer = None
 
-    # What the pool asks
+    # Used by the pool
 
-    def listed(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
-        """What the module is to be told of a list."""
-        told = self.introduction.listed(self.sight.now(), kind, entries, self._connected)
-        self._arm(QUICK_TICK)
-        return tuple(told)
+    def filter_list(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
+        """The entries of a list to pass to the module."""
+        filtered = self.cold_filter.filter_list(self.pool_view.now(), kind, entries, self._connected)
+        self._schedule_tick(FAST_TICK_S)
+        return tuple(filtered)
 
     def _connected(self, endpoint: int) -> bool:
         host = self.upstream.hosts.get(endpoint)
-        kept = self.kept.get(host) if host is not None else None
-        return kept is not None and kept.keeper.open > 0
+        state = self.states.get(host) if host is not None else None
+        return state is not None and state.policy.open > 0
 
     def figures(self) -> dict[str, object]:
-        """What happened, and how endpoints stand, for the log."""
-        down = sum(k.keeper.standing.state == DOWN for k in self.kept.values())
+        """Counts of events, of unreachable and of hidden endpoints, for the log."""
+        down = sum(state.policy.reachability.state == DOWN for state in self.states.values())
         figures: dict[str, object] = {"down": down} if down else {}
-        if self.introduction.hidden:
-            figures["not_yet_shown"] = len(self.introduction.hidden)
+        if self.cold_filter.hidden:
+            figures["not_yet_shown"] = len(self.cold_filter.hidden)
         return figures | self.counts.figures()
 
-    # Its own
+    # Internal state
 
-    def _of(self, endpoint: int, host: Host) -> Kept:
-        kept = self.kept.get(host)
-        if kept is None:
-            # Shifted by the endpoint: siblings are first at different ones, and one's turns are apart.
-            keeper = Keeper(self.terms, self._place_at(endpoint), self.told_idle, self.rng)
-            kept = self.kept[host] = Kept(endpoint, host, keeper)
-            self._note_cold(kept)
-        return kept
+    def _state_of(self, endpoint: int, host: Host) -> HostState:
+        state = self.states.get(host)
+        if state is None:
+            # The index is shifted by the endpoint's id, so that each sibling is first at other endpoints and
+            # its turns at different endpoints are spread over time.
+            policy = EndpointPolicy(self.terms, self._position_for(endpoint), self.promised_idle, self.rng)
+            state = self.states[host] = HostState(endpoint, host, policy)
+            self._note_cold(state)
+        return state
 
-    def _note_cold(self, kept: Kept) -> None:
-        since, common = self.sight.cold_since(kept.endpoint)
+    def _note_cold(self, state: HostState) -> None:
+        since, start_shared = self.pool_view.cold_since(state.endpoint)
         if since > 0:
-            kept.keeper.starts(since, common)
-
-    def _over(self, connection: Connection) -> Life | None:
-        """Take a connection off the books."""
-        kept = self.kept.get(connection.host)
-        life = self.lives.pop(connection, None)
-        if life is not None and kept is not None:
-            kept.keeper.open -= 1
-            self._rests(kept, connection)
+            state.policy.set_cold_start(since, start_shared)
+
+    def _forget(self, connection: Connection) -> ConnectionRecord | None:
+        """Remove a connection; returns its record."""
+        state = self.states.get(connection.host)
+        record = self.records.pop(connection, None)
+        if record is not None and state is not None:
+            state.policy.open -= 1
+            self._mark_idle(state, connection)
         self.busy.discard(connection)
-        return life
+        return record
 
-    def _carries(self, kept: Kept, connection: Connection) -> None:
+    def _mark_busy(self, state: HostState, connection: Connection) -> None:
         self.busy.add(connection)
-        kept.keeper.busy += 1
+        state.policy.busy += 1
 
-    def _rests(self, kept: Kept, connection: Connection) -> None:
+    def _mark_idle(self, state: HostState, connection: Connection) -> None:
         if connection in self.busy:
             self.busy.discard(connection)
-            kept.keeper.busy -= 1
+            state.policy.busy -= 1
 
-    def _reuse(self, kept: Kept, attempt: Attempt, now: float) -> bool:
-        """Send an attempt on an idle connection; tells whether there was one for it."""
-        idle = kept.host.idle
+    def _send_on_idle(self, state: HostState, attempt: Attempt, now: float) -> bool:
+        """Send an attempt on an idle connection; returns whether a suitable one was found."""
+        idle = state.host.idle
         unsafe = attempt.repeat is Repeat.UNSAFE
         while idle:
-            number = kept.keeper.choose(now, unsafe, [self.lives[c] for c in idle])
-            if number is None:
+            index = state.policy.choose_idle(now, unsafe, [self.records[c] for c in idle])
+            if index is None:
                 return False
-            connection = idle.pop(number)
+            connection = idle.pop(index)
             if not connection.usable():
-                # It has ended, and the loop has not said so yet.
-                kept.keeper.dead(now, self.lives[connection])
+                # It has ended, but the event loop has not reported that yet.
+                state.policy.found_dead(now, self.records[connection])
                 connection.abort()
                 continue
             self.counts.reused()
-            kept.keeper.takes(now, self.lives[connection])
-            self._carries(kept, connection)
+            state.policy.taken(now, self.records[connection])
+            self._mark_busy(state, connection)
             connection.send(attempt, now, self.proof(connection, now))
             return True
         return False
 
-    # Those that wait
+    # Waiting attempts
 
-    def _wait(self, kept: Kept, attempt: Attempt, now: float) -> None:
-        kept.waiting.append((attempt, now + self.terms.wait))
-        kept.host.connecting[attempt] = None  # a drain ends it there
+    def _enqueue(self, state: HostState, attempt: Attempt, now: float) -> None:
+        state.waiting.append((attempt, now + self.terms.wait))
+        state.host.connecting[attempt] = None  # a drain ends the attempts in this table
 
-    def _serve_soon(self, kept: Kept) -> None:
-        """In the next turn: what is going on has not come to its end yet."""
-        if kept.waiting and not kept.serving:
-            kept.serving = True
-            self.loop.call_soon(self._serve, kept)
+    def _schedule_serve(self, state: HostState) -> None:
+        """Serve waiting attempts in the next loop iteration, after the current event is fully handled."""
+        if state.waiting and not state.serve_scheduled:
+            state.serve_scheduled = True
+            self.loop.call_soon(self._serve_waiting, state)
 
-    def _serve(self, kept: Kept) -> None:
-        """Give those that wait what there is: a connection, a new one, or their outcome."""
-        kept.serving = False
+    def _serve_waiting(self, state: HostState) -> None:
+        """Give each waiting attempt an idle connection, a new one, or a final outcome, as far as possible."""
+        state.serve_scheduled = False
         waited = False
-        while kept.waiting:
+        while state.waiting:
             now = time.monotonic() * 1000
-            attempt, until = kept.waiting[0]
+            attempt, wait_until = state.waiting[0]
             if attempt.given_up:
-                kept.waiting.popleft()
-                kept.host.connecting.pop(attempt, None)
+                state.waiting.popleft()
+                state.host.connecting.pop(attempt, None)
                 continue
-            if self._reuse(kept, attempt, now):
-                self._leaves(kept, attempt)
+            if self._send_on_idle(state, attempt, now):
+                self._dequeue(state, attempt)
                 continue
-            opening = kept.keeper.may_open(now, self.sight.now(), self.opening, self._panic(), self._full())
+            opening = state.policy.may_open(
+                now, self.pool_view.now(), self.opening, self._panic_mode(), self._no_descriptors()
+            )
             if opening is Opening.NOW:
-                self._leaves(kept, attempt)
-                if self.upstream.connect(kept.host, attempt):
-                    self._open(kept)
+                self._dequeue(state, attempt)
+                if self.upstream.connect(state.host, attempt):
+                    self._count_opening(state)
             elif opening is Opening.UNREACHABLE:
-                self._leaves(kept, attempt)
+                self._dequeue(state, attempt)
                 self.counts.unreachable()
                 attempt.end(Outcome.CONNECT_FAILED, NOTHING)
-            elif now >= until:
-                self._leaves(kept, attempt)
-                self.counts.waited_in_vain()
+            elif now >= wait_until:
+                self._dequeue(state, attempt)
+                self.counts.wait_timed_out()
                 attempt.end(Outcome.NOT_SENT, NOTHING)
             else:
                 waited = True
                 break
         if waited:
             self.counts.waited()
-            self._arm(WAIT_TICK)
+            self._schedule_tick(WAITING_TICK_S)
 
     @staticmethod
-    def _leaves(kept: Kept, attempt: Attempt) -> None:
-        """Guards against one that is taken twice: what it is told may bring another call here at once."""
-        if kept.waiting and kept.waiting[0][0] is attempt:
-            kept.waiting.popleft()
-        kept.host.connecting.pop(attempt, None)
+    def _dequeue(state: HostState, attempt: Attempt) -> None:
+        """Remove an attempt from the queue before it is ended: its end may re-enter this class at once.
 
-    def _full(self) -> bool:
+        Otherwise it could be taken from the queue twice.
+        """
+        if state.waiting and state.waiting[0][0] is attempt:
+            state.waiting.popleft()
+        state.host.connecting.pop(attempt, None)
+
+    def _no_descriptors(self) -> bool:
         room = self.upstream.room
         return room.full() and not (self.upstream.give_way() or room.make())
 
-    def _panic(self) -> bool:
-        down = sum(k.keeper.standing.state == DOWN for k in self.kept.values())
-        return panics(down, len(self.upstream.hosts), self.terms.panic)
+    def _panic_mode(self) -> bool:
+        down = sum(state.policy.reachability.state == DOWN for state in self.states.values())
+        return panic_mode(down, len(self.upstream.hosts), self.terms.panic)
 
-    # Opening and giving up
+    # Opening and closing
 
-    def _open(self, kept: Kept) -> None:
-        kept.keeper.opening += 1
+    def _count_opening(self, state: HostState) -> None:
+        state.policy.opening += 1
         self.opening += 1
 
-    def _ahead(self, kept: Kept, now: float) -> bool:
-        """Open a connection before it is needed, if it will be; never at the cost of one that is in use."""
-        host = kept.host
+    def _open_ahead(self, state: HostState, now: float) -> bool:
+        """Open a connection if one will be needed soon, but never at the cost of one in use."""
+        host = state.host
         if not host.used or self.upstream.room.full():
             return False
-        if self.upstream.holds() >= AHEAD_PART * self.sight.budget():
+        if self.upstream.holds() >= AHEAD_BUDGET_SHARE * self.pool_view.descriptor_budget():
             return False
-        least = 1 if kept.endpoint in self.introduction.hidden else 0
-        if not kept.keeper.ahead(
-            now, self.sight.now(), len(host.idle), self.opening, self._most_idle(), least
+        minimum = 1 if state.endpoint in self.cold_filter.hidden else 0
+        if not state.policy.should_open_ahead(
+            now, self.pool_view.now(), len(host.idle), self.opening, self._max_idle(), minimum
         ):
             return False
-        self._open(kept)
+        self._count_opening(state)
         self.upstream.open_ahead(host)
         return True
 
-    def _most_idle(self) -> int:
-        return max(KEEP_LEAST, self.sight.budget() // (2 * max(1, len(self.upstream.hosts))))
+    def _max_idle(self) -> int:
+        return max(
+            MIN_IDLE_PER_ENDPOINT,
+            self.pool_view.descriptor_budget() // (2 * max(1, len(self.upstream.hosts))),
+        )
 
-    def _give_up_surplus(self, kept: Kept) -> None:
-        connection = kept.host.idle.pop(0)
+    def _give_up_surplus(self, state: HostState) -> None:
+        connection = state.host.idle.pop(0)
         self.counts.given_up(GiveUp.SURPLUS)
         connection.abort()
 
-    def _arm(self, after: float) -> None:
-        """Look round after so many seconds, or sooner if that is due."""
+    def _schedule_tick(self, after: float) -> None:
+        """Schedule the next check after so many seconds, unless an earlier one is due."""
         at = self.loop.time() + after
-        if self.stopped or (self.timer is not None and self.due <= at):
+        if self.stopped or (self.timer is not None and self.tick_at <= at):
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.due = at
+        self.tick_at = at
         self.timer = self.loop.call_later(after, self._tick)
 
     def _tick(self) -> None:
         self.timer = None
         now = time.monotonic() * 1000
-        quick = waits = False
+        fast = has_waiting = False
         expires = math.inf
         for endpoint, host in list(self.upstream.hosts.items()):
-            kept = self._of(endpoint, host)
-            self._note_cold(kept)
+            state = self._state_of(endpoint, host)
+            self._note_cold(state)
             for connection in list(host.idle):
-                life = self.lives[connection]
-                why = kept.keeper.verdict(now, life)
-                if why is None:
-                    expires = min(expires, kept.keeper.expires(now, life))
+                record = self.records[connection]
+                reason = state.policy.give_up_reason(now, record)
+                if reason is None:
+                    expires = min(expires, state.policy.expires_at(now, record))
                     continue
                 host.idle.remove(connection)
-                kept.keeper.gives_up(now, life, why)
-                self.counts.given_up(why)
+                state.policy.given_up(now, record, reason)
+                self.counts.given_up(reason)
                 connection.abort()
-            while self._ahead(kept, now):
+            while self._open_ahead(state, now):
                 pass
-            if kept.waiting:
-                self._serve(kept)
-            waits = waits or bool(kept.waiting)
-            turns = kept.keeper.turns
-            quick = quick or kept.keeper.standing.state == DOWN
-            quick = quick or (turns is not None and turns.cold(self.sight.now()))
-        if self.introduction.due(self.sight.now()):
-            self.sight.show(self.introduction.whole())
-        tick = WAIT_TICK if waits else QUICK_TICK if quick else TICK
-        # Guards against one that the other side ends first: then nobody knows in time.
-        self._arm(min(tick, max(WAIT_TICK, (expires - now) / 1000)))
+            if state.waiting:
+                self._serve_waiting(state)
+            has_waiting = has_waiting or bool(state.waiting)
+            turns = state.policy.turns
+            fast = fast or state.policy.reachability.state == DOWN
+            fast = fast or (turns is not None and turns.cold(self.pool_view.now()))
+        if self.cold_filter.show_warm(self.pool_view.now()):
+            self.pool_view.replace_list(self.cold_filter.shown_list())
+        tick = WAITING_TICK_S if has_waiting else FAST_TICK_S if fast else TICK_S
+        # Close expiring connections in time: if the other side closes first, a request may cross the close.
+        self._schedule_tick(min(tick, max(WAITING_TICK_S, (expires - now) / 1000)))
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -1,7 +1,7 @@
-"""The driver: feeds events to the one `Balancer` and carries out its actions.
+"""Driver of one pool: feeds events to its `Balancer` and carries out the actions that it returns.
 
-It owns the clock, the timers and the books on what is owed. It decides nothing, but it answers for the rule
-that each call gets exactly one final answer in time, whatever the balancer does.
+It owns the clock, the timers and the table of open calls. It decides nothing, but it ensures that each call
+gets exactly one final answer in time, whatever the balancer does.
 """
 
 from __future__ import annotations
@@ -47,22 +47,22 @@
     TimerFired,
 )
 from millgw.platform.discovery import Listed
-from millgw.pool.call import Call, Flight
+from millgw.pool.call import Call, OpenAttempt
 from millgw.pool.deadlines import Deadlines
-from millgw.pool.health_probe import PROBE_TIMEOUT, HealthProbe
+from millgw.pool.health_probe import PROBE_TIMEOUT_MS, HealthProbe
 from millgw.pool.start_times import StartTimes
 from millgw.streams.flow import Flow
 
-UPLOAD_MOST = 3_600_000.0  # ms that a body may take to come in: far over what 64 kB/s need
-ATTEMPT_STATES = ("connecting", "held", "writing", "answer", "ended")  # by `Attempt.state`, for the log
-ANSWER_MARGIN = 30.0  # ms before the client's deadline at which an attempt times out: room for a busy loop
+MAX_UPLOAD_MS = 3_600_000.0  # ms that a request body may take to arrive; far more than needed at 64 kB/s
+ATTEMPT_STATES = ("connecting", "held", "writing", "answer", "ended")  # log texts, indexed by `Attempt.state`
+ANSWER_MARGIN = 30.0  # ms before the client's deadline at which a call times out here, as a busy loop is late
 
 
 class Clock:
-    """Unix time in ms that never goes back: the wall clock at the start plus what has passed since.
+    """Monotonic clock in Unix time (ms): the wall clock at process start plus the monotonic time since then.
 
-    Unix time, because discovery tells an endpoint's start in it and the balancer compares the two: on a
-    clock that starts at 0, an endpoint that has just started would look as if it were from the future.
+    It is in Unix time because discovery reports endpoint start times that way and the balancer compares the
+    two. On a clock that begins at 0, an endpoint that has just started would seem to start in the future.
     """
 
     def __init__(self) -> None:
@@ -72,15 +72,15 @@
         return (self.offset + time.monotonic()) * 1000
 
 
-class Curtain(Protocol):
-    """What may stand between the lists and the module (see `millgw.connections.introduction`)."""
+class ListFilter(Protocol):
+    """Filters endpoint lists before the module gets them (see `millgw.connections.introduction`)."""
 
-    def listed(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
-        """What the module is to be told of a list."""
+    def filter_list(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
+        """The entries of a list to pass to the module."""
 
 
 class Driver:
-    """One sidecar's balancer in service."""
+    """Runs the balancer of one pool."""
 
     def __init__(self, balancer: Balancer, upstream: Upstream, subscribe: Callable[[], None]) -> None:
         self.loop = asyncio.get_running_loop()
@@ -89,128 +89,134 @@
         self.upstream = upstream
         self.subscribe = subscribe
         self.calls: dict[int, Call] = {}
-        self.open: set[bytes] = set()  # their X-Trace-Ids
-        self.partial: set[int] = set()  # calls whose bodies still come
-        self.flows: set[Flow] = set()  # answers that are being passed on
+        self.open: set[bytes] = set()  # X-Trace-Ids of the open calls
+        self.partial_calls: set[int] = set()  # calls whose request bodies are still arriving
+        self.flows: set[Flow] = set()  # answers that are being streamed
         self.last_id = 0
         self.start_times = StartTimes()
         self.ready: set[int] = set()
         self.draining: set[int] = set()
         self.events: deque[Event] = deque()
-        self.feeding = False
-        self.due: Deadlines[Call | SetTimer | Flow] = Deadlines()
-        self.waking: asyncio.TimerHandle | None = None
-        self.wakes_at = math.inf
+        self.handling_events = False
+        self.timers: Deadlines[Call | SetTimer | Flow] = Deadlines()
+        self.wake_timer: asyncio.TimerHandle | None = None
+        self.wake_at = math.inf
         self.ended = False
-        self.curtain: Curtain | None = None
-        # At discovery's last word: looks for an endpoint while the list may have been over, and probes.
-        self.looks_before = self.probes_before = 0
+        self.list_filter: ListFilter | None = None
+        # The balancer's counts of lookups in a stale list and of probes, when discovery was last heard.
+        self.stale_lookups_before = self.probes_before = 0
 
-    # What happens
+    # Events
 
     def take(self, call: Call) -> None:
         now = self.clock()
         self.last_id += 1
         call.id = self.last_id
         self.calls[call.id] = call
-        self.open.add(call.trace)
+        self.open.add(call.trace_id)
         upload = call.upload
         if upload is None:
-            call.deadline = now + call.patience - ANSWER_MARGIN
-            call.timers.append(self.due.add(call.deadline, call))
-            self._feed(RequestArrived(call.id, call.cls, call.deadline, call.tenant))
-            self._arm()
+            call.deadline = now + call.timeout - ANSWER_MARGIN
+            call.timers.append(self.timers.add(call.deadline, call))
+            self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant))
+            self._schedule_wake()
             return
-        # Its time counts from its last byte; who sends none in time is ended by the callers' side.
-        call.deadline = now + UPLOAD_MOST
-        upload.gone = partial(self._feed, BodyDiscarded(call.id))
-        self.partial.add(call.id)
-        self._feed(RequestArrived(call.id, call.cls, call.deadline, call.tenant, partial=True))
+        # The timeout counts from the last byte of the body; the caller side ends clients that stop sending.
+        call.deadline = now + MAX_UPLOAD_MS
+        upload.gone = partial(self._handle_event, BodyDiscarded(call.id))
+        self.partial_calls.add(call.id)
+        self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant, partial=True))
 
     def whole(self, call: Call) -> None:
-        """A body that is passed on as it came is whole: the call is taken, and its time begins."""
+        """A streamed request body is complete; the timeout of the call begins."""
         if call.id not in self.calls:
             return
-        self.partial.discard(call.id)
+        self.partial_calls.discard(call.id)
         now = self.clock()
-        call.deadline = now + call.patience - ANSWER_MARGIN
-        call.timers.append(self.due.add(call.deadline, call))
-        for flight in call.out.values():
-            flight.sent = now  # what came before tells nothing of the endpoint
-        self._feed(RequestBodyComplete(call.id, call.deadline))
-        self._arm()
+        call.deadline = now + call.timeout - ANSWER_MARGIN
+        call.timers.append(self.timers.add(call.deadline, call))
+        for open_attempt in call.open_attempts.values():
+            open_attempt.sent_at = now  # the time of the upload says nothing about the endpoint
+        self._handle_event(RequestBodyComplete(call.id, call.deadline))
+        self._schedule_wake()
 
     def left(self, call: Call) -> None:
-        """The client has gone away, or the sidecar has answered in the balancer's place."""
-        if self._close(call):
-            self._feed(RequestAborted(call.id))
-            self._give_up(call, concluded=True)
+        """The client has disconnected, or the sidecar has answered instead of the balancer."""
+        if self._close_call(call):
+            self._handle_event(RequestAborted(call.id))
+            self._give_up_attempts(call, concluded=True)
 
-    def listed(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
-        """Take discovery's word: addresses before the balancer can send there, closing after it knows."""
+    def handle_list(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
+        """Apply an endpoint list of discovery.
+
+        Addresses are set before the balancer can send to them; connections are closed after it was informed.
+        """
         if not kind.watch_ended:
-            self._log_unheard()
+            self._log_discovery_restored()
         if not entries and not kind.complete:
             if kind is ListKind.DELTA:
-                self.start_times.heard(self.clock())
-            self._feed(EndpointList(kind))  # a heartbeat, or no word any more
+                self.start_times.discovery_heard(self.clock())
+            self._handle_event(EndpointList(kind))  # a heartbeat, or discovery was lost
             if kind.watch_ended and kind is not ListKind.MOVED:
-                self._log_wait(kind)
+                self._log_discovery_wait(kind)
             return
-        old: list[Host | None] = []
-        named = set()
+        replaced_hosts: list[Host | None] = []
+        ready = set()
         gone = self._superseded(entries)
-        told = [self._dated(e.endpoint) for e in entries if e.endpoint.id not in gone]
+        changed = [self._with_local_start(e.endpoint) for e in entries if e.endpoint.id not in gone]
         if kind is ListKind.DELTA or kind is ListKind.FULL:
-            self.start_times.heard(self.clock())
-        told += [Endpoint(id, Condition.GONE) for id in gone]
+            self.start_times.discovery_heard(self.clock())
+        changed += [Endpoint(id, Condition.GONE) for id in gone]
         for entry in entries:
             id = entry.endpoint.id
             if entry.address is not None and id not in gone:
-                old.append(self.upstream.point(id, entry.address, entry.endpoint.started_at))
-                named.add(id)
-        gone |= {e.id for e in told} - named
+                replaced_hosts.append(self.upstream.point(id, entry.address, entry.endpoint.started_at))
+                ready.add(id)
+        gone |= {e.id for e in changed} - ready
         if kind.complete:
-            gone |= self.ready - named
-        drains = {e.id for e in told if e.condition is Condition.DRAINING}
-        ended = {e.id for e in told if e.condition is Condition.GONE}
+            gone |= self.ready - ready
+        drains = {e.id for e in changed if e.condition is Condition.DRAINING}
+        ended = {e.id for e in changed if e.condition is Condition.GONE}
         before = set() if kind.complete else self.draining
-        self.ready = (self.ready | named) - gone
-        self.draining = (before | drains) - named - ended
-        seen = tuple(told) if self.curtain is None else self.curtain.listed(kind, told)
-        self._feed(EndpointList(kind, seen))
-        old += [self.upstream.forget(id) for id in gone]
-        for host in old:
+        self.ready = (self.ready | ready) - gone
+        self.draining = (before | drains) - ready - ended
+        filtered = tuple(changed) if self.list_filter is None else self.list_filter.filter_list(kind, changed)
+        self._handle_event(EndpointList(kind, filtered))
+        replaced_hosts += [self.upstream.forget(id) for id in gone]
+        for host in replaced_hosts:
             if host is not None:
                 self.upstream.close(host)
 
-    def _dated(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with its start on this process's clock."""
-        since = self.start_times.dated(self.clock(), endpoint.id, endpoint.started_at)
-        return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
+    def _with_local_start(self, endpoint: Endpoint) -> Endpoint:
+        """The endpoint with its start time converted to this process's clock."""
+        started_at = self.start_times.local_start(self.clock(), endpoint.id, endpoint.started_at)
+        return endpoint if started_at == endpoint.started_at else replace(endpoint, started_at=started_at)
 
-    def _as_told(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with its start as discovery told it."""
-        since = self.start_times.told(endpoint.id, endpoint.started_at)
-        return endpoint if since == endpoint.started_at else replace(endpoint, started_at=since)
+    def _with_reported_start(self, endpoint: Endpoint) -> Endpoint:
+        """The endpoint with its start time as discovery reported it."""
+        started_at = self.start_times.reported_start(endpoint.id, endpoint.started_at)
+        return endpoint if started_at == endpoint.started_at else replace(endpoint, started_at=started_at)
 
-    def _log_unheard(self) -> None:
-        """Tell what became of calls while no watch was on, now that discovery is heard again."""
+    def _log_discovery_restored(self) -> None:
+        """Log the effects of a discovery outage that has just ended."""
         balancer, discovery = self.balancer, self.balancer.discovery
         if not discovery.disconnected() or discovery.lost_at == -math.inf:
             return
-        looks, self.looks_before = balancer.looks_at_stale - self.looks_before, balancer.looks_at_stale
+        stale_lookups, self.stale_lookups_before = (
+            balancer.looks_at_stale - self.stale_lookups_before,
+            balancer.looks_at_stale,
+        )
         probes, self.probes_before = balancer.probes - self.probes_before, balancer.probes
         self.upstream.log.log_event(
             "list-fresh-again",
             unheard_ms=round(self.clock() - discovery.lost_at, 1),
             calls=discovery.failures + 1,
-            found_none=looks,
+            found_none=stale_lookups,
             probes=probes,
         )
 
-    def _log_wait(self, kind: ListKind) -> None:
-        """Tell when discovery is asked again, now that a call or a watch is over."""
+    def _log_discovery_wait(self, kind: ListKind) -> None:
+        """Log when discovery is next queried, after a query or a watch has ended."""
         discovery, now = self.balancer.discovery, self.clock()
         heard_at = discovery.heard_at
         self.upstream.log.log_event(
@@ -221,193 +227,197 @@
         )
 
     def reconfigure(self, settings: Settings) -> None:
-        """Have the module go by other settings, between events; a ValueError names what can't change."""
+        """Change the settings of the module between events; a ValueError names one that can't be changed."""
         if not self.ended:
-            self._work(self.balancer.reconfigure(self.clock(), settings))
+            self._process(self.balancer.reconfigure(self.clock(), settings))
 
     def hear(self, event: PeerReports) -> None:
-        """Tell the module what siblings hold."""
-        self._feed(event)
+        """Pass the siblings' reports to the module."""
+        self._handle_event(event)
 
-    def show(self, endpoints: tuple[Endpoint, ...]) -> None:
-        """Tell the module the whole list as it should have it: no word of discovery's, which may be down."""
-        self._feed(EndpointList(ListKind.CACHED, endpoints))
+    def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
+        """Replace the module's whole list. Does not count as news from discovery, which may be down."""
+        self._handle_event(EndpointList(ListKind.CACHED, endpoints))
 
     def _superseded(self, entries: tuple[Listed, ...]) -> set[int]:
-        """The endpoints at whose address another one has started later.
+        """The endpoints whose address is now used by another endpoint that started later.
 
-        Guards against a machine that has gone without a word: all its calls would go to the new and cold one
-        at its address, past the new one's counts.
+        A machine may vanish without being removed from the list. All its calls would then go to the new, cold
+        endpoint at its address and would not be counted for that endpoint.
         """
-        told = {e.endpoint.id for e in entries}
-        last = {p.address: (p.since, id) for id, p in self.upstream.hosts.items() if id not in told}
-        lost = set()
+        listed_ids = {e.endpoint.id for e in entries}
+        newest = {p.address: (p.since, id) for id, p in self.upstream.hosts.items() if id not in listed_ids}
+        superseded = set()
         for entry in entries:
             if entry.address is not None:
                 mine = (entry.endpoint.started_at, entry.endpoint.id)
-                other = last.get(entry.address, mine)
-                last[entry.address], (_, loser) = (mine, other) if mine[0] >= other[0] else (other, mine)
+                other = newest.get(entry.address, mine)
+                newest[entry.address], (_, older_id) = (mine, other) if mine[0] >= other[0] else (other, mine)
                 if other[1] != mine[1]:
-                    lost.add(loser)
-        return lost
+                    superseded.add(older_id)
+        return superseded
 
-    def on_list(self) -> int:
-        """Endpoints that the list names now, those that drain among them."""
+    def listed_count(self) -> int:
+        """The number of listed endpoints, including draining ones."""
         return len(self.ready) + len(self.draining)
 
-    def aside(self) -> dict[int, str]:
-        """Those of them that are sent nothing now, and why. Other threads ask too: nothing changes."""
+    def out_of_rotation(self) -> dict[int, str]:
+        """The listed endpoints that get no requests now, and why. Read-only, as other threads call it too."""
         return dict.fromkeys(self.draining, "drains") | self.balancer.aside(self.clock())
 
     def address(self, endpoint: int) -> str:
-        """Where an endpoint is; empty where no connection was ever wanted there."""
+        """The address of an endpoint; empty if it has none here."""
         host = self.upstream.hosts.get(endpoint)
         return "" if host is None else str(host.address)
 
     def entries(self) -> tuple[Listed, ...]:
-        """The list as it stands, for the process that takes over."""
+        """The ready endpoints, for the process that takes over."""
         servers, hosts = self.balancer.servers, self.upstream.hosts
         known = [id for id in self.ready if id in servers and id in hosts]
-        return tuple(Listed(self._as_told(servers[id].info), hosts[id].address) for id in known)
+        return tuple(Listed(self._with_reported_start(servers[id].info), hosts[id].address) for id in known)
 
     def misses(self, endpoint: int) -> int:
-        """How many attempts in a row found no connection to an endpoint."""
+        """The number of consecutive attempts that got no connection to an endpoint."""
         server = self.balancer.servers.get(endpoint)
         return 0 if server is None else server.missed
 
     def fail_all(self) -> None:
-        """Answer all that is owed: the process is about to end."""
+        """Answer all open calls with a failure, as the process is about to exit."""
         for call in list(self.calls.values()):
             self.left(call)
-            call.answer(Answer(FAILED))
+            call.on_answer(Answer(FAILED))
         for flow in list(self.flows):
             flow.source.abandon()
             flow.break_off()
 
-    def _ended(self, call: Call, number: int, outcome: Outcome, content: Content) -> None:
-        flight = call.out.pop(number)
-        elapsed = self.clock() - flight.sent
+    def _attempt_ended(self, call: Call, number: int, outcome: Outcome, content: Content) -> None:
+        open_attempt = call.open_attempts.pop(number)
+        elapsed = self.clock() - open_attempt.sent_at
         if call.intent is not None:
-            call.intent.over(flight.attempt, outcome in NO_EFFECT_OUTCOMES)
-        if outcome is Outcome.OK and self._close(call):
-            call.answer(Answer(SERVED, content))
-        elif outcome is Outcome.CANCELLED and self._close(call):
-            # The endpoint can't use this request. Guards against one caller's bad requests that are tried
-            # again elsewhere and count against the health of every endpoint they come to.
-            call.answer(Answer(UNUSABLE, content))
+            call.intent.over(open_attempt.attempt, outcome in NO_EFFECT_OUTCOMES)
+        if outcome is Outcome.OK and self._close_call(call):
+            call.on_answer(Answer(SERVED, content))
+        elif outcome is Outcome.CANCELLED and self._close_call(call):
+            # The endpoint can't process this request. If it were retried elsewhere, one client's bad requests
+            # would count against the health of every endpoint that gets them.
+            call.on_answer(Answer(UNUSABLE, content))
         owed = call.id in self.calls
         if owed:
-            self._log_attempt(call, flight, outcome, elapsed)
-        self._feed(AttemptEnded(call.id, flight.endpoint, number, outcome, elapsed, not owed))
+            self._log_attempt(call, open_attempt, outcome, elapsed)
+        self._handle_event(AttemptEnded(call.id, open_attempt.endpoint, number, outcome, elapsed, not owed))
         if not owed:
-            self._give_up(call, concluded=True)
+            self._give_up_attempts(call, concluded=True)
 
-    def _log_attempt(self, call: Call, flight: Flight, outcome: Outcome, elapsed: float) -> None:
-        """Log an attempt that leaves its call unanswered: it is tried again, or given up."""
+    def _log_attempt(self, call: Call, open_attempt: OpenAttempt, outcome: Outcome, elapsed: float) -> None:
+        """Log an attempt that left its call unanswered; the call is then retried or given up."""
         self.upstream.log.log_event(
             "attempt-failed",
-            call=_shown(call),
-            endpoint=self.address(flight.endpoint),
+            call=_trace_text(call),
+            endpoint=self.address(open_attempt.endpoint),
             cause=outcome.value,
             took_ms=round(elapsed, 1),
         )
 
-    def _began(self, call: Call, number: int, flow: Flow) -> bool:
-        """A long answer begins to be passed on; tells whether it is owed. The module hears that it ended.
+    def _answer_began(self, call: Call, number: int, flow: Flow) -> bool:
+        """Begin to stream a long answer; returns False if the call is no longer open.
 
-        Guards against callers who read for a minute, and would fill the limit on calls in flight: what comes
-        now is transport, no work.
+        The module is informed that the attempt has ended, as what remains is transport and no work for the
+        endpoint. Otherwise clients that read for a minute would fill the limit on calls in flight.
         """
-        flight = call.out.pop(number)
-        elapsed = self.clock() - flight.sent
-        whole = call.id not in self.partial
-        if not self._close(call):
+        open_attempt = call.open_attempts.pop(number)
+        elapsed = self.clock() - open_attempt.sent_at
+        body_complete = call.id not in self.partial_calls
+        if not self._close_call(call):
             return False
         self.flows.add(flow)
         flow.over_calls.append(self.flows.discard)
-        if whole:  # else its time has not begun
-            due = self.due.add(call.deadline, flow)
-            flow.over_calls.append(lambda _: self.due.cancel(due))
-            self._arm()
-        call.answer(Answer(SERVED, Content(flow.headers), flow=flow))
-        self._feed(AttemptEnded(call.id, flight.endpoint, number, Outcome.OK, elapsed, True))
-        self._give_up(call, concluded=True)
+        if body_complete:  # otherwise the timeout has not begun
+            timer = self.timers.add(call.deadline, flow)
+            flow.over_calls.append(lambda _: self.timers.cancel(timer))
+            self._schedule_wake()
+        call.on_answer(Answer(SERVED, Content(flow.headers), flow=flow))
+        self._handle_event(AttemptEnded(call.id, open_attempt.endpoint, number, Outcome.OK, elapsed, True))
+        self._give_up_attempts(call, concluded=True)
         return True
 
-    def _expire(self, call: Call) -> None:
-        """The deadline: what is still out has timed out, and the balancer words the answer."""
+    def _deadline_passed(self, call: Call) -> None:
+        """The deadline of a call: its open attempts time out, and the balancer decides the answer."""
         self.upstream.log.log_event(
-            "deadline-passed", call=_shown(call), where=_where(call), attempts=call.sends
+            "deadline-passed", call=_trace_text(call), where=_wait_state(call), attempts=call.attempts_sent
         )
-        self._give_up(call, concluded=False)
+        self._give_up_attempts(call, concluded=False)
         if call.id in self.calls:
-            # Guards the rule itself: the balancer answers by then, and if it does not, the sidecar does.
+            # The balancer should have answered by now; if not, the call still gets its one answer in time.
             self.left(call)
-            call.answer(Answer(FAILED))
+            call.on_answer(Answer(FAILED))
 
-    def _give_up(self, call: Call, concluded: bool) -> None:
+    def _give_up_attempts(self, call: Call, concluded: bool) -> None:
         now = self.clock()
-        for number, flight in list(call.out.items()):
-            del call.out[number]
-            written = flight.attempt.give_up()
+        for number, open_attempt in list(call.open_attempts.items()):
+            del call.open_attempts[number]
+            written = open_attempt.attempt.give_up()
             if concluded:
-                # Guards also against a crowd that leaves while its sends are held back: that tells nothing of
-                # the endpoint, which would count as out of reach.
+                # Many clients may disconnect while their sends are held back. That says nothing about the
+                # endpoint, which would otherwise count as unreachable.
                 outcome = Outcome.CANCELLED
             elif not written:
                 outcome = Outcome.CONNECT_FAILED  # its last byte was never written
             else:
                 outcome = Outcome.TIMEOUT
-                self.upstream.doubt(flight.endpoint)
-            self._feed(AttemptEnded(call.id, flight.endpoint, number, outcome, now - flight.sent, concluded))
+                self.upstream.doubt(open_attempt.endpoint)
+            self._handle_event(
+                AttemptEnded(
+                    call.id, open_attempt.endpoint, number, outcome, now - open_attempt.sent_at, concluded
+                )
+            )
 
     def _set_timer(self, action: SetTimer) -> None:
-        due = self.due.add(action.at, action)
+        timer = self.timers.add(action.at, action)
         call = self.calls.get(action.request) if action.request is not None else None
         if call is not None:
-            call.timers.append(due)
-        self._arm()
+            call.timers.append(timer)
+        self._schedule_wake()
 
-    def _arm(self) -> None:
-        """Have the loop wake this at the first moment that is waited for; one timer serves them all.
+    def _schedule_wake(self) -> None:
+        """Schedule the one timer of the event loop for the earliest entry of the queue.
 
-        One that is set for too early is left: what it waited for has gone, which is what mostly happens.
+        A timer that is set too early stays: its entry was cancelled, as most are, and waking up is harmless.
         """
-        first = self.due.next()
-        if first is None or first >= self.wakes_at:
+        first = self.timers.next()
+        if first is None or first >= self.wake_at:
             return
-        if self.waking is not None:
-            self.waking.cancel()
-        self.wakes_at = first
-        # 1 ms more guards against the loop's clock, which counts whole ms: the balancer drops an early timer.
-        self.waking = self.loop.call_later(max(0.0, first - self.clock()) / 1000 + 0.001, self._wake)
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+        self.wake_at = first
+        # 1 ms is added as the loop's clock has a resolution of 1 ms, and the balancer ignores early timers.
+        self.wake_timer = self.loop.call_later(max(0.0, first - self.clock()) / 1000 + 0.001, self._wake)
 
     def _wake(self) -> None:
-        self.waking = None
-        self.wakes_at = math.inf
+        self.wake_timer = None
+        self.wake_at = math.inf
         now = self.clock()
-        # What these cause may cancel others that are due, or add some: those past `now` wait for the next
-        # turn.
-        while (what := self.due.pop(now)) is not None:
-            if isinstance(what, Call):
-                self._expire(what)
-            elif isinstance(what, Flow):
-                what.expire()
+        # Handling an entry may cancel others that are due, or add some; those after `now` wait for the next
+        # wake-up.
+        while (item := self.timers.pop(now)) is not None:
+            if isinstance(item, Call):
+                self._deadline_passed(item)
+            elif isinstance(item, Flow):
+                item.expire()
             else:
-                self._feed(TimerFired(what.timer))
-        self._arm()
+                self._handle_event(TimerFired(item.timer))
+        self._schedule_wake()
 
-    def _feed(self, event: Event) -> None:
-        """Events in the order they came: one that an action causes waits until the others are carried out."""
+    def _handle_event(self, event: Event) -> None:
+        """Handle events in order; one caused by an action is queued until all current actions are done."""
         if self.ended:
-            return  # guards against what still goes on when its pool has ended, and would keep it in memory
+            return  # late callbacks would otherwise restart timers and keep the ended pool in memory
         self.events.append(event)
-        if not self.feeding:
-            self._work(())
+        if not self.handling_events:
+            self._process(())
 
-    def _work(self, actions: Sequence[Action]) -> None:
-        """Carry out these actions, then all that events cause."""
-        self.feeding = True
+    def _process(self, actions: Sequence[Action]) -> None:
+        """Carry out these actions, then handle all queued events."""
+        self.handling_events = True
         try:
             for action in actions:
                 self._carry_out(action)
@@ -415,9 +425,9 @@
                 for action in self.balancer.handle(self.clock(), self.events.popleft()):
                     self._carry_out(action)
         finally:
-            self.feeding = False
+            self.handling_events = False
 
-    # What the balancer wants
+    # Actions of the balancer
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, Send):
@@ -439,77 +449,81 @@
             self.subscribe()
 
     def _probe(self, endpoint: int) -> None:
-        probe = HealthProbe(endpoint, self.clock(), self._probed)
-        self.loop.call_later(PROBE_TIMEOUT / 1000, probe.expire)
+        probe = HealthProbe(endpoint, self.clock(), self._probe_ended)
+        self.loop.call_later(PROBE_TIMEOUT_MS / 1000, probe.expire)
         self.upstream.send(endpoint, probe.attempt)
 
-    def _probed(self, endpoint: int, outcome: Outcome, sent: float) -> None:
+    def _probe_ended(self, endpoint: int, outcome: Outcome, sent: float) -> None:
         if outcome is Outcome.ERROR:
             self.upstream.log.log_event("endpoint-not-well", endpoint=self.address(endpoint))
-        self._feed(ProbeEnded(endpoint, outcome, self.clock() - sent))
+        self._handle_event(ProbeEnded(endpoint, outcome, self.clock() - sent))
 
     def end(self) -> None:
-        """Take no more events: its pool has ended."""
+        """Ignore all further events, as the pool has ended."""
         self.ended = True
-        if self.waking is not None:
-            self.waking.cancel()
-            self.waking = None
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+            self.wake_timer = None
 
-    def _log_given_up(self, request: int, status: int, why: GivenUp) -> None:
+    def _log_given_up(self, request: int, status: int, cause: GivenUp) -> None:
         call = self.calls[request]
         self.upstream.log.log_event(
-            "call-given-up", call=_shown(call), status=status, cause=why.value, attempts=call.sends
+            "call-given-up",
+            call=_trace_text(call),
+            status=status,
+            cause=cause.value,
+            attempts=call.attempts_sent,
         )
 
     def _answer(self, request: int, answer: Answer) -> None:
         call = self.calls[request]
         if answer.status == REFUSED and call.intent is not None and call.intent.doubtful:
-            answer = Answer(FAILED)  # the module knows of its own attempts only
-        self._close(call)
-        call.answer(answer)
+            answer = Answer(FAILED)  # another process may have sent it, unknown to the module
+        self._close_call(call)
+        call.on_answer(answer)
 
-    def _send(self, call: Call, endpoint: int, until: float) -> None:
-        now, number = self.clock(), call.sends
-        call.sends += 1
+    def _send(self, call: Call, endpoint: int, send_by: float) -> None:
+        now, number = self.clock(), call.attempts_sent
+        call.attempts_sent += 1
         if call.gone is not None and call.gone():
-            # Guards against sends for nobody: a caller's end is not seen while its connection is not read.
-            self._feed(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
+            # A disconnect is not noticed while the connection is not read: check before sending in vain.
+            self._handle_event(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
             self.left(call)
             return
-        ended, began = partial(self._ended, call, number), partial(self._began, call, number)
+        ended, began = partial(self._attempt_ended, call, number), partial(self._answer_began, call, number)
         payload = partial(self._payload, call)
-        attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace)
+        attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace_id)
         attempt.gone, attempt.looked = call.gone, time.monotonic() * 1000
-        attempt.until = attempt.looked + until - now
-        call.out[number] = Flight(endpoint, now, attempt)
+        attempt.until = attempt.looked + send_by - now
+        call.open_attempts[number] = OpenAttempt(endpoint, now, attempt)
         self.upstream.send(endpoint, attempt)
 
     def _payload(self, call: Call) -> bytes:
-        if call.id in self.partial:
-            return call.payload(max(1, int(call.patience)))
-        return call.payload(max(1, int(call.deadline - self.clock())))
-
-    def _close(self, call: Call) -> bool:
-        """Take a call off the books; tells whether it was still owed its answer."""
-        for due in call.timers:
-            self.due.cancel(due)  # guards against timers, and what they hold, that outlive their call
+        if call.id in self.partial_calls:
+            return call.build_payload(max(1, int(call.timeout)))
+        return call.build_payload(max(1, int(call.deadline - self.clock())))
+
+    def _close_call(self, call: Call) -> bool:
+        """Remove a call from the table; returns whether it was still unanswered."""
+        for timer in call.timers:
+            self.timers.cancel(timer)  # else the timer and all it references outlive the call
         call.timers.clear()
-        self.partial.discard(call.id)
+        self.partial_calls.discard(call.id)
         if call.upload is not None:
             call.upload.drop()
         if call.intent is not None:
             call.intent.end()
-        self.open.discard(call.trace)
+        self.open.discard(call.trace_id)
         return self.calls.pop(call.id, None) is not None
 
 
-def _shown(call: Call) -> str:
-    """A call's X-Trace-Id, for the log."""
-    return call.trace.decode("ascii", "backslashreplace")
+def _trace_text(call: Call) -> str:
+    """The X-Trace-Id of a call, for the log."""
+    return call.trace_id.decode("ascii", "backslashreplace")
 
 
-def _where(call: Call) -> str:
-    """Where a call waits, for the log."""
-    for flight in call.out.values():
-        return ATTEMPT_STATES[flight.attempt.state]
-    return "between attempts" if call.sends else "for an endpoint"
+def _wait_state(call: Call) -> str:
+    """What a call is waiting for, for the log."""
+    for open_attempt in call.open_attempts.values():
+        return ATTEMPT_STATES[open_attempt.attempt.state]
+    return "between attempts" if call.attempts_sent else "for an endpoint"
