--- a/millgw/callers/__init__.py
+++ b/millgw/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: connections that come in, what their requests must be like, the answers' wording."""
+"""The server side for callers: accepted connections, request parsing and checks, answer encoding."""
--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -1,6 +1,6 @@
-"""One caller's connection: requests in, answers out, one at a time. The transport round the core.
+"""One caller's connection: the asyncio protocol around `RequestCore`, serving one request at a time.
 
-A request that can't be understood is answered 4xx and never reaches a driver; all others are its calls.
+A request that can't be parsed is answered 4xx and never reaches a driver; every other one becomes a call.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
 from millgw.streams.flow import Flow
 from millgw.streams.upload import Upload
 
-SLICE = 1024  # bytes that are parsed before a request in them is served: what is behind it stays unparsed
-LINGER = 0.5  # s that a connection stays open after a last 4xx, so that a client still sending can read it
-STUCK_TIME = 3.0  # s in which the client of a closing connection must read more of the last answer
-MAX_DISCARD = 256 * 1024  # bytes read and thrown away in that time
-MAX_REST = 64 * 1024 * 1024  # bytes of a body's rest read and thrown away, for as long as it comes
-REST_TIME = 2.0  # s in which more of that must come
-BAD_PAUSE = 0.1  # s that a connection rests after a bad request, twice as long after each further one
-MAX_BAD = 4  # bad requests in a row, after which it ends
-NEW = ""  # the lane of connections that no request has come on yet
+SLICE = 1024  # bytes parsed at a time; what follows a request that is ready to be served stays unparsed
+LINGER = 0.5  # s that a connection stays open after a final 4xx, so that a client still sending can read it
+STUCK_TIME = 3.0  # s in which the client of a closing connection must read some of the last answer
+MAX_DISCARD = 256 * 1024  # bytes read and discarded on an ended connection
+MAX_REST = 64 * 1024 * 1024  # bytes of the rest of a body read and discarded after an early answer
+REST_TIME = 2.0  # s in which more of that rest must arrive
+BAD_PAUSE = 0.1  # s before the next bad request of a connection is answered; doubles with each one
+MAX_BAD = 4  # consecutive bad requests after which the connection is closed
+NEW = ""  # the lane of connections before their first request
 
 
 class CallerConnection:
-    """One request at a time; what comes early waits its turn, unparsed.
+    """Serves one request at a time; pipelined ones wait unparsed.
 
-    An asyncio buffered protocol, by its methods: no base class, so that it can be compiled.
+    It has the methods of an asyncio buffered protocol, but no base class, so that it can be compiled.
     """
 
     def __init__(self, server: Listening, unread_since: float = math.inf) -> None:
         self.server = server
-        self.unread_since = unread_since  # s, from when on bytes may have waited in the socket
+        self.unread_since = unread_since  # s, since when bytes may have waited unread in the socket
         self.core = RequestCore(server.front.gate)
         self.transport: asyncio.Transport | None = None
         self.poll: select.poll | None = None
@@ -58,18 +58,18 @@
         self.lane = NEW
         self.waits = False
         self.current: Call | None = None
-        self.serves: Head | None = None  # the request that `current` is of
-        self.streamed: StreamedAnswer | None = None  # the answer that is being passed on
-        self.left_to_read = 0  # bytes of answers that were not taken when last looked
+        self.serves: Head | None = None  # the request that `current` was made from
+        self.streamed: StreamedAnswer | None = None  # the answer that is being streamed to the client
+        self.left_to_read = 0  # at the last check: bytes unread by the client, or discarded
         self.bad = 0
-        self.held: BadRequest | None = None  # its answer waits for the rest after the bad request before it
+        self.held: BadRequest | None = None  # refused once the pause after the previous bad request is over
         self.discarded = 0
         self.most_discarded = MAX_DISCARD
-        self.upload: Upload | None = None  # the body that is being passed on, until it is whole
+        self.upload: Upload | None = None  # the body that is being streamed to an endpoint, until complete
         self.resting: asyncio.TimerHandle | None = None
         self.lingering: asyncio.TimerHandle | None = None
         self.serving = False
-        self.unread_answers: Stall | None = None  # while its client takes no more of what was answered
+        self.unread_answers: Stall | None = None  # while the write buffer is full
         self.paused = False
         self.keep = True
         self.ended = False
@@ -81,25 +81,24 @@
 
     @property
     def half(self) -> bool:
-        """Whether a request has begun to come in, and nothing is served meanwhile."""
+        """Whether a request has been received in part, and nothing is being served."""
         return self.core.head is not None and not self.busy and not self.ended
 
     def quiet(self, least: float) -> bool:
-        """Whether it has been between requests for so long, and has none waiting to be read.
+        """Whether it has been between requests for `least` s, and no request waits to be read or parsed.
 
-        Otherwise a request could be lost: a client whose request crosses the close sends it again, but once
-        only, and under many connections the next one may be closed as well. One that has been read and waits
-        for its turn counts too.
+        Closing it with a request unread could lose that request: a client whose request crosses the close
+        sends it again, but only once, and under many connections the next one may be closed as well.
         """
         if self.transport is None or self.waits or time.monotonic() < self.since + least:
             return False
         return not unread(self.transport, self.poll)
 
     def close_if_quiet(self, least: float, cause: str) -> bool:
-        """Close it if it is quiet (see there); tells whether it was.
+        """Close it if `quiet(least)`; True if it was closed.
 
-        Its client is shown the end at once. Otherwise a request that is written before the loop's next turn
-        would be reset with it, and that turn may be late.
+        The FIN is sent at once. The transport would send it in the next iteration of the event loop, which
+        may be late, and a request that the client writes before that would be reset.
         """
         transport = self.transport
         if transport is None or not self.quiet(least):
@@ -128,7 +127,7 @@
             self.lingering = self.server.loop.call_later(STUCK_TIME, self._linger)
 
     def _linger(self) -> None:
-        """End it if its client does not read its last answer: it would be held for ever."""
+        """Abort it if its client does not read the last answer; otherwise it would stay open for ever."""
         self.lingering = None
         transport = self.transport
         if transport is None:
@@ -141,12 +140,12 @@
             self.lingering = self.server.loop.call_later(STUCK_TIME, self._linger)
 
     def abort(self) -> None:
-        """End it at once: its client takes nothing."""
+        """Abort it because its client reads nothing."""
         if self.transport is not None:
             self.transport.abort()
 
     def _release(self) -> None:
-        """Give back what bodies take that are not being served."""
+        """Release the memory of request bodies that are not being served."""
         if self.core.head is not None:
             self.core.head.release()
         for item in self.core.queue:
@@ -168,7 +167,7 @@
         if self.ended:
             self.discarded += nbytes
             if self.discarded > self.most_discarded and self.transport is not None:
-                self.transport.pause_reading()  # nobody needs what still comes
+                self.transport.pause_reading()  # what still arrives is not needed
             return
         arrived = time.monotonic()
         if self.unread_since < arrived:
@@ -179,30 +178,30 @@
             self._read()
         elif self.waits:
             if self.transport is not None:
-                self._pause()  # otherwise memory would fill while it waits
+                self._pause()  # otherwise memory would grow while it waits for its turn
         else:
             self.waits = True
             self.server.lanes.wait(self.lane, self)
 
     def _waited(self, now: float) -> float:
-        """For how long (s) the bytes that were just read had waited in the socket.
+        """Seconds for which the bytes just read had waited in the socket.
 
-        The client's time counts from when it sent, also while its connection was not accepted, or not read as
-        an answer before was due.
+        Deadlines count from when the client sent, also while the connection waited to be accepted, or was not
+        read because a previous answer was outstanding.
         """
         longest, self.unread_since = now - self.unread_since, math.inf
         return 0.0 if self.transport is None else min(longest, since_received(self.transport))
 
     def turn(self) -> None:
-        """Its lane's turn has come: work on what was read."""
+        """Called when it is the lane's turn: parse what was read."""
         self.waits = False
         if self.transport is not None and not self.transport.is_closing():
             self._read()
 
     def _read(self) -> None:
-        """Read on until a request is there to be served.
+        """Parse until there is a request to serve.
 
-        What is behind it costs no work and no memory but its bytes, one read at most, as it may be a flood.
+        What follows it stays unparsed, and at most one read of it is held, as it may be a flood of requests.
         """
         core = self.core
         while self.rest and not self.ended:
@@ -223,7 +222,7 @@
             if core.expects and not self.busy and self.transport is not None:
                 core.expects = False
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-                self.progress.came = time.monotonic()  # from now on it is its client's turn
+                self.progress.came = time.monotonic()  # the client is expected to send from now on
             if self.upload is not None:
                 self._goes_on(self.upload)
             elif core.head is not None and core.head.long and not self.busy:
@@ -258,10 +257,10 @@
         self.since = time.monotonic()
         self.progress.begin(self.since)
 
-    # A body that is passed on as it comes
+    # Request bodies that are streamed to an endpoint
 
     def _begin_upload(self, head: Head) -> None:
-        """A request's body is longer than what is held whole: its call begins before it has come."""
+        """Begin the call of a request whose body is too long to be held whole, while the body arrives."""
         self.keep = head.keep
         try:
             made = self.server.front.read(head, self._answer)
@@ -297,22 +296,22 @@
         self.server.loop.call_soon(self._read)
 
     def _drop_call(self) -> None:
-        """The request that is coming in will not come to its end."""
+        """Drop the call whose request body will not be completed."""
         call, self.current, self.upload = self.current, None, None
         self._served()
         if call is not None:
             call.owner.left(call)
 
     def _coming_in(self) -> Head | None:
-        """The request of which more has to come before anything can be done for its client."""
+        """The incomplete request whose client is expected to send; None if there is none."""
         if self.ended or self.waits or (self.upload is None and self.busy):
             return None
         return self.core.head
 
     def end_overdue(self, now: float) -> None:
-        """Answer a request that has not come to its end in time (see `millgw.callers.progress`).
+        """Answer 408 to a request that was not completed in time (see `millgw.callers.progress`).
 
-        Bytes that wait in the socket were sent in time, though this side has not read them.
+        Nothing is done while bytes wait in the socket: the client sent them in time, this side is late.
         """
         head, transport = self._coming_in(), self.transport
         if head is None or transport is None or unread(transport, self.poll):
@@ -322,7 +321,7 @@
             self.refuse(BadRequest(408, why.value))
 
     def end_slow(self, now: float) -> bool:
-        """Answer a request that comes in slowly, as others need its connection; tells whether it did."""
+        """Answer 408 to a request that arrives slowly, as others need room; False if it does not."""
         head = self._coming_in()
         if head is None or not self.progress.slow(now, head.length):
             return False
@@ -330,10 +329,10 @@
         return True
 
     def _end_early(self, answer: Answer) -> None:
-        """Answer a request whose body still comes. Its rest is read and dropped, for as long as it comes.
+        """Answer a request whose body is still arriving, and discard the rest of it until the client stops.
 
-        The answer would be lost otherwise: a connection that is closed while its client still sends is reset,
-        and what the client has not read by then is gone.
+        Otherwise the answer would be lost: a connection that is closed while its client still sends is reset,
+        and the client loses what it has not read by then.
         """
         self.upload = None
         self._served()
@@ -351,7 +350,7 @@
             self._drop_more()
 
     def _drop_more(self) -> None:
-        """Close once no more comes of the rest."""
+        """Close once no more of the body arrives, or too much of it has."""
         if self.discarded == self.left_to_read or self.discarded > self.most_discarded:
             self.close()
             return
@@ -359,7 +358,7 @@
         self.resting = self.server.loop.call_later(REST_TIME, self._drop_more)
 
     def pause_writing(self) -> None:
-        """Read no further: otherwise a client that never reads its answers could ask without end."""
+        """Stop reading: otherwise a client that never reads its answers could send requests without end."""
         self.unread_answers = Stall(time.monotonic())
         if self.streamed is not None:
             self.streamed.hold()
@@ -375,16 +374,16 @@
         self._leave()
 
     def gone(self) -> bool:
-        """Whether the client has left, as far as the kernel knows: the loop may not have told yet.
+        """Whether the client has disconnected according to the kernel; the event loop may report it later.
 
-        Otherwise there would be attempts for nobody: of a request that waited in the socket, until the
-        connection was accepted or the process went on, the loop reads the bytes first and the end in its next
-        turn.
+        Otherwise attempts would be made for a client that is gone. If a request waited in the socket because
+        the connection was not accepted yet or the process was not scheduled, the event loop delivers the
+        bytes first and the end in its next iteration.
         """
         return self.transport is not None and gone(self.transport, self.poll)
 
     def look_for_end(self) -> None:
-        """End what is served for a client that has left while nothing was read."""
+        """Drop the calls of a client that disconnected while reading was paused."""
         if self.gone():
             self._leave()
 
@@ -427,7 +426,7 @@
     # Answers
 
     def refuse(self, bad: BadRequest) -> None:
-        """Answer what can't be read once all before it is answered; nothing is read after it."""
+        """Queue the refusal of an unreadable request behind those before it; nothing is read after it."""
         self.ended = True
         self.rest = b""
         if self.upload is not None:
@@ -440,7 +439,7 @@
         self._serve()
 
     def _serve(self) -> None:
-        """Answer what waits, one by one; a call that is answered at once must not start this over."""
+        """Serve queued requests one by one. Not reentrant: a call may be answered at once from within."""
         if self.serving:
             return
         self.serving = True
@@ -449,7 +448,7 @@
             if self.current is not None or self.streamed is not None or self.held is not None:
                 break
             if self.paused and self.gone():
-                self._leave()  # nobody waits for what is behind a request that was answered to nobody
+                self._leave()  # the client is gone, so the requests behind are not needed either
                 break
             item = queue.popleft()
             if isinstance(item, BadRequest):
@@ -478,7 +477,7 @@
 
     @staticmethod
     def _count(head: Head | None, status: int) -> None:
-        """A request has its final answer."""
+        """Report the final status of a request to its pool."""
         if head is not None and head.pool is not None:
             head.pool.answered(head, status)
 
@@ -495,7 +494,7 @@
         self._write(answer)
         self.go_on_after()
 
-    # An answer that is passed on as it comes
+    # Streamed answers
 
     def _pass_on(self, answer: Answer, flow: Flow) -> None:
         transport, head = self.transport, self.serves
@@ -505,11 +504,11 @@
         head.release()
         self.streamed = streamed = StreamedAnswer(self, flow, head.version)
         if streamed.until_close or self.upload is not None:
-            self.keep = False  # its end is the connection's, or the request's body still comes
+            self.keep = False  # delimited by the close, or the request body is still arriving
         streamed.begin(transport, answer, not self.keep or self.server.stopping)
 
     def streamed_to_end(self, status: int) -> None:
-        """The answer that was passed on has ended."""
+        """The streamed answer has ended."""
         self.streamed = None
         self._count(self.serves, status)
         self._served()
@@ -517,13 +516,13 @@
             self.transport.set_write_buffer_limits()
 
     def go_on_after(self) -> None:
-        """A request is answered: serve the next one, or end the connection."""
+        """Called after an answer: serve the next request, or close the connection."""
         self._after()
         if not self.serving:
             self._go_on()
 
     def stuck(self, now: float) -> bool:
-        """Whether its client takes nothing of its answers for too long."""
+        """Whether the client has read nothing of its answers for too long."""
         if self.streamed is not None:
             return self.streamed.stuck(now)
         stall, transport = self.unread_answers, self.transport
@@ -551,11 +550,11 @@
             self.core.queue.clear()
 
     def _turn_away(self, bad: BadRequest) -> None:
-        """Answer a request that is read but can't be taken.
+        """Refuse a request that is well-formed but unacceptable.
 
-        Its client is made to rest: otherwise it could ask the same again as soon as it is answered. Only
-        another bad request waits for that. One that can be taken is served at once: its time runs, and its
-        connection may be that of many clients behind an earlier tier.
+        The next bad request is answered only after a pause: otherwise the client could repeat it as soon as
+        it is answered. An acceptable request does not wait for that: its deadline runs, and the connection
+        may carry the requests of many clients behind an earlier tier.
         """
         if self.resting is not None:
             self.held = bad
@@ -573,7 +572,10 @@
             self.resting = self.server.loop.call_later(rest, self._rested)
 
     def _end_badly(self, bad: BadRequest) -> None:
-        """The last answer: the client may still be sending, and would lose it to a reset."""
+        """Refuse, and close after `LINGER`.
+
+        If the client is still sending, an immediate close would be a reset, and the answer would be lost.
+        """
         self.ended = True
         self.keep = False
         self.rest = b""
--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -1,6 +1,6 @@
-"""The protocol core of the callers' side: bytes in, requests and refusals out. No I/O, no clock.
+"""HTTP/1.1 request parser for callers' connections, and answer encoding. No I/O, no clock.
 
-What can't be understood ends in a BadRequest in its place in the queue, and nothing is read behind it.
+A request that can't be parsed makes `RequestCore.feed` return a BadRequest, and nothing behind it is parsed.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def word_answer(answer: Answer, close: bool) -> bytes:
-    """An answer as it goes to the caller; `close` tells that it is the last one on its connection."""
+    """Encode a whole answer; `close` marks the last one on its connection."""
     content = answer.content
     headers = content.headers
     if answer.retry_after > 0:
@@ -47,7 +47,7 @@
 
 
 def word_begin(answer: Answer, length: int | None, chunked: bool, close: bool) -> bytes:
-    """The head of an answer whose body follows as it comes: of this length, in chunks, or until the end."""
+    """Encode the head of a streamed answer: with a length, chunked, or delimited by the connection's end."""
     headers = answer.content.headers
     if length is not None:
         headers += b"Content-Length: %d\r\n" % length
@@ -59,10 +59,10 @@
 
 
 class RequestCore:
-    """One connection's requests. `gate` is asked whose a request is once its headers have ended.
+    """Parser for one connection. `gate` assigns each request to a pool once its headers are read.
 
-    `queue` holds what has come to its end, `head` what has not; `begun` counts the requests that have begun.
-    `expects` tells that the caller waits for a 100 before it sends the body of `head`.
+    `queue` holds requests received whole, `head` the one still being received; `begun` counts all requests
+    begun. `expects` is set while the caller waits for a 100 Continue before it sends the body of `head`.
     """
 
     __slots__ = (
@@ -77,16 +77,16 @@
         self.in_body = False
         self.begun = 0
         self.expects = False
-        self.framing = 0  # bytes of the request so far, without its body
-        self.length = 0  # bytes of bodies so far, of all requests
+        self.framing = 0  # bytes of the current request so far, without its body
+        self.length = 0  # bytes of bodies so far, summed over all requests
         self.arrived = 0.0
 
     def close(self) -> None:
-        """Break the cycle with the parser, which would keep both until the collector comes."""
+        """Break the reference cycle with the parser, which would last until a garbage collection."""
         self.parser = None
 
     def came(self) -> Came:
-        """How far the request that is coming in has come."""
+        """How much of the current request has been received."""
         if self.head is None:
             return Came.WHOLE
         if self.in_body:
@@ -94,7 +94,7 @@
         return Came.HEAD if self.head.values else Came.LINE
 
     def feed(self, data: bytes, now: float) -> BadRequest | None:
-        """Read on; what is wrong, if anything: then nothing more may be fed. `now` (s) is when it came."""
+        """Parse `data`, which arrived at `now` (s). After an error is returned, nothing more may be fed."""
         if self.parser is None:
             return None
         self.arrived = now
@@ -102,7 +102,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The offer of another protocol is passed over; the parser reads nothing after it.
+            # An offered protocol upgrade is ignored; the parser reads nothing after such a request.
             for item in self.queue:
                 if isinstance(item, Head):
                     item.keep = False
@@ -115,7 +115,7 @@
                 if self.framing > MAX_HEAD:
                     return BadRequest(431, "the headers are too large")
             elif self.framing > MAX_HEAD + FRAMING_PART * self.head.length:
-                # Guards against chunks whose extensions, which are of no use, are read without end.
+                # Otherwise chunk extensions, which have no use here, could be sent without end.
                 return BadRequest(400, "the body's framing is too large")
         return None
 
@@ -134,7 +134,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         assert self.head is not None
-        if not self.in_body:  # else it is a trailer
+        if not self.in_body:  # trailers are ignored
             self.head.add(name, value)
 
     def on_headers_complete(self) -> None:
@@ -146,7 +146,7 @@
         expect = head.values.get(b"expect")
         if expect is not None and expect.lower() == b"100-continue":
             if head.refused is not None:
-                # A final answer in place of the 100 (RFC 9110 section 10.1.1): its body never comes.
+                # A final answer instead of 100 Continue (RFC 9110 section 10.1.1): the body is never sent.
                 raise BadRequest(head.refused.status, "there is no room now")
             self.expects = True
 
@@ -159,9 +159,9 @@
         assert self.head is not None
         self.head.ended = self.arrived
         if self.head.upload is not None:
-            self.head.upload.end()  # its request is on its way since its body began
+            self.head.upload.end()  # its call began with the first bytes of the body
         else:
-            self.head.long = False  # it has come whole before it was passed on
+            self.head.long = False  # received whole before streaming began
             self.queue.append(self.head)
         self.head = None
         self.expects = False
--- a/millgw/callers/endings.py
+++ b/millgw/callers/endings.py
@@ -1,4 +1,4 @@
-"""Log events on why a caller's connection, or a request on it, ended without an answer."""
+"""Log events for callers' connections that were closed, and for unanswered and refused requests."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from millgw.http.request import BadRequest
 from millgw.log.events import log_event
 
-GIVES_WAY: Final = "gives way"
-SILENT: Final = "silent since it connected"
+GIVES_WAY: Final = "evicted to make room"
+SILENT: Final = "no request since it connected"
 IDLE: Final = "idle"
-ENDING: Final = "clients are sent away"
-STUCK: Final = "its client reads no answer"
-CLIENT_LEFT: Final = "its client left"
+ENDING: Final = "this process is draining or ending"
+STUCK: Final = "client stopped reading answers"
+CLIENT_LEFT: Final = "client disconnected"
 
 
 def client_address(transport: asyncio.Transport | None) -> str:
-    """A client's address and port; empty where they are not known any more."""
+    """A client's address and port; empty if they are no longer known."""
     peer = None if transport is None else transport.get_extra_info("peername")
     return f"{peer[0]}:{peer[1]}" if peer else ""
 
 
 def log_closed(client: str, cause: str, requests: int, age: float, quiet: float) -> None:
-    """This side has closed a connection; `age` and `quiet` are s since it connected and was last used."""
+    """Log a connection that this side closes; `age` and `quiet`: s since it connected and was last used."""
     age_ms, quiet_ms = milliseconds(age), milliseconds(quiet)
     log_event(
         "caller-connection-closed",
@@ -32,7 +32,10 @@
 
 
 def log_unanswered(client: str, cause: str, requests: int, age: float, quiet: float) -> None:
-    """A connection has ended with requests on it that have no answer."""
+    """Log a connection that ended with unanswered requests.
+
+    `age` and `quiet` are seconds since it connected and since its client last sent anything.
+    """
     age_ms, quiet_ms = milliseconds(age), milliseconds(quiet)
     log_event(
         "requests-unanswered",
@@ -41,8 +44,10 @@
 
 
 def log_turned_away(client: str, bad: BadRequest, requests: int, age: float, quiet: float) -> None:
-    """A request that can't be read or taken is answered; `age` and `quiet` are s since it began to come in
-    and since its client last sent anything."""
+    """Log a request that is refused as malformed or unacceptable.
+
+    `age` and `quiet` are seconds since its first byte and since its client last sent anything.
+    """
     log_event(
         "request-turned-away",
         status=bad.status, cause=bad, client=client, call=bad.trace, came=bad.came.value,
@@ -51,5 +56,5 @@
 
 
 def milliseconds(seconds: float) -> float:
-    """Seconds as the log tells them."""
+    """Seconds converted to the log's unit, rounded to 0.1 ms."""
     return round(seconds * 1000, 1)
--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -1,4 +1,4 @@
-"""What a caller's connection needs of what stands round it."""
+"""Protocols of the objects that a caller's connection works with."""
 
 from __future__ import annotations
 
@@ -15,24 +15,27 @@
 
 
 class Front(Protocol):
-    """Whose a request is, and what becomes of it."""
+    """Assigns requests to pools and turns them into calls."""
 
     def gate(self, head: Head) -> None:
-        """Say, once the headers have ended, whose a request is, or that it is nobody's or refused."""
+        """Once the headers are read, set the request's pool, or why it has none (`wrong`) or is refused."""
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
-        """The call that a whole request makes, or the answer to one that needs no endpoint."""
+        """The call made from a request, or the answer to one that needs no endpoint.
+
+        Raises BadRequest for a request that is unacceptable.
+        """
 
 
 class Lanes(Protocol):
-    """Whose turn it is to be worked on, where several pools share the core."""
+    """Schedules the connections of several pools that share one CPU core, one lane for each pool."""
 
     def wait(self, lane: str, connection: CallerConnection) -> None:
-        """Call the connection's `turn` when its lane's has come."""
+        """Call the connection's `turn` when it is its lane's turn."""
 
 
 class Listening(Protocol):
-    """What a connection needs of the server that accepted it."""
+    """The server that accepted a connection, as far as the connection uses it."""
 
     loop: asyncio.AbstractEventLoop
     front: Front
--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -1,6 +1,6 @@
-"""One process's life: whether /ready says yes, which answers end their connection, when idle ones are closed.
+"""Drain and shutdown state of a process: readiness, answers that close connections, closing of idle ones.
 
-Pure: no clock, no I/O. Draining and leaving are here together, so that each mix of them has one answer:
+Pure: no clock, no I/O. Draining and shutting down are in one class, so that every combination is defined:
 
     called            while it serves     while drained       while it leaves
     drain             drained             stays so            no
@@ -8,20 +8,22 @@
     leave             serves on a while   ends at once        stays so
     leave, succeeded  ends at once        ends at once        stays so
 
-Every change is made by plain assignments, as the door calls from a thread of its own. Times are seconds on
-the caller's monotonic clock.
+All changes are plain assignments, because the admin server calls from its own thread. Times are seconds on a
+monotonic clock that is passed in.
 """
 
 from __future__ import annotations
 
 import math
 
-DRAIN_IDLE_AFTER = 1.0  # s after a drain began: until then answers end connections, and cross nothing
-LEAVE_IDLE_AFTER = 1.2  # s the same when another process has taken over: clients have nowhere else to be
+# Idle connections are closed only some time after a drain or shutdown began, because a request may cross that
+# close. Until then connections are closed by their answers, which no request can cross.
+DRAIN_IDLE_AFTER = 1.0  # s after a drain began
+LEAVE_IDLE_AFTER = 1.2  # s after a successor took over; longer, as clients have no other sidecar
 
 
 class Lifecycle:
-    """`able` is set by whoever knows that calls can be served. `last`: every answer ends its connection."""
+    """`able` is set from outside once calls can be served. `last`: every answer closes its connection."""
 
     def __init__(self) -> None:
         self.able = False
@@ -30,25 +32,25 @@
         self.succeeded = False
         self.ending = False
         self.idle_from = math.inf
-        self.over = False  # what comes now could not be answered in time: it is refused at once
+        self.over = False  # too little time is left to serve new requests: they are refused at once
 
     @property
     def last(self) -> bool:
         return self.drained or self.ending
 
     def ready(self) -> bool:
-        """Whether this process can serve: what the door says. One that is drained can."""
+        """Whether this process can serve calls, as the admin server reports it; a drained one still can."""
         return self.able and not self.leaving
 
     def welcome(self) -> bool:
-        """Whether new connections should come to this sidecar: what /ready says.
+        """Whether clients should connect to this sidecar, as /ready on the callers' address reports it.
 
-        Yes while it leaves to a process that has taken over: the two are one sidecar to those who ask.
+        True while it shuts down in favour of a successor process: to clients the two are one sidecar.
         """
         return not self.drained and (not self.leaving or self.succeeded)
 
     def drain(self, now: float) -> bool:
-        """Send clients away; tells whether that is done or under way."""
+        """Start draining clients; False if the process is already shutting down."""
         if self.leaving:
             return False
         if not self.drained:
@@ -57,7 +59,7 @@
         return True
 
     def resume(self) -> bool:
-        """Serve as before a drain; tells whether it does."""
+        """End a drain; False if the process is already shutting down."""
         if self.leaving:
             return False
         self.drained = False
@@ -65,7 +67,7 @@
         return True
 
     def leave(self, now: float, succeeded: bool) -> None:
-        """The process is to end. It does not serve on where it is drained or has a successor."""
+        """Begin the shutdown. Unless drained or replaced by a successor, it goes on serving for a while."""
         if self.leaving:
             return
         self.leaving = True
@@ -77,11 +79,11 @@
             self.ending = True
 
     def end(self, now: float) -> None:
-        """The time of serving on is over."""
+        """End the phase in which a process that shuts down still keeps connections open."""
         if not self.ending:
             self.ending = True
             self.idle_from = now
 
     def closes_idle(self, now: float) -> bool:
-        """Whether connections on which nothing is open are closed now."""
+        """Whether connections without an open request are closed now."""
         return now >= self.idle_from
--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -1,4 +1,4 @@
-"""The front of a daemon with one pool, which all requests are for."""
+"""Request routing for a sidecar with a single pool: every call goes to it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlainFront:
-    """`life` says whether callers should come here."""
+    """`life` tells whether new calls are accepted and what /ready answers."""
 
     def __init__(self, pool: Pool, life: Lifecycle) -> None:
         self.pool = pool
--- a/millgw/callers/progress.py
+++ b/millgw/callers/progress.py
@@ -1,26 +1,26 @@
-"""How a request comes in, and from when on its client has stopped or is too slow. Pure: no clock, no I/O.
+"""Receive timeouts of a request: detects clients that stop sending or are too slow. Pure: no clock, no I/O.
 
-A client that stops is owed its error or a close within 3 s of its last byte (standing test, "Beyond this
-bench"). One that goes on may take 2 s for a head and send a body at 64 kB a second (daily running, "Less
-room"); being slower than that does not end it by itself, as some write slowly, but makes it the first to
-give way.
+A client that stops sending must get its error or a close within 3 s of its last byte (standing test, "Beyond
+this bench"). One that goes on may take 2 s for a head and send a body at 64 kB a second (daily running, "Less
+room"). A slower client is not ended for that alone, as some write slowly, but its connection is the first to
+be evicted when others need room.
 
-Times are seconds on the caller's monotonic clock.
+Times are seconds on a monotonic clock that the connection passes in.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-HEAD_TIME = 2.4  # s from a request's first byte to the end of its head
-QUIET_TIME = 2.5  # s without a byte after which a client has stopped
-BODY_TIME = 60.0  # s that a body may take, beside what its length takes at LEAST_RATE
-LEAST_RATE = 32 * 1024  # bytes a second of a body, half of what a slow client sends
-SLOW_AFTER = 4.8  # s beside that, after which a client is slow
+HEAD_TIME = 2.4  # s from the first byte of a request to the end of its head
+QUIET_TIME = 2.5  # s without a byte after which a client counts as stopped
+BODY_TIME = 60.0  # s that a body may take, in addition to its length divided by `LEAST_RATE`
+LEAST_RATE = 32 * 1024  # bytes/s of a body; half the rate of the slowest client that must be served
+SLOW_AFTER = 4.8  # s in addition to the length divided by `LEAST_RATE`, after which a client is slow
 
 
 class Overdue(Enum):
-    """Why a request that has not come to its end is answered all the same."""
+    """Why an incomplete request is answered with a timeout; the value is the text of the answer."""
 
     STOPPED = "its client has stopped in the middle of it"
     HEAD = "its head takes too long"
@@ -28,38 +28,38 @@
 
 
 class Progress:
-    """One connection's request that is coming in."""
+    """Timing of the request that one connection is receiving."""
 
     __slots__ = ("begun", "came", "paused", "stopped")
 
     def __init__(self, now: float) -> None:
         self.begun = now
-        self.came = now  # when its last bytes came, as far as they were read
-        self.paused: float | None = None  # since when this side does not read, where it does not
-        self.stopped = 0.0  # s for which it did not read the request
+        self.came = now  # s, when the last bytes that were read had arrived
+        self.paused: float | None = None  # s, since when reading is paused; None while reading
+        self.stopped = 0.0  # s of finished pauses within the current request
 
     def begin(self, now: float) -> None:
-        """A request's first byte was read."""
+        """Record that the first byte of a request was read."""
         self.begun = now
         self.stopped = 0.0
 
     def pause(self, now: float) -> None:
-        """This side reads no further for now."""
+        """Record that this side stops reading."""
         self.paused = now
 
     def resume(self, now: float) -> None:
-        """It reads on."""
+        """Record that this side reads again."""
         self.stopped += self._paused_for(now)
         self.paused = None
 
     def quiet(self, now: float) -> bool:
-        """Whether nothing was read for so long that its client has stopped, if nothing waits to be read."""
+        """Whether the client counts as stopped, provided that no bytes wait in the socket."""
         return now > self.came + QUIET_TIME
 
     def overdue(self, now: float, in_body: bool, length: int) -> Overdue | None:
-        """Why a request whose bytes have all been read is not waited for any longer; None where it is.
+        """Why the request has timed out, or None; only meaningful while no bytes wait in the socket.
 
-        `length` is how many bytes of its body have come.
+        `length` is the number of body bytes received so far.
         """
         if self.quiet(now):
             return Overdue.STOPPED
@@ -68,11 +68,11 @@
         return Overdue.BODY if self._takes(now) > BODY_TIME + length / LEAST_RATE else None
 
     def slow(self, now: float, length: int) -> bool:
-        """Whether it comes in at less than `LEAST_RATE`: its connection is the first to give way."""
+        """Whether it arrives at less than `LEAST_RATE`, so that its connection is evicted first."""
         return self._takes(now) > SLOW_AFTER + length / LEAST_RATE
 
     def _takes(self, now: float) -> float:
-        """For how long it has been coming in, without the time for which this side did not read."""
+        """Seconds since the first byte of the request, without those for which reading was paused."""
         return now - self.begun - self.stopped - self._paused_for(now)
 
     def _paused_for(self, now: float) -> float:
--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -1,7 +1,7 @@
-"""The callers' side: accepts connections, keeps them within bounds, and ends those that are of no use.
+"""Listening server for callers: accepts connections, bounds their number, closes idle and stalled ones.
 
-A connection on which no request is open may be closed, but never with a request unread on it; one whose
-request has been taken is never ended before its answer.
+A connection without an open request may be closed, but never while an unread request waits in its socket. A
+connection whose request was accepted is never closed before the answer, unless its client stops reading.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from millgw.platform.descriptors import Descriptors
 
 SILENT_TIME = 2.2  # s after connecting in which a first request must begin
-KEEP_TIME = 10.0  # s that a connection is kept between requests
+KEEP_TIME = 10.0  # s after which a connection idle between requests is closed
 BACKLOG = 2048
-ACCEPTS = 16  # connections accepted in one turn: those already open get theirs in between
-ACCEPT_PAUSE = 0.05  # s before accepting is tried again after it failed, if no connection ends before
-MIN_IDLE = 0.5  # s between requests before a connection gives way to others: a client may be about to use it
-JUST_CONNECTED = 0.1  # s in which a client that has connected will send its request
-READ_SIZE = 16 * 1024  # bytes of one read
-SWEEP = 0.2  # s between two looks for connections whose time has come
+ACCEPTS = 16  # connections accepted per event loop iteration, so that open ones are served in between
+ACCEPT_PAUSE = 0.05  # s before accept is tried again after a failure, unless a connection ends before
+MIN_IDLE = 0.5  # s between requests before a connection may be evicted: its client may be about to use it
+JUST_CONNECTED = 0.1  # s for which a new connection is not evicted: its client is about to send a request
+READ_SIZE = 16 * 1024  # bytes per read
+SWEEP = 0.2  # s between two checks for connections that have timed out
 
 
 def accept(listener: socket.socket) -> socket.socket:
@@ -41,16 +41,16 @@
 
 
 def share_address(listener: socket.socket) -> None:
-    """Have another process of this user listen at the address too: the next one, at an upgrade."""
-    with suppress(OSError):  # where the system knows nothing of it there are no upgrades in service
+    """Let another process of this user listen at the address too: the successor in a hot restart."""
+    with suppress(OSError):  # a system without SO_REUSEPORT has no hot restarts
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
 
 
 class Server:
-    """All callers' connections of one listener. `front` knows whose their requests are.
+    """A listening socket and its connections. `front` assigns their requests to pools.
 
-    `lanes` are in use where several pools share the core; no lane may then hold more than its part of the
-    callers' connections while others need room.
+    `lanes` is given where several pools share a CPU core; connections of a lane that holds more than its
+    share are then evicted first.
     """
 
     def __init__(
@@ -66,14 +66,14 @@
         self.front = front
         self.life = life
         self.lanes = lanes
-        self.parts: dict[str, float] = {}  # connections of each lane, where there are several
+        self.parts: dict[str, float] = {}  # the share of connections of each lane, where there are several
         self.connections: set[CallerConnection] = set()
-        self.fresh: dict[CallerConnection, None] = {}  # that have not begun a request, the oldest first
-        self.kept: dict[CallerConnection, None] = {}  # between requests, the one idle for longest first
+        self.fresh: dict[CallerConnection, None] = {}  # before their first request, oldest first
+        self.kept: dict[CallerConnection, None] = {}  # between requests, longest idle first
         self.accepting: set[asyncio.Task[object]] = set()
-        self.buffer = bytearray(READ_SIZE)  # one for all: each read is taken out before the next
+        self.buffer = bytearray(READ_SIZE)  # shared: each read is copied out before the next
         self.paused: asyncio.TimerHandle | None = None
-        self.full_since = math.inf  # s, from when on connections may have waited to be accepted
+        self.full_since = math.inf  # s, since when connections may have waited in the backlog
         self.closed = False
         family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_STREAM)
@@ -84,7 +84,7 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether every answer is the last one on its connection."""
+        """Whether every answer closes its connection."""
         return self.closed or self.life.last
 
     def start(self) -> None:
@@ -93,9 +93,9 @@
         self.loop.call_later(SWEEP, self._sweep)
 
     def end_halves(self) -> None:
-        """Answer requests that are still coming in: the process is about to end.
+        """Refuse requests that are only partly received, because the process is about to end.
 
-        Guards against a last byte that crosses the end: from then on the request would have been taken.
+        Otherwise the last byte of one could arrive during the shutdown, and the request would be accepted.
         """
         for connection in [c for c in self.connections if c.half]:
             connection.refuse(BadRequest(REFUSED, "the sidecar is about to end"))
@@ -103,13 +103,13 @@
     # Accepting
 
     def _accept(self, most: int = ACCEPTS, last: bool = False) -> bool:
-        """Accept what waits; tells whether nothing waits any more.
+        """Accept up to `most` connections from the backlog; True once it is empty.
 
-        With `last` all that waits is taken, bound or not: it would be lost otherwise.
+        With `last` the bound on connections is ignored: those left in the backlog would be reset.
         """
         for _ in range(most):
             if not last and self.descriptors.full_of_callers() and not self.give_way():
-                # What can't be held waits in the backlog: the process would run out of descriptors.
+                # Further connections stay in the backlog: the process would run out of descriptors.
                 self._end_slow()
                 self._pause()
                 return False
@@ -119,7 +119,7 @@
                 self.full_since = math.inf
                 return True
             except ConnectionAbortedError as error:
-                log_event("accept-failed", cause=error)  # that client alone is gone
+                log_event("accept-failed", cause=error)  # only that client has disconnected
                 continue
             except OSError as error:
                 log_event("accept-failed", cause=error)
@@ -150,13 +150,14 @@
             self.loop.add_reader(self.socket, self._accept)
 
     def held(self) -> int:
-        """Descriptors in use."""
+        """Number of descriptors that callers' connections use."""
         return len(self.connections) + len(self.accepting)
 
     def give_way(self) -> bool:
-        """Close the connection that is needed least, if there is one: silent ones before kept ones.
+        """Evict one connection without an open request; False if there is none.
 
-        Before any other goes an idle one of a lane that holds more than its part.
+        The order: idle ones of a lane above its share, those before their first request, those between
+        requests.
         """
         if self.parts and self._close_of_large_lane():
             return True
@@ -167,7 +168,7 @@
         return False
 
     def _end_slow(self) -> None:
-        """Make room soon: end some of those whose requests come in slowly."""
+        """End up to `ACCEPTS` connections whose requests arrive slowly, to make room."""
         now, ended = time.monotonic(), 0
         for connection in list(self.connections):
             ended += connection.end_slow(now)
@@ -195,7 +196,10 @@
         self.kept.pop(connection, None)
 
     def _sweep(self) -> None:
-        """Guards against clients that hold a descriptor and ask nothing, or never end what they ask."""
+        """Close connections that have timed out.
+
+        Otherwise clients that send nothing, or never complete a request, would hold descriptors for ever.
+        """
         now = time.monotonic()
         for connection in list(self.connections):
             connection.end_overdue(now)
@@ -219,9 +223,9 @@
     # Stopping
 
     def stop(self) -> None:
-        """Accept what has connected, then no more: a connection left in the backlog would be lost.
+        """Accept the whole backlog, then close the listener: that resets connections left in the backlog.
 
-        Where an accept fails, as the system has no room for a moment, it listens on and tries again.
+        If accept fails because the system lacks resources, the listener stays open and this is retried.
         """
         if self.closed:
             return
--- a/millgw/callers/stall.py
+++ b/millgw/callers/stall.py
@@ -1,21 +1,21 @@
-"""Whether a client takes nothing of what is written to it. Pure: no clock, no I/O."""
+"""Detects clients that stop reading what is written to them. Pure: no clock, no I/O."""
 
 from __future__ import annotations
 
-ANSWER_STALL = 15.0  # s in which a client must read more of what is written to it: slow ones take seconds
+ANSWER_STALL = 15.0  # s in which a client must read some of what was written; slow ones need several seconds
 
 
 class Stall:
-    """How much of what was written to one client waits to be read, and since when that is no less."""
+    """Tracks the unread bytes in one client's write buffer, and when their number last changed."""
 
     __slots__ = ("left", "moved")
 
     def __init__(self, now: float) -> None:
-        self.left = 0  # bytes that were not taken when last looked
-        self.moved = now  # s, when the client last took some
+        self.left = 0  # bytes in the write buffer at the last check
+        self.moved = now  # s, when that number last changed
 
     def stuck(self, now: float, left: int) -> bool:
-        """Whether its client took nothing for too long; `left` bytes wait now."""
+        """Whether the client has read nothing for too long; `left` bytes are unread now."""
         if left != self.left or not left:
             self.left, self.moved = left, now
         return now > self.moved + ANSWER_STALL
--- a/millgw/callers/steering.py
+++ b/millgw/callers/steering.py
@@ -1,9 +1,10 @@
-"""New connections of a shared address go to the process that listens last.
+"""Directs new connections of a shared address to the newest listener, by SO_REUSEPORT and classic BPF.
 
-Where two sockets listen with SO_REUSEPORT, the kernel deals connections out by hash, and resets what waits at
-one that closes. A classic BPF program on the group (Linux socket(7), SO_ATTACH_REUSEPORT_CBPF) picks the
-socket instead: always the second. The older one's queue then runs empty and it can close without losing any.
-Where there is no second socket (any more), the kernel goes by hash again, so by the one there is.
+Where two sockets listen with SO_REUSEPORT, the kernel distributes connections by hash, and resets those that
+wait in the backlog of one that closes. A classic BPF program on the group (Linux socket(7),
+SO_ATTACH_REUSEPORT_CBPF) selects the socket instead: always the second. The backlog of the older socket then
+drains, and it can be closed without resetting a connection. Once the group has no second socket, the kernel
+falls back to the hash, that is, to the only socket left.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def steer(listener: socket.socket, which: int = 1) -> bool:
-    """Have new connections come to the group's socket of this number; tells whether the kernel agrees."""
+    """Send new connections to the socket with this index in the group; False if the kernel refuses."""
     code = array.array("B", struct.pack("=HBBI", RETURN, 0, 0, which))
     try:
         program = struct.pack("@HP", 1, code.buffer_info()[0])  # struct sock_fprog
--- a/millgw/callers/streamed_answer.py
+++ b/millgw/callers/streamed_answer.py
@@ -1,4 +1,4 @@
-"""An answer on its way to a caller, passed on as it comes from an endpoint."""
+"""An answer that is streamed to a caller while it arrives from an endpoint."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class StreamedAnswer:
-    """The caller's side of a flow. `until_close` tells that its end is that of the connection."""
+    """The caller's side of a flow. `until_close`: the body is delimited by the end of the connection."""
 
     __slots__ = ("chunked", "connection", "flow", "stall", "until_close")
 
     def __init__(self, connection: CallerConnection, flow: Flow, version: str) -> None:
         self.connection = connection
-        self.flow: Flow | None = flow  # until it is over: each would keep the other until the collector comes
+        self.flow: Flow | None = flow  # None at its end, to break the reference cycle
         self.chunked = flow.length is None and version == "1.1"
         self.until_close = flow.length is None and not self.chunked
         self.stall = Stall(time.monotonic())
 
     def begin(self, transport: asyncio.Transport, answer: Answer, close: bool) -> None:
-        """Write the head; `close` tells that it is the last answer on the connection."""
+        """Write the head; `close` marks the last answer on the connection."""
         flow = self.flow
         assert flow is not None
         transport.set_write_buffer_limits(high=flow.window)
@@ -36,36 +36,36 @@
         flow.sink = self
 
     def hold(self) -> None:
-        """The client takes no more for now."""
+        """Pause the flow: the client's write buffer is full."""
         if self.flow is not None:
             self.flow.hold()
 
     def go_on(self) -> None:
-        """The client takes more."""
+        """Resume the flow: the client's write buffer has room again."""
         if self.flow is not None:
             self.flow.go_on()
 
     def cancel(self) -> None:
-        """The client has left."""
+        """Cancel the flow: the client has disconnected."""
         flow, self.flow = self.flow, None
         if flow is not None:
             flow.cancel()
 
     def stuck(self, now: float) -> bool:
-        """Whether its client takes nothing of it for too long."""
+        """Whether the client has read nothing of the answer for too long."""
         transport = self.connection.transport
         return transport is not None and self.stall.stuck(now, transport.get_write_buffer_size())
 
     # The flow's sink
 
     def pass_on(self, data: bytes) -> None:
-        """Write on what has come of it."""
+        """Write the next part of the body."""
         transport = self.connection.transport
         if data and transport is not None:
             transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
 
     def finished(self) -> None:
-        """It is whole."""
+        """The body is complete."""
         transport = self.connection.transport
         if self.chunked and transport is not None:
             transport.write(b"0\r\n\r\n")
@@ -74,7 +74,7 @@
         self.connection.go_on_after()
 
     def broken_off(self) -> None:
-        """The rest won't come: the connection ends in its midst, which the client can tell."""
+        """The rest of the body won't arrive: close the connection, so that the client can tell."""
         connection = self.connection
         self.flow = None
         connection.streamed_to_end(FAILED)
--- a/millgw/http/__init__.py
+++ b/millgw/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages as callers, endpoints and the admin server know them; no I/O of its own."""
+"""HTTP/1.1 requests, answers and socket helpers shared by callers, endpoints and the admin server."""
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -1,7 +1,7 @@
-"""What both sides know of messages: their bounds, the headers of one connection only, what is passed on.
+"""HTTP message limits, hop-by-hop headers and answers, shared by the callers' and the endpoints' side.
 
-Also whether bytes wait on a connection that the loop has not handed on yet: both sides ask before they use or
-end one.
+Also queries of a connection's socket, such as whether it has bytes that the event loop has not delivered yet:
+both sides check that before they use or close a connection.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 from millgw.streams.flow import Flow
 
-MAX_HEAD = 16 * 1024  # bytes of a message's line and headers
+MAX_HEAD = 16 * 1024  # bytes of a message's first line and headers
 MAX_BODY = 64 * 1024 * 1024  # bytes of a request's body
-FRAMING_PART = 8  # times its body that a message's framing may be: a chunk may be small, not endless
+FRAMING_PART = 8  # maximum framing, as a multiple of the body: chunks may be small, not endless
 
 OWN_HEADERS: Final = frozenset(
     {
@@ -38,12 +38,12 @@
         b"x-expires-in-ms",
     }
 )
-"""Headers that speak of one connection, or of one side's own wait: they are not passed on."""
+"""Headers that concern one connection only, or the sidecar itself; they are not forwarded."""
 
 
 @dataclass(frozen=True)
 class Content:
-    """What an endpoint answered: the headers that are passed on, and the body."""
+    """Forwarded headers and body of an endpoint's answer."""
 
     headers: bytes = b""
     body: bytes = b""
@@ -59,30 +59,30 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """A final answer: what an endpoint answered, or a failure, or a refusal with when to come back (ms)."""
+    """A final answer: an endpoint's, a failure, or a refusal with the time after which to retry (ms)."""
 
     status: int
     content: Content = NOTHING
     retry_after: float = 0.0
-    flow: Flow | None = None  # its body, where that is passed on as it comes
+    flow: Flow | None = None  # the body, if it is streamed
 
 
 def plain(status: int, text: str, headers: bytes = b"") -> Answer:
-    """An answer in a line of text, for people."""
+    """An answer with one line of plain text, meant for people."""
     return Answer(status, Content(b"Content-Type: text/plain\r\n" + headers, f"{text}\n".encode()))
 
 
 def watcher(transport: asyncio.Transport) -> select.poll:
-    """What `unread` and `gone` ask of one connection: made once for each, as they do for every request."""
+    """The poll object for `unread` and `gone`; made once per connection, as they run for every request."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
     return poll
 
 
 def unread(transport: asyncio.Transport, poll: select.poll | None = None) -> bool:
-    """Whether bytes, or an end, wait in a connection's socket that the loop has not handed on yet."""
+    """Whether a connection's socket has bytes, or an end, that the event loop has not delivered yet."""
     if transport.is_closing():
-        return True  # guards against its descriptor, which may be another one's by now
+        return True  # its descriptor may already belong to another connection
     return bool((poll or watcher(transport)).poll(0))
 
 
@@ -90,9 +90,9 @@
 
 
 def gone(transport: asyncio.Transport, poll: select.poll | None = None) -> bool:
-    """Whether the other side has ended or reset a connection, also where bytes before that are unread.
+    """Whether the peer has closed or reset a connection, even if bytes before that are unread.
 
-    The loop tells later: it hands on what came before the end, and nothing of what is not read for now.
+    The event loop reports it later: it delivers those bytes first, and nothing while reading is paused.
     """
     if transport.is_closing():
         return True
@@ -100,45 +100,45 @@
 
 
 def stop_sending(transport: asyncio.Transport) -> None:
-    """Send the end of a connection now: closing its transport sends it in the loop's next turn only.
+    """Send a connection's FIN now; closing the transport sends it only in the loop's next iteration.
 
-    Does nothing where written bytes still wait in the transport, as they would be lost.
+    Does nothing while the transport's write buffer holds bytes, as they would be lost.
     """
     if not transport.get_write_buffer_size():
         shut_down(transport, socket.SHUT_WR)
 
 
 def shut_down(transport: asyncio.Transport, how: int) -> None:
-    """Shut down a connection's socket (shutdown(2)) under its transport, which has no call for that."""
+    """Call shutdown(2) on a connection's socket directly, as the transport has no method for it."""
     if transport.is_closing():
         return
     same = transport.get_extra_info("socket")
     shut = socket.socket(same.family, same.type, same.proto, fileno=same.fileno())
     try:
-        with suppress(OSError):  # the other side has reset it
+        with suppress(OSError):  # the peer has reset it
             shut.shutdown(how)
     finally:
         shut.detach()
 
 
 def waiting(transport: asyncio.Transport, most: int) -> bytes:
-    """Up to so many bytes that have come on a connection and that the loop has not handed on, for its end."""
+    """Up to `most` bytes that the event loop has not delivered yet; for a connection about to be closed."""
     if transport.is_closing():
         return b""
     descriptor = transport.get_extra_info("socket").fileno()
     got = bytearray()
-    with suppress(OSError):  # no more has come, or the connection is reset
+    with suppress(OSError):  # no more bytes have arrived, or the connection was reset
         while len(got) < most and (part := os.read(descriptor, most - len(got))):
             got += part
     return bytes(got)
 
 
-WORD: Final = struct.Struct("=I")  # of Linux' struct tcp_info (tcp(7)): eight bytes, then such words
-RECEIVED_AT: Final = 52  # of tcpi_last_data_recv there, in ms
+WORD: Final = struct.Struct("=I")  # a field of Linux' struct tcp_info (tcp(7)), after its first eight bytes
+RECEIVED_AT: Final = 52  # offset (bytes) of tcpi_last_data_recv there, in ms
 
 
 def since_received(transport: asyncio.Transport) -> float:
-    """How long (s) ago the last bytes of a connection came to this machine; 0 where its kernel can't tell."""
+    """Seconds since the kernel last received data on a connection; 0 if it does not report that."""
     if transport.is_closing():
         return 0.0
     sock = transport.get_extra_info("socket")
@@ -152,11 +152,11 @@
     return int(milliseconds) / 1000
 
 
-UNACKED_AT: Final = 24  # of tcpi_unacked there
+UNACKED_AT: Final = 24  # offset (bytes) of tcpi_unacked there
 
 
 def unconfirmed(transport: asyncio.Transport) -> bool:
-    """Whether the other machine's kernel has yet to confirm some of what was written to a connection."""
+    """Whether some of the data sent on a connection has not been acknowledged by TCP yet."""
     if transport.is_closing():
         return True
     sock = transport.get_extra_info("socket")
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -1,7 +1,7 @@
-"""A caller's request: its head and body as they come in, and how an attempt words it. No I/O, no clock.
+"""A caller's request: validation of head and body as they arrive, and its encoding for attempts.
 
-Nothing that a caller sends is believed. What can be read in two ways is refused, so that no endpoint reads it
-in the other: behind such a head another request may hide.
+No I/O, no clock. No input is trusted. A message that can be parsed in two ways is refused, as an endpoint
+could parse it in the other way: that is how a second request is smuggled behind the first.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
         b"x-trace-id",
     }
 )
-"""Headers that are judged. Given twice, one would be judged and both passed on."""
+"""Headers that the sidecar interprets. If one came twice, it would check one value and forward both."""
 
 
 class Came(Enum):
-    """How far a request had come in when it was turned away."""
+    """How much of a request had been received when it was refused."""
 
     LINE = "line"
     HEAD = "head"
@@ -38,9 +38,9 @@
 
 
 class BadRequest(Exception):
-    """A request that is answered at once, and never attempted.
+    """A request that is refused at once, without any attempt.
 
-    `came` and `trace` tell the log how far it had come in, and its X-Trace-Id where that was read.
+    `came` (how much of it was received) and `trace` (its X-Trace-Id, if that was read) are for the log.
     """
 
     def __init__(self, status: int, why: str) -> None:
@@ -50,31 +50,31 @@
         self.trace = ""
 
     def answer(self) -> Answer:
-        """How it is told, in plain text."""
+        """The answer to the client, in plain text."""
         return plain(self.status, str(self))
 
 
 class Taker(Protocol):
-    """The pool that a request is for, as far as its body goes."""
+    """The pool that a request is for, as far as its body and its final status concern it."""
 
     name: str
 
     def answered(self, head: Head, status: int) -> None:
-        """Its caller is given a final answer."""
+        """Record the final answer of a request."""
 
     def enter(self) -> int: ...
 
     def leave(self) -> None: ...
 
     def hold(self, more: int) -> None:
-        """Count bytes of bodies that come in, or are given back; a BadRequest tells that there is no room."""
+        """Reserve memory (bytes) for bodies, or release it if negative; BadRequest if there is no room."""
 
 
 class Head:
-    """The line and headers of one request, then its body, as they come in.
+    """First line, headers and body of one request, as they are received.
 
-    Once the headers have ended, `pool` is whose it is, `wrong` why it is nobody's, and `refused` the answer
-    to one that is turned away from its head alone: the body of such a one is read and dropped.
+    Once the headers are complete, `pool` is the pool it is for, `wrong` why it is for none, and `refused` the
+    answer to a request that is refused by its head alone; its body is read and discarded.
     """
 
     __slots__ = (
@@ -89,19 +89,19 @@
         self.forward = b""
         self.body = b""
         self.length = 0  # bytes of the body so far
-        self.told = -1  # its length as the headers tell; -1 where it comes in chunks
-        self.long = False  # more than is held whole: it is to be passed on as it comes
-        self.upload: Upload | None = None  # where its body goes, once it is passed on
+        self.told = -1  # Content-Length, 0 where there is none; -1 if chunked
+        self.long = False  # too long to be held whole: the body is to be streamed
+        self.upload: Upload | None = None  # receives the body once it is streamed
         self.keep = False
         self.version = ""
-        self.ended = 0.0  # s, on the clock of who feeds it
+        self.ended = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
         self.pool: Taker | None = None
         self.wrong: BadRequest | None = None
         self.refused: Answer | None = None
 
     def add(self, name: bytes, value: bytes) -> None:
         lower = name.lower()
-        value = value.rstrip(b" \t")  # left by the parser, no part of the value (RFC 9110 section 5.5)
+        value = value.rstrip(b" \t")  # left by the parser, but not part of the value (RFC 9110 section 5.5)
         if lower in ONCE and lower in self.values:
             raise BadRequest(400, f"{lower.decode()} is given twice")
         self.values[lower] = value
@@ -109,7 +109,7 @@
             self.forward += b"%b: %b\r\n" % (name, value)
 
     def complete(self, method: bytes, version: str, keep: bool) -> None:
-        """The headers have ended: refuse what its length and framing already tell of."""
+        """Check length and framing once the headers are complete; BadRequest if they are unacceptable."""
         self.method, self.version, self.keep = method, version, keep
         if len(self.target) + len(self.forward) > MAX_HEAD:
             raise BadRequest(431, "the headers are too large")
@@ -128,7 +128,7 @@
 
     @property
     def trace(self) -> str:
-        """Its X-Trace-Id, empty where none was read; for the log."""
+        """The X-Trace-Id for the log; empty if none was read."""
         return self.values.get(b"x-trace-id", b"").decode("ascii", "backslashreplace")
 
     def extend(self, body: bytes) -> None:
@@ -144,14 +144,14 @@
             self.body += body
 
     def release(self) -> None:
-        """Give back what its body takes: it is answered, or nobody waits for its answer."""
+        """Release the memory of the body: the request is answered, or its client is gone."""
         if self.pool is not None and self.body:
             self.pool.hold(-len(self.body))
             self.body = b""
 
 
 def word_head(head: Head, left: int) -> bytes:
-    """The same without a body, which follows as it comes: of the length told, or in chunks."""
+    """The head of a request whose body is streamed, with its Content-Length or chunked."""
     framing = b"Content-Length: %d" % head.told if head.told >= 0 else b"Transfer-Encoding: chunked"
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\n%b\r\n\r\n" % (
         head.method,
@@ -163,7 +163,7 @@
 
 
 def word(head: Head, left: int) -> bytes:
-    """The request as an attempt sends it, with the time left in place of the connection's own headers."""
+    """Encode the request for an attempt, with the time left (ms) and without hop-by-hop headers."""
     if head.upload is not None:
         return word_head(head, left)
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\nContent-Length: %d\r\n\r\n%b" % (
--- a/millgw/intents/__init__.py
+++ b/millgw/intents/__init__.py
@@ -1,1 +1,1 @@
-"""What must be durable before an unsafe call may run, so that a restart never sends it again."""
+"""Durable marks of unsafe calls, written before a call may run, so that a restart never sends it again."""
--- a/millgw/intents/book.py
+++ b/millgw/intents/book.py
@@ -1,15 +1,15 @@
-"""Whether an unsafe call may be sent, and what of it must be durable first. Pure: the log is handed in.
-
-A call has keys: its trace and, where an operator names a header, the client's own. Before the last byte of
-its first attempt may leave, all of them are in the log; when it ends and nothing of it can have run, they are
-taken out again. So a key that stands in the log means: it may have run.
-
-    key in the log, or open   what a call of it is told
-    no, no                    it is taken
-    no, yes                   that it is under way (409)
-    yes                       that it was sent before, and may have run (502); it is not sent
-    can't be proven           the same: the log has lost records that may have held it (502)
-    the log is not there yet  it waits, as long as it may; then, that it may have been sent before (502)
+"""Write-ahead intents for unsafe calls: whether one may be sent, and what must be durable first.
+
+Pure: the log is passed in. A call has keys: its trace id and, where the operator names a header, the client's
+own key. All of them are written to the log before the last byte of the first attempt is sent. When the call
+ends and no attempt can have run, they are removed again. So a key in the log means: its call may have run.
+
+    key in the log, call open     answer to a call with that key
+    no, no                        it is accepted
+    no, yes                       409: a call of this key is in progress
+    yes                           502: it was sent before and may have run; it is not sent again
+    can't be proven               502: the log has lost records, which may have held the key
+    the log is not open yet       it waits until its deadline; then 502: it may have been sent before
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 
 class Log(Protocol):
-    """Where marks are durable."""
+    """Durable storage of marks."""
 
     def standing(self, key: bytes) -> Standing: ...
 
     def mark(self, keys: Sequence[bytes], done: Done) -> None:
-        """Write them; `done` is told, later, whether they are durable."""
+        """Write marks for these keys; later calls `done` with whether they are durable."""
 
     def clear(self, keys: Sequence[bytes], done: Done) -> None:
-        """Take them out again, behind all that was asked for before."""
+        """Remove the marks, after all writes requested before."""
 
 
 class Refusal(Enum):
-    """Why a call is not taken."""
+    """Why a call is not accepted; the value is the text of the answer."""
 
     OPEN = "a call of this key is under way"
     SENT = "it was sent before and may have run: it is not sent again"
@@ -44,19 +44,19 @@
 
 
 class State(Enum):
-    """Of one call's mark."""
+    """State of one call's mark."""
 
     NONE = "none"
-    WANTED = "wanted"  # an attempt is on its connection, and the log can't be read yet
+    WANTED = "wanted"  # an attempt has its connection, but the log is not open yet
     WRITING = "writing"
     DURABLE = "durable"
     FAILED = "failed"
 
 
 class Intent:
-    """One call's, from its taking to its end. Tokens stand for attempts; any object does.
+    """The intent of one call, from its acceptance to its end. Tokens identify attempts; any object will do.
 
-    Without a `book` it came before the log could be read, and is held until then, or its deadline.
+    Without a `book` the call came before the log was open, and waits for that until its deadline.
     """
 
     __slots__ = ("book", "ended", "keys", "left", "state", "waiting")
@@ -65,17 +65,17 @@
         self.book = book
         self.keys = keys
         self.state = State.NONE
-        self.left: set[object] = set()  # attempts whose last byte left, and are not known not to have run
+        self.left: set[object] = set()  # attempts whose last byte was sent and that may have run
         self.waiting: list[Callable[[], None]] = []
         self.ended = False
 
     @property
     def doubtful(self) -> bool:
-        """Whether a refusal would promise what is not known: that no process ever sent it."""
+        """Whether another process may have sent the call, so that no refusal may promise it never ran."""
         return self.book is None
 
     def begin(self) -> None:
-        """An attempt is on its connection: have the mark written, if it is not yet."""
+        """An attempt has its connection: write the mark, unless that was begun before."""
         if self.state not in (State.NONE, State.WANTED):
             return
         if self.book is None:
@@ -85,7 +85,7 @@
             self.book.log.mark(self.keys, self.marked)
 
     def opened(self, book: Book) -> None:
-        """The log can be read."""
+        """The log is open: check the keys there, and write the mark if an attempt waits for it."""
         if self.ended:
             return
         if book.refuses(self.keys) is not None:
@@ -97,34 +97,34 @@
             self.begin()
 
     def durable(self) -> bool | None:
-        """Whether the mark is durable; None while that is not known yet."""
+        """Whether the mark is durable; None while that is unknown."""
         known = self.state in (State.DURABLE, State.FAILED)
         return self.state is State.DURABLE if known else None
 
     def wait(self, then: Callable[[], None]) -> None:
-        """Call this once it is known whether the mark is durable."""
+        """Call `then` once it is known whether the mark is durable."""
         self.waiting.append(then)
 
     def marked(self, durable: bool) -> None:
-        """It is known now; where it is not, and never will be, nothing may be sent."""
+        """Record whether the mark is durable. If not, it never will be, and nothing may be sent."""
         self.state = State.DURABLE if durable else State.FAILED
         waiting, self.waiting = self.waiting, []
         for then in waiting:
             then()
 
     def leaves(self, token: object) -> None:
-        """An attempt's last byte leaves; a RuntimeError where it may not."""
+        """Record that an attempt's last byte is sent; RuntimeError if the mark is not durable."""
         if self.state is not State.DURABLE:
-            raise RuntimeError("the last byte of an unsafe attempt, and its mark is not durable")
+            raise RuntimeError("last byte of an unsafe attempt sent before its mark is durable")
         self.left.add(token)
 
     def over(self, token: object, never_ran: bool) -> None:
-        """An attempt has ended."""
+        """Record the end of an attempt, and whether it is proven not to have run."""
         if never_ran:
             self.left.discard(token)
 
     def end(self) -> None:
-        """The call is answered, or its client has gone."""
+        """The call is answered, or its client has disconnected."""
         if self.ended:
             return
         self.ended = True
@@ -134,15 +134,15 @@
 
 
 class Book:
-    """All open calls' intents of one process."""
+    """The intents of all open unsafe calls of one process."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.open: set[bytes] = set()
-        self.clearing: dict[bytes, int] = {}  # keys that are being taken out: how many times over
+        self.clearing: dict[bytes, int] = {}  # number of pending removals from the log, for each key
 
     def take(self, keys: tuple[bytes, ...]) -> Intent | Refusal:
-        """The intent of a call that may be sent, or why it may not."""
+        """The intent of a call with these keys, or why it may not be sent."""
         refusal = self.refuses(keys)
         if refusal is not None:
             return refusal
@@ -150,12 +150,12 @@
         return Intent(self, keys)
 
     def refuses(self, keys: tuple[bytes, ...]) -> Refusal | None:
-        """Why a call of these keys may not be sent."""
+        """Why a call with these keys may not be sent; None if it may."""
         for key in keys:
             if key in self.open:
                 return Refusal.OPEN
             if key in self.clearing:
-                continue  # nothing of it ran; what the log holds is on its way out
+                continue  # no attempt ran; the mark in the log is being removed
             standing = self.log.standing(key)
             if standing is not Standing.UNSENT:
                 return Refusal.SENT if standing is Standing.SENT else Refusal.UNPROVEN
--- a/millgw/intents/log.py
+++ b/millgw/intents/log.py
@@ -1,4 +1,4 @@
-"""The book's log in service: a store that is opened beside the loop, and its writer."""
+"""The intents' log in a `Store`: opened in a thread beside the event loop, and written by a `Writer`."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from millgw.store.store import Item, Options, Standing, Store
 from millgw.store.writer import Sync, Writer
 
-OPEN_AGAIN = 0.05  # s between two tries at a store that another process of this sidecar still has
-MEMORY_PART = 1 / 4  # of the sidecar's, for marks
-MARK_BYTES = 450  # of memory that one takes, as measured (docs/design/store.md)
-DESCRIPTORS = 16  # that a store of two mirrors has open at the most, a compaction's among them
+OPEN_AGAIN = 0.05  # s between attempts to open a store that another process of this sidecar has locked
+MEMORY_PART = 1 / 4  # share of the sidecar's memory limit for marks
+MARK_BYTES = 450  # bytes of memory for one mark, as measured (docs/design/store.md)
+DESCRIPTORS = 16  # open files of a store with two mirrors at most, including those of a compaction
 CONFLICT = 409
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """Where the store is (two directories: mirrors), how it syncs, how long a mark is kept (ms), the header
-    of a client's own key, in lower case, if there is one, and how many marks may be held."""
+    """Settings of the store: its directories (two are mirrors), how it syncs, how long a mark is kept (ms),
+    the header with a client's own key (lower case, may be empty), and the maximum number of marks."""
 
     directories: tuple[str, ...]
     sync: Sync
@@ -39,7 +39,7 @@
 
 
 class Durable:
-    """The marks of a store, by way of its writer's thread."""
+    """Marks in a store, written in the writer's thread."""
 
     def __init__(self, writer: Writer, keep: float, loop: asyncio.AbstractEventLoop) -> None:
         self.writer = writer
@@ -57,11 +57,11 @@
         self._all([self.writer.put(Item(key, None)) for key in keys], done)
 
     def _all(self, futures: list[Future[int]], done: Done) -> None:
-        """Tell the loop when all of them have ended, and whether each did as it should."""
+        """Once all futures are done, call `done` in the event loop with whether all succeeded."""
         ended = itertools.count(1)
 
         def one(future: Future[int]) -> None:
-            # In the writer's thread, or at once where the store has failed or waits for no sync.
+            # Runs in the writer's thread, or at once if the store has failed or no sync is awaited.
             if next(ended) == len(futures):
                 failed = next((error for f in futures if (error := f.exception()) is not None), None)
                 if failed is not None:
@@ -77,7 +77,7 @@
 
 
 class Intents:
-    """What a process knows of unsafe calls that were sent. Until the store is open, they wait."""
+    """Intents of one process, backed by its store. Until the store is open, unsafe calls wait."""
 
     descriptors = DESCRIPTORS
 
@@ -86,10 +86,10 @@
         self.book: Book | None = None
         self.writer: Writer | None = None
         self.opening: asyncio.Task[None] | None = None
-        self.late: list[Intent] = []  # calls that wait for the store
+        self.late: list[Intent] = []  # calls that wait for the store to be opened
 
     async def begin(self) -> None:
-        """Open the store; where it can't be had yet, this returns and it is tried on."""
+        """Open the store. If it is locked, return and retry in a background task."""
         if not await self._open():
             self.opening = asyncio.create_task(self._until_open())
 
@@ -99,18 +99,18 @@
             await asyncio.sleep(OPEN_AGAIN)
 
     def idle(self) -> bool:
-        """Whether no call that was marked, or may be, is under way."""
+        """Whether the store is open, no unsafe call is in progress, and no mark is being removed."""
         return self.book is not None and not self.book.open and not self.book.clearing
 
     async def _open(self) -> bool:
-        """Whether there is nothing more to be tried."""
+        """Try to open the store; False if it is locked and has to be tried again."""
         try:
             store = await asyncio.to_thread(self._made)
         except Locked as error:
             log_event("store-locked", cause=error)
             return False
         except (OSError, FormatError) as error:
-            # Calls of other classes are served; an operator has to look at it.
+            # Calls that need no marks are still served; an operator has to repair the store.
             log_event("store-unusable", cause=error)
             for call in self.late:
                 call.marked(False)
@@ -138,7 +138,7 @@
         )
 
     def stop(self) -> None:
-        """Write what was taken, and let the store go."""
+        """Write all pending marks and close the store."""
         if self.opening is not None:
             self.opening.cancel()
         if self.writer is not None:
@@ -146,7 +146,7 @@
             self.writer = self.book = None
 
     def take(self, pool: str, head: Head) -> Intent | Answer:
-        """The intent of an unsafe call, or the answer to one that is not to be sent."""
+        """The intent of an unsafe call, or the answer to one that must not be sent."""
         keys = self._keys(pool.encode(), head)
         if self.book is not None:
             taken = self.book.take(keys)
@@ -158,7 +158,7 @@
         if self.opening is not None and not self.opening.done():
             self.late.append(Intent(None, keys))
             return self.late[-1]
-        # No refusal, which would promise that nothing of it ran: another process may have sent it.
+        # Not a 503, which would promise that the call never ran: another process may have sent it.
         return plain(FAILED, "what was sent before is not known yet")
 
     def _keys(self, pool: bytes, head: Head) -> tuple[bytes, ...]:
