--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -12,15 +12,15 @@
 
 from millgw.callers.core import RequestCore, word_answer
 from millgw.callers.endings import (
-    CLIENT_LEFT,
+    CAUSE_DISCONNECTED,
     client_address,
     log_closed,
-    log_turned_away,
+    log_refused,
     log_unanswered,
 )
-from millgw.callers.interface import Listening
-from millgw.callers.progress import Progress
-from millgw.callers.stall import Stall
+from millgw.callers.interface import ListeningServer
+from millgw.callers.progress import ReceiveProgress
+from millgw.callers.stall import WriteStall
 from millgw.callers.streamed_answer import StreamedAnswer
 from millgw.http.message import Answer, gone, since_received, stop_sending, unread, watcher
 from millgw.http.request import BadRequest, Head
@@ -28,15 +28,15 @@
 from millgw.streams.flow import Flow
 from millgw.streams.upload import Upload
 
-SLICE = 1024  # bytes parsed at a time; what follows a request that is ready to be served stays unparsed
+PARSE_SLICE = 1024  # bytes parsed at a time; what follows a request that is ready to be served stays unparsed
 LINGER = 0.5  # s that a connection stays open after a final 4xx, so that a client still sending can read it
-STUCK_TIME = 3.0  # s in which the client of a closing connection must read some of the last answer
+CLOSE_STALL_TIMEOUT = 3.0  # s in which the client of a closing connection must read some of the last answer
 MAX_DISCARD = 256 * 1024  # bytes read and discarded on an ended connection
-MAX_REST = 64 * 1024 * 1024  # bytes of the rest of a body read and discarded after an early answer
-REST_TIME = 2.0  # s in which more of that rest must arrive
-BAD_PAUSE = 0.1  # s before the next bad request of a connection is answered; doubles with each one
-MAX_BAD = 4  # consecutive bad requests after which the connection is closed
-NEW = ""  # the lane of connections before their first request
+MAX_BODY_DISCARD = 64 * 1024 * 1024  # bytes of the rest of a body read and discarded after an early answer
+DISCARD_STALL_TIMEOUT = 2.0  # s in which more of that rest must arrive
+BAD_REQUEST_PAUSE = 0.1  # s before the next bad request of a connection is answered; doubles with each one
+MAX_BAD_REQUESTS = 4  # consecutive bad requests after which the connection is closed
+NO_LANE = ""  # the lane of connections before their first request
 
 
 class CallerConnection:
@@ -45,106 +45,112 @@
     It has the methods of an asyncio buffered protocol, but no base class, so that it can be compiled.
     """
 
-    def __init__(self, server: Listening, unread_since: float = math.inf) -> None:
+    def __init__(self, server: ListeningServer, unread_since: float = math.inf) -> None:
         self.server = server
         self.unread_since = unread_since  # s, since when bytes may have waited unread in the socket
         self.core = RequestCore(server.front.gate)
         self.transport: asyncio.Transport | None = None
         self.poll: select.poll | None = None
-        self.since = time.monotonic()
-        self.opened = self.since
-        self.progress = Progress(self.since)
-        self.rest = b""
-        self.lane = NEW
-        self.waits = False
+        self.last_used = time.monotonic()
+        self.opened = self.last_used
+        self.progress = ReceiveProgress(self.last_used)
+        self.unparsed = b""
+        self.lane = NO_LANE
+        self.awaits_turn = False
         self.current: Call | None = None
-        self.serves: Head | None = None  # the request that `current` was made from
+        self.current_head: Head | None = None  # the request that `current` was made from
         self.streamed: StreamedAnswer | None = None  # the answer that is being streamed to the client
-        self.left_to_read = 0  # at the last check: bytes unread by the client, or discarded
-        self.bad = 0
-        self.held: BadRequest | None = None  # refused once the pause after the previous bad request is over
+        self.bytes_at_last_check = 0  # at the last check: bytes unread by the client, or discarded
+        self.bad_requests = 0
+        self.delayed_refusal: BadRequest | None = None  # sent once the pause after a bad request is over
         self.discarded = 0
-        self.most_discarded = MAX_DISCARD
+        self.max_discard = MAX_DISCARD
         self.upload: Upload | None = None  # the body that is being streamed to an endpoint, until complete
-        self.resting: asyncio.TimerHandle | None = None
-        self.lingering: asyncio.TimerHandle | None = None
+        self.pause_timer: asyncio.TimerHandle | None = None
+        self.linger_timer: asyncio.TimerHandle | None = None
         self.serving = False
-        self.unread_answers: Stall | None = None  # while the write buffer is full
+        self.write_stall: WriteStall | None = None  # while the write buffer is full
         self.paused = False
-        self.keep = True
+        self.keep_alive = True
         self.ended = False
 
     @property
     def busy(self) -> bool:
-        open = self.current is not None or self.streamed is not None or self.held is not None
-        return open or (self.ended and self.resting is not None) or bool(self.core.queue)
+        open = self.current is not None or self.streamed is not None or self.delayed_refusal is not None
+        return open or (self.ended and self.pause_timer is not None) or bool(self.core.queue)
 
     @property
-    def half(self) -> bool:
+    def partly_received(self) -> bool:
         """Whether a request has been received in part, and nothing is being served."""
         return self.core.head is not None and not self.busy and not self.ended
 
-    def quiet(self, least: float) -> bool:
+    def idle_for(self, min_idle: float) -> bool:
         """Whether it has been between requests for `least` s, and no request waits to be read or parsed.
 
         Closing it with a request unread could lose that request: a client whose request crosses the close
         sends it again, but only once, and under many connections the next one may be closed as well.
         """
-        if self.transport is None or self.waits or time.monotonic() < self.since + least:
+        if self.transport is None or self.awaits_turn or time.monotonic() < self.last_used + min_idle:
             return False
         return not unread(self.transport, self.poll)
 
-    def close_if_quiet(self, least: float, cause: str) -> bool:
+    def close_if_idle(self, min_idle: float, cause: str) -> bool:
         """Close it if `quiet(least)`; True if it was closed.
 
         The FIN is sent at once. The transport would send it in the next iteration of the event loop, which
         may be late, and a request that the client writes before that would be reset.
         """
         transport = self.transport
-        if transport is None or not self.quiet(least):
+        if transport is None or not self.idle_for(min_idle):
             return False
         stop_sending(transport)
         now = time.monotonic()
-        log_closed(client_address(transport), cause, self.core.begun, now - self.opened, now - self.since)
+        log_closed(
+            client_address(transport),
+            cause,
+            self.core.requests_begun,
+            now - self.opened,
+            now - self.last_used,
+        )
         self.close()
         return True
 
     def close(self) -> None:
         self.ended = True
-        self.rest = b""
-        self.held = None
-        self._release()
-        if self.resting is not None:
-            self.resting.cancel()
-            self.resting = None
-        self.server.left(self)
+        self.unparsed = b""
+        self.delayed_refusal = None
+        self._release_bodies()
+        if self.pause_timer is not None:
+            self.pause_timer.cancel()
+            self.pause_timer = None
+        self.server.connection_closed(self)
         transport = self.transport
         if transport is None or transport.is_closing():
             return
         transport.close()
-        self.left_to_read = transport.get_write_buffer_size()
-        if self.left_to_read:
-            self.lingering = self.server.loop.call_later(STUCK_TIME, self._linger)
+        self.bytes_at_last_check = transport.get_write_buffer_size()
+        if self.bytes_at_last_check:
+            self.linger_timer = self.server.loop.call_later(CLOSE_STALL_TIMEOUT, self._check_linger)
 
-    def _linger(self) -> None:
+    def _check_linger(self) -> None:
         """Abort it if its client does not read the last answer; otherwise it would stay open for ever."""
-        self.lingering = None
+        self.linger_timer = None
         transport = self.transport
         if transport is None:
             return
         left = transport.get_write_buffer_size()
-        if left >= self.left_to_read:
+        if left >= self.bytes_at_last_check:
             transport.abort()
         else:
-            self.left_to_read = left
-            self.lingering = self.server.loop.call_later(STUCK_TIME, self._linger)
+            self.bytes_at_last_check = left
+            self.linger_timer = self.server.loop.call_later(CLOSE_STALL_TIMEOUT, self._check_linger)
 
     def abort(self) -> None:
         """Abort it because its client reads nothing."""
         if self.transport is not None:
             self.transport.abort()
 
-    def _release(self) -> None:
+    def _release_bodies(self) -> None:
         """Release the memory of request bodies that are not being served."""
         if self.core.head is not None:
             self.core.head.release()
@@ -166,54 +172,54 @@
     def buffer_updated(self, nbytes: int) -> None:
         if self.ended:
             self.discarded += nbytes
-            if self.discarded > self.most_discarded and self.transport is not None:
+            if self.discarded > self.max_discard and self.transport is not None:
                 self.transport.pause_reading()  # what still arrives is not needed
             return
         arrived = time.monotonic()
         if self.unread_since < arrived:
-            arrived -= self._waited(arrived)
-        self.progress.came = arrived
-        self.rest += self.server.buffer[:nbytes]
+            arrived -= self._socket_delay(arrived)
+        self.progress.last_received = arrived
+        self.unparsed += self.server.buffer[:nbytes]
         if self.server.lanes is None:
-            self._read()
-        elif self.waits:
+            self._parse()
+        elif self.awaits_turn:
             if self.transport is not None:
-                self._pause()  # otherwise memory would grow while it waits for its turn
+                self._pause_reading()  # otherwise memory would grow while it waits for its turn
         else:
-            self.waits = True
+            self.awaits_turn = True
             self.server.lanes.wait(self.lane, self)
 
-    def _waited(self, now: float) -> float:
+    def _socket_delay(self, now: float) -> float:
         """Seconds for which the bytes just read had waited in the socket.
 
         Deadlines count from when the client sent, also while the connection waited to be accepted, or was not
         read because a previous answer was outstanding.
         """
-        longest, self.unread_since = now - self.unread_since, math.inf
-        return 0.0 if self.transport is None else min(longest, since_received(self.transport))
+        max_delay, self.unread_since = now - self.unread_since, math.inf
+        return 0.0 if self.transport is None else min(max_delay, since_received(self.transport))
 
     def turn(self) -> None:
         """Called when it is the lane's turn: parse what was read."""
-        self.waits = False
+        self.awaits_turn = False
         if self.transport is not None and not self.transport.is_closing():
-            self._read()
+            self._parse()
 
-    def _read(self) -> None:
+    def _parse(self) -> None:
         """Parse until there is a request to serve.
 
         What follows it stays unparsed, and at most one read of it is held, as it may be a flood of requests.
         """
         core = self.core
-        while self.rest and not self.ended:
+        while self.unparsed and not self.ended:
             upload = self.upload
             if self.busy if upload is None else upload.full:
                 break
-            size = SLICE if upload is None else len(self.rest)
-            part, self.rest = self.rest[:size], self.rest[size:]
-            begun = core.begun
-            wrong = core.feed(part, self.progress.came)
-            if core.begun != begun:
-                self._begun()
+            size = PARSE_SLICE if upload is None else len(self.unparsed)
+            part, self.unparsed = self.unparsed[:size], self.unparsed[size:]
+            begun = core.requests_begun
+            wrong = core.feed(part, self.progress.last_received)
+            if core.requests_begun != begun:
+                self._request_begun()
             if wrong is not None:
                 self.refuse(wrong)
                 break
@@ -222,69 +228,69 @@
             if core.expects and not self.busy and self.transport is not None:
                 core.expects = False
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-                self.progress.came = time.monotonic()  # the client is expected to send from now on
+                self.progress.last_received = time.monotonic()  # the client is expected to send from now on
             if self.upload is not None:
-                self._goes_on(self.upload)
+                self._upload_received(self.upload)
             elif core.head is not None and core.head.long and not self.busy:
                 self._begin_upload(core.head)
-            self._serve()
+            self._serve_queue()
         transport = self.transport
         if transport is None or self.ended or transport.is_closing():
             return
-        if self.rest or core.queue or self.unread_answers is not None:
-            self._pause()
+        if self.unparsed or core.queue or self.write_stall is not None:
+            self._pause_reading()
         else:
             if self.paused:
-                self._resume(transport)
-            if core.begun and core.head is None and not self.busy:
+                self._resume_reading(transport)
+            if core.requests_begun and core.head is None and not self.busy:
                 self.server.kept[self] = None
 
-    def _pause(self) -> None:
+    def _pause_reading(self) -> None:
         if not self.paused and self.transport is not None:
             self.paused = True
             self.progress.pause(time.monotonic())
             self.transport.pause_reading()
 
-    def _resume(self, transport: asyncio.Transport) -> None:
+    def _resume_reading(self, transport: asyncio.Transport) -> None:
         self.paused = False
-        if self.progress.paused is not None:
-            self.unread_since = self.progress.paused
+        if self.progress.paused_since is not None:
+            self.unread_since = self.progress.paused_since
         self.progress.resume(time.monotonic())
         transport.resume_reading()
 
-    def _begun(self) -> None:
-        self.server.busy(self)
-        self.since = time.monotonic()
-        self.progress.begin(self.since)
+    def _request_begun(self) -> None:
+        self.server.mark_busy(self)
+        self.last_used = time.monotonic()
+        self.progress.begin(self.last_used)
 
     # Request bodies that are streamed to an endpoint
 
     def _begin_upload(self, head: Head) -> None:
         """Begin the call of a request whose body is too long to be held whole, while the body arrives."""
-        self.keep = head.keep
+        self.keep_alive = head.keep
         try:
             made = self.server.front.read(head, self._answer)
         except BadRequest as bad:
-            self._count(head, bad.status)
+            self._report_status(head, bad.status)
             head.release()
-            self._end_early(bad.answer())
+            self._answer_early(bad.answer())
             return
         if not isinstance(made, Call) or head.pool is None:
             head.release()
             if isinstance(made, Answer):
-                self._count(head, made.status)
-                self._end_early(made)
+                self._report_status(head, made.status)
+                self._answer_early(made)
             return
-        made.gone = self.gone
-        upload = Upload(None if head.told < 0 else head.told, head.pool.enter(), self._room)
+        made.gone = self.client_gone
+        upload = Upload(None if head.told < 0 else head.told, head.pool.enter(), self._upload_has_room)
         upload.put(head.body)
         head.release()
         head.upload = made.upload = upload
-        self.bad = 0
-        self.current, self.serves, self.upload = made, head, upload
+        self.bad_requests = 0
+        self.current, self.current_head, self.upload = made, head, upload
         made.owner.take(made)
 
-    def _goes_on(self, upload: Upload) -> None:
+    def _upload_received(self, upload: Upload) -> None:
         call = self.current
         if upload.whole:
             self.upload = None
@@ -292,19 +298,19 @@
                 call.owner.whole(call)
         upload.wake()
 
-    def _room(self) -> None:
-        self.server.loop.call_soon(self._read)
+    def _upload_has_room(self) -> None:
+        self.server.loop.call_soon(self._parse)
 
-    def _drop_call(self) -> None:
+    def _cancel_upload(self) -> None:
         """Drop the call whose request body will not be completed."""
         call, self.current, self.upload = self.current, None, None
-        self._served()
+        self._release_current()
         if call is not None:
             call.owner.left(call)
 
-    def _coming_in(self) -> Head | None:
+    def _incomplete_head(self) -> Head | None:
         """The incomplete request whose client is expected to send; None if there is none."""
-        if self.ended or self.waits or (self.upload is None and self.busy):
+        if self.ended or self.awaits_turn or (self.upload is None and self.busy):
             return None
         return self.core.head
 
@@ -313,7 +319,7 @@
 
         Nothing is done while bytes wait in the socket: the client sent them in time, this side is late.
         """
-        head, transport = self._coming_in(), self.transport
+        head, transport = self._incomplete_head(), self.transport
         if head is None or transport is None or unread(transport, self.poll):
             return
         why = self.progress.overdue(now, self.core.in_body, head.length)
@@ -322,58 +328,58 @@
 
     def end_slow(self, now: float) -> bool:
         """Answer 408 to a request that arrives slowly, as others need room; False if it does not."""
-        head = self._coming_in()
+        head = self._incomplete_head()
         if head is None or not self.progress.slow(now, head.length):
             return False
         self.refuse(BadRequest(408, "it comes in slowly, and others need its connection"))
         return True
 
-    def _end_early(self, answer: Answer) -> None:
+    def _answer_early(self, answer: Answer) -> None:
         """Answer a request whose body is still arriving, and discard the rest of it until the client stops.
 
         Otherwise the answer would be lost: a connection that is closed while its client still sends is reset,
         and the client loses what it has not read by then.
         """
         self.upload = None
-        self._served()
+        self._release_current()
         self.ended = True
-        self.keep = False
-        self.rest = b""
+        self.keep_alive = False
+        self.unparsed = b""
         self.core.queue.clear()
         self._write(answer)
         if self.transport is not None and not self.transport.is_closing():
-            self.server.busy(self)
-            self.most_discarded = MAX_REST
+            self.server.mark_busy(self)
+            self.max_discard = MAX_BODY_DISCARD
             if self.paused:
-                self._resume(self.transport)
-            self.left_to_read = -1
-            self._drop_more()
+                self._resume_reading(self.transport)
+            self.bytes_at_last_check = -1
+            self._check_discard()
 
-    def _drop_more(self) -> None:
+    def _check_discard(self) -> None:
         """Close once no more of the body arrives, or too much of it has."""
-        if self.discarded == self.left_to_read or self.discarded > self.most_discarded:
+        if self.discarded == self.bytes_at_last_check or self.discarded > self.max_discard:
             self.close()
             return
-        self.left_to_read = self.discarded
-        self.resting = self.server.loop.call_later(REST_TIME, self._drop_more)
+        self.bytes_at_last_check = self.discarded
+        self.pause_timer = self.server.loop.call_later(DISCARD_STALL_TIMEOUT, self._check_discard)
 
     def pause_writing(self) -> None:
         """Stop reading: otherwise a client that never reads its answers could send requests without end."""
-        self.unread_answers = Stall(time.monotonic())
+        self.write_stall = WriteStall(time.monotonic())
         if self.streamed is not None:
-            self.streamed.hold()
-        self._read()
+            self.streamed.pause()
+        self._parse()
 
     def resume_writing(self) -> None:
-        self.unread_answers = None
+        self.write_stall = None
         if self.streamed is not None:
-            self.streamed.go_on()
-        self._go_on()
+            self.streamed.resume()
+        self._serve_and_parse()
 
     def eof_received(self) -> None:
-        self._leave()
+        self._client_left()
 
-    def gone(self) -> bool:
+    def client_gone(self) -> bool:
         """Whether the client has disconnected according to the kernel; the event loop may report it later.
 
         Otherwise attempts would be made for a client that is gone. If a request waited in the socket because
@@ -382,16 +388,16 @@
         """
         return self.transport is not None and gone(self.transport, self.poll)
 
-    def look_for_end(self) -> None:
+    def check_client_gone(self) -> None:
         """Drop the calls of a client that disconnected while reading was paused."""
-        if self.gone():
-            self._leave()
+        if self.client_gone():
+            self._client_left()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.lingering is not None:
-            self.lingering.cancel()
-            self.lingering = None
-        self._leave()
+        if self.linger_timer is not None:
+            self.linger_timer.cancel()
+            self.linger_timer = None
+        self._client_left()
         self.core.close()
 
     def _log_unanswered(self) -> None:
@@ -399,10 +405,10 @@
         open_now = self.current is not None or self.streamed is not None
         if waiting or open_now:
             now = time.monotonic()
-            age, quiet = now - self.opened, now - self.progress.came
-            log_unanswered(client_address(self.transport), CLIENT_LEFT, waiting + open_now, age, quiet)
+            age, quiet = now - self.opened, now - self.progress.last_received
+            log_unanswered(client_address(self.transport), CAUSE_DISCONNECTED, waiting + open_now, age, quiet)
 
-    def _leave(self) -> None:
+    def _client_left(self) -> None:
         self._log_unanswered()
         self.close()
         self.core.queue.clear()
@@ -410,14 +416,14 @@
         call, self.current = self.current, None
         streamed, self.streamed = self.streamed, None
         if call is not None:
-            self._served()
+            self._release_current()
             call.owner.left(call)
         if streamed is not None:
-            self._served()
+            self._release_current()
             streamed.cancel()
 
-    def _served(self) -> None:
-        head, self.serves = self.serves, None
+    def _release_current(self) -> None:
+        head, self.current_head = self.current_head, None
         if head is not None:
             head.release()
             if head.upload is not None and head.pool is not None:
@@ -428,46 +434,46 @@
     def refuse(self, bad: BadRequest) -> None:
         """Queue the refusal of an unreadable request behind those before it; nothing is read after it."""
         self.ended = True
-        self.rest = b""
+        self.unparsed = b""
         if self.upload is not None:
-            self._drop_call()
+            self._cancel_upload()
         if self.core.head is not None:
-            bad.came, bad.trace = self.core.came(), self.core.head.trace
+            bad.came, bad.trace = self.core.receive_stage(), self.core.head.trace
             self.core.head.release()
             self.core.head = None
         self.core.queue.append(bad)
-        self._serve()
+        self._serve_queue()
 
-    def _serve(self) -> None:
+    def _serve_queue(self) -> None:
         """Serve queued requests one by one. Not reentrant: a call may be answered at once from within."""
         if self.serving:
             return
         self.serving = True
         queue = self.core.queue
-        while queue and self.unread_answers is None:
-            if self.current is not None or self.streamed is not None or self.held is not None:
+        while queue and self.write_stall is None:
+            if self.current is not None or self.streamed is not None or self.delayed_refusal is not None:
                 break
-            if self.paused and self.gone():
-                self._leave()  # the client is gone, so the requests behind are not needed either
+            if self.paused and self.client_gone():
+                self._client_left()  # the client is gone, so the requests behind are not needed either
                 break
             item = queue.popleft()
             if isinstance(item, BadRequest):
-                self._end_badly(item)
+                self._refuse_and_close(item)
                 break
-            self.keep = item.keep
+            self.keep_alive = item.keep
             try:
                 made = self.server.front.read(item, self._answer)
             except BadRequest as bad:
                 bad.trace = item.trace
-                self._count(item, bad.status)
+                self._report_status(item, bad.status)
                 item.release()
-                self._turn_away(bad)
+                self._refuse_and_pause(bad)
                 continue
-            self.bad = 0
-            self.serves = item
+            self.bad_requests = 0
+            self.current_head = item
             if isinstance(made, Call):
                 self.current = made
-                made.gone = self.gone
+                made.gone = self.client_gone
                 if item.pool is not None:
                     self.lane = item.pool.name
                 made.owner.take(made)
@@ -476,7 +482,7 @@
         self.serving = False
 
     @staticmethod
-    def _count(head: Head | None, status: int) -> None:
+    def _report_status(head: Head | None, status: int) -> None:
         """Report the final status of a request to its pool."""
         if head is not None and head.pool is not None:
             head.pool.answered(head, status)
@@ -484,113 +490,113 @@
     def _answer(self, answer: Answer) -> None:
         self.current = None
         if answer.flow is not None:
-            self._pass_on(answer, answer.flow)
+            self._stream_answer(answer, answer.flow)
             return
-        self._count(self.serves, answer.status)
+        self._report_status(self.current_head, answer.status)
         if self.upload is not None:
-            self._end_early(answer)
+            self._answer_early(answer)
             return
-        self._served()
+        self._release_current()
         self._write(answer)
-        self.go_on_after()
+        self.answer_ended()
 
     # Streamed answers
 
-    def _pass_on(self, answer: Answer, flow: Flow) -> None:
-        transport, head = self.transport, self.serves
+    def _stream_answer(self, answer: Answer, flow: Flow) -> None:
+        transport, head = self.transport, self.current_head
         if transport is None or transport.is_closing() or head is None:
             flow.cancel()
             return
         head.release()
         self.streamed = streamed = StreamedAnswer(self, flow, head.version)
         if streamed.until_close or self.upload is not None:
-            self.keep = False  # delimited by the close, or the request body is still arriving
-        streamed.begin(transport, answer, not self.keep or self.server.stopping)
+            self.keep_alive = False  # delimited by the close, or the request body is still arriving
+        streamed.begin(transport, answer, not self.keep_alive or self.server.stopping)
 
-    def streamed_to_end(self, status: int) -> None:
+    def stream_ended(self, status: int) -> None:
         """The streamed answer has ended."""
         self.streamed = None
-        self._count(self.serves, status)
-        self._served()
+        self._report_status(self.current_head, status)
+        self._release_current()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.set_write_buffer_limits()
 
-    def go_on_after(self) -> None:
+    def answer_ended(self) -> None:
         """Called after an answer: serve the next request, or close the connection."""
-        self._after()
+        self._after_answer()
         if not self.serving:
-            self._go_on()
+            self._serve_and_parse()
 
-    def stuck(self, now: float) -> bool:
+    def write_stalled(self, now: float) -> bool:
         """Whether the client has read nothing of its answers for too long."""
         if self.streamed is not None:
-            return self.streamed.stuck(now)
-        stall, transport = self.unread_answers, self.transport
+            return self.streamed.stalled(now)
+        stall, transport = self.write_stall, self.transport
         return (
             stall is not None
             and transport is not None
-            and stall.stuck(now, transport.get_write_buffer_size())
+            and stall.stalled(now, transport.get_write_buffer_size())
         )
 
-    def _rested(self) -> None:
-        self.resting = None
-        held, self.held = self.held, None
+    def _pause_over(self) -> None:
+        self.pause_timer = None
+        held, self.delayed_refusal = self.delayed_refusal, None
         if held is not None:
-            self._turn_away(held)
-        self._go_on()
+            self._refuse_and_pause(held)
+        self._serve_and_parse()
 
-    def _go_on(self) -> None:
-        self._serve()
-        self._read()
+    def _serve_and_parse(self) -> None:
+        self._serve_queue()
+        self._parse()
 
-    def _after(self) -> None:
-        self.since = time.monotonic()
-        if not self.keep or self.server.stopping:
+    def _after_answer(self) -> None:
+        self.last_used = time.monotonic()
+        if not self.keep_alive or self.server.stopping:
             self.close()
             self.core.queue.clear()
 
-    def _turn_away(self, bad: BadRequest) -> None:
+    def _refuse_and_pause(self, bad: BadRequest) -> None:
         """Refuse a request that is well-formed but unacceptable.
 
         The next bad request is answered only after a pause: otherwise the client could repeat it as soon as
         it is answered. An acceptable request does not wait for that: its deadline runs, and the connection
         may carry the requests of many clients behind an earlier tier.
         """
-        if self.resting is not None:
-            self.held = bad
+        if self.pause_timer is not None:
+            self.delayed_refusal = bad
             return
-        self.bad += 1
-        if self.bad >= MAX_BAD:
-            self._release()
+        self.bad_requests += 1
+        if self.bad_requests >= MAX_BAD_REQUESTS:
+            self._release_bodies()
             self.core.queue.clear()
-            self._end_badly(bad)
+            self._refuse_and_close(bad)
             return
-        self._say(bad)
-        self._after()
+        self._write_refusal(bad)
+        self._after_answer()
         if not self.ended:
-            rest = BAD_PAUSE * 2 ** (self.bad - 1)
-            self.resting = self.server.loop.call_later(rest, self._rested)
+            pause = BAD_REQUEST_PAUSE * 2 ** (self.bad_requests - 1)
+            self.pause_timer = self.server.loop.call_later(pause, self._pause_over)
 
-    def _end_badly(self, bad: BadRequest) -> None:
+    def _refuse_and_close(self, bad: BadRequest) -> None:
         """Refuse, and close after `LINGER`.
 
         If the client is still sending, an immediate close would be a reset, and the answer would be lost.
         """
         self.ended = True
-        self.keep = False
-        self.rest = b""
-        self._say(bad)
+        self.keep_alive = False
+        self.unparsed = b""
+        self._write_refusal(bad)
         if self.transport is not None and not self.transport.is_closing():
-            self.server.busy(self)
+            self.server.mark_busy(self)
             self.transport.write_eof()
-            self.resting = self.server.loop.call_later(LINGER, self.close)
+            self.pause_timer = self.server.loop.call_later(LINGER, self.close)
 
-    def _say(self, bad: BadRequest) -> None:
+    def _write_refusal(self, bad: BadRequest) -> None:
         now = time.monotonic()
-        client, begun = client_address(self.transport), self.core.begun
-        log_turned_away(client, bad, begun, now - self.since, now - self.progress.came)
+        client, begun = client_address(self.transport), self.core.requests_begun
+        log_refused(client, bad, begun, now - self.last_used, now - self.progress.last_received)
         self._write(bad.answer())
 
     def _write(self, answer: Answer) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(word_answer(answer, not self.keep or self.server.stopping))
+            self.transport.write(word_answer(answer, not self.keep_alive or self.server.stopping))
--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -46,7 +46,7 @@
     )
 
 
-def word_begin(answer: Answer, length: int | None, chunked: bool, close: bool) -> bytes:
+def encode_answer_head(answer: Answer, length: int | None, chunked: bool, close: bool) -> bytes:
     """Encode the head of a streamed answer: with a length, chunked, or delimited by the connection's end."""
     headers = answer.content.headers
     if length is not None:
@@ -59,33 +59,34 @@
 
 
 class RequestCore:
-    """Parser for one connection. `gate` assigns each request to a pool once its headers are read.
+    """Parser for one connection. `assign_pool` is called for each request once its headers are read.
 
-    `queue` holds requests received whole, `head` the one still being received; `begun` counts all requests
-    begun. `expects` is set while the caller waits for a 100 Continue before it sends the body of `head`.
+    `queue` holds requests received whole, `head` the one still being received. `requests_begun`
+    counts all, `expects` is set while the caller waits for a 100 Continue before it sends the body of `head`.
     """
 
     __slots__ = (
-        "arrived", "begun", "expects", "framing", "gate", "head", "in_body", "length", "parser", "queue",
+        "arrived", "assign_pool", "body_bytes", "expects", "framing_bytes", "head", "in_body", "parser",
+        "queue", "requests_begun",
     )  # fmt: skip
 
-    def __init__(self, gate: Callable[[Head], None]) -> None:
-        self.gate = gate
+    def __init__(self, assign_pool: Callable[[Head], None]) -> None:
+        self.assign_pool = assign_pool
         self.parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
         self.queue: deque[Head | BadRequest] = deque()
         self.head: Head | None = None
         self.in_body = False
-        self.begun = 0
+        self.requests_begun = 0
         self.expects = False
-        self.framing = 0  # bytes of the current request so far, without its body
-        self.length = 0  # bytes of bodies so far, summed over all requests
+        self.framing_bytes = 0  # bytes of the current request so far, without its body
+        self.body_bytes = 0  # bytes of bodies so far, summed over all requests
         self.arrived = 0.0
 
     def close(self) -> None:
         """Break the reference cycle with the parser, which would last until a garbage collection."""
         self.parser = None
 
-    def came(self) -> Came:
+    def receive_stage(self) -> Came:
         """How much of the current request has been received."""
         if self.head is None:
             return Came.WHOLE
@@ -98,7 +99,7 @@
         if self.parser is None:
             return None
         self.arrived = now
-        before = self.length
+        before = self.body_bytes
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -109,12 +110,12 @@
         except httptools.HttpParserError as error:
             cause = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else None
             return cause if isinstance(cause, BadRequest) else BadRequest(400, "malformed HTTP")
-        self.framing += len(data) - (self.length - before)
+        self.framing_bytes += len(data) - (self.body_bytes - before)
         if self.head is not None:
             if not self.in_body:
-                if self.framing > MAX_HEAD:
+                if self.framing_bytes > MAX_HEAD:
                     return BadRequest(431, "the headers are too large")
-            elif self.framing > MAX_HEAD + FRAMING_PART * self.head.length:
+            elif self.framing_bytes > MAX_HEAD + FRAMING_PART * self.head.length:
                 # Otherwise chunk extensions, which have no use here, could be sent without end.
                 return BadRequest(400, "the body's framing is too large")
         return None
@@ -123,8 +124,8 @@
 
     def on_message_begin(self) -> None:
         self.head = Head()
-        self.begun += 1
-        self.framing = 0
+        self.requests_begun += 1
+        self.framing_bytes = 0
         self.in_body = False
         self.expects = False
 
@@ -142,7 +143,7 @@
         assert head is not None and parser is not None
         self.in_body = True
         head.complete(parser.get_method(), parser.get_http_version(), parser.should_keep_alive())
-        self.gate(head)
+        self.assign_pool(head)
         expect = head.values.get(b"expect")
         if expect is not None and expect.lower() == b"100-continue":
             if head.refused is not None:
@@ -152,7 +153,7 @@
 
     def on_body(self, body: bytes) -> None:
         assert self.head is not None
-        self.length += len(body)
+        self.body_bytes += len(body)
         self.head.extend(body)
 
     def on_message_complete(self) -> None:
--- a/millgw/callers/endings.py
+++ b/millgw/callers/endings.py
@@ -8,12 +8,12 @@
 from millgw.http.request import BadRequest
 from millgw.log.events import log_event
 
-GIVES_WAY: Final = "evicted to make room"
-SILENT: Final = "no request since it connected"
-IDLE: Final = "idle"
-ENDING: Final = "this process is draining or ending"
-STUCK: Final = "client stopped reading answers"
-CLIENT_LEFT: Final = "client disconnected"
+CAUSE_EVICTED: Final = "evicted to make room"
+CAUSE_NO_REQUEST: Final = "no request since it connected"
+CAUSE_IDLE: Final = "idle"
+CAUSE_DRAINING: Final = "this process is draining or ending"
+CAUSE_STALLED: Final = "client stopped reading answers"
+CAUSE_DISCONNECTED: Final = "client disconnected"
 
 
 def client_address(transport: asyncio.Transport | None) -> str:
@@ -43,7 +43,7 @@
     )  # fmt: skip
 
 
-def log_turned_away(client: str, bad: BadRequest, requests: int, age: float, quiet: float) -> None:
+def log_refused(client: str, bad: BadRequest, requests: int, age: float, quiet: float) -> None:
     """Log a request that is refused as malformed or unacceptable.
 
     `age` and `quiet` are seconds since its first byte and since its client last sent anything.
--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -34,7 +34,7 @@
         """Call the connection's `turn` when it is its lane's turn."""
 
 
-class Listening(Protocol):
+class ListeningServer(Protocol):
     """The server that accepted a connection, as far as the connection uses it."""
 
     loop: asyncio.AbstractEventLoop
@@ -48,6 +48,6 @@
     @property
     def stopping(self) -> bool: ...
 
-    def busy(self, connection: CallerConnection) -> None: ...
+    def mark_busy(self, connection: CallerConnection) -> None: ...
 
-    def left(self, connection: CallerConnection) -> None: ...
+    def connection_closed(self, connection: CallerConnection) -> None: ...
--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -19,7 +19,7 @@
 # Idle connections are closed only some time after a drain or shutdown began, because a request may cross that
 # close. Until then connections are closed by their answers, which no request can cross.
 DRAIN_IDLE_AFTER = 1.0  # s after a drain began
-LEAVE_IDLE_AFTER = 1.2  # s after a successor took over; longer, as clients have no other sidecar
+SUCCESSOR_IDLE_AFTER = 1.2  # s after a successor took over; longer, as clients have no other sidecar
 
 
 class Lifecycle:
@@ -28,10 +28,10 @@
     def __init__(self) -> None:
         self.able = False
         self.drained = False
-        self.leaving = False
-        self.succeeded = False
+        self.shutting_down = False
+        self.has_successor = False
         self.ending = False
-        self.idle_from = math.inf
+        self.close_idle_from = math.inf
         self.over = False  # too little time is left to serve new requests: they are refused at once
 
     @property
@@ -40,41 +40,41 @@
 
     def ready(self) -> bool:
         """Whether this process can serve calls, as the admin server reports it; a drained one still can."""
-        return self.able and not self.leaving
+        return self.able and not self.shutting_down
 
     def welcome(self) -> bool:
         """Whether clients should connect to this sidecar, as /ready on the callers' address reports it.
 
         True while it shuts down in favour of a successor process: to clients the two are one sidecar.
         """
-        return not self.drained and (not self.leaving or self.succeeded)
+        return not self.drained and (not self.shutting_down or self.has_successor)
 
     def drain(self, now: float) -> bool:
         """Start draining clients; False if the process is already shutting down."""
-        if self.leaving:
+        if self.shutting_down:
             return False
         if not self.drained:
-            self.idle_from = now + DRAIN_IDLE_AFTER
+            self.close_idle_from = now + DRAIN_IDLE_AFTER
             self.drained = True
         return True
 
     def resume(self) -> bool:
         """End a drain; False if the process is already shutting down."""
-        if self.leaving:
+        if self.shutting_down:
             return False
         self.drained = False
-        self.idle_from = math.inf
+        self.close_idle_from = math.inf
         return True
 
-    def leave(self, now: float, succeeded: bool) -> None:
+    def leave(self, now: float, has_successor: bool) -> None:
         """Begin the shutdown. Unless drained or replaced by a successor, it goes on serving for a while."""
-        if self.leaving:
+        if self.shutting_down:
             return
-        self.leaving = True
-        self.succeeded = succeeded
-        if succeeded and not self.drained:
+        self.shutting_down = True
+        self.has_successor = has_successor
+        if has_successor and not self.drained:
             self.ending = True
-            self.idle_from = now + LEAVE_IDLE_AFTER
+            self.close_idle_from = now + SUCCESSOR_IDLE_AFTER
         elif self.drained:
             self.ending = True
 
@@ -82,8 +82,8 @@
         """End the phase in which a process that shuts down still keeps connections open."""
         if not self.ending:
             self.ending = True
-            self.idle_from = now
+            self.close_idle_from = now
 
     def closes_idle(self, now: float) -> bool:
         """Whether connections without an open request are closed now."""
-        return now >= self.idle_from
+        return now >= self.close_idle_from
--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -16,20 +16,20 @@
 
     def __init__(self, pool: Pool, life: Lifecycle) -> None:
         self.pool = pool
-        self.life = life
+        self.lifecycle = life
 
     def gate(self, head: Head) -> None:
         path = head.target.partition(b"?")[0]
         if path == b"/api":
             head.pool = self.pool
-            head.refused = Answer(REFUSED) if self.life.over else self.pool.busy()
+            head.refused = Answer(REFUSED) if self.lifecycle.over else self.pool.busy()
         elif path != b"/ready":
             head.wrong = BadRequest(404, "no such path")
         elif head.method != b"GET":
             head.wrong = BadRequest(405, "only GET asks whether the sidecar is ready")
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
-        return read(head, answer, self._ready)
+        return read(head, answer, self._answer_ready)
 
-    def _ready(self, head: Head) -> Answer:
-        return Answer(200 if self.pool.driver.ready and self.life.welcome() else REFUSED)
+    def _answer_ready(self, head: Head) -> Answer:
+        return Answer(200 if self.pool.driver.ready and self.lifecycle.welcome() else REFUSED)
--- a/millgw/callers/progress.py
+++ b/millgw/callers/progress.py
@@ -12,11 +12,11 @@
 
 from enum import Enum
 
-HEAD_TIME = 2.4  # s from the first byte of a request to the end of its head
+HEAD_TIMEOUT = 2.4  # s from the first byte of a request to the end of its head
 QUIET_TIME = 2.5  # s without a byte after which a client counts as stopped
-BODY_TIME = 60.0  # s that a body may take, in addition to its length divided by `LEAST_RATE`
-LEAST_RATE = 32 * 1024  # bytes/s of a body; half the rate of the slowest client that must be served
-SLOW_AFTER = 4.8  # s in addition to the length divided by `LEAST_RATE`, after which a client is slow
+BODY_TIMEOUT = 60.0  # s that a body may take, in addition to its length divided by `MIN_BODY_RATE`
+MIN_BODY_RATE = 32 * 1024  # bytes/s of a body; half the rate of the slowest client that must be served
+SLOW_AFTER = 4.8  # s in addition to the length divided by `MIN_BODY_RATE`, after which a client is slow
 
 
 class Overdue(Enum):
@@ -27,53 +27,53 @@
     BODY = "its body takes too long"
 
 
-class Progress:
+class ReceiveProgress:
     """Timing of the request that one connection is receiving."""
 
-    __slots__ = ("begun", "came", "paused", "stopped")
+    __slots__ = ("last_received", "paused_since", "paused_total", "started")
 
     def __init__(self, now: float) -> None:
-        self.begun = now
-        self.came = now  # s, when the last bytes that were read had arrived
-        self.paused: float | None = None  # s, since when reading is paused; None while reading
-        self.stopped = 0.0  # s of finished pauses within the current request
+        self.started = now
+        self.last_received = now  # s, when the last bytes that were read had arrived
+        self.paused_since: float | None = None  # s, since when reading is paused; None while reading
+        self.paused_total = 0.0  # s of finished pauses within the current request
 
     def begin(self, now: float) -> None:
         """Record that the first byte of a request was read."""
-        self.begun = now
-        self.stopped = 0.0
+        self.started = now
+        self.paused_total = 0.0
 
     def pause(self, now: float) -> None:
         """Record that this side stops reading."""
-        self.paused = now
+        self.paused_since = now
 
     def resume(self, now: float) -> None:
         """Record that this side reads again."""
-        self.stopped += self._paused_for(now)
-        self.paused = None
+        self.paused_total += self._current_pause(now)
+        self.paused_since = None
 
-    def quiet(self, now: float) -> bool:
+    def stalled(self, now: float) -> bool:
         """Whether the client counts as stopped, provided that no bytes wait in the socket."""
-        return now > self.came + QUIET_TIME
+        return now > self.last_received + QUIET_TIME
 
     def overdue(self, now: float, in_body: bool, length: int) -> Overdue | None:
         """Why the request has timed out, or None; only meaningful while no bytes wait in the socket.
 
         `length` is the number of body bytes received so far.
         """
-        if self.quiet(now):
+        if self.stalled(now):
             return Overdue.STOPPED
         if not in_body:
-            return Overdue.HEAD if self._takes(now) > HEAD_TIME else None
-        return Overdue.BODY if self._takes(now) > BODY_TIME + length / LEAST_RATE else None
+            return Overdue.HEAD if self._elapsed(now) > HEAD_TIMEOUT else None
+        return Overdue.BODY if self._elapsed(now) > BODY_TIMEOUT + length / MIN_BODY_RATE else None
 
     def slow(self, now: float, length: int) -> bool:
-        """Whether it arrives at less than `LEAST_RATE`, so that its connection is evicted first."""
-        return self._takes(now) > SLOW_AFTER + length / LEAST_RATE
+        """Whether it arrives at less than `MIN_BODY_RATE`, so that its connection is evicted first."""
+        return self._elapsed(now) > SLOW_AFTER + length / MIN_BODY_RATE
 
-    def _takes(self, now: float) -> float:
+    def _elapsed(self, now: float) -> float:
         """Seconds since the first byte of the request, without those for which reading was paused."""
-        return now - self.begun - self.stopped - self._paused_for(now)
+        return now - self.started - self.paused_total - self._current_pause(now)
 
-    def _paused_for(self, now: float) -> float:
-        return 0.0 if self.paused is None else now - self.paused
+    def _current_pause(self, now: float) -> float:
+        return 0.0 if self.paused_since is None else now - self.paused_since
--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -14,7 +14,15 @@
 from typing import cast
 
 from millgw.callers.connection import CallerConnection
-from millgw.callers.endings import ENDING, GIVES_WAY, IDLE, SILENT, STUCK, client_address, log_closed
+from millgw.callers.endings import (
+    CAUSE_DRAINING,
+    CAUSE_EVICTED,
+    CAUSE_IDLE,
+    CAUSE_NO_REQUEST,
+    CAUSE_STALLED,
+    client_address,
+    log_closed,
+)
 from millgw.callers.interface import Front, Lanes
 from millgw.callers.lifecycle import Lifecycle
 from millgw.http.message import REFUSED
@@ -23,13 +31,13 @@
 from millgw.platform.config import Address
 from millgw.platform.descriptors import Descriptors
 
-SILENT_TIME = 2.2  # s after connecting in which a first request must begin
-KEEP_TIME = 10.0  # s after which a connection idle between requests is closed
+FIRST_REQUEST_TIMEOUT = 2.2  # s after connecting in which a first request must begin
+IDLE_TIMEOUT = 10.0  # s after which a connection idle between requests is closed
 BACKLOG = 2048
-ACCEPTS = 16  # connections accepted per event loop iteration, so that open ones are served in between
-ACCEPT_PAUSE = 0.05  # s before accept is tried again after a failure, unless a connection ends before
+ACCEPT_BATCH = 16  # connections accepted per event loop iteration, so that open ones are served in between
+ACCEPT_RETRY_DELAY = 0.05  # s before accept is tried again after a failure, unless a connection ends before
 MIN_IDLE = 0.5  # s between requests before a connection may be evicted: its client may be about to use it
-JUST_CONNECTED = 0.1  # s for which a new connection is not evicted: its client is about to send a request
+CONNECT_GRACE = 0.1  # s for which a new connection is not evicted: its client is about to send a request
 READ_SIZE = 16 * 1024  # bytes per read
 SWEEP = 0.2  # s between two checks for connections that have timed out
 
@@ -64,7 +72,7 @@
         self.loop = asyncio.get_running_loop()
         self.descriptors = descriptors
         self.front = front
-        self.life = life
+        self.lifecycle = life
         self.lanes = lanes
         self.parts: dict[str, float] = {}  # the share of connections of each lane, where there are several
         self.connections: set[CallerConnection] = set()
@@ -72,8 +80,8 @@
         self.kept: dict[CallerConnection, None] = {}  # between requests, longest idle first
         self.accepting: set[asyncio.Task[object]] = set()
         self.buffer = bytearray(READ_SIZE)  # shared: each read is copied out before the next
-        self.paused: asyncio.TimerHandle | None = None
-        self.full_since = math.inf  # s, since when connections may have waited in the backlog
+        self.accept_retry: asyncio.TimerHandle | None = None
+        self.backlog_since = math.inf  # s, since when connections may have waited in the backlog
         self.closed = False
         family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_STREAM)
@@ -85,7 +93,7 @@
     @property
     def stopping(self) -> bool:
         """Whether every answer closes its connection."""
-        return self.closed or self.life.last
+        return self.closed or self.lifecycle.last
 
     def start(self) -> None:
         self.socket.listen(BACKLOG)
@@ -97,12 +105,12 @@
 
         Otherwise the last byte of one could arrive during the shutdown, and the request would be accepted.
         """
-        for connection in [c for c in self.connections if c.half]:
+        for connection in [c for c in self.connections if c.partly_received]:
             connection.refuse(BadRequest(REFUSED, "the sidecar is about to end"))
 
     # Accepting
 
-    def _accept(self, most: int = ACCEPTS, last: bool = False) -> bool:
+    def _accept(self, most: int = ACCEPT_BATCH, last: bool = False) -> bool:
         """Accept up to `most` connections from the backlog; True once it is empty.
 
         With `last` the bound on connections is ignored: those left in the backlog would be reset.
@@ -111,42 +119,42 @@
             if not last and self.descriptors.full_of_callers() and not self.give_way():
                 # Further connections stay in the backlog: the process would run out of descriptors.
                 self._end_slow()
-                self._pause()
+                self._pause_accepting()
                 return False
             try:
                 connection = accept(self.socket)
             except BlockingIOError:
-                self.full_since = math.inf
+                self.backlog_since = math.inf
                 return True
             except ConnectionAbortedError as error:
                 log_event("accept-failed", cause=error)  # only that client has disconnected
                 continue
             except OSError as error:
                 log_event("accept-failed", cause=error)
-                self._pause()
+                self._pause_accepting()
                 return False
-            task = self.loop.create_task(self._adopt(connection, self.full_since))
+            task = self.loop.create_task(self._make_connection(connection, self.backlog_since))
             self.accepting.add(task)
             task.add_done_callback(self.accepting.discard)
         return False
 
-    async def _adopt(self, connection: socket.socket, unread_since: float) -> None:
+    async def _make_connection(self, connection: socket.socket, unread_since: float) -> None:
         try:
             made = cast(asyncio.Protocol, CallerConnection(self, unread_since))
             await self.loop.connect_accepted_socket(lambda: made, connection)
         except OSError as error:
             log_event("caller-lost", cause=error)
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         self.loop.remove_reader(self.socket)
-        self.full_since = min(self.full_since, time.monotonic())
-        if self.paused is None:
-            self.paused = self.loop.call_later(ACCEPT_PAUSE, self._resume)
-
-    def _resume(self) -> None:
-        if self.paused is not None and not self.closed:
-            self.paused.cancel()
-            self.paused = None
+        self.backlog_since = min(self.backlog_since, time.monotonic())
+        if self.accept_retry is None:
+            self.accept_retry = self.loop.call_later(ACCEPT_RETRY_DELAY, self._resume_accepting)
+
+    def _resume_accepting(self) -> None:
+        if self.accept_retry is not None and not self.closed:
+            self.accept_retry.cancel()
+            self.accept_retry = None
             self.loop.add_reader(self.socket, self._accept)
 
     def held(self) -> int:
@@ -159,39 +167,39 @@
         The order: idle ones of a lane above its share, those before their first request, those between
         requests.
         """
-        if self.parts and self._close_of_large_lane():
+        if self.parts and self._evict_from_large_lane():
             return True
-        for connections, least in ((self.fresh, JUST_CONNECTED), (self.kept, MIN_IDLE)):
+        for connections, least in ((self.fresh, CONNECT_GRACE), (self.kept, MIN_IDLE)):
             for connection in connections:
-                if connection.close_if_quiet(least, GIVES_WAY):
+                if connection.close_if_idle(least, CAUSE_EVICTED):
                     return True
         return False
 
     def _end_slow(self) -> None:
-        """End up to `ACCEPTS` connections whose requests arrive slowly, to make room."""
+        """End up to `ACCEPT_BATCH` connections whose requests arrive slowly, to make room."""
         now, ended = time.monotonic(), 0
         for connection in list(self.connections):
             ended += connection.end_slow(now)
-            if ended == ACCEPTS:
+            if ended == ACCEPT_BATCH:
                 return
 
-    def _close_of_large_lane(self) -> bool:
+    def _evict_from_large_lane(self) -> bool:
         counts: dict[str, int] = {}
         for connection in self.connections:
             counts[connection.lane] = counts.get(connection.lane, 0) + 1
         for kept in self.kept:
             part = self.parts.get(kept.lane)
             large = part is not None and counts[kept.lane] > part
-            if large and kept.close_if_quiet(0.0, GIVES_WAY):
+            if large and kept.close_if_idle(0.0, CAUSE_EVICTED):
                 return True
         return False
 
-    def left(self, connection: CallerConnection) -> None:
+    def connection_closed(self, connection: CallerConnection) -> None:
         self.connections.discard(connection)
-        self.busy(connection)
-        self._resume()
+        self.mark_busy(connection)
+        self._resume_accepting()
 
-    def busy(self, connection: CallerConnection) -> None:
+    def mark_busy(self, connection: CallerConnection) -> None:
         self.fresh.pop(connection, None)
         self.kept.pop(connection, None)
 
@@ -203,22 +211,28 @@
         now = time.monotonic()
         for connection in list(self.connections):
             connection.end_overdue(now)
-        for connection in [c for c in self.connections if c.stuck(now)]:
-            age, quiet = now - connection.opened, now - connection.progress.came
-            log_closed(client_address(connection.transport), STUCK, connection.core.begun, age, quiet)
+        for connection in [c for c in self.connections if c.write_stalled(now)]:
+            age, quiet = now - connection.opened, now - connection.progress.last_received
+            log_closed(
+                client_address(connection.transport),
+                CAUSE_STALLED,
+                connection.core.requests_begun,
+                age,
+                quiet,
+            )
             connection.abort()
         for connection in [c for c in self.connections if c.paused]:
-            connection.look_for_end()
-        self._close_quiet(self.fresh, SILENT_TIME, SILENT)
-        self._close_quiet(self.kept, KEEP_TIME, IDLE)
-        if self.life.closes_idle(now):
+            connection.check_client_gone()
+        self._close_those_idle(self.fresh, FIRST_REQUEST_TIMEOUT, CAUSE_NO_REQUEST)
+        self._close_those_idle(self.kept, IDLE_TIMEOUT, CAUSE_IDLE)
+        if self.lifecycle.closes_idle(now):
             self.close_idle()
         self.loop.call_later(SWEEP, self._sweep)
 
     @staticmethod
-    def _close_quiet(connections: dict[CallerConnection, None], least: float, cause: str) -> None:
+    def _close_those_idle(connections: dict[CallerConnection, None], min_idle: float, cause: str) -> None:
         for connection in list(connections):
-            connection.close_if_quiet(least, cause)
+            connection.close_if_idle(min_idle, cause)
 
     # Stopping
 
@@ -230,12 +244,12 @@
         if self.closed:
             return
         if not self._accept(BACKLOG, last=True):
-            self.loop.call_later(ACCEPT_PAUSE, self.stop)
+            self.loop.call_later(ACCEPT_RETRY_DELAY, self.stop)
             return
         self.closed = True
         self.loop.remove_reader(self.socket)
         self.socket.close()
 
     def close_idle(self) -> None:
-        self._close_quiet(self.fresh, JUST_CONNECTED, ENDING)
-        self._close_quiet(self.kept, JUST_CONNECTED, ENDING)
+        self._close_those_idle(self.fresh, CONNECT_GRACE, CAUSE_DRAINING)
+        self._close_those_idle(self.kept, CONNECT_GRACE, CAUSE_DRAINING)
--- a/millgw/callers/steering.py
+++ b/millgw/callers/steering.py
@@ -14,12 +14,12 @@
 import struct
 
 SO_ATTACH_REUSEPORT_CBPF = 51  # asm-generic/socket.h
-RETURN = 0x06  # BPF_RET | BPF_K, linux/bpf_common.h
+BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K, linux/bpf_common.h
 
 
-def steer(listener: socket.socket, which: int = 1) -> bool:
+def steer(listener: socket.socket, index: int = 1) -> bool:
     """Send new connections to the socket with this index in the group; False if the kernel refuses."""
-    code = array.array("B", struct.pack("=HBBI", RETURN, 0, 0, which))
+    code = array.array("B", struct.pack("=HBBI", BPF_RETURN_CONSTANT, 0, 0, index))
     try:
         program = struct.pack("@HP", 1, code.buffer_info()[0])  # struct sock_fprog
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
--- a/millgw/callers/streamed_answer.py
+++ b/millgw/callers/streamed_answer.py
@@ -6,8 +6,8 @@
 import time
 from typing import TYPE_CHECKING
 
-from millgw.callers.core import word_begin
-from millgw.callers.stall import Stall
+from millgw.callers.core import encode_answer_head
+from millgw.callers.stall import WriteStall
 from millgw.http.message import FAILED, SERVED, Answer
 from millgw.streams.flow import Flow
 
@@ -25,22 +25,22 @@
         self.flow: Flow | None = flow  # None at its end, to break the reference cycle
         self.chunked = flow.length is None and version == "1.1"
         self.until_close = flow.length is None and not self.chunked
-        self.stall = Stall(time.monotonic())
+        self.stall = WriteStall(time.monotonic())
 
     def begin(self, transport: asyncio.Transport, answer: Answer, close: bool) -> None:
         """Write the head; `close` marks the last answer on the connection."""
         flow = self.flow
         assert flow is not None
         transport.set_write_buffer_limits(high=flow.window)
-        transport.write(word_begin(answer, flow.length, self.chunked, close))
+        transport.write(encode_answer_head(answer, flow.length, self.chunked, close))
         flow.sink = self
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Pause the flow: the client's write buffer is full."""
         if self.flow is not None:
             self.flow.hold()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume the flow: the client's write buffer has room again."""
         if self.flow is not None:
             self.flow.go_on()
@@ -51,10 +51,10 @@
         if flow is not None:
             flow.cancel()
 
-    def stuck(self, now: float) -> bool:
+    def stalled(self, now: float) -> bool:
         """Whether the client has read nothing of the answer for too long."""
         transport = self.connection.transport
-        return transport is not None and self.stall.stuck(now, transport.get_write_buffer_size())
+        return transport is not None and self.stall.stalled(now, transport.get_write_buffer_size())
 
     # The flow's sink
 
@@ -70,14 +70,14 @@
         if self.chunked and transport is not None:
             transport.write(b"0\r\n\r\n")
         self.flow = None
-        self.connection.streamed_to_end(SERVED)
-        self.connection.go_on_after()
+        self.connection.stream_ended(SERVED)
+        self.connection.answer_ended()
 
     def broken_off(self) -> None:
         """The rest of the body won't arrive: close the connection, so that the client can tell."""
         connection = self.connection
         self.flow = None
-        connection.streamed_to_end(FAILED)
+        connection.stream_ended(FAILED)
         if self.until_close:
             connection.abort()
         connection.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 
 from millgw.callers.connection import CallerConnection
 from millgw.callers.lifecycle import Lifecycle
-from millgw.callers.server import JUST_CONNECTED, MIN_IDLE, Server
+from millgw.callers.server import CONNECT_GRACE, MIN_IDLE, Server
 from millgw.endpoints.attempt import Attempt
 from millgw.endpoints.upstream import Upstream
 from millgw.http.message import REFUSED, Answer, Content
@@ -559,7 +559,7 @@
             client.sendall(request())
             await until(lambda: bool(front.heads))
         await until(lambda: bool(server.kept if why == "idle" else server.fresh))
-        await asyncio.sleep(max(JUST_CONNECTED, MIN_IDLE) + 0.01)
+        await asyncio.sleep(max(CONNECT_GRACE, MIN_IDLE) + 0.01)
         if why == "gives-way":
             assert server.give_way()
         else:
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -439,7 +439,7 @@
             for _ in range(5):
                 assert (await client.ask(request(X_Expires_In_Ms="0"))).status == 503
                 assert (await client.ask(request("pay", patience=200))).status == 200
-            assert time.monotonic() - begun < caller_module.BAD_PAUSE
+            assert time.monotonic() - begun < caller_module.BAD_REQUEST_PAUSE
             assert len(endpoint.got) == 5, "nothing was sent for those with no time left"
 
     run(test)
@@ -451,12 +451,12 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             begun = time.monotonic()
-            for _ in range(caller_module.MAX_BAD + 1):
+            for _ in range(caller_module.MAX_BAD_REQUESTS + 1):
                 assert (await client.ask(request(X_Qos="unheard-of"))).status == 400
                 at = time.monotonic()
                 assert (await client.ask(request("pay", patience=200))).status == 200
-                assert time.monotonic() - at < caller_module.BAD_PAUSE
-            assert time.monotonic() - begun > caller_module.BAD_PAUSE, (
+                assert time.monotonic() - at < caller_module.BAD_REQUEST_PAUSE
+            assert time.monotonic() - begun > caller_module.BAD_REQUEST_PAUSE, (
                 "bad ones wait for their turn all the same"
             )
 
@@ -499,8 +499,8 @@
             begun = time.monotonic()
             client.writer.write(request(X_Qos="unheard-of") * 500)
             answers = await client.reader.read()
-            assert answers.count(b"HTTP/1.1 400") == caller_module.MAX_BAD
-            assert time.monotonic() - begun > caller_module.BAD_PAUSE * 6
+            assert answers.count(b"HTTP/1.1 400") == caller_module.MAX_BAD_REQUESTS
+            assert time.monotonic() - begun > caller_module.BAD_REQUEST_PAUSE * 6
 
     run(test)
 
@@ -540,8 +540,8 @@
 def test_silent_and_kept_connections_are_closed_but_not_with_a_request_unread(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server_module, "SILENT_TIME", 0.2)
-    monkeypatch.setattr(server_module, "KEEP_TIME", 0.2)
+    monkeypatch.setattr(server_module, "FIRST_REQUEST_TIMEOUT", 0.2)
+    monkeypatch.setattr(server_module, "IDLE_TIMEOUT", 0.2)
     monkeypatch.setattr(server_module, "SWEEP", 0.01)
 
     async def test() -> None:
