--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -22,7 +22,7 @@
 from millgw.callers.progress import ReceiveProgress
 from millgw.callers.stall import WriteStall
 from millgw.callers.streamed_answer import StreamedAnswer
-from millgw.http.message import Answer, gone, since_received, stop_sending, unread, watcher
+from millgw.http.message import Answer, gone, send_fin, since_received, unread, watcher
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
 from millgw.streams.flow import Flow
@@ -103,7 +103,7 @@
         transport = self.transport
         if transport is None or not self.idle_for(min_idle):
             return False
-        stop_sending(transport)
+        send_fin(transport)
         now = time.monotonic()
         log_closed(
             client_address(transport),
@@ -282,7 +282,11 @@
                 self._answer_early(made)
             return
         made.gone = self.client_gone
-        upload = Upload(None if head.told < 0 else head.told, head.pool.enter(), self._upload_has_room)
+        upload = Upload(
+            None if head.declared_length < 0 else head.declared_length,
+            head.pool.enter(),
+            self._upload_has_room,
+        )
         upload.put(head.body)
         head.release()
         head.upload = made.upload = upload
@@ -322,14 +326,14 @@
         head, transport = self._incomplete_head(), self.transport
         if head is None or transport is None or unread(transport, self.poll):
             return
-        why = self.progress.overdue(now, self.core.in_body, head.length)
+        why = self.progress.overdue(now, self.core.in_body, head.body_received)
         if why is not None:
             self.refuse(BadRequest(408, why.value))
 
     def end_slow(self, now: float) -> bool:
         """Answer 408 to a request that arrives slowly, as others need room; False if it does not."""
         head = self._incomplete_head()
-        if head is None or not self.progress.slow(now, head.length):
+        if head is None or not self.progress.slow(now, head.body_received):
             return False
         self.refuse(BadRequest(408, "it comes in slowly, and others need its connection"))
         return True
@@ -438,7 +442,7 @@
         if self.upload is not None:
             self._cancel_upload()
         if self.core.head is not None:
-            bad.came, bad.trace = self.core.receive_stage(), self.core.head.trace
+            bad.stage, bad.trace_id = self.core.receive_stage(), self.core.head.trace_id
             self.core.head.release()
             self.core.head = None
         self.core.queue.append(bad)
@@ -464,7 +468,7 @@
             try:
                 made = self.server.front.read(item, self._answer)
             except BadRequest as bad:
-                bad.trace = item.trace
+                bad.trace_id = item.trace_id
                 self._report_status(item, bad.status)
                 item.release()
                 self._refuse_and_pause(bad)
--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -12,7 +12,7 @@
 import httptools
 
 from millgw.http.message import FRAMING_PART, MAX_HEAD, Answer
-from millgw.http.request import BadRequest, Came, Head
+from millgw.http.request import BadRequest, Head, ReceiveStage
 
 REASONS: Final = {
     200: b"OK",
@@ -86,13 +86,13 @@
         """Break the reference cycle with the parser, which would last until a garbage collection."""
         self.parser = None
 
-    def receive_stage(self) -> Came:
+    def receive_stage(self) -> ReceiveStage:
         """How much of the current request has been received."""
         if self.head is None:
-            return Came.WHOLE
+            return ReceiveStage.WHOLE
         if self.in_body:
-            return Came.BODY
-        return Came.HEAD if self.head.values else Came.LINE
+            return ReceiveStage.BODY
+        return ReceiveStage.HEAD if self.head.values else ReceiveStage.LINE
 
     def feed(self, data: bytes, now: float) -> BadRequest | None:
         """Parse `data`, which arrived at `now` (s). After an error is returned, nothing more may be fed."""
@@ -115,7 +115,7 @@
             if not self.in_body:
                 if self.framing_bytes > MAX_HEAD:
                     return BadRequest(431, "the headers are too large")
-            elif self.framing_bytes > MAX_HEAD + FRAMING_PART * self.head.length:
+            elif self.framing_bytes > MAX_HEAD + FRAMING_PART * self.head.body_received:
                 # Otherwise chunk extensions, which have no use here, could be sent without end.
                 return BadRequest(400, "the body's framing is too large")
         return None
--- a/millgw/callers/endings.py
+++ b/millgw/callers/endings.py
@@ -50,7 +50,7 @@
     """
     log_event(
         "request-turned-away",
-        status=bad.status, cause=bad, client=client, call=bad.trace, came=bad.came.value,
+        status=bad.status, cause=bad, client=client, call=bad.trace_id, came=bad.stage.value,
         requests=requests, age_ms=milliseconds(age), quiet_ms=milliseconds(quiet),
     )  # fmt: skip
 
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -86,7 +86,7 @@
     return bool((poll or watcher(transport)).poll(0))
 
 
-ENDED: Final = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+END_EVENTS: Final = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def gone(transport: asyncio.Transport, poll: select.poll | None = None) -> bool:
@@ -96,10 +96,10 @@
     """
     if transport.is_closing():
         return True
-    return any(events & ENDED for _, events in (poll or watcher(transport)).poll(0))
+    return any(events & END_EVENTS for _, events in (poll or watcher(transport)).poll(0))
 
 
-def stop_sending(transport: asyncio.Transport) -> None:
+def send_fin(transport: asyncio.Transport) -> None:
     """Send a connection's FIN now; closing the transport sends it only in the loop's next iteration.
 
     Does nothing while the transport's write buffer holds bytes, as they would be lost.
@@ -112,29 +112,29 @@
     """Call shutdown(2) on a connection's socket directly, as the transport has no method for it."""
     if transport.is_closing():
         return
-    same = transport.get_extra_info("socket")
-    shut = socket.socket(same.family, same.type, same.proto, fileno=same.fileno())
+    existing = transport.get_extra_info("socket")
+    duplicate = socket.socket(existing.family, existing.type, existing.proto, fileno=existing.fileno())
     try:
         with suppress(OSError):  # the peer has reset it
-            shut.shutdown(how)
+            duplicate.shutdown(how)
     finally:
-        shut.detach()
+        duplicate.detach()
 
 
-def waiting(transport: asyncio.Transport, most: int) -> bytes:
+def waiting(transport: asyncio.Transport, max_bytes: int) -> bytes:
     """Up to `most` bytes that the event loop has not delivered yet; for a connection about to be closed."""
     if transport.is_closing():
         return b""
     descriptor = transport.get_extra_info("socket").fileno()
-    got = bytearray()
+    received = bytearray()
     with suppress(OSError):  # no more bytes have arrived, or the connection was reset
-        while len(got) < most and (part := os.read(descriptor, most - len(got))):
-            got += part
-    return bytes(got)
+        while len(received) < max_bytes and (part := os.read(descriptor, max_bytes - len(received))):
+            received += part
+    return bytes(received)
 
 
-WORD: Final = struct.Struct("=I")  # a field of Linux' struct tcp_info (tcp(7)), after its first eight bytes
-RECEIVED_AT: Final = 52  # offset (bytes) of tcpi_last_data_recv there, in ms
+TCP_INFO_FIELD: Final = struct.Struct("=I")  # of Linux' struct tcp_info (tcp(7)), after its first 8 bytes
+LAST_DATA_RECV_OFFSET: Final = 52  # offset (bytes) of tcpi_last_data_recv there, in ms
 
 
 def since_received(transport: asyncio.Transport) -> float:
@@ -143,16 +143,18 @@
         return 0.0
     sock = transport.get_extra_info("socket")
     try:
-        info: bytes = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, RECEIVED_AT + WORD.size)
+        info: bytes = sock.getsockopt(
+            socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECV_OFFSET + TCP_INFO_FIELD.size
+        )
     except OSError:
         return 0.0
-    if len(info) < RECEIVED_AT + WORD.size:
+    if len(info) < LAST_DATA_RECV_OFFSET + TCP_INFO_FIELD.size:
         return 0.0
-    (milliseconds,) = WORD.unpack_from(info, RECEIVED_AT)
+    (milliseconds,) = TCP_INFO_FIELD.unpack_from(info, LAST_DATA_RECV_OFFSET)
     return int(milliseconds) / 1000
 
 
-UNACKED_AT: Final = 24  # offset (bytes) of tcpi_unacked there
+UNACKED_OFFSET: Final = 24  # offset (bytes) of tcpi_unacked there
 
 
 def unconfirmed(transport: asyncio.Transport) -> bool:
@@ -160,6 +162,6 @@
     if transport.is_closing():
         return True
     sock = transport.get_extra_info("socket")
-    info: bytes = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, UNACKED_AT + WORD.size)
-    (unacked,) = WORD.unpack_from(info, UNACKED_AT)
+    info: bytes = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, UNACKED_OFFSET + TCP_INFO_FIELD.size)
+    (unacked,) = TCP_INFO_FIELD.unpack_from(info, UNACKED_OFFSET)
     return bool(unacked)
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -13,7 +13,7 @@
 from millgw.streams.room import LONG
 from millgw.streams.upload import Upload
 
-ONCE: Final = frozenset(
+SINGLE_HEADERS: Final = frozenset(
     {
         b"content-length",
         b"host",
@@ -28,7 +28,7 @@
 """Headers that the sidecar interprets. If one came twice, it would check one value and forward both."""
 
 
-class Came(Enum):
+class ReceiveStage(Enum):
     """How much of a request had been received when it was refused."""
 
     LINE = "line"
@@ -40,21 +40,21 @@
 class BadRequest(Exception):
     """A request that is refused at once, without any attempt.
 
-    `came` (how much of it was received) and `trace` (its X-Trace-Id, if that was read) are for the log.
+    `stage` (how much of it was received) and `trace_id` (its X-Trace-Id, if that was read) are for the log.
     """
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
-        self.came = Came.WHOLE
-        self.trace = ""
+        self.stage = ReceiveStage.WHOLE
+        self.trace_id = ""
 
     def answer(self) -> Answer:
         """The answer to the client, in plain text."""
         return plain(self.status, str(self))
 
 
-class Taker(Protocol):
+class RequestPool(Protocol):
     """The pool that a request is for, as far as its body and its final status concern it."""
 
     name: str
@@ -78,8 +78,8 @@
     """
 
     __slots__ = (
-        "body", "ended", "forward", "keep", "length", "long", "method", "pool", "refused", "target", "told",
-        "upload", "values", "version", "wrong",
+        "body", "body_received", "declared_length", "ended", "forward", "keep", "long", "method", "pool",
+        "refused", "target", "upload", "values", "version", "wrong",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -88,21 +88,21 @@
         self.values: dict[bytes, bytes] = {}
         self.forward = b""
         self.body = b""
-        self.length = 0  # bytes of the body so far
-        self.told = -1  # Content-Length, 0 where there is none; -1 if chunked
+        self.body_received = 0  # bytes of the body so far
+        self.declared_length = -1  # Content-Length, 0 where there is none; -1 if chunked
         self.long = False  # too long to be held whole: the body is to be streamed
         self.upload: Upload | None = None  # receives the body once it is streamed
         self.keep = False
         self.version = ""
         self.ended = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
-        self.pool: Taker | None = None
+        self.pool: RequestPool | None = None
         self.wrong: BadRequest | None = None
         self.refused: Answer | None = None
 
     def add(self, name: bytes, value: bytes) -> None:
         lower = name.lower()
         value = value.rstrip(b" \t")  # left by the parser, but not part of the value (RFC 9110 section 5.5)
-        if lower in ONCE and lower in self.values:
+        if lower in SINGLE_HEADERS and lower in self.values:
             raise BadRequest(400, f"{lower.decode()} is given twice")
         self.values[lower] = value
         if lower not in OWN_HEADERS:
@@ -123,22 +123,22 @@
         if len(length) > len(str(MAX_BODY)) or int(length) > MAX_BODY:
             raise BadRequest(413, "the body is too large")
         if coding is None:
-            self.told = int(length)
-            self.long = self.told > LONG
+            self.declared_length = int(length)
+            self.long = self.declared_length > LONG
 
     @property
-    def trace(self) -> str:
+    def trace_id(self) -> str:
         """The X-Trace-Id for the log; empty if none was read."""
         return self.values.get(b"x-trace-id", b"").decode("ascii", "backslashreplace")
 
     def extend(self, body: bytes) -> None:
-        self.length += len(body)
-        if self.length > MAX_BODY:
+        self.body_received += len(body)
+        if self.body_received > MAX_BODY:
             raise BadRequest(413, "the body is too large")
         if self.upload is not None:
             self.upload.put(body)
             return
-        self.long = self.long or self.length > LONG
+        self.long = self.long or self.body_received > LONG
         if self.pool is not None and self.refused is None:
             self.pool.hold(len(body))
             self.body += body
@@ -150,27 +150,31 @@
             self.body = b""
 
 
-def word_head(head: Head, left: int) -> bytes:
+def encode_request_head(head: Head, time_left: int) -> bytes:
     """The head of a request whose body is streamed, with its Content-Length or chunked."""
-    framing = b"Content-Length: %d" % head.told if head.told >= 0 else b"Transfer-Encoding: chunked"
+    framing = (
+        b"Content-Length: %d" % head.declared_length
+        if head.declared_length >= 0
+        else b"Transfer-Encoding: chunked"
+    )
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\n%b\r\n\r\n" % (
         head.method,
         head.target,
         head.forward,
-        left,
+        time_left,
         framing,
     )
 
 
-def word(head: Head, left: int) -> bytes:
+def word(head: Head, time_left: int) -> bytes:
     """Encode the request for an attempt, with the time left (ms) and without hop-by-hop headers."""
     if head.upload is not None:
-        return word_head(head, left)
+        return encode_request_head(head, time_left)
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\nContent-Length: %d\r\n\r\n%b" % (
         head.method,
         head.target,
         head.forward,
-        left,
+        time_left,
         len(head.body),
         head.body,
     )
--- a/millgw/intents/book.py
+++ b/millgw/intents/book.py
@@ -20,18 +20,18 @@
 
 from millgw.store.store import Standing
 
-Done = Callable[[bool], None]
+WriteCallback = Callable[[bool], None]
 
 
-class Log(Protocol):
+class MarkLog(Protocol):
     """Durable storage of marks."""
 
     def standing(self, key: bytes) -> Standing: ...
 
-    def mark(self, keys: Sequence[bytes], done: Done) -> None:
+    def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
         """Write marks for these keys; later calls `done` with whether they are durable."""
 
-    def clear(self, keys: Sequence[bytes], done: Done) -> None:
+    def clear(self, keys: Sequence[bytes], done: WriteCallback) -> None:
         """Remove the marks, after all writes requested before."""
 
 
@@ -56,43 +56,43 @@
 class Intent:
     """The intent of one call, from its acceptance to its end. Tokens identify attempts; any object will do.
 
-    Without a `book` the call came before the log was open, and waits for that until its deadline.
+    Without a `registry` the call came before the log was open, and waits for that until its deadline.
     """
 
-    __slots__ = ("book", "ended", "keys", "left", "state", "waiting")
+    __slots__ = ("ended", "keys", "may_have_run", "registry", "state", "waiters")
 
-    def __init__(self, book: Book | None, keys: tuple[bytes, ...]) -> None:
-        self.book = book
+    def __init__(self, registry: IntentRegistry | None, keys: tuple[bytes, ...]) -> None:
+        self.registry = registry
         self.keys = keys
         self.state = State.NONE
-        self.left: set[object] = set()  # attempts whose last byte was sent and that may have run
-        self.waiting: list[Callable[[], None]] = []
+        self.may_have_run: set[object] = set()  # attempts whose last byte was sent and that may have run
+        self.waiters: list[Callable[[], None]] = []
         self.ended = False
 
     @property
     def doubtful(self) -> bool:
         """Whether another process may have sent the call, so that no refusal may promise it never ran."""
-        return self.book is None
+        return self.registry is None
 
     def begin(self) -> None:
         """An attempt has its connection: write the mark, unless that was begun before."""
         if self.state not in (State.NONE, State.WANTED):
             return
-        if self.book is None:
+        if self.registry is None:
             self.state = State.WANTED
         else:
             self.state = State.WRITING
-            self.book.log.mark(self.keys, self.marked)
+            self.registry.log.mark(self.keys, self.set_durable)
 
-    def opened(self, book: Book) -> None:
+    def log_opened(self, registry: IntentRegistry) -> None:
         """The log is open: check the keys there, and write the mark if an attempt waits for it."""
         if self.ended:
             return
-        if book.refuses(self.keys) is not None:
-            self.marked(False)
+        if registry.find_refusal(self.keys) is not None:
+            self.set_durable(False)
             return
-        self.book = book
-        book.open.update(self.keys)
+        self.registry = registry
+        registry.open.update(self.keys)
         if self.state is State.WANTED:
             self.begin()
 
@@ -103,12 +103,12 @@
 
     def wait(self, then: Callable[[], None]) -> None:
         """Call `then` once it is known whether the mark is durable."""
-        self.waiting.append(then)
+        self.waiters.append(then)
 
-    def marked(self, durable: bool) -> None:
+    def set_durable(self, durable: bool) -> None:
         """Record whether the mark is durable. If not, it never will be, and nothing may be sent."""
         self.state = State.DURABLE if durable else State.FAILED
-        waiting, self.waiting = self.waiting, []
+        waiting, self.waiters = self.waiters, []
         for then in waiting:
             then()
 
@@ -116,62 +116,62 @@
         """Record that an attempt's last byte is sent; RuntimeError if the mark is not durable."""
         if self.state is not State.DURABLE:
             raise RuntimeError("last byte of an unsafe attempt sent before its mark is durable")
-        self.left.add(token)
+        self.may_have_run.add(token)
 
     def over(self, token: object, never_ran: bool) -> None:
         """Record the end of an attempt, and whether it is proven not to have run."""
         if never_ran:
-            self.left.discard(token)
+            self.may_have_run.discard(token)
 
     def end(self) -> None:
         """The call is answered, or its client has disconnected."""
         if self.ended:
             return
         self.ended = True
-        self.waiting.clear()
-        if self.book is not None:
-            self.book.ended(self)
+        self.waiters.clear()
+        if self.registry is not None:
+            self.registry.intent_ended(self)
 
 
-class Book:
+class IntentRegistry:
     """The intents of all open unsafe calls of one process."""
 
-    def __init__(self, log: Log) -> None:
+    def __init__(self, log: MarkLog) -> None:
         self.log = log
         self.open: set[bytes] = set()
-        self.clearing: dict[bytes, int] = {}  # number of pending removals from the log, for each key
+        self.pending_removals: dict[bytes, int] = {}  # number of pending removals from the log, for each key
 
     def take(self, keys: tuple[bytes, ...]) -> Intent | Refusal:
         """The intent of a call with these keys, or why it may not be sent."""
-        refusal = self.refuses(keys)
+        refusal = self.find_refusal(keys)
         if refusal is not None:
             return refusal
         self.open.update(keys)
         return Intent(self, keys)
 
-    def refuses(self, keys: tuple[bytes, ...]) -> Refusal | None:
+    def find_refusal(self, keys: tuple[bytes, ...]) -> Refusal | None:
         """Why a call with these keys may not be sent; None if it may."""
         for key in keys:
             if key in self.open:
                 return Refusal.OPEN
-            if key in self.clearing:
+            if key in self.pending_removals:
                 continue  # no attempt ran; the mark in the log is being removed
             standing = self.log.standing(key)
             if standing is not Standing.UNSENT:
                 return Refusal.SENT if standing is Standing.SENT else Refusal.UNPROVEN
         return None
 
-    def ended(self, intent: Intent) -> None:
+    def intent_ended(self, intent: Intent) -> None:
         self.open.difference_update(intent.keys)
-        if intent.left or intent.state is State.NONE:
+        if intent.may_have_run or intent.state is State.NONE:
             return
         for key in intent.keys:
-            self.clearing[key] = self.clearing.get(key, 0) + 1
+            self.pending_removals[key] = self.pending_removals.get(key, 0) + 1
 
         def cleared(durable: bool) -> None:
             for key in intent.keys:
-                self.clearing[key] -= 1
-                if not self.clearing[key]:
-                    del self.clearing[key]
+                self.pending_removals[key] -= 1
+                if not self.pending_removals[key]:
+                    del self.pending_removals[key]
 
         self.log.clear(intent.keys, cleared)
--- a/millgw/intents/log.py
+++ b/millgw/intents/log.py
@@ -12,14 +12,14 @@
 
 from millgw.http.message import FAILED, Answer, plain
 from millgw.http.request import Head
-from millgw.intents.book import Book, Done, Intent, Refusal
+from millgw.intents.book import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.log.events import log_event
 from millgw.store.files import Locked, RealFiles, boot_id
 from millgw.store.record import FormatError
 from millgw.store.store import Item, Options, Standing, Store
 from millgw.store.writer import Sync, Writer
 
-OPEN_AGAIN = 0.05  # s between attempts to open a store that another process of this sidecar has locked
+REOPEN_DELAY = 0.05  # s between attempts to open a store that another process of this sidecar has locked
 MEMORY_PART = 1 / 4  # share of the sidecar's memory limit for marks
 MARK_BYTES = 450  # bytes of memory for one mark, as measured (docs/design/store.md)
 DESCRIPTORS = 16  # open files of a store with two mirrors at most, including those of a compaction
@@ -33,30 +33,30 @@
 
     directories: tuple[str, ...]
     sync: Sync
-    keep: float
-    key: bytes
-    most: int
+    keep_ms: float
+    key_header: bytes
+    max_marks: int
 
 
-class Durable:
+class StoreMarkLog:
     """Marks in a store, written in the writer's thread."""
 
-    def __init__(self, writer: Writer, keep: float, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, writer: Writer, keep_ms: float, loop: asyncio.AbstractEventLoop) -> None:
         self.writer = writer
-        self.keep = keep
+        self.keep_ms = keep_ms
         self.loop = loop
 
     def standing(self, key: bytes) -> Standing:
         return self.writer.standing(key)
 
-    def mark(self, keys: Sequence[bytes], done: Done) -> None:
-        expires = int(self.writer.store.now() + self.keep)
-        self._all([self.writer.put(Item(key, b"", expires)) for key in keys], done)
+    def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
+        expires = int(self.writer.store.now() + self.keep_ms)
+        self._call_when_done([self.writer.put(Item(key, b"", expires)) for key in keys], done)
 
-    def clear(self, keys: Sequence[bytes], done: Done) -> None:
-        self._all([self.writer.put(Item(key, None)) for key in keys], done)
+    def clear(self, keys: Sequence[bytes], done: WriteCallback) -> None:
+        self._call_when_done([self.writer.put(Item(key, None)) for key in keys], done)
 
-    def _all(self, futures: list[Future[int]], done: Done) -> None:
+    def _call_when_done(self, futures: list[Future[int]], done: WriteCallback) -> None:
         """Once all futures are done, call `done` in the event loop with whether all succeeded."""
         ended = itertools.count(1)
 
@@ -81,60 +81,65 @@
 
     descriptors = DESCRIPTORS
 
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
-        self.book: Book | None = None
+    def __init__(self, settings: Terms) -> None:
+        self.settings = settings
+        self.registry: IntentRegistry | None = None
         self.writer: Writer | None = None
         self.opening: asyncio.Task[None] | None = None
-        self.late: list[Intent] = []  # calls that wait for the store to be opened
+        self.waiting_for_store: list[Intent] = []  # calls that wait for the store to be opened
 
     async def begin(self) -> None:
         """Open the store. If it is locked, return and retry in a background task."""
         if not await self._open():
-            self.opening = asyncio.create_task(self._until_open())
+            self.opening = asyncio.create_task(self._retry_open())
 
-    async def _until_open(self) -> None:
+    async def _retry_open(self) -> None:
         while not await self._open():
-            self.late = [call for call in self.late if not call.ended]
-            await asyncio.sleep(OPEN_AGAIN)
+            self.waiting_for_store = [call for call in self.waiting_for_store if not call.ended]
+            await asyncio.sleep(REOPEN_DELAY)
 
     def idle(self) -> bool:
         """Whether the store is open, no unsafe call is in progress, and no mark is being removed."""
-        return self.book is not None and not self.book.open and not self.book.clearing
+        return self.registry is not None and not self.registry.open and not self.registry.pending_removals
 
     async def _open(self) -> bool:
         """Try to open the store; False if it is locked and has to be tried again."""
         try:
-            store = await asyncio.to_thread(self._made)
+            store = await asyncio.to_thread(self._make_store)
         except Locked as error:
             log_event("store-locked", cause=error)
             return False
         except (OSError, FormatError) as error:
             # Calls that need no marks are still served; an operator has to repair the store.
             log_event("store-unusable", cause=error)
-            for call in self.late:
-                call.marked(False)
-            self.late.clear()
+            for call in self.waiting_for_store:
+                call.set_durable(False)
+            self.waiting_for_store.clear()
             return True
         for note in store.notes:
             log_event("store-recovered", note=note)
-        self.writer = Writer(store, self.terms.sync, recovered=_log_recovery)
+        self.writer = Writer(store, self.settings.sync, recovered=_log_recovery)
         loop = asyncio.get_running_loop()
-        self.book = Book(Durable(self.writer, self.terms.keep, loop))
-        log_event("store-open", keys=len(store.index), sync=self.terms.sync.value, waited=len(self.late))
-        for call in self.late:
-            call.opened(self.book)
-        self.late.clear()
+        self.registry = IntentRegistry(StoreMarkLog(self.writer, self.settings.keep_ms, loop))
+        log_event(
+            "store-open",
+            keys=len(store.index),
+            sync=self.settings.sync.value,
+            waited=len(self.waiting_for_store),
+        )
+        for call in self.waiting_for_store:
+            call.log_opened(self.registry)
+        self.waiting_for_store.clear()
         return True
 
-    def _made(self) -> Store:
-        made = []
-        for directory in self.terms.directories:
+    def _make_store(self) -> Store:
+        directories = []
+        for directory in self.settings.directories:
             Path(directory).mkdir(parents=True, exist_ok=True)
-            made.append(RealFiles(Path(directory)))
-        options = Options(window=self.terms.keep, most=self.terms.most)
+            directories.append(RealFiles(Path(directory)))
+        options = Options(window=self.settings.keep_ms, most=self.settings.max_marks)
         return Store(
-            made, options, lambda: time.time() * 1000, lambda: time.monotonic() * 1000, boot=boot_id()
+            directories, options, lambda: time.time() * 1000, lambda: time.monotonic() * 1000, boot=boot_id()
         )
 
     def stop(self) -> None:
@@ -143,28 +148,28 @@
             self.opening.cancel()
         if self.writer is not None:
             self.writer.close()
-            self.writer = self.book = None
+            self.writer = self.registry = None
 
     def take(self, pool: str, head: Head) -> Intent | Answer:
         """The intent of an unsafe call, or the answer to one that must not be sent."""
         keys = self._keys(pool.encode(), head)
-        if self.book is not None:
-            taken = self.book.take(keys)
+        if self.registry is not None:
+            taken = self.registry.take(keys)
             if isinstance(taken, Intent):
                 return taken
             trace = head.values[b"x-trace-id"].decode("latin-1")
             log_event("not-sent-again", trace=trace, cause=taken.value)
             return plain(CONFLICT if taken is Refusal.OPEN else FAILED, taken.value)
         if self.opening is not None and not self.opening.done():
-            self.late.append(Intent(None, keys))
-            return self.late[-1]
+            self.waiting_for_store.append(Intent(None, keys))
+            return self.waiting_for_store[-1]
         # Not a 503, which would promise that the call never ran: another process may have sent it.
         return plain(FAILED, "what was sent before is not known yet")
 
     def _keys(self, pool: bytes, head: Head) -> tuple[bytes, ...]:
         values = head.values
         keys = [b"%b\0trace\0%b" % (pool, values[b"x-trace-id"])]
-        own = values.get(self.terms.key, b"") if self.terms.key else b""
+        own = values.get(self.settings.key_header, b"") if self.settings.key_header else b""
         if own:
             keys.append(b"%b\0key\0%b\0%b" % (pool, values.get(b"x-customer", b""), own))
         return tuple(keys)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from millgw.intents import log as marks
-from millgw.intents.book import Book, Done, Intent, Refusal
+from millgw.intents.book import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.standins.address import free_address
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedEndpoint
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.durable: set[bytes] = set()
-        self.asked: list[tuple[bool, tuple[bytes, ...], Done]] = []
+        self.asked: list[tuple[bool, tuple[bytes, ...], WriteCallback]] = []
         self.unproven = False
 
     def standing(self, key: bytes) -> Standing:
@@ -42,10 +42,10 @@
             return Standing.SENT
         return Standing.UNPROVEN if self.unproven else Standing.UNSENT
 
-    def mark(self, keys: Sequence[bytes], done: Done) -> None:
+    def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
         self.asked.append((True, tuple(keys), done))
 
-    def clear(self, keys: Sequence[bytes], done: Done) -> None:
+    def clear(self, keys: Sequence[bytes], done: WriteCallback) -> None:
         self.asked.append((False, tuple(keys), done))
 
     def one(self, works: bool = True) -> None:
@@ -64,7 +64,7 @@
     async def test() -> None:
         store = Store([RealFiles(tmp_path)], Options(), lambda: 0.0, lambda: 0.0)
         writer = Writer(store, Sync.INTERVAL, interval=0.2)
-        book = Book(marks.Durable(writer, 1000.0, asyncio.get_running_loop()))
+        book = IntentRegistry(marks.StoreMarkLog(writer, 1000.0, asyncio.get_running_loop()))
         first = book.take((b"a",))
         assert isinstance(first, Intent)
         first.begin()
@@ -72,7 +72,7 @@
             await asyncio.sleep(0)
         first.leaves(1)
         first.end()
-        assert book.refuses((b"a",)) is Refusal.SENT
+        assert book.find_refusal((b"a",)) is Refusal.SENT
         writer.close()
 
     run(test)
@@ -80,7 +80,7 @@
 
 def test_no_last_byte_leaves_before_the_mark_is_durable() -> None:
     log = Log()
-    intent = Book(log).take((b"a",))
+    intent = IntentRegistry(log).take((b"a",))
     assert isinstance(intent, Intent)
     for _ in range(2):
         with pytest.raises(RuntimeError):
@@ -95,7 +95,7 @@
 
 def test_what_can_t_be_proven_and_what_is_open_is_not_taken() -> None:
     log = Log()
-    book = Book(log)
+    book = IntentRegistry(log)
     assert isinstance(book.take((b"a", b"k")), Intent)
     assert book.take((b"b", b"k")) is Refusal.OPEN
     log.unproven = True
@@ -110,7 +110,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.log = Log()
-        self.book = Book(self.log)
+        self.book = IntentRegistry(self.log)
         self.open: dict[bytes, Intent] = {}
         self.ran: set[bytes] = set()  # what left, and is not known not to have run
 
@@ -155,7 +155,7 @@
     def die(self) -> None:
         """What was asked of the log and not carried out is lost."""
         self.log.asked.clear()
-        self.book = Book(self.log)
+        self.book = IntentRegistry(self.log)
         self.open.clear()
 
     @invariant()
@@ -169,7 +169,7 @@
 
 def test_what_never_ran_may_come_again_at_once() -> None:
     log = Log()
-    book = Book(log)
+    book = IntentRegistry(log)
     first = book.take((b"a",))
     assert isinstance(first, Intent)
     first.begin()
@@ -184,7 +184,7 @@
     log.one()  # the first one's end
     assert again.durable() is None and b"a" not in log.durable
     log.one()
-    assert again.durable() and b"a" in log.durable and not book.clearing
+    assert again.durable() and b"a" in log.durable and not book.pending_removals
 
 
 # In the daemon
