--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -85,7 +85,7 @@
         return self.core.head is not None and not self.busy and not self.ended
 
     def idle_for(self, min_idle: float) -> bool:
-        """Whether it has been between requests for `least` s, and no request waits to be read or parsed.
+        """Whether it has been between requests for `min_idle` s, and no request waits to be read or parsed.
 
         Closing it with a request unread could lose that request: a client whose request crosses the close
         sends it again, but only once, and under many connections the next one may be closed as well.
@@ -95,7 +95,7 @@
         return not unread(self.transport, self.poll)
 
     def close_if_idle(self, min_idle: float, cause: str) -> bool:
-        """Close it if `quiet(least)`; True if it was closed.
+        """Close it if `idle_for(min_idle)`; True if it was closed.
 
         The FIN is sent at once. The transport would send it in the next iteration of the event loop, which
         may be late, and a request that the client writes before that would be reset.
@@ -216,12 +216,12 @@
                 break
             size = PARSE_SLICE if upload is None else len(self.unparsed)
             part, self.unparsed = self.unparsed[:size], self.unparsed[size:]
-            begun = core.requests_begun
-            wrong = core.feed(part, self.progress.last_received)
-            if core.requests_begun != begun:
+            begun_before = core.requests_begun
+            error = core.feed(part, self.progress.last_received)
+            if core.requests_begun != begun_before:
                 self._request_begun()
-            if wrong is not None:
-                self.refuse(wrong)
+            if error is not None:
+                self.refuse(error)
                 break
             if core.head is not None and core.head.pool is not None:
                 self.lane = core.head.pool.name
@@ -269,19 +269,19 @@
         """Begin the call of a request whose body is too long to be held whole, while the body arrives."""
         self.keep_alive = head.keep
         try:
-            made = self.server.front.read(head, self._answer)
+            result = self.server.front.read(head, self._answer)
         except BadRequest as bad:
             self._report_status(head, bad.status)
             head.release()
             self._answer_early(bad.answer())
             return
-        if not isinstance(made, Call) or head.pool is None:
+        if not isinstance(result, Call) or head.pool is None:
             head.release()
-            if isinstance(made, Answer):
-                self._report_status(head, made.status)
-                self._answer_early(made)
+            if isinstance(result, Answer):
+                self._report_status(head, result.status)
+                self._answer_early(result)
             return
-        made.gone = self.client_gone
+        result.gone = self.client_gone
         upload = Upload(
             None if head.declared_length < 0 else head.declared_length,
             head.pool.enter(),
@@ -289,10 +289,10 @@
         )
         upload.put(head.body)
         head.release()
-        head.upload = made.upload = upload
+        head.upload = result.upload = upload
         self.bad_requests = 0
-        self.current, self.current_head, self.upload = made, head, upload
-        made.owner.take(made)
+        self.current, self.current_head, self.upload = result, head, upload
+        result.owner.take(result)
 
     def _upload_received(self, upload: Upload) -> None:
         call = self.current
@@ -326,9 +326,9 @@
         head, transport = self._incomplete_head(), self.transport
         if head is None or transport is None or unread(transport, self.poll):
             return
-        why = self.progress.overdue(now, self.core.in_body, head.body_received)
-        if why is not None:
-            self.refuse(BadRequest(408, why.value))
+        overdue = self.progress.overdue(now, self.core.in_body, head.body_received)
+        if overdue is not None:
+            self.refuse(BadRequest(408, overdue.value))
 
     def end_slow(self, now: float) -> bool:
         """Answer 408 to a request that arrives slowly, as others need room; False if it does not."""
@@ -466,7 +466,7 @@
                 break
             self.keep_alive = item.keep
             try:
-                made = self.server.front.read(item, self._answer)
+                result = self.server.front.read(item, self._answer)
             except BadRequest as bad:
                 bad.trace_id = item.trace_id
                 self._report_status(item, bad.status)
@@ -475,14 +475,14 @@
                 continue
             self.bad_requests = 0
             self.current_head = item
-            if isinstance(made, Call):
-                self.current = made
-                made.gone = self.client_gone
+            if isinstance(result, Call):
+                self.current = result
+                result.gone = self.client_gone
                 if item.pool is not None:
                     self.lane = item.pool.name
-                made.owner.take(made)
+                result.owner.take(result)
             else:
-                self._answer(made)
+                self._answer(result)
         self.serving = False
 
     @staticmethod
@@ -544,9 +544,9 @@
 
     def _pause_over(self) -> None:
         self.pause_timer = None
-        held, self.delayed_refusal = self.delayed_refusal, None
-        if held is not None:
-            self._refuse_and_pause(held)
+        refusal, self.delayed_refusal = self.delayed_refusal, None
+        if refusal is not None:
+            self._refuse_and_pause(refusal)
         self._serve_and_parse()
 
     def _serve_and_parse(self) -> None:
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -1,4 +1,4 @@
-"""Marks of unsafe calls: durable before the last byte leaves, so that a restart never sends one again."""
+"""Intents of unsafe calls: durable before the last byte is sent, so that no restart repeats a call."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from tests.outside import loaded, refused
 from tests.rig import PATIENCE, Services, request, run, services
 
-# The book
+# The registry
 
 
 class Log:
-    """A log whose answers come when the test lets them: what is durable outlives the process."""
+    """A mark log whose writes complete when the test says so; `durable` outlives a process."""
 
     def __init__(self) -> None:
         self.durable: set[bytes] = set()
@@ -49,7 +49,7 @@
         self.asked.append((False, tuple(keys), done))
 
     def one(self, works: bool = True) -> None:
-        """Carry out the first that was asked for."""
+        """Complete the oldest pending write, with success or failure."""
         puts, keys, done = self.asked.pop(0)
         if works and puts:
             self.durable.update(keys)
@@ -59,7 +59,7 @@
 
 
 def test_a_key_whose_mark_waits_for_the_next_sync_is_not_sent_again(tmp_path: Path) -> None:
-    """With `sync = "interval"` a call may be answered long before its mark is written."""
+    """With `sync = "interval"` a call may be answered long before its mark is written to the disk."""
 
     async def test() -> None:
         store = Store([RealFiles(tmp_path)], Options(), lambda: 0.0, lambda: 0.0)
@@ -103,7 +103,7 @@
 
 
 class Lives(RuleBasedStateMachine):
-    """Processes that die at any moment over one log; the oracle is whose last byte ever left."""
+    """Processes that crash at any moment and share one log; the model is the set of keys that were sent."""
 
     KEYS = st.sampled_from([b"a", b"b", b"c"])
 
@@ -112,7 +112,7 @@
         self.log = Log()
         self.book = IntentRegistry(self.log)
         self.open: dict[bytes, Intent] = {}
-        self.ran: set[bytes] = set()  # what left, and is not known not to have run
+        self.ran: set[bytes] = set()  # keys that were sent and may have run
 
     @rule(key=KEYS)
     def ask(self, key: bytes) -> None:
@@ -153,7 +153,7 @@
 
     @rule()
     def die(self) -> None:
-        """What was asked of the log and not carried out is lost."""
+        """Crash: pending writes are lost."""
         self.log.asked.clear()
         self.book = IntentRegistry(self.log)
         self.open.clear()
@@ -177,17 +177,17 @@
     first.leaves("1")
     first.over("1", True)
     first.end()
-    assert b"a" in log.durable, "its end is on its way to the disk"
+    assert b"a" in log.durable, "the removal of its mark is still pending"
     again = book.take((b"a",))
     assert isinstance(again, Intent)
     again.begin()
-    log.one()  # the first one's end
+    log.one()  # the removal of the first call's mark
     assert again.durable() is None and b"a" not in log.durable
     log.one()
     assert again.durable() and b"a" in log.durable and not book.pending_removals
 
 
-# In the daemon
+# In the sidecar
 
 
 def text(endpoint: ScriptedEndpoint, folder: Path, more: str = "") -> str:
@@ -209,7 +209,7 @@
 
 async def asked(node: Services, trace: str, cls: str = "pay", **headers: Any) -> tuple[int, bytes]:
     while True:
-        with suppress(ConnectionRefusedError):  # it reads its store before it serves
+        with suppress(ConnectionRefusedError):  # the store is read before it listens
             reply = await node.ask(request(cls, X_Trace_Id=trace, **headers))
             return reply.status, reply.body
         await asyncio.sleep(0.01)
@@ -232,7 +232,7 @@
                 first = await asked(node, "aa01")
                 second = await asked(node, "aa01")
                 assert second[0] == 502 and b"sent before" in second[1]
-        assert first[0] == 502, "the second process knows of it"
+        assert first[0] == 502, "the second process must know of the call"
         assert [m.headers["x-trace-id"] for m in endpoint.got] == ["aa01"] and seen == [True]
         async with services(tmp_path, text(endpoint, tmp_path)) as node:
             assert (await asked(node, "bb02", "read"))[0] == 200
@@ -244,7 +244,7 @@
 
 def test_what_was_sent_and_not_answered_is_not_sent_again_and_what_was_turned_away_is(tmp_path: Path) -> None:
     turned_away = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\nX-Never-Ran: 1\r\n\r\n"
-    answers: list[bytes | None] = [None, turned_away, turned_away]  # a second try is all the budget has
+    answers: list[bytes | None] = [None, turned_away, turned_away]  # the retry budget allows one retry
 
     async def script(message: Message, endpoint: ScriptedEndpoint) -> bytes | None:
         return answers.pop(0) if answers else b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -297,7 +297,7 @@
         async with services(tmp_path, text(endpoint, tmp_path)) as node:
             assert (await asked(node, "aa01", "read"))[0] == 200
             status, _ = await asked(node, "aa02", patience=400)
-            assert status == 502, "a refusal would promise that no process ever sent it"
+            assert status == 502, "a 503 would promise that no process ever sent it"
             waits = [asyncio.create_task(asked(node, trace)) for trace in ("aa03", "aa04", "sent")]
             await asyncio.sleep(0.2)
             assert len(endpoint.got) == 1
@@ -340,11 +340,11 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e")
         await endpoint.start()
-        # Three marks fit, and each is over after some seconds.
+        # Three marks fit, and each expires after some seconds.
         monkeypatch.setattr(marks, "MARK_BYTES", marks.MEMORY_PART * 32 * 2**20 / 3)
         async with services(tmp_path, text(endpoint, tmp_path, "keep_h = 0.0005")) as node:
             got = [(await asked(node, f"aa0{i}"))[0] for i in range(5)]
-            assert got == [200, 200, 200, 503, 503], "nothing ran: they may come again"
+            assert got == [200, 200, 200, 503, 503], "refused before they ran, so they may be repeated"
             while (await asked(node, "aa07"))[0] != 200:
                 await asyncio.sleep(0.05)
         assert len(endpoint.got) == 4
@@ -373,7 +373,7 @@
 
 
 def test_one_pool_marks_too(tmp_path: Path) -> None:
-    """Without services: the pool of the configuration's discovery."""
+    """Without services there is one pool, from the configured discovery."""
     node = Services(tmp_path, f'[store]\ndirectories = ["{tmp_path / "store"}"]\n', str(free_address()))
     done = subprocess.run(
         [sys.executable, "-c", ONE_POOL], env={**node.environ, "PYTHONPATH": "."},
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -1,6 +1,6 @@
-"""Clients that stop in the middle of a request and stay: each gets its error or a close in time.
+"""Clients that stop sending in the middle of a request but stay connected get an error or a close in time.
 
-`docs/design/stopped-clients.md` has the table of which these are the rows.
+The cases are the rows of the table in `docs/design/stopped-clients.md`.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from tests.rig import Client, Rig, heartbeats, request, run, sidecar, stalls
 from tests.test_control import call, figures
 
-OWED = 3.0  # s from its last byte in which a client that stopped gets its error or a close
-STALL = 0.1  # s for which the loop stands still on a busy machine
-LISTENED = 9.0  # s for which a test waits for either
-SLOW_BYTE = 0.5  # s between two bytes of a client that is slow and goes on
-GAP = 2.0  # s between two pieces of one that writes in pieces
-SLOW_ANSWER = 4.0  # s that an endpoint takes for a call that others stop behind
+OWED = 3.0  # s after its last byte within which a stopped client gets its error or a close
+STALL = 0.1  # s; longer blocks of the event loop (busy machine) are subtracted
+LISTENED = 9.0  # s that a test waits for either
+SLOW_BYTE = 0.5  # s between the bytes of a client that is slow but keeps sending
+GAP = 2.0  # s between the pieces of a client that writes in pieces
+SLOW_ANSWER = 4.0  # s that the endpoint takes for a call that precedes a stopped request
 DELAYED = "/api?k=delayed"
 MEGABYTE = 1_000_000
 
@@ -43,9 +43,9 @@
 
 @dataclass
 class Outcome:
-    """What a client saw: statuses in order, and how long (s) after its last byte the last or the end came.
+    """What a client saw: the statuses in order, and the seconds from its last byte to the last status or end.
 
-    The time for which the loop that all share stood still counts for none of them.
+    Time for which the shared event loop was blocked is subtracted.
     """
 
     statuses: list[int]
@@ -57,7 +57,7 @@
 
 
 async def listen(client: Client, stopped: float, answers: int) -> Outcome:
-    """Read up to the error or the end that is owed, `answers` good ones before it."""
+    """Read `answers` good answers, then up to the error or the end of the connection."""
     data, statuses = b"", list[int]()
     with suppress(TimeoutError, ConnectionError):
         async with asyncio.timeout(LISTENED):
@@ -68,7 +68,7 @@
 
 
 def body_part(length: int, part: int, expect: str = "") -> bytes:
-    """A request that announces a length, with the first bytes of its body."""
+    """A request with a Content-Length and only the first bytes of its body."""
     return request("pay", Content_Length=str(length), Expect=expect) + b"b" * part
 
 
@@ -98,7 +98,7 @@
 
 async def stop_in(rig: Rig, data: bytes, answers: int) -> Outcome:
     client = await rig.connect()
-    client.writer.transport.set_write_buffer_limits(high=0)  # `drain` waits for the last byte
+    client.writer.transport.set_write_buffer_limits(high=0)  # `drain` returns once the last byte is written
     client.writer.write(data)
     await client.writer.drain()
     try:
@@ -131,7 +131,7 @@
 
 
 def test_a_client_that_stops_anywhere_in_a_request_gets_its_error_or_a_close_in_time() -> None:
-    """Lengths that were announced, and the parts of a request that had come, bought it more time."""
+    """The timeout used to grow with the announced length and with the part of the request received."""
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", delayed)
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("how", ["drained", "told to end"])
 def test_a_client_that_stopped_is_ended_in_time_also_where_its_sidecar_leaves(how: str) -> None:
-    """Those that stopped before the end of the process were answered with it only."""
+    """Clients that had stopped before the shutdown used to be answered only when the process ended."""
 
     async def test() -> None:
         async with in_service(ScriptedEndpoint("e1", delayed)) as rig:
@@ -173,7 +173,7 @@
             for rest in (HALF_HEAD, body_part(10, 5)):
                 outcome = await stop_in(rig, request("read", target=DELAYED) + rest, 1)
                 assert outcome.statuses == [200, 408], outcome
-                assert outcome.after <= SLOW_ANSWER + 0.5, "as soon as the answer before it is out"
+                assert outcome.after <= SLOW_ANSWER + 0.5, "the error must follow the answer before it"
 
     run(test, waits=3 * LISTENED)
 
@@ -184,7 +184,7 @@
 
 
 def test_a_client_that_stopped_while_its_endpoint_takes_nothing_of_the_body_is_ended_in_time() -> None:
-    """The sidecar does not read on then, which held the client's time up."""
+    """The sidecar pauses reading then, which used to suspend the client's timeout."""
 
     async def test() -> None:
         spot = ScriptedEndpoint("e1")
@@ -199,7 +199,7 @@
 
 
 def test_a_slow_client_that_goes_on_is_served() -> None:
-    """Its mean rate was held against it: one byte each half second was answered 408 after 4.8 s."""
+    """A minimum rate used to apply: a client sending a byte each half second was answered 408 after 4.8 s."""
 
     async def one_by_one(rig: Rig, head: bytes, pieces: list[bytes], pause: float) -> int:
         client = await rig.connect()
@@ -229,7 +229,7 @@
 
 
 def test_a_client_that_reads_none_of_its_answers_and_stays_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whole answers that waited to be read held their connection for ever."""
+    """A connection with complete but unread answers used to be kept open for ever."""
     monkeypatch.setattr(stall, "ANSWER_STALL", 0.5)
 
     async def test() -> None:
