--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -2,11 +2,11 @@
 
 Pure: no clock, no I/O. Draining and shutting down are in one class, so that every combination is defined:
 
-    called            while it serves     while drained       while it leaves
-    drain             drained             stays so            no
-    resume            stays so            serves              no
-    leave             serves on a while   ends at once        stays so
-    leave, succeeded  ends at once        ends at once        stays so
+    called                    while serving       while drained     while shutting down
+    `drain`                   drains              unchanged         refused
+    `resume`                  unchanged           serves            refused
+    `leave`                   serves for a while  ends at once      unchanged
+    `leave`, with successor   ends at once        ends at once      unchanged
 
 All changes are plain assignments, because the admin server calls from its own thread. Times are seconds on a
 monotonic clock that is passed in.
--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -140,8 +140,8 @@
 
     async def _make_connection(self, connection: socket.socket, unread_since: float) -> None:
         try:
-            made = cast(asyncio.Protocol, CallerConnection(self, unread_since))
-            await self.loop.connect_accepted_socket(lambda: made, connection)
+            protocol = cast(asyncio.Protocol, CallerConnection(self, unread_since))
+            await self.loop.connect_accepted_socket(lambda: protocol, connection)
         except OSError as error:
             log_event("caller-lost", cause=error)
 
@@ -169,9 +169,9 @@
         """
         if self.parts and self._evict_from_large_lane():
             return True
-        for connections, least in ((self.fresh, CONNECT_GRACE), (self.kept, MIN_IDLE)):
+        for connections, min_idle in ((self.fresh, CONNECT_GRACE), (self.kept, MIN_IDLE)):
             for connection in connections:
-                if connection.close_if_idle(least, CAUSE_EVICTED):
+                if connection.close_if_idle(min_idle, CAUSE_EVICTED):
                     return True
         return False
 
@@ -188,8 +188,8 @@
         for connection in self.connections:
             counts[connection.lane] = counts.get(connection.lane, 0) + 1
         for kept in self.kept:
-            part = self.parts.get(kept.lane)
-            large = part is not None and counts[kept.lane] > part
+            share = self.parts.get(kept.lane)
+            large = share is not None and counts[kept.lane] > share
             if large and kept.close_if_idle(0.0, CAUSE_EVICTED):
                 return True
         return False
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Crossings, forced on real sockets: what comes at the one moment at which it used to be lost.
+"""Race conditions, forced on real sockets: two events cross at the moment at which one used to be lost.
 
-Each names what crosses what; `docs/design/crossings.md` lists them all. Nothing here hopes for a moment: the
-stand-ins act at a named point, and a loopback socket delivers at once what is written or closed.
+`docs/design/crossings.md` lists all of them. No test depends on timing luck: the stand-ins act at a defined
+point, and a loopback socket delivers at once what is written or closed.
 """
 
 from __future__ import annotations
@@ -51,38 +51,40 @@
 from tests.rig import SETTINGS, request, run, services, sidecar, until
 
 NO_LINGER = struct.pack("ii", 1, 0)
-RETRIED = 0.6  # s in which the module's longest wait between two attempts here (0.25 s) is over
+RETRIED = 0.6  # s; longer than the longest delay between two attempts in these tests (0.25 s)
 
 
 def raw(address: Address) -> socket.socket:
-    """A caller's connection whose writes and end take effect when they are called."""
+    """A caller's connection as a blocking socket, whose writes and close take effect at once."""
     return socket.create_connection((address.host, address.port), 10.0)
 
 
 def write_now(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Write past the loop: it is in the other side's kernel when this returns."""
+    """Write without the event loop: the data is in the peer's kernel when this returns."""
     assert os.write(writer.transport.get_extra_info("socket").fileno(), data) == len(data)
 
 
-class Watched:
-    """A watch on a discovery, and what was heard by it."""
+class RecordingWatch:
+    """A watch on a discovery server that records the lists it receives."""
 
     def __init__(self, discovery_server: ScriptedDiscoveryServer) -> None:
-        self.heard: list[tuple[ListKind, tuple[Listed, ...]]] = []
-        self.discovery = Discovery(discovery_server.address, ("a",), lambda *heard: self.heard.append(heard))
+        self.received: list[tuple[ListKind, tuple[Listed, ...]]] = []
+        self.discovery = Discovery(
+            discovery_server.address, ("a",), lambda *heard: self.received.append(heard)
+        )
 
     def drained(self) -> set[int]:
         return {
             entry.endpoint.id
-            for _, entries in self.heard
+            for _, entries in self.received
             for entry in entries
             if entry.endpoint.condition is not Condition.READY
         }
 
 
 @contextmanager
-def watched(discovery_server: ScriptedDiscoveryServer) -> Iterator[Watched]:
-    made = Watched(discovery_server)
+def recording_watch(discovery_server: ScriptedDiscoveryServer) -> Iterator[RecordingWatch]:
+    made = RecordingWatch(discovery_server)
     made.discovery.subscribe()
     try:
         yield made
@@ -90,10 +92,10 @@
         made.discovery.stop()
 
 
-class Lossy:
-    """An address at which handshakes are lost until `heal`: the kernel drops them while its queue is full.
+class LossyListener:
+    """A listener whose handshakes are lost until `heal`: the kernel drops them while its backlog is full.
 
-    The other side's kernel makes each lost one again after a second.
+    The connecting side's kernel retransmits a lost SYN after a second.
     """
 
     def __init__(self) -> None:
@@ -101,19 +103,19 @@
         self.socket.setblocking(False)
         self.address = Address(*self.socket.getsockname())
         self.accepted: list[socket.socket] = []
-        self.lose()
+        self.drop_handshakes()
 
-    def lose(self) -> None:
-        """There is no room: what comes from now on is lost."""
+    def drop_handshakes(self) -> None:
+        """Fill the backlog, so that new handshakes are lost."""
         self.socket.listen(0)
-        self.filling = [socket.socket(socket.AF_INET, socket.SOCK_STREAM) for _ in range(3)]
-        for one in self.filling:
+        self.backlog_fillers = [socket.socket(socket.AF_INET, socket.SOCK_STREAM) for _ in range(3)]
+        for one in self.backlog_fillers:
             one.setblocking(False)
             one.connect_ex(self.socket.getsockname())
 
     def heal(self) -> None:
-        """There is room: what comes from now on is taken."""
-        for one in self.filling:
+        """Empty the backlog, so that new handshakes succeed."""
+        for one in self.backlog_fillers:
             one.close()
         with suppress(BlockingIOError):
             while True:
@@ -121,31 +123,31 @@
         self.socket.listen(64)
 
     async def accept(self) -> socket.socket:
-        """The next connection that comes up."""
+        """The next connection that is established."""
         connection, _ = await asyncio.get_running_loop().sock_accept(self.socket)
         self.accepted.append(connection)
         return connection
 
     async def read(self, connection: socket.socket, least: int = 1 << 30) -> bytes:
-        """What comes on it, so many bytes or to its end."""
+        """Read at least `least` bytes, or to the end of the connection."""
         read = b""
         while len(read) < least and (part := await asyncio.get_running_loop().sock_recv(connection, 65536)):
             read += part
         return read
 
     async def serve(self, connection: socket.socket) -> None:
-        """Answer its next request."""
+        """Answer the next request on the connection."""
         await self.read(connection, 1)
         await asyncio.get_running_loop().sock_sendall(connection, ok())
 
 
 @contextmanager
-def lossy() -> Iterator[Lossy]:
-    made = Lossy()
+def lossy() -> Iterator[LossyListener]:
+    made = LossyListener()
     try:
         yield made
     finally:
-        for one in (*made.filling, *made.accepted, made.socket):
+        for one in (*made.backlog_fillers, *made.accepted, made.socket):
             one.close()
 
 
@@ -153,7 +155,7 @@
 DRAIN = line(2, [E1.entry("terminating")])
 
 
-# The list
+# Endpoint lists
 
 
 @pytest.mark.parametrize("written", [chunk(DRAIN), chunk(DRAIN[:-3])], ids=["whole", "torn"])
@@ -165,20 +167,20 @@
         discovery_server, other = ScriptedDiscoveryServer(), ScriptedDiscoveryServer()
         await discovery_server.start()
         await other.start()
-        with watched(discovery_server) as made:
+        with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             write_now(writer, STREAM + chunk(line(1, [E1.entry()])) if then == "moved" else STREAM)
             if then == "moved":
-                await until(lambda: bool(made.heard))
+                await until(lambda: bool(made.received))
             write_now(writer, written)
             if then == "moved":
                 made.discovery.move(other.address)
-                made.discovery.left[0].leave()  # as when it is let go of for good
+                made.discovery.left[0].leave()  # as when the old watch is abandoned for good
             else:
                 await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
                 made.discovery.subscribe()
             assert made.drained() == {endpoint_id("e1")}
-            assert [kind for kind, entries in made.heard if entries][-1] is ListKind.PARTIAL
+            assert [kind for kind, entries in made.received if entries][-1] is ListKind.PARTIAL
 
     run(test)
 
@@ -188,16 +190,16 @@
         discovery_server, other = ScriptedDiscoveryServer(), ScriptedDiscoveryServer()
         await discovery_server.start()
         await other.start()
-        with watched(discovery_server) as made:
+        with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(line(1, [E1.entry(), E2.entry()])))
-            await until(lambda: bool(made.heard))
+            await until(lambda: bool(made.received))
             made.discovery.move(other.address)
             call, later = await other.calls.get()
             assert call.first.split()[1].endswith("from=1")
             writer.write(chunk(DRAIN))
             await until(lambda: bool(made.drained()))
-            assert made.discovery.index == 1, "what the new one has to tell is still asked for"
+            assert made.discovery.index == 1, "updates of the new server would be skipped"
             writer.write(chunk(line(3, [E2.entry("terminated")])[:-3]))
             await writer.drain()
             writer.transport.close()
@@ -205,7 +207,7 @@
             later.write(STREAM + chunk(line(4, [E1.entry()])))
             await until(lambda: made.discovery.index == 4)
             assert not made.discovery.left
-            assert ListKind.FAILED not in [kind for kind, _ in made.heard], "it was moved from, not lost"
+            assert ListKind.FAILED not in [kind for kind, _ in made.received], "it was left, not lost"
 
     run(test)
 
@@ -215,27 +217,27 @@
 def test_an_answer_that_is_under_way_when_discovery_moves_tells_of_drains_by_what_it_leaves_out(
     spoken: bool, index: int
 ) -> None:
-    """It comes in pieces, and counts as told when it is written; the next discovery may answer much later."""
+    """The list arrives in pieces, but the server counts it as sent; the next server may answer much later."""
 
     async def test() -> None:
         discovery_server, other = ScriptedDiscoveryServer(), ScriptedDiscoveryServer()
         await discovery_server.start()
         await other.start()
-        with watched(discovery_server) as made:
+        with recording_watch(discovery_server) as made:
             known = {"index": 1, "endpoints": [E1.entry(), E2.entry()]}
             made.discovery.start(known)
             _, writer = await discovery_server.calls.get()
             if spoken:
                 writer.write(STREAM + chunk(line(1, [])))
-                await until(lambda: len(made.heard) > 1)
+                await until(lambda: len(made.received) > 1)
             whole = chunk(line(index, [E2.entry()], snapshot=True))
             writer.write(whole[:40] if spoken else STREAM + whole[:40])
             await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
             made.discovery.move(other.address)
-            assert made.heard[-1] == (ListKind.MOVED, ())
+            assert made.received[-1] == (ListKind.MOVED, ())
             writer.write(whole[40:])
             await until(lambda: made.drained() == {endpoint_id("e1")})
-            assert [kind for kind, _ in made.heard][-1] is ListKind.PARTIAL, "no sign that a watch is on"
+            assert [kind for kind, _ in made.received][-1] is ListKind.PARTIAL, "no sign of a working watch"
             assert made.discovery.index == 1
 
     run(test)
@@ -246,7 +248,7 @@
         discovery_server, other = ScriptedDiscoveryServer(), ScriptedDiscoveryServer()
         await discovery_server.start()
         await other.start()
-        with watched(discovery_server) as made:
+        with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             made.discovery.move(other.address)
             _, later = await other.calls.get()
@@ -255,23 +257,23 @@
             writer.write(STREAM + chunk(line(4, [E2.entry()], snapshot=True)) + chunk(b"\n"))
             writer.write(chunk(line(4, [E2.entry("terminating")])))
             await until(lambda: bool(made.drained()))
-            assert made.drained() == {endpoint_id("e2")}, "which says so of itself"
+            assert made.drained() == {endpoint_id("e2")}, "only an explicit drain counts"
 
     run(test)
 
 
 @pytest.mark.parametrize("torn", [False, True])
 def test_an_older_list_does_not_bring_back_an_endpoint_whose_drain_was_read_ahead_of_it(torn: bool) -> None:
-    """Discovery moved to one that is behind; the drain was read on the watch before, whole or torn."""
+    """Discovery moved to a server that lags; the drain was read on the previous watch, whole or cut off."""
 
     async def test() -> None:
         discovery_server, other = ScriptedDiscoveryServer(), ScriptedDiscoveryServer()
         await discovery_server.start()
         await other.start()
-        with watched(discovery_server) as made:
+        with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(line(2, [E1.entry(), E2.entry()])))
-            await until(lambda: bool(made.heard))
+            await until(lambda: bool(made.received))
             made.discovery.move(other.address)
             _, later = await other.calls.get()
             drain = line(3, [E1.entry("terminating")])
@@ -280,11 +282,11 @@
                 writer.transport.close()
             await until(lambda: made.drained() == {endpoint_id("e1")})
             later.write(STREAM + chunk(line(2, [E1.entry(), E2.entry()], snapshot=True)))
-            await until(lambda: made.heard[-1][0] is ListKind.FULL)
-            assert [e.endpoint.id for e in made.heard[-1][1]] == [endpoint_id("e2")]
+            await until(lambda: made.received[-1][0] is ListKind.FULL)
+            assert [e.endpoint.id for e in made.received[-1][1]] == [endpoint_id("e2")]
             later.write(chunk(line(4, [E1.entry()])))
-            await until(lambda: made.heard[-1][0] is ListKind.DELTA and bool(made.heard[-1][1]))
-            assert [e.endpoint.id for e in made.heard[-1][1]] == [endpoint_id("e1")], "it serves again"
+            await until(lambda: made.received[-1][0] is ListKind.DELTA and bool(made.received[-1][1]))
+            assert [e.endpoint.id for e in made.received[-1][1]] == [endpoint_id("e1")], "a newer list counts"
 
     run(test)
 
@@ -294,7 +296,7 @@
         servers = [ScriptedDiscoveryServer() for _ in range(8)]
         for server in servers:
             await server.start()
-        with watched(servers[0]) as made:
+        with recording_watch(servers[0]) as made:
             for server in [*servers[1:], servers[0]]:
                 await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
                 made.discovery.move(server.address)
@@ -304,16 +306,16 @@
 
 
 def test_a_heartbeat_is_told_once_the_list_has_come() -> None:
-    """Otherwise a quiet watch would look as if it had been silent since its last change."""
+    """Otherwise a watch without changes would look silent since the last one."""
 
     async def test() -> None:
         discovery_server = ScriptedDiscoveryServer()
         await discovery_server.start()
-        with watched(discovery_server) as made:
+        with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(b"\n") + chunk(line(1, [E1.entry()])) + chunk(b"\n"))
-            await until(lambda: len(made.heard) == 2)
-            assert made.heard[1] == (ListKind.DELTA, ())
+            await until(lambda: len(made.received) == 2)
+            assert made.received[1] == (ListKind.DELTA, ())
 
     run(test)
 
@@ -321,29 +323,29 @@
 def test_what_came_while_the_process_stood_still_is_read_before_silence_is_told(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A timer that is due and bytes that have come: the loop reads before it looks at its timers."""
+    """A silence timer is due while bytes wait in the socket; the event loop reads before it runs timers."""
     monkeypatch.setattr(discovery_module, "SILENCE", 0.2)
 
     async def test() -> None:
         discovery_server = ScriptedDiscoveryServer()
         await discovery_server.start()
-        with watched(discovery_server) as made:
+        with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(line(1, [E1.entry()])))
-            await until(lambda: bool(made.heard))
+            await until(lambda: bool(made.received))
             write_now(writer, chunk(DRAIN))
             time.sleep(0.3)
-            await until(lambda: len(made.heard) > 1)
-            assert made.heard[1][0] is ListKind.DELTA and made.drained()
+            await until(lambda: len(made.received) > 1)
+            assert made.received[1][0] is ListKind.DELTA and made.drained()
             write_now(writer, chunk(b"half a line"))
             time.sleep(0.3)
-            await until(lambda: made.heard[-1][0] is ListKind.SILENT)  # bytes alone are no line
+            await until(lambda: made.received[-1][0] is ListKind.SILENT)  # an incomplete line does not count
 
     run(test)
 
 
 def test_an_agent_that_lists_are_pushed_to_is_asked_again_without_a_wait() -> None:
-    """It is silent while discovery is down; what it has, and what it gets then, counts as told at once."""
+    """The agent is silent while discovery is down, and counts a list as sent as soon as it has it."""
     pushed = to_settings(SETTINGS | {"registryMode": "pushed"})
 
     async def test() -> None:
@@ -354,7 +356,7 @@
                     _, writer = await rig.discovery.calls.get()
             writer.write(STREAM + chunk(line(1, [one.entry()])))
             await writer.drain()
-            async with asyncio.timeout(5 * freshness.RETRY / 1000):  # shorter than five waits for a service
+            async with asyncio.timeout(5 * freshness.RETRY / 1000):  # s; under 5 retry delays
                 for index in range(5):
                     await asyncio.sleep(0)
                     writer.transport.abort()
@@ -365,7 +367,7 @@
     run(test)
 
 
-# Callers that leave
+# Callers that disconnect
 
 
 def leave(client: socket.socket, how: str) -> None:
@@ -382,7 +384,7 @@
 def test_nothing_more_is_sent_for_a_caller_that_left_while_its_request_waited(
     how: str, behind: bytes
 ) -> None:
-    """With bytes behind its request the connection is not read, so its end comes to nobody's notice."""
+    """With bytes behind the request reading is paused, so that the event loop does not report the end."""
 
     async def test() -> None:
         client: socket.socket
@@ -440,14 +442,14 @@
             leave(client, how)
             go.set()
             assert (await rig.ask(request("read"))).status == 200
-            assert len(endpoint.got) == 2, "the first and the other caller's"
+            assert len(endpoint.got) == 2, "only the first request and the other caller's"
             client.close()
 
     run(test)
 
 
 def test_an_attempt_is_given_up_when_a_caller_leaves_whose_connection_is_not_read() -> None:
-    """And the endpoint is not called ill for it: it serves the next call at once."""
+    """The endpoint must not be marked unhealthy for it: it serves the next call at once."""
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", silent)
@@ -482,7 +484,7 @@
             client.send(request("pay", Content_Length="30000000", X_Trace_Id="aa"))
             await first.wait()
             idle = 0
-            while idle < 20:  # until nobody takes more: the sidecar reads no further then
+            while idle < 20:  # until the buffers are full, as the sidecar has paused reading
                 try:
                     client.send(bytes(65536))
                     idle = 0
@@ -490,7 +492,7 @@
                     idle += 1
                 await asyncio.sleep(0.01)
             again = request("read", X_Trace_Id="aa", patience=200)
-            assert (await rig.ask(again)).status == 409, "its call is open"
+            assert (await rig.ask(again)).status == 409, "its call must still be open"
             leave(client, "reset")
             while (await rig.ask(again)).status == 409:
                 pass
@@ -499,8 +501,8 @@
     run(test)
 
 
-class Queue:
-    """Lanes whose turn comes when the test says so."""
+class ManualLanes:
+    """Lanes in which the test calls `turn` itself."""
 
     def __init__(self) -> None:
         self.waiting: list[CallerConnection] = []
@@ -509,8 +511,8 @@
         self.waiting.append(connection)
 
 
-class Taken:
-    """A front that notes what it is asked to take."""
+class RecordingFront:
+    """A front that records the requests it is given, and refuses them."""
 
     def __init__(self) -> None:
         self.heads: list[Head] = []
@@ -526,7 +528,7 @@
 @pytest.mark.parametrize("how", ["end", "reset", "stays"])
 def test_a_request_in_its_lane_s_queue_is_not_taken_for_a_caller_that_left(how: str) -> None:
     async def test() -> None:
-        front, lanes, address = Taken(), Queue(), free_address()
+        front, lanes, address = RecordingFront(), ManualLanes(), free_address()
         server = Server(address, Descriptors(64), front, Lifecycle(), lanes)
         server.start()
         client = raw(address)
@@ -548,10 +550,10 @@
 
 @pytest.mark.parametrize("why", ["idle", "silent", "gives-way"])
 def test_a_caller_sees_the_end_of_an_idle_connection_before_the_loop_turns_again(why: str) -> None:
-    """Otherwise what it writes before that turn, of a process that is held up, is reset with no answer."""
+    """Otherwise a request written before the next iteration of a delayed loop would be reset unanswered."""
 
     async def test() -> None:
-        front, address = Taken(), free_address()
+        front, address = RecordingFront(), free_address()
         server = Server(address, Descriptors(64), front, Lifecycle())
         server.start()
         client = raw(address)
@@ -564,20 +566,20 @@
             assert server.give_way()
         else:
             server.close_idle()
-        watcher = select.poll()  # the loop does not turn from here on
+        watcher = select.poll()  # the event loop does not run from here on
         watcher.register(client, select.POLLRDHUP)
-        assert watcher.poll(0), "the caller may still write a request that nobody will read"
+        assert watcher.poll(0), "the caller could still write a request that is never read"
         client.close()
         server.stop()
 
     run(test)
 
 
-# The end of the process
+# Shutdown
 
 
-def at_the_end(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
-    """Act when the time is over; nothing is read from then on until all that is owed has been answered."""
+def run_at_shutdown_end(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
+    """Call `act` when the shutdown's time is over; nothing is read then until all calls are answered."""
     monkeypatch.setattr(main_module, "LONGEST", 0.1)
     log_event = events.log_event
 
@@ -590,7 +592,7 @@
 
 
 def test_what_crosses_the_end_is_answered_and_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The last byte of one request, and another whole one: both callers have connected in time."""
+    """The last byte of one request and a whole second one arrive then, on connections made before."""
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
@@ -601,7 +603,7 @@
             clients[0].sendall(whole[-1:])
             clients[1].sendall(request("pay"))
 
-        at_the_end(monkeypatch, act)
+        run_at_shutdown_end(monkeypatch, act)
         monkeypatch.setattr(Lifecycle, "closes_idle", lambda *_: False)
         async with sidecar(endpoint) as rig:
             clients.append(raw(rig.listen))
@@ -621,7 +623,7 @@
 
 
 def test_sigterm_before_there_is_a_handler_ends_it_in_order(tmp_path: Path) -> None:
-    """While the configuration is read: the process serves, is told to end, and ends with 0."""
+    """SIGTERM and SIGHUP while the configuration is read: the process starts, shuts down and exits with 0."""
     code = (
         "import os, signal, sys\n"
         "from millgw.sidecar import __main__ as main\n"
@@ -633,7 +635,7 @@
         "main.read_config = crossed\n"
         "sys.exit(main.main())\n"
     )
-    from tests.test_sidecar_process import GOOD, write_config  # the file that any process here is given
+    from tests.test_sidecar_process import GOOD, write_config  # a valid configuration file
 
     environ = write_config(tmp_path, GOOD | {"listen": str(free_address())})
     done = subprocess.run(
@@ -665,7 +667,7 @@
 # Connections to endpoints
 
 
-class NoRoom:
+class UnlimitedDescriptors:
     endpoints: Callable[[], int] = int
 
     def full(self) -> bool:
@@ -676,15 +678,15 @@
 
 
 def pool_of(endpoint: ScriptedEndpoint) -> tuple[Upstream, list[Outcome], Callable[[Outcome, Content], None]]:
-    """Connections to one endpoint, the outcomes of attempts there, and what takes them."""
-    upstream = Upstream(NoRoom(), 5000.0, 60_000.0, 2.0**26)
+    """An upstream with one endpoint, the list of outcomes of its attempts, and the callback that fills it."""
+    upstream = Upstream(UnlimitedDescriptors(), 5000.0, 60_000.0, 2.0**26)
     upstream.point(1, endpoint.address)
     ended: list[Outcome] = []
     return upstream, ended, lambda outcome, _: ended.append(outcome)
 
 
-class Strays(ScriptedEndpoint):
-    """Answers once more when a request has come on a kept connection, all but its last byte."""
+class StrayAnswers(ScriptedEndpoint):
+    """Sends a second answer once all but the last byte of a request has arrived on a reused connection."""
 
     strays = 1
 
@@ -697,20 +699,20 @@
             return
         assert connection.transport is not None
         if not select.select([connection.transport.get_extra_info("socket").fileno()], [], [], 0)[0]:
-            self.strays -= 1  # the last byte has not been written
+            self.strays -= 1  # the last byte has not been sent yet
             connection.write(ok(b"stray"))
 
 
 @pytest.mark.parametrize("cls", ["write", "pay"])
 def test_a_second_answer_that_crosses_the_next_request_is_not_taken_for_its_own(cls: str) -> None:
     async def test() -> None:
-        endpoint = Strays("e1")
+        endpoint = StrayAnswers("e1")
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             for _ in range(50):
                 answer = await client.ask(request(cls, b"body"))
                 assert answer.status == 200 and answer.body == b"done", answer
-        assert endpoint.strays == 0, "the last byte never went by itself"
+        assert endpoint.strays == 0, "the last byte was never sent separately"
         assert endpoint.connections == 2 and len(endpoint.got) == 50
 
     run(test)
@@ -745,7 +747,7 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             answer = await client.ask(request("pay", bytes(200_000), Content_Length="1000000"))
-            assert answer.status == 502, "no endpoint begins a request before its last byte"
+            assert answer.status == 502, "an answer before the last byte of the request must not count"
 
     run(test)
 
@@ -767,8 +769,10 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             client.writer.write(request("pay", patience=1500))
-            got = await client.reader.read()  # to the end of the connection
-            assert got.startswith(b"HTTP/1.1 200") and not got.endswith(b"0\r\n\r\n"), "it shows as not whole"
+            got = await client.reader.read()  # until the connection ends
+            assert got.startswith(b"HTTP/1.1 200") and not got.endswith(b"0\r\n\r\n"), (
+                "the client must see it is cut"
+            )
             await until(lambda: endpoint.lost_connections == 1)
         dripping[0].cancel()
 
@@ -776,7 +780,7 @@
 
 
 class SlowMark:
-    """An intent whose mark is durable when the test says so."""
+    """An intent whose mark becomes durable when the test says so."""
 
     def __init__(self) -> None:
         self.known: bool | None = None
@@ -798,7 +802,7 @@
 
 @pytest.mark.parametrize("what", ["drains", "left"])
 def test_what_comes_while_a_mark_is_written_ends_the_attempt_unsent(what: str) -> None:
-    """The endpoint drains, or the caller leaves."""
+    """Either the endpoint drains, or the caller disconnects."""
 
     async def test() -> None:
         endpoint, mark = ScriptedEndpoint("e1"), SlowMark()
@@ -824,15 +828,17 @@
     run(test)
 
 
-# Connections that come up late
+# Connections that are established late
 
-# ms for connecting here: a second connection is tried after a fifth of it, a lost handshake after 1 s
-ENDS, LASTS = 500.0, 1500.0
+# Connect timeouts (ms): a second connection is tried after a fifth of it; a lost SYN is sent again after 1 s.
+SHORT_CONNECT, LONG_CONNECT = 500.0, 1500.0
 
 
-def at_lossy(late: Lossy, connecting: float = LASTS) -> tuple[Upstream, list[Outcome], Attempt]:
-    """Connections to it, an attempt under way there, and its outcome."""
-    upstream = Upstream(NoRoom(), connecting, 60_000.0, 2.0**26)
+def upstream_to_lossy(
+    late: LossyListener, connecting: float = LONG_CONNECT
+) -> tuple[Upstream, list[Outcome], Attempt]:
+    """An upstream to the lossy listener, the list of outcomes, and an attempt in progress."""
+    upstream = Upstream(UnlimitedDescriptors(), connecting, 60_000.0, 2.0**26)
     upstream.point(1, late.address)
     ended: list[Outcome] = []
     attempt = Attempt(lambda: request("read"), lambda outcome, _: ended.append(outcome), Repeat.SAFE)
@@ -843,13 +849,13 @@
 def test_an_attempt_goes_on_a_second_connection_where_the_first_is_late() -> None:
     async def test() -> None:
         with lossy() as late:
-            upstream, ended, attempt = at_lossy(late)
+            upstream, ended, attempt = upstream_to_lossy(late)
             (first,) = attempt.dials
-            await asyncio.sleep(0.1)  # lost by now
+            await asyncio.sleep(0.1)  # the first handshake is lost by now
             late.heal()
             connection = await late.accept()
             assert first in attempt.dials and len(attempt.dials) <= 2 and not first.done()
-            second = asyncio.create_task(late.accept())  # the first, made again: it is for the next attempt
+            second = asyncio.create_task(late.accept())  # of the retransmitted SYN; kept
             await late.read(connection, 1)
             await second
             await until(lambda: bool(upstream.hosts[1].idle) and not attempt.dials)
@@ -866,10 +872,10 @@
     async def test() -> None:
         with lossy() as late:
             late.heal()
-            upstream, ended, _ = at_lossy(late)
+            upstream, ended, _ = upstream_to_lossy(late)
             busy = await late.accept()
             await late.read(busy, 1)
-            late.lose()
+            late.drop_handshakes()
             waiting = Attempt(lambda: request("read"), lambda outcome, _: ended.append(outcome), Repeat.SAFE)
             upstream.send(1, waiting)
             await asyncio.sleep(0.05)
@@ -887,7 +893,7 @@
 def test_both_connections_of_an_attempt_end_with_it(what: str) -> None:
     async def test() -> None:
         with lossy() as late:
-            upstream, ended, attempt = at_lossy(late, ENDS)
+            upstream, ended, attempt = upstream_to_lossy(late, SHORT_CONNECT)
             await until(lambda: len(attempt.dials) == 2)
             host, dials = upstream.hosts[1], attempt.dials
             if what == "drains":
@@ -907,7 +913,7 @@
     run(test)
 
 
-# Repeats
+# Retries
 
 
 @pytest.mark.parametrize("when", ["connecting", "held back", "its mark is written"])
@@ -943,7 +949,7 @@
 
 
 def test_a_keyed_call_is_not_repeated_on_a_connection_that_comes_up_after_its_window() -> None:
-    """The decision falls into the window, the handshake ends after it: its first try is lost for a second."""
+    """The retry is decided within the window, but its first SYN is lost, so it connects a second later."""
     classes = [c | {"repeatWindow": 900.0} for c in SETTINGS["classes"]]
 
     async def test() -> None:
@@ -960,7 +966,7 @@
                 watch.append((await rig.discovery.calls.get())[1])
                 asked = asyncio.create_task(rig.ask(request("write", b"body")))
                 await until(lambda: bool(first.got))
-                await asyncio.sleep(RETRIED)  # its handshake is lost by now, and made again after a second
+                await asyncio.sleep(RETRIED)  # the first SYN is lost by now, and sent again after a second
                 late.heal()
                 read = await late.read(await late.accept())
                 assert read == b"", "its window was over"
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from millgw.intents import log as marks
+from millgw.intents import log as store_log
 from millgw.intents.book import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.standins.address import free_address
 from millgw.standins.http import Message
@@ -29,12 +29,12 @@
 # The registry
 
 
-class Log:
+class ManualMarkLog:
     """A mark log whose writes complete when the test says so; `durable` outlives a process."""
 
     def __init__(self) -> None:
         self.durable: set[bytes] = set()
-        self.asked: list[tuple[bool, tuple[bytes, ...], WriteCallback]] = []
+        self.pending: list[tuple[bool, tuple[bytes, ...], WriteCallback]] = []
         self.unproven = False
 
     def standing(self, key: bytes) -> Standing:
@@ -43,19 +43,19 @@
         return Standing.UNPROVEN if self.unproven else Standing.UNSENT
 
     def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
-        self.asked.append((True, tuple(keys), done))
+        self.pending.append((True, tuple(keys), done))
 
     def clear(self, keys: Sequence[bytes], done: WriteCallback) -> None:
-        self.asked.append((False, tuple(keys), done))
+        self.pending.append((False, tuple(keys), done))
 
-    def one(self, works: bool = True) -> None:
+    def complete_next(self, succeeds: bool = True) -> None:
         """Complete the oldest pending write, with success or failure."""
-        puts, keys, done = self.asked.pop(0)
-        if works and puts:
+        puts, keys, done = self.pending.pop(0)
+        if succeeds and puts:
             self.durable.update(keys)
-        elif works:
+        elif succeeds:
             self.durable.difference_update(keys)
-        done(works)
+        done(succeeds)
 
 
 def test_a_key_whose_mark_waits_for_the_next_sync_is_not_sent_again(tmp_path: Path) -> None:
@@ -64,7 +64,7 @@
     async def test() -> None:
         store = Store([RealFiles(tmp_path)], Options(), lambda: 0.0, lambda: 0.0)
         writer = Writer(store, Sync.INTERVAL, interval=0.2)
-        book = IntentRegistry(marks.StoreMarkLog(writer, 1000.0, asyncio.get_running_loop()))
+        book = IntentRegistry(store_log.StoreMarkLog(writer, 1000.0, asyncio.get_running_loop()))
         first = book.take((b"a",))
         assert isinstance(first, Intent)
         first.begin()
@@ -79,7 +79,7 @@
 
 
 def test_no_last_byte_leaves_before_the_mark_is_durable() -> None:
-    log = Log()
+    log = ManualMarkLog()
     intent = IntentRegistry(log).take((b"a",))
     assert isinstance(intent, Intent)
     for _ in range(2):
@@ -88,13 +88,13 @@
         intent.begin()
     seen: list[bool | None] = []
     intent.wait(lambda: seen.append(intent.durable()))
-    log.one()
+    log.complete_next()
     intent.leaves("1")
-    assert seen == [True] and not log.asked, "one mark for all attempts"
+    assert seen == [True] and not log.pending, "one mark for all attempts"
 
 
 def test_what_can_t_be_proven_and_what_is_open_is_not_taken() -> None:
-    log = Log()
+    log = ManualMarkLog()
     book = IntentRegistry(log)
     assert isinstance(book.take((b"a", b"k")), Intent)
     assert book.take((b"b", b"k")) is Refusal.OPEN
@@ -102,23 +102,23 @@
     assert book.take((b"c",)) is Refusal.UNPROVEN
 
 
-class Lives(RuleBasedStateMachine):
+class CrashingProcesses(RuleBasedStateMachine):
     """Processes that crash at any moment and share one log; the model is the set of keys that were sent."""
 
     KEYS = st.sampled_from([b"a", b"b", b"c"])
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = Log()
-        self.book = IntentRegistry(self.log)
+        self.log = ManualMarkLog()
+        self.registry = IntentRegistry(self.log)
         self.open: dict[bytes, Intent] = {}
-        self.ran: set[bytes] = set()  # keys that were sent and may have run
+        self.may_have_run: set[bytes] = set()  # keys that were sent and may have run
 
     @rule(key=KEYS)
-    def ask(self, key: bytes) -> None:
-        taken = self.book.take((key,))
+    def begin_call(self, key: bytes) -> None:
+        taken = self.registry.take((key,))
         if isinstance(taken, Intent):
-            assert key not in self.ran and key not in self.open
+            assert key not in self.may_have_run and key not in self.open
             self.open[key] = taken
         elif taken is Refusal.SENT:
             assert key in self.log.durable
@@ -130,50 +130,50 @@
             intent.begin()
             if intent.durable():
                 intent.leaves(key)
-                self.ran.add(key)
+                self.may_have_run.add(key)
 
     @rule(key=KEYS, proven=st.booleans())
-    def over(self, key: bytes, proven: bool) -> None:
+    def end_attempt(self, key: bytes, proven: bool) -> None:
         intent = self.open.get(key)
         if intent is not None:
             intent.over(key, proven)
             if proven:
-                self.ran.discard(key)
+                self.may_have_run.discard(key)
 
     @rule(key=KEYS)
-    def end(self, key: bytes) -> None:
+    def end_call(self, key: bytes) -> None:
         intent = self.open.pop(key, None)
         if intent is not None:
             intent.end()
 
     @precondition(lambda self: self.log.asked)
     @rule(works=st.booleans())
-    def disk(self, works: bool) -> None:
-        self.log.one(works)
+    def complete_write(self, succeeds: bool) -> None:
+        self.log.complete_next(succeeds)
 
     @rule()
-    def die(self) -> None:
+    def crash(self) -> None:
         """Crash: pending writes are lost."""
-        self.log.asked.clear()
-        self.book = IntentRegistry(self.log)
+        self.log.pending.clear()
+        self.registry = IntentRegistry(self.log)
         self.open.clear()
 
     @invariant()
-    def what_ran_stands(self) -> None:
-        assert self.ran <= self.log.durable
+    def sent_keys_are_durable(self) -> None:
+        assert self.may_have_run <= self.log.durable
 
 
-Lives.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
-TestLives = Lives.TestCase
+CrashingProcesses.TestCase.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
+TestCrashingProcesses = CrashingProcesses.TestCase
 
 
 def test_what_never_ran_may_come_again_at_once() -> None:
-    log = Log()
+    log = ManualMarkLog()
     book = IntentRegistry(log)
     first = book.take((b"a",))
     assert isinstance(first, Intent)
     first.begin()
-    log.one()
+    log.complete_next()
     first.leaves("1")
     first.over("1", True)
     first.end()
@@ -181,16 +181,16 @@
     again = book.take((b"a",))
     assert isinstance(again, Intent)
     again.begin()
-    log.one()  # the removal of the first call's mark
+    log.complete_next()  # the removal of the first call's mark
     assert again.durable() is None and b"a" not in log.durable
-    log.one()
+    log.complete_next()
     assert again.durable() and b"a" in log.durable and not book.pending_removals
 
 
 # In the sidecar
 
 
-def text(endpoint: ScriptedEndpoint, folder: Path, more: str = "") -> str:
+def operator_toml(endpoint: ScriptedEndpoint, folder: Path, more: str = "") -> str:
     return f"""[store]
 directories = ["{folder / "store"}"]
 {more}
@@ -207,7 +207,9 @@
     return b"".join(path.read_bytes() for path in (folder / "store").iterdir())
 
 
-async def asked(node: Services, trace: str, cls: str = "pay", **headers: Any) -> tuple[int, bytes]:
+async def ask_once_listening(
+    node: Services, trace: str, cls: str = "pay", **headers: Any
+) -> tuple[int, bytes]:
     while True:
         with suppress(ConnectionRefusedError):  # the store is read before it listens
             reply = await node.ask(request(cls, X_Trace_Id=trace, **headers))
@@ -228,15 +230,15 @@
         endpoint = ScriptedEndpoint("e", script)
         await endpoint.start()
         for _ in range(2):
-            async with services(tmp_path, text(endpoint, tmp_path)) as node:
-                first = await asked(node, "aa01")
-                second = await asked(node, "aa01")
+            async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+                first = await ask_once_listening(node, "aa01")
+                second = await ask_once_listening(node, "aa01")
                 assert second[0] == 502 and b"sent before" in second[1]
         assert first[0] == 502, "the second process must know of the call"
         assert [m.headers["x-trace-id"] for m in endpoint.got] == ["aa01"] and seen == [True]
-        async with services(tmp_path, text(endpoint, tmp_path)) as node:
-            assert (await asked(node, "bb02", "read"))[0] == 200
-            assert (await asked(node, "bb02", "read"))[0] == 200, "safe calls are not marked"
+        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+            assert (await ask_once_listening(node, "bb02", "read"))[0] == 200
+            assert (await ask_once_listening(node, "bb02", "read"))[0] == 200, "safe calls are not marked"
         assert b"bb02" not in on_disk(tmp_path)
 
     run(test)
@@ -252,11 +254,11 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e", script)
         await endpoint.start()
-        async with services(tmp_path, text(endpoint, tmp_path)) as node:
-            assert (await asked(node, "aa01"))[0] == 502
-            assert b"sent before" in (await asked(node, "aa01"))[1]
-            assert (await asked(node, "bb02"))[0] == 503, "turned away"
-            assert (await asked(node, "bb02"))[0] == 200, "it never ran"
+        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+            assert (await ask_once_listening(node, "aa01"))[0] == 502
+            assert b"sent before" in (await ask_once_listening(node, "aa01"))[1]
+            assert (await ask_once_listening(node, "bb02"))[0] == 503, "turned away"
+            assert (await ask_once_listening(node, "bb02"))[0] == 200, "it never ran"
             traces = [m.headers["x-trace-id"] for m in endpoint.got]
             assert traces.count("aa01") == 1 and traces.count("bb02") == 3
 
@@ -273,16 +275,16 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e", script)
         await endpoint.start()
-        async with services(tmp_path, text(endpoint, tmp_path, 'key = "X-Order"')) as node:
-            first = asyncio.create_task(asked(node, "aa01", X_Order="7"))
+        async with services(tmp_path, operator_toml(endpoint, tmp_path, 'key = "X-Order"')) as node:
+            first = asyncio.create_task(ask_once_listening(node, "aa01", X_Order="7"))
             while not endpoint.got:
                 await asyncio.sleep(0.005)
-            assert (await asked(node, "aa02", X_Order="7"))[0] == 409
+            assert (await ask_once_listening(node, "aa02", X_Order="7"))[0] == 409
             gate.set()
             assert (await first)[0] == 200
-            assert (await asked(node, "aa03", X_Order="7"))[0] == 502
-            assert (await asked(node, "aa04", X_Order="8"))[0] == 200
-            assert (await asked(node, "aa05", X_Order="7", X_Customer="other"))[0] == 200
+            assert (await ask_once_listening(node, "aa03", X_Order="7"))[0] == 502
+            assert (await ask_once_listening(node, "aa04", X_Order="8"))[0] == 200
+            assert (await ask_once_listening(node, "aa05", X_Order="7", X_Customer="other"))[0] == 200
 
     run(test)
 
@@ -294,11 +296,13 @@
         folder = tmp_path / "store"
         folder.mkdir()
         other = Store([RealFiles(folder)], Options(), lambda: 1e12, lambda: 0.0)
-        async with services(tmp_path, text(endpoint, tmp_path)) as node:
-            assert (await asked(node, "aa01", "read"))[0] == 200
-            status, _ = await asked(node, "aa02", patience=400)
+        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+            assert (await ask_once_listening(node, "aa01", "read"))[0] == 200
+            status, _ = await ask_once_listening(node, "aa02", patience=400)
             assert status == 502, "a 503 would promise that no process ever sent it"
-            waits = [asyncio.create_task(asked(node, trace)) for trace in ("aa03", "aa04", "sent")]
+            waits = [
+                asyncio.create_task(ask_once_listening(node, trace)) for trace in ("aa03", "aa04", "sent")
+            ]
             await asyncio.sleep(0.2)
             assert len(endpoint.got) == 1
             other.append([Item(b"a\0trace\0sent")])
@@ -318,17 +322,17 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e")
         await endpoint.start()
-        async with services(tmp_path, text(endpoint, tmp_path)) as node:
+        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             with monkeypatch.context() as patch:
                 patch.setattr(Store, "append", fails)
-                assert (await asked(node, "aa01", patience=PATIENCE))[0] in (502, 503)
-            assert (await asked(node, "aa02", "read"))[0] == 200
+                assert (await ask_once_listening(node, "aa01", patience=PATIENCE))[0] in (502, 503)
+            assert (await ask_once_listening(node, "aa02", "read"))[0] == 200
         (segment, *_) = sorted((tmp_path / "store").glob("seg-*"))
         segment.write_bytes(b"no store" + segment.read_bytes())
-        async with services(tmp_path, text(endpoint, tmp_path)) as node:
-            status, body = await asked(node, "aa03")
+        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+            status, body = await ask_once_listening(node, "aa03")
             assert status == 502 and b"can't be proven" in body
-            assert (await asked(node, "aa04", "read"))[0] == 200
+            assert (await ask_once_listening(node, "aa04", "read"))[0] == 200
         assert [m.headers["x-trace-id"] for m in endpoint.got] == ["aa02", "aa04"]
 
     run(test)
@@ -341,11 +345,11 @@
         endpoint = ScriptedEndpoint("e")
         await endpoint.start()
         # Three marks fit, and each expires after some seconds.
-        monkeypatch.setattr(marks, "MARK_BYTES", marks.MEMORY_PART * 32 * 2**20 / 3)
-        async with services(tmp_path, text(endpoint, tmp_path, "keep_h = 0.0005")) as node:
-            got = [(await asked(node, f"aa0{i}"))[0] for i in range(5)]
+        monkeypatch.setattr(store_log, "MARK_BYTES", store_log.MEMORY_PART * 32 * 2**20 / 3)
+        async with services(tmp_path, operator_toml(endpoint, tmp_path, "keep_h = 0.0005")) as node:
+            got = [(await ask_once_listening(node, f"aa0{i}"))[0] for i in range(5)]
             assert got == [200, 200, 200, 503, 503], "refused before they ran, so they may be repeated"
-            while (await asked(node, "aa07"))[0] != 200:
+            while (await ask_once_listening(node, "aa07"))[0] != 200:
                 await asyncio.sleep(0.05)
         assert len(endpoint.got) == 4
 
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -1,4 +1,4 @@
-"""Calls through a real sidecar on loopback sockets: served, retried, timed out, left, refused."""
+"""Calls through a real sidecar on loopback sockets: served, retried, timed out, abandoned, refused."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(
     ("answer", "attempts"),
     [
-        (status(503, "X-Never-Ran: 1\r\n"), 2),  # turned away: it may go elsewhere
+        (status(503, "X-Never-Ran: 1\r\n"), 2),  # refused before it ran: it may be retried elsewhere
         (status(504, "X-Never-Ran: 1\r\n"), 2),
         (status(503), 1),  # no proof that it never ran
         (status(500, "X-Never-Ran: 1\r\n"), 1),
@@ -125,10 +125,12 @@
     run(test)
 
 
-SECOND = b"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 3\r\n\r\nbad"
+SECOND_ANSWER = b"HTTP/1.1 500 X\r\nX-Never-Ran: 1\r\nContent-Length: 3\r\n\r\nbad"
 
 
-@pytest.mark.parametrize("behind", [b"\x00\x01noise\r\n\r\n", SECOND, SECOND[:20], ok(b"second")])
+@pytest.mark.parametrize(
+    "behind", [b"\x00\x01noise\r\n\r\n", SECOND_ANSWER, SECOND_ANSWER[:20], ok(b"second")]
+)
 def test_the_first_whole_answer_counts_and_nothing_behind_it(behind: bytes) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", answering(ok(b"first") + behind))
@@ -136,7 +138,7 @@
             for _ in range(3):
                 reply = await rig.ask(request("pay"))
                 assert (reply.status, reply.body) == (200, b"first")
-        assert endpoint.connections == 3, "a connection with more on it was used again"
+        assert endpoint.connections == 3, "a connection with bytes behind its answer was reused"
 
     run(test)
 
@@ -219,15 +221,15 @@
             reply = await rig.ask(request("pay"))
             assert reply.status == 200 and "link" not in reply.headers
             endpoint.script = answering(ahead + status(503))
-            assert (await rig.ask(request("pay"))).status == 502, "taken for one that never ran"
+            assert (await rig.ask(request("pay"))).status == 502, "X-Never-Ran of a 1xx was used"
 
     run(test)
 
 
-SPOILT = [
+MALFORMED_ANSWERS = [
     b"\x00noise",
-    b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000,  # and no end
-    b"HTTP/1.1 200 OK\r\nX: x",  # and then nothing
+    b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000,  # headers too large and incomplete
+    b"HTTP/1.1 200 OK\r\nX: x",  # incomplete headers, then silence
     b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
     b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx",
     b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -240,7 +242,7 @@
 ]
 
 
-@pytest.mark.parametrize("answer", SPOILT)
+@pytest.mark.parametrize("answer", MALFORMED_ANSWERS)
 def test_a_spoilt_answer_fails_at_once_and_may_have_run(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -300,7 +302,7 @@
             begun = time.monotonic()
             reply = await rig.ask(request("pay"))
             assert reply.status == 503 and 0 < float(reply.headers["retry-after"]) <= 2
-            assert time.monotonic() - begun < 10, "given up, and still held back"
+            assert time.monotonic() - begun < 10, "the call was held back although it had been given up"
 
     run(test)
 
@@ -308,7 +310,7 @@
 def test_a_silent_endpoint_times_out_before_the_deadline_and_is_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(driver_module, "ANSWER_MARGIN", 4500.0)  # wide, for a busy machine
+    monkeypatch.setattr(driver_module, "ANSWER_MARGIN", 4500.0)  # ms; wide, for a busy machine
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", silent)
@@ -318,7 +320,7 @@
             assert 0.4 < time.monotonic() - begun < 5.0
             await until(lambda: endpoint.lost_connections == 1)
             endpoint.script = always_ok
-            assert (await rig.ask(request("pay"))).status == 200, "a connection given up was used"
+            assert (await rig.ask(request("pay"))).status == 200, "an abandoned connection was used"
 
     run(test)
 
@@ -380,7 +382,7 @@
     run(test)
 
 
-BAD: list[tuple[bytes, int]] = [
+BAD_REQUESTS: list[tuple[bytes, int]] = [
     (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
     (b"GET /api HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400),
     (request(X_Qos="unheard-of"), 400),
@@ -414,7 +416,7 @@
 ]
 
 
-@pytest.mark.parametrize(("data", "code"), BAD)
+@pytest.mark.parametrize(("data", "code"), BAD_REQUESTS)
 def test_bad_input_gets_a_plain_4xx_and_no_attempt(data: bytes, code: int) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
@@ -427,8 +429,8 @@
 
 
 def test_a_call_with_no_time_left_is_refused_at_once_and_holds_up_nothing() -> None:
-    """An earlier tier has used its time up. It was answered 400, and what came behind it on its connection
-    waited up to 0.4 s to be read: with short deadlines those requests had no answer in their time.
+    """An earlier tier has used up the call's time. Such a call used to be answered 400 as a bad request, and
+    the next requests of its connection were read up to 0.4 s later, which broke short deadlines.
     """
 
     async def test() -> None:
@@ -440,7 +442,7 @@
                 assert (await client.ask(request(X_Expires_In_Ms="0"))).status == 503
                 assert (await client.ask(request("pay", patience=200))).status == 200
             assert time.monotonic() - begun < caller_module.BAD_REQUEST_PAUSE
-            assert len(endpoint.got) == 5, "nothing was sent for those with no time left"
+            assert len(endpoint.got) == 5, "a call with no time left was sent"
 
     run(test)
 
@@ -456,9 +458,7 @@
                 at = time.monotonic()
                 assert (await client.ask(request("pay", patience=200))).status == 200
                 assert time.monotonic() - at < caller_module.BAD_REQUEST_PAUSE
-            assert time.monotonic() - begun > caller_module.BAD_REQUEST_PAUSE, (
-                "bad ones wait for their turn all the same"
-            )
+            assert time.monotonic() - begun > caller_module.BAD_REQUEST_PAUSE, "bad requests were not delayed"
 
     run(test)
 
@@ -487,7 +487,7 @@
                 assert (await rig.ask(request("pay", X_Trace_Id="same"))).status == 409
             go.set()
             assert (await read_message(first.reader)).status == 200 and len(endpoint.got) == 1
-            assert (await rig.ask(request("pay", X_Trace_Id="same"))).status == 200, "it is open no longer"
+            assert (await rig.ask(request("pay", X_Trace_Id="same"))).status == 200, "it is no longer open"
 
     run(test)
 
@@ -532,7 +532,7 @@
             await first.writer.drain()
             assert (await second.ask(half)).status == 503
             assert (await first.ask(b"x")).status == 200
-            assert (await rig.ask(request("pay", b"x" * 60_000))).status == 200, "not given back"
+            assert (await rig.ask(request("pay", b"x" * 60_000))).status == 200, "memory not released"
 
     run(test)
 
@@ -550,7 +550,7 @@
             assert (await kept.ask(request())).status == 200
             assert await silent_one.reader.read() == b"" and await kept.reader.read() == b""
             busy = await rig.connect()
-            time.sleep(0.3)  # the sidecar, on the same loop, is late as well
+            time.sleep(0.3)  # blocks the sidecar too, which runs on the same loop
             assert (await busy.ask(request())).status == 200
 
     run(test)
@@ -598,11 +598,11 @@
             for i, client in enumerate(busy):
                 client.writer.write(request("read"))
                 await until(lambda i=i: sum(len(e.got) for e in endpoints) == i + 1)  # type: ignore[misc]
-            assert (await rig.ask(request("read"))).status == 503, "there is no descriptor for its attempt"
+            assert (await rig.ask(request("read"))).status == 503, "no descriptor is left for its attempt"
             for _ in range(30):
                 await rig.connect()
             assert (await rig.ask(b"GET /ready HTTP/1.1\r\n\r\n")).status == 200
-            assert not any(c.reader.at_eof() for c in busy), "one with an open request gave way"
+            assert not any(c.reader.at_eof() for c in busy), "a connection with an open request was evicted"
             for endpoint in endpoints:
                 endpoint.script = always_ok
             for client in busy:
@@ -665,7 +665,7 @@
 def test_an_accept_that_fails_as_it_stops_listening_loses_no_caller(
     failure: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise what had connected is reset with the listener, with no answer."""
+    """Otherwise closing the listener would reset connections in its backlog, whose requests get no answer."""
 
     async def test() -> None:
         monkeypatch.setattr(main_module, "LONGEST", 2.0)
@@ -693,7 +693,7 @@
 
 
 class FailingLoop:
-    """A loop that makes no connections, and is else the one given."""
+    """Wraps an event loop and replaces `create_connection`."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, create_connection: Callable[..., Coroutine[Any, Any, Any]]
@@ -709,7 +709,7 @@
 def test_a_connect_that_this_machine_can_t_make_is_not_held_against_its_endpoint(
     failure: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise a bad second here makes every endpoint look lost."""
+    """Otherwise a short lack of resources on this machine would make every endpoint look unreachable."""
 
     async def test() -> None:
         upstream = Upstream(Descriptors(64), 5000.0, 60_000.0, 2.0**26)
@@ -733,7 +733,7 @@
 
 @patched
 def test_the_balancer_that_does_not_answer_is_answered_for() -> None:
-    """The driver keeps the rule of one answer in time even if the module were at fault."""
+    """The driver answers every call once and in time, even if the balancer module has a fault."""
 
     async def test() -> None:
         async with sidecar(ScriptedEndpoint("e1", silent)) as rig:
@@ -760,8 +760,8 @@
     run(test)
 
 
-async def _hanging() -> tuple[Upstream, Host, Attempt, list[Outcome]]:
-    """An attempt at an address where nothing accepts: refused only when it is tried."""
+async def _connecting_attempt() -> tuple[Upstream, Host, Attempt, list[Outcome]]:
+    """An attempt to an address where nothing listens, still before its connect is refused."""
     upstream = Upstream(Descriptors(64), 5000.0, 60_000.0, 2.0**26)
     upstream.point(1, free_address())
     ended: list[Outcome] = []
@@ -776,7 +776,7 @@
 
 def test_an_attempt_still_connecting_when_its_endpoint_drains_never_ran() -> None:
     async def test() -> None:
-        upstream, host, attempt, ended = await _hanging()
+        upstream, host, attempt, ended = await _connecting_attempt()
         forgotten = upstream.forget(1)
         assert forgotten is host
         upstream.close(host)
@@ -791,7 +791,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        upstream, host, attempt, ended = await _hanging()
+        upstream, host, attempt, ended = await _connecting_attempt()
         assert attempt.give_up() is False
         made = cast(asyncio.Protocol, Connection(upstream, host, attempt, 1000))
         address = endpoint.address
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -25,9 +25,9 @@
 from tests.rig import Client, Rig, heartbeats, request, run, sidecar, stalls
 from tests.test_control import call, figures
 
-OWED = 3.0  # s after its last byte within which a stopped client gets its error or a close
-STALL = 0.1  # s; longer blocks of the event loop (busy machine) are subtracted
-LISTENED = 9.0  # s that a test waits for either
+ANSWER_WITHIN = 3.0  # s after its last byte within which a stopped client gets its error or a close
+LOOP_BLOCK = 0.1  # s; longer blocks of the event loop (busy machine) are subtracted
+LISTEN_TIME = 9.0  # s that a test waits for either
 SLOW_BYTE = 0.5  # s between the bytes of a client that is slow but keeps sending
 GAP = 2.0  # s between the pieces of a client that writes in pieces
 SLOW_ANSWER = 4.0  # s that the endpoint takes for a call that precedes a stopped request
@@ -53,17 +53,17 @@
 
 
 ANSWER = re.compile(rb"HTTP/1\.1 (\d+)")
-GO_ON = 100
+CONTINUE = 100
 
 
 async def listen(client: Client, stopped: float, answers: int) -> Outcome:
     """Read `answers` good answers, then up to the error or the end of the connection."""
     data, statuses = b"", list[int]()
     with suppress(TimeoutError, ConnectionError):
-        async with asyncio.timeout(LISTENED):
+        async with asyncio.timeout(LISTEN_TIME):
             while len(statuses) <= answers and (part := await client.reader.read(4096)):
                 data += part
-                statuses = [code for code in map(int, ANSWER.findall(data)) if code != GO_ON]
+                statuses = [code for code in map(int, ANSWER.findall(data)) if code != CONTINUE]
     return Outcome(statuses, time.monotonic() - stopped)
 
 
@@ -77,7 +77,7 @@
 
 
 HALF_HEAD = request("pay")[:-20]
-ROWS: dict[str, tuple[int, bytes]] = {
+STOP_POINTS: dict[str, tuple[int, bytes]] = {
     "in the line": (0, b"POST /api?k="),
     "in the head": (0, HALF_HEAD),
     "before the head's last line end": (0, request("pay")[:-2]),
@@ -96,13 +96,13 @@
 }
 
 
-async def stop_in(rig: Rig, data: bytes, answers: int) -> Outcome:
+async def send_and_stop(rig: Rig, data: bytes, answers: int) -> Outcome:
     client = await rig.connect()
     client.writer.transport.set_write_buffer_limits(high=0)  # `drain` returns once the last byte is written
     client.writer.write(data)
     await client.writer.drain()
     try:
-        async with stalls(over=STALL) as stood_still:
+        async with stalls(over=LOOP_BLOCK) as stood_still:
             outcome = await listen(client, time.monotonic(), answers)
         return Outcome(outcome.statuses, outcome.after - sum(stood_still))
     finally:
@@ -110,20 +110,20 @@
 
 
 @asynccontextmanager
-async def in_service(*endpoints: ScriptedEndpoint) -> AsyncIterator[Rig]:
+async def running_sidecar(*endpoints: ScriptedEndpoint) -> AsyncIterator[Rig]:
     async with sidecar(*endpoints, control=free_address()) as rig:
         yield rig
 
 
-async def nothing_is_left(rig: Rig) -> None:
+async def wait_for_no_open_requests(rig: Rig) -> None:
     assert rig.config.control is not None
     while (await figures(rig.config.control))["open_requests"]:
         await asyncio.sleep(0.02)
 
 
-def judge(outcomes: dict[str, Outcome], answers: dict[str, int]) -> None:
+def check_outcomes(outcomes: dict[str, Outcome], answers: dict[str, int]) -> None:
     for row, outcome in outcomes.items():
-        assert outcome.after <= OWED, f"{row}: {outcome.after:.1f} s"
+        assert outcome.after <= ANSWER_WITHIN, f"{row}: {outcome.after:.1f} s"
         assert outcome.statuses[: answers[row]] == [200] * answers[row], f"{row}: {outcome.statuses}"
         assert all(400 <= code < 600 for code in outcome.statuses[answers[row] :]), (
             f"{row}: {outcome.statuses}"
@@ -135,13 +135,17 @@
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", delayed)
-        async with in_service(endpoint) as rig:
-            outcomes = await asyncio.gather(*(stop_in(rig, data, n) for n, data in ROWS.values()))
-            judge(dict(zip(ROWS, outcomes, strict=True)), {row: n for row, (n, _) in ROWS.items()})
-            await nothing_is_left(rig)
+        async with running_sidecar(endpoint) as rig:
+            outcomes = await asyncio.gather(
+                *(send_and_stop(rig, data, n) for n, data in STOP_POINTS.values())
+            )
+            check_outcomes(
+                dict(zip(STOP_POINTS, outcomes, strict=True)), {row: n for row, (n, _) in STOP_POINTS.items()}
+            )
+            await wait_for_no_open_requests(rig)
             assert not [message for message in endpoint.got if message.first.startswith("POST")]
 
-    run(test, waits=LISTENED)
+    run(test, waits=LISTEN_TIME)
 
 
 @pytest.mark.parametrize("how", ["drained", "told to end"])
@@ -149,37 +153,37 @@
     """Clients that had stopped before the shutdown used to be answered only when the process ended."""
 
     async def test() -> None:
-        async with in_service(ScriptedEndpoint("e1", delayed)) as rig:
+        async with running_sidecar(ScriptedEndpoint("e1", delayed)) as rig:
             assert rig.config.control is not None
-            stopping = [asyncio.create_task(stop_in(rig, data, n)) for n, data in ROWS.values()]
+            stopping = [asyncio.create_task(send_and_stop(rig, data, n)) for n, data in STOP_POINTS.values()]
             await asyncio.sleep(0.3)
             if how == "drained":
                 await call(rig.config.control, "PUT", "/-/drain")
             else:
                 os.kill(os.getpid(), signal.SIGTERM)
             outcomes = await asyncio.gather(*stopping)
-            for row, outcome in zip(ROWS, outcomes, strict=True):
-                assert outcome.after <= OWED, f"{row}: {outcome.after:.1f} s"
+            for row, outcome in zip(STOP_POINTS, outcomes, strict=True):
+                assert outcome.after <= ANSWER_WITHIN, f"{row}: {outcome.after:.1f} s"
             if how == "told to end":
                 await rig.task
 
-    run(test, waits=LISTENED)
+    run(test, waits=LISTEN_TIME)
 
 
 def test_a_client_that_stopped_behind_a_call_in_flight_gets_that_answer_and_then_its_error() -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", delayed)
-        async with in_service(endpoint) as rig:
+        async with running_sidecar(endpoint) as rig:
             for rest in (HALF_HEAD, body_part(10, 5)):
-                outcome = await stop_in(rig, request("read", target=DELAYED) + rest, 1)
+                outcome = await send_and_stop(rig, request("read", target=DELAYED) + rest, 1)
                 assert outcome.statuses == [200, 408], outcome
                 assert outcome.after <= SLOW_ANSWER + 0.5, "the error must follow the answer before it"
 
-    run(test, waits=3 * LISTENED)
+    run(test, waits=3 * LISTEN_TIME)
 
 
-async def takes_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(LISTENED)
+async def read_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(LISTEN_TIME)
     writer.close()
 
 
@@ -188,14 +192,14 @@
 
     async def test() -> None:
         spot = ScriptedEndpoint("e1")
-        server = await asyncio.start_server(takes_nothing, spot.address.host, spot.address.port, limit=1024)
+        server = await asyncio.start_server(read_nothing, spot.address.host, spot.address.port, limit=1024)
         known = {"index": 1, "snapshot": True, "endpoints": [spot.entry()]}
         async with sidecar(known=known, control=free_address()) as rig:
-            outcome = await stop_in(rig, body_part(40 * MEGABYTE, 150_000), 0)
-            assert outcome.after <= OWED and outcome.statuses in ([], [408])
+            outcome = await send_and_stop(rig, body_part(40 * MEGABYTE, 150_000), 0)
+            assert outcome.after <= ANSWER_WITHIN and outcome.statuses in ([], [408])
         server.close()
 
-    run(test, waits=LISTENED)
+    run(test, waits=LISTEN_TIME)
 
 
 def test_a_slow_client_that_goes_on_is_served() -> None:
@@ -213,10 +217,10 @@
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
-        async with in_service(endpoint) as rig:
+        async with running_sidecar(endpoint) as rig:
             _, watch = await rig.discovery.calls.get()
             watch.write(STREAM + chunk(line(1, [endpoint.entry()])))
-            beating = asyncio.create_task(heartbeats(watch, 2 * LISTENED))
+            beating = asyncio.create_task(heartbeats(watch, 2 * LISTEN_TIME))
             slow = [
                 one_by_one(rig, body_part(12, 0), [b"b"] * 12, SLOW_BYTE),
                 one_by_one(rig, chunked(b""), [b"1\r\nb\r\n"] * 3 + [b"0\r\n\r\n"], GAP),
@@ -225,7 +229,7 @@
             assert await asyncio.gather(*slow) == [200, 200, 200]
             beating.cancel()
 
-    run(test, waits=2 * LISTENED)
+    run(test, waits=2 * LISTEN_TIME)
 
 
 def test_a_client_that_reads_none_of_its_answers_and_stays_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -236,7 +240,7 @@
         async def large(_: Message, __: ScriptedEndpoint) -> bytes:
             return ok(bytes(60_000))
 
-        async with in_service(ScriptedEndpoint("e1", large)) as rig:
+        async with running_sidecar(ScriptedEndpoint("e1", large)) as rig:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect((rig.listen.host, rig.listen.port))
@@ -247,6 +251,6 @@
             while not poll.poll(0):  # a reset
                 await asyncio.sleep(0.05)
             client.close()
-            await nothing_is_left(rig)
+            await wait_for_no_open_requests(rig)
 
     run(test)
