--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -146,8 +146,8 @@
         if intent is not None:
             intent.end()
 
-    @precondition(lambda self: self.log.asked)
-    @rule(works=st.booleans())
+    @precondition(lambda self: self.log.pending)
+    @rule(succeeds=st.booleans())
     def complete_write(self, succeeds: bool) -> None:
         self.log.complete_next(succeeds)
 
