--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -1,87 +1,89 @@
-"""One process's life: whether /ready says yes, which answers end their connection, when idle ones are closed.
+"""Drain and shutdown state of a process: readiness, answers that close connections, closing of idle ones.
 
-Pure: no clock, no I/O. Draining and leaving are here together, so that each mix of them has one answer:
+Pure: no clock, no I/O. Draining and shutting down are in one class, so that every combination is defined:
 
-    called            while it serves     while drained       while it leaves
-    drain             drained             stays so            no
-    resume            stays so            serves              no
-    leave             serves on a while   ends at once        stays so
-    leave, succeeded  ends at once        ends at once        stays so
+    called                    while serving       while drained     while shutting down
+    `drain`                   drains              unchanged         refused
+    `resume`                  unchanged           serves            refused
+    `leave`                   serves for a while  ends at once      unchanged
+    `leave`, with successor   ends at once        ends at once      unchanged
 
-Every change is made by plain assignments, as the door calls from a thread of its own. Times are seconds on
-the caller's monotonic clock.
+All changes are plain assignments, because the admin server calls from its own thread. Times are seconds on a
+monotonic clock that is passed in.
 """
 
 from __future__ import annotations
 
 import math
 
-DRAIN_IDLE_AFTER = 1.0  # s after a drain began: until then answers end connections, and cross nothing
-LEAVE_IDLE_AFTER = 1.2  # s the same when another process has taken over: clients have nowhere else to be
+# Idle connections are closed only some time after a drain or shutdown began, because a request may cross that
+# close. Until then connections are closed by their answers, which no request can cross.
+DRAIN_IDLE_AFTER = 1.0  # s after a drain began
+SUCCESSOR_IDLE_AFTER = 1.2  # s after a successor took over; longer, as clients have no other sidecar
 
 
 class Lifecycle:
-    """`able` is set by whoever knows that calls can be served. `last`: every answer ends its connection."""
+    """`able` is set from outside once calls can be served. `last`: every answer closes its connection."""
 
     def __init__(self) -> None:
         self.able = False
         self.drained = False
-        self.leaving = False
-        self.succeeded = False
+        self.shutting_down = False
+        self.has_successor = False
         self.ending = False
-        self.idle_from = math.inf
-        self.over = False  # what comes now could not be answered in time: it is refused at once
+        self.close_idle_from = math.inf
+        self.over = False  # too little time is left to serve new requests: they are refused at once
 
     @property
     def last(self) -> bool:
         return self.drained or self.ending
 
     def ready(self) -> bool:
-        """Whether this process can serve: what the door says. One that is drained can."""
-        return self.able and not self.leaving
+        """Whether this process can serve calls, as the admin server reports it; a drained one still can."""
+        return self.able and not self.shutting_down
 
     def welcome(self) -> bool:
-        """Whether new connections should come to this sidecar: what /ready says.
+        """Whether clients should connect to this sidecar, as /ready on the callers' address reports it.
 
-        Yes while it leaves to a process that has taken over: the two are one sidecar to those who ask.
+        True while it shuts down in favour of a successor process: to clients the two are one sidecar.
         """
-        return not self.drained and (not self.leaving or self.succeeded)
+        return not self.drained and (not self.shutting_down or self.has_successor)
 
     def drain(self, now: float) -> bool:
-        """Send clients away; tells whether that is done or under way."""
-        if self.leaving:
+        """Start draining clients; False if the process is already shutting down."""
+        if self.shutting_down:
             return False
         if not self.drained:
-            self.idle_from = now + DRAIN_IDLE_AFTER
+            self.close_idle_from = now + DRAIN_IDLE_AFTER
             self.drained = True
         return True
 
     def resume(self) -> bool:
-        """Serve as before a drain; tells whether it does."""
-        if self.leaving:
+        """End a drain; False if the process is already shutting down."""
+        if self.shutting_down:
             return False
         self.drained = False
-        self.idle_from = math.inf
+        self.close_idle_from = math.inf
         return True
 
-    def leave(self, now: float, succeeded: bool) -> None:
-        """The process is to end. It does not serve on where it is drained or has a successor."""
-        if self.leaving:
+    def leave(self, now: float, has_successor: bool) -> None:
+        """Begin the shutdown. Unless drained or replaced by a successor, it goes on serving for a while."""
+        if self.shutting_down:
             return
-        self.leaving = True
-        self.succeeded = succeeded
-        if succeeded and not self.drained:
+        self.shutting_down = True
+        self.has_successor = has_successor
+        if has_successor and not self.drained:
             self.ending = True
-            self.idle_from = now + LEAVE_IDLE_AFTER
+            self.close_idle_from = now + SUCCESSOR_IDLE_AFTER
         elif self.drained:
             self.ending = True
 
     def end(self, now: float) -> None:
-        """The time of serving on is over."""
+        """End the phase in which a process that shuts down still keeps connections open."""
         if not self.ending:
             self.ending = True
-            self.idle_from = now
+            self.close_idle_from = now
 
     def closes_idle(self, now: float) -> bool:
-        """Whether connections on which nothing is open are closed now."""
-        return now >= self.idle_from
+        """Whether connections without an open request are closed now."""
+        return now >= self.close_idle_from
--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -1,7 +1,7 @@
-"""The callers' side: accepts connections, keeps them within bounds, and ends those that are of no use.
+"""Listening server for callers: accepts connections, bounds their number, closes idle and stalled ones.
 
-A connection on which no request is open may be closed, but never with a request unread on it; one whose
-request has been taken is never ended before its answer.
+A connection without an open request may be closed, but never while an unread request waits in its socket. A
+connection whose request was accepted is never closed before the answer, unless its client stops reading.
 """
 
 from __future__ import annotations
@@ -14,7 +14,15 @@
 from typing import cast
 
 from millgw.callers.connection import CallerConnection
-from millgw.callers.endings import ENDING, GIVES_WAY, IDLE, SILENT, STUCK, client_address, log_closed
+from millgw.callers.endings import (
+    CAUSE_DRAINING,
+    CAUSE_EVICTED,
+    CAUSE_IDLE,
+    CAUSE_NO_REQUEST,
+    CAUSE_STALLED,
+    client_address,
+    log_closed,
+)
 from millgw.callers.interface import Front, Lanes
 from millgw.callers.lifecycle import Lifecycle
 from millgw.http.message import REFUSED
@@ -23,15 +31,15 @@
 from millgw.platform.config import Address
 from millgw.platform.descriptors import Descriptors
 
-SILENT_TIME = 2.2  # s after connecting in which a first request must begin
-KEEP_TIME = 10.0  # s that a connection is kept between requests
+FIRST_REQUEST_TIMEOUT = 2.2  # s after connecting in which a first request must begin
+IDLE_TIMEOUT = 10.0  # s after which a connection idle between requests is closed
 BACKLOG = 2048
-ACCEPTS = 16  # connections accepted in one turn: those already open get theirs in between
-ACCEPT_PAUSE = 0.05  # s before accepting is tried again after it failed, if no connection ends before
-MIN_IDLE = 0.5  # s between requests before a connection gives way to others: a client may be about to use it
-JUST_CONNECTED = 0.1  # s in which a client that has connected will send its request
-READ_SIZE = 16 * 1024  # bytes of one read
-SWEEP = 0.2  # s between two looks for connections whose time has come
+ACCEPT_BATCH = 16  # connections accepted per event loop iteration, so that open ones are served in between
+ACCEPT_RETRY_DELAY = 0.05  # s before accept is tried again after a failure, unless a connection ends before
+MIN_IDLE = 0.5  # s between requests before a connection may be evicted: its client may be about to use it
+CONNECT_GRACE = 0.1  # s for which a new connection is not evicted: its client is about to send a request
+READ_SIZE = 16 * 1024  # bytes per read
+SWEEP = 0.2  # s between two checks for connections that have timed out
 
 
 def accept(listener: socket.socket) -> socket.socket:
@@ -41,16 +49,16 @@
 
 
 def share_address(listener: socket.socket) -> None:
-    """Have another process of this user listen at the address too: the next one, at an upgrade."""
-    with suppress(OSError):  # where the system knows nothing of it there are no upgrades in service
+    """Let another process of this user listen at the address too: the successor in a hot restart."""
+    with suppress(OSError):  # a system without SO_REUSEPORT has no hot restarts
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
 
 
 class Server:
-    """All callers' connections of one listener. `front` knows whose their requests are.
+    """A listening socket and its connections. `front` assigns their requests to pools.
 
-    `lanes` are in use where several pools share the core; no lane may then hold more than its part of the
-    callers' connections while others need room.
+    `lanes` is given where several pools share a CPU core; connections of a lane that holds more than its
+    share are then evicted first.
     """
 
     def __init__(
@@ -64,16 +72,16 @@
         self.loop = asyncio.get_running_loop()
         self.descriptors = descriptors
         self.front = front
-        self.life = life
+        self.lifecycle = life
         self.lanes = lanes
-        self.parts: dict[str, float] = {}  # connections of each lane, where there are several
+        self.parts: dict[str, float] = {}  # the share of connections of each lane, where there are several
         self.connections: set[CallerConnection] = set()
-        self.fresh: dict[CallerConnection, None] = {}  # that have not begun a request, the oldest first
-        self.kept: dict[CallerConnection, None] = {}  # between requests, the one idle for longest first
+        self.fresh: dict[CallerConnection, None] = {}  # before their first request, oldest first
+        self.kept: dict[CallerConnection, None] = {}  # between requests, longest idle first
         self.accepting: set[asyncio.Task[object]] = set()
-        self.buffer = bytearray(READ_SIZE)  # one for all: each read is taken out before the next
-        self.paused: asyncio.TimerHandle | None = None
-        self.full_since = math.inf  # s, from when on connections may have waited to be accepted
+        self.buffer = bytearray(READ_SIZE)  # shared: each read is copied out before the next
+        self.accept_retry: asyncio.TimerHandle | None = None
+        self.backlog_since = math.inf  # s, since when connections may have waited in the backlog
         self.closed = False
         family = socket.AF_INET6 if ":" in listen.host else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_STREAM)
@@ -84,8 +92,8 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether every answer is the last one on its connection."""
-        return self.closed or self.life.last
+        """Whether every answer closes its connection."""
+        return self.closed or self.lifecycle.last
 
     def start(self) -> None:
         self.socket.listen(BACKLOG)
@@ -93,145 +101,155 @@
         self.loop.call_later(SWEEP, self._sweep)
 
     def end_halves(self) -> None:
-        """Answer requests that are still coming in: the process is about to end.
+        """Refuse requests that are only partly received, because the process is about to end.
 
-        Guards against a last byte that crosses the end: from then on the request would have been taken.
+        Otherwise the last byte of one could arrive during the shutdown, and the request would be accepted.
         """
-        for connection in [c for c in self.connections if c.half]:
+        for connection in [c for c in self.connections if c.partly_received]:
             connection.refuse(BadRequest(REFUSED, "the sidecar is about to end"))
 
     # Accepting
 
-    def _accept(self, most: int = ACCEPTS, last: bool = False) -> bool:
-        """Accept what waits; tells whether nothing waits any more.
+    def _accept(self, most: int = ACCEPT_BATCH, last: bool = False) -> bool:
+        """Accept up to `most` connections from the backlog; True once it is empty.
 
-        With `last` all that waits is taken, bound or not: it would be lost otherwise.
+        With `last` the bound on connections is ignored: those left in the backlog would be reset.
         """
         for _ in range(most):
             if not last and self.descriptors.full_of_callers() and not self.give_way():
-                # What can't be held waits in the backlog: the process would run out of descriptors.
+                # Further connections stay in the backlog: the process would run out of descriptors.
                 self._end_slow()
-                self._pause()
+                self._pause_accepting()
                 return False
             try:
                 connection = accept(self.socket)
             except BlockingIOError:
-                self.full_since = math.inf
+                self.backlog_since = math.inf
                 return True
             except ConnectionAbortedError as error:
-                log_event("accept-failed", cause=error)  # that client alone is gone
+                log_event("accept-failed", cause=error)  # only that client has disconnected
                 continue
             except OSError as error:
                 log_event("accept-failed", cause=error)
-                self._pause()
+                self._pause_accepting()
                 return False
-            task = self.loop.create_task(self._adopt(connection, self.full_since))
+            task = self.loop.create_task(self._make_connection(connection, self.backlog_since))
             self.accepting.add(task)
             task.add_done_callback(self.accepting.discard)
         return False
 
-    async def _adopt(self, connection: socket.socket, unread_since: float) -> None:
+    async def _make_connection(self, connection: socket.socket, unread_since: float) -> None:
         try:
-            made = cast(asyncio.Protocol, CallerConnection(self, unread_since))
-            await self.loop.connect_accepted_socket(lambda: made, connection)
+            protocol = cast(asyncio.Protocol, CallerConnection(self, unread_since))
+            await self.loop.connect_accepted_socket(lambda: protocol, connection)
         except OSError as error:
             log_event("caller-lost", cause=error)
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         self.loop.remove_reader(self.socket)
-        self.full_since = min(self.full_since, time.monotonic())
-        if self.paused is None:
-            self.paused = self.loop.call_later(ACCEPT_PAUSE, self._resume)
-
-    def _resume(self) -> None:
-        if self.paused is not None and not self.closed:
-            self.paused.cancel()
-            self.paused = None
+        self.backlog_since = min(self.backlog_since, time.monotonic())
+        if self.accept_retry is None:
+            self.accept_retry = self.loop.call_later(ACCEPT_RETRY_DELAY, self._resume_accepting)
+
+    def _resume_accepting(self) -> None:
+        if self.accept_retry is not None and not self.closed:
+            self.accept_retry.cancel()
+            self.accept_retry = None
             self.loop.add_reader(self.socket, self._accept)
 
     def held(self) -> int:
-        """Descriptors in use."""
+        """Number of descriptors that callers' connections use."""
         return len(self.connections) + len(self.accepting)
 
     def give_way(self) -> bool:
-        """Close the connection that is needed least, if there is one: silent ones before kept ones.
+        """Evict one connection without an open request; False if there is none.
 
-        Before any other goes an idle one of a lane that holds more than its part.
+        The order: idle ones of a lane above its share, those before their first request, those between
+        requests.
         """
-        if self.parts and self._close_of_large_lane():
+        if self.parts and self._evict_from_large_lane():
             return True
-        for connections, least in ((self.fresh, JUST_CONNECTED), (self.kept, MIN_IDLE)):
+        for connections, min_idle in ((self.fresh, CONNECT_GRACE), (self.kept, MIN_IDLE)):
             for connection in connections:
-                if connection.close_if_quiet(least, GIVES_WAY):
+                if connection.close_if_idle(min_idle, CAUSE_EVICTED):
                     return True
         return False
 
     def _end_slow(self) -> None:
-        """Make room soon: end some of those whose requests come in slowly."""
+        """End up to `ACCEPT_BATCH` connections whose requests arrive slowly, to make room."""
         now, ended = time.monotonic(), 0
         for connection in list(self.connections):
             ended += connection.end_slow(now)
-            if ended == ACCEPTS:
+            if ended == ACCEPT_BATCH:
                 return
 
-    def _close_of_large_lane(self) -> bool:
+    def _evict_from_large_lane(self) -> bool:
         counts: dict[str, int] = {}
         for connection in self.connections:
             counts[connection.lane] = counts.get(connection.lane, 0) + 1
         for kept in self.kept:
-            part = self.parts.get(kept.lane)
-            large = part is not None and counts[kept.lane] > part
-            if large and kept.close_if_quiet(0.0, GIVES_WAY):
+            share = self.parts.get(kept.lane)
+            large = share is not None and counts[kept.lane] > share
+            if large and kept.close_if_idle(0.0, CAUSE_EVICTED):
                 return True
         return False
 
-    def left(self, connection: CallerConnection) -> None:
+    def connection_closed(self, connection: CallerConnection) -> None:
         self.connections.discard(connection)
-        self.busy(connection)
-        self._resume()
+        self.mark_busy(connection)
+        self._resume_accepting()
 
-    def busy(self, connection: CallerConnection) -> None:
+    def mark_busy(self, connection: CallerConnection) -> None:
         self.fresh.pop(connection, None)
         self.kept.pop(connection, None)
 
     def _sweep(self) -> None:
-        """Guards against clients that hold a descriptor and ask nothing, or never end what they ask."""
+        """Close connections that have timed out.
+
+        Otherwise clients that send nothing, or never complete a request, would hold descriptors for ever.
+        """
         now = time.monotonic()
         for connection in list(self.connections):
             connection.end_overdue(now)
-        for connection in [c for c in self.connections if c.stuck(now)]:
-            age, quiet = now - connection.opened, now - connection.progress.came
-            log_closed(client_address(connection.transport), STUCK, connection.core.begun, age, quiet)
+        for connection in [c for c in self.connections if c.write_stalled(now)]:
+            age, quiet = now - connection.opened, now - connection.progress.last_received
+            log_closed(
+                client_address(connection.transport),
+                CAUSE_STALLED,
+                connection.core.requests_begun,
+                age,
+                quiet,
+            )
             connection.abort()
         for connection in [c for c in self.connections if c.paused]:
-            connection.look_for_end()
-        self._close_quiet(self.fresh, SILENT_TIME, SILENT)
-        self._close_quiet(self.kept, KEEP_TIME, IDLE)
-        if self.life.closes_idle(now):
+            connection.check_client_gone()
+        self._close_those_idle(self.fresh, FIRST_REQUEST_TIMEOUT, CAUSE_NO_REQUEST)
+        self._close_those_idle(self.kept, IDLE_TIMEOUT, CAUSE_IDLE)
+        if self.lifecycle.closes_idle(now):
             self.close_idle()
         self.loop.call_later(SWEEP, self._sweep)
 
     @staticmethod
-    def _close_quiet(connections: dict[CallerConnection, None], least: float, cause: str) -> None:
+    def _close_those_idle(connections: dict[CallerConnection, None], min_idle: float, cause: str) -> None:
         for connection in list(connections):
-            connection.close_if_quiet(least, cause)
+            connection.close_if_idle(min_idle, cause)
 
     # Stopping
 
     def stop(self) -> None:
-        """Accept what has connected, then no more: a connection left in the backlog would be lost.
+        """Accept the whole backlog, then close the listener: that resets connections left in the backlog.
 
-        Where an accept fails, as the system has no room for a moment, it listens on and tries again.
+        If accept fails because the system lacks resources, the listener stays open and this is retried.
         """
         if self.closed:
             return
         if not self._accept(BACKLOG, last=True):
-            self.loop.call_later(ACCEPT_PAUSE, self.stop)
+            self.loop.call_later(ACCEPT_RETRY_DELAY, self.stop)
             return
         self.closed = True
         self.loop.remove_reader(self.socket)
         self.socket.close()
 
     def close_idle(self) -> None:
-        self._close_quiet(self.fresh, JUST_CONNECTED, ENDING)
-        self._close_quiet(self.kept, JUST_CONNECTED, ENDING)
+        self._close_those_idle(self.fresh, CONNECT_GRACE, CAUSE_DRAINING)
+        self._close_those_idle(self.kept, CONNECT_GRACE, CAUSE_DRAINING)
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -1,7 +1,7 @@
-"""A caller's request: its head and body as they come in, and how an attempt words it. No I/O, no clock.
+"""A caller's request: validation of head and body as they arrive, and its encoding for attempts.
 
-Nothing that a caller sends is believed. What can be read in two ways is refused, so that no endpoint reads it
-in the other: behind such a head another request may hide.
+No I/O, no clock. No input is trusted. A message that can be parsed in two ways is refused, as an endpoint
+could parse it in the other way: that is how a second request is smuggled behind the first.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from millgw.streams.room import LONG
 from millgw.streams.upload import Upload
 
-ONCE: Final = frozenset(
+SINGLE_HEADERS: Final = frozenset(
     {
         b"content-length",
         b"host",
@@ -25,11 +25,11 @@
         b"x-trace-id",
     }
 )
-"""Headers that are judged. Given twice, one would be judged and both passed on."""
+"""Headers that the sidecar interprets. If one came twice, it would check one value and forward both."""
 
 
-class Came(Enum):
-    """How far a request had come in when it was turned away."""
+class ReceiveStage(Enum):
+    """How much of a request had been received when it was refused."""
 
     LINE = "line"
     HEAD = "head"
@@ -38,48 +38,48 @@
 
 
 class BadRequest(Exception):
-    """A request that is answered at once, and never attempted.
+    """A request that is refused at once, without any attempt.
 
-    `came` and `trace` tell the log how far it had come in, and its X-Trace-Id where that was read.
+    `stage` (how much of it was received) and `trace_id` (its X-Trace-Id, if that was read) are for the log.
     """
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
-        self.came = Came.WHOLE
-        self.trace = ""
+        self.stage = ReceiveStage.WHOLE
+        self.trace_id = ""
 
     def answer(self) -> Answer:
-        """How it is told, in plain text."""
+        """The answer to the client, in plain text."""
         return plain(self.status, str(self))
 
 
-class Taker(Protocol):
-    """The pool that a request is for, as far as its body goes."""
+class RequestPool(Protocol):
+    """The pool that a request is for, as far as its body and its final status concern it."""
 
     name: str
 
     def answered(self, head: Head, status: int) -> None:
-        """Its caller is given a final answer."""
+        """Record the final answer of a request."""
 
     def enter(self) -> int: ...
 
     def leave(self) -> None: ...
 
     def hold(self, more: int) -> None:
-        """Count bytes of bodies that come in, or are given back; a BadRequest tells that there is no room."""
+        """Reserve memory (bytes) for bodies, or release it if negative; BadRequest if there is no room."""
 
 
 class Head:
-    """The line and headers of one request, then its body, as they come in.
+    """First line, headers and body of one request, as they are received.
 
-    Once the headers have ended, `pool` is whose it is, `wrong` why it is nobody's, and `refused` the answer
-    to one that is turned away from its head alone: the body of such a one is read and dropped.
+    Once the headers are complete, `pool` is the pool it is for, `wrong` why it is for none, and `refused` the
+    answer to a request that is refused by its head alone; its body is read and discarded.
     """
 
     __slots__ = (
-        "body", "ended", "forward", "keep", "length", "long", "method", "pool", "refused", "target", "told",
-        "upload", "values", "version", "wrong",
+        "body", "body_received", "declared_length", "ended", "forward", "keep", "long", "method", "pool",
+        "refused", "target", "upload", "values", "version", "wrong",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -88,28 +88,28 @@
         self.values: dict[bytes, bytes] = {}
         self.forward = b""
         self.body = b""
-        self.length = 0  # bytes of the body so far
-        self.told = -1  # its length as the headers tell; -1 where it comes in chunks
-        self.long = False  # more than is held whole: it is to be passed on as it comes
-        self.upload: Upload | None = None  # where its body goes, once it is passed on
+        self.body_received = 0  # bytes of the body so far
+        self.declared_length = -1  # Content-Length, 0 where there is none; -1 if chunked
+        self.long = False  # too long to be held whole: the body is to be streamed
+        self.upload: Upload | None = None  # receives the body once it is streamed
         self.keep = False
         self.version = ""
-        self.ended = 0.0  # s, on the clock of who feeds it
-        self.pool: Taker | None = None
+        self.ended = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
+        self.pool: RequestPool | None = None
         self.wrong: BadRequest | None = None
         self.refused: Answer | None = None
 
     def add(self, name: bytes, value: bytes) -> None:
         lower = name.lower()
-        value = value.rstrip(b" \t")  # left by the parser, no part of the value (RFC 9110 section 5.5)
-        if lower in ONCE and lower in self.values:
+        value = value.rstrip(b" \t")  # left by the parser, but not part of the value (RFC 9110 section 5.5)
+        if lower in SINGLE_HEADERS and lower in self.values:
             raise BadRequest(400, f"{lower.decode()} is given twice")
         self.values[lower] = value
         if lower not in OWN_HEADERS:
             self.forward += b"%b: %b\r\n" % (name, value)
 
     def complete(self, method: bytes, version: str, keep: bool) -> None:
-        """The headers have ended: refuse what its length and framing already tell of."""
+        """Check length and framing once the headers are complete; BadRequest if they are unacceptable."""
         self.method, self.version, self.keep = method, version, keep
         if len(self.target) + len(self.forward) > MAX_HEAD:
             raise BadRequest(431, "the headers are too large")
@@ -123,54 +123,58 @@
         if len(length) > len(str(MAX_BODY)) or int(length) > MAX_BODY:
             raise BadRequest(413, "the body is too large")
         if coding is None:
-            self.told = int(length)
-            self.long = self.told > LONG
+            self.declared_length = int(length)
+            self.long = self.declared_length > LONG
 
     @property
-    def trace(self) -> str:
-        """Its X-Trace-Id, empty where none was read; for the log."""
+    def trace_id(self) -> str:
+        """The X-Trace-Id for the log; empty if none was read."""
         return self.values.get(b"x-trace-id", b"").decode("ascii", "backslashreplace")
 
     def extend(self, body: bytes) -> None:
-        self.length += len(body)
-        if self.length > MAX_BODY:
+        self.body_received += len(body)
+        if self.body_received > MAX_BODY:
             raise BadRequest(413, "the body is too large")
         if self.upload is not None:
             self.upload.put(body)
             return
-        self.long = self.long or self.length > LONG
+        self.long = self.long or self.body_received > LONG
         if self.pool is not None and self.refused is None:
             self.pool.hold(len(body))
             self.body += body
 
     def release(self) -> None:
-        """Give back what its body takes: it is answered, or nobody waits for its answer."""
+        """Release the memory of the body: the request is answered, or its client is gone."""
         if self.pool is not None and self.body:
             self.pool.hold(-len(self.body))
             self.body = b""
 
 
-def word_head(head: Head, left: int) -> bytes:
-    """The same without a body, which follows as it comes: of the length told, or in chunks."""
-    framing = b"Content-Length: %d" % head.told if head.told >= 0 else b"Transfer-Encoding: chunked"
+def encode_request_head(head: Head, time_left: int) -> bytes:
+    """The head of a request whose body is streamed, with its Content-Length or chunked."""
+    framing = (
+        b"Content-Length: %d" % head.declared_length
+        if head.declared_length >= 0
+        else b"Transfer-Encoding: chunked"
+    )
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\n%b\r\n\r\n" % (
         head.method,
         head.target,
         head.forward,
-        left,
+        time_left,
         framing,
     )
 
 
-def word(head: Head, left: int) -> bytes:
-    """The request as an attempt sends it, with the time left in place of the connection's own headers."""
+def word(head: Head, time_left: int) -> bytes:
+    """Encode the request for an attempt, with the time left (ms) and without hop-by-hop headers."""
     if head.upload is not None:
-        return word_head(head, left)
+        return encode_request_head(head, time_left)
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\nContent-Length: %d\r\n\r\n%b" % (
         head.method,
         head.target,
         head.forward,
-        left,
+        time_left,
         len(head.body),
         head.body,
     )
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -1,6 +1,6 @@
-"""Clients that stop in the middle of a request and stay: each gets its error or a close in time.
+"""Clients that stop sending in the middle of a request but stay connected get an error or a close in time.
 
-`docs/design/stopped-clients.md` has the table of which these are the rows.
+The cases are the rows of the table in `docs/design/stopped-clients.md`.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from tests.rig import Client, Rig, heartbeats, request, run, sidecar, stalls
 from tests.test_control import call, figures
 
-OWED = 3.0  # s from its last byte in which a client that stopped gets its error or a close
-STALL = 0.1  # s for which the loop stands still on a busy machine
-LISTENED = 9.0  # s for which a test waits for either
-SLOW_BYTE = 0.5  # s between two bytes of a client that is slow and goes on
-GAP = 2.0  # s between two pieces of one that writes in pieces
-SLOW_ANSWER = 4.0  # s that an endpoint takes for a call that others stop behind
+ANSWER_WITHIN = 3.0  # s after its last byte within which a stopped client gets its error or a close
+LOOP_BLOCK = 0.1  # s; longer blocks of the event loop (busy machine) are subtracted
+LISTEN_TIME = 9.0  # s that a test waits for either
+SLOW_BYTE = 0.5  # s between the bytes of a client that is slow but keeps sending
+GAP = 2.0  # s between the pieces of a client that writes in pieces
+SLOW_ANSWER = 4.0  # s that the endpoint takes for a call that precedes a stopped request
 DELAYED = "/api?k=delayed"
 MEGABYTE = 1_000_000
 
@@ -43,9 +43,9 @@
 
 @dataclass
 class Outcome:
-    """What a client saw: statuses in order, and how long (s) after its last byte the last or the end came.
+    """What a client saw: the statuses in order, and the seconds from its last byte to the last status or end.
 
-    The time for which the loop that all share stood still counts for none of them.
+    Time for which the shared event loop was blocked is subtracted.
     """
 
     statuses: list[int]
@@ -53,22 +53,22 @@
 
 
 ANSWER = re.compile(rb"HTTP/1\.1 (\d+)")
-GO_ON = 100
+CONTINUE = 100
 
 
 async def listen(client: Client, stopped: float, answers: int) -> Outcome:
-    """Read up to the error or the end that is owed, `answers` good ones before it."""
+    """Read `answers` good answers, then up to the error or the end of the connection."""
     data, statuses = b"", list[int]()
     with suppress(TimeoutError, ConnectionError):
-        async with asyncio.timeout(LISTENED):
+        async with asyncio.timeout(LISTEN_TIME):
             while len(statuses) <= answers and (part := await client.reader.read(4096)):
                 data += part
-                statuses = [code for code in map(int, ANSWER.findall(data)) if code != GO_ON]
+                statuses = [code for code in map(int, ANSWER.findall(data)) if code != CONTINUE]
     return Outcome(statuses, time.monotonic() - stopped)
 
 
 def body_part(length: int, part: int, expect: str = "") -> bytes:
-    """A request that announces a length, with the first bytes of its body."""
+    """A request with a Content-Length and only the first bytes of its body."""
     return request("pay", Content_Length=str(length), Expect=expect) + b"b" * part
 
 
@@ -77,7 +77,7 @@
 
 
 HALF_HEAD = request("pay")[:-20]
-ROWS: dict[str, tuple[int, bytes]] = {
+STOP_POINTS: dict[str, tuple[int, bytes]] = {
     "in the line": (0, b"POST /api?k="),
     "in the head": (0, HALF_HEAD),
     "before the head's last line end": (0, request("pay")[:-2]),
@@ -96,13 +96,13 @@
 }
 
 
-async def stop_in(rig: Rig, data: bytes, answers: int) -> Outcome:
+async def send_and_stop(rig: Rig, data: bytes, answers: int) -> Outcome:
     client = await rig.connect()
-    client.writer.transport.set_write_buffer_limits(high=0)  # `drain` waits for the last byte
+    client.writer.transport.set_write_buffer_limits(high=0)  # `drain` returns once the last byte is written
     client.writer.write(data)
     await client.writer.drain()
     try:
-        async with stalls(over=STALL) as stood_still:
+        async with stalls(over=LOOP_BLOCK) as stood_still:
             outcome = await listen(client, time.monotonic(), answers)
         return Outcome(outcome.statuses, outcome.after - sum(stood_still))
     finally:
@@ -110,20 +110,20 @@
 
 
 @asynccontextmanager
-async def in_service(*endpoints: ScriptedEndpoint) -> AsyncIterator[Rig]:
+async def running_sidecar(*endpoints: ScriptedEndpoint) -> AsyncIterator[Rig]:
     async with sidecar(*endpoints, control=free_address()) as rig:
         yield rig
 
 
-async def nothing_is_left(rig: Rig) -> None:
+async def wait_for_no_open_requests(rig: Rig) -> None:
     assert rig.config.control is not None
     while (await figures(rig.config.control))["open_requests"]:
         await asyncio.sleep(0.02)
 
 
-def judge(outcomes: dict[str, Outcome], answers: dict[str, int]) -> None:
+def check_outcomes(outcomes: dict[str, Outcome], answers: dict[str, int]) -> None:
     for row, outcome in outcomes.items():
-        assert outcome.after <= OWED, f"{row}: {outcome.after:.1f} s"
+        assert outcome.after <= ANSWER_WITHIN, f"{row}: {outcome.after:.1f} s"
         assert outcome.statuses[: answers[row]] == [200] * answers[row], f"{row}: {outcome.statuses}"
         assert all(400 <= code < 600 for code in outcome.statuses[answers[row] :]), (
             f"{row}: {outcome.statuses}"
@@ -131,75 +131,79 @@
 
 
 def test_a_client_that_stops_anywhere_in_a_request_gets_its_error_or_a_close_in_time() -> None:
-    """Lengths that were announced, and the parts of a request that had come, bought it more time."""
+    """The timeout used to grow with the announced length and with the part of the request received."""
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", delayed)
-        async with in_service(endpoint) as rig:
-            outcomes = await asyncio.gather(*(stop_in(rig, data, n) for n, data in ROWS.values()))
-            judge(dict(zip(ROWS, outcomes, strict=True)), {row: n for row, (n, _) in ROWS.items()})
-            await nothing_is_left(rig)
+        async with running_sidecar(endpoint) as rig:
+            outcomes = await asyncio.gather(
+                *(send_and_stop(rig, data, n) for n, data in STOP_POINTS.values())
+            )
+            check_outcomes(
+                dict(zip(STOP_POINTS, outcomes, strict=True)), {row: n for row, (n, _) in STOP_POINTS.items()}
+            )
+            await wait_for_no_open_requests(rig)
             assert not [message for message in endpoint.got if message.first.startswith("POST")]
 
-    run(test, waits=LISTENED)
+    run(test, waits=LISTEN_TIME)
 
 
 @pytest.mark.parametrize("how", ["drained", "told to end"])
 def test_a_client_that_stopped_is_ended_in_time_also_where_its_sidecar_leaves(how: str) -> None:
-    """Those that stopped before the end of the process were answered with it only."""
+    """Clients that had stopped before the shutdown used to be answered only when the process ended."""
 
     async def test() -> None:
-        async with in_service(ScriptedEndpoint("e1", delayed)) as rig:
+        async with running_sidecar(ScriptedEndpoint("e1", delayed)) as rig:
             assert rig.config.control is not None
-            stopping = [asyncio.create_task(stop_in(rig, data, n)) for n, data in ROWS.values()]
+            stopping = [asyncio.create_task(send_and_stop(rig, data, n)) for n, data in STOP_POINTS.values()]
             await asyncio.sleep(0.3)
             if how == "drained":
                 await call(rig.config.control, "PUT", "/-/drain")
             else:
                 os.kill(os.getpid(), signal.SIGTERM)
             outcomes = await asyncio.gather(*stopping)
-            for row, outcome in zip(ROWS, outcomes, strict=True):
-                assert outcome.after <= OWED, f"{row}: {outcome.after:.1f} s"
+            for row, outcome in zip(STOP_POINTS, outcomes, strict=True):
+                assert outcome.after <= ANSWER_WITHIN, f"{row}: {outcome.after:.1f} s"
             if how == "told to end":
                 await rig.task
 
-    run(test, waits=LISTENED)
+    run(test, waits=LISTEN_TIME)
 
 
 def test_a_client_that_stopped_behind_a_call_in_flight_gets_that_answer_and_then_its_error() -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", delayed)
-        async with in_service(endpoint) as rig:
+        async with running_sidecar(endpoint) as rig:
             for rest in (HALF_HEAD, body_part(10, 5)):
-                outcome = await stop_in(rig, request("read", target=DELAYED) + rest, 1)
+                outcome = await send_and_stop(rig, request("read", target=DELAYED) + rest, 1)
                 assert outcome.statuses == [200, 408], outcome
-                assert outcome.after <= SLOW_ANSWER + 0.5, "as soon as the answer before it is out"
+                assert outcome.after <= SLOW_ANSWER + 0.5, "the error must follow the answer before it"
 
-    run(test, waits=3 * LISTENED)
+    run(test, waits=3 * LISTEN_TIME)
 
 
-async def takes_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    await asyncio.sleep(LISTENED)
+async def read_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    await asyncio.sleep(LISTEN_TIME)
     writer.close()
 
 
 def test_a_client_that_stopped_while_its_endpoint_takes_nothing_of_the_body_is_ended_in_time() -> None:
-    """The sidecar does not read on then, which held the client's time up."""
+    """The sidecar pauses reading then, which used to suspend the client's timeout."""
 
     async def test() -> None:
         spot = ScriptedEndpoint("e1")
-        server = await asyncio.start_server(takes_nothing, spot.address.host, spot.address.port, limit=1024)
+        server = await asyncio.start_server(read_nothing, spot.address.host, spot.address.port, limit=1024)
         known = {"index": 1, "snapshot": True, "endpoints": [spot.entry()]}
         async with sidecar(known=known, control=free_address()) as rig:
-            outcome = await stop_in(rig, body_part(40 * MEGABYTE, 150_000), 0)
-            assert outcome.after <= OWED and outcome.statuses in ([], [408])
+            outcome = await send_and_stop(rig, body_part(40 * MEGABYTE, 150_000), 0)
+            assert outcome.after <= ANSWER_WITHIN and outcome.statuses in ([], [408])
         server.close()
 
-    run(test, waits=LISTENED)
+    run(test, waits=LISTEN_TIME)
 
 
 def test_a_slow_client_that_goes_on_is_served() -> None:
-    """Its mean rate was held against it: one byte each half second was answered 408 after 4.8 s."""
+    """A minimum rate used to apply: a client sending a byte each half second was answered 408 after 4.8 s."""
 
     async def one_by_one(rig: Rig, head: bytes, pieces: list[bytes], pause: float) -> int:
         client = await rig.connect()
@@ -213,10 +217,10 @@
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
-        async with in_service(endpoint) as rig:
+        async with running_sidecar(endpoint) as rig:
             _, watch = await rig.discovery.calls.get()
             watch.write(STREAM + chunk(line(1, [endpoint.entry()])))
-            beating = asyncio.create_task(heartbeats(watch, 2 * LISTENED))
+            beating = asyncio.create_task(heartbeats(watch, 2 * LISTEN_TIME))
             slow = [
                 one_by_one(rig, body_part(12, 0), [b"b"] * 12, SLOW_BYTE),
                 one_by_one(rig, chunked(b""), [b"1\r\nb\r\n"] * 3 + [b"0\r\n\r\n"], GAP),
@@ -225,18 +229,18 @@
             assert await asyncio.gather(*slow) == [200, 200, 200]
             beating.cancel()
 
-    run(test, waits=2 * LISTENED)
+    run(test, waits=2 * LISTEN_TIME)
 
 
 def test_a_client_that_reads_none_of_its_answers_and_stays_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whole answers that waited to be read held their connection for ever."""
+    """A connection with complete but unread answers used to be kept open for ever."""
     monkeypatch.setattr(stall, "ANSWER_STALL", 0.5)
 
     async def test() -> None:
         async def large(_: Message, __: ScriptedEndpoint) -> bytes:
             return ok(bytes(60_000))
 
-        async with in_service(ScriptedEndpoint("e1", large)) as rig:
+        async with running_sidecar(ScriptedEndpoint("e1", large)) as rig:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.connect((rig.listen.host, rig.listen.port))
@@ -247,6 +251,6 @@
             while not poll.poll(0):  # a reset
                 await asyncio.sleep(0.05)
             client.close()
-            await nothing_is_left(rig)
+            await wait_for_no_open_requests(rig)
 
     run(test)
