--- a/millgw/log/__init__.py
+++ b/millgw/log/__init__.py
@@ -1,1 +1,1 @@
-"""The log: a table of events, a bound on repeats, two wordings, a writer that never blocks who tells."""
+"""Structured logging: an event table, rate limiting of repeats, two renderers, a non-blocking writer."""
--- a/millgw/log/backlog.py
+++ b/millgw/log/backlog.py
@@ -1,27 +1,30 @@
-"""Lines that wait for a reader of standard error: bounded, the first ones kept. Pure."""
+"""A bounded buffer of log lines waiting to be written to standard error. Pure.
+
+When it is full, new lines are dropped and the oldest are kept.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
-ROOM = 65_536  # bytes that may wait: some 500 lines
+ROOM = 65_536  # bytes that may be buffered: about 500 lines
 
 
 class Backlog:
-    """The first lines are kept and the later ones counted: what happened first tends to be the cause."""
+    """Keeps the earliest lines and counts those dropped: the first events tend to show the cause."""
 
     __slots__ = ("held", "lines", "lost", "room")
 
     def __init__(self, room: int = ROOM) -> None:
         self.room = room
         self.lines: deque[bytes] = deque()
-        self.held = 0  # bytes
-        self.lost = 0  # lines since the last that was taken
+        self.held = 0  # bytes buffered
+        self.lost = 0  # lines dropped since the last `take`
 
     def add(self, line: bytes) -> bool:
-        """Whether it waits now; else it is counted as lost."""
-        # Once one was lost, the ones after it are too, until its reader has made room for all that waits:
-        # a gap stands in one place, and its line says how long it is.
+        """Buffer a line; returns False, and counts the line as dropped, when there is no room."""
+        # After one line was dropped, all later ones are dropped too until the whole buffer is taken: the gap
+        # stays in one place, and one `lines-lost` line can state its length.
         if self.held + len(line) > self.room or (self.lost and self.lines):
             self.lost += 1
             return False
@@ -30,7 +33,7 @@
         return True
 
     def take(self) -> tuple[bytes, int]:
-        """All that waits, as one piece, and how many lines were lost behind it."""
+        """Empty the buffer: all lines as one byte string, and how many were dropped after them."""
         piece, lost = b"".join(self.lines), self.lost
         self.lines.clear()
         self.held = self.lost = 0
--- a/millgw/log/events.py
+++ b/millgw/log/events.py
@@ -1,7 +1,7 @@
-"""Log events by name with fields; `millgw.log.table` has them all.
+"""Functions that log an event by name with fields; `millgw.log.table` lists all events.
 
-Until a log is started (`millgw.log.start`), as where the package is used as a library, they go to the
-standard library's logger `millgw`.
+Until a log is started (`millgw.log.start`), for example where the package is used as a library, events go to
+the standard library's logger `millgw`.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 def set_handler(handler: EventHandler | None) -> None:
-    """Have events go to a handler from now on; None for the standard library's logger."""
+    """Send events to a handler from now on; None restores the standard library's logger."""
     _handler[0] = _log_to_library if handler is None else handler
 
 
 def log_event(event: str, **fields: object) -> None:
-    """Log an event of the table; fields that the table does not name are left out."""
+    """Log an event of the table; fields that the table does not list are omitted."""
     _handler[0](event, fields)
 
 
 class BoundLogger:
-    """Logs events with some fields that all of them have (a service, a call, an endpoint)."""
+    """Logs events with a fixed set of fields added to each (a service, a call, an endpoint)."""
 
     __slots__ = ("fields",)
 
@@ -44,5 +44,5 @@
         self.fields = fields
 
     def log_event(self, event: str, **fields: object) -> None:
-        """As the function `log_event`, with the bound fields before the others."""
+        """Log an event as the function `log_event` does, with the bound fields before the others."""
         _handler[0](event, self.fields | fields)
--- a/millgw/log/repeats.py
+++ b/millgw/log/repeats.py
@@ -1,29 +1,31 @@
-"""How often one event is logged: a few times a second, and then with how many were left out. Pure."""
+"""Rate limiting of repeated log events, with a count of the suppressed ones. Pure."""
 
 from __future__ import annotations
 
-EVERY = (
-    1.0  # s in which one event has its number of lines: what repeats for every request must not fill the log
-)
-MOST = 1024  # kinds that are kept apart; beyond them the one told longest ago is forgotten
+EVERY = 1.0  # s; the window of the line limit, so that an event of every request does not fill the log
+MOST = 1024  # kinds tracked at once; above that, the kind with the oldest window is dropped
 
 
 class Repeats:
-    """Decides by a clock that never goes back, so that a step of the wall clock silences nothing."""
+    """Limits the lines of each kind in a time window.
+
+    Times come from a monotonic clock, so that a step of the wall clock suppresses no events.
+    """
 
     __slots__ = ("every", "last", "lines", "most", "untold")
 
     def __init__(self, every: float = EVERY, most: int = MOST) -> None:
         self.every = every
         self.most = most
-        self.last: dict[str, float] = {}  # when the lines of each began to count, the oldest first
-        self.lines: dict[str, int] = {}  # how many each has had since
-        self.untold: dict[str, int] = {}
+        self.last: dict[str, float] = {}  # when each kind's window began (s), oldest first
+        self.lines: dict[str, int] = {}  # lines of each kind in its window
+        self.untold: dict[str, int] = {}  # events of each kind suppressed since its last line
 
     def take(self, now: float, kind: str, lines: int = 1) -> int | None:
-        """Whether one of `kind` is logged at `now` (s): how many were left out before it, or None for no.
+        """Decide whether an event of `kind` is logged at `now` (s).
 
-        `lines` is how many a kind may have in each `every` seconds.
+        Returns how many were suppressed since the kind's last line, or None if this one is suppressed too.
+        `lines` is how many lines a kind may have in each `every` seconds.
         """
         last = self.last.get(kind)
         if last is not None and now < last + self.every:
@@ -36,13 +38,13 @@
         self.last[kind] = now
         self.lines[kind] = 1
         if len(self.last) > self.most:
-            # What it left out is still counted at the end.
+            # Its suppressed events stay counted, for `left` at the end.
             oldest = next(iter(self.last))
             del self.last[oldest]
             del self.lines[oldest]
         return self.untold.pop(kind, 0)
 
     def left(self) -> dict[str, int]:
-        """What went untold and has not been counted in a line since; asked once, at the end."""
+        """Suppressed events by kind that no line has reported yet; called once, at exit."""
         left, self.untold = self.untold, {}
         return left
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -1,4 +1,4 @@
-"""The log put together: told events pass the bound on repeats and the processors, and go to the writer."""
+"""The log pipeline: events pass the rate limit and the processors, are rendered and go to the writer."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Log:
-    """Takes what is told (`events.set_handler`), from any thread.
+    """Handles logged events (see `events.set_handler`); may be called from any thread.
 
-    The daemon runs these processors by itself; the tools have structlog run the same ones (`millgw.cli.log`):
-    the design note has what structlog costs a daemon.
+    The daemon runs these processors directly; the command line tools run the same ones through structlog
+    (`millgw.cli.log`). The design note states what structlog would cost the daemon.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
             self.write(self.render(None, "", told))
 
     def sparing(self, told: Told) -> Told | None:
-        """What is told of a repeating event, or None where this one goes untold."""
+        """Apply the rate limit: the event, with `more` if some were suppressed before it, or None."""
         lines = EVENTS[told["event"]].lines
         more = self.repeats.take(self.clock(), f"{told['event']} {told.get('service', '')}", lines)
         if more is None:
@@ -53,30 +53,30 @@
         return {**told, "more": more} if more else told
 
     def stamp(self, _: Any, __: str, told: Told) -> Told:
-        """Say when it was."""
+        """Processor that adds the time, `at` (Unix s)."""
         told["at"] = self.wall()
         return told
 
     def write(self, line: str) -> None:
-        """Hand a line to the writer."""
+        """Queue a rendered line for writing."""
         self.writer.put(line.encode(errors="backslashreplace") + b"\n")
 
     def word(self, event: str, **fields: Any) -> bytes:
-        """A line of the log's own, past the bound on repeats."""
+        """Render one of the log's own events, bypassing the rate limit."""
         told: Told = {"event": event, **fields}
         for step in self.processors:
             told = step(None, "", told)
         return self.render(None, "", told).encode() + b"\n"
 
     def close(self) -> None:
-        """Say what went untold, and wait a little for the reader."""
+        """Log the counts of suppressed events, then wait briefly for the writer."""
         for kind, more in self.repeats.left().items():
             self.writer.put(self.word("left-out", of=kind.rstrip(), more=more))
         self.writer.close()
 
 
 class Foreign(logging.Handler):
-    """What libraries tell the standard library's log becomes an event `message`."""
+    """Turns records of the standard library's logging into `message` events."""
 
     def __init__(self, to: Callable[[str, dict[str, Any]], None]) -> None:
         super().__init__()
@@ -90,7 +90,7 @@
 
 
 def start(kind: str, fd: int = STDERR) -> Log:
-    """Have all that is told go to a descriptor, in one of `wording.KINDS`; a ValueError for another."""
+    """Start logging to a descriptor in one of `wording.KINDS`; raises ValueError for any other kind."""
     writer = Writer(fd, Backlog(), lambda lines: log.word("lines-lost", lines=lines))
     log = Log(kind, writer)
     take(log)
@@ -98,7 +98,7 @@
 
 
 def take(log: Log, to: Callable[[str, dict[str, Any]], None] | None = None) -> None:
-    """Have events and other libraries' messages go to a log (through `to`), and end it with the process."""
+    """Send events and other libraries' records to a log (through `to`), and close it at process exit."""
     events.set_handler(to or log)
     logging.basicConfig(level=logging.INFO, handlers=[Foreign(to or log)], force=True)
     atexit.register(log.close)
--- a/millgw/log/table.py
+++ b/millgw/log/table.py
@@ -1,7 +1,8 @@
-"""Every event that the program tells, by name: its level, its fields, what it means.
+"""All log events by name: level, fields and meaning.
 
-`python -m millgw events` prints it; docs/logging.md holds it, and a test keeps the two equal. A field that
-is not named here is never written: that is how keys, tokens and callers' headers stay out of the log.
+`python -m millgw events` prints this table; docs/logging.md contains the output, and a test compares the
+two. A field that is not listed here is never written: that keeps keys, tokens and callers' headers out of the
+log.
 """
 
 from __future__ import annotations
@@ -11,9 +12,9 @@
 
 
 class Kind(NamedTuple):
-    """One event. `level` is the standard library's; an `open` event has figures beside its fields.
+    """One event. `level` is the standard library's; an `open` event may have metrics beside its fields.
 
-    `lines` is how often it is logged within a second: more of it is counted in `more` only.
+    `lines` is how many lines a second it may have: further ones are only counted, in `more`.
     """
 
     level: int
@@ -23,305 +24,328 @@
     lines: int = 1
 
 
-SEVERAL = 20  # lines a second of an event that tells connections or requests apart
+SEVERAL = 20  # lines a second of an event that describes a single connection or request
 
 
 EVENTS = {
     "serving": Kind(
         INFO,
         ("name", "listen", "modules"),
-        "callers are accepted; `modules` as `python -m millgw version` tells",
+        "callers are accepted; `modules` as `python -m millgw version` prints it",
     ),
     "request-turned-away": Kind(
         INFO,
         ("status", "cause", "client", "call", "came", "requests", "age_ms", "quiet_ms"),
-        "a request that can't be read or taken: how far it had `came` in (line, head, body, whole), how many "
-        "had begun on its connection, how long ago it began and its client last sent anything",
+        "a request that can't be parsed or accepted: how much of it `came` in (line, head, body, whole), "
+        "how many `requests` had begun on its connection, how long ago it began and its client last sent "
+        "anything",
         lines=SEVERAL,
     ),
     "no-time-left": Kind(
         INFO,
         ("told_ms", "waited_ms"),
-        "a call came with no time left (`told_ms` 0), or had waited for longer to be read or to be its "
-        "connection's next: it is refused at once",
+        "a call arrived with no time left (`told_ms` 0), or waited past its deadline to be read or behind "
+        "other requests of its connection: it is refused at once",
     ),
     "deadline-passed": Kind(
         INFO,
         ("where", "attempts"),
-        "a call's time was over: `where` it waited then (for an endpoint, between attempts, or its attempt: "
-        "connecting, held, writing, answer)",
+        "a call's deadline passed: `where` it was then (waiting for an endpoint, between attempts, or in an "
+        "attempt: connecting, held, writing, answer)",
         lines=SEVERAL,
     ),
     "attempt-failed": Kind(
         INFO,
         ("endpoint", "cause", "took_ms"),
-        "an attempt left its call unanswered: it is tried again, or given up",
+        "an attempt ended without a response for its call: the call is tried again or given up",
         lines=SEVERAL,
     ),
     "call-given-up": Kind(
         INFO,
         ("status", "cause", "attempts"),
-        "a call is answered without being served (503: it may be tried again; 502: it may have run), and why",
+        "a call is answered with an error and not served (503: it may be tried again; 502: it may have run)",
         lines=SEVERAL,
     ),
     "answer-spoilt": Kind(
         WARNING,
         ("endpoint", "cause"),
-        "an answer that can't be used: its attempt failed and may have run",
+        "an invalid response: its attempt failed and may have run",
     ),
     "answer-broken-off": Kind(
         WARNING,
         ("endpoint", "cause"),
-        "an answer that was being passed on did not come to its end; its caller's connection ended with it",
+        "a response ended early while it was being forwarded; the caller's connection was closed with it",
     ),
     "bytes-after-answer": Kind(
         WARNING,
         ("endpoint", "after_ms"),
-        "an endpoint sent more than its answer; the connection ended",
+        "an endpoint sent bytes after the end of its response; the connection was closed",
     ),
-    "no-descriptor": Kind(WARNING, ("endpoint",), "an attempt was not made: `limits.sockets` is used up"),
+    "no-descriptor": Kind(WARNING, ("endpoint",), "an attempt was not made: `limits.sockets` is exhausted"),
     "connect-not-made": Kind(
         WARNING,
         ("endpoint", "cause"),
-        "this machine could not open a connection (no address, descriptor, memory or network): held against "
-        "no endpoint",
+        "this machine could not open a connection (no address, descriptor, memory or network): not counted "
+        "as a failure of the endpoint",
     ),
-    "accept-failed": Kind(WARNING, ("cause",), "a caller's connection could not be had"),
-    "caller-lost": Kind(WARNING, ("cause",), "a caller's connection was gone before it was taken"),
+    "accept-failed": Kind(WARNING, ("cause",), "accepting a caller's connection failed"),
+    "caller-lost": Kind(WARNING, ("cause",), "a caller's connection was closed before it was accepted"),
     "caller-connection-closed": Kind(
         INFO,
         ("client", "cause", "requests", "age_ms", "quiet_ms"),
-        "this side closed a caller's connection, on which so many requests had begun: why, how long after it "
-        "was accepted and last used",
+        "the sidecar closed a caller's connection on which that many `requests` had begun: why, how long "
+        "after it was accepted and last used",
         lines=SEVERAL,
     ),
     "requests-unanswered": Kind(
         INFO,
         ("client", "cause", "requests", "age_ms", "quiet_ms"),
-        "a caller's connection ended with so many requests on it that have no answer: why, how long after it "
-        "was accepted and last read from",
+        "a caller's connection ended with that many `requests` unanswered: why, how long after it was "
+        "accepted and last read from",
         lines=SEVERAL,
     ),
     "door-call-failed": Kind(
         ERROR,
         ("cause",),
-        "a call at the operators' door met a fault of the sidecar's own; the door goes on",
+        "a request to the admin interface raised an internal error; the interface keeps running",
     ),
     "predecessor": Kind(
         INFO,
         ("pid", "control"),
-        "a process of this sidecar serves already: this one takes over from it",
+        "a process of this sidecar is already serving: this one takes over from it",
     ),
     "successor": Kind(
         INFO,
         ("control", "steered"),
-        "another process has taken over (`steered`: it has all new connections)",
+        "another process has taken over (`steered`: it receives all new connections)",
     ),
     "alone": Kind(INFO, ("control",), "the process that this one took over from has ended"),
     "successor-gone": Kind(
         WARNING,
         ("control",),
-        "the process that had taken over is gone before this one was told to end: this one has all "
-        "descriptors and allowances again, and the next process finds it",
+        "the process that had taken over ended before this one was told to: this one has all descriptors "
+        "and allowances again, and the next process can take over from it",
     ),
     "handover-unusable": Kind(
         WARNING,
         ("pid", "cause"),
-        "what the process before knows can't be had: this one starts as any other does",
+        "the previous process's state can't be read: this one starts without it",
     ),
-    "entry-skipped": Kind(WARNING, ("cause",), "an entry of discovery's list that can't be read"),
-    "known-unusable": Kind(WARNING, ("cause",), "the configuration's list that can't be read"),
+    "entry-skipped": Kind(WARNING, ("cause",), "an entry of discovery's list can't be parsed and is skipped"),
+    "known-unusable": Kind(WARNING, ("cause",), "the configuration's list of endpoints can't be parsed"),
     "drains-in-part": Kind(
         INFO,
         ("discovery", "drains"),
-        "a line that broke off or can't be read held drains that could be: they are heeded, and all "
-        "of it is asked for again",
+        "a truncated or invalid line of discovery contained drains that could be parsed: these are applied, "
+        "and the whole list is requested again",
     ),
     "discovery-asked": Kind(
-        INFO, ("discovery", "index"), "a watch is asked for, from the version known", lines=SEVERAL
+        INFO, ("discovery", "index"), "a watch is requested, starting at the version known", lines=SEVERAL
     ),
     "list-heard": Kind(
         INFO,
         ("discovery", "index", "whole", "entries"),
-        "discovery told a list or changes; a whole list leaves out what drains",
+        "discovery sent a list or changes; a `whole` list omits draining endpoints",
         lines=SEVERAL,
     ),
     "list-fresh-again": Kind(
         INFO,
         ("unheard_ms", "calls", "found_none", "probes"),
-        "discovery is heard after a time without a watch, in which it was called so often, so many looks "
-        "for an endpoint found the list over, and so many health probes were sent",
+        "discovery is heard again after a time without a watch: how many `calls` were made to it meanwhile, "
+        "how many searches of the stale list found no healthy endpoint, how many health `probes` were sent",
     ),
     "endpoint-not-well": Kind(
         INFO,
         ("endpoint",),
-        "while discovery is not heard, an endpoint answered a health probe as not well: it is left alone "
-        "until discovery is heard",
+        "while discovery was unreachable, an endpoint reported itself unhealthy in a health probe: it is not "
+        "used until discovery is heard again",
     ),
     "watch-ended": Kind(
         INFO,
         ("discovery", "cause", "asked_ms", "connected", "quiet_ms"),
-        "a call to discovery or its watch is over: how long ago it was made, whether its connection came up, "
-        "and how long ago anything last came; discovery is asked again when the module wants to",
+        "a call to discovery or its watch ended: how long ago it was made, whether its connection came up, "
+        "and how long ago data last arrived; the module decides when discovery is called again",
         lines=SEVERAL,
     ),
     "discovery-wait": Kind(
         INFO,
         ("after", "next_ms", "unheard_ms"),
-        "when the module has discovery asked again: after which end of the last call or watch, in how long, "
-        "and how long ago discovery last said anything (-1: never)",
+        "the module schedules the next call to discovery: how the last call or watch ended, the wait, and "
+        "how long ago discovery last sent anything (-1: never)",
         lines=SEVERAL,
     ),
     "discovery-moves": Kind(INFO, ("before", "to"), "a reload named another discovery"),
-    "coordinator-up": Kind(INFO, ("server", "fresh"), "the sidecar has a session at a coordinator"),
-    "coordinator-lost": Kind(INFO, ("server", "cause"), "the connection to a coordinator is gone"),
-    "session-expired": Kind(WARNING, ("server",), "it is gone; a new one reads everything again"),
+    "coordinator-up": Kind(INFO, ("server", "fresh"), "the sidecar has a session with a coordinator"),
+    "coordinator-lost": Kind(INFO, ("server", "cause"), "the connection to a coordinator was lost"),
+    "session-expired": Kind(
+        WARNING, ("server",), "the coordinator session expired; a new one reads everything again"
+    ),
     "coordinator-went-back": Kind(
         WARNING,
         ("seen",),
-        "all servers know less than they did; its word on who is gone is doubted for 30 s",
+        "all coordinator servers are at an older state than seen before; removals are doubted for 30 s",
+    ),
+    "coordinator-well": Kind(
+        INFO,
+        ("well",),
+        "where a discovery is used too: whether the coordinator has had a session within 10 s",
     ),
-    "coordinator-well": Kind(INFO, ("well",), "beside a discovery: whether it has had a session within 10 s"),
     "store-open": Kind(
         INFO,
         ("keys", "sync", "waited"),
-        "marks of unsafe calls can be read and written (docs/store.md)",
+        "the store of sent marks for unsafe calls is open for reading and writing (docs/store.md)",
     ),
     "store-locked": Kind(
         INFO,
         ("cause",),
-        "another process of this sidecar has the store; tried again each 50 ms",
+        "another process of this sidecar holds the store; retried every 50 ms",
     ),
-    "store-unusable": Kind(ERROR, ("cause",), "the store can't be opened: nothing unsafe is sent"),
-    "store-recovered": Kind(WARNING, ("note",), "what its recovery found"),
+    "store-unusable": Kind(ERROR, ("cause",), "the store can't be opened: no unsafe call is sent"),
+    "store-recovered": Kind(WARNING, ("note",), "what the recovery of the store found"),
     "store-failed": Kind(
         ERROR,
         ("cause",),
-        "a mark could not be written: the store is full, or a write or sync failed (then nothing "
-        "unsafe is sent until `store-writes-again`)",
+        "a mark could not be written: the store is full, or a write or sync failed (then no unsafe call is "
+        "sent until `store-writes-again`)",
     ),
     "store-writes-again": Kind(
         INFO,
         ("after_ms", "tries"),
-        "after a write or sync that failed all marks were written to new files, and unsafe calls are sent",
+        "after a failed write or sync, all marks were written to new files; unsafe calls are sent again",
     ),
     "not-sent-again": Kind(INFO, ("trace", "cause"), "an unsafe call that was answered without being sent"),
     "peers-learned": Kind(
         INFO,
         ("asked", "snapshots"),
-        "a start has asked peers, and so many answered in time (docs/peers.md)",
+        "at the start peers were asked, and that many `snapshots` arrived in time (docs/peers.md)",
     ),
     "peers": Kind(
         INFO,
         ("alive", "known", "told_of", "snapshots", "refused"),
-        "every minute: where the list of peers stands",
+        "every minute: the state of the list of peers",
     ),
     "peer-refused": Kind(
         INFO,
         ("peer", "cause", "refused"),
-        "a message of a peer that is not taken: no key, said before, unreadable",
+        "a message from a peer was rejected: no valid key, a replay, or malformed",
     ),
     "peers-not-listening": Kind(
         WARNING,
         ("listen", "cause"),
-        "the address for peers can't be had; tried again each half second",
+        "the address for peers can't be bound; retried every half second",
+    ),
+    "peer-keys-read": Kind(INFO, ("keys",), "a changed key file was read and is in use"),
+    "peer-keys-unusable": Kind(
+        WARNING, ("cause",), "a key file can't be read or used; the current keys stay"
     ),
-    "peer-keys-read": Kind(INFO, ("keys",), "a file of keys has changed and is used"),
-    "peer-keys-unusable": Kind(WARNING, ("cause",), "it can't be read or used; the keys held stay"),
     "membership-held": Kind(
         WARNING,
         ("path", "held", "few"),
-        "more than `few` nodes vanished together; their endpoints are held",
+        "more than `few` nodes vanished together; their endpoints are kept for now",
     ),
     "coordinator-refused": Kind(
         WARNING,
         ("path", "code"),
-        "it answers a read with an error (-102: no permission); asked again within 10 s",
+        "the coordinator answered a read with an error (-102: no permission); retried within 10 s",
+    ),
+    "node-skipped": Kind(WARNING, ("node", "cause"), "a member's node can't be parsed and is skipped"),
+    "too-many-nodes": Kind(
+        WARNING, ("path", "nodes"), "more nodes than any fleet has; the previous list stays"
+    ),
+    "registered": Kind(INFO, ("node", "times"), "`register`: the node was created"),
+    "name-taken": Kind(WARNING, ("node",), "another process already has a node of that name"),
+    "register-refused": Kind(
+        WARNING, ("node", "code"), "the coordinator refused the registration; retried every second"
     ),
-    "node-skipped": Kind(WARNING, ("node", "cause"), "a member's node that can't be read"),
-    "too-many-nodes": Kind(WARNING, ("path", "nodes"), "no fleet's list; what was known stays"),
-    "registered": Kind(INFO, ("node", "times"), "`register`: the node is there"),
-    "name-taken": Kind(WARNING, ("node",), "another process has a node of that name"),
-    "register-refused": Kind(WARNING, ("node", "code"), "the coordinator refuses; tried again each second"),
     "instance-serving": Kind(
         INFO,
         ("name", "listen", "index"),
-        "`configuration serve`: a control instance listens, with this version",
+        "`configuration serve`: a control instance is listening and holds this version",
     ),
     "replica-role": Kind(
-        INFO, ("role", "epoch", "leader"), "a control instance's role, epoch or leader has changed"
+        INFO, ("role", "epoch", "leader"), "a control instance's role, epoch or leader changed"
     ),
     "replica-refused": Kind(
         ERROR,
         ("peer", "cause"),
-        "a control instance came back with older state than it had acknowledged: restart it once it is level",
+        "a control instance returned with older state than it had acknowledged: restart it once it caught up",
     ),
     "instance-failed": Kind(
         ERROR,
         ("cause",),
-        "a control instance could not make its state durable, or found it broken: it ends",
+        "a control instance could not write its state durably or found it corrupt: it exits",
     ),
     "reloaded": Kind(
         INFO,
         ("services", "new", "removed"),
-        "SIGHUP was carried out (the fields with services only)",
+        "a reload on SIGHUP is done (the fields appear with services only)",
+    ),
+    "reload-refused": Kind(ERROR, ("cause",), "a file can't be used; nothing was changed"),
+    "reload-takes-restart": Kind(
+        WARNING, ("field",), "this field changed and takes effect after a restart only"
     ),
-    "reload-refused": Kind(ERROR, ("cause",), "a file can't be used; all stays as it was"),
-    "reload-takes-restart": Kind(WARNING, ("field",), "it has changed and is not applied"),
     "control-up": Kind(
         INFO,
         ("instance", "index"),
-        "a control instance tells the distributed configuration (docs/configuration-sidecar.md)",
+        "a control instance sends the distributed configuration (docs/configuration-sidecar.md)",
     ),
     "control-lost": Kind(
         WARNING,
         ("instance", "cause"),
-        "the watch of it is over; the version in force stays, and another instance is asked",
+        "the watch on a control instance ended; the active version stays, and another instance is asked",
+    ),
+    "control-late": Kind(
+        INFO, ("within_ms",), "no version arrived in time: this start uses the local files alone"
     ),
-    "control-late": Kind(INFO, ("within_ms",), "no version came in time: this start goes by the files alone"),
     "configuration-applied": Kind(
         INFO,
         ("index", "epoch", "took_ms"),
-        "a version is in force, as a whole",
+        "a version is now active, as a whole",
     ),
     "configuration-refused": Kind(
         WARNING,
         ("index", "epoch", "cause"),
-        "a version can't be used here; the former stays in force",
+        "a version can't be used here; the previous one stays active",
     ),
     "configuration-contradicts": Kind(
         ERROR,
         ("instance", "cause"),
-        "an instance tells another history than was received: it is ignored, and another instance is asked",
+        "an instance sent a history that contradicts the one received: it is ignored, another one is asked",
+    ),
+    "last-good-read": Kind(
+        INFO, ("index", "epoch"), "the last good version was read from disk; this start begins with it"
     ),
-    "last-good-read": Kind(INFO, ("index", "epoch"), "the last good version, with which this start begins"),
     "last-good-unusable": Kind(
         WARNING,
         ("path", "cause"),
-        "the file is torn or another's: this start begins without it",
+        "the file of the last good version is corrupt or another sidecar's: this start begins without it",
+    ),
+    "last-good-unwritten": Kind(
+        WARNING, ("path", "cause"), "the last good version could not be written to disk"
     ),
-    "last-good-unwritten": Kind(WARNING, ("path", "cause"), "the last good version could not be kept"),
     "pool": Kind(
         INFO,
         ("pool", "endpoints", "calls", "connections", "bodies", "answers", "sends", "held_back"),
-        "each minute, for each service: held against its bound",
+        "every minute, for each service: what its pool holds and its limits",
         open=True,
     ),
     "pool-ended": Kind(INFO, ("pool",), "the last call of a removed service has ended"),
     "ended-unserved": Kind(
         WARNING,
         ("requests",),
-        "the process ends with calls unanswered by endpoints; they failed",
+        "the process exits with calls that endpoints have not answered; they failed",
     ),
-    "left-out": Kind(INFO, ("of", "more"), "at the end: how many of a repeating event went untold"),
+    "left-out": Kind(INFO, ("of", "more"), "at exit: how many repeats of an event were suppressed"),
     "lines-lost": Kind(
         WARNING,
         ("lines",),
-        "nobody read standard error, and so many lines were dropped; the first that waited are kept",
+        "standard error was not read, and that many lines were dropped; the oldest buffered ones are kept",
+    ),
+    "message": Kind(
+        WARNING, ("text",), "a record that a library logged through the standard library, at its own level"
     ),
-    "message": Kind(WARNING, ("text",), "what a library told the standard library's log, at its own level"),
 }
-"""In the order of the page."""
+"""In the order in which docs/logging.md has them."""
 
 COMMON = ("service", "call", "endpoint", "more", "traceback")
-"""What any event may have: what it is bound to, how many of its kind went untold, an exception's trace."""
+"""Fields that any event may have: bound ones, the count of suppressed repeats, an exception's traceback."""
--- a/millgw/log/wording.py
+++ b/millgw/log/wording.py
@@ -1,4 +1,7 @@
-"""An event as a line: for people or as JSON. Pure; each step is a processor as structlog calls them."""
+"""Processors and renderers that turn an event into a line of text or JSON. Pure.
+
+Each has the signature of a structlog processor.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 from millgw.log.table import COMMON, EVENTS
 
 Told = MutableMapping[str, Any]
-"""What is told of one event: `event`, its fields, and `at` (Unix s) and `level` once they are known."""
+"""One log event: `event` (its name), its fields, and `at` (Unix s) and `level` once they are set."""
 Processor = Callable[[Any, str, Told], Told]
 Renderer = Callable[[Any, str, Told], str]
 
-LONGEST = 1000  # characters of one field: a stranger's text must not fill the log
+LONGEST = 1000  # characters of one field: text from outside must not fill the log
 KINDS = ("text", "json")
 
 
 def known(_: Any, __: str, told: Told) -> Told:
-    """Keep the fields that the table names and give the level; others are left out, whoever told them."""
+    """Keep only the fields that the event's table entry lists, and set the level."""
     kind = EVENTS[told["event"]]
     out: Told = {"event": told["event"], "level": told.get("level", kind.level)}
     for name, value in told.items():
@@ -32,7 +35,7 @@
 
 
 def plain(_: Any, __: str, told: Told) -> Told:
-    """Numbers as they are, all else as text of bounded length."""
+    """Convert all values but numbers to text of bounded length."""
     for name, value in told.items():
         if isinstance(value, int | float):
             continue
@@ -44,7 +47,7 @@
 
 
 def text(_: Any, __: str, told: Told) -> str:
-    """A line for people; an exception's trace follows on lines of its own."""
+    """Render a line of text; an exception's traceback follows on lines of its own."""
     words = [getLevelName(told["level"]), told["event"]]
     words += [f"{k}={_word(v)}" for k, v in told.items() if k not in ("event", "level", "at", "traceback")]
     if "at" in told:
@@ -54,24 +57,24 @@
 
 
 def as_json(_: Any, __: str, told: Told) -> str:
-    """One object a line: `at`, `level`, `event`, the event's fields."""
+    """Render one JSON object: `at`, `level`, `event`, the event's fields."""
     out: dict[str, Any] = {"at": round(told["at"], 3), "level": getLevelName(told["level"]).lower()}
     return json.dumps(out | {k: v for k, v in told.items() if k not in ("at", "level")})
 
 
 def renderer(kind: str) -> Renderer:
-    """One of `KINDS`; a ValueError for another."""
+    """The renderer for one of `KINDS`; raises ValueError for any other kind."""
     if kind not in KINDS:
         raise ValueError(f"{kind!r} is not one of {', '.join(KINDS)}")
     return as_json if kind == "json" else text
 
 
 def _moment(unix: float) -> str:
-    """A Unix time (s) as RFC 3339 words it, in UTC to the millisecond."""
+    """Format a Unix time (s) as RFC 3339, in UTC to the millisecond."""
     return datetime.fromtimestamp(unix, UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
 def _word(value: object) -> str:
     word = f"{value:g}" if isinstance(value, float) else str(value)
-    # JSON's quoting leaves no byte that a terminal obeys, and no second line.
+    # JSON quoting escapes control characters and line breaks: no terminal commands, no forged lines.
     return word if word and word.isprintable() and " " not in word and '"' not in word else json.dumps(word)
--- a/millgw/log/writer.py
+++ b/millgw/log/writer.py
@@ -1,4 +1,4 @@
-"""Writes lines to a descriptor in a thread of its own: whoever tells an event never waits for its reader."""
+"""Writes log lines to a descriptor in a separate thread, so that logging never blocks on a slow reader."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 from millgw.log.backlog import Backlog
 
-WITHIN = 0.2  # s that the end of the process waits for a reader
+WITHIN = 0.2  # s that process exit waits for buffered lines to be written
 
 
 class Writer:
-    """The thread starts with the first line, so that a process that tells nothing has none."""
+    """A log writer thread; it starts with the first line, so that a process that logs nothing has none."""
 
     def __init__(self, fd: int, backlog: Backlog, lost: Callable[[int], bytes]) -> None:
         self.fd = fd
         self.backlog = backlog
-        self.lost = lost  # words the line that says how many are missing
+        self.lost = lost  # renders the line that states how many were dropped
         self.changed = threading.Condition()
         self.thread: threading.Thread | None = None
         self.busy = False
         self.ended = False
 
     def put(self, line: bytes) -> None:
-        """Have a line written some time; at once from the caller's point of view."""
+        """Queue a line and return at once."""
         with self.changed:
             if self.ended:
                 return
@@ -36,7 +36,7 @@
             self.changed.notify_all()
 
     def close(self, within: float = WITHIN) -> bool:
-        """Wait for what was told to be written, `within` s at the most; whether it was."""
+        """Wait up to `within` s for all queued lines to be written; returns whether they were."""
         with self.changed:
             done = self.changed.wait_for(lambda: not self.busy and not self.backlog.lines, within)
             self.ended = True
@@ -55,7 +55,7 @@
                 piece, lost = self.backlog.take()
             try:
                 self._write(piece + (self.lost(lost) if lost else b""))
-            except OSError:  # its reader is gone for good: the process serves on without a log
+            except OSError:  # the reader has closed its end: the process goes on without a log
                 with self.changed:
                     self.busy, self.ended = False, True
                     self.backlog.take()
@@ -67,11 +67,10 @@
         while left:
             try:
                 left = left[os.write(self.fd, left) :]
-            except BlockingIOError:  # somebody else made the descriptor non-blocking
+            except BlockingIOError:  # another holder of the descriptor made it non-blocking
                 select_writable(self.fd)
 
 
 def select_writable(fd: int) -> None:
-    """Wait until a non-blocking descriptor takes bytes."""
-
+    """Wait until a non-blocking descriptor is writable."""
     select.select([], [fd], [])
--- a/millgw/operator/__init__.py
+++ b/millgw/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's own file: what it may say, and what it means. Read only where the daemon is given one."""
+"""The operator's file: its schema, checks and commands. Loaded only where the daemon is given such a file."""
--- a/millgw/operator/command.py
+++ b/millgw/operator/command.py
@@ -1,4 +1,4 @@
-"""The commands `check` and `route`: what an operator's file means, and which route a request takes."""
+"""The commands `check` and `route`: validate an operator's file, and show which route a request takes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from millgw.routing.table import Asked, NoRoute
 from millgw.routing.target import BadTarget, read_target
 
-WITHOUT = "the daemon is what it is without this file"
-TENDED = "connections to endpoints are tended"
+WITHOUT = "the daemon behaves as without this file"
+TENDED = "connections to endpoints are managed (table `connections`)"
 
 
 def _load(path: str) -> Operator:
@@ -59,7 +59,9 @@
     for name, told in services.items():
         lines.append(f"{name}: {told['source']}; classes {', '.join(told['classes']) or 'all'}")
         for kind, share in told["guaranteed"].items():
-            lines.append(f"    {kind}: {share:.1%} of the daemon's for sure, more while others leave it idle")
+            lines.append(
+                f"    {kind}: {share:.1%} of the daemon's guaranteed, more while other services leave it idle"
+            )
         if told["tended"]:
             lines.append(f"    {TENDED}")
         lines += [f"    takes {route}" for route in told["routes"]]
@@ -67,7 +69,7 @@
 
 
 class Meaning(TypedDict):
-    """One service as the daemon will have it; `guaranteed` are shares by kind."""
+    """One service as the daemon will run it; `guaranteed` are shares by kind of resource."""
 
     source: str
     classes: list[str]
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -1,7 +1,7 @@
-"""The operator's file: services, each with its pool, and the routes that lead to them.
+"""Schema of the operator's file: services, each with its own pool, and the routes to them.
 
-Absent, or with no services, the daemon is what it is without it. Errors are one line that names file, line
-and path, such as `operator.toml:7: services.login.limits.calls: Expected `int` >= 1`.
+Without the file, or without services in it, the daemon has one pool for all requests. Errors are one line
+that names file, line and path, such as `operator.toml:7: services.login.limits.calls: Expected `int` >= 1`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class OperatorError(FileError):
-    """The operator's file can't be used."""
+    """An invalid operator's file."""
 
 
 class Endpoint(Table, frozen=True, kw_only=True):
@@ -36,7 +36,7 @@
 
 
 class Directory(Table, frozen=True, kw_only=True):
-    """Where ephemeral nodes of a ZooKeeper-style coordinator are; `connect` is `IP:port,IP:port/root`."""
+    """A directory of ephemeral nodes on a ZooKeeper-like coordinator; `connect` is `IP:port,IP:port/root`."""
 
     connect: str
     path: str
@@ -44,11 +44,11 @@
 
 
 class Coordinator(Directory, frozen=True, kw_only=True):
-    """One whose nodes are a service's endpoints.
+    """A directory whose nodes are a service's endpoints.
 
-    `endpoint` names one of a serverset's additional endpoints. `mass_share` is the share of endpoints that
-    may vanish within `window_s` and be taken as gone; when more do, they are held for `hold_s` if nothing is
-    heard of them, and for `hold_most_s` in any case.
+    `endpoint` selects one of a serverset's additional endpoints. `mass_share` is the share of endpoints that
+    may vanish within `window_s` and still be removed at once; if more vanish, they are kept for `hold_s`
+    while nothing is heard of them, and for at most `hold_most_s` in any case.
     """
 
     endpoint: str = ""
@@ -59,7 +59,7 @@
 
 
 class Connections(Table, frozen=True, kw_only=True):
-    """How connections to endpoints are tended (docs/connections.md); a table that is there switches it on."""
+    """Management of connections to endpoints (docs/connections.md); the table's presence enables it."""
 
     order: Literal["lifo", "fifo"] = "lifo"
     keep_least: Annotated[int, Meta(ge=0, le=1000)] = 0
@@ -86,7 +86,7 @@
     prove_ms: Annotated[float, Meta(ge=10, le=10_000)] = 100.0
 
     def terms(self) -> Terms:
-        """The same as the decisions have it; a ValueError names the field that can't be."""
+        """These settings as the connection policy takes them; raises ValueError naming an invalid field."""
         return Terms(
             order=Order(self.order), keep_least=self.keep_least, keep_most=self.keep_most,
             open_most=self.open_most, ahead=self.ahead, headroom=self.headroom, age=self.age_s * 1000,
@@ -98,9 +98,9 @@
 
 
 class Limits(Table, frozen=True, kw_only=True):
-    """What a service's pool has for sure, as shares of what the whole daemon may hold.
+    """Guarantees of a service's pool, as shares of what the whole daemon may hold.
 
-    `callers` is its part of callers' connections: past it, its idle ones are the first to give way.
+    `callers` is its share of callers' connections: above it, its idle ones are closed first.
     """
 
     callers: Annotated[float, Meta(gt=0, le=1)] | None = None
@@ -111,14 +111,14 @@
 
 
 class Service(Table, frozen=True, kw_only=True):
-    """One service: where its endpoints are known from, its classes, and settings that differ for it.
-
-    Without `discovery`, `coordinator` and `endpoints` the configuration's discovery tells. With a
-    coordinator, `membership` says how its list and a discovery's become one (`Mode` of
-    `millgw.membership.merge`); without it the coordinator alone tells. `settings` holds words of the
-    configuration's object of that name and goes over it, table by table. `listen` is an address of its own:
-    all requests there are for this service, which needs no route then. `connections` stands in the place of
-    the whole file's table of that name.
+    """One service: the source of its endpoint list, its classes, and settings that differ for it.
+
+    Without `discovery`, `coordinator` and `endpoints`, the configuration's discovery is used. With a
+    coordinator, `membership` selects how its list and a discovery's are merged (`Mode` of
+    `millgw.membership.merge`); without `membership` the coordinator alone is used. `settings` is merged,
+    table by table, over the configuration's object of that name. `listen` is an address of its own: all
+    requests there are for this service, which then needs no route. `connections` replaces the file's
+    top-level table of that name.
     """
 
     listen: str | None = None
@@ -133,9 +133,10 @@
 
 
 class Store(Table, frozen=True, kw_only=True):
-    """Where it is marked, durably, that an unsafe call is sent (docs/store.md); the table switches it on.
+    """The durable store that marks unsafe calls as sent (docs/store.md); the table's presence enables it.
 
-    Two `directories` are mirrors. A mark is kept for `keep_h`; `key` names the header of a client's own key.
+    Two `directories` mirror each other. Marks are kept for `keep_h`; `key` names the header with the client's
+    own idempotency key.
     """
 
     directories: Annotated[tuple[str, ...], Meta(min_length=1, max_length=2)]
@@ -145,10 +146,11 @@
 
 
 class Peers(Table, frozen=True, kw_only=True):
-    """Learning from other sidecars (docs/peers.md); a table that is there switches it on.
+    """Exchange of state with other sidecars (docs/peers.md); the table's presence enables it.
 
-    `listen` (UDP and TCP) is where they find this one, and its name among them. `join` are some of them,
-    `keys` the files of one or two shared keys, the first of which is used; a start waits for `within_ms`.
+    `listen` (UDP and TCP) is the address at which peers reach this sidecar, and its name among them. `join`
+    lists some peers. `keys` are the files of one or two shared keys: the first signs messages, all are
+    accepted. A start waits for peers for at most `within_ms`.
     """
 
     listen: str
@@ -159,11 +161,11 @@
 
 
 class Configuration(Table, frozen=True, kw_only=True):
-    """Following the fleet's configuration (docs/configuration-sidecar.md); the table switches it on.
+    """The fleet's distributed configuration (docs/configuration-sidecar.md); the table's presence enables it.
 
-    `instances` are the control instances, any of which tells it; `relays` those that only serve a zone, which
-    the sidecars of this `zone` ask first. The last good version is kept in `directory`, where that is given.
-    `name` is the sidecar's in its reports, by default that of the configuration.
+    `instances` are the control instances, any of which can send it. `relays` lists, by zone, those that serve
+    one zone only; sidecars whose `zone` it is ask them first. The last good version is stored in `directory`,
+    if that is set. `name` is the sidecar's name in its reports, by default that of the configuration.
     """
 
     instances: Annotated[tuple[str, ...], Meta(min_length=1, max_length=64)]
@@ -174,11 +176,12 @@
 
 
 class Places(Table, frozen=True, kw_only=True):
-    """Where this sidecar and its endpoints are (docs/locality.md); the table switches choosing by zone on.
+    """Zones and regions (docs/locality.md); the table's presence enables zone-aware choice of endpoints.
 
-    `zone` is the sidecar's own, `regions` names the zones of each region; without it all are one region.
-    `fill` is the share of all endpoints' capacity that callers ask for together, `callers` each zone's part
-    of them in any unit, by default as its endpoints. Calls of the classes in `keep_in_region` never leave it.
+    `zone` is the sidecar's own zone. `regions` lists the zones of each region; without it all zones are one
+    region. `fill` is the share of all endpoints' capacity that callers use together; `callers` is each zone's
+    part of that load in any unit, by default in proportion to its endpoints. Calls of the classes in
+    `keep_in_region` never leave their region.
     """
 
     zone: Annotated[str, Meta(min_length=1, max_length=128)]
@@ -189,7 +192,7 @@
 
 
 class RouteEntry(Table, frozen=True, kw_only=True, rename={"cls": "class"}):
-    """One route; what it leaves out may be anything."""
+    """One route; an omitted field matches anything."""
 
     to: str
     host: str = ""
@@ -211,7 +214,7 @@
     places: Places | None = None
 
     def tends(self, name: str = "") -> Terms | None:
-        """How a service's connections are tended, or those of the one pool; None for the plain way."""
+        """The connection settings of a service, or of the single pool; None if they are not managed."""
         own = self.services[name].connections if name else None
         told = self.connections if own is None else own
         return None if told is None else told.terms()
@@ -221,7 +224,7 @@
 
 
 def check(operator: Operator) -> Operator:
-    """What no single field can tell."""
+    """Check conditions that span several fields; raises ValueError with the text `path: what`."""
     _check_connections("connections", operator.connections)
     if operator.peers is not None:
         _check_peers(operator.peers)
@@ -343,7 +346,7 @@
 
 
 def table(operator: Operator) -> RouteTable:
-    """The file's routes, compiled."""
+    """Compile the file's routes."""
     return RouteTable(
         [
             Route(r.to, r.host, r.path, r.method, r.cls, tuple(sorted(r.headers.items())))
@@ -353,12 +356,12 @@
 
 
 def parse(text: str, name: str) -> Operator:
-    """The file from its text."""
+    """Parse an operator's file from its text."""
     return read(text, name, Operator, check, OperatorError)
 
 
 def load(path: str) -> Operator:
-    """The file at a path."""
+    """Read and parse the operator's file at a path."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/millgw/operator/files.py
+++ b/millgw/operator/files.py
@@ -1,4 +1,4 @@
-"""The files that a sidecar is told by, read: what a distributed document's entries go over."""
+"""The parsed configuration files of a sidecar, on which distributed configuration is overlaid."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Files:
-    """The configuration, the settings in it as they are worded, and the operator's file."""
+    """The configuration, its settings as written (not yet checked), and the operator's file."""
 
     config: Config
     settings: Mapping[str, Any]
--- a/millgw/operator/guarantees.py
+++ b/millgw/operator/guarantees.py
@@ -1,4 +1,4 @@
-"""What shares of the whole come to in units. Pure."""
+"""Converts shares of a total to guaranteed units. Pure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 def parts(total: int, shares: Mapping[str, float | None]) -> dict[str, int]:
-    """Guarantees in units: the shares given; of what they leave, half in equal parts and half to borrow."""
+    """Guarantees in units. Of what the given shares leave, the others get half in equal parts.
+
+    The other half is guaranteed to nobody, so that every pool can borrow it.
+    """
     given = sum(share for share in shares.values() if share is not None)
     open_ = [name for name, share in shares.items() if share is None]
     rest = max(0.0, 1.0 - given) / 2 / len(open_) if open_ else 0.0
--- a/millgw/operator/toml_schema.py
+++ b/millgw/operator/toml_schema.py
@@ -1,7 +1,7 @@
-"""TOML files with checks: types and ranges by `msgspec`, errors in one line that names file, line and key.
+"""Validated TOML files: types and ranges by `msgspec`, one-line errors with file, line and key.
 
-A file's tables are `Table`s; what no single field can tell is checked by a function that raises a ValueError
-worded `path: what`, such as `faults[2].start_s: is past the day's end`.
+A file's tables are `Table` classes. Conditions on several fields are checked by a function that raises
+ValueError with the text `path: what`, such as `faults[2].start_s: is past the day's end`.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 
 class FileError(ValueError):
-    """A file that can't be used; the text names file, line and key."""
+    """An invalid file; the text names file, line and key."""
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table of a file: keys that it does not know are errors."""
+    """A table of a file; unknown keys are errors."""
 
 
 T = TypeVar("T", bound=Table)
 
 
 def read(text: str, name: str, kind: type[T], check: Callable[[T], T], error: type[FileError]) -> T:
-    """The file's whole value; `name` is what errors call the file."""
+    """Parse and check a file's text; `name` is the file name shown in errors."""
     try:
         data: Any = tomllib.loads(text)
     except tomllib.TOMLDecodeError as wrong:
@@ -46,7 +46,7 @@
 
 
 def _keyed(path: str, data: Any, kind: type[T], said: str) -> str:
-    """The path with the keys of free tables in it, which the checks word as `[...]`: found by trying them."""
+    """Replace `[...]`, as msgspec writes a free-form table's key, by the key, found by trying each."""
     while "[...]" in path:
         before = path.partition("[...]")[0]
         *above, last = before.split(".")
@@ -71,14 +71,14 @@
 
 
 def place(text: str, name: str, path: str, what: str) -> str:
-    """One line: where it is, as far as that can be known, and what is wrong."""
+    """Format a one-line error: the location, as far as it is known, and the problem."""
     line = line_of(text, path) if path else None
     where = f"{name}:{line}" if line is not None else name
     return f"{where}: {path}: {what}" if path else f"{where}: {what}"
 
 
 def line_of(text: str, path: str) -> int | None:
-    """The line on which a key like `faults[2].start_s` stands, or that of the nearest table above it."""
+    """The line number of a key like `faults[2].start_s`, or of the nearest table above it."""
     parts = [p for p in re.split(r"[.\[\]]+", path.removeprefix("$")) if p]
     best, at_table = None, None
     counts: dict[str, int] = {}
--- a/millgw/routing/__init__.py
+++ b/millgw/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which service a request is for: its target made plain, and the table of routes. Pure."""
+"""Routing of requests to services: normalisation of request targets, and the route table. Pure."""
--- a/millgw/routing/table.py
+++ b/millgw/routing/table.py
@@ -1,15 +1,15 @@
-"""The table of routes: of all that match a request, the most specific one. Pure, compiled once.
+"""The route table: finds the most specific route that matches a request. Pure, compiled once.
 
-The order, total and independent of how routes were written down. Of two that match, the one wins that first
-has
+The order of precedence is total and independent of the order of the routes in the file. Of two routes that
+match, the first of these rules that tells them apart decides; the winner has
 1. the more specific host: exact, then the longer `*.` suffix, then any;
 2. the longer path prefix, in segments;
 3. a method, where the other has none;
 4. a class, where the other has none;
 5. more headers; with as many, the first by the sorted names and then values.
 
-Looking a request up costs a dictionary look-up for each label of its host and segment of its path at the
-most, and for each *set of header names* on one host and path (at most MOST_SETS): never one for each route.
+A lookup costs at most one dictionary access for each label of the host and segment of the path, and for each
+*set of header names* on one host and path (at most MOST_SETS). It does not depend on the number of routes.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class RouteError(ValueError):
-    """A route that can't stand in a table; `index` is its place among those given."""
+    """An invalid or duplicate route; `index` is its position in the list of routes."""
 
     def __init__(self, index: int, what: str) -> None:
         super().__init__(what)
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """What a request must be like; empty is anything. `headers` are names in lower case with whole values."""
+    """Conditions on a request; an empty field matches anything. `headers`: lower-case names, whole values."""
 
     service: str
     host: str = ""
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Asked:
-    """A request as far as routes look at it."""
+    """The parts of a request that routes are matched against."""
 
     target: Target
     method: str = ""
@@ -62,18 +62,18 @@
 
 @dataclass(slots=True, frozen=True)
 class NoRoute:
-    """No route matches: 421 where none names the host, else 404."""
+    """No route matches: status 421 if no route has the host, else 404."""
 
     status: int
     why: str
 
 
 Leaf = dict[tuple[str, str], list[tuple[tuple[str, ...], dict[tuple[str, ...], Route]]]]
-"""By method and class: sets of header names in their order, each with the routes by values."""
+"""By method and class: sets of header names in order of precedence, each with its routes by header values."""
 
 
 def plain(route: Route, index: int) -> Route:
-    """The route with host and path as requests have them; a RouteError tells what no request could meet."""
+    """The route with host and path normalised as in requests; raises RouteError if no request could match."""
     host, path = route.host, route.path
     try:
         if host:
@@ -93,7 +93,7 @@
 
 
 class Table:
-    """All routes, ready for look-ups."""
+    """All routes, indexed for lookups."""
 
     def __init__(self, routes: Sequence[Route]) -> None:
         self.exact: dict[str, dict[str, Leaf]] = {}
@@ -130,7 +130,7 @@
         sets.sort(key=lambda item: (-len(item[0]), item[0]))
 
     def find(self, asked: Asked) -> Route | NoRoute:
-        """The one route of a request, or what it is refused with."""
+        """The route of a request, or the status to refuse it with."""
         host, known = asked.target.host, bool(self.any)
         prefixes = tuple(_prefixes(asked.target.path))
         for paths in self._hosts(host):
@@ -144,7 +144,7 @@
         return NoRoute(UNKNOWN_HOST, f"no service answers for host {host}")
 
     def _hosts(self, host: str) -> Iterator[dict[str, Leaf]]:
-        """The routes of each host pattern that matches, the most specific first."""
+        """The routes of each matching host pattern, the most specific first."""
         if (paths := self.exact.get(host)) is not None:
             yield paths
         if self.suffix:
@@ -158,7 +158,7 @@
 
 
 def _prefixes(path: str) -> Iterator[str]:
-    """A path's prefixes on segment borders, the longest first; the last is the empty one."""
+    """A path's prefixes at segment boundaries, the longest first; the last is empty."""
     path = path.rstrip("/")
     while path:
         yield path
--- a/millgw/routing/target.py
+++ b/millgw/routing/target.py
@@ -1,9 +1,9 @@
-"""A request's target and Host made plain, or refused: never read in two ways. Pure.
+"""Normalises a request's target and Host, and refuses ambiguous ones. Pure.
 
 Sources: RFC 9112 section 3.2 (request target, Host), RFC 9110 section 7.2 (Host), RFC 3986 sections 3.2.2 and
-6.2.2 (host, normalisation). Where two readers may differ (empty and dot segments, an encoded slash, a Host
-other than the target's), the request is refused: the target goes on to the endpoint as it came, and what it
-would make of it is not known here.
+6.2.2 (host, normalisation). Where two parsers may differ (empty and dot segments, an encoded slash, a Host
+other than the target's), the request is refused: the target is forwarded to the endpoint unchanged, and the
+endpoint might interpret it differently from the route table.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 MAX_HOST = 255  # bytes; RFC 1035 section 2.3.4
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 PATH = re.compile(rb"[A-Za-z0-9\-._~!$&'()*+,;=:@/%]*")  # RFC 3986 section 3.3
-QUERY = re.compile(rb"[\x21-\x22\x24-\x7e]*")  # more than RFC 3986 allows: of no weight for the route
+QUERY = re.compile(rb"[\x21-\x22\x24-\x7e]*")  # more than RFC 3986 allows: the query does not affect routing
 NAME = re.compile(rb"(?!-)[a-z0-9_-]{1,63}(?<!-)")
 ENCODED = re.compile(rb"%([0-9A-Fa-f]{2})")
-REFUSED = frozenset(b"/\\\x00")  # encoded, some readers split at them and others do not
+REFUSED = frozenset(b"/\\\x00")  # when encoded, some parsers treat them as separators and others do not
 
 
 class BadTarget(ValueError):
-    """A target that is refused, with the status that says so."""
+    """An invalid or ambiguous target, with the response status."""
 
     def __init__(self, why: str, status: int = 400) -> None:
         super().__init__(why)
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """`host` in lower case without its port, `path` with escapes only where they are needed."""
+    """`host` in lower case without port; `path` percent-encoded only where necessary."""
 
     host: str
     path: str
 
 
 def read_target(target: bytes, hosts: tuple[bytes, ...]) -> Target:
-    """The plain target of a request of HTTP/1.1; `hosts` are the values of all its Host fields."""
+    """Normalise the target of an HTTP/1.1 request; `hosts` are the values of all its Host fields."""
     if len(hosts) != 1:
         raise BadTarget("Host is missing" if not hosts else "Host is given twice")
     host = read_host(hosts[0])
@@ -60,7 +60,7 @@
 
 
 def read_host(value: bytes) -> str:
-    """A host in lower case, without port and final dot: a name, IPv4 address, or IPv6 one in brackets."""
+    """Normalise a host name, IPv4 address or bracketed IPv6 address: lower case, no port, no final dot."""
     value = value.strip(b" \t").lower()
     if value.startswith(b"["):
         inner, closed, port = value[1:].partition(b"]")
@@ -81,7 +81,7 @@
 
 
 def _port(value: bytes) -> bytes:
-    """The port that a host names, in digits; 80 where it names none."""
+    """The port of a Host value in digits without leading zeros; 80 if there is none."""
     port = value.strip(b" \t").rpartition(b"]")[2].partition(b":")[2]
     return port.lstrip(b"0") or b"80"
 
@@ -92,7 +92,7 @@
 
 
 def read_path(path: bytes) -> str:
-    """A path whose every reader splits it into the same segments."""
+    """Normalise a path; refuses any that parsers could split into different segments."""
     if not path.startswith(b"/"):
         raise BadTarget("the path does not begin with a slash")
     if not PATH.fullmatch(path):
@@ -108,7 +108,7 @@
 
 
 def _decode(path: bytes) -> bytes:
-    """Decode what needs no escape and write the others in one way (RFC 3986 section 6.2.2)."""
+    """Decode unreserved characters and write other escapes in upper case (RFC 3986 section 6.2.2)."""
     if len(ENCODED.findall(path)) != path.count(b"%"):
         raise BadTarget("the path has a broken escape")
 
--- a/millgw/services/__init__.py
+++ b/millgw/services/__init__.py
@@ -1,1 +1,1 @@
-"""Several services in one process: a pool for each, what each may hold, and whose turn it is."""
+"""Several services in one process: a pool for each, shared resource limits, and fair scheduling."""
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -1,8 +1,9 @@
-"""The callers' side with several services: routes requests, and lets no pool's flood queue before another's.
+"""The callers' side with several services: request routing, and fair scheduling between the services.
 
-What comes in is only read at once; parsing, routing and taking a request wait for the turn of the lane that
-the connection was last routed to, what an endpoint's whole answer causes for that of its pool, and a turn of
-the loop spends no longer than `SPELL` on both.
+Incoming bytes are read at once, but parsing, routing and accepting a request wait for the turn of the lane
+that the connection was last routed to; handling an endpoint's complete response waits for the turn of its
+pool's lane. One iteration of the event loop spends no longer than `SPELL` on both, so that a flood for one
+pool can't delay the requests of another.
 """
 
 from __future__ import annotations
@@ -21,17 +22,17 @@
 from millgw.routing.target import BadTarget, read_target
 from millgw.services.turns import Turns
 
-SPELL = 0.0002  # s of one turn of the loop that go to requests and answers before connections are read again
+SPELL = 0.0002  # s per loop iteration for requests and responses, before connections are read again
 
 
 class Waiting(Protocol):
-    """A caller's connection with a request to be read, or an endpoint's with an answer that is whole."""
+    """A caller's connection with a request to parse, or an endpoint's with a complete response."""
 
     def turn(self) -> None: ...
 
 
 class Spells:
-    """The connections of both sides that wait for their lanes' turns."""
+    """Schedules the connections of both sides that wait for the turn of their lane."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -53,7 +54,7 @@
 
 
 class Services:
-    """The pools by name, as a reload leaves them; shared by the fronts of all listeners."""
+    """The current pools by name, replaced by reloads; shared by the fronts of all listeners."""
 
     def __init__(self, life: Lifecycle) -> None:
         self.pools: Mapping[str, Pool] = {}
@@ -61,7 +62,7 @@
 
 
 class RoutedFront:
-    """Whose the requests of one listener are: by the table, or all `only`'s."""
+    """Finds the service of each request of a listener: by the route table, or always `only` if set."""
 
     def __init__(self, services: Services, table: Table, only: str = "") -> None:
         self.services = services
@@ -77,7 +78,7 @@
             head.refused = Answer(REFUSED) if self.services.life.over else found.busy()
 
     def _find(self, head: Head) -> Pool | BadRequest | None:
-        """The pool of a request, or what it is refused with; None for /ready, which is of no service."""
+        """The pool of a request, or the error to refuse it with; None for /ready, which is of no service."""
         values = head.values
         host = values.get(b"host")
         try:
@@ -87,7 +88,7 @@
         if target.path == "/ready" or target.path.startswith("/ready/"):
             return None
         if not head.target.startswith(b"/"):
-            # To the endpoint it goes as a path (RFC 9112 section 3.2.1).
+            # An origin server is sent the path only, not the absolute form (RFC 9112 section 3.2.1).
             head.target = b"/" + head.target.partition(b"://")[2].partition(b"/")[2]
         if self.only:
             return self.services.pools[self.only]
--- a/millgw/services/limits.py
+++ b/millgw/services/limits.py
@@ -1,9 +1,10 @@
-"""What each pool may hold of one kind of thing (calls, connections, bytes) that all share. Pure.
+"""Limits on how much each pool may hold of one shared resource (calls, connections, bytes). Pure.
 
-Each pool has a guaranteed part. Beyond it, it may borrow what is left over and what others leave idle, but
-never what another has lately needed, nor the last quarter of another's guarantee: that stays free for it. A
-pool that finds less than its guarantee ends all further borrowing until it has what it needs; what is on loan
-is given back within `lend` ms, as calls taken on loan are given no longer.
+Each pool has a guaranteed share. Above it, a pool may borrow capacity that is guaranteed to nobody or that
+others leave idle, but never what another pool has needed lately, nor the last quarter of another's guarantee:
+that stays free for its owner. A pool that can't get its whole guarantee stops all further borrowing until it
+has what it needs. Borrowed capacity returns within `lend` ms, because calls admitted on borrowed capacity are
+given no longer than that.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 import math
 from collections.abc import Mapping
 
-KEPT_FREE = 0.25  # of a guarantee that is never lent
-NEED_ROOM = 1.5  # times the lately needed that is not lent either: needs grow
-MEMORY = 2.0  # lends for which a need is remembered: it halves in about as long
+KEPT_FREE = 0.25  # share of a guarantee that is never lent
+NEED_ROOM = 1.5  # multiple of the recent need that is not lent either, as needs may grow
+MEMORY = 2.0  # decay time of a remembered need, in multiples of `lend`
 
 
 class Allotment:
-    """Bounds for one kind, all in its units; a ValueError tells that the guarantees can't be met."""
+    """Limits for one resource, in its own units; raises ValueError if the guarantees exceed the total."""
 
     def __init__(self, total: int, guaranteed: Mapping[str, int], lend: float) -> None:
         if sum(guaranteed.values()) > total:
@@ -27,19 +28,19 @@
         self.lend = lend
         self.need: dict[str, float] = dict.fromkeys(guaranteed, 0.0)
         self.seen: dict[str, float] = dict.fromkeys(guaranteed, -math.inf)
-        self.short: dict[str, float] = {}  # pools that found less than their guarantee, and when
+        self.short: dict[str, float] = {}  # pools that could not get their guarantee, and when (ms)
 
     def succeed(self, before: Allotment) -> None:
-        """Go on from what another one has seen of the pools that both have a part for."""
+        """Copy the observed needs of the pools that the previous allotment had too."""
         for name in self.guaranteed.keys() & before.guaranteed.keys():
             self.need[name], self.seen[name] = before.need[name], before.seen[name]
             if name in before.short:
                 self.short[name] = before.short[name]
 
     def most(self, pool: str, used: Mapping[str, int], now: float, gone: int = 0) -> int:
-        """How much this pool may hold now, where all hold `used`; to be asked before each taking.
+        """How much this pool may hold now, given that the pools hold `used`; called before each allocation.
 
-        `gone` is what those hold that have no part any more: it can't be taken until they give it back.
+        `gone` is held by removed pools, which have no share any more: unavailable until they release it.
         """
         total = self.total - gone
         for name in self.guaranteed:
@@ -57,7 +58,7 @@
         return max(0, own, total - kept)
 
     def borrowed(self, pool: str, used: Mapping[str, int]) -> bool:
-        """Whether one more would be on loan."""
+        """Whether one more unit would be borrowed."""
         return used[pool] >= self.guaranteed[pool]
 
     def _note(self, pool: str, used: int, now: float) -> None:
@@ -69,7 +70,7 @@
         self.seen[pool] = now
 
     def _keep(self, pool: str) -> int:
-        """What is kept for a pool, whether it uses it or not."""
+        """How much is reserved for a pool, whether it uses it or not."""
         needed = math.ceil(NEED_ROOM * self.need[pool])
         return min(self.guaranteed[pool], max(self._least(pool), needed))
 
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -1,4 +1,4 @@
-"""A sidecar with services: the operator's file made into pools and routes, at the start and at reloads."""
+"""A sidecar with services: builds pools and routes from the operator's file, at the start and on reloads."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 if TYPE_CHECKING:
     from millgw.connections.tended import Tended
 
-STATUS_EVERY = 60.0  # s between two lines on each pool in the log
-LEND = 2000.0  # ms by which what is on loan is back
+STATUS_EVERY = 60.0  # s between log lines on each pool
+LEND = 2000.0  # ms within which borrowed capacity returns
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Served:
-    """One service in service: its pool, the words that it was made of, what tends its connections."""
+    """One running service: its pool, the file entry and settings it was made from, its connection manager."""
 
     pool: Pool
     service: Service
@@ -45,14 +45,14 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Listener:
-    """One callers' side and the front that knows whose its requests are."""
+    """One listening server and the front that routes its requests."""
 
     server: Server
     front: RoutedFront
 
 
 class Node:
-    """Everything of a sidecar with services that a reload may change."""
+    """All parts of a sidecar with services that a reload may change."""
 
     def __init__(self, config: Config, environ: Mapping[str, str], path: str, life: Lifecycle) -> None:
         self.life = life
@@ -60,14 +60,16 @@
         self.environ = environ
         self.path = path
         self.operator = _load(path)
-        self.filed = Files(config, read_settings_table(environ), self.operator)  # as they are on the disk
-        self.entries: Mapping[str, Mapping[str, Any]] = {}  # of the distributed document, over them
+        self.filed = Files(config, read_settings_table(environ), self.operator)  # as they are on disk
+        self.entries: Mapping[
+            str, Mapping[str, Any]
+        ] = {}  # of the distributed document, overlaid on the files
         self.shared = Descriptors(config.sockets)
-        self.tended: Tended | None = None  # where there are no services: that of the one pool
+        self.tended: Tended | None = None  # without services: that of the single pool
         self.intents = intents(self.operator, config.memory)
 
     def open(self) -> tuple[Callable[[], Sequence[Server]], Callable[[], Sequence[Pool]], Callable[[], None]]:
-        """Make the pools and the callers' sides; a ConfigError tells what can't be had."""
+        """Make the pools and listeners; raises ConfigError for what can't be used."""
         overlaid = self._overlaid(self.filed)
         self.bounds = Bounds(self._allotments(self.operator), Clock())
         self.services = Services(self.life)
@@ -91,7 +93,7 @@
         return self._listening, self._all, self.reload
 
     def _publish(self) -> None:
-        """Have routes and bounds go by the pools there are now."""
+        """Make the current pools visible to routing and to the limits."""
         self.bounds.pools = {name: served.pool for name, served in self.served.items()}
         self.services.pools = self.bounds.pools
 
@@ -99,13 +101,13 @@
         return [*(listener.server for listener in self.listeners.values()), *self.closing]
 
     def _listen(self, operator: Operator, name: str) -> Listener:
-        """A callers' side: the one that routes, or one service's; an OSError tells that it can't be had."""
+        """Open the listener that routes, or one service's; raises OSError if the address can't be bound."""
         listen = read_address(operator.services[name].listen) if name else self.config.listen
         front = RoutedFront(self.services, table(operator), name)
         return Listener(Server(listen, self.shared, front, self.life, self.turns), front)
 
     def _share_callers(self, operator: Operator) -> None:
-        """Each service's part of the callers' connections, past which its idle ones give way first."""
+        """Set each service's share of the callers' connections; above it, its idle ones are closed first."""
         shares = {name: s.limits.callers for name, s in operator.services.items()}
         given = sum(share for share in shares.values() if share is not None)
         rest = (1.0 - given) / max(1, sum(share is None for share in shares.values()))
@@ -116,7 +118,7 @@
             }
 
     def _status(self) -> None:
-        """A line for each pool in the log, now and then."""
+        """Log one line for each pool, every `STATUS_EVERY`."""
         for pool in self._all():
             log_event("pool", **pool.figures())
         asyncio.get_running_loop().call_later(STATUS_EVERY, self._status)
@@ -125,7 +127,7 @@
         return [*self.bounds.pools.values(), *self.bounds.retired]
 
     def _pool(self, filed: Files, overlaid: Files, name: str) -> Served:
-        """A service's pool, by the files with the distributed entries over them."""
+        """Make a service's pool from the files with the distributed entries overlaid."""
         operator, config = overlaid.operator, overlaid.config
         service = operator.services[name]
         own = pool_config(name, service, config, overlaid.settings)
@@ -139,7 +141,7 @@
         return Served(made, filed.operator.services[name], filed.settings, tended)
 
     def _allotments(self, operator: Operator) -> dict[str, Allotment]:
-        """What each pool may hold of each kind; sums that can't be kept are refused."""
+        """The limits of each resource; raises ConfigError for guarantees that can't be met."""
         totals = {
             CALLS: self.shared.most_calls,
             CONNECTIONS: self.shared.most - self.shared.most_callers,
@@ -152,22 +154,24 @@
             guaranteed = parts(totals[kind], shares)
             for name, units in guaranteed.items():
                 if units < 1:
-                    raise ConfigError(f"services.{name}.limits.{kind}: its part of {totals[kind]} is nothing")
+                    raise ConfigError(
+                        f"services.{name}.limits.{kind}: its share of {totals[kind]} is below one unit"
+                    )
             made[kind] = Allotment(totals[kind], guaranteed, LEND)
         return made
 
     def start_with(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
-        """Begin with entries of the distributed document over the files; called before `open`."""
+        """Start with entries of the distributed document overlaid on the files; called before `open`."""
         self.entries = entries
         overlaid = self._overlaid(self.filed)
         self.config, self.operator = overlaid.config, overlaid.operator
 
     def check(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
-        """Whether a start could begin with these entries; a RefusedVersionError names what can't be used."""
+        """Check that a start could use these entries; raises RefusedVersionError naming what can't be."""
         self._checked(entries)
 
     def _checked(self, entries: Mapping[str, Mapping[str, Any]]) -> tuple[Files, dict[str, Allotment]]:
-        # Only here: without a distribution nothing of it is loaded.
+        # Imported here: without distributed configuration these modules must not be loaded.
         from millgw.configuration import apply
 
         after = apply.overlay(self.filed, entries)
@@ -179,9 +183,9 @@
             raise apply.RefusedVersionError(apply.one_line(error)) from None
 
     def reconfigure(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
-        """Have entries of the distributed document go over the files, all at once and in service.
+        """Apply entries of the distributed document to the running pools, all at once.
 
-        A RefusedVersionError names what can't be used or changed; everything is as it was then.
+        Raises RefusedVersionError, naming what can't be used or changed; nothing has changed then.
         """
         from millgw.configuration.apply import plan_service
 
@@ -195,13 +199,13 @@
         self._share_callers(self.operator)
 
     def _allot(self, allotments: dict[str, Allotment]) -> None:
-        """Go by other bounds; what was seen of the pools' needs stays."""
+        """Replace the limits, keeping the observed needs of the pools."""
         for kind, allotment in allotments.items():
             allotment.succeed(self.bounds.allotments[kind])
         self.bounds.allotments = allotments
 
     def _overlaid(self, filed: Files) -> Files:
-        """The files with the distributed entries over them; a ConfigError tells that they don't fit."""
+        """The files with the distributed entries overlaid; raises ConfigError if they don't fit together."""
         if not self.entries:
             return filed
         from millgw.configuration.apply import RefusedVersionError, overlay
@@ -212,9 +216,9 @@
             raise ConfigError(f"with the distributed configuration over it: {error}") from None
 
     def reload(self) -> None:
-        """Read both files again, under the distributed entries. What can't be used changes nothing.
+        """Read both files again and apply them, with the distributed entries overlaid.
 
-        Pools of which the files say the same stay.
+        If a file can't be used, nothing changes. Pools whose part of the files is unchanged are kept.
         """
         fresh: list[Served] = []
         opened: dict[str, Listener] = {}
@@ -241,7 +245,7 @@
                 if now.get(name) != address:
                     opened[name] = self._listen(operator, name)
         except (ConfigError, OSError) as error:
-            # Worded here: a record that is kept would keep the error's frames, and so the pools in them.
+            # Converted to text here: a stored log record would keep the error's frames and pools alive.
             log_event("reload-refused", cause=str(error))
             for served in fresh:
                 served.pool.drop()
@@ -278,7 +282,7 @@
         log_event("reloaded", services=", ".join(made), new=names, removed=len(old))
 
     def _close(self, server: Server) -> None:
-        """Take no connections at a listener any more; those it has end with their next answers, or idle."""
+        """Stop accepting at a listener; its connections close after their next answer or once idle."""
         self.closing.append(server)
         server.stop()
         self._closed(server)
@@ -291,7 +295,7 @@
             self.closing.remove(server)
 
     def _same(self, served: Served, filed: Files, name: str) -> bool:
-        """Whether a pool is what the files want but for what changes in service: limits, connections."""
+        """Whether a pool matches the files, apart from what can change at run time: limits, connections."""
         operator, config, raw = filed.operator, filed.config, filed.settings
         service = operator.services[name]
         plain = {"limits": Limits(), "listen": None, "connections": None}
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -1,4 +1,4 @@
-"""What services' pools are made of, by the operator's file: their sources, settings and seeds."""
+"""Builds the parts that the operator's file configures: list sources, settings, seeds, optional modules."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class StaticList:
-    """A list that the operator wrote, told as often as the module asks."""
+    """A fixed list of endpoints from the operator's file, sent each time the module asks."""
 
     def __init__(self, entries: tuple[Listed, ...], heard: Heard) -> None:
         self.entries = entries
         self.heard = heard
 
     def start(self, known: Any) -> None:
-        """The configuration's list is its discovery's: the endpoints here are not on it."""
+        """Ignores the configuration's list: that belongs to its discovery and has other endpoints."""
         self.subscribe()
 
     def subscribe(self) -> None:
@@ -43,14 +43,14 @@
         self.heard(ListKind.FULL, self.entries)
 
     def stop(self) -> None:
-        """It says nothing by itself."""
+        """Does nothing: there is no watch to end."""
 
     def figures(self) -> dict[str, object]:
         return {}
 
 
 class OwnDiscovery:
-    """A discovery of a service's own: the configuration's list, which is another's, is not for it."""
+    """A service's own discovery; it ignores the configuration's list, which is of another discovery."""
 
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
@@ -63,7 +63,7 @@
 
 
 def merged(base: Mapping[str, Any], over: Mapping[str, Any]) -> dict[str, Any]:
-    """Settings with others over them, table by table."""
+    """Deep merge of two settings tables; values of `over` win."""
     out = dict(base)
     for key, value in over.items():
         before = out.get(key)
@@ -73,7 +73,7 @@
 
 
 def source(name: str, service: Service, config: Config) -> Callable[[Heard, Witness], Source]:
-    """How a service's endpoints are known."""
+    """A factory for the source of a service's endpoint list."""
     if service.endpoints:
         entries = static_list(service, config)
         return lambda heard, _: StaticList(entries, heard)
@@ -88,7 +88,7 @@
 def _coordinated(
     service: Service, told: Coordinator, config: Config, seed: int
 ) -> Callable[[Heard, Witness], Source]:
-    # Only here: a coordinator that is not named must cost nothing.
+    # Imported here: without a coordinator these modules must not be loaded.
     from millgw.membership.judge import Terms
     from millgw.membership.merge import Merger, Mode
     from millgw.membership.source import BothSources, CoordinatorSource
@@ -110,7 +110,7 @@
 
 
 def _where(told: Directory, terms: JudgeTerms, port: str = "") -> Where:
-    """Which directory of which coordinator an operator's file names."""
+    """The coordinator and directory that the operator's file names."""
     from millgw.membership.source import Where
 
     servers, root = read_connect(told.connect)
@@ -118,21 +118,21 @@
 
 
 def attach(pool: Pool, terms: Terms | None, config: Config, seed: int) -> Tended | None:
-    """Have a pool's connections tended, where the operator's file says how."""
+    """Attach a connection manager to a pool, where the operator's file has settings for one."""
     if terms is None:
         return None
-    # Only here: connections that are left to the plain way must cost nothing.
+    # Imported here: without managed connections these modules must not be loaded.
     from millgw.connections.attach import tend
 
     return tend(pool, terms, config, seed)
 
 
 def peers(operator: Operator, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
-    """The sidecar's part among its peers, where the operator's file has one."""
+    """The node that exchanges state with peers, where the operator's file has a table for it."""
     told = operator.peers
     if told is None:
         return None
-    # Only here: without peers nothing of it is loaded.
+    # Imported here: without peers these modules must not be loaded.
     from millgw.peers.node import Peers, Terms
 
     meeting = None
@@ -149,11 +149,11 @@
 
 
 def intents(operator: Operator, memory: float) -> Intents | None:
-    """What keeps marks of unsafe calls, where the operator's file has a store."""
+    """The log of marks for unsafe calls, where the operator's file has a store."""
     told = operator.store
     if told is None:
         return None
-    # Only here: without a store nothing of it is loaded.
+    # Imported here: without a store these modules must not be loaded.
     from millgw.intents.log import MARK_BYTES, MEMORY_PART, Intents, Terms
     from millgw.store.writer import Sync
 
@@ -162,14 +162,14 @@
 
 
 def locality(operator: Operator, config: Config, seed: int) -> Locality | None:
-    """What chooses zones for a pool, where the operator's file says where things are.
+    """The zone selection of a pool, where the operator's file has a `places` table.
 
-    A ConfigError names a zone or class that the configuration does not have.
+    Raises ConfigError, naming a zone or class that the configuration does not have.
     """
     told = operator.places
     if told is None:
         return None
-    # Only here: without places nothing of it is loaded.
+    # Imported here: without places these modules must not be loaded.
     from millgw.locality.names import PlaceError, make_router
 
     try:
@@ -179,11 +179,11 @@
 
 
 def configuration(operator: Operator, config: Config, target: Target) -> Client | None:
-    """What follows the fleet's distributed configuration, where the operator's file names who tells it."""
+    """The client of the fleet's distributed configuration, where the operator's file names its instances."""
     told = operator.configuration
     if told is None:
         return None
-    # Only here: without it nothing of the distribution is loaded.
+    # Imported here: without distributed configuration these modules must not be loaded.
     from millgw.configuration.client import Client
     from millgw.configuration.follower import preference
     from millgw.configuration.last_good import LastGood
@@ -195,7 +195,7 @@
 
 
 def static_list(service: Service, config: Config) -> tuple[Listed, ...]:
-    """The endpoints that an operator's file names for a service."""
+    """The endpoints that the operator's file lists for a service."""
     entries = [
         {
             "name": e.name, "address": e.address, "group": e.group, "weight": e.weight, "zone": e.zone,
@@ -207,7 +207,7 @@
 
 
 def pool_config(name: str, service: Service, config: Config, raw: Mapping[str, Any]) -> Config:
-    """The configuration as a service's pool has it, with the classes and settings that are its own."""
+    """The configuration of a service's pool: the shared one with the service's own classes and settings."""
     settings = merged(raw, service.settings)
     if service.classes:
         named = {c.get("name"): c for c in settings.get("classes", ()) if isinstance(c, dict)}
@@ -222,5 +222,5 @@
 
 
 def pool_seed(seed: int, name: str) -> int:
-    """A seed for each service's module: the same after a reload, another for each name."""
+    """The random seed of a service's module: stable across reloads, different for each name."""
     return int.from_bytes(blake2b(f"{seed} {name}".encode(), digest_size=8).digest(), "big")
--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -1,4 +1,4 @@
-"""What each service's pool may hold now: its share, and its room for connections to endpoints."""
+"""Current limits of each service's pool: its share of all resources, and of endpoint connections."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class Bounds:
-    """The allotments of all pools, and what each pool holds now. `clock` in ms."""
+    """The limits of all pools and their current usage. `clock` is in ms."""
 
     def __init__(self, allotments: Mapping[str, Allotment], clock: Callable[[], float]) -> None:
         self.allotments = dict(allotments)
         self.pools: dict[str, Pool] = {}
-        self.retired: list[Pool] = []  # that no route leads to, with calls that are still open
+        self.retired: list[Pool] = []  # removed pools that still have open calls
         self.clock = clock
 
     def used(self, kind: str) -> dict[str, int]:
-        """What each pool holds of a kind; a name that is served by nobody yet holds nothing."""
+        """What each pool holds of a kind of resource; a service without a pool yet holds nothing."""
         names = self.allotments[kind].guaranteed
         return {name: self.pools[name].held(kind) if name in self.pools else 0 for name in names}
 
     def gone(self, kind: str) -> int:
-        """What pools that are removed still hold, and nobody may take yet."""
+        """What removed pools still hold, so that it is not available yet."""
         return sum(pool.held(kind) for pool in self.retired)
 
 
 class LentShare:
-    """One service's part: what it has for sure, and what others leave idle.
+    """One service's share: its guarantee, and what it may borrow from the idle part of others.
 
-    A pool that is removed has no part any more and takes nothing new; what it has taken may come to its end.
+    A removed pool has no share and accepts nothing new; its limit is the total, so that its calls can finish.
     """
 
     def __init__(self, name: str, bounds: Bounds) -> None:
@@ -56,7 +56,7 @@
 
 
 class PoolRoom:
-    """What a pool's upstream asks before it connects: the shared budget, and this pool's part of it."""
+    """Limits a pool's connections to endpoints: the process's descriptor budget and the pool's share."""
 
     def __init__(self, name: str, shared: Descriptors, bounds: Bounds, share: LentShare) -> None:
         self.name = name
@@ -72,11 +72,11 @@
         return self.endpoints() >= self.share.most(CONNECTIONS)
 
     def make(self) -> bool:
-        """Room by closing what others need least; there is none where this pool's own part is used up."""
+        """Free a descriptor by closing an idle connection elsewhere, unless the pool's share is used up."""
         return not self._used_up() and (self._from_others() or self.shared.close_caller())
 
     def _from_others(self) -> bool:
-        """Have the pool that is furthest over its guarantee close an idle connection."""
+        """Close an idle connection of the pool that is furthest above its guarantee."""
         parts = self.bounds.allotments[CONNECTIONS].guaranteed
         over = [
             (parts[p.name] - p.held(CONNECTIONS), p)
--- a/millgw/services/turns.py
+++ b/millgw/services/turns.py
@@ -1,7 +1,7 @@
-"""Whose turn it is: deficit round robin over lanes (Shreedhar and Varghese, 1995). Pure.
+"""Fair queueing: deficit round robin over lanes (Shreedhar and Varghese, 1995). Pure.
 
-Each lane with work gets its quantum once a round, so that a lane with one item waits for one round of the
-others at the most, however much they have queued.
+Each lane with work gets its quantum once per round, so a lane with one item waits for at most one round of
+the others, however much they have queued.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-QUANTUM = 4  # items of a lane in its turn
+QUANTUM = 4  # items per lane and round
 
 
 class Turns(Generic[T]):
-    """Items by lane, handed out in turn."""
+    """Queues of items by lane, served in round robin order."""
 
     def __init__(self, quantum: int = QUANTUM) -> None:
         self.quantum = quantum
-        self.lanes: dict[str, deque[T]] = {}  # those with items, the one whose turn it is first
-        self.left = quantum
+        self.lanes: dict[str, deque[T]] = {}  # only lanes with items; the one being served is first
+        self.left = quantum  # items that the first lane may still have in this round
 
     def __bool__(self) -> bool:
         return bool(self.lanes)
@@ -28,7 +28,7 @@
         self.lanes.setdefault(lane, deque()).append(item)
 
     def next(self) -> T:
-        """The next item; an IndexError where there is none."""
+        """Remove and return the next item; raises IndexError if there is none."""
         if not self.lanes:
             raise IndexError("no lane has an item")
         lane = next(iter(self.lanes))
