--- a/millgw/log/events.py
+++ b/millgw/log/events.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from millgw.log.table import EVENTS
-from millgw.log.wording import known, plain, text
+from millgw.log.wording import keep_known_fields, limit_values, render_text
 
 EventHandler = Callable[[str, dict[str, object]], None]
 
@@ -18,8 +18,8 @@
 def _log_to_library(event: str, fields: dict[str, object]) -> None:
     log = logging.getLogger("millgw")
     if log.isEnabledFor(EVENTS[event].level):
-        shown = plain(None, "", known(None, "", {"event": event, **fields}))
-        log.log(EVENTS[event].level, "%s", text(None, "", shown).partition(" ")[2])
+        record = limit_values(None, "", keep_known_fields(None, "", {"event": event, **fields}))
+        log.log(EVENTS[event].level, "%s", render_text(None, "", record).partition(" ")[2])
 
 
 _handler: list[EventHandler] = [_log_to_library]
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -11,9 +11,9 @@
 
 from millgw.log import events
 from millgw.log.backlog import Backlog
-from millgw.log.repeats import Repeats
+from millgw.log.repeats import RepeatLimiter
 from millgw.log.table import EVENTS
-from millgw.log.wording import Processor, Renderer, Told, known, plain, renderer
+from millgw.log.wording import Processor, Renderer, Told, find_renderer, keep_known_fields, limit_values
 from millgw.log.writer import Writer
 
 STDERR = 2
@@ -28,34 +28,36 @@
     """
 
     def __init__(
-        self, kind: str, writer: Writer, clock: Clock = time.monotonic, wall: Clock = time.time
+        self, kind: str, writer: Writer, clock: Clock = time.monotonic, wall_clock: Clock = time.time
     ) -> None:
-        self.render: Renderer = renderer(kind)
-        self.processors: tuple[Processor, ...] = (known, self.stamp, plain)
+        self.render: Renderer = find_renderer(kind)
+        self.processors: tuple[Processor, ...] = (keep_known_fields, self.add_time, limit_values)
         self.writer = writer
-        self.repeats = Repeats()
+        self.repeat_limiter = RepeatLimiter()
         self.clock = clock
-        self.wall = wall
+        self.wall_clock = wall_clock
 
     def __call__(self, event: str, fields: dict[str, Any]) -> None:
-        told = self.sparing({"event": event, **fields})
-        if told is not None:
+        record = self.sparing({"event": event, **fields})
+        if record is not None:
             for step in self.processors:
-                told = step(None, "", told)
-            self.write(self.render(None, "", told))
+                record = step(None, "", record)
+            self.write(self.render(None, "", record))
 
-    def sparing(self, told: Told) -> Told | None:
+    def sparing(self, record: Told) -> Told | None:
         """Apply the rate limit: the event, with `more` if some were suppressed before it, or None."""
-        lines = EVENTS[told["event"]].lines
-        more = self.repeats.take(self.clock(), f"{told['event']} {told.get('service', '')}", lines)
-        if more is None:
+        lines = EVENTS[record["event"]].lines_per_second
+        suppressed = self.repeat_limiter.admit(
+            self.clock(), f"{record['event']} {record.get('service', '')}", lines
+        )
+        if suppressed is None:
             return None
-        return {**told, "more": more} if more else told
+        return {**record, "more": suppressed} if suppressed else record
 
-    def stamp(self, _: Any, __: str, told: Told) -> Told:
+    def add_time(self, _: Any, __: str, record: Told) -> Told:
         """Processor that adds the time, `at` (Unix s)."""
-        told["at"] = self.wall()
-        return told
+        record["at"] = self.wall_clock()
+        return record
 
     def write(self, line: str) -> None:
         """Queue a rendered line for writing."""
@@ -63,30 +65,30 @@
 
     def word(self, event: str, **fields: Any) -> bytes:
         """Render one of the log's own events, bypassing the rate limit."""
-        told: Told = {"event": event, **fields}
+        record: Told = {"event": event, **fields}
         for step in self.processors:
-            told = step(None, "", told)
-        return self.render(None, "", told).encode() + b"\n"
+            record = step(None, "", record)
+        return self.render(None, "", record).encode() + b"\n"
 
     def close(self) -> None:
         """Log the counts of suppressed events, then wait briefly for the writer."""
-        for kind, more in self.repeats.left().items():
-            self.writer.put(self.word("left-out", of=kind.rstrip(), more=more))
+        for kind, suppressed in self.repeat_limiter.take_suppressed().items():
+            self.writer.put(self.word("left-out", of=kind.rstrip(), more=suppressed))
         self.writer.close()
 
 
-class Foreign(logging.Handler):
+class LibraryLogHandler(logging.Handler):
     """Turns records of the standard library's logging into `message` events."""
 
-    def __init__(self, to: Callable[[str, dict[str, Any]], None]) -> None:
+    def __init__(self, handler: Callable[[str, dict[str, Any]], None]) -> None:
         super().__init__()
-        self.to = to
+        self.handler = handler
 
     def emit(self, record: logging.LogRecord) -> None:
         fields: dict[str, Any] = {"level": record.levelno, "text": record.getMessage()}
         if record.exc_info:
             fields["traceback"] = "".join(traceback.format_exception(*record.exc_info)).rstrip()
-        self.to("message", fields)
+        self.handler("message", fields)
 
 
 def start(kind: str, fd: int = STDERR) -> Log:
@@ -100,5 +102,5 @@
 def take(log: Log, to: Callable[[str, dict[str, Any]], None] | None = None) -> None:
     """Send events and other libraries' records to a log (through `to`), and close it at process exit."""
     events.set_handler(to or log)
-    logging.basicConfig(level=logging.INFO, handlers=[Foreign(to or log)], force=True)
+    logging.basicConfig(level=logging.INFO, handlers=[LibraryLogHandler(to or log)], force=True)
     atexit.register(log.close)
--- a/millgw/operator/command.py
+++ b/millgw/operator/command.py
@@ -10,13 +10,13 @@
 from millgw.cli.exits import HELD, NOT_HELD, BadInput
 from millgw.cli.kinds import FILE
 from millgw.cli.report import Out, Reporting
-from millgw.operator.file import KINDS, Operator, OperatorError, load, table
-from millgw.operator.guarantees import parts
+from millgw.operator.file import LIMIT_KINDS, Operator, OperatorError, compile_routes, load
+from millgw.operator.guarantees import guaranteed_units
 from millgw.routing.table import Asked, NoRoute
 from millgw.routing.target import BadTarget, read_target
 
-WITHOUT = "the daemon behaves as without this file"
-TENDED = "connections to endpoints are managed (table `connections`)"
+NO_EFFECT = "the daemon behaves as without this file"
+MANAGED = "connections to endpoints are managed (table `connections`)"
 
 
 def _load(path: str) -> Operator:
@@ -31,23 +31,24 @@
 def check(out: Out, file: str) -> int:
     """Check an operator's file and print what it means."""
     operator = _load(file)
-    services = {name: _service(operator, name) for name in operator.services}
-    told = {
+    services = {name: _summarise(operator, name) for name in operator.services}
+    result = {
         "services": services,
         "peers": None if operator.peers is None else operator.peers.listen,
         "store": None if operator.store is None else list(operator.store.directories),
         "zone": None if operator.places is None else operator.places.zone,
     }
-    return out.end(HELD, told, _lines(operator, services))
+    return out.end(HELD, result, _describe(operator, services))
 
 
-def _lines(operator: Operator, services: dict[str, Meaning]) -> list[str]:
+def _describe(operator: Operator, services: dict[str, ServiceSummary]) -> list[str]:
     lines = []
     if not services:
         tended = operator.tends() is not None
-        plain = operator.peers is None and operator.store is None and operator.places is None
+        nothing_else = operator.peers is None and operator.store is None and operator.places is None
         lines.append(
-            "no services: " + (TENDED if tended else WITHOUT if plain else "one pool for all requests")
+            "no services: "
+            + (MANAGED if tended else NO_EFFECT if nothing_else else "one pool for all requests")
         )
     if operator.store is not None:
         lines.append(f"marks unsafe calls in {', '.join(operator.store.directories)} before they are sent")
@@ -56,19 +57,19 @@
     if operator.places is not None:
         regions = ", ".join(f"{name}: {' '.join(z)}" for name, z in operator.places.regions.items())
         lines.append(f"chooses endpoints near zone {operator.places.zone} ({regions or 'one region'})")
-    for name, told in services.items():
-        lines.append(f"{name}: {told['source']}; classes {', '.join(told['classes']) or 'all'}")
-        for kind, share in told["guaranteed"].items():
+    for name, summary in services.items():
+        lines.append(f"{name}: {summary['source']}; classes {', '.join(summary['classes']) or 'all'}")
+        for kind, share in summary["guaranteed"].items():
             lines.append(
                 f"    {kind}: {share:.1%} of the daemon's guaranteed, more while other services leave it idle"
             )
-        if told["tended"]:
-            lines.append(f"    {TENDED}")
-        lines += [f"    takes {route}" for route in told["routes"]]
+        if summary["tended"]:
+            lines.append(f"    {MANAGED}")
+        lines += [f"    takes {route}" for route in summary["routes"]]
     return lines
 
 
-class Meaning(TypedDict):
+class ServiceSummary(TypedDict):
     """One service as the daemon will run it; `guaranteed` are shares by kind of resource."""
 
     source: str
@@ -78,7 +79,7 @@
     tended: bool
 
 
-def _service(operator: Operator, name: str) -> Meaning:
+def _summarise(operator: Operator, name: str) -> ServiceSummary:
     service = operator.services[name]
     source = "the configuration's discovery"
     if service.endpoints:
@@ -86,14 +87,14 @@
     elif service.discovery is not None:
         source = f"discovery at {service.discovery}"
     if service.coordinator is not None:
-        told = f"nodes below {service.coordinator.path} at {service.coordinator.connect}"
-        source = told if service.membership is None else f"{told}, and {source}: {service.membership}"
+        nodes = f"nodes below {service.coordinator.path} at {service.coordinator.connect}"
+        source = nodes if service.membership is None else f"{nodes}, and {source}: {service.membership}"
     whole = 1_000_000
     guaranteed = {}
-    for kind in KINDS:
+    for kind in LIMIT_KINDS:
         shares = {n: getattr(s.limits, kind) for n, s in operator.services.items()}
-        guaranteed[kind] = parts(whole, shares)[name] / whole
-    routes = [str(r) for r in table(operator).routes if r.service == name]
+        guaranteed[kind] = guaranteed_units(whole, shares)[name] / whole
+    routes = [str(r) for r in compile_routes(operator).routes if r.service == name]
     if service.listen is not None:
         routes.append(f"all that comes to {service.listen}")
     return {
@@ -124,14 +125,14 @@
     try:
         target = read_target(os.fsencode(path), (os.fsencode(host),))
     except BadTarget as error:
-        return _say(out, None, error.status, str(error))
-    found = table(operator).find(Asked(target, method.upper(), cls, headers))
+        return _print_result(out, None, error.status, str(error))
+    found = compile_routes(operator).find(Asked(target, method.upper(), cls, headers))
     if isinstance(found, NoRoute):
-        return _say(out, None, found.status, found.why)
-    return _say(out, found.service, 0, f"the most specific route that matches: {found}")
+        return _print_result(out, None, found.status, found.reason)
+    return _print_result(out, found.service, 0, f"the most specific route that matches: {found}")
 
 
-def _say(out: Out, service: str | None, status: int, why: str) -> int:
+def _print_result(out: Out, service: str | None, status: int, why: str) -> int:
     line = f"{service}: {why}" if service else f"refused with {status}: {why}"
-    told = {"service": service, "status": status or None, "why": why}
-    return out.end(HELD if service else NOT_HELD, told, [line])
+    result = {"service": service, "status": status or None, "why": why}
+    return out.end(HELD if service else NOT_HELD, result, [line])
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -18,7 +18,7 @@
 from millgw.routing.table import Route, RouteError
 from millgw.routing.table import Table as RouteTable
 
-Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]*$", max_length=64)]
+ServiceName = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]*$", max_length=64)]
 
 
 class OperatorError(FileError):
@@ -205,7 +205,7 @@
 class Operator(Table, frozen=True, kw_only=True):
     """The whole file."""
 
-    services: dict[Name, Service] = field(default_factory=dict)
+    services: dict[ServiceName, Service] = field(default_factory=dict)
     routes: tuple[RouteEntry, ...] = ()
     connections: Connections | None = None
     peers: Peers | None = None
@@ -216,11 +216,11 @@
     def tends(self, name: str = "") -> Terms | None:
         """The connection settings of a service, or of the single pool; None if they are not managed."""
         own = self.services[name].connections if name else None
-        told = self.connections if own is None else own
-        return None if told is None else told.terms()
+        connections = self.connections if own is None else own
+        return None if connections is None else connections.terms()
 
 
-KINDS = ("calls", "connections", "bodies", "answers")
+LIMIT_KINDS = ("calls", "connections", "bodies", "answers")
 
 
 def check(operator: Operator) -> Operator:
@@ -236,21 +236,21 @@
         path = f"services.{name}"
         _check_connections(f"{path}.connections", service.connections)
         if service.listen is not None:
-            _address(f"{path}.listen", service.listen)
+            _check_address(f"{path}.listen", service.listen)
             others = [n for n, s in operator.services.items() if n != name and s.listen == service.listen]
             if others:
                 raise ValueError(f"{path}.listen: is that of services.{others[0]} too")
         if service.discovery is not None:
             if service.endpoints:
                 raise ValueError(f"{path}.endpoints: stand beside a discovery; a service has one of the two")
-            _address(f"{path}.discovery", service.discovery)
+            _check_address(f"{path}.discovery", service.discovery)
         _check_coordinator(path, service)
         names = [e.name for e in service.endpoints]
         for i, endpoint in enumerate(service.endpoints):
-            _address(f"{path}.endpoints[{i}].address", endpoint.address)
+            _check_address(f"{path}.endpoints[{i}].address", endpoint.address)
             if endpoint.name in names[:i]:
                 raise ValueError(f"{path}.endpoints[{i}].name: {endpoint.name!r} is given twice")
-    for kind in ("callers", *KINDS):
+    for kind in ("callers", *LIMIT_KINDS):
         parts = [
             (n, getattr(s.limits, kind)) for n, s in operator.services.items() if getattr(s.limits, kind)
         ]
@@ -267,56 +267,56 @@
         if name not in reached and operator.services[name].listen is None:
             raise ValueError(f"services.{name}: no route leads to it")
     try:
-        table(operator)
+        compile_routes(operator)
     except RouteError as error:
         raise ValueError(f"routes[{error.index}]: {error}") from None
     return operator
 
 
-def _check_connections(path: str, told: Connections | None) -> None:
+def _check_connections(path: str, table: Connections | None) -> None:
     try:
-        if told is not None:
-            told.terms()
+        if table is not None:
+            table.terms()
     except ValueError as error:
         field, _, what = str(error).partition(": ")
         field = "probe_ms" if field.startswith("probe") else field
         raise ValueError(f"{path}.{field}: {what}") from None
 
 
-def _check_peers(told: Peers) -> None:
-    _address("peers.listen", told.listen)
-    if read_address(told.listen).anywhere:
+def _check_peers(table: Peers) -> None:
+    _check_address("peers.listen", table.listen)
+    if read_address(table.listen).anywhere:
         raise ValueError("peers.listen: is no address at which others find this sidecar")
-    for i, peer in enumerate(told.join):
-        _address(f"peers.join[{i}]", peer)
-    if told.coordinator is not None:
-        _check_directory("peers.coordinator", told.coordinator)
+    for i, peer in enumerate(table.join):
+        _check_address(f"peers.join[{i}]", peer)
+    if table.coordinator is not None:
+        _check_directory("peers.coordinator", table.coordinator)
 
 
-def _check_configuration(told: Configuration) -> None:
-    lists = {"instances": told.instances} | {f"relays.{zone}": told.relays[zone] for zone in told.relays}
+def _check_configuration(table: Configuration) -> None:
+    lists = {"instances": table.instances} | {f"relays.{zone}": table.relays[zone] for zone in table.relays}
     for key, instances in lists.items():
         for i, instance in enumerate(instances):
-            _address(f"configuration.{key}[{i}]", instance)
+            _check_address(f"configuration.{key}[{i}]", instance)
             if read_address(instance).anywhere:
                 raise ValueError(f"configuration.{key}[{i}]: is no address to connect to")
 
 
-def _check_places(told: Places) -> None:
+def _check_places(table: Places) -> None:
     seen: dict[str, str] = {}
-    for region, zones in told.regions.items():
+    for region, zones in table.regions.items():
         for i, zone in enumerate(zones):
             if zone in seen:
                 raise ValueError(f"places.regions.{region}[{i}]: {zone!r} is in region {seen[zone]!r} too")
             seen[zone] = region
-    if seen and told.zone not in seen:
-        raise ValueError(f"places.zone: {told.zone!r} is in none of the regions")
-    if told.callers and not sum(told.callers.values()):
+    if seen and table.zone not in seen:
+        raise ValueError(f"places.zone: {table.zone!r} is in none of the regions")
+    if table.callers and not sum(table.callers.values()):
         raise ValueError("places.callers: there are none")
 
 
-def _check_directory(path: str, told: Directory) -> None:
-    for key, reads, value in (("connect", read_connect, told.connect), ("path", check_path, told.path)):
+def _check_directory(path: str, table: Directory) -> None:
+    for key, reads, value in (("connect", read_connect, table.connect), ("path", check_path, table.path)):
         try:
             reads(value)
         except ValueError as error:
@@ -324,8 +324,8 @@
 
 
 def _check_coordinator(path: str, service: Service) -> None:
-    told = service.coordinator
-    if told is None:
+    coordinator = service.coordinator
+    if coordinator is None:
         if service.membership is not None:
             raise ValueError(f"{path}.membership: says how two sources are one; there is no coordinator")
         return
@@ -333,19 +333,19 @@
         raise ValueError(f"{path}.endpoints: stand beside a coordinator; a service has one of the two")
     if service.discovery is not None and service.membership is None:
         raise ValueError(f"{path}.membership: is needed beside a discovery and a coordinator")
-    _check_directory(f"{path}.coordinator", told)
-    if told.hold_most_s < told.hold_s:
-        raise ValueError(f"{path}.coordinator.hold_most_s: is under the hold_s of {told.hold_s:g}")
+    _check_directory(f"{path}.coordinator", coordinator)
+    if coordinator.hold_most_s < coordinator.hold_s:
+        raise ValueError(f"{path}.coordinator.hold_most_s: is under the hold_s of {coordinator.hold_s:g}")
 
 
-def _address(path: str, value: str) -> None:
+def _check_address(path: str, value: str) -> None:
     try:
         read_address(value)
     except ValueError as error:
         raise ValueError(f"{path}: {error}") from None
 
 
-def table(operator: Operator) -> RouteTable:
+def compile_routes(operator: Operator) -> RouteTable:
     """Compile the file's routes."""
     return RouteTable(
         [
--- a/millgw/operator/guarantees.py
+++ b/millgw/operator/guarantees.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 
-def parts(total: int, shares: Mapping[str, float | None]) -> dict[str, int]:
+def guaranteed_units(total: int, shares: Mapping[str, float | None]) -> dict[str, int]:
     """Guarantees in units. Of what the given shares leave, the others get half in equal parts.
 
     The other half is guaranteed to nobody, so that every pool can borrow it.
--- a/millgw/operator/toml_schema.py
+++ b/millgw/operator/toml_schema.py
@@ -35,17 +35,17 @@
         return check(msgspec.convert(data, kind))
     except msgspec.ValidationError as wrong:
         what, _, path = str(wrong).partition(" - at `$")
-        path = _keyed(path.rstrip("`").lstrip("."), data, kind, str(wrong))
+        path = _resolve_keys(path.rstrip("`").lstrip("."), data, kind, str(wrong))
         if match := re.search(r"unknown field `([^`]+)`", what):
             path = f"{path}.{match[1]}".lstrip(".")
             what = "no such key"
-        raise error(place(text, name, path, what)) from None
+        raise error(format_error(text, name, path, what)) from None
     except ValueError as wrong:
         path, _, what = str(wrong).partition(": ")
-        raise error(place(text, name, path, what)) from None
+        raise error(format_error(text, name, path, what)) from None
 
 
-def _keyed(path: str, data: Any, kind: type[T], said: str) -> str:
+def _resolve_keys(path: str, data: Any, kind: type[T], message: str) -> str:
     """Replace `[...]`, as msgspec writes a free-form table's key, by the key, found by trying each."""
     while "[...]" in path:
         before = path.partition("[...]")[0]
@@ -59,7 +59,7 @@
                 msgspec.convert(data, kind)
                 found = False
             except msgspec.ValidationError as again:
-                found = str(again) == said
+                found = str(again) == message
             finally:
                 table[last] = whole
             if found:
@@ -70,7 +70,7 @@
     return path
 
 
-def place(text: str, name: str, path: str, what: str) -> str:
+def format_error(text: str, name: str, path: str, what: str) -> str:
     """Format a one-line error: the location, as far as it is known, and the problem."""
     line = line_of(text, path) if path else None
     where = f"{name}:{line}" if line is not None else name
--- a/millgw/routing/table.py
+++ b/millgw/routing/table.py
@@ -19,7 +19,7 @@
 
 from millgw.routing.target import BadTarget, Target, read_host, read_path
 
-MOST_SETS = 8  # sets of header names on one host, path, method and class
+MAX_HEADER_SETS = 8  # sets of header names on one host, path, method and class
 UNKNOWN_HOST, NO_ROUTE = 421, 404  # RFC 9110 sections 15.5.20 and 15.5.5
 
 
@@ -65,14 +65,14 @@
     """No route matches: status 421 if no route has the host, else 404."""
 
     status: int
-    why: str
+    reason: str
 
 
 Leaf = dict[tuple[str, str], list[tuple[tuple[str, ...], dict[tuple[str, ...], Route]]]]
 """By method and class: sets of header names in order of precedence, each with its routes by header values."""
 
 
-def plain(route: Route, index: int) -> Route:
+def normalise_route(route: Route, index: int) -> Route:
     """The route with host and path normalised as in requests; raises RouteError if no request could match."""
     host, path = route.host, route.path
     try:
@@ -96,65 +96,65 @@
     """All routes, indexed for lookups."""
 
     def __init__(self, routes: Sequence[Route]) -> None:
-        self.exact: dict[str, dict[str, Leaf]] = {}
-        self.suffix: dict[str, dict[str, Leaf]] = {}
-        self.any: dict[str, Leaf] = {}
+        self.exact_hosts: dict[str, dict[str, Leaf]] = {}
+        self.host_suffixes: dict[str, dict[str, Leaf]] = {}
+        self.any_host: dict[str, Leaf] = {}
         self.routes: list[Route] = []
         seen: dict[Route, int] = {}
-        for index, given in enumerate(routes):
-            route = plain(given, index)
-            same = Route("", route.host, route.path, route.method, route.cls, route.headers)
-            if same in seen:
-                raise RouteError(index, f"can't be told apart from routes[{seen[same]}]: {route}")
-            seen[same] = index
+        for index, entry in enumerate(routes):
+            route = normalise_route(entry, index)
+            conditions = Route("", route.host, route.path, route.method, route.cls, route.headers)
+            if conditions in seen:
+                raise RouteError(index, f"can't be told apart from routes[{seen[conditions]}]: {route}")
+            seen[conditions] = index
             self.routes.append(route)
             self._add(index, route)
 
     def _add(self, index: int, route: Route) -> None:
         if route.host.startswith("*."):
-            paths = self.suffix.setdefault(route.host[2:], {})
+            paths = self.host_suffixes.setdefault(route.host[2:], {})
         else:
-            paths = self.exact.setdefault(route.host, {}) if route.host else self.any
+            paths = self.exact_hosts.setdefault(route.host, {}) if route.host else self.any_host
         sets = paths.setdefault(route.path, {}).setdefault((route.method, route.cls), [])
         names = tuple(name for name, _ in route.headers)
         values = tuple(value for _, value in route.headers)
-        for known, by_values in sets:
-            if known == names:
+        for existing, by_values in sets:
+            if existing == names:
                 by_values[values] = route
                 return
-        if len(sets) == MOST_SETS:
+        if len(sets) == MAX_HEADER_SETS:
             raise RouteError(
-                index, f"headers: more than {MOST_SETS} sets of names on {route.host}{route.path}"
+                index, f"headers: more than {MAX_HEADER_SETS} sets of names on {route.host}{route.path}"
             )
         sets.append((names, {values: route}))
         sets.sort(key=lambda item: (-len(item[0]), item[0]))
 
-    def find(self, asked: Asked) -> Route | NoRoute:
+    def find(self, request: Asked) -> Route | NoRoute:
         """The route of a request, or the status to refuse it with."""
-        host, known = asked.target.host, bool(self.any)
-        prefixes = tuple(_prefixes(asked.target.path))
+        host, host_known = request.target.host, bool(self.any_host)
+        prefixes = tuple(_prefixes(request.target.path))
         for paths in self._hosts(host):
-            known = True
+            host_known = True
             for prefix in prefixes:
                 leaf = paths.get(prefix)
-                if leaf is not None and (route := _match(leaf, asked)) is not None:
+                if leaf is not None and (route := _match(leaf, request)) is not None:
                     return route
-        if known:
+        if host_known:
             return NoRoute(NO_ROUTE, f"no route on host {host} takes this path, method, class and headers")
         return NoRoute(UNKNOWN_HOST, f"no service answers for host {host}")
 
     def _hosts(self, host: str) -> Iterator[dict[str, Leaf]]:
         """The routes of each matching host pattern, the most specific first."""
-        if (paths := self.exact.get(host)) is not None:
+        if (paths := self.exact_hosts.get(host)) is not None:
             yield paths
-        if self.suffix:
+        if self.host_suffixes:
             _, dot, rest = host.partition(".")
             while dot:
-                if (paths := self.suffix.get(rest)) is not None:
+                if (paths := self.host_suffixes.get(rest)) is not None:
                     yield paths
                 _, dot, rest = rest.partition(".")
-        if self.any:
-            yield self.any
+        if self.any_host:
+            yield self.any_host
 
 
 def _prefixes(path: str) -> Iterator[str]:
@@ -166,10 +166,10 @@
     yield ""
 
 
-def _match(leaf: Leaf, asked: Asked) -> Route | None:
-    for key in ((asked.method, asked.cls), (asked.method, ""), ("", asked.cls), ("", "")):
+def _match(leaf: Leaf, request: Asked) -> Route | None:
+    for key in ((request.method, request.cls), (request.method, ""), ("", request.cls), ("", "")):
         for names, by_values in leaf.get(key, ()):
-            values = tuple(asked.headers.get(name, "") for name in names)
+            values = tuple(request.headers.get(name, "") for name in names)
             if (route := by_values.get(values)) is not None:
                 return route
     return None
--- a/millgw/routing/target.py
+++ b/millgw/routing/target.py
@@ -16,9 +16,11 @@
 UNRESERVED = frozenset(b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~")
 PATH = re.compile(rb"[A-Za-z0-9\-._~!$&'()*+,;=:@/%]*")  # RFC 3986 section 3.3
 QUERY = re.compile(rb"[\x21-\x22\x24-\x7e]*")  # more than RFC 3986 allows: the query does not affect routing
-NAME = re.compile(rb"(?!-)[a-z0-9_-]{1,63}(?<!-)")
+HOST_LABEL = re.compile(rb"(?!-)[a-z0-9_-]{1,63}(?<!-)")
 ENCODED = re.compile(rb"%([0-9A-Fa-f]{2})")
-REFUSED = frozenset(b"/\\\x00")  # when encoded, some parsers treat them as separators and others do not
+AMBIGUOUS_BYTES = frozenset(
+    b"/\\\x00"
+)  # when encoded, some parsers treat them as separators and others do not
 
 
 class BadTarget(ValueError):
@@ -75,7 +77,7 @@
     name, _, port = value.partition(b":")
     _check_port(port)
     name = name.removesuffix(b".")
-    if not name or len(name) > MAX_HOST or not all(NAME.fullmatch(label) for label in name.split(b".")):
+    if not name or len(name) > MAX_HOST or not all(HOST_LABEL.fullmatch(label) for label in name.split(b".")):
         raise BadTarget("Host is no host name")
     return name.decode()
 
@@ -114,7 +116,7 @@
 
     def plain(match: re.Match[bytes]) -> bytes:
         byte = int(match[1], 16)
-        if byte in REFUSED:
+        if byte in AMBIGUOUS_BYTES:
             raise BadTarget("the path has an escaped slash, backslash or zero")
         return bytes((byte,)) if byte in UNRESERVED else b"%%%02X" % byte
 
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -2,8 +2,8 @@
 
 Incoming bytes are read at once, but parsing, routing and accepting a request wait for the turn of the lane
 that the connection was last routed to; handling an endpoint's complete response waits for the turn of its
-pool's lane. One iteration of the event loop spends no longer than `SPELL` on both, so that a flood for one
-pool can't delay the requests of another.
+pool's lane. One iteration of the event loop spends no longer than `TIME_SLICE` on both, so that a flood for
+one pool can't delay the requests of another.
 """
 
 from __future__ import annotations
@@ -20,64 +20,64 @@
 from millgw.pool.pool import Pool, read
 from millgw.routing.table import Asked, NoRoute, Route, Table
 from millgw.routing.target import BadTarget, read_target
-from millgw.services.turns import Turns
+from millgw.services.turns import FairQueue
 
-SPELL = 0.0002  # s per loop iteration for requests and responses, before connections are read again
+TIME_SLICE = 0.0002  # s per loop iteration for requests and responses, before connections are read again
 
 
-class Waiting(Protocol):
+class WaitingConnection(Protocol):
     """A caller's connection with a request to parse, or an endpoint's with a complete response."""
 
     def turn(self) -> None: ...
 
 
-class Spells:
+class TurnScheduler:
     """Schedules the connections of both sides that wait for the turn of their lane."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.turns: Turns[Waiting] = Turns()
+        self.turns: FairQueue[WaitingConnection] = FairQueue()
 
-    def wait(self, lane: str, connection: Waiting) -> None:
+    def wait(self, lane: str, connection: WaitingConnection) -> None:
         if not self.turns:
-            self.loop.call_soon(self._spell)
+            self.loop.call_soon(self._run_turns)
         self.turns.add(lane, connection)
 
-    def _spell(self) -> None:
-        end = time.monotonic() + SPELL
+    def _run_turns(self) -> None:
+        end = time.monotonic() + TIME_SLICE
         while self.turns:
             self.turns.next().turn()
             if time.monotonic() >= end:
                 break
         if self.turns:
-            self.loop.call_soon(self._spell)
+            self.loop.call_soon(self._run_turns)
 
 
-class Services:
+class PoolRegistry:
     """The current pools by name, replaced by reloads; shared by the fronts of all listeners."""
 
-    def __init__(self, life: Lifecycle) -> None:
+    def __init__(self, lifecycle: Lifecycle) -> None:
         self.pools: Mapping[str, Pool] = {}
-        self.life = life
+        self.lifecycle = lifecycle
 
 
 class RoutedFront:
-    """Finds the service of each request of a listener: by the route table, or always `only` if set."""
+    """Finds the service of a listener's requests: by the route table, or always `only_service` if set."""
 
-    def __init__(self, services: Services, table: Table, only: str = "") -> None:
-        self.services = services
+    def __init__(self, registry: PoolRegistry, table: Table, only_service: str = "") -> None:
+        self.registry = registry
         self.table = table
-        self.only = only
+        self.only_service = only_service
 
     def gate(self, head: Head) -> None:
-        found = self._find(head)
+        found = self._find_pool(head)
         if isinstance(found, BadRequest):
             head.wrong = found
         elif found is not None:
             head.pool = found
-            head.refused = Answer(REFUSED) if self.services.life.over else found.busy()
+            head.refused = Answer(REFUSED) if self.registry.lifecycle.over else found.busy()
 
-    def _find(self, head: Head) -> Pool | BadRequest | None:
+    def _find_pool(self, head: Head) -> Pool | BadRequest | None:
         """The pool of a request, or the error to refuse it with; None for /ready, which is of no service."""
         values = head.values
         host = values.get(b"host")
@@ -90,26 +90,26 @@
         if not head.target.startswith(b"/"):
             # An origin server is sent the path only, not the absolute form (RFC 9112 section 3.2.1).
             head.target = b"/" + head.target.partition(b"://")[2].partition(b"/")[2]
-        if self.only:
-            return self.services.pools[self.only]
+        if self.only_service:
+            return self.registry.pools[self.only_service]
         headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in values.items()}
         cls = headers.get("x-qos", "")
         found = self.table.find(Asked(target, head.method.decode("latin-1"), cls, headers))
         if isinstance(found, NoRoute):
-            return BadRequest(found.status, found.why)
+            return BadRequest(found.status, found.reason)
         assert isinstance(found, Route)
-        return self.services.pools[found.service]
+        return self.registry.pools[found.service]
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
-        return read(head, answer, self._ready)
+        return read(head, answer, self._answer_ready)
 
-    def _ready(self, head: Head) -> Answer:
+    def _answer_ready(self, head: Head) -> Answer:
         if head.method != b"GET":
             raise BadRequest(405, "only GET asks whether the sidecar is ready")
         name = head.target.partition(b"?")[0].rpartition(b"/ready")[2].strip(b"/").decode("latin-1")
-        pools = self.services.pools
+        pools = self.registry.pools
         if name and name not in pools:
             raise BadRequest(404, "no such service")
         asked = [pools[name]] if name else list(pools.values())
-        serves = any(pool.driver.ready for pool in asked) and self.services.life.welcome()
-        return plain(200 if serves else REFUSED, "\n".join(pool.status() for pool in asked))
+        ready = any(pool.driver.ready for pool in asked) and self.registry.lifecycle.welcome()
+        return plain(200 if ready else REFUSED, "\n".join(pool.status() for pool in asked))
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -28,19 +28,19 @@
 class StaticList:
     """A fixed list of endpoints from the operator's file, sent each time the module asks."""
 
-    def __init__(self, entries: tuple[Listed, ...], heard: Heard) -> None:
+    def __init__(self, entries: tuple[Listed, ...], on_list: Heard) -> None:
         self.entries = entries
-        self.heard = heard
+        self.on_list = on_list
 
     def start(self, known: Any) -> None:
         """Ignores the configuration's list: that belongs to its discovery and has other endpoints."""
         self.subscribe()
 
     def subscribe(self) -> None:
-        asyncio.get_running_loop().call_soon(self._tell)
+        asyncio.get_running_loop().call_soon(self._send)
 
-    def _tell(self) -> None:
-        self.heard(ListKind.FULL, self.entries)
+    def _send(self) -> None:
+        self.on_list(ListKind.FULL, self.entries)
 
     def stop(self) -> None:
         """Does nothing: there is no watch to end."""
@@ -72,21 +72,21 @@
     return out
 
 
-def source(name: str, service: Service, config: Config) -> Callable[[Heard, Witness], Source]:
+def list_source(name: str, service: Service, config: Config) -> Callable[[Heard, Witness], Source]:
     """A factory for the source of a service's endpoint list."""
     if service.endpoints:
-        entries = static_list(service, config)
-        return lambda heard, _: StaticList(entries, heard)
+        entries = static_entries(service, config)
+        return lambda on_list, _: StaticList(entries, on_list)
     if service.coordinator is not None:
-        return _coordinated(service, service.coordinator, config, pool_seed(config.seed, name))
+        return _coordinator_source(service, service.coordinator, config, pool_seed(config.seed, name))
     if service.discovery is None:
-        return lambda heard, _: of_platform(config, heard)
+        return lambda on_list, _: of_platform(config, on_list)
     address = read_address(service.discovery)
-    return lambda heard, _: OwnDiscovery(Discovery(address, config.zones, heard))
+    return lambda on_list, _: OwnDiscovery(Discovery(address, config.zones, on_list))
 
 
-def _coordinated(
-    service: Service, told: Coordinator, config: Config, seed: int
+def _coordinator_source(
+    service: Service, coordinator: Coordinator, config: Config, seed: int
 ) -> Callable[[Heard, Witness], Source]:
     # Imported here: without a coordinator these modules must not be loaded.
     from millgw.membership.judge import Terms
@@ -94,27 +94,27 @@
     from millgw.membership.source import BothSources, CoordinatorSource
 
     terms = Terms(
-        share=told.mass_share,
-        window=told.window_s * 1000,
-        hold=told.hold_s * 1000,
-        hold_most=told.hold_most_s * 1000,
+        share=coordinator.mass_share,
+        window=coordinator.window_s * 1000,
+        hold=coordinator.hold_s * 1000,
+        hold_most=coordinator.hold_most_s * 1000,
     )
-    where = _where(told, terms, told.endpoint)
+    where = _coordinator_directory(coordinator, terms, coordinator.endpoint)
     if service.membership is None:
-        return lambda heard, witness: CoordinatorSource(where, config.zones, seed, witness, heard)
+        return lambda on_list, witness: CoordinatorSource(where, config.zones, seed, witness, on_list)
     mode, own = Mode(service.membership), service.discovery is not None
     address = config.discovery if service.discovery is None else read_address(service.discovery)
-    return lambda heard, witness: BothSources(
-        where, Merger(mode), address, own, config.settings.ask_within, config.zones, seed, witness, heard
+    return lambda on_list, witness: BothSources(
+        where, Merger(mode), address, own, config.settings.ask_within, config.zones, seed, witness, on_list
     )
 
 
-def _where(told: Directory, terms: JudgeTerms, port: str = "") -> Where:
+def _coordinator_directory(directory: Directory, terms: JudgeTerms, port: str = "") -> Where:
     """The coordinator and directory that the operator's file names."""
     from millgw.membership.source import Where
 
-    servers, root = read_connect(told.connect)
-    return Where(servers, root + told.path, told.session_s * 1000, terms, port)
+    servers, root = read_connect(directory.connect)
+    return Where(servers, root + directory.path, directory.session_s * 1000, terms, port)
 
 
 def attach(pool: Pool, terms: Terms | None, config: Config, seed: int) -> Tended | None:
@@ -129,36 +129,36 @@
 
 def peers(operator: Operator, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
     """The node that exchanges state with peers, where the operator's file has a table for it."""
-    told = operator.peers
-    if told is None:
+    table = operator.peers
+    if table is None:
         return None
     # Imported here: without peers these modules must not be loaded.
     from millgw.peers.node import Peers, Terms
 
     meeting = None
-    if told.coordinator is not None:
+    if table.coordinator is not None:
         from millgw.membership import judge
 
-        meeting = _where(told.coordinator, judge.Terms())
-    join = tuple(map(read_address, told.join))
-    terms = Terms(read_address(told.listen), join, told.keys, told.within_ms, meeting)
+        meeting = _coordinator_directory(table.coordinator, judge.Terms())
+    join = tuple(map(read_address, table.join))
+    terms = Terms(read_address(table.listen), join, table.keys, table.within_ms, meeting)
     try:
         return Peers(terms, pools, pool_seed(config.seed, "peers"))
     except (OSError, ValueError) as error:
         raise ConfigError(f"peers.keys: {error}") from None
 
 
-def intents(operator: Operator, memory: float) -> Intents | None:
+def make_intents(operator: Operator, memory: float) -> Intents | None:
     """The log of marks for unsafe calls, where the operator's file has a store."""
-    told = operator.store
-    if told is None:
+    table = operator.store
+    if table is None:
         return None
     # Imported here: without a store these modules must not be loaded.
     from millgw.intents.log import MARK_BYTES, MEMORY_PART, Intents, Terms
     from millgw.store.writer import Sync
 
-    keep, most = told.keep_h * 3_600_000.0, int(MEMORY_PART * memory / MARK_BYTES)
-    return Intents(Terms(told.directories, Sync(told.sync), keep, told.key.lower().encode(), most))
+    keep, most = table.keep_h * 3_600_000.0, int(MEMORY_PART * memory / MARK_BYTES)
+    return Intents(Terms(table.directories, Sync(table.sync), keep, table.key.lower().encode(), most))
 
 
 def locality(operator: Operator, config: Config, seed: int) -> Locality | None:
@@ -166,35 +166,35 @@
 
     Raises ConfigError, naming a zone or class that the configuration does not have.
     """
-    told = operator.places
-    if told is None:
+    table = operator.places
+    if table is None:
         return None
     # Imported here: without places these modules must not be loaded.
     from millgw.locality.names import PlaceError, make_router
 
     try:
-        return make_router(told, config.zones, [c.name for c in config.settings.classes], seed)
+        return make_router(table, config.zones, [c.name for c in config.settings.classes], seed)
     except PlaceError as error:
         raise ConfigError(f"places.{error}") from None
 
 
 def configuration(operator: Operator, config: Config, target: Target) -> Client | None:
     """The client of the fleet's distributed configuration, where the operator's file names its instances."""
-    told = operator.configuration
-    if told is None:
+    table = operator.configuration
+    if table is None:
         return None
     # Imported here: without distributed configuration these modules must not be loaded.
     from millgw.configuration.client import Client
     from millgw.configuration.follower import preference
     from millgw.configuration.last_good import LastGood
 
-    name = told.name or config.name
-    instances = preference(name, told.relays.get(told.zone, ()), told.instances)
-    last_good = LastGood(Path(told.directory), name) if told.directory else None
+    name = table.name or config.name
+    instances = preference(name, table.relays.get(table.zone, ()), table.instances)
+    last_good = LastGood(Path(table.directory), name) if table.directory else None
     return Client(name, instances, last_good, pool_seed(config.seed, f"configuration {name}"), target)
 
 
-def static_list(service: Service, config: Config) -> tuple[Listed, ...]:
+def static_entries(service: Service, config: Config) -> tuple[Listed, ...]:
     """The endpoints that the operator's file lists for a service."""
     entries = [
         {
--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -10,7 +10,7 @@
 from millgw.services.limits import Allotment
 
 
-class Bounds:
+class PoolLimits:
     """The limits of all pools and their current usage. `clock` is in ms."""
 
     def __init__(self, allotments: Mapping[str, Allotment], clock: Callable[[], float]) -> None:
@@ -24,7 +24,7 @@
         names = self.allotments[kind].guaranteed
         return {name: self.pools[name].held(kind) if name in self.pools else 0 for name in names}
 
-    def gone(self, kind: str) -> int:
+    def held_by_retired(self, kind: str) -> int:
         """What removed pools still hold, so that it is not available yet."""
         return sum(pool.held(kind) for pool in self.retired)
 
@@ -35,53 +35,55 @@
     A removed pool has no share and accepts nothing new; its limit is the total, so that its calls can finish.
     """
 
-    def __init__(self, name: str, bounds: Bounds) -> None:
+    def __init__(self, name: str, limits: PoolLimits) -> None:
         self.name = name
-        self.bounds = bounds
+        self.bounds = limits
         self.retired = False
 
     def most(self, kind: str) -> int:
         allotment = self.bounds.allotments[kind]
         if self.retired or self.name not in allotment.guaranteed:
             return allotment.total
-        return allotment.most(self.name, self.bounds.used(kind), self.bounds.clock(), self.bounds.gone(kind))
+        return allotment.limit(
+            self.name, self.bounds.used(kind), self.bounds.clock(), self.bounds.held_by_retired(kind)
+        )
 
     def end(self) -> None:
         self.retired = True
 
     def patience(self, patience: float) -> float:
         calls = self.bounds.allotments[CALLS]
-        on_loan = calls.borrowed(self.name, self.bounds.used(CALLS))
-        return min(patience, calls.lend) if on_loan else patience
+        borrowing = calls.would_borrow(self.name, self.bounds.used(CALLS))
+        return min(patience, calls.lend_ms) if borrowing else patience
 
 
-class PoolRoom:
+class ConnectionBudget:
     """Limits a pool's connections to endpoints: the process's descriptor budget and the pool's share."""
 
-    def __init__(self, name: str, shared: Descriptors, bounds: Bounds, share: LentShare) -> None:
+    def __init__(self, name: str, descriptors: Descriptors, limits: PoolLimits, share: LentShare) -> None:
         self.name = name
-        self.shared = shared
-        self.bounds = bounds
+        self.descriptors = descriptors
+        self.limits = limits
         self.share = share
         self.endpoints: Callable[[], int] = int
 
     def full(self) -> bool:
-        return self.shared.full() or self._used_up()
+        return self.descriptors.full() or self._share_used_up()
 
-    def _used_up(self) -> bool:
+    def _share_used_up(self) -> bool:
         return self.endpoints() >= self.share.most(CONNECTIONS)
 
     def make(self) -> bool:
         """Free a descriptor by closing an idle connection elsewhere, unless the pool's share is used up."""
-        return not self._used_up() and (self._from_others() or self.shared.close_caller())
+        return not self._share_used_up() and (self._close_idle_of_others() or self.descriptors.close_caller())
 
-    def _from_others(self) -> bool:
+    def _close_idle_of_others(self) -> bool:
         """Close an idle connection of the pool that is furthest above its guarantee."""
-        parts = self.bounds.allotments[CONNECTIONS].guaranteed
+        guaranteed = self.limits.allotments[CONNECTIONS].guaranteed
         over = [
-            (parts[p.name] - p.held(CONNECTIONS), p)
-            for p in self.bounds.pools.values()
-            if p.name != self.name and p.held(CONNECTIONS) > parts[p.name]
+            (guaranteed[p.name] - p.held(CONNECTIONS), p)
+            for p in self.limits.pools.values()
+            if p.name != self.name and p.held(CONNECTIONS) > guaranteed[p.name]
         ]
         over.sort(key=lambda pair: pair[0])
         return any(pool.upstream.give_way() for _, pool in over)
--- a/millgw/services/turns.py
+++ b/millgw/services/turns.py
@@ -13,13 +13,13 @@
 QUANTUM = 4  # items per lane and round
 
 
-class Turns(Generic[T]):
+class FairQueue(Generic[T]):
     """Queues of items by lane, served in round robin order."""
 
     def __init__(self, quantum: int = QUANTUM) -> None:
         self.quantum = quantum
         self.lanes: dict[str, deque[T]] = {}  # only lanes with items; the one being served is first
-        self.left = quantum  # items that the first lane may still have in this round
+        self.remaining = quantum  # items that the first lane may still have in this round
 
     def __bool__(self) -> bool:
         return bool(self.lanes)
@@ -34,11 +34,11 @@
         lane = next(iter(self.lanes))
         queue = self.lanes[lane]
         item = queue.popleft()
-        self.left -= 1
+        self.remaining -= 1
         if not queue:
             del self.lanes[lane]
-            self.left = self.quantum
-        elif self.left == 0:
+            self.remaining = self.quantum
+        elif self.remaining == 0:
             self.lanes[lane] = self.lanes.pop(lane)  # to the end of the round
-            self.left = self.quantum
+            self.remaining = self.quantum
         return item
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -26,10 +26,10 @@
 from millgw.log import events
 from millgw.log import start as log_start
 from millgw.log.backlog import Backlog
-from millgw.log.repeats import Repeats
-from millgw.log.start import Foreign, Log
-from millgw.log.table import COMMON, EVENTS, SEVERAL
-from millgw.log.wording import LONGEST, as_json, known, plain, text
+from millgw.log.repeats import RepeatLimiter
+from millgw.log.start import LibraryLogHandler, Log
+from millgw.log.table import COMMON_FIELDS, DETAIL_LINES_PER_SECOND, EVENTS
+from millgw.log.wording import MAX_FIELD_LENGTH, keep_known_fields, limit_values, render_json, render_text
 from millgw.log.writer import Writer
 from millgw.standins.scripted import ScriptedEndpoint, answering
 from tests.rig import LIMIT, request, run, sidecar
@@ -47,14 +47,14 @@
     logging.getLogger().handlers[:] = handlers
 
 
-class Pipe:
+class PipeLog:
     """A log that writes into a pipe, at times that the test sets."""
 
-    def __init__(self, kind: str, room: int = 65_536) -> None:
+    def __init__(self, kind: str, max_bytes: int = 65_536) -> None:
         self.out, into = os.pipe()
         self.now = 100.0
         self.wall = 5.0
-        self.writer = Writer(into, Backlog(room), lambda lines: self.log.word("lines-lost", lines=lines))
+        self.writer = Writer(into, Backlog(max_bytes), lambda lines: self.log.word("lines-lost", lines=lines))
         self.log = Log(kind, self.writer, lambda: self.now, lambda: self.wall)
 
     def read(self) -> list[str]:
@@ -73,7 +73,7 @@
 def test_both_wordings_tell_the_same_and_hostile_text_stays_one_line() -> None:
     words: list[list[str]] = []
     for kind in ("text", "json"):
-        pipe = Pipe(kind)
+        pipe = PipeLog(kind)
         pipe.log("answer-spoilt", {"endpoint": "10.0.0.7:70", "cause": HOSTILE, "call": "t1"})
         words.append(pipe.read())
     assert words[0] == [
@@ -89,24 +89,26 @@
 
 @given(st.text(), st.text())
 def test_no_text_makes_a_second_line_or_reaches_a_terminal_as_a_command(cause: str, trace: str) -> None:
-    told = plain(None, "", known(None, "", {"event": "answer-spoilt", "cause": cause, "call": trace}))
+    told = limit_values(
+        None, "", keep_known_fields(None, "", {"event": "answer-spoilt", "cause": cause, "call": trace})
+    )
     told["at"] = 1.0
-    for line in (text(None, "", told), as_json(None, "", told)):
+    for line in (render_text(None, "", told), render_json(None, "", told)):
         assert line.isprintable()
-    assert json.loads(as_json(None, "", told))["cause"] == told["cause"]
+    assert json.loads(render_json(None, "", told))["cause"] == told["cause"]
 
 
 def test_a_field_that_the_table_does_not_name_is_never_written_and_a_long_one_is_cut() -> None:
-    pipe = Pipe("text")
+    pipe = PipeLog("text")
     pipe.log("no-descriptor", {"endpoint": "e", "key": "sesame", "authorization": "Basic x"})
     pipe.log("answer-spoilt", {"cause": "x" * 5000})
     first, second = pipe.read()
     assert first == f"WARNING no-descriptor endpoint=e {AT}"
-    assert len(second) < LONGEST + 100 and "(5000 characters)" in second
+    assert len(second) < MAX_FIELD_LENGTH + 100 and "(5000 characters)" in second
 
 
 def test_bound_fields_go_with_each_event() -> None:
-    pipe = Pipe("text")
+    pipe = PipeLog("text")
     events.set_handler(pipe.log)
     bound = events.BoundLogger(service="login")
     bound.log_event("no-descriptor", endpoint="e1")
@@ -122,7 +124,7 @@
     ends: list[Any] = []
     monkeypatch.setattr("millgw.log.start.atexit.register", ends.append)
     logger = tools.start("text", into, lambda: 5.0, lambda: 5.0)
-    pipe = Pipe("text")
+    pipe = PipeLog("text")
     told: dict[str, object] = {"endpoint": "e1", "cause": HOSTILE, "key": "sesame"}
     pipe.log("answer-spoilt", told)
     events.log_event("answer-spoilt", **told)
@@ -142,9 +144,9 @@
 
 
 def test_what_a_library_logs_is_an_event_with_its_trace() -> None:
-    pipe = Pipe("json")
+    pipe = PipeLog("json")
     logger = logging.Logger("other")
-    logger.addHandler(Foreign(pipe.log))
+    logger.addHandler(LibraryLogHandler(pipe.log))
     try:
         raise ValueError("so\nit is")
     except ValueError:
@@ -158,7 +160,7 @@
 
 
 def test_ten_thousand_equal_events_a_second_are_one_line_and_a_count() -> None:
-    pipe = Pipe("text")
+    pipe = PipeLog("text")
     for i in range(10_000):
         pipe.now = 100.0 + i / 10_000
         pipe.log("no-descriptor", {"endpoint": f"e{i}"})
@@ -173,18 +175,18 @@
 
 
 def test_an_event_that_tells_requests_apart_has_several_lines_a_second() -> None:
-    pipe = Pipe("text")
-    for i in range(SEVERAL + 5):
+    pipe = PipeLog("text")
+    for i in range(DETAIL_LINES_PER_SECOND + 5):
         pipe.log("request-turned-away", {"status": 408, "call": f"t{i}"})
     pipe.now = 101.0
     pipe.log("request-turned-away", {"status": 408, "call": "t"})
     lines = pipe.read()
-    assert len(lines) == SEVERAL + 1
+    assert len(lines) == DETAIL_LINES_PER_SECOND + 1
     assert lines[-1] == f"INFO request-turned-away status=408 call=t more=5 {AT}"
 
 
 def test_services_repeat_by_themselves() -> None:
-    pipe = Pipe("text")
+    pipe = PipeLog("text")
     for service in ("a", "b", "a"):
         pipe.log("no-descriptor", {"service": service})
     assert [line.split()[2:-1] for line in pipe.read()] == [
@@ -193,7 +195,7 @@
 
 
 def test_a_step_of_the_wall_clock_silences_nothing() -> None:
-    pipe = Pipe("json")
+    pipe = PipeLog("json")
     pipe.log("no-descriptor", {})
     pipe.wall, pipe.now = -3600.0, 101.0
     pipe.log("no-descriptor", {})
@@ -202,14 +204,16 @@
 
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.floats(0, 3)), max_size=60), st.integers(1, 4))
 def test_every_event_is_told_or_counted(calls: list[tuple[str, float]], most: int) -> None:
-    repeats, now, told, more = Repeats(most=most), 0.0, 0, 0
+    repeats, now, told, more = RepeatLimiter(max_kinds=most), 0.0, 0, 0
     for kind, wait in calls:
         now += wait
-        taken = repeats.take(now, kind)
+        taken = repeats.admit(now, kind)
         if taken is not None:
             told, more = told + 1, more + taken
-        assert len(repeats.last) <= most
-    assert told + more + sum(repeats.left().values()) == len(calls) and not repeats.left()
+        assert len(repeats.window_starts) <= most
+    assert (
+        told + more + sum(repeats.take_suppressed().values()) == len(calls) and not repeats.take_suppressed()
+    )
 
 
 # Readers
@@ -222,7 +226,7 @@
         if size is not None:
             number += 1
             backlog.add(b"%0*d\n" % (size, number))
-            assert backlog.held <= 64
+            assert backlog.buffered_bytes <= 64
             continue
         piece, missing = backlog.take()
         for line in piece.splitlines():
@@ -233,12 +237,12 @@
 
 
 def test_a_full_pipe_holds_nobody_back_and_the_gap_is_named() -> None:
-    pipe = Pipe("text", room=2000)
+    pipe = PipeLog("text", max_bytes=2000)
     os.write(pipe.writer.fd, b"\n" * fcntl.fcntl(pipe.out, fcntl.F_SETPIPE_SZ, 4096))
     for i in range(3000):
         pipe.now += 2.0
         pipe.log("answer-spoilt", {"endpoint": i, "cause": "x" * 60})
-    assert pipe.writer.backlog.held <= 2000
+    assert pipe.writer.backlog.buffered_bytes <= 2000
     numbers: list[int] = []
     lost = 0
 
@@ -263,11 +267,11 @@
 
 
 def test_a_reader_that_is_gone_ends_the_log_and_nothing_else() -> None:
-    pipe = Pipe("text")
+    pipe = PipeLog("text")
     os.close(pipe.out)
     pipe.log("serving", {"name": "s"})
     end = time.monotonic() + LIMIT
-    while not pipe.writer.ended:
+    while not pipe.writer.closed:
         assert time.monotonic() < end
         time.sleep(0.01)
     pipe.log("alone", {})
@@ -280,7 +284,7 @@
     code = (
         "import os, sys, time\nfrom millgw.log.start import start\nfrom millgw.log import events\n"
         "log = start('text')\nbegun = time.monotonic()\n"
-        "for i in range(20000):\n    log.repeats.last.clear()\n"
+        "for i in range(20000):\n    log.repeat_limiter.window_starts.clear()\n"
         "    events.log_event('no-descriptor', endpoint='e' * 90)\n"
         "print('told', flush=True)\n"
     )
@@ -308,7 +312,7 @@
 FAILURE_FIELDS = {"endpoint", "cause", "call"}  # what `Connection.log_failure` writes with each event
 
 
-def tellings() -> Iterator[tuple[str, str, set[str]]]:
+def logged_events() -> Iterator[tuple[str, str, set[str]]]:
     """File, event and fields of every call that tells one, as the sources have them."""
     for path in sorted((ROOT / "millgw").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -328,9 +332,9 @@
 
 def test_every_event_that_is_told_stands_in_the_table_with_its_fields_and_no_other() -> None:
     told = set()
-    for path, event, fields in tellings():
+    for path, event, fields in logged_events():
         assert event in EVENTS, f"{path} tells {event}"
-        assert fields <= {*EVENTS[event].fields, *COMMON}, f"{path}: {event} has {fields}"
+        assert fields <= {*EVENTS[event].fields, *COMMON_FIELDS}, f"{path}: {event} has {fields}"
         told.add(event)
     assert told | {"message"} == set(EVENTS)
 
@@ -343,7 +347,7 @@
 def test_nothing_of_a_caller_s_headers_bodies_and_keys_gets_into_the_log() -> None:
     """Requests that can't be read, taken or served, with secrets in every place that a caller fills."""
     mark = "s3same"
-    pipe = Pipe("json")
+    pipe = PipeLog("json")
     secrets = f"Idempotency-Key: {mark}\r\nAuthorization: Bearer {mark}\r\nCookie: a={mark}\r\n"
     whole = request("pay", f"body {mark}".encode()).decode("latin-1")
     first, rest = whole.split("\r\n", 1)
@@ -380,8 +384,8 @@
 
 
 def test_figures_told_whole_are_those_of_the_table(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert EVENTS["pool"].open and not any(k.open for n, k in EVENTS.items() if n != "pool")
-    out = known(None, "", {"event": "pool", "pool": "a", "lives": 3, "object": object()})
+    assert EVENTS["pool"].extra_fields and not any(k.extra_fields for n, k in EVENTS.items() if n != "pool")
+    out = keep_known_fields(None, "", {"event": "pool", "pool": "a", "lives": 3, "object": object()})
     assert "lives" in out and "object" not in out
 
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -17,12 +17,12 @@
 
 from millgw.__main__ import main
 from millgw.operator.file import OperatorError, parse
-from millgw.operator.guarantees import parts
+from millgw.operator.guarantees import guaranteed_units
 from millgw.pool.call import Call
 from millgw.pool.driver import Driver
 from millgw.pool.pool import Pool
 from millgw.services.limits import Allotment
-from millgw.services.turns import QUANTUM, Turns
+from millgw.services.turns import QUANTUM, FairQueue
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import (
@@ -114,7 +114,7 @@
             continue
         for _ in range(change):
             least = -(-guaranteed[pool] // 4)
-            granted = used[pool] < allotment.most(pool, used, now)
+            granted = used[pool] < allotment.limit(pool, used, now)
             assert granted or used[pool] >= least, "the part that is never lent was not free"
             if not granted:
                 break
@@ -131,8 +131,8 @@
     allotment, used = Allotment(total, guaranteed, 1000.0), {"a": 0, "b": 0}
     loans: list[float] = []
     now = float(seed)
-    while used["b"] < allotment.most("b", used, now):
-        if allotment.borrowed("b", used):
+    while used["b"] < allotment.limit("b", used, now):
+        if allotment.would_borrow("b", used):
             loans.append(now + 1000.0)
         used["b"] += 1
     assert used["b"] > guaranteed["b"] or guaranteed["a"] + guaranteed["b"] >= total - 1
@@ -142,9 +142,9 @@
         for end in [end for end in loans if end <= now]:
             loans.remove(end)
             used["b"] -= 1
-        if used["a"] < allotment.most("a", used, now):
+        if used["a"] < allotment.limit("a", used, now):
             used["a"] += 1
-        elif used["b"] < allotment.most("b", used, now):
+        elif used["b"] < allotment.limit("b", used, now):
             used["b"] += 1
             loans.append(now + 1000.0)
         else:
@@ -156,7 +156,7 @@
 def test_guarantees_that_cannot_be_kept_are_refused() -> None:
     with pytest.raises(ValueError, match="11 of 10"):
         Allotment(10, {"a": 6, "b": 5}, 1000.0)
-    assert parts(100, {"a": 0.5, "b": None, "c": None}) == {"a": 50, "b": 12, "c": 12}
+    assert guaranteed_units(100, {"a": 0.5, "b": None, "c": None}) == {"a": 50, "b": 12, "c": 12}
 
 
 @given(st.lists(st.tuples(st.sampled_from(NAMES), st.integers(1, 30)), max_size=20))
@@ -164,7 +164,7 @@
 def test_every_item_has_its_turn_in_order_and_no_lane_waits_for_more_than_a_round(
     added: list[tuple[str, int]],
 ) -> None:
-    turns: Turns[tuple[str, int]] = Turns(quantum=3)
+    turns: FairQueue[tuple[str, int]] = FairQueue(quantum=3)
     expected: dict[str, list[int]] = {}
     for lane, count in added:
         for _ in range(count):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -31,7 +31,7 @@
 GOOD = 'name = "own"\n'
 
 
-def laid(folder: Path, values: str, site: str = SITE, beside: tuple[str, ...] = BESIDE) -> int:
+def run_on_site(folder: Path, values: str, site: str = SITE, beside: tuple[str, ...] = BESIDE) -> int:
     base = folder / "base"
     base.mkdir(exist_ok=True)
     (base / "base.toml").write_text(site)
@@ -50,7 +50,7 @@
         '[net]\nzones = ["a", "b"]\n[tier.conn]\nidle_s = 8\n[[class]]\nname = "x"\n[[class]]\nname = "y"\n'
     )
     for _ in range(2):  # laid again over what is there
-        assert laid(tmp_path, values) == 0
+        assert run_on_site(tmp_path, values) == 0
     path = Path(capsys.readouterr().out.split()[-1])
     assert path == tmp_path / "laid" / "own" / "own.toml"
     whole = tomllib.loads(path.read_text())
@@ -84,13 +84,13 @@
 def test_values_that_do_not_fit_end_with_2_and_one_line_that_names_the_field(
     values: str, names: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert laid(tmp_path, values) == 2
+    assert run_on_site(tmp_path, values) == 2
     out, err = capsys.readouterr()
     assert not out and err.count("\n") == 1 and names in err
 
 
 def test_a_site_that_is_not_whole_is_named(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert laid(tmp_path, GOOD, beside=BESIDE[:2]) == 2
+    assert run_on_site(tmp_path, GOOD, beside=BESIDE[:2]) == 2
     assert "unlock.txt" in capsys.readouterr().err
     assert main([str(tmp_path / "none.toml"), str(tmp_path / "own.toml")]) == 2
     assert "none.toml" in capsys.readouterr().err
