--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log: its table, its two wordings, its bound on repeats, and that who tells never waits for a reader."""
+"""The log: its event table, text and JSON rendering, rate limit of repeats, and non-blocking writer."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 from tests.rig import LIMIT, request, run, sidecar
 
 ROOT = Path(millgw.__file__).parent.parent
-AT = "at=1970-01-01T00:00:05.000Z"  # as the pipe's log writes its wall clock, 5 s
+AT = "at=1970-01-01T00:00:05.000Z"  # the wall clock of `PipeLog`, 5 s, as a text line shows it
 
 
 @pytest.fixture(autouse=True)
 def restored() -> Iterator[None]:
-    """Events go to the standard library's log again."""
+    """Restores the standard library's logging after each test."""
     handlers = logging.getLogger().handlers[:]
     yield
     events.set_handler(None)
@@ -48,7 +48,7 @@
 
 
 class PipeLog:
-    """A log that writes into a pipe, at times that the test sets."""
+    """A log that writes into a pipe, with clocks that the test sets."""
 
     def __init__(self, kind: str, max_bytes: int = 65_536) -> None:
         self.out, into = os.pipe()
@@ -58,29 +58,29 @@
         self.log = Log(kind, self.writer, lambda: self.now, lambda: self.wall)
 
     def read(self) -> list[str]:
-        """What was written, once the log has ended."""
+        """Close the log and return the lines written."""
         self.log.close()
         os.close(self.writer.fd)
         with os.fdopen(self.out, "rb") as file:
             return file.read().decode().splitlines()
 
 
-# Wording
+# Rendering
 
 HOSTILE = 'a "b"\nINFO serving \x1b[31m\r\udcff'
 
 
-def test_both_wordings_tell_the_same_and_hostile_text_stays_one_line() -> None:
-    words: list[list[str]] = []
+def test_text_and_json_have_the_same_fields_and_hostile_text_stays_on_one_line() -> None:
+    rendered: list[list[str]] = []
     for kind in ("text", "json"):
         pipe = PipeLog(kind)
         pipe.log("answer-spoilt", {"endpoint": "10.0.0.7:70", "cause": HOSTILE, "call": "t1"})
-        words.append(pipe.read())
-    assert words[0] == [
+        rendered.append(pipe.read())
+    assert rendered[0] == [
         "WARNING answer-spoilt endpoint=10.0.0.7:70"
         ' cause="a \\"b\\"\\nINFO serving \\u001b[31m\\r\\udcff" call=t1 ' + AT
     ]
-    (line,) = words[1]
+    (line,) = rendered[1]
     assert line.isprintable() and json.loads(line) == {
         "at": 5.0, "level": "warning", "event": "answer-spoilt", "endpoint": "10.0.0.7:70",
         "cause": HOSTILE, "call": "t1",
@@ -88,7 +88,7 @@
 
 
 @given(st.text(), st.text())
-def test_no_text_makes_a_second_line_or_reaches_a_terminal_as_a_command(cause: str, trace: str) -> None:
+def test_no_field_value_adds_a_line_or_a_terminal_control_sequence(cause: str, trace: str) -> None:
     told = limit_values(
         None, "", keep_known_fields(None, "", {"event": "answer-spoilt", "cause": cause, "call": trace})
     )
@@ -98,7 +98,7 @@
     assert json.loads(render_json(None, "", told))["cause"] == told["cause"]
 
 
-def test_a_field_that_the_table_does_not_name_is_never_written_and_a_long_one_is_cut() -> None:
+def test_an_unlisted_field_is_never_written_and_a_long_one_is_truncated() -> None:
     pipe = PipeLog("text")
     pipe.log("no-descriptor", {"endpoint": "e", "key": "sesame", "authorization": "Basic x"})
     pipe.log("answer-spoilt", {"cause": "x" * 5000})
@@ -107,7 +107,7 @@
     assert len(second) < MAX_FIELD_LENGTH + 100 and "(5000 characters)" in second
 
 
-def test_bound_fields_go_with_each_event() -> None:
+def test_bound_fields_are_added_to_each_event() -> None:
     pipe = PipeLog("text")
     events.set_handler(pipe.log)
     bound = events.BoundLogger(service="login")
@@ -115,7 +115,7 @@
     assert pipe.read() == [f"WARNING no-descriptor service=login endpoint=e1 {AT}"]
 
 
-def test_the_tools_log_words_events_as_the_daemon_does_and_binds_contexts(
+def test_the_log_of_the_tools_renders_events_like_the_daemon_and_binds_contexts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     from millgw.cli import log as tools
@@ -143,7 +143,7 @@
     ]  # fmt: skip
 
 
-def test_what_a_library_logs_is_an_event_with_its_trace() -> None:
+def test_a_record_of_a_library_becomes_an_event_with_its_traceback() -> None:
     pipe = PipeLog("json")
     logger = logging.Logger("other")
     logger.addHandler(LibraryLogHandler(pipe.log))
@@ -159,7 +159,7 @@
 # Repeats
 
 
-def test_ten_thousand_equal_events_a_second_are_one_line_and_a_count() -> None:
+def test_ten_thousand_equal_events_in_a_second_give_one_line_and_a_count() -> None:
     pipe = PipeLog("text")
     for i in range(10_000):
         pipe.now = 100.0 + i / 10_000
@@ -174,7 +174,7 @@
     ]  # fmt: skip
 
 
-def test_an_event_that_tells_requests_apart_has_several_lines_a_second() -> None:
+def test_an_event_on_single_requests_may_have_several_lines_a_second() -> None:
     pipe = PipeLog("text")
     for i in range(DETAIL_LINES_PER_SECOND + 5):
         pipe.log("request-turned-away", {"status": 408, "call": f"t{i}"})
@@ -185,7 +185,7 @@
     assert lines[-1] == f"INFO request-turned-away status=408 call=t more=5 {AT}"
 
 
-def test_services_repeat_by_themselves() -> None:
+def test_repeats_are_limited_for_each_service_separately() -> None:
     pipe = PipeLog("text")
     for service in ("a", "b", "a"):
         pipe.log("no-descriptor", {"service": service})
@@ -194,7 +194,7 @@
     ]  # fmt: skip
 
 
-def test_a_step_of_the_wall_clock_silences_nothing() -> None:
+def test_a_step_of_the_wall_clock_suppresses_no_event() -> None:
     pipe = PipeLog("json")
     pipe.log("no-descriptor", {})
     pipe.wall, pipe.now = -3600.0, 101.0
@@ -203,7 +203,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.floats(0, 3)), max_size=60), st.integers(1, 4))
-def test_every_event_is_told_or_counted(calls: list[tuple[str, float]], most: int) -> None:
+def test_every_event_is_logged_or_counted(calls: list[tuple[str, float]], most: int) -> None:
     repeats, now, told, more = RepeatLimiter(max_kinds=most), 0.0, 0, 0
     for kind, wait in calls:
         now += wait
@@ -216,11 +216,13 @@
     )
 
 
-# Readers
+# Slow and missing readers
 
 
 @given(st.lists(st.one_of(st.none(), st.integers(1, 30)), max_size=50))
-def test_lines_that_wait_are_bounded_in_order_and_a_gap_stands_in_one_place(steps: list[int | None]) -> None:
+def test_buffered_lines_are_bounded_and_in_order_with_dropped_ones_in_one_gap(
+    steps: list[int | None],
+) -> None:
     backlog, number, seen = Backlog(64), 0, 0
     for size in (*steps, None):
         if size is not None:
@@ -231,12 +233,12 @@
         piece, missing = backlog.take()
         for line in piece.splitlines():
             seen += 1
-            assert int(line) == seen, "what was lost comes after all that was kept"
+            assert int(line) == seen, "a dropped line precedes a kept one"
         seen += missing
     assert seen == number
 
 
-def test_a_full_pipe_holds_nobody_back_and_the_gap_is_named() -> None:
+def test_a_full_pipe_does_not_block_and_dropped_lines_are_counted() -> None:
     pipe = PipeLog("text", max_bytes=2000)
     os.write(pipe.writer.fd, b"\n" * fcntl.fcntl(pipe.out, fcntl.F_SETPIPE_SZ, 4096))
     for i in range(3000):
@@ -266,7 +268,7 @@
     os.close(pipe.writer.fd)
 
 
-def test_a_reader_that_is_gone_ends_the_log_and_nothing_else() -> None:
+def test_a_closed_reader_ends_the_log_and_nothing_else() -> None:
     pipe = PipeLog("text")
     os.close(pipe.out)
     pipe.log("serving", {"name": "s"})
@@ -280,7 +282,7 @@
     os.close(pipe.writer.fd)
 
 
-def test_a_daemon_whose_log_nobody_reads_serves_and_ends(tmp_path: Path) -> None:
+def test_a_process_whose_log_nobody_reads_runs_and_exits(tmp_path: Path) -> None:
     code = (
         "import os, sys, time\nfrom millgw.log.start import start\nfrom millgw.log import events\n"
         "log = start('text')\nbegun = time.monotonic()\n"
@@ -298,7 +300,7 @@
         os.close(out)
 
 
-def test_a_kind_of_log_that_there_is_not_ends_the_daemon_with_2_and_one_line() -> None:
+def test_an_unknown_log_format_exits_with_2_and_one_line() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "millgw.sidecar"], env=os.environ | {"BALANCER_LOG": "xml"},
         capture_output=True, text=True, timeout=LIMIT,
@@ -313,7 +315,7 @@
 
 
 def logged_events() -> Iterator[tuple[str, str, set[str]]]:
-    """File, event and fields of every call that tells one, as the sources have them."""
+    """File, event and field names of every call in the sources that logs an event."""
     for path in sorted((ROOT / "millgw").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
             if not isinstance(node, ast.Call) or not node.args:
@@ -330,10 +332,10 @@
                 yield str(path), str(first.value), FAILURE_FIELDS
 
 
-def test_every_event_that_is_told_stands_in_the_table_with_its_fields_and_no_other() -> None:
+def test_the_table_lists_exactly_the_events_and_fields_that_the_sources_log() -> None:
     told = set()
     for path, event, fields in logged_events():
-        assert event in EVENTS, f"{path} tells {event}"
+        assert event in EVENTS, f"{path} logs {event}"
         assert fields <= {*EVENTS[event].fields, *COMMON_FIELDS}, f"{path}: {event} has {fields}"
         told.add(event)
     assert told | {"message"} == set(EVENTS)
@@ -344,8 +346,8 @@
     assert held[-len(page()) :] == page()
 
 
-def test_nothing_of_a_caller_s_headers_bodies_and_keys_gets_into_the_log() -> None:
-    """Requests that can't be read, taken or served, with secrets in every place that a caller fills."""
+def test_no_header_body_or_key_of_a_caller_reaches_the_log() -> None:
+    """Sends invalid, refused and failing requests with a secret in every part that a caller controls."""
     mark = "s3same"
     pipe = PipeLog("json")
     secrets = f"Idempotency-Key: {mark}\r\nAuthorization: Bearer {mark}\r\nCookie: a={mark}\r\n"
@@ -383,20 +385,20 @@
     assert not [line for line in lines if mark in line]
 
 
-def test_figures_told_whole_are_those_of_the_table(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_the_pool_event_may_have_fields_beyond_the_table(monkeypatch: pytest.MonkeyPatch) -> None:
     assert EVENTS["pool"].extra_fields and not any(k.extra_fields for n, k in EVENTS.items() if n != "pool")
     out = keep_known_fields(None, "", {"event": "pool", "pool": "a", "lives": 3, "object": object()})
     assert "lives" in out and "object" not in out
 
 
-def test_the_library_alone_tells_the_standard_log(caplog: pytest.LogCaptureFixture) -> None:
+def test_without_a_started_log_events_go_to_standard_logging(caplog: pytest.LogCaptureFixture) -> None:
     events.log_event("known-unusable", cause="x y", key="sesame")
     (record,) = caplog.records
     assert (record.name, record.levelno) == ("millgw", logging.WARNING)
     assert record.getMessage() == 'known-unusable cause="x y"'
 
 
-def test_starting_takes_other_libraries_messages_too(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_started_log_also_receives_records_of_other_libraries(monkeypatch: pytest.MonkeyPatch) -> None:
     out, into = os.pipe()
     ends: list[Any] = []
     monkeypatch.setattr("millgw.log.start.atexit.register", ends.append)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: one route or one refusal for every request, whatever the order in which routes were written."""
+"""Routing: each request gets one route or one error, whatever the order of the routes in the file."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def matches(route: Route, request: Asked) -> bool:
-    """The words of the documentation, read one by one."""
+    """Whether a route matches, by a direct reading of the documented rules."""
     host, path = request.target.host, request.target.path.rstrip("/")
     if route.host.startswith("*.") and not host.endswith(route.host[1:]):
         return False
@@ -53,7 +53,7 @@
 
 
 def rank(route: Route) -> tuple[object, ...]:
-    """Where a route stands in the documented order: the least wins."""
+    """The sort key of a route in the documented order of precedence: the smallest wins."""
     host = 0 if route.host and not route.host.startswith("*.") else 1 if route.host else 2
     names = tuple(name for name, _ in route.headers)
     return (
@@ -71,7 +71,7 @@
 
 @given(st.lists(routes, max_size=25), asked, st.integers(0, 1000))
 @settings(max_examples=500, deadline=None)
-def test_the_table_finds_what_the_documentation_says_in_any_order(
+def test_the_table_finds_the_documented_route_whatever_the_order(
     given: list[Route], request: Asked, seed: int
 ) -> None:
     some = distinct(given)
@@ -89,14 +89,14 @@
 
 @given(st.lists(routes, min_size=1, max_size=10))
 @settings(max_examples=100, deadline=None)
-def test_routes_that_cannot_be_told_apart_are_refused(given: list[Route]) -> None:
+def test_routes_with_equal_conditions_are_refused(given: list[Route]) -> None:
     some = distinct(given)
-    twin = some[-1]
-    shouted = Route(
-        "other", twin.host.upper(), twin.path + "/" if twin.path else "", twin.method, twin.cls, twin.headers
+    last = some[-1]
+    equivalent = Route(
+        "other", last.host.upper(), last.path + "/" if last.path else "", last.method, last.cls, last.headers
     )
     with pytest.raises(RouteError, match="told apart") as caught:
-        Table([*some, shouted])
+        Table([*some, equivalent])
     assert caught.value.index == len(some)
 
 
@@ -112,7 +112,7 @@
         (Route("s", "", "/ä"), "path: "),
     ],
 )
-def test_routes_that_no_request_could_meet_are_refused(route: Route, says: str) -> None:
+def test_routes_that_no_request_could_match_are_refused(route: Route, says: str) -> None:
     with pytest.raises(RouteError) as caught:
         Table([route])
     assert says in str(caught.value)
@@ -140,7 +140,7 @@
         (b"/api/", b"login.example.org", "/api/"),
     ],
 )
-def test_one_target_in_many_words(target: bytes, host: bytes, path: str) -> None:
+def test_equivalent_targets_are_normalised_alike(target: bytes, host: bytes, path: str) -> None:
     assert read_target(target, (host,)) == Target("login.example.org", path)
 
 
@@ -185,7 +185,7 @@
         (b"/api;\x7f", (b"a",)),
     ],
 )  # fmt: skip
-def test_what_could_be_read_in_two_ways_is_refused(target: bytes, hosts: tuple[bytes, ...]) -> None:
+def test_invalid_and_ambiguous_targets_are_refused(target: bytes, hosts: tuple[bytes, ...]) -> None:
     with pytest.raises(BadTarget) as caught:
         read_target(target, hosts)
     assert caught.value.status == 400
@@ -193,21 +193,21 @@
 
 @given(st.binary(max_size=30))
 @settings(max_examples=500, deadline=None)
-def test_a_plain_path_is_plain_already_and_splits_in_one_way(path: bytes) -> None:
+def test_normalising_a_path_is_idempotent_and_leaves_unambiguous_segments(path: bytes) -> None:
     try:
-        plain = read_path(b"/" + path)
+        normal = read_path(b"/" + path)
     except BadTarget:
         return
-    assert read_path(plain.encode()) == plain and plain.isascii()
-    segments = plain.split("/")[1:]
+    assert read_path(normal.encode()) == normal and normal.isascii()
+    segments = normal.split("/")[1:]
     assert "" not in segments[:-1] and not {".", ".."} & set(segments)
 
 
 @given(st.binary(max_size=30))
 @settings(max_examples=300, deadline=None)
-def test_a_plain_host_is_plain_already(host: bytes) -> None:
+def test_normalising_a_host_is_idempotent(host: bytes) -> None:
     try:
-        plain = read_host(host)
+        normal = read_host(host)
     except BadTarget:
         return
-    assert read_host(plain.encode()) == plain == plain.lower() and "%" not in plain
+    assert read_host(normal.encode()) == normal == normal.lower() and "%" not in normal
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Several services in one process: routes, pools and bounds of their own, reloads, and floods."""
+"""Several services in one process: routing, separate pools and limits, reloads, and floods of one service."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 """
 
 
-def test_a_good_file_is_read() -> None:
+def test_a_valid_file_is_parsed() -> None:
     made = parse(GOOD, "o.toml")
     assert set(made.services) == {"login", "campaign"} and made.services["login"].limits.calls == 0.5
     assert parse("", "o.toml").services == {}
@@ -80,7 +80,9 @@
         ),
     ],
 )
-def test_a_bad_file_is_named_with_line_and_path(change: tuple[str, str], line: int | None, says: str) -> None:
+def test_an_invalid_file_is_reported_with_line_and_path(
+    change: tuple[str, str], line: int | None, says: str
+) -> None:
     assert change[0] in GOOD
     with pytest.raises(OperatorError) as caught:
         parse(GOOD.replace(*change), "o.toml")
@@ -89,7 +91,7 @@
     assert line is None or said.startswith(f"o.toml:{line}: "), said
 
 
-# Limits and turns
+# Limits and fair queueing
 
 NAMES = ("a", "b", "c")
 
@@ -100,7 +102,7 @@
     st.lists(st.tuples(st.sampled_from(NAMES), st.integers(-60, 60), st.floats(0.0, 900.0)), max_size=150),
 )
 @settings(max_examples=300, deadline=None)
-def test_limits_are_never_over_the_sum_and_keep_a_part_of_each_guarantee_free(
+def test_limits_stay_within_the_total_and_reserve_part_of_each_guarantee(
     total: int, shares: tuple[float, ...], steps: list[tuple[str, int, float]]
 ) -> None:
     guaranteed = {name: max(1, int(share * total)) for name, share in zip(NAMES, shares, strict=True)}
@@ -115,7 +117,7 @@
         for _ in range(change):
             least = -(-guaranteed[pool] // 4)
             granted = used[pool] < allotment.limit(pool, used, now)
-            assert granted or used[pool] >= least, "the part that is never lent was not free"
+            assert granted or used[pool] >= least, "the reserved part of a guarantee was not free"
             if not granted:
                 break
             used[pool] += 1
@@ -124,7 +126,7 @@
 
 @given(st.integers(8, 200), st.floats(0.1, 0.5), st.integers(0, 1000))
 @settings(max_examples=100, deadline=None)
-def test_an_owner_has_its_whole_guarantee_back_when_the_loans_have_ended(
+def test_a_pool_gets_its_whole_guarantee_back_when_borrowed_capacity_returns(
     total: int, share: float, seed: int
 ) -> None:
     guaranteed = {"a": max(1, int(share * total)), "b": max(1, int(0.5 * total))}
@@ -138,7 +140,7 @@
     assert used["b"] > guaranteed["b"] or guaranteed["a"] + guaranteed["b"] >= total - 1
     start = now
     while used["a"] < guaranteed["a"]:
-        # The borrower wants more all the time, and gives back each loan when its time is over.
+        # The borrower always wants more, and returns each borrowed unit when its time is over.
         for end in [end for end in loans if end <= now]:
             loans.remove(end)
             used["b"] -= 1
@@ -149,11 +151,11 @@
             loans.append(now + 1000.0)
         else:
             now += 10.0
-        assert now <= start + 1000.0, "given back too late"
+        assert now <= start + 1000.0, "borrowed capacity was returned too late"
         assert sum(used.values()) <= total
 
 
-def test_guarantees_that_cannot_be_kept_are_refused() -> None:
+def test_guarantees_above_the_total_are_refused() -> None:
     with pytest.raises(ValueError, match="11 of 10"):
         Allotment(10, {"a": 6, "b": 5}, 1000.0)
     assert guaranteed_units(100, {"a": 0.5, "b": None, "c": None}) == {"a": 50, "b": 12, "c": 12}
@@ -161,7 +163,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from(NAMES), st.integers(1, 30)), max_size=20))
 @settings(max_examples=200, deadline=None)
-def test_every_item_has_its_turn_in_order_and_no_lane_waits_for_more_than_a_round(
+def test_the_queue_keeps_each_lane_in_order_and_no_lane_waits_longer_than_a_round(
     added: list[tuple[str, int]],
 ) -> None:
     turns: FairQueue[tuple[str, int]] = FairQueue(quantum=3)
@@ -185,7 +187,7 @@
         turns.next()
 
 
-# In service
+# Whole sidecars
 
 
 def static(name: str, *endpoints: ScriptedEndpoint, more: str = "") -> str:
@@ -238,8 +240,8 @@
     run(test)
 
 
-def test_a_flood_into_silence_takes_no_room_from_the_other_service(tmp_path: Path) -> None:
-    """One pool's endpoint is silent and its calls pile up; the other's are all served, with 256 sockets."""
+def test_a_flood_of_a_silent_service_does_not_affect_the_other(tmp_path: Path) -> None:
+    """With 256 sockets: one pool's endpoint never answers and its calls pile up; the other serves all."""
 
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c", silent)
@@ -264,14 +266,16 @@
     run(test)
 
 
-def test_from_one_service_to_three_and_back_each_call_in_flight_is_answered_once(tmp_path: Path) -> None:
+def test_calls_in_flight_are_answered_once_across_reloads_from_one_service_to_three_and_back(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         gate = asyncio.Event()
-        spots = [ScriptedEndpoint(name, answering(ok(), gate)) for name in "abc"]
-        for spot in spots:
-            await spot.start()
-        one = static("all", spots[0]) + '[[routes]]\nto = "all"\n'
-        three = one + static("two", spots[1]) + static("three", spots[2])
+        endpoints = [ScriptedEndpoint(name, answering(ok(), gate)) for name in "abc"]
+        for endpoint in endpoints:
+            await endpoint.start()
+        one = static("all", endpoints[0]) + '[[routes]]\nto = "all"\n'
+        three = one + static("two", endpoints[1]) + static("three", endpoints[2])
         for name in ("two", "three"):
             three += f'[[routes]]\nto = "{name}"\nhost = "{name}.org"\n'
         async with services(tmp_path, one) as node:
@@ -280,7 +284,7 @@
             async def ask(wanted: tuple[int, int, int], *hosts: str) -> None:
                 for host in hosts:
                     asked.append(asyncio.create_task(node.ask(request("pay", Host=host))))
-                await until(lambda: tuple(len(spot.got) for spot in spots) == wanted)
+                await until(lambda: tuple(len(endpoint.got) for endpoint in endpoints) == wanted)
 
             await ask((2, 0, 0), "x.org", "two.org")
             await node.reload(three)
@@ -289,22 +293,26 @@
             await ask((5, 2, 1), "two.org", "three.org")
             gate.set()
             assert [answer.status for answer in await asyncio.gather(*asked)] == [200] * 8
-            traces = [m.headers["x-trace-id"] for spot in spots for m in spot.got]
-            assert len(traces) == len(set(traces)) == 8, "none is asked twice"
+            traces = [m.headers["x-trace-id"] for endpoint in endpoints for m in endpoint.got]
+            assert len(traces) == len(set(traces)) == 8, "a request was sent twice"
 
     run(test)
 
 
-def test_pipelined_floods_on_few_connections_and_three_pools_in_little_room(tmp_path: Path) -> None:
-    """256 descriptors and 32 MB for three pools; one is silent, one is flooded by pipelines, one is calm."""
+def test_pipelined_floods_with_three_pools_and_few_resources(tmp_path: Path) -> None:
+    """256 descriptors and 32 MB for three pools: one silent, one flooded by pipelines, one lightly loaded."""
 
     async def test() -> None:
-        login, campaign, mute = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ScriptedEndpoint("m", silent)
-        await mute.start()
-        text = await two(login, campaign) + static("status", mute) + '[[routes]]\nto = "status"\n'
+        login, campaign, unresponsive = (
+            ScriptedEndpoint("l"),
+            ScriptedEndpoint("c"),
+            ScriptedEndpoint("m", silent),
+        )
+        await unresponsive.start()
+        text = await two(login, campaign) + static("status", unresponsive) + '[[routes]]\nto = "status"\n'
         async with services(tmp_path, text) as node:
-            piling = [await node.connect() for _ in range(30)]
-            for client in piling:
+            waiting = [await node.connect() for _ in range(30)]
+            for client in waiting:
                 client.writer.write(request("read", Host="status.org"))
             pipes = [await node.connect() for _ in range(4)]
             for pipe in pipes:
@@ -315,24 +323,26 @@
                 assert (await calm.ask(request("pay", Host="login.example.org"))).status == 200
             for pipe in pipes:
                 for _ in range(100):
-                    assert (await read_message(pipe.reader)).status in (200, 503), "each has its answer"
-        assert len(login.got) == 50 and {m.headers["host"] for m in mute.got} <= {"status.org"}
+                    assert (await read_message(pipe.reader)).status in (200, 503), (
+                        "a pipelined request has no answer"
+                    )
+        assert len(login.got) == 50 and {m.headers["host"] for m in unresponsive.got} <= {"status.org"}
 
     run(test)
 
 
-def test_a_request_waits_for_one_round_of_the_lanes_and_not_for_the_whole_flood(
+def test_a_request_waits_for_one_round_of_lanes_and_not_for_the_whole_flood(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All are ready in one turn of the loop, 80 of the flood before the calm one: it is among the first."""
+    """All requests arrive in one loop iteration; the one behind 80 of the flood is still among the first."""
     taken: list[str] = []
     take = Driver.take
 
-    def noting(driver: Driver, call: Call) -> None:
+    def record(driver: Driver, call: Call) -> None:
         taken.append(driver.balancer.settings.classes[call.cls].name)
         take(driver, call)
 
-    monkeypatch.setattr(Driver, "take", noting)
+    monkeypatch.setattr(Driver, "take", record)
 
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
@@ -370,7 +380,7 @@
     run(test)
 
 
-def test_a_reload_removes_the_flooded_service_and_the_other_keeps_what_it_learned(tmp_path: Path) -> None:
+def test_a_reload_removes_a_service_and_the_other_keeps_its_connections(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
         go = asyncio.Event()
@@ -391,10 +401,12 @@
             assert gone.status == 421
             go.set()
             for client in waiting:
-                assert (await read_message(client.reader)).body == b"late", "taken before, answered after"
+                assert (await read_message(client.reader)).body == b"late", (
+                    "a call accepted before the reload was not answered after it"
+                )
             for _ in range(3):
                 assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
-            assert login.connections == 1, "its kept connection was lost to the reload"
+            assert login.connections == 1, "the reload closed a connection of an unchanged service"
             await until(lambda: campaign.lost_connections == campaign.connections)
             await node.reload(text)
             campaign.script = answering(ok(b"again"))
@@ -403,7 +415,7 @@
     run(test)
 
 
-def test_settings_and_classes_of_a_service_are_its_own_and_checked_at_the_start(tmp_path: Path) -> None:
+def test_a_service_has_its_own_settings_and_classes_checked_at_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         login = ScriptedEndpoint("l")
         await login.start()
@@ -457,13 +469,13 @@
             taken = listening.replace(str(own), str(node.listen))
             await node.reload(taken)
             assert (await again.ask(request("pay", Host="any.host"))).status == 200, (
-                "a listener it can't have"
+                "a reload with an address in use broke the listener"
             )
 
     run(test)
 
 
-def test_reloads_leave_no_pool_behind(tmp_path: Path) -> None:
+def test_reloads_leak_no_pool(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
         text = await two(login, campaign)
@@ -484,7 +496,7 @@
     run(test)
 
 
-def test_a_file_without_services_is_as_if_there_were_none(tmp_path: Path) -> None:
+def test_a_file_without_services_behaves_like_no_file(tmp_path: Path) -> None:
     async def test() -> None:
         discovery_server = ScriptedDiscoveryServer()
         await discovery_server.start()
@@ -498,7 +510,7 @@
 # The commands
 
 
-def test_check_prints_what_a_file_means(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_prints_a_summary_of_the_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "o.toml"
     path.write_text(GOOD)
     assert main(["check", str(path)]) == 0
@@ -527,7 +539,7 @@
         (["--host", "x.org", "--header", "nonsense"], 2, ""),
     ],
 )
-def test_route_says_which_and_why(
+def test_route_prints_the_chosen_route_and_the_reason(
     words: list[str], code: int, says: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "o.toml"
@@ -536,13 +548,13 @@
     assert says in capsys.readouterr().out
 
 
-def test_the_daemon_loads_nothing_of_services_without_a_file() -> None:
+def test_without_a_file_the_daemon_loads_no_module_of_services() -> None:
     extras = ["operator", "routing", "rehearsal", "services", "standins"]
     names = ["msgspec", "rich", *(f"millgw.{name}" for name in extras)]
     assert loaded("millgw.sidecar.__main__, millgw.__main__", *names) == []
 
 
-def test_a_bad_operator_file_ends_the_daemon_with_2_and_one_line(tmp_path: Path) -> None:
+def test_an_invalid_operator_file_exits_the_daemon_with_2_and_one_line(tmp_path: Path) -> None:
     made = Services(tmp_path, GOOD.replace("calls = 0.5", "calls = 7"), "127.0.0.1:9")
     done = subprocess.run(
         [sys.executable, "-m", "millgw", "serve", "--operator", str(made.file)],
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Whole sites laid from the project's own values: on a site of the tests' own."""
+"""Building complete site files from the project's values, tested with a small site of its own."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
     return main([str(base / "base.toml"), str(folder / "own.toml")])
 
 
-def test_values_replace_those_of_the_site_and_the_files_beside_come_along(
+def test_values_replace_those_of_the_site_and_its_other_files_are_copied(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     values = GOOD + (
         'adds = ["rules.ask_within_ms"]\n[rules]\ndrain_grace_ms = 250\nask_within_ms = 900\n'
         '[net]\nzones = ["a", "b"]\n[tier.conn]\nidle_s = 8\n[[class]]\nname = "x"\n[[class]]\nname = "y"\n'
     )
-    for _ in range(2):  # laid again over what is there
+    for _ in range(2):  # the second run overwrites the files of the first
         assert run_on_site(tmp_path, values) == 0
     path = Path(capsys.readouterr().out.split()[-1])
     assert path == tmp_path / "laid" / "own" / "own.toml"
@@ -81,7 +81,7 @@
         (GOOD + "[other]\nx = 1", "other: "),
     ],
 )
-def test_values_that_do_not_fit_end_with_2_and_one_line_that_names_the_field(
+def test_invalid_values_exit_with_2_and_one_line_naming_the_field(
     values: str, names: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run_on_site(tmp_path, values) == 2
@@ -89,7 +89,7 @@
     assert not out and err.count("\n") == 1 and names in err
 
 
-def test_a_site_that_is_not_whole_is_named(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_missing_file_of_the_site_is_named(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert run_on_site(tmp_path, GOOD, beside=BESIDE[:2]) == 2
     assert "unlock.txt" in capsys.readouterr().err
     assert main([str(tmp_path / "none.toml"), str(tmp_path / "own.toml")]) == 2
