--- a/millgw/log/table.py
+++ b/millgw/log/table.py
@@ -125,8 +125,8 @@
     "successor-gone": EventKind(
         WARNING,
         ("control",),
-        "the process that had taken over ended before this one was told to: this one has all descriptors "
-        "and allowances again, and the next process can take over from it",
+        "the process that had taken over ended before this one did: this one has all descriptors and "
+        "allowances again, and the next process can take over from it",
     ),
     "handover-unusable": EventKind(
         WARNING,
--- a/millgw/log/wording.py
+++ b/millgw/log/wording.py
@@ -25,17 +25,17 @@
 def keep_known_fields(_: Any, __: str, record: Told) -> Told:
     """Keep only the fields that the event's table entry lists, and set the level."""
     kind = EVENTS[record["event"]]
-    out: Told = {"event": record["event"], "level": record.get("level", kind.level)}
+    kept: Told = {"event": record["event"], "level": record.get("level", kind.level)}
     for name, value in record.items():
-        if name in out:
+        if name in kept:
             continue
         if (
             name in kind.fields
             or name in COMMON_FIELDS
             or (kind.extra_fields and isinstance(value, int | float | str))
         ):
-            out[name] = value
-    return out
+            kept[name] = value
+    return kept
 
 
 def limit_values(_: Any, __: str, record: Told) -> Told:
@@ -52,11 +52,11 @@
 
 def render_text(_: Any, __: str, record: Told) -> str:
     """Render a line of text; an exception's traceback follows on lines of its own."""
-    words = [getLevelName(record["level"]), record["event"]]
-    words += [f"{k}={_quote(v)}" for k, v in record.items() if k not in ("event", "level", "at", "traceback")]
+    parts = [getLevelName(record["level"]), record["event"]]
+    parts += [f"{k}={_quote(v)}" for k, v in record.items() if k not in ("event", "level", "at", "traceback")]
     if "at" in record:
-        words.append(f"at={_format_time(record['at'])}")
-    line = " ".join(words)
+        parts.append(f"at={_format_time(record['at'])}")
+    line = " ".join(parts)
     return f"{line}\n{record['traceback']}" if "traceback" in record else line
 
 
@@ -79,6 +79,10 @@
 
 
 def _quote(value: object) -> str:
-    word = f"{value:g}" if isinstance(value, float) else str(value)
+    shown = f"{value:g}" if isinstance(value, float) else str(value)
     # JSON quoting escapes control characters and line breaks: no terminal commands, no forged lines.
-    return word if word and word.isprintable() and " " not in word and '"' not in word else json.dumps(word)
+    return (
+        shown
+        if shown and shown.isprintable() and " " not in shown and '"' not in shown
+        else json.dumps(shown)
+    )
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -239,10 +239,10 @@
             _check_address(f"{path}.listen", service.listen)
             others = [n for n, s in operator.services.items() if n != name and s.listen == service.listen]
             if others:
-                raise ValueError(f"{path}.listen: is that of services.{others[0]} too")
+                raise ValueError(f"{path}.listen: is also that of services.{others[0]}")
         if service.discovery is not None:
             if service.endpoints:
-                raise ValueError(f"{path}.endpoints: stand beside a discovery; a service has one of the two")
+                raise ValueError(f"{path}.endpoints: can't be combined with a discovery")
             _check_address(f"{path}.discovery", service.discovery)
         _check_coordinator(path, service)
         names = [e.name for e in service.endpoints]
@@ -330,7 +330,7 @@
             raise ValueError(f"{path}.membership: says how two sources are one; there is no coordinator")
         return
     if service.endpoints:
-        raise ValueError(f"{path}.endpoints: stand beside a coordinator; a service has one of the two")
+        raise ValueError(f"{path}.endpoints: can't be combined with a coordinator")
     if service.discovery is not None and service.membership is None:
         raise ValueError(f"{path}.membership: is needed beside a discovery and a coordinator")
     _check_directory(f"{path}.coordinator", coordinator)
--- a/millgw/routing/target.py
+++ b/millgw/routing/target.py
@@ -114,10 +114,10 @@
     if len(ENCODED.findall(path)) != path.count(b"%"):
         raise BadTarget("the path has a broken escape")
 
-    def plain(match: re.Match[bytes]) -> bytes:
+    def normalise_escape(match: re.Match[bytes]) -> bytes:
         byte = int(match[1], 16)
         if byte in AMBIGUOUS_BYTES:
             raise BadTarget("the path has an escaped slash, backslash or zero")
         return bytes((byte,)) if byte in UNRESERVED else b"%%%02X" % byte
 
-    return ENCODED.sub(plain, path)
+    return ENCODED.sub(normalise_escape, path)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -89,13 +89,13 @@
 
 @given(st.text(), st.text())
 def test_no_field_value_adds_a_line_or_a_terminal_control_sequence(cause: str, trace: str) -> None:
-    told = limit_values(
+    record = limit_values(
         None, "", keep_known_fields(None, "", {"event": "answer-spoilt", "cause": cause, "call": trace})
     )
-    told["at"] = 1.0
-    for line in (render_text(None, "", told), render_json(None, "", told)):
+    record["at"] = 1.0
+    for line in (render_text(None, "", record), render_json(None, "", record)):
         assert line.isprintable()
-    assert json.loads(render_json(None, "", told))["cause"] == told["cause"]
+    assert json.loads(render_json(None, "", record))["cause"] == record["cause"]
 
 
 def test_an_unlisted_field_is_never_written_and_a_long_one_is_truncated() -> None:
@@ -125,10 +125,10 @@
     monkeypatch.setattr("millgw.log.start.atexit.register", ends.append)
     logger = tools.start("text", into, lambda: 5.0, lambda: 5.0)
     pipe = PipeLog("text")
-    told: dict[str, object] = {"endpoint": "e1", "cause": HOSTILE, "key": "sesame"}
-    pipe.log("answer-spoilt", told)
-    events.log_event("answer-spoilt", **told)
-    events.log_event("answer-spoilt", endpoint="untold")
+    fields: dict[str, object] = {"endpoint": "e1", "cause": HOSTILE, "key": "sesame"}
+    pipe.log("answer-spoilt", fields)
+    events.log_event("answer-spoilt", **fields)
+    events.log_event("answer-spoilt", endpoint="suppressed")
     with structlog.contextvars.bound_contextvars(service="login"):
         events.log_event("no-descriptor", endpoint="e2")
     logger.bind(call="t9").msg("alone")
@@ -151,9 +151,9 @@
         raise ValueError("so\nit is")
     except ValueError:
         logger.exception("it failed")
-    told = json.loads(pipe.read()[0])
-    assert (told["event"], told["level"], told["text"]) == ("message", "error", "it failed")
-    assert told["traceback"].endswith("ValueError: so\nit is")
+    record = json.loads(pipe.read()[0])
+    assert (record["event"], record["level"], record["text"]) == ("message", "error", "it failed")
+    assert record["traceback"].endswith("ValueError: so\nit is")
 
 
 # Repeats
@@ -167,7 +167,7 @@
     pipe.log("accept-failed", {"cause": "other"})
     pipe.now = 101.0
     pipe.log("no-descriptor", {"endpoint": "e"})
-    pipe.log("no-descriptor", {"endpoint": "untold"})
+    pipe.log("no-descriptor", {"endpoint": "suppressed"})
     assert pipe.read() == [
         f"WARNING no-descriptor endpoint=e0 {AT}", f"WARNING accept-failed cause=other {AT}",
         f"WARNING no-descriptor endpoint=e more=9999 {AT}", f"INFO left-out of=no-descriptor more=1 {AT}",
@@ -204,15 +204,16 @@
 
 @given(st.lists(st.tuples(st.sampled_from("abcd"), st.floats(0, 3)), max_size=60), st.integers(1, 4))
 def test_every_event_is_logged_or_counted(calls: list[tuple[str, float]], most: int) -> None:
-    repeats, now, told, more = RepeatLimiter(max_kinds=most), 0.0, 0, 0
+    repeats, now, logged, more = RepeatLimiter(max_kinds=most), 0.0, 0, 0
     for kind, wait in calls:
         now += wait
         taken = repeats.admit(now, kind)
         if taken is not None:
-            told, more = told + 1, more + taken
+            logged, more = logged + 1, more + taken
         assert len(repeats.window_starts) <= most
     assert (
-        told + more + sum(repeats.take_suppressed().values()) == len(calls) and not repeats.take_suppressed()
+        logged + more + sum(repeats.take_suppressed().values()) == len(calls)
+        and not repeats.take_suppressed()
     )
 
 
@@ -288,13 +289,13 @@
         "log = start('text')\nbegun = time.monotonic()\n"
         "for i in range(20000):\n    log.repeat_limiter.window_starts.clear()\n"
         "    events.log_event('no-descriptor', endpoint='e' * 90)\n"
-        "print('told', flush=True)\n"
+        "print('logged', flush=True)\n"
     )
     out, into = os.pipe()
     process = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, stderr=into, text=True)
     os.close(into)
     try:
-        assert process.communicate(timeout=LIMIT)[0] == "told\n" and process.returncode == 0
+        assert process.communicate(timeout=LIMIT)[0] == "logged\n" and process.returncode == 0
     finally:
         process.kill()
         os.close(out)
@@ -333,12 +334,12 @@
 
 
 def test_the_table_lists_exactly_the_events_and_fields_that_the_sources_log() -> None:
-    told = set()
+    logged = set()
     for path, event, fields in logged_events():
         assert event in EVENTS, f"{path} logs {event}"
         assert fields <= {*EVENTS[event].fields, *COMMON_FIELDS}, f"{path}: {event} has {fields}"
-        told.add(event)
-    assert told | {"message"} == set(EVENTS)
+        logged.add(event)
+    assert logged | {"message"} == set(EVENTS)
 
 
 def test_the_page_holds_the_table_as_the_command_prints_it() -> None:
@@ -364,10 +365,10 @@
     ]
 
     async def test() -> None:
-        spoilt = ScriptedEndpoint(
+        invalid = ScriptedEndpoint(
             "e1", answering(f"HTTP/1.1 200 {mark}\r\nContent-Length: {mark}\r\n\r\n".encode())
         )
-        async with sidecar(spoilt) as rig:
+        async with sidecar(invalid) as rig:
             events.set_handler(pipe.log)
             await rig.ask(whole.encode("latin-1"))
             for data in bad:
