--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -1,4 +1,4 @@
-"""The log put together: told events pass the bound on repeats and the processors, and go to the writer."""
+"""The log pipeline: events pass the rate limit and the processors, are rendered and go to the writer."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 from millgw.log import events
 from millgw.log.backlog import Backlog
-from millgw.log.repeats import Repeats
+from millgw.log.repeats import RepeatLimiter
 from millgw.log.table import EVENTS
-from millgw.log.wording import Processor, Renderer, Told, known, plain, renderer
+from millgw.log.wording import Processor, Renderer, Told, find_renderer, keep_known_fields, limit_values
 from millgw.log.writer import Writer
 
 STDERR = 2
@@ -21,76 +21,78 @@
 
 
 class Log:
-    """Takes what is told (`events.set_handler`), from any thread.
+    """Handles logged events (see `events.set_handler`); may be called from any thread.
 
-    The daemon runs these processors by itself; the tools have structlog run the same ones (`millgw.cli.log`):
-    the design note has what structlog costs a daemon.
+    The daemon runs these processors directly; the command line tools run the same ones through structlog
+    (`millgw.cli.log`). The design note states what structlog would cost the daemon.
     """
 
     def __init__(
-        self, kind: str, writer: Writer, clock: Clock = time.monotonic, wall: Clock = time.time
+        self, kind: str, writer: Writer, clock: Clock = time.monotonic, wall_clock: Clock = time.time
     ) -> None:
-        self.render: Renderer = renderer(kind)
-        self.processors: tuple[Processor, ...] = (known, self.stamp, plain)
+        self.render: Renderer = find_renderer(kind)
+        self.processors: tuple[Processor, ...] = (keep_known_fields, self.add_time, limit_values)
         self.writer = writer
-        self.repeats = Repeats()
+        self.repeat_limiter = RepeatLimiter()
         self.clock = clock
-        self.wall = wall
+        self.wall_clock = wall_clock
 
     def __call__(self, event: str, fields: dict[str, Any]) -> None:
-        told = self.sparing({"event": event, **fields})
-        if told is not None:
+        record = self.sparing({"event": event, **fields})
+        if record is not None:
             for step in self.processors:
-                told = step(None, "", told)
-            self.write(self.render(None, "", told))
-
-    def sparing(self, told: Told) -> Told | None:
-        """What is told of a repeating event, or None where this one goes untold."""
-        lines = EVENTS[told["event"]].lines
-        more = self.repeats.take(self.clock(), f"{told['event']} {told.get('service', '')}", lines)
-        if more is None:
+                record = step(None, "", record)
+            self.write(self.render(None, "", record))
+
+    def sparing(self, record: Told) -> Told | None:
+        """Apply the rate limit: the event, with `more` if some were suppressed before it, or None."""
+        lines = EVENTS[record["event"]].lines_per_second
+        suppressed = self.repeat_limiter.admit(
+            self.clock(), f"{record['event']} {record.get('service', '')}", lines
+        )
+        if suppressed is None:
             return None
-        return {**told, "more": more} if more else told
+        return {**record, "more": suppressed} if suppressed else record
 
-    def stamp(self, _: Any, __: str, told: Told) -> Told:
-        """Say when it was."""
-        told["at"] = self.wall()
-        return told
+    def add_time(self, _: Any, __: str, record: Told) -> Told:
+        """Processor that adds the time, `at` (Unix s)."""
+        record["at"] = self.wall_clock()
+        return record
 
     def write(self, line: str) -> None:
-        """Hand a line to the writer."""
+        """Queue a rendered line for writing."""
         self.writer.put(line.encode(errors="backslashreplace") + b"\n")
 
     def word(self, event: str, **fields: Any) -> bytes:
-        """A line of the log's own, past the bound on repeats."""
-        told: Told = {"event": event, **fields}
+        """Render one of the log's own events, bypassing the rate limit."""
+        record: Told = {"event": event, **fields}
         for step in self.processors:
-            told = step(None, "", told)
-        return self.render(None, "", told).encode() + b"\n"
+            record = step(None, "", record)
+        return self.render(None, "", record).encode() + b"\n"
 
     def close(self) -> None:
-        """Say what went untold, and wait a little for the reader."""
-        for kind, more in self.repeats.left().items():
-            self.writer.put(self.word("left-out", of=kind.rstrip(), more=more))
+        """Log the counts of suppressed events, then wait briefly for the writer."""
+        for kind, suppressed in self.repeat_limiter.take_suppressed().items():
+            self.writer.put(self.word("left-out", of=kind.rstrip(), more=suppressed))
         self.writer.close()
 
 
-class Foreign(logging.Handler):
-    """What libraries tell the standard library's log becomes an event `message`."""
+class LibraryLogHandler(logging.Handler):
+    """Turns records of the standard library's logging into `message` events."""
 
-    def __init__(self, to: Callable[[str, dict[str, Any]], None]) -> None:
+    def __init__(self, handler: Callable[[str, dict[str, Any]], None]) -> None:
         super().__init__()
-        self.to = to
+        self.handler = handler
 
     def emit(self, record: logging.LogRecord) -> None:
         fields: dict[str, Any] = {"level": record.levelno, "text": record.getMessage()}
         if record.exc_info:
             fields["traceback"] = "".join(traceback.format_exception(*record.exc_info)).rstrip()
-        self.to("message", fields)
+        self.handler("message", fields)
 
 
 def start(kind: str, fd: int = STDERR) -> Log:
-    """Have all that is told go to a descriptor, in one of `wording.KINDS`; a ValueError for another."""
+    """Start logging to a descriptor in one of `wording.KINDS`; raises ValueError for any other kind."""
     writer = Writer(fd, Backlog(), lambda lines: log.word("lines-lost", lines=lines))
     log = Log(kind, writer)
     take(log)
@@ -98,7 +100,7 @@
 
 
 def take(log: Log, to: Callable[[str, dict[str, Any]], None] | None = None) -> None:
-    """Have events and other libraries' messages go to a log (through `to`), and end it with the process."""
+    """Send events and other libraries' records to a log (through `to`), and close it at process exit."""
     events.set_handler(to or log)
-    logging.basicConfig(level=logging.INFO, handlers=[Foreign(to or log)], force=True)
+    logging.basicConfig(level=logging.INFO, handlers=[LibraryLogHandler(to or log)], force=True)
     atexit.register(log.close)
--- a/millgw/log/writer.py
+++ b/millgw/log/writer.py
@@ -1,4 +1,4 @@
-"""Writes lines to a descriptor in a thread of its own: whoever tells an event never waits for its reader."""
+"""Writes log lines to a descriptor in a separate thread, so that logging never blocks on a slow reader."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 from millgw.log.backlog import Backlog
 
-WITHIN = 0.2  # s that the end of the process waits for a reader
+CLOSE_TIMEOUT = 0.2  # s that process exit waits for buffered lines to be written
 
 
 class Writer:
-    """The thread starts with the first line, so that a process that tells nothing has none."""
+    """A log writer thread; it starts with the first line, so that a process that logs nothing has none."""
 
-    def __init__(self, fd: int, backlog: Backlog, lost: Callable[[int], bytes]) -> None:
+    def __init__(self, fd: int, backlog: Backlog, render_dropped: Callable[[int], bytes]) -> None:
         self.fd = fd
         self.backlog = backlog
-        self.lost = lost  # words the line that says how many are missing
+        self.render_dropped = render_dropped  # renders the line that states how many were dropped
         self.changed = threading.Condition()
         self.thread: threading.Thread | None = None
-        self.busy = False
-        self.ended = False
+        self.writing = False
+        self.closed = False
 
     def put(self, line: bytes) -> None:
-        """Have a line written some time; at once from the caller's point of view."""
+        """Queue a line and return at once."""
         with self.changed:
-            if self.ended:
+            if self.closed:
                 return
             self.backlog.add(line)
             if self.thread is None:
@@ -35,43 +35,42 @@
                 self.thread.start()
             self.changed.notify_all()
 
-    def close(self, within: float = WITHIN) -> bool:
-        """Wait for what was told to be written, `within` s at the most; whether it was."""
+    def close(self, timeout: float = CLOSE_TIMEOUT) -> bool:
+        """Wait up to `timeout` s for all queued lines to be written; returns whether they were."""
         with self.changed:
-            done = self.changed.wait_for(lambda: not self.busy and not self.backlog.lines, within)
-            self.ended = True
+            done = self.changed.wait_for(lambda: not self.writing and not self.backlog.lines, timeout)
+            self.closed = True
             self.changed.notify_all()
             return done
 
     def _run(self) -> None:
         while True:
             with self.changed:
-                self.busy = False
+                self.writing = False
                 self.changed.notify_all()
-                self.changed.wait_for(lambda: self.backlog.lines or self.ended)
-                if self.ended:
+                self.changed.wait_for(lambda: self.backlog.lines or self.closed)
+                if self.closed:
                     return
-                self.busy = True
-                piece, lost = self.backlog.take()
+                self.writing = True
+                data, dropped = self.backlog.take()
             try:
-                self._write(piece + (self.lost(lost) if lost else b""))
-            except OSError:  # its reader is gone for good: the process serves on without a log
+                self._write(data + (self.render_dropped(dropped) if dropped else b""))
+            except OSError:  # the reader has closed its end: the process goes on without a log
                 with self.changed:
-                    self.busy, self.ended = False, True
+                    self.writing, self.closed = False, True
                     self.backlog.take()
                     self.changed.notify_all()
                 return
 
-    def _write(self, piece: bytes) -> None:
-        left = memoryview(piece)
-        while left:
+    def _write(self, data: bytes) -> None:
+        remaining = memoryview(data)
+        while remaining:
             try:
-                left = left[os.write(self.fd, left) :]
-            except BlockingIOError:  # somebody else made the descriptor non-blocking
-                select_writable(self.fd)
+                remaining = remaining[os.write(self.fd, remaining) :]
+            except BlockingIOError:  # another holder of the descriptor made it non-blocking
+                wait_writable(self.fd)
 
 
-def select_writable(fd: int) -> None:
-    """Wait until a non-blocking descriptor takes bytes."""
-
+def wait_writable(fd: int) -> None:
+    """Wait until a non-blocking descriptor is writable."""
     select.select([], [fd], [])
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -1,7 +1,7 @@
-"""The operator's file: services, each with its pool, and the routes that lead to them.
+"""Schema of the operator's file: services, each with its own pool, and the routes to them.
 
-Absent, or with no services, the daemon is what it is without it. Errors are one line that names file, line
-and path, such as `operator.toml:7: services.login.limits.calls: Expected `int` >= 1`.
+Without the file, or without services in it, the daemon has one pool for all requests. Errors are one line
+that names file, line and path, such as `operator.toml:7: services.login.limits.calls: Expected `int` >= 1`.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from millgw.routing.table import Route, RouteError
 from millgw.routing.table import Table as RouteTable
 
-Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]*$", max_length=64)]
+ServiceName = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]*$", max_length=64)]
 
 
 class OperatorError(FileError):
-    """The operator's file can't be used."""
+    """An invalid operator's file."""
 
 
 class Endpoint(Table, frozen=True, kw_only=True):
@@ -36,7 +36,7 @@
 
 
 class Directory(Table, frozen=True, kw_only=True):
-    """Where ephemeral nodes of a ZooKeeper-style coordinator are; `connect` is `IP:port,IP:port/root`."""
+    """A directory of ephemeral nodes on a ZooKeeper-like coordinator; `connect` is `IP:port,IP:port/root`."""
 
     connect: str
     path: str
@@ -44,11 +44,11 @@
 
 
 class Coordinator(Directory, frozen=True, kw_only=True):
-    """One whose nodes are a service's endpoints.
+    """A directory whose nodes are a service's endpoints.
 
-    `endpoint` names one of a serverset's additional endpoints. `mass_share` is the share of endpoints that
-    may vanish within `window_s` and be taken as gone; when more do, they are held for `hold_s` if nothing is
-    heard of them, and for `hold_most_s` in any case.
+    `endpoint` selects one of a serverset's additional endpoints. `mass_share` is the share of endpoints that
+    may vanish within `window_s` and still be removed at once; if more vanish, they are kept for `hold_s`
+    while nothing is heard of them, and for at most `hold_most_s` in any case.
     """
 
     endpoint: str = ""
@@ -59,7 +59,7 @@
 
 
 class Connections(Table, frozen=True, kw_only=True):
-    """How connections to endpoints are tended (docs/connections.md); a table that is there switches it on."""
+    """Management of connections to endpoints (docs/connections.md); the table's presence enables it."""
 
     order: Literal["lifo", "fifo"] = "lifo"
     keep_least: Annotated[int, Meta(ge=0, le=1000)] = 0
@@ -86,7 +86,7 @@
     prove_ms: Annotated[float, Meta(ge=10, le=10_000)] = 100.0
 
     def terms(self) -> Terms:
-        """The same as the decisions have it; a ValueError names the field that can't be."""
+        """These settings as the connection policy takes them; raises ValueError naming an invalid field."""
         return Terms(
             order=Order(self.order), keep_least=self.keep_least, keep_most=self.keep_most,
             open_most=self.open_most, ahead=self.ahead, headroom=self.headroom, age=self.age_s * 1000,
@@ -98,9 +98,9 @@
 
 
 class Limits(Table, frozen=True, kw_only=True):
-    """What a service's pool has for sure, as shares of what the whole daemon may hold.
+    """Guarantees of a service's pool, as shares of what the whole daemon may hold.
 
-    `callers` is its part of callers' connections: past it, its idle ones are the first to give way.
+    `callers` is its share of callers' connections: above it, its idle ones are closed first.
     """
 
     callers: Annotated[float, Meta(gt=0, le=1)] | None = None
@@ -111,14 +111,14 @@
 
 
 class Service(Table, frozen=True, kw_only=True):
-    """One service: where its endpoints are known from, its classes, and settings that differ for it.
-
-    Without `discovery`, `coordinator` and `endpoints` the configuration's discovery tells. With a
-    coordinator, `membership` says how its list and a discovery's become one (`Mode` of
-    `millgw.membership.merge`); without it the coordinator alone tells. `settings` holds words of the
-    configuration's object of that name and goes over it, table by table. `listen` is an address of its own:
-    all requests there are for this service, which needs no route then. `connections` stands in the place of
-    the whole file's table of that name.
+    """One service: the source of its endpoint list, its classes, and settings that differ for it.
+
+    Without `discovery`, `coordinator` and `endpoints`, the configuration's discovery is used. With a
+    coordinator, `membership` selects how its list and a discovery's are merged (`Mode` of
+    `millgw.membership.merge`); without `membership` the coordinator alone is used. `settings` is merged,
+    table by table, over the configuration's object of that name. `listen` is an address of its own: all
+    requests there are for this service, which then needs no route. `connections` replaces the file's
+    top-level table of that name.
     """
 
     listen: str | None = None
@@ -133,9 +133,10 @@
 
 
 class Store(Table, frozen=True, kw_only=True):
-    """Where it is marked, durably, that an unsafe call is sent (docs/store.md); the table switches it on.
+    """The durable store that marks unsafe calls as sent (docs/store.md); the table's presence enables it.
 
-    Two `directories` are mirrors. A mark is kept for `keep_h`; `key` names the header of a client's own key.
+    Two `directories` mirror each other. Marks are kept for `keep_h`; `key` names the header with the client's
+    own idempotency key.
     """
 
     directories: Annotated[tuple[str, ...], Meta(min_length=1, max_length=2)]
@@ -145,10 +146,11 @@
 
 
 class Peers(Table, frozen=True, kw_only=True):
-    """Learning from other sidecars (docs/peers.md); a table that is there switches it on.
+    """Exchange of state with other sidecars (docs/peers.md); the table's presence enables it.
 
-    `listen` (UDP and TCP) is where they find this one, and its name among them. `join` are some of them,
-    `keys` the files of one or two shared keys, the first of which is used; a start waits for `within_ms`.
+    `listen` (UDP and TCP) is the address at which peers reach this sidecar, and its name among them. `join`
+    lists some peers. `keys` are the files of one or two shared keys: the first signs messages, all are
+    accepted. A start waits for peers for at most `within_ms`.
     """
 
     listen: str
@@ -159,11 +161,11 @@
 
 
 class Configuration(Table, frozen=True, kw_only=True):
-    """Following the fleet's configuration (docs/configuration-sidecar.md); the table switches it on.
+    """The fleet's distributed configuration (docs/configuration-sidecar.md); the table's presence enables it.
 
-    `instances` are the control instances, any of which tells it; `relays` those that only serve a zone, which
-    the sidecars of this `zone` ask first. The last good version is kept in `directory`, where that is given.
-    `name` is the sidecar's in its reports, by default that of the configuration.
+    `instances` are the control instances, any of which can send it. `relays` lists, by zone, those that serve
+    one zone only; sidecars whose `zone` it is ask them first. The last good version is stored in `directory`,
+    if that is set. `name` is the sidecar's name in its reports, by default that of the configuration.
     """
 
     instances: Annotated[tuple[str, ...], Meta(min_length=1, max_length=64)]
@@ -174,11 +176,12 @@
 
 
 class Places(Table, frozen=True, kw_only=True):
-    """Where this sidecar and its endpoints are (docs/locality.md); the table switches choosing by zone on.
+    """Zones and regions (docs/locality.md); the table's presence enables zone-aware choice of endpoints.
 
-    `zone` is the sidecar's own, `regions` names the zones of each region; without it all are one region.
-    `fill` is the share of all endpoints' capacity that callers ask for together, `callers` each zone's part
-    of them in any unit, by default as its endpoints. Calls of the classes in `keep_in_region` never leave it.
+    `zone` is the sidecar's own zone. `regions` lists the zones of each region; without it all zones are one
+    region. `fill` is the share of all endpoints' capacity that callers use together; `callers` is each zone's
+    part of that load in any unit, by default in proportion to its endpoints. Calls of the classes in
+    `keep_in_region` never leave their region.
     """
 
     zone: Annotated[str, Meta(min_length=1, max_length=128)]
@@ -189,7 +192,7 @@
 
 
 class RouteEntry(Table, frozen=True, kw_only=True, rename={"cls": "class"}):
-    """One route; what it leaves out may be anything."""
+    """One route; an omitted field matches anything."""
 
     to: str
     host: str = ""
@@ -202,7 +205,7 @@
 class Operator(Table, frozen=True, kw_only=True):
     """The whole file."""
 
-    services: dict[Name, Service] = field(default_factory=dict)
+    services: dict[ServiceName, Service] = field(default_factory=dict)
     routes: tuple[RouteEntry, ...] = ()
     connections: Connections | None = None
     peers: Peers | None = None
@@ -211,17 +214,17 @@
     places: Places | None = None
 
     def tends(self, name: str = "") -> Terms | None:
-        """How a service's connections are tended, or those of the one pool; None for the plain way."""
+        """The connection settings of a service, or of the single pool; None if they are not managed."""
         own = self.services[name].connections if name else None
-        told = self.connections if own is None else own
-        return None if told is None else told.terms()
+        connections = self.connections if own is None else own
+        return None if connections is None else connections.terms()
 
 
-KINDS = ("calls", "connections", "bodies", "answers")
+LIMIT_KINDS = ("calls", "connections", "bodies", "answers")
 
 
 def check(operator: Operator) -> Operator:
-    """What no single field can tell."""
+    """Check conditions that span several fields; raises ValueError with the text `path: what`."""
     _check_connections("connections", operator.connections)
     if operator.peers is not None:
         _check_peers(operator.peers)
@@ -233,21 +236,21 @@
         path = f"services.{name}"
         _check_connections(f"{path}.connections", service.connections)
         if service.listen is not None:
-            _address(f"{path}.listen", service.listen)
+            _check_address(f"{path}.listen", service.listen)
             others = [n for n, s in operator.services.items() if n != name and s.listen == service.listen]
             if others:
-                raise ValueError(f"{path}.listen: is that of services.{others[0]} too")
+                raise ValueError(f"{path}.listen: is also that of services.{others[0]}")
         if service.discovery is not None:
             if service.endpoints:
-                raise ValueError(f"{path}.endpoints: stand beside a discovery; a service has one of the two")
-            _address(f"{path}.discovery", service.discovery)
+                raise ValueError(f"{path}.endpoints: can't be combined with a discovery")
+            _check_address(f"{path}.discovery", service.discovery)
         _check_coordinator(path, service)
         names = [e.name for e in service.endpoints]
         for i, endpoint in enumerate(service.endpoints):
-            _address(f"{path}.endpoints[{i}].address", endpoint.address)
+            _check_address(f"{path}.endpoints[{i}].address", endpoint.address)
             if endpoint.name in names[:i]:
                 raise ValueError(f"{path}.endpoints[{i}].name: {endpoint.name!r} is given twice")
-    for kind in ("callers", *KINDS):
+    for kind in ("callers", *LIMIT_KINDS):
         parts = [
             (n, getattr(s.limits, kind)) for n, s in operator.services.items() if getattr(s.limits, kind)
         ]
@@ -264,56 +267,56 @@
         if name not in reached and operator.services[name].listen is None:
             raise ValueError(f"services.{name}: no route leads to it")
     try:
-        table(operator)
+        compile_routes(operator)
     except RouteError as error:
         raise ValueError(f"routes[{error.index}]: {error}") from None
     return operator
 
 
-def _check_connections(path: str, told: Connections | None) -> None:
+def _check_connections(path: str, table: Connections | None) -> None:
     try:
-        if told is not None:
-            told.terms()
+        if table is not None:
+            table.terms()
     except ValueError as error:
         field, _, what = str(error).partition(": ")
         field = "probe_ms" if field.startswith("probe") else field
         raise ValueError(f"{path}.{field}: {what}") from None
 
 
-def _check_peers(told: Peers) -> None:
-    _address("peers.listen", told.listen)
-    if read_address(told.listen).anywhere:
+def _check_peers(table: Peers) -> None:
+    _check_address("peers.listen", table.listen)
+    if read_address(table.listen).anywhere:
         raise ValueError("peers.listen: is no address at which others find this sidecar")
-    for i, peer in enumerate(told.join):
-        _address(f"peers.join[{i}]", peer)
-    if told.coordinator is not None:
-        _check_directory("peers.coordinator", told.coordinator)
+    for i, peer in enumerate(table.join):
+        _check_address(f"peers.join[{i}]", peer)
+    if table.coordinator is not None:
+        _check_directory("peers.coordinator", table.coordinator)
 
 
-def _check_configuration(told: Configuration) -> None:
-    lists = {"instances": told.instances} | {f"relays.{zone}": told.relays[zone] for zone in told.relays}
+def _check_configuration(table: Configuration) -> None:
+    lists = {"instances": table.instances} | {f"relays.{zone}": table.relays[zone] for zone in table.relays}
     for key, instances in lists.items():
         for i, instance in enumerate(instances):
-            _address(f"configuration.{key}[{i}]", instance)
+            _check_address(f"configuration.{key}[{i}]", instance)
             if read_address(instance).anywhere:
                 raise ValueError(f"configuration.{key}[{i}]: is no address to connect to")
 
 
-def _check_places(told: Places) -> None:
+def _check_places(table: Places) -> None:
     seen: dict[str, str] = {}
-    for region, zones in told.regions.items():
+    for region, zones in table.regions.items():
         for i, zone in enumerate(zones):
             if zone in seen:
                 raise ValueError(f"places.regions.{region}[{i}]: {zone!r} is in region {seen[zone]!r} too")
             seen[zone] = region
-    if seen and told.zone not in seen:
-        raise ValueError(f"places.zone: {told.zone!r} is in none of the regions")
-    if told.callers and not sum(told.callers.values()):
+    if seen and table.zone not in seen:
+        raise ValueError(f"places.zone: {table.zone!r} is in none of the regions")
+    if table.callers and not sum(table.callers.values()):
         raise ValueError("places.callers: there are none")
 
 
-def _check_directory(path: str, told: Directory) -> None:
-    for key, reads, value in (("connect", read_connect, told.connect), ("path", check_path, told.path)):
+def _check_directory(path: str, table: Directory) -> None:
+    for key, reads, value in (("connect", read_connect, table.connect), ("path", check_path, table.path)):
         try:
             reads(value)
         except ValueError as error:
@@ -321,29 +324,29 @@
 
 
 def _check_coordinator(path: str, service: Service) -> None:
-    told = service.coordinator
-    if told is None:
+    coordinator = service.coordinator
+    if coordinator is None:
         if service.membership is not None:
             raise ValueError(f"{path}.membership: says how two sources are one; there is no coordinator")
         return
     if service.endpoints:
-        raise ValueError(f"{path}.endpoints: stand beside a coordinator; a service has one of the two")
+        raise ValueError(f"{path}.endpoints: can't be combined with a coordinator")
     if service.discovery is not None and service.membership is None:
         raise ValueError(f"{path}.membership: is needed beside a discovery and a coordinator")
-    _check_directory(f"{path}.coordinator", told)
-    if told.hold_most_s < told.hold_s:
-        raise ValueError(f"{path}.coordinator.hold_most_s: is under the hold_s of {told.hold_s:g}")
+    _check_directory(f"{path}.coordinator", coordinator)
+    if coordinator.hold_most_s < coordinator.hold_s:
+        raise ValueError(f"{path}.coordinator.hold_most_s: is under the hold_s of {coordinator.hold_s:g}")
 
 
-def _address(path: str, value: str) -> None:
+def _check_address(path: str, value: str) -> None:
     try:
         read_address(value)
     except ValueError as error:
         raise ValueError(f"{path}: {error}") from None
 
 
-def table(operator: Operator) -> RouteTable:
-    """The file's routes, compiled."""
+def compile_routes(operator: Operator) -> RouteTable:
+    """Compile the file's routes."""
     return RouteTable(
         [
             Route(r.to, r.host, r.path, r.method, r.cls, tuple(sorted(r.headers.items())))
@@ -353,12 +356,12 @@
 
 
 def parse(text: str, name: str) -> Operator:
-    """The file from its text."""
+    """Parse an operator's file from its text."""
     return read(text, name, Operator, check, OperatorError)
 
 
 def load(path: str) -> Operator:
-    """The file at a path."""
+    """Read and parse the operator's file at a path."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -1,4 +1,4 @@
-"""What services' pools are made of, by the operator's file: their sources, settings and seeds."""
+"""Builds the parts that the operator's file configures: list sources, settings, seeds, optional modules."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
 
 
 class StaticList:
-    """A list that the operator wrote, told as often as the module asks."""
+    """A fixed list of endpoints from the operator's file, sent each time the module asks."""
 
-    def __init__(self, entries: tuple[Listed, ...], heard: Heard) -> None:
+    def __init__(self, entries: tuple[Listed, ...], on_list: Heard) -> None:
         self.entries = entries
-        self.heard = heard
+        self.on_list = on_list
 
     def start(self, known: Any) -> None:
-        """The configuration's list is its discovery's: the endpoints here are not on it."""
+        """Ignores the configuration's list: that belongs to its discovery and has other endpoints."""
         self.subscribe()
 
     def subscribe(self) -> None:
-        asyncio.get_running_loop().call_soon(self._tell)
+        asyncio.get_running_loop().call_soon(self._send)
 
-    def _tell(self) -> None:
-        self.heard(ListKind.FULL, self.entries)
+    def _send(self) -> None:
+        self.on_list(ListKind.FULL, self.entries)
 
     def stop(self) -> None:
-        """It says nothing by itself."""
+        """Does nothing: there is no watch to end."""
 
     def figures(self) -> dict[str, object]:
         return {}
 
 
 class OwnDiscovery:
-    """A discovery of a service's own: the configuration's list, which is another's, is not for it."""
+    """A service's own discovery; it ignores the configuration's list, which is of another discovery."""
 
     def __init__(self, discovery: Discovery) -> None:
         self.discovery = discovery
@@ -63,7 +63,7 @@
 
 
 def merged(base: Mapping[str, Any], over: Mapping[str, Any]) -> dict[str, Any]:
-    """Settings with others over them, table by table."""
+    """Deep merge of two settings tables; values of `over` win."""
     out = dict(base)
     for key, value in over.items():
         before = out.get(key)
@@ -72,130 +72,130 @@
     return out
 
 
-def source(name: str, service: Service, config: Config) -> Callable[[Heard, Witness], Source]:
-    """How a service's endpoints are known."""
+def list_source(name: str, service: Service, config: Config) -> Callable[[Heard, Witness], Source]:
+    """A factory for the source of a service's endpoint list."""
     if service.endpoints:
-        entries = static_list(service, config)
-        return lambda heard, _: StaticList(entries, heard)
+        entries = static_entries(service, config)
+        return lambda on_list, _: StaticList(entries, on_list)
     if service.coordinator is not None:
-        return _coordinated(service, service.coordinator, config, pool_seed(config.seed, name))
+        return _coordinator_source(service, service.coordinator, config, pool_seed(config.seed, name))
     if service.discovery is None:
-        return lambda heard, _: of_platform(config, heard)
+        return lambda on_list, _: of_platform(config, on_list)
     address = read_address(service.discovery)
-    return lambda heard, _: OwnDiscovery(Discovery(address, config.zones, heard))
+    return lambda on_list, _: OwnDiscovery(Discovery(address, config.zones, on_list))
 
 
-def _coordinated(
-    service: Service, told: Coordinator, config: Config, seed: int
+def _coordinator_source(
+    service: Service, coordinator: Coordinator, config: Config, seed: int
 ) -> Callable[[Heard, Witness], Source]:
-    # Only here: a coordinator that is not named must cost nothing.
+    # Imported here: without a coordinator these modules must not be loaded.
     from millgw.membership.judge import Terms
     from millgw.membership.merge import Merger, Mode
     from millgw.membership.source import BothSources, CoordinatorSource
 
     terms = Terms(
-        share=told.mass_share,
-        window=told.window_s * 1000,
-        hold=told.hold_s * 1000,
-        hold_most=told.hold_most_s * 1000,
+        share=coordinator.mass_share,
+        window=coordinator.window_s * 1000,
+        hold=coordinator.hold_s * 1000,
+        hold_most=coordinator.hold_most_s * 1000,
     )
-    where = _where(told, terms, told.endpoint)
+    where = _coordinator_directory(coordinator, terms, coordinator.endpoint)
     if service.membership is None:
-        return lambda heard, witness: CoordinatorSource(where, config.zones, seed, witness, heard)
+        return lambda on_list, witness: CoordinatorSource(where, config.zones, seed, witness, on_list)
     mode, own = Mode(service.membership), service.discovery is not None
     address = config.discovery if service.discovery is None else read_address(service.discovery)
-    return lambda heard, witness: BothSources(
-        where, Merger(mode), address, own, config.settings.ask_within, config.zones, seed, witness, heard
+    return lambda on_list, witness: BothSources(
+        where, Merger(mode), address, own, config.settings.ask_within, config.zones, seed, witness, on_list
     )
 
 
-def _where(told: Directory, terms: JudgeTerms, port: str = "") -> Where:
-    """Which directory of which coordinator an operator's file names."""
+def _coordinator_directory(directory: Directory, terms: JudgeTerms, port: str = "") -> Where:
+    """The coordinator and directory that the operator's file names."""
     from millgw.membership.source import Where
 
-    servers, root = read_connect(told.connect)
-    return Where(servers, root + told.path, told.session_s * 1000, terms, port)
+    servers, root = read_connect(directory.connect)
+    return Where(servers, root + directory.path, directory.session_s * 1000, terms, port)
 
 
 def attach(pool: Pool, terms: Terms | None, config: Config, seed: int) -> Tended | None:
-    """Have a pool's connections tended, where the operator's file says how."""
+    """Attach a connection manager to a pool, where the operator's file has settings for one."""
     if terms is None:
         return None
-    # Only here: connections that are left to the plain way must cost nothing.
+    # Imported here: without managed connections these modules must not be loaded.
     from millgw.connections.attach import tend
 
     return tend(pool, terms, config, seed)
 
 
 def peers(operator: Operator, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
-    """The sidecar's part among its peers, where the operator's file has one."""
-    told = operator.peers
-    if told is None:
+    """The node that exchanges state with peers, where the operator's file has a table for it."""
+    table = operator.peers
+    if table is None:
         return None
-    # Only here: without peers nothing of it is loaded.
+    # Imported here: without peers these modules must not be loaded.
     from millgw.peers.node import Peers, Terms
 
     meeting = None
-    if told.coordinator is not None:
+    if table.coordinator is not None:
         from millgw.membership import judge
 
-        meeting = _where(told.coordinator, judge.Terms())
-    join = tuple(map(read_address, told.join))
-    terms = Terms(read_address(told.listen), join, told.keys, told.within_ms, meeting)
+        meeting = _coordinator_directory(table.coordinator, judge.Terms())
+    join = tuple(map(read_address, table.join))
+    terms = Terms(read_address(table.listen), join, table.keys, table.within_ms, meeting)
     try:
         return Peers(terms, pools, pool_seed(config.seed, "peers"))
     except (OSError, ValueError) as error:
         raise ConfigError(f"peers.keys: {error}") from None
 
 
-def intents(operator: Operator, memory: float) -> Intents | None:
-    """What keeps marks of unsafe calls, where the operator's file has a store."""
-    told = operator.store
-    if told is None:
+def make_intents(operator: Operator, memory: float) -> Intents | None:
+    """The log of marks for unsafe calls, where the operator's file has a store."""
+    table = operator.store
+    if table is None:
         return None
-    # Only here: without a store nothing of it is loaded.
+    # Imported here: without a store these modules must not be loaded.
     from millgw.intents.log import MARK_BYTES, MEMORY_PART, Intents, Terms
     from millgw.store.writer import Sync
 
-    keep, most = told.keep_h * 3_600_000.0, int(MEMORY_PART * memory / MARK_BYTES)
-    return Intents(Terms(told.directories, Sync(told.sync), keep, told.key.lower().encode(), most))
+    keep, most = table.keep_h * 3_600_000.0, int(MEMORY_PART * memory / MARK_BYTES)
+    return Intents(Terms(table.directories, Sync(table.sync), keep, table.key.lower().encode(), most))
 
 
 def locality(operator: Operator, config: Config, seed: int) -> Locality | None:
-    """What chooses zones for a pool, where the operator's file says where things are.
+    """The zone selection of a pool, where the operator's file has a `places` table.
 
-    A ConfigError names a zone or class that the configuration does not have.
+    Raises ConfigError, naming a zone or class that the configuration does not have.
     """
-    told = operator.places
-    if told is None:
+    table = operator.places
+    if table is None:
         return None
-    # Only here: without places nothing of it is loaded.
+    # Imported here: without places these modules must not be loaded.
     from millgw.locality.names import PlaceError, make_router
 
     try:
-        return make_router(told, config.zones, [c.name for c in config.settings.classes], seed)
+        return make_router(table, config.zones, [c.name for c in config.settings.classes], seed)
     except PlaceError as error:
         raise ConfigError(f"places.{error}") from None
 
 
 def configuration(operator: Operator, config: Config, target: Target) -> Client | None:
-    """What follows the fleet's distributed configuration, where the operator's file names who tells it."""
-    told = operator.configuration
-    if told is None:
+    """The client of the fleet's distributed configuration, where the operator's file names its instances."""
+    table = operator.configuration
+    if table is None:
         return None
-    # Only here: without it nothing of the distribution is loaded.
+    # Imported here: without distributed configuration these modules must not be loaded.
     from millgw.configuration.client import Client
     from millgw.configuration.follower import preference
     from millgw.configuration.last_good import LastGood
 
-    name = told.name or config.name
-    instances = preference(name, told.relays.get(told.zone, ()), told.instances)
-    last_good = LastGood(Path(told.directory), name) if told.directory else None
+    name = table.name or config.name
+    instances = preference(name, table.relays.get(table.zone, ()), table.instances)
+    last_good = LastGood(Path(table.directory), name) if table.directory else None
     return Client(name, instances, last_good, pool_seed(config.seed, f"configuration {name}"), target)
 
 
-def static_list(service: Service, config: Config) -> tuple[Listed, ...]:
-    """The endpoints that an operator's file names for a service."""
+def static_entries(service: Service, config: Config) -> tuple[Listed, ...]:
+    """The endpoints that the operator's file lists for a service."""
     entries = [
         {
             "name": e.name, "address": e.address, "group": e.group, "weight": e.weight, "zone": e.zone,
@@ -207,7 +207,7 @@
 
 
 def pool_config(name: str, service: Service, config: Config, raw: Mapping[str, Any]) -> Config:
-    """The configuration as a service's pool has it, with the classes and settings that are its own."""
+    """The configuration of a service's pool: the shared one with the service's own classes and settings."""
     settings = merged(raw, service.settings)
     if service.classes:
         named = {c.get("name"): c for c in settings.get("classes", ()) if isinstance(c, dict)}
@@ -222,5 +222,5 @@
 
 
 def pool_seed(seed: int, name: str) -> int:
-    """A seed for each service's module: the same after a reload, another for each name."""
+    """The random seed of a service's module: stable across reloads, different for each name."""
     return int.from_bytes(blake2b(f"{seed} {name}".encode(), digest_size=8).digest(), "big")
