--- a/millgw/control/calls.py
+++ b/millgw/control/calls.py
@@ -29,9 +29,9 @@
     def __call__(self, request: ControlRequest) -> Answer:
         methods = self.paths.get(request.path)
         if methods is None:
-            return plain(404, "no such path")
+            return plain(404, "no such call")
         handler = methods.get(request.method)
         if handler is None:
             allow = ", ".join(sorted(methods)).encode()
-            return plain(405, "method not allowed", b"Allow: %b\r\n" % allow)
+            return plain(405, "not by this method", b"Allow: %b\r\n" % allow)
         return handler(request)
--- a/millgw/control/core.py
+++ b/millgw/control/core.py
@@ -48,7 +48,7 @@
             return ControlRequest(method, path, self.headers)
         if self.received > MAX_REQUEST_SIZE:
             self.parser = None
-            return BadRequest(431, "the request is too large")
+            return BadRequest(431, "the call is too large")
         return None
 
     # Callbacks of httptools
--- a/millgw/hot_restart/new_process.py
+++ b/millgw/hot_restart/new_process.py
@@ -60,7 +60,7 @@
         if not self._is_authorized(request):
             return Answer(404, Content())
         data = self._run_in_loop(self.snapshot)
-        return yes_no_answer(False, "read in time") if data is None else Answer(200, Content(b"", data))
+        return yes_no_answer(False, "told in time") if data is None else Answer(200, Content(b"", data))
 
     def _handle_successor(self, request: ControlRequest) -> Answer:
         if not self._is_authorized(request):
