--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -1,12 +1,13 @@
-"""Every decision of millgw: where a call goes, whether it is tried again, when it is given up.
+"""Load balancing decisions: routing, retries, rejection and load shedding. No I/O and no clock.
 
-The types are in `millgw/interface.py`: settings, endpoints, events in, actions out. One `Balancer` is one
-sidecar's view. It has no clock, does no I/O and shares nothing: same events, same actions.
+The types are in `millgw/interface.py`: settings, endpoints, input events and output actions. One `Balancer`
+decides for one sidecar. It shares no state with others: the same events result in the same actions.
 
-Reading order: the constants; `Rules`, which alone says what may be sent or refused; `RetryBudget` and
-`Backoff`, the source design; `Server`, `Outliers` and `ColdStart`, what is known of endpoints; `Admission`,
-`Shedding` and `TenantShares`, who waits or is refused; `Freshness` (`millgw.policy`), for how long what is
-known holds; `Balancer`, from `handle` down.
+Reading order: the constants; `RetryRules`, the only place that decides what may be sent or refused;
+`RetryBudget` and `Backoff`, the source design for retries; `Server`, `OutlierDetector` and
+`ColdStartLimiter`, the state of endpoints; `ConcurrencyLimiter`, `LoadShedder` and `TenantQuotas`, which
+requests wait or are refused; `Freshness` (`millgw.policy`), how long the endpoint list stays valid;
+`Balancer`, from `handle` down.
 """
 
 from __future__ import annotations
@@ -50,149 +51,166 @@
 from millgw.policy.backoff import Backoff
 from millgw.policy.freshness import Freshness
 
-BUDGET_CAPACITY = 100.0  # tokens; the source's figure
-RETRY_COST = 10.0  # tokens for a retry: one for every ten served calls at most; the source's figure
-BACKOFF_BASE = 0.02  # of the class's aim: short against it, long against a hop
-BACKOFF_CAP = 0.5  # of the class's aim: a longer wait leaves no time to be answered
-BUFFER = 0.02  # of the class's aim, kept free before the deadline; see also BUFFER_TICKS
-BUFFER_TICKS = 4  # an answer needs a few ticks to be handed over, whatever the aim
-LEAST_SENT = 2.0  # calls in a window that all instances may send any cold endpoint: the slack for chance
-COLD_HEADROOM = 0.8  # of the told multiple: the rest is for chance and uneven requests
-RATE_MEMORY = 10_000.0  # ms over which what is usual is averaged: rates, calls in flight; longer than a burst
-SERVED_MEMORY = 4000.0  # ms over which an endpoint's rate is: when others go, those that stay soon serve more
-LOOK_AROUND = 1000.0  # ms between two passes over the list: what they tell changes slowly
-QUICK_RISE = 0.1  # of a rise taken into a class's quick time: it follows its quickest tenth or so
-UNDISTURBED_MOST = 0.4  # of the aim, that undisturbed answers are taken to need at the most
-LATENCY_ROOM = 0.3  # of the room between undisturbed answers and the aim: what queueing may use up
-LATENCY_ROOM_MOST = 0.5  # of that room, where the median is of few answers; shedding starts there too
-NOISE = 1.6  # of that room for each part of the median that one answer decides
-NORMAL_ROOM = 1.5  # times the usual number in flight that a limit always leaves: bursts are usual too
-LATENCY_WEIGHT = 0.03  # of one answer in the running median: about the last thirty decide
-LATENCY_MEMORY = 1.0  # aims in it at the most: with few calls of its own, an instance must not be slow to see
-LATENCY_FEW = 0.4  # of one answer in it at the most: two or three decide, however few there are
-STEADY_WEIGHT = 0.01  # the same for the undisturbed: a lowest value must not be one of chance
-LIMIT_START = 5.0  # calls in flight for each endpoint, over all instances, before anything is learned
-LIMIT_GROWTH = 0.2  # of a call an endpoint for an answer, at most: an instance of many must not overshoot
-LIMIT_CUT = 0.5  # of the limit kept at the least, however late the answers
-LEAST_RATIO = 0.001  # keeps medians off zero, where no step leaves, and zeros in settings out of quotients
-LIMIT_USED = 0.8  # of the limit in use before it may grow: an unused one proves nothing
-HEALTH_WEIGHT = 0.2  # of one outcome in an endpoint's record: the last five decide
-JUDGED_BY = 5.0  # calls that an ejected endpoint was judged by
-SLOW_WEIGHT = 0.1  # of one answer's time in it: times scatter more than failures, so the last ten decide
-SLOW_PEER = 0.25  # of the warm peers are quicker than the one that slowness is measured against
-HEALTH_MEMORY = 5000.0  # ms after which an endpoint's slowness is mostly forgotten
-SLOW_LEAST, SLOW_MOST = 0.5, 3.0  # between which slowness counts as load: own calls in flight decide first
-TIE_SLOWER = 1.05  # times as slow as the other: less does not decide a tie, or it would starve one
-OUTLIER_FAILING = 0.4  # share of calls failing from which an endpoint may be an outlier
-OUTLIER_MULTIPLE = 2.0  # times as bad as its peers: less is chance or the whole tier's trouble
-EJECT_TIME = 4000.0  # ms of the first ejection, time to empty and to recover
-EJECT_JITTER = 0.5  # of its time, at the least: instances that eject together return at different times
-EJECT_SHARE = 1 / 3  # of the endpoints at most: when more look ill, the trouble is not theirs
-LOST_AFTER = 2  # connections in a row that did not come up, from which a machine is held to be gone
-BUSY = 3.0  # calls in flight times slowness, over which the next zone is looked at as well
-HOME_LEAST = 3  # endpoints an instance always draws from: two to compare and one to go elsewhere
-SHED_RATE = 1.0  # of all work, by which shedding rises in an aim's time when half the answers are late
-SHED_MOST = 0.95  # of the work shed at the most: some answers must come, or nothing is learned
-ORDER_STEP = 0x9E3779B1  # odd, so that a product scatters ids and no two meet
-SHARE_BURST = 1000.0  # ms of a tenant's rate that may come at once and still be within its share
-PROBE_AHEAD = 200.0  # ms before the list may be over, from which endpoints are probed: an answer takes less
-PROBE_EVERY = 500.0  # ms between two probes of one endpoint, at the least
-PROBE_HOLDS = 2000.0  # ms for which one that was answered well tells for its endpoint
-HOLD_PART = 0.1  # of the aim that a request waits for room: a refused client needs the rest for another try
-PAIR_PART = 0.5  # of tokens and cold endpoints' allowances for each of two processes of one sidecar
-
-
-def scatter(id: int, group: int) -> int:
-    """Order ids as if by chance, each group in its own way, the same in every process."""
-    mixed = id * (2 * group + 1) * ORDER_STEP % 2**32
-    return (mixed ^ mixed >> 15) * ORDER_STEP % 2**32
+# Retries. "aim" is the latency target of the request's class.
+BUDGET_CAPACITY = 100.0  # tokens; from the source design
+RETRY_COST = 10.0  # tokens per retry: at most one retry for ten served calls; from the source design
+BACKOFF_BASE = 0.02  # share of the aim: short compared with it, long compared with a network hop
+BACKOFF_CAP = 0.5  # share of the aim: after a longer wait there is no time left for a response
+DEADLINE_MARGIN = 0.02  # share of the aim kept free before the deadline; see also DEADLINE_MARGIN_TICKS
+DEADLINE_MARGIN_TICKS = 4  # passing on a response takes a few ticks, whatever the aim
+
+# Cold endpoints
+MIN_COLD_CALLS = 2.0  # calls per window that all instances may send any cold endpoint: random variation
+COLD_FILL = 0.8  # used share of `fall_multiple`: the rest covers random variation and uneven requests
+
+# Averages over time
+RATE_DECAY_MS = 10_000.0  # for usual values (rates, calls in flight): longer than a burst
+SERVED_DECAY_MS = 4000.0  # for an endpoint's rate: when others leave, those that stay soon serve more
+REFRESH_INTERVAL_MS = 1000.0  # between two passes over the endpoint list: what they compute changes slowly
+
+# Concurrency limit
+LOW_LATENCY_RISE = 0.1  # weight of a rise in a class's low latency: it follows the fastest tenth or so
+MAX_BASE_LATENCY = 0.4  # share of the aim: the most that responses without queueing are assumed to take
+LATENCY_SLACK = 0.3  # share of the range from base latency to the aim that queueing may use up
+MAX_LATENCY_SLACK = 0.5  # share of that range if the median is of few responses; shedding starts there too
+NOISE_SLACK = 1.6  # share of that range for each part of the median that a single response decides
+NORMAL_HEADROOM = 1.5  # times the usual number in flight that a limit always allows: bursts are usual too
+LATENCY_WEIGHT = 0.03  # of one response in the running median: about the last thirty decide
+LATENCY_DECAY_AIMS = 1.0  # longest memory of the median, in aims: few calls must still show a slowdown
+MAX_LATENCY_WEIGHT = 0.4  # of one response in the median: at least two or three decide, however few arrive
+BASE_LATENCY_WEIGHT = 0.01  # of one response in the base latency: a minimum must not be a random one
+INITIAL_LIMIT = 5.0  # calls in flight per endpoint, over all instances, before anything is learned
+MAX_LIMIT_GROWTH = 0.2  # calls per endpoint and response: one instance of many must not overshoot
+MIN_LIMIT_KEPT = 0.5  # share of the limit that one cut leaves at least, however late the responses are
+MIN_RATIO = 0.001  # keeps medians above zero, where no step changes them, and avoids division by zero
+GROWTH_UTILIZATION = 0.8  # share of the limit in use before it may grow: an unused limit proves nothing
+
+# Endpoint health
+FAILURE_WEIGHT = 0.2  # of one outcome in an endpoint's failure rate: the last five decide
+EJECTION_EVIDENCE_CALLS = 5.0  # calls reported to peers as the evidence for an ejection
+SLOWNESS_WEIGHT = 0.1  # of one latency: the last ten decide, as latencies scatter more than failures
+FASTER_PEER_SHARE = 0.25  # slowness is compared with the warm peer that is slower than this share of them
+SLOWNESS_DECAY_MS = 5000.0  # after which an endpoint's slowness is mostly forgotten
+# Bounds of the slowness that counts as load: own calls in flight decide first.
+MIN_LOAD_SLOWNESS, MAX_LOAD_SLOWNESS = 0.5, 3.0
+TIE_SLOWNESS_RATIO = 1.05  # a smaller ratio of slowness does not decide a tie: it would starve an endpoint
+OUTLIER_FAILURE_RATE = 0.4  # from which an endpoint may be an outlier
+OUTLIER_MULTIPLE = 2.0  # times as bad as its peers: less is chance, or a problem of the whole tier
+EJECTION_MS = 4000.0  # mean length of an ejection: time to finish the calls in flight and to recover
+MIN_EJECTION_FACTOR = 0.5  # jitter: endpoints ejected by many instances return at different times
+MAX_EJECTED_SHARE = 1 / 3  # if more endpoints look bad, the problem is not theirs
+LOST_AFTER = 2  # consecutive connect failures after which a machine is assumed to be gone
+
+# Endpoint selection, load shedding, quotas
+BUSY_LOAD = 3.0  # calls in flight times slowness above which the next zone is considered as well
+HOME_LEAST = 3  # endpoints an instance always chooses from: two to compare and one for a retry elsewhere
+SHED_RISE_RATE = 1.0  # share of all work by which shedding rises per aim of time if half the answers are late
+SHED_MOST = 0.95  # highest shed share: without any responses nothing more is learned
+HASH_MULTIPLIER = 0x9E3779B1  # odd, so that distinct ids give distinct products
+TENANT_BURST_MS = 1000.0  # of a tenant's rate that may arrive at once and still be within its quota
+
+# Health probes and held requests
+PROBE_LEAD_MS = 200.0  # probing starts this long before the list may be outdated: a probe takes less
+PROBE_INTERVAL_MS = 500.0  # shortest time between two probes of one endpoint
+PROBE_VALID_MS = 2000.0  # for which a successful probe counts
+MAX_HOLD_TIME = 0.1  # share of the aim that a request is held: a refused client needs the rest for a retry
+
+# Hot restart
+PAIR_PART = 0.5  # share of tokens and cold allowances for each of two processes of one sidecar
+
+
+def shuffle_key(id: int, group: int) -> int:
+    """A pseudo-random sort key for an id: another order for each group, the same in every process."""
+    mixed = id * (2 * group + 1) * HASH_MULTIPLIER % 2**32
+    return (mixed ^ mixed >> 15) * HASH_MULTIPLIER % 2**32
 
 
 class Attempt:
-    """One attempt of a request: where it went, and whether it is out or proven not to have run."""
+    """One attempt of a request: where it was sent, whether it is pending or proven not executed."""
 
-    __slots__ = ("cell", "cls", "never_ran", "out", "sent", "server", "zone")
+    __slots__ = ("cell", "cls", "not_executed", "pending", "sent_at", "server", "zone")
 
     def __init__(self, server: Server, cls: int, now: float) -> None:
         self.server = server
-        self.cell, self.zone = server.info.cell, server.info.zone  # as they were: who knows of it is of these
+        self.cell, self.zone = server.info.cell, server.info.zone  # as at sending: the group that knows it
         self.cls = cls
-        self.sent = now
-        self.out = True
-        self.never_ran = False
+        self.sent_at = now
+        self.pending = True
+        self.not_executed = False
 
 
 class Request:
-    """A request that is owed an answer, and the attempts made for it so far."""
+    """A request that still needs an answer, and the attempts made for it so far."""
 
-    def __init__(self, event: RequestArrived, cls: RequestClass, now: float, end: float) -> None:
+    def __init__(self, event: RequestArrived, cls: RequestClass, now: float, deadline: float) -> None:
         self.id = event.request
-        self.index = event.cls
+        self.class_index = event.cls
         self.cls = cls
         self.tenant = event.tenant
         self.arrived = now
-        self.end = end
-        self.give_up = end
+        self.deadline = deadline
+        self.held_until = deadline
         self.attempts: list[Attempt] = []
         self.timers: list[int] = []
-        self.wait = 0.0
+        self.last_backoff = 0.0
         self.within_share = True
         self.partial = event.partial
-        self.body_gone = False
-        self.lacks = GivenUp.NO_ROOM  # what it waits for while it is held
-        self.value = cls.worth  # for each ms of its class's quick answers
+        self.body_discarded = False
+        self.hold_reason = GivenUp.NO_ROOM  # while it is held
+        self.worth_per_ms = cls.worth  # per ms of its class's low latency
 
 
-class Rules:
-    """Rule 2: the only place that says whether a request may be sent or refused."""
+class RetryRules:
+    """Rule 2: the only place that decides whether a request may be sent or refused."""
 
     def __init__(self, settings: Settings) -> None:
         self.max_attempts = settings.max_attempts
-        self.concurrent = settings.concurrent_attempts
+        self.concurrent_attempts = settings.concurrent_attempts
         self.margin = settings.tick
 
-    def may_try(self, request: Request, now: float) -> bool:
-        """Whether any endpoint could be sent this request now."""
-        if len(request.attempts) >= self.max_attempts or now >= request.end or request.body_gone:
+    def may_send(self, request: Request, now: float) -> bool:
+        """Whether the request could be sent to any endpoint now."""
+        if len(request.attempts) >= self.max_attempts or now >= request.deadline or request.body_discarded:
             return False
-        if not self.concurrent and any(a.out for a in request.attempts):
+        if not self.concurrent_attempts and any(a.pending for a in request.attempts):
             return False
-        return now <= self.until(request)
+        return now <= self.retry_deadline(request)
 
-    def until(self, request: Request) -> float:
-        """When (ms) the last byte of a further attempt must have left; never, if it may not run again."""
-        ran = [a for a in request.attempts if not a.never_ran]
-        if not ran or request.cls.repeat is Repeat.SAFE:
+    def retry_deadline(self, request: Request) -> float:
+        """When (ms) the last byte of a further attempt must be sent; -inf if no repeat is allowed."""
+        may_have_run = [a for a in request.attempts if not a.not_executed]
+        if not may_have_run or request.cls.repeat is Repeat.SAFE:
             return math.inf
         if request.cls.repeat is not Repeat.KEYED:
             return -math.inf
-        return ran[0].sent + request.cls.window - self.margin
+        return may_have_run[0].sent_at + request.cls.window - self.margin
 
     @staticmethod
-    def may_go_to(request: Request, endpoint: Endpoint) -> bool:
-        """Whether this endpoint is in the group that drops a repeat of the request."""
+    def may_send_to(request: Request, endpoint: Endpoint) -> bool:
+        """Whether this endpoint belongs to the group that deduplicates retries of the request."""
         if request.cls.repeat is not Repeat.KEYED or request.cls.scope is Scope.ALL:
             return True
         by_zone = request.cls.scope is Scope.ZONE
         return all(
             a.zone == endpoint.zone if by_zone else a.cell == endpoint.cell
             for a in request.attempts
-            if not a.never_ran
+            if not a.not_executed
         )
 
     @staticmethod
     def may_refuse(request: Request) -> bool:
-        """Whether the client may be promised that trying again is safe."""
-        if request.cls.repeat is Repeat.SAFE or all(a.never_ran for a in request.attempts):
+        """Whether the client may be told that a retry is safe."""
+        if request.cls.repeat is Repeat.SAFE or all(a.not_executed for a in request.attempts):
             return True
         return request.cls.repeat is Repeat.KEYED and request.cls.scope is Scope.ALL
 
 
 class RetryBudget:
-    """Token bucket: served calls earn, retries spend; it runs dry when failures are the rule."""
+    """Token bucket: served calls add tokens, retries cost tokens; it is empty when most calls fail."""
 
     def __init__(self) -> None:
-        self.tokens = RETRY_COST  # not full: hundreds of copies, or a wave of restarts, would add up
+        # Not full: the retries of hundreds of instances, or of a wave of restarts, would add up.
+        self.tokens = RETRY_COST
 
     def earn(self) -> None:
         self.tokens = min(BUDGET_CAPACITY, self.tokens + 1)
@@ -205,35 +223,35 @@
 
 
 class Server:
-    """One endpoint as this instance knows it."""
+    """One endpoint and what this instance knows about it."""
 
     def __init__(self, info: Endpoint, now: float) -> None:
         self.info = info
-        self.out: dict[Attempt, None] = {}
-        self.slow = 1.0
+        self.out: dict[Attempt, None] = {}  # attempts in flight
+        self.slow = 1.0  # latency as a multiple of the usual one, as of `judged_at`
         self.judged_at = now
-        self.failing = 0.0
+        self.failing = 0.0  # average failure rate
         self.ejected_until = -math.inf
-        self.served = 0.0
+        self.served = 0.0  # decaying count of served calls, as of `served_at`
         self.served_at = now
-        self.allowance = 1.0
+        self.allowance = 1.0  # calls that a cold endpoint may be sent, as of `allowed_at`
         self.allowed_at = now
-        self.ramped = False  # whether its allowance has begun as that of a cold endpoint
-        self.missed = 0
-        self.back = 0.0
-        self.rejoined = 0.0  # when its zone, which was lost, came back
-        # The count of discovery's words when it turned a call away or was not well, and that was not heard.
-        self.turned_away_after = -1
-        self.probed_at = -math.inf  # when it was last asked for its health
-        self.well_at = -math.inf  # when the last probe was sent that it answered well
-        # What siblings tell stands apart from its own record: else it would be told on as seen.
-        self.drains_until = -math.inf
-        self.heard_slow = 1.0
-        self.heard_at = now
-        self.hearsay = False  # whether it is ejected for what siblings told
-
-    def note(self, now: float, outcome: Outcome) -> None:
-        """Take what an outcome tells of the machine: one that was out of reach may come back cold."""
+        self.cold_ramp_started = False  # whether its allowance was initialized as for a cold endpoint
+        self.missed = 0  # consecutive connect failures
+        self.back = 0.0  # when it was reachable again
+        self.zone_restored_at = 0.0  # when its zone, which had been lost, returned
+        # `Freshness.words` when it rejected a call or was unhealthy while discovery was disconnected.
+        self.unhealthy_at_message = -1
+        self.probed_at = -math.inf  # when the last probe was sent
+        self.healthy_at = -math.inf  # when the last successful probe was sent
+        # Peers' reports are kept apart from its own record: otherwise they would be passed on as observed.
+        self.drains_until = -math.inf  # a drain reported by peers
+        self.reported_slowness = 1.0
+        self.reported_at = now
+        self.hearsay = False  # whether it is ejected because of peers' reports
+
+    def record_reachability(self, now: float, outcome: Outcome) -> None:
+        """Track connect failures: a machine that was unreachable may come back cold."""
         if outcome is Outcome.CONNECT_FAILED:
             self.missed += 1
             return
@@ -242,116 +260,127 @@
         self.missed = 0
 
     def started(self, now: float) -> float:
-        """When it last started, as told or as seen; a machine that is out of reach has yet to."""
-        return now if self.missed >= LOST_AFTER else max(self.info.started_at, self.back, self.rejoined)
+        """When it last started, as reported or observed; an unreachable machine has not started yet."""
+        return (
+            now if self.missed >= LOST_AFTER else max(self.info.started_at, self.back, self.zone_restored_at)
+        )
 
     def slowness(self, now: float) -> float:
-        """The recent time of its calls against the usual; what is old fades to 'usual'."""
-        own = self.seen_slowness(now)
-        if self.heard_slow <= 1.0:
+        """Its recent latency as a multiple of the usual one; old measurements decay towards 1."""
+        own = self.measured_slowness(now)
+        if self.reported_slowness <= 1.0:
             return own
-        return max(own, 1.0 + (self.heard_slow - 1.0) * math.exp((self.heard_at - now) / HEALTH_MEMORY))
+        return max(
+            own, 1.0 + (self.reported_slowness - 1.0) * math.exp((self.reported_at - now) / SLOWNESS_DECAY_MS)
+        )
 
-    def seen_slowness(self, now: float) -> float:
-        """The same by its own calls alone."""
-        return 1.0 + (self.slow - 1.0) * math.exp((self.judged_at - now) / HEALTH_MEMORY)
+    def measured_slowness(self, now: float) -> float:
+        """The same from this instance's own calls alone."""
+        return 1.0 + (self.slow - 1.0) * math.exp((self.judged_at - now) / SLOWNESS_DECAY_MS)
 
-    def count_served(self, now: float) -> None:
-        self.served = self.served_rate(now) * SERVED_MEMORY + 1
+    def record_served(self, now: float) -> None:
+        self.served = self.served_rate(now) * SERVED_DECAY_MS + 1
         self.served_at = now
 
     def served_rate(self, now: float) -> float:
-        """Calls served per ms, averaged with a fading memory."""
-        return self.served * math.exp((self.served_at - now) / SERVED_MEMORY) / SERVED_MEMORY
+        """Calls served per ms, as an exponentially decaying average."""
+        return self.served * math.exp((self.served_at - now) / SERVED_DECAY_MS) / SERVED_DECAY_MS
 
 
-class Outliers:
-    """Ejects endpoints that are far worse than their peers, for a while, and never many of them.
+class OutlierDetector:
+    """Ejects endpoints that are far worse than their peers for some time, and never many of them.
 
-    One that errors at once would win draws by its empty in-flight count, and its failures spend the tokens
-    of all; one that was crowded until it became slow needs rest. After its time it is drawn again like any
-    other, its record halfway back, so that a few more bad outcomes send it away again.
+    An endpoint that fails fast has few calls in flight, so it would be chosen most often, and its failures
+    would use up everybody's retry tokens. One that became slow under overload needs time to recover. After an
+    ejection the endpoint is used like any other; its record is reset halfway, so that a few more bad outcomes
+    eject it again.
     """
 
-    def __init__(self, rng: random.Random, cold: ColdStart) -> None:
+    def __init__(self, rng: random.Random, cold: ColdStartLimiter) -> None:
         self.rng = rng
         self.cold = cold
 
     @staticmethod
     def record(now: float, server: Server, failed: bool, slowness: float) -> None:
-        """Take one outcome; `slowness` is its time against the usual one of its class."""
-        server.failing += HEALTH_WEIGHT * (failed - server.failing)
+        """Add one outcome; `slowness` is its latency as a multiple of the usual one of its class."""
+        server.failing += FAILURE_WEIGHT * (failed - server.failing)
         if not failed or slowness > server.slow:
-            server.slow += SLOW_WEIGHT * (slowness - server.slow)
+            server.slow += SLOWNESS_WEIGHT * (slowness - server.slow)
             server.judged_at = now
 
     @staticmethod
-    def _staying(now: float, server: Server, ring: list[Server]) -> list[Server]:
-        """The peers that are left if this one is ejected; none where it is already, or may not be."""
+    def _remaining_peers(now: float, server: Server, ring: list[Server]) -> list[Server]:
+        """The peers left if this server is ejected; empty if it is ejected already or may not be."""
         peers = [s for s in ring if s is not server and now >= s.ejected_until]
-        few = len(ring) - len(peers) >= EJECT_SHARE * len(ring)
-        return [] if few or now < server.ejected_until else peers
+        too_many_ejected = len(ring) - len(peers) >= MAX_EJECTED_SHARE * len(ring)
+        return [] if too_many_ejected or now < server.ejected_until else peers
 
-    def judge(self, now: float, server: Server, ring: list[Server]) -> None:
-        if server.failing <= OUTLIER_FAILING and server.slow <= 1.0:
+    def eject_outlier(self, now: float, server: Server, ring: list[Server]) -> None:
+        if server.failing <= OUTLIER_FAILURE_RATE and server.slow <= 1.0:
             return
-        peers = self._staying(now, server, ring)
+        peers = self._remaining_peers(now, server, ring)
         if not peers:
             return
-        failing = sum(s.failing for s in peers) / len(peers)
-        # The quicker peers: when most of a tier has slowed down from crowding, their mean would leave none
-        # any rest. Warm ones: of a cold one only the least share is known, so it looks quicker than it is.
+        peer_failure_rate = sum(s.failing for s in peers) / len(peers)
+        # Compared with the faster peers: if most of a tier is slow from overload, the mean would eject none,
+        # and none could recover. Only warm ones: of a cold endpoint only the minimum capacity is known, so it
+        # looks faster than it is.
         warm = [s for s in peers if self.cold.share(s, now) >= 1.0]
-        quicker = sum(server.slow > OUTLIER_MULTIPLE * s.slow for s in warm)
-        if server.failing > max(OUTLIER_FAILING, OUTLIER_MULTIPLE * failing) or (
-            quicker > int(SLOW_PEER * len(warm))
+        faster_peers = sum(server.slow > OUTLIER_MULTIPLE * s.slow for s in warm)
+        if server.failing > max(OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * peer_failure_rate) or (
+            faster_peers > int(FASTER_PEER_SHARE * len(warm))
         ):
-            server.ejected_until = now + EJECT_TIME * (EJECT_JITTER + self.rng.random())
+            server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
             server.hearsay = False
-            server.failing = OUTLIER_FAILING / 2
+            server.failing = OUTLIER_FAILURE_RATE / 2
             server.slow = OUTLIER_MULTIPLE / 2
 
-    def heed(self, now: float, server: Server, failing: float, ring: list[Server], jitter: float) -> None:
-        """Eject on siblings' word: as for own calls, but its own record stays what it is."""
-        peers = self._staying(now, server, ring)
+    def eject_on_report(
+        self, now: float, server: Server, failure_rate: float, ring: list[Server], jitter: float
+    ) -> None:
+        """Eject on peers' reports: the same test as for own calls, but its own record is unchanged."""
+        peers = self._remaining_peers(now, server, ring)
         if not peers:
             return
-        if failing > max(OUTLIER_FAILING, OUTLIER_MULTIPLE * sum(s.failing for s in peers) / len(peers)):
-            server.ejected_until = now + EJECT_TIME * (EJECT_JITTER + jitter)
+        if failure_rate > max(
+            OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * sum(s.failing for s in peers) / len(peers)
+        ):
+            server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + jitter)
             server.hearsay = True
 
 
-class ColdStart:
-    """Rule 4: an instance sends a cold endpoint its fair part and no more.
+class ColdStartLimiter:
+    """Rule 4: an instance sends a cold endpoint its fair share and no more.
 
-    All instances together serve a warm endpoint no more than it can do, so what this one sees a warm
-    endpoint serve is its fair part of a capacity. A cold one is sent that rate times the share it is sure
-    to have by now, times most of the multiple at which it would fall over (COLD_HEADROOM).
+    All instances together send a warm endpoint no more than it can serve, so the rate that this instance sees
+    served by a warm endpoint is its fair share of the capacity. A cold endpoint is sent that rate, times the
+    share of its capacity that it certainly has by now, times most (COLD_FILL) of the multiple that would
+    overload it.
 
-    One that could not be reached counts as cold as well, until it answers and then by its time: discovery may
-    be down, or not know yet that its machine was gone and is back.
+    An unreachable endpoint counts as cold too, until it answers and from then on by its time since: discovery
+    may be down, or not know yet that the machine was gone and is back.
 
-    Each instance begins with a random part of a call: a whole one each would add up over all instances to
-    more than the endpoint can do, where they learn of its start at once. Before any rate is known, all
-    together send LEAST_SENT in a window, which an endpoint of any size stands.
+    Each instance starts with a random fraction of a call: where all instances learn of the start at once, a
+    whole call each would add up to more than the endpoint can serve. Before any rate is known, all instances
+    together send MIN_COLD_CALLS per window, which an endpoint of any size can take.
     """
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings = settings
         self.rng = rng
         self.siblings = settings.siblings
-        self.rates: dict[int | None, float] = {None: 0.0}  # by zone as well, where zones are told apart
-        self.part = 1.0  # of this sidecar's allowances that are this process's
+        self.rates: dict[int | None, float] = {None: 0.0}  # calls per ms; by zone too, if there are zones
+        self.part = 1.0  # of this sidecar's cold allowances that belongs to this process
 
     def share(self, server: Server, now: float) -> float:
-        """The part of its capacity that an endpoint is sure to have by now."""
-        s, since = self.settings, server.started(now)
-        if since <= 0 or s.cold_time <= 0 or now >= since + s.cold_time:
+        """The share of its capacity that an endpoint certainly has by now."""
+        s, started_at = self.settings, server.started(now)
+        if started_at <= 0 or s.cold_time <= 0 or now >= started_at + s.cold_time:
             return 1.0
-        return s.cold_share + (1 - s.cold_share) * max(0.0, now - since) / s.cold_time
+        return s.cold_share + (1 - s.cold_share) * max(0.0, now - started_at) / s.cold_time
 
-    def learn(self, servers: list[Server], now: float, zone: int | None = None) -> None:
-        """Take the rate from warm endpoints in use only; with none left the last one seen holds."""
+    def learn_rate(self, servers: list[Server], now: float, zone: int | None = None) -> None:
+        """Measure the rate of warm endpoints in use; if there are none, the last rate is kept."""
         warm = [s for s in servers if now >= s.ejected_until and self.share(s, now) >= 1.0]
         size = sum(s.info.size for s in warm)
         if size > 0:
@@ -360,58 +389,59 @@
     def admits(self, server: Server, now: float) -> bool:
         s, share = self.settings, self.share(server, now)
         if share >= 1.0 or s.fall_window <= 0:
-            # Otherwise what was sent while it was warm would count against it once it is cold.
-            server.allowance, server.allowed_at, server.ramped = 1.0, now, False
+            # Otherwise calls sent while it was warm would count against it once it is cold.
+            server.allowance, server.allowed_at, server.cold_ramp_started = 1.0, now, False
             return True
-        if not server.ramped and server.missed < LOST_AFTER and self.siblings > LEAST_SENT:
-            server.ramped = True
+        if not server.cold_ramp_started and server.missed < LOST_AFTER and self.siblings > MIN_COLD_CALLS:
+            server.cold_ramp_started = True
             server.allowance = min(server.allowance, self.rng.random())
-        least = LEAST_SENT / (self.siblings * s.fall_window)
+        min_rate = MIN_COLD_CALLS / (self.siblings * s.fall_window)
         rate = self.rates.get(server.info.zone, self.rates[None]) * server.info.size
-        rate = rate * share * s.fall_multiple * COLD_HEADROOM
-        rate = max(least, rate) * self.part
-        most = max(1.0, rate * s.fall_window * COLD_HEADROOM)
-        server.allowance = min(most, server.allowance + rate * (now - server.allowed_at))
+        rate = rate * share * s.fall_multiple * COLD_FILL
+        rate = max(min_rate, rate) * self.part
+        max_allowance = max(1.0, rate * s.fall_window * COLD_FILL)
+        server.allowance = min(max_allowance, server.allowance + rate * (now - server.allowed_at))
         server.allowed_at = now
         return server.allowance >= 1.0
 
 
-class Admission:
-    """Learned limit on calls in flight for each endpoint this instance may count on, at the first tier only.
+class ConcurrencyLimiter:
+    """Adaptive limit on calls in flight per usable endpoint, at the first tier only.
 
-    Beyond some number in flight servers only answer later, then too late, then slow down for long. The limit
-    grows while answers come well within their aim and is cut when they don't.
+    Beyond some number of calls in flight, servers only respond later, then too late, then slow down for long.
+    The limit grows while latencies stay well below their aim and is cut when they don't.
     """
 
     def __init__(self) -> None:
-        self.each = LIMIT_START
-        self.units = 1.0
-        self.normal = 0.0
-        self.late = 0.0
-        self.steady = 0.0
-        self.noise = LATENCY_WEIGHT
-        self.undisturbed = UNDISTURBED_MOST
+        self.each = INITIAL_LIMIT  # calls in flight per endpoint, over all instances
+        self.endpoint_share = 1.0  # usable endpoints divided by the number of instances
+        self.normal = 0.0  # usual calls in flight, in the same unit as `each`
+        self.late = 0.0  # running median of the latency, as a share of the aim
+        self.steady = 0.0  # the same with a much longer memory
+        self.noise = LATENCY_WEIGHT  # average weight of one response in `late`
+        self.undisturbed = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
         self.answers = 0
-        self.settled = 0.0
-        self.at = 0.0
+        self.settled = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
+        self.at = 0.0  # when the last response arrived
 
     @property
     def limit(self) -> float:
-        """Calls that this instance may have in flight: its part of whole ones for each endpoint."""
-        # The root guards against refusing by chance: of many instances, one's ups are another's downs.
-        part = self.cap(1.0) * self.units
-        return max(1.0, part + math.sqrt(part))
-
-    def cap(self, share: float) -> int:
-        """The most calls in flight for one endpoint: whole ones, as an endpoint with one slot needs."""
+        """Calls that this instance may have in flight: its share of whole calls for each endpoint."""
+        # The square root adds room for random variation: of many instances, some have more calls than others
+        # at any moment, and would refuse without need.
+        own_limit = self.endpoint_limit(1.0) * self.endpoint_share
+        return max(1.0, own_limit + math.sqrt(own_limit))
+
+    def endpoint_limit(self, share: float) -> int:
+        """Most calls in flight to one endpoint: whole calls, as an endpoint with a single slot needs."""
         return max(1, int(self.each * share))
 
-    def target(self) -> float:
-        """What the median may be: the fewer answers it rests on, the more of its rises are chance."""
-        room = min(LATENCY_ROOM_MOST, max(LATENCY_ROOM, NOISE * self.noise))
-        return self.undisturbed + room * (1.0 - self.undisturbed)
+    def latency_target(self) -> float:
+        """The highest allowed median: the fewer responses it is based on, the more it varies by chance."""
+        slack = min(MAX_LATENCY_SLACK, max(LATENCY_SLACK, NOISE_SLACK * self.noise))
+        return self.undisturbed + slack * (1.0 - self.undisturbed)
 
-    def _toward(self, median: float, ratio: float, weight: float) -> float:
+    def _step_median(self, median: float, ratio: float, weight: float) -> float:
         """One step of a running median."""
         step = 1 + max(weight, 1.0 / self.answers)
         if self.answers == 1:
@@ -419,73 +449,79 @@
         return min(median * step, 1.0) if ratio > median else median / step
 
     def learn(self, now: float, elapsed: float, aim: float, inflight: int) -> None:
-        """Take one answer's time against its aim: a running median, which a few slow endpoints can't move."""
+        """Add one latency, relative to its aim, to the median, and adapt the limit.
+
+        A running median is not moved by a few slow endpoints.
+        """
         self.answers += 1
-        ratio = max(elapsed / aim, LEAST_RATIO)
-        recent = min(LATENCY_FEW, 1.0 - math.exp((self.at - now) / (LATENCY_MEMORY * aim)))
-        self.late = self._toward(self.late, ratio, max(LATENCY_WEIGHT, recent))
-        self.noise += max(STEADY_WEIGHT, 1.0 / self.answers) * (recent - self.noise)
-        self.steady = self._toward(self.steady, ratio, STEADY_WEIGHT)
+        ratio = max(elapsed / aim, MIN_RATIO)
+        latest_weight = min(MAX_LATENCY_WEIGHT, 1.0 - math.exp((self.at - now) / (LATENCY_DECAY_AIMS * aim)))
+        self.late = self._step_median(self.late, ratio, max(LATENCY_WEIGHT, latest_weight))
+        self.noise += max(BASE_LATENCY_WEIGHT, 1.0 / self.answers) * (latest_weight - self.noise)
+        self.steady = self._step_median(self.steady, ratio, BASE_LATENCY_WEIGHT)
         if self.answers * LATENCY_WEIGHT >= 1.0:
             self.undisturbed = min(self.steady, self.undisturbed)
-        target = self.target()
-        weight = max(1.0 / self.answers, 1.0 - math.exp((self.at - now) / RATE_MEMORY))
+        target = self.latency_target()
+        weight = max(1.0 / self.answers, 1.0 - math.exp((self.at - now) / RATE_DECAY_MS))
         self.at = now
         if self.late > target:
-            self.normal -= weight * self.normal  # a burst may use its room, a jam that lasts may not keep it
+            self.normal -= weight * self.normal  # lasting congestion, unlike a burst, gets no headroom
             if now >= self.settled:
-                used = min(self.each, inflight / self.units)
-                self.each = max(1.0, NORMAL_ROOM * self.normal, used * max(LIMIT_CUT, target / self.late))
+                used = min(self.each, inflight / self.endpoint_share)
+                self.each = max(
+                    1.0, NORMAL_HEADROOM * self.normal, used * max(MIN_LIMIT_KEPT, target / self.late)
+                )
                 self.settled = now + self.late * aim
             return
         if inflight < self.limit:
-            self.normal += weight * (inflight / self.units - self.normal)
-        if inflight >= LIMIT_USED * self.each * self.units:
-            self.each += min(LIMIT_GROWTH, 1.0 / self.units) * (1.0 - self.late / target)
+            self.normal += weight * (inflight / self.endpoint_share - self.normal)
+        if inflight >= GROWTH_UTILIZATION * self.each * self.endpoint_share:
+            self.each += min(MAX_LIMIT_GROWTH, 1.0 / self.endpoint_share) * (1.0 - self.late / target)
 
 
-class Shedding:
-    """Refuses a learned part of the work on arrival, the least worthy for its work first; first tier only.
+class LoadShedder:
+    """Refuses an adaptive share of the work on arrival, least worth per ms first; first tier only.
 
-    Under overload at full size, with a call or two for each instance, there is no queue from which the
-    worthier could go first, and what is admitted must still be answered in time.
+    In a large overloaded fleet each instance has only a call or two: there is no queue from which the more
+    valuable requests could be served first, and what is admitted must still be answered in time.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.level = 0.0
-        self.at = math.inf
+        self.level = 0.0  # share of the work that is shed
+        self.level_at = math.inf
+        # Work that arrived (decaying, in ms of low latency) by class and whether it was within the quota.
         self.demand: dict[tuple[int, bool], float] = {}
-        self.value: dict[tuple[int, bool], float] = {}
-        self.seen = 0.0
-
-    def learn(self, now: float, admission: Admission, aim: float) -> None:
-        """Follow the median answer: the level rises when it is nearer to the aim than to the undisturbed."""
-        passed = min(1.0, max(0.0, now - self.at) / aim)
-        self.at = now
-        room = LATENCY_ROOM_MOST * (1.0 - admission.undisturbed)
-        rise = SHED_RATE * passed * (admission.late - admission.undisturbed - room) / room
+        self.worth_per_ms: dict[tuple[int, bool], float] = {}
+        self.demand_at = 0.0
+
+    def learn(self, now: float, limiter: ConcurrencyLimiter, aim: float) -> None:
+        """Follow the median latency: shedding rises while it is closer to the aim than to the base."""
+        aims_passed = min(1.0, max(0.0, now - self.level_at) / aim)
+        self.level_at = now
+        slack = MAX_LATENCY_SLACK * (1.0 - limiter.undisturbed)
+        rise = SHED_RISE_RATE * aims_passed * (limiter.late - limiter.undisturbed - slack) / slack
         self.level = min(SHED_MOST, max(0.0, self.level + rise))
 
-    def refuses(self, now: float, request: Request, work: float) -> bool:
-        """Whether a request of this worth for its work is in the part that is shed now."""
-        fade = math.exp((self.seen - now) / RATE_MEMORY)
-        self.seen = now
+    def should_shed(self, now: float, request: Request, work: float) -> bool:
+        """Whether a request of this worth per ms belongs to the share that is shed now."""
+        decay = math.exp((self.demand_at - now) / RATE_DECAY_MS)
+        self.demand_at = now
         for other in self.demand:
-            self.demand[other] *= fade
-        kind = (request.index, request.within_share)
+            self.demand[other] *= decay
+        kind = (request.class_index, request.within_share)
         self.demand[kind] = self.demand.get(kind, 0.0) + work
-        self.value[kind] = request.value
-        below = sum(w for k, w in self.demand.items() if self.value[k] < request.value)
-        over = self.level * sum(self.demand.values()) - below
-        return self.rng.random() * self.demand[kind] < min(over, SHED_MOST * self.demand[kind])
+        self.worth_per_ms[kind] = request.worth_per_ms
+        less_worthy = sum(w for k, w in self.demand.items() if self.worth_per_ms[k] < request.worth_per_ms)
+        excess = self.level * sum(self.demand.values()) - less_worthy
+        return self.rng.random() * self.demand[kind] < min(excess, SHED_MOST * self.demand[kind])
 
 
-class TenantShares:
-    """Tells which requests are within their tenant's share: a token bucket for each tenant.
+class TenantQuotas:
+    """Decides which requests are within their tenant's quota: one token bucket per tenant.
 
-    What a tenant that floods sends beyond its share is worth little and yields first. A request that ends
-    unserved gives its token back, so that clients' retries don't use up the share.
+    Requests beyond a flooding tenant's quota have little worth and are refused first. A request that is not
+    served returns its token, so that clients' retries don't use up the quota.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -494,12 +530,12 @@
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Go by other rates; the tokens of tenants that were there before stay."""
+        """Apply new rates; the tokens of existing tenants are kept."""
         self.rates = [t.rate / 1000 / settings.siblings for t in settings.tenants]
-        self.most = [max(1.0, rate * SHARE_BURST) for rate in self.rates]
-        self.tokens += self.most[len(self.tokens) :]
+        self.capacities = [max(1.0, rate * TENANT_BURST_MS) for rate in self.rates]
+        self.tokens += self.capacities[len(self.tokens) :]
 
-    def give_back(self, tenant: int) -> None:
+    def refund(self, tenant: int) -> None:
         if tenant < len(self.rates):
             self.tokens[tenant] += 1.0
 
@@ -507,7 +543,7 @@
         if tenant >= len(self.rates) or self.rates[tenant] <= 0:
             return True
         for i, rate in enumerate(self.rates):
-            self.tokens[i] = min(self.most[i], self.tokens[i] + rate * (now - self.at))
+            self.tokens[i] = min(self.capacities[i], self.tokens[i] + rate * (now - self.at))
         self.at = now
         within = self.tokens[tenant] >= 1.0
         if within:
@@ -521,36 +557,38 @@
     def __init__(self, settings: Settings, seed: int, locality: Locality | None = None) -> None:
         self.settings = settings
         self.locality = locality
-        self.zones: dict[int, list[Server]] = {}  # the ring by zone, where there is a locality
+        self.zones: dict[int, list[Server]] = {}  # the ring by zone, if there is a locality
         self.rng = random.Random(seed)
-        self.rules = Rules(settings)
+        self.rules = RetryRules(settings)
         self.budget = RetryBudget()
-        self.budgets: dict[int, RetryBudget] = {}  # by zone: one that fails does not spend the others'
+        self.budgets: dict[int, RetryBudget] = {}  # by zone: a failing one must not use up the others'
         self.backoff = Backoff(self.rng)
-        self.advice = Backoff(random.Random(seed + 1))  # its own: advice must not change what is picked
-        self.doubts = random.Random(seed + 2)
-        self.cold = ColdStart(settings, self.doubts)
-        self.outliers = Outliers(self.rng, self.cold)
+        # For Retry-After. Its own generator: it must not change which endpoints are chosen.
+        self.advice = Backoff(random.Random(seed + 1))
+        self.doubts = random.Random(seed + 2)  # for cold starts and peers' reports
+        self.cold = ColdStartLimiter(settings, self.doubts)
+        self.outliers = OutlierDetector(self.rng, self.cold)
         self.discovery = Freshness(settings, self.rng)
         self.servers: dict[int, Server] = {}
-        self.ring: list[Server] = []
+        self.ring: list[Server] = []  # all servers, in this instance's order of preference
         self.requests: dict[int, Request] = {}
-        self.flights: dict[tuple[int, int], Attempt] = {}
-        self.coming: dict[tuple[int, int], Attempt] = {}  # the same, of requests that are partial
-        self.admission = Admission() if settings.stage == 0 else None
-        self.shedding = Shedding(self.rng)
-        self.shares = TenantShares(settings) if settings.stage == 0 else None
+        self.flights: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
+        self.coming: dict[tuple[int, int], Attempt] = {}  # the same, for partial requests
+        self.admission = ConcurrencyLimiter() if settings.stage == 0 else None
+        self.shedding = LoadShedder(self.rng)
+        self.shares = TenantQuotas(settings) if settings.stage == 0 else None
+        # By class: mean latency, low latency (ms), number of responses.
         self.spent = [c.aim for c in settings.classes]
         self.quick, self.answered = list(self.spent), [0] * len(settings.classes)
-        self.held: dict[int, Request] = {}
+        self.held: dict[int, Request] = {}  # waiting for an endpoint
         self.heard_siblings = 1
-        self.looked = 0.0
-        self.timers: dict[int, int | None] = {}
+        self.refreshed_at = 0.0
+        self.timers: dict[int, int | None] = {}  # the request of each timer; None: for discovery
         self.next_timer = 0
         self.started = False
         self.probes = 0
-        self.looks_at_stale = 0  # for an endpoint, while the list may be over
-        self.found_stale = False  # whether the last look was such a one
+        self.looks_at_stale = 0  # searches that found only endpoints whose state may be outdated
+        self.last_pick_stale = False  # whether the last search was one of these
         self.actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -565,68 +603,69 @@
         elif isinstance(event, AttemptEnded):
             self._attempt_ended(now, event)
         elif isinstance(event, RequestBodyComplete):
-            self._whole(event)
+            self._body_complete(event)
         elif isinstance(event, BodyDiscarded):
             if event.request in self.requests:
-                self.requests[event.request].body_gone = True
+                self.requests[event.request].body_discarded = True
         elif isinstance(event, TimerFired):
-            self._timer(now, event.timer)
+            self._timer_fired(now, event.timer)
         elif isinstance(event, EndpointList):
-            self._list(now, event)
+            self._endpoint_list(now, event)
         elif isinstance(event, PeerReports):
-            self._hear(now, event)
+            self._peer_reports(now, event)
         elif isinstance(event, ProbeEnded):
             self._probe_ended(now, event)
         elif isinstance(event, RequestAborted | ResponseStarted):
-            self._drop(event.request)
+            self._forget(event.request)
         return self.actions
 
-    # Other settings
+    # Reconfiguration
 
     def reconfigure(self, now: float, settings: Settings) -> list[Action]:
-        """Go by other settings from now on; what was learned stays, and requests keep the class they came in.
+        """Apply new settings; learned state is kept, and open requests keep their class.
 
-        Classes are numbered by position, so they stay as many, and tenants may only be added at the end. A
-        ValueError names what takes a new balancer; nothing has changed then.
+        Classes are numbered by position, so their number can't change, and tenants may only be appended. A
+        ValueError names a field that requires a new balancer; nothing has changed then.
         """
-        self.actions, before = [], self.settings
-        for field, fits in (
-            ("classes", len(settings.classes) == len(before.classes)),
-            ("tenants", len(settings.tenants) >= len(before.tenants)),
-            ("stage", settings.stage == before.stage),
-            ("ask_discovery", settings.ask_discovery == before.ask_discovery),
+        self.actions, old = [], self.settings
+        for field, compatible in (
+            ("classes", len(settings.classes) == len(old.classes)),
+            ("tenants", len(settings.tenants) >= len(old.tenants)),
+            ("stage", settings.stage == old.stage),
+            ("ask_discovery", settings.ask_discovery == old.ask_discovery),
         ):
-            if not fits:
+            if not compatible:
                 raise ValueError(f"Settings.{field} can't be changed in service")
-        if settings == before:
+        if settings == old:
             return self.actions
         self.settings = self.cold.settings = settings
         self.cold.siblings = max(settings.siblings, self.heard_siblings)
-        self.rules = Rules(settings)
+        self.rules = RetryRules(settings)
         self.discovery.reconfigure(settings)
         if self.shares is not None:
             self.shares.reconfigure(settings)
-        for cls, answered in enumerate(self.answered):
-            if not answered:
+        for cls, responses in enumerate(self.answered):
+            if not responses:
                 self.quick[cls] = self.spent[cls] = settings.classes[cls].aim
-        self._arrange()
-        self._look_around(now)
-        self._serve_held(now)
+        self._order_endpoints()
+        self._refresh(now)
+        self._send_held(now)
         return self.actions
 
-    # Two processes of one sidecar
+    # Hot restart: two processes of one sidecar
 
     def follow(self) -> None:
-        """Another process of this sidecar serves still. To be called before the first event.
+        """Another process of this sidecar is still serving. To be called before the first event.
 
-        Discovery is asked at once: a process that is replaced starts alone, in no crowd.
+        Discovery is asked at once: a process that replaces another one starts alone, so no spreading is
+        needed.
         """
-        self.discovery.crowd = 0.0
+        self.discovery.start_spread = 0.0
         self.pair(True)
 
-    def pair(self, both: bool) -> None:
+    def pair(self, paired: bool) -> None:
         """Whether cold endpoints' allowances are shared with another process of this sidecar."""
-        self.cold.part = PAIR_PART if both else 1.0
+        self.cold.part = PAIR_PART if paired else 1.0
 
     # Requests
 
@@ -634,28 +673,28 @@
         if event.request in self.requests:
             return
         cls = self.settings.classes[event.cls]
-        request = Request(event, cls, now, event.deadline - self._buffer(cls))
+        request = Request(event, cls, now, event.deadline - self._deadline_margin(cls))
         self.requests[event.request] = request
         if self.shares is not None:
             request.within_share = self.shares.take(now, event.tenant)
             work = max(self.quick[event.cls], 1.0)
             worth = cls.worth * (1.0 if request.within_share else self.settings.over_share_worth)
-            request.value = worth / work
-            if self.shedding.refuses(now, request, work):
-                self._end(request, GivenUp.SHED)
+            request.worth_per_ms = worth / work
+            if self.shedding.should_shed(now, request, work):
+                self._give_up(request, GivenUp.SHED)
                 return
         self._start(now, request)
 
-    def _buffer(self, cls: RequestClass) -> float:
-        return max(BUFFER * cls.aim, BUFFER_TICKS * self.settings.tick)
+    def _deadline_margin(self, cls: RequestClass) -> float:
+        return max(DEADLINE_MARGIN * cls.aim, DEADLINE_MARGIN_TICKS * self.settings.tick)
 
-    def _whole(self, event: RequestBodyComplete) -> None:
-        """What was partial becomes work, and has a deadline from now on."""
+    def _body_complete(self, event: RequestBodyComplete) -> None:
+        """A partial request counts as load and has a deadline from now on."""
         request = self.requests.get(event.request)
         if request is None:
             return
         request.partial = False
-        request.end = event.deadline - self._buffer(request.cls)
+        request.deadline = event.deadline - self._deadline_margin(request.cls)
         for number, attempt in enumerate(request.attempts):
             if self.coming.pop((request.id, number), None) is not None:
                 self.flights[(request.id, number)] = attempt
@@ -666,310 +705,324 @@
         attempt = self.flights.pop(key, None) or self.coming.pop(key, None)
         if attempt is None:
             return
-        attempt.out = False
-        attempt.never_ran = event.outcome in NO_EFFECT_OUTCOMES
+        attempt.pending = False
+        attempt.not_executed = event.outcome in NO_EFFECT_OUTCOMES
         attempt.server.out.pop(attempt, None)
         self._learn(now, attempt, event)
         if self.locality is not None and self.locality.attempt_ended(
             now, key, attempt.zone, attempt.cls, event.outcome, event.elapsed, self.spent[attempt.cls]
         ):
-            # All endpoints of the zone may have restarted while it was away.
+            # All endpoints of the zone may have restarted while it was lost.
             for server in self.zones.get(attempt.zone, ()):
-                server.rejoined = now
+                server.zone_restored_at = now
         request = self.requests.get(event.request)
         if request is not None:
             if event.request_finished or event.outcome is Outcome.OK:
-                self._drop(event.request)
-            elif not any(a.out for a in request.attempts):
+                self._forget(event.request)
+            elif not any(a.pending for a in request.attempts):
                 self._retry_or_end(now, request)
-        self._serve_held(now)
+        self._send_held(now)
 
     def _learn(self, now: float, attempt: Attempt, event: AttemptEnded) -> None:
-        aim = max(self.settings.classes[attempt.cls].aim, self.settings.tick, LEAST_RATIO)
+        aim = max(self.settings.classes[attempt.cls].aim, self.settings.tick, MIN_RATIO)
         elapsed = event.elapsed
         if event.outcome is Outcome.OK:
-            self._budget(attempt).earn()
-            attempt.server.count_served(now)
-            self._learn_times(attempt.cls, elapsed)
+            self._retry_budget(attempt).earn()
+            attempt.server.record_served(now)
+            self._learn_latency(attempt.cls, elapsed)
         else:
             elapsed = max(elapsed, aim)
         if event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            attempt.server.note(now, event.outcome)
+            attempt.server.record_reachability(now, event.outcome)
             if event.outcome is Outcome.REJECTED and self.discovery.disconnected():
-                attempt.server.turned_away_after = self.discovery.words
+                attempt.server.unhealthy_at_message = self.discovery.words
             if attempt.server.missed >= LOST_AFTER:
-                # Tried once after each such time, and not at every chance: each try costs a call its wait.
-                attempt.server.ejected_until = now + EJECT_TIME * (EJECT_JITTER + self.rng.random())
+                # Tried once after each ejection, not more often: each try delays a call by a connect timeout.
+                attempt.server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
                 attempt.server.hearsay = False
             failed = event.outcome is not Outcome.OK
             slowness = event.elapsed / max(self.spent[attempt.cls], 1.0)
             slowness *= self.cold.share(attempt.server, now)
             self.outliers.record(now, attempt.server, failed, slowness)
-            self.outliers.judge(now, attempt.server, self._peers(attempt.server))
+            self.outliers.eject_outlier(now, attempt.server, self._peers(attempt.server))
         if self.admission is not None and event.outcome is not Outcome.CANCELLED:
             self.admission.learn(now, elapsed, aim, len(self.flights) + 1)
             self.shedding.learn(now, self.admission, aim)
 
     def _peers(self, server: Server) -> list[Server]:
-        """Whom an endpoint is held against: those of its zone, as a zone's own trouble is none of theirs."""
+        """The endpoints to compare with: those of its zone, whose problems are not the other zones'."""
         peers = self.zones.get(server.info.zone, self.ring)
         return peers if len(peers) >= HOME_LEAST else self.ring
 
-    def _budget(self, attempt: Attempt) -> RetryBudget:
-        """The tokens that an attempt earns, or a retry after it spends."""
+    def _retry_budget(self, attempt: Attempt) -> RetryBudget:
+        """The budget that an attempt's success adds to and a retry after it draws from."""
         if self.locality is None:
             return self.budget
         return self.budgets.setdefault(attempt.zone, RetryBudget())
 
-    def _learn_times(self, cls: int, elapsed: float) -> None:
+    def _learn_latency(self, cls: int, elapsed: float) -> None:
         self.answered[cls] += 1
         step = max(LATENCY_WEIGHT, 1.0 / self.answered[cls])
         self.spent[cls] += step * (elapsed - self.spent[cls])
         rising = elapsed > self.quick[cls] and self.answered[cls] > 1
-        self.quick[cls] += step * (QUICK_RISE if rising else 1.0) * (elapsed - self.quick[cls])
+        self.quick[cls] += step * (LOW_LATENCY_RISE if rising else 1.0) * (elapsed - self.quick[cls])
 
-    def _look_around(self, now: float) -> None:
-        """The passes over the list, now and then only: what serves, and this instance's part of it."""
-        self.looked = now
-        self.cold.learn(self.ring[: self._home()], now)
+    def _refresh(self, now: float) -> None:
+        """Periodic passes over the list: served rates and this instance's share of the endpoints."""
+        self.refreshed_at = now
+        self.cold.learn_rate(self.ring[: self._subset_size()], now)
         if self.locality is not None:
-            self._look_at_zones(now, self.locality)
+            self._refresh_zones(now, self.locality)
         if self.admission is not None:
             shares = [self.cold.share(s, now) for s in self.ring if now >= s.ejected_until]
-            self.admission.units = max(1.0, sum(shares)) / self.settings.siblings
+            self.admission.endpoint_share = max(1.0, sum(shares)) / self.settings.siblings
 
-    def _look_at_zones(self, now: float, locality: Locality) -> None:
+    def _refresh_zones(self, now: float, locality: Locality) -> None:
         ready: dict[int, float] = {}
         for zone, ring in self.zones.items():
-            self.cold.learn(ring[: self._home()], now, zone)
-            there = [s for s in ring if now >= s.ejected_until]
-            ready[zone] = sum(s.info.size * self.cold.share(s, now) for s in there)
+            self.cold.learn_rate(ring[: self._subset_size()], now, zone)
+            available = [s for s in ring if now >= s.ejected_until]
+            ready[zone] = sum(s.info.size * self.cold.share(s, now) for s in available)
         locality.update_capacity(now, ready)
 
     def _retry_or_end(self, now: float, request: Request) -> None:
-        """The source's loop: an attempt limit, a token, a jittered wait, and the deadline."""
+        """The source design's retry loop: attempt limit, retry token, jittered backoff and deadline."""
         aim = request.cls.aim
-        wait = self.backoff.next(request.wait, BACKOFF_BASE * aim, BACKOFF_CAP * aim)
-        wait = min(wait, request.end - now)
-        budget = self._budget(request.attempts[-1])
+        wait = self.backoff.next(request.last_backoff, BACKOFF_BASE * aim, BACKOFF_CAP * aim)
+        wait = min(wait, request.deadline - now)
+        budget = self._retry_budget(request.attempts[-1])
         if wait <= 0:
-            self._end(request, GivenUp.NO_TIME)
-        elif not self.rules.may_try(request, now + wait):
-            self._end(request, GivenUp.NO_REPEAT)
+            self._give_up(request, GivenUp.NO_TIME)
+        elif not self.rules.may_send(request, now + wait):
+            self._give_up(request, GivenUp.NO_REPEAT)
         elif not budget.spend():
-            self._end(request, GivenUp.NO_TOKENS)
+            self._give_up(request, GivenUp.NO_TOKENS)
         else:
-            self._wait(now, request, wait)
+            self._schedule_retry(now, request, wait)
 
-    def _wait(self, now: float, request: Request, wait: float) -> None:
-        request.wait = wait
+    def _schedule_retry(self, now: float, request: Request, wait: float) -> None:
+        request.last_backoff = wait
         self._set_timer(now + wait, request.id)
 
     def _start(self, now: float, request: Request) -> None:
-        """Send the request, a new one or one whose wait is over; hold it if it can't go now."""
-        if not self.rules.may_try(request, now):
-            self._end(request, self._barred(request, now))
+        """Send a new request or one whose backoff is over; hold it if it can't be sent now."""
+        if not self.rules.may_send(request, now):
+            self._give_up(request, self._reason_not_sent(request, now))
         elif not self._try_send(now, request):
             self._hold(now, request)
 
     @staticmethod
-    def _barred(request: Request, now: float) -> GivenUp:
-        return GivenUp.NO_TIME if now >= request.end else GivenUp.NO_REPEAT
+    def _reason_not_sent(request: Request, now: float) -> GivenUp:
+        return GivenUp.NO_TIME if now >= request.deadline else GivenUp.NO_REPEAT
 
     def _try_send(self, now: float, request: Request) -> bool:
-        # What is partial is no work yet: whether there is room for it shows when it is whole.
-        self.found_stale = False
-        server = self._pick(now, request) if request.partial or self._admits() else None
+        # A partial request is no load yet: the limit applies when its body is complete.
+        self.last_pick_stale = False
+        server = self._pick(now, request) if request.partial or self._has_room() else None
         if server is not None:
             self._send(now, request, server)
-        request.lacks = GivenUp.STALE if self.found_stale else GivenUp.NO_ROOM
+        request.hold_reason = GivenUp.STALE if self.last_pick_stale else GivenUp.NO_ROOM
         return server is not None
 
     def _hold(self, now: float, request: Request) -> None:
-        # After a late refusal the client tries again, is served too late, and takes the place of one that
-        # could have been served in time.
-        spare = HOLD_PART * request.cls.aim if self.admission is not None else math.inf
-        request.give_up = min(request.arrived + spare, request.end)
+        # After a late refusal, the client's retry is served too late and takes the place of another request
+        # that could have been served in time.
+        max_hold = MAX_HOLD_TIME * request.cls.aim if self.admission is not None else math.inf
+        request.held_until = min(request.arrived + max_hold, request.deadline)
         self.held[request.id] = request
-        self._set_timer(request.give_up, request.id)
+        self._set_timer(request.held_until, request.id)
 
-    def _admits(self) -> bool:
+    def _has_room(self) -> bool:
         return self.admission is None or len(self.flights) < self.admission.limit
 
     def _send(self, now: float, request: Request, server: Server) -> None:
         self.held.pop(request.id, None)
-        attempt = Attempt(server, request.index, now)
+        attempt = Attempt(server, request.class_index, now)
         key = (request.id, len(request.attempts))
         if request.partial:
-            # Otherwise bodies that take a minute would fill the limit on calls in flight.
+            # Otherwise uploads that take a minute would use up the limit on calls in flight.
             self.coming[key] = attempt
         else:
             self.flights[key] = attempt
             server.out[attempt] = None
             if self.locality is not None:
-                self.locality.attempt_sent(now, key, attempt.zone, server.info.id, self.spent[request.index])
-        # Its handshake may be late: by then nothing may prove any more that the endpoint does not drain.
-        until = min(self.rules.until(request), self._usable_until(server))
+                self.locality.attempt_sent(
+                    now, key, attempt.zone, server.info.id, self.spent[request.class_index]
+                )
+        # A handshake may delay it until there is no longer proof that the endpoint is not draining.
+        send_by = min(self.rules.retry_deadline(request), self._usable_until(server))
         request.attempts.append(attempt)
         server.allowance -= 1
-        self.actions.append(Send(request.id, server.info.id, until))
+        self.actions.append(Send(request.id, server.info.id, send_by))
 
-    def _serve_held(self, now: float) -> None:
-        """Send what is held while there is room: the worthiest first.
+    def _send_held(self, now: float) -> None:
+        """Send held requests while there is room, the highest worth first.
 
-        Of equals the newest, as under overload the oldest would be answered just too late, one by one.
+        Among equals the newest comes first: under overload the oldest would be answered just too late, one by
+        one.
         """
-        if not self.held or not self._admits():
+        if not self.held or not self._has_room():
             return
-        stuck = False
-        for request in sorted(reversed(self.held.values()), key=lambda r: r.value, reverse=True):
-            if not self.rules.may_try(request, now):
-                self._end(request, self._barred(request, now))
-            elif self._admits() and (request.attempts or not stuck) and not self._try_send(now, request):
-                # Otherwise each one held would cost a pass over all endpoints: where one that may go anywhere
-                # found none ready, the others find none either.
-                stuck = stuck or not request.attempts
-
-    def _end(self, request: Request, why: GivenUp) -> None:
+        none_ready = False
+        for request in sorted(reversed(self.held.values()), key=lambda r: r.worth_per_ms, reverse=True):
+            if not self.rules.may_send(request, now):
+                self._give_up(request, self._reason_not_sent(request, now))
+            elif (
+                self._has_room() and (request.attempts or not none_ready) and not self._try_send(now, request)
+            ):
+                # If a request without attempts, which may go anywhere, finds no endpoint, others like it find
+                # none either. Without this, each held request would cost a pass over all endpoints.
+                none_ready = none_ready or not request.attempts
+
+    def _give_up(self, request: Request, reason: GivenUp) -> None:
         if self.shares is not None and request.within_share:
-            self.shares.give_back(request.tenant)
+            self.shares.refund(request.tenant)
         if self.rules.may_refuse(request):
-            self.actions.append(Refuse(request.id, why, self._advice(request.cls)))
+            self.actions.append(Refuse(request.id, reason, self._retry_after(request.cls)))
         else:
-            self.actions.append(Fail(request.id, why))
-        self._drop(request.id)
+            self.actions.append(Fail(request.id, reason))
+        self._forget(request.id)
 
-    def _advice(self, cls: RequestClass) -> float:
-        """When a refused client may come back: jittered as our own waits, and longer the more is shed.
+    def _retry_after(self, cls: RequestClass) -> float:
+        """Delay before a refused client may retry: jittered like backoff, and longer the more is shed.
 
-        Otherwise all that are refused would come back at once. An answer is never held back for it.
+        Without it all refused clients would return at once. The answer itself is never delayed.
         """
         cap = BACKOFF_CAP * cls.aim
         wait = self.advice.next(self.shedding.level * cap, BACKOFF_BASE * cls.aim, cap)
         return min(wait, self.settings.retry_after_most)
 
-    def _drop(self, id: int) -> None:
+    def _forget(self, id: int) -> None:
         request = self.requests.pop(id, None)
         self.held.pop(id, None)
         for timer in request.timers if request is not None else ():
             self.timers.pop(timer, None)
 
-    # Picking
+    # Endpoint selection
 
     def _pick(self, now: float, request: Request) -> Server | None:
-        """The less loaded of two random ready endpoints; a retry goes elsewhere if it can."""
-        if now >= self.looked + LOOK_AROUND:
-            self._look_around(now)
+        """The less loaded of two random ready endpoints; a retry goes to another endpoint if possible."""
+        if now >= self.refreshed_at + REFRESH_INTERVAL_MS:
+            self._refresh(now)
         tried = {a.server.info.id for a in request.attempts}
         ring = self.ring
         if self.locality is not None:
             server = self._pick_by_zone(now, request, tried, self.locality)
             if server is not None:
                 return server
-            ring = [s for s in ring if self.locality.allows(request.index, s.info.zone)]
+            ring = [s for s in ring if self.locality.allows(request.class_index, s.info.zone)]
         ready = self._ready(now, request, ring, tried)
         if not ready and tried:
             ready = self._ready(now, request, ring, set())
         return self._less_loaded(now, ready)
 
     def _less_loaded(self, now: float, ready: list[Server]) -> Server | None:
-        """The less loaded of two random ones."""
+        """The less loaded of two random endpoints."""
         if len(ready) < 2:
             return ready[0] if ready else None
         a, b = self.rng.sample(ready, 2)
         if a.missed >= LOST_AFTER or b.missed >= LOST_AFTER:
-            # Otherwise an endpoint that is back might never be seen to be: where few calls are in flight, it
-            # would lose every draw as a cold one. Its time away and cold allowance bound such tries.
+            # Otherwise a returned endpoint might never be noticed: with few calls in flight, a cold endpoint
+            # loses every comparison. The ejection time and the cold allowance limit such attempts.
             return a if a.missed >= LOST_AFTER else b
         load_a, load_b = self._load(a, now), self._load(b, now)
         if load_a == load_b:
-            # An instance with few calls sees mostly zeros, which tell nothing.
-            return b if a.slowness(now) > TIE_SLOWER * b.slowness(now) else a
+            # With few calls in flight most counts are zero and tell nothing.
+            return b if a.slowness(now) > TIE_SLOWNESS_RATIO * b.slowness(now) else a
         return a if load_a < load_b else b
 
     def _pick_by_zone(
         self, now: float, request: Request, tried: set[int], locality: Locality
     ) -> Server | None:
-        """One of the first zone that has some ready, or of the next if that one is far more loaded."""
-        zones, safe = [a.zone for a in request.attempts], request.cls.repeat is Repeat.SAFE
-        order = locality.zone_order(now, request.index, zones, request.end - now, safe)
+        """An endpoint of the first zone with ready ones, or of the next if the first is far more loaded."""
+        tried_zones, repeatable = [a.zone for a in request.attempts], request.cls.repeat is Repeat.SAFE
+        order = locality.zone_order(now, request.class_index, tried_zones, request.deadline - now, repeatable)
         for lost in locality.newly_lost():
             self.actions.append(CloseConnections(tuple(s.info.id for s in self.zones.get(lost, ()))))
         first: Server | None = None
         for zone in order:
-            well = zone != locality.probed_zone()
-            server = self._less_loaded(now, self._ready(now, request, self.zones.get(zone, []), tried, well))
+            healthy_only = zone != locality.probed_zone()
+            server = self._less_loaded(
+                now, self._ready(now, request, self.zones.get(zone, []), tried, healthy_only)
+            )
             if server is None:
                 continue
             if first is not None:
                 handicap = locality.handicap(first.info.zone, zone)
                 return server if self._load(first, now) > handicap * self._load(server, now) else first
             first = server
-            if not well or (len(server.out) + 1) * server.slowness(now) <= BUSY:
+            if not healthy_only or (len(server.out) + 1) * server.slowness(now) <= BUSY_LOAD:
                 return server
         return first
 
-    def _home(self) -> int:
-        """How many endpoints to draw from: with few calls of its own, an instance keeps to its part of them.
+    def _subset_size(self) -> int:
+        """How many endpoints to choose from: with few calls of its own, an instance keeps to its subset.
 
-        Otherwise many instances with a call or two each would all see zeros, which tell nothing, and meet on
-        the same endpoint. On its own part an instance's counts are nearly the whole truth, and
-        it soon notices one that stalls. With a call in flight for each endpoint, it draws from all.
+        Otherwise many instances with a call or two each would see zero calls in flight everywhere, which
+        tells nothing, and collide on the same endpoint. On its own subset an instance's counts are nearly
+        complete, and it soon notices an endpoint that stalls. With a call in flight per endpoint, it chooses
+        from all.
         """
-        part = -(-len(self.ring) // self.settings.siblings)
-        return max(HOME_LEAST, part, len(self.flights) + 1)
+        fair_share = -(-len(self.ring) // self.settings.siblings)
+        return max(HOME_LEAST, fair_share, len(self.flights) + 1)
 
     def _ready(
-        self, now: float, request: Request, ring: list[Server], without: set[int], well: bool = False
+        self, now: float, request: Request, ring: list[Server], excluded: set[int], healthy_only: bool = False
     ) -> list[Server]:
-        """The first healthy endpoints of a ring, as many as to draw from; else ill ones, if those will do.
+        """The first healthy endpoints of a ring, up to the subset size; else ejected ones, if allowed.
 
-        None that may count as drained by now: the request waits for word of discovery, or is given up.
+        Never one whose drain may count as told by now: the request then waits for discovery or is given up.
         """
         healthy: list[Server] = []
-        ill: list[Server] = []
-        seen, most, stale = 0, self._home(), 0
-        fresh = self.discovery.fresh_until()
-        probing = self.settings.probing and fresh - PROBE_AHEAD <= now <= self.discovery.assumed_down_until()
-        asked = 0  # endpoints that are probed, or were and are well: as many as to draw from
+        ejected: list[Server] = []
+        seen, subset_size, stale = 0, self._subset_size(), 0
+        fresh_until = self.discovery.fresh_until()
+        probing = (
+            self.settings.probing
+            and fresh_until - PROBE_LEAD_MS <= now <= self.discovery.assumed_down_until()
+        )
+        probed = 0  # endpoints probed now or recently: at most the subset size
         for server in ring:
-            if server.info.id in without or not self.rules.may_go_to(request, server.info):
+            if server.info.id in excluded or not self.rules.may_send_to(request, server.info):
                 continue
             if now < server.drains_until or self._may_drain(server):
                 continue
             if not self.cold.admits(server, now):
                 continue
-            if probing and asked < most:
-                asked += 1
+            if probing and probed < subset_size:
+                probed += 1
                 self._probe(now, server)
-            if now > fresh and now > self._usable_until(server):
+            if now > fresh_until and now > self._usable_until(server):
                 stale += 1
                 continue
             if now < server.ejected_until:
-                ill.append(server)
+                ejected.append(server)
                 continue
             seen += 1
-            if not self._full(server, now):
+            if not self._at_limit(server, now):
                 healthy.append(server)
-            if seen >= most and healthy:
+            if seen >= subset_size and healthy:
                 break
-        if healthy or well:
+        if healthy or healthy_only:
             return healthy
-        if not ill and stale:
-            self.found_stale = True
+        if not ejected and stale:
+            self.last_pick_stale = True
             self.looks_at_stale += 1
-        return ill
+        return ejected
 
     def _usable_until(self, server: Server) -> float:
-        """Until when an endpoint may be sent to: can't count as drained by then, or discovery seems down."""
-        fresh = self.discovery.fresh_until()
+        """Until when an endpoint may be used: its drain can't count as told, or discovery seems down."""
+        fresh_until = self.discovery.fresh_until()
         if not self.settings.probing:
-            return fresh
-        return max(fresh, min(self.discovery.assumed_down_until(), server.well_at + PROBE_HOLDS))
+            return fresh_until
+        return max(fresh_until, min(self.discovery.assumed_down_until(), server.healthy_at + PROBE_VALID_MS))
 
     def _probe(self, now: float, server: Server) -> None:
-        """Ask an endpoint for its health ahead of need."""
-        if now >= server.probed_at + PROBE_EVERY and now + PROBE_AHEAD >= server.well_at + PROBE_HOLDS:
+        """Start a health probe of an endpoint before its result is needed."""
+        if (
+            now >= server.probed_at + PROBE_INTERVAL_MS
+            and now + PROBE_LEAD_MS >= server.healthy_at + PROBE_VALID_MS
+        ):
             server.probed_at = now
             self.probes += 1
             self.actions.append(Probe(server.info.id))
@@ -979,45 +1032,49 @@
         if server is None or not self.discovery.disconnected():
             return
         if event.outcome is Outcome.OK:
-            server.well_at = max(server.well_at, now - event.elapsed)
-            self._serve_held(now)
+            server.healthy_at = max(server.healthy_at, now - event.elapsed)
+            self._send_held(now)
         elif event.outcome is Outcome.ERROR:
-            server.turned_away_after = self.discovery.words
+            server.unhealthy_at_message = self.discovery.words
 
     def _may_drain(self, server: Server) -> bool:
-        """Whether it turned a call away or was not well, and discovery has said nothing since."""
-        return server.turned_away_after == self.discovery.words
+        """Whether it rejected a call or reported being unhealthy since discovery's last message."""
+        return server.unhealthy_at_message == self.discovery.words
 
     def aside(self, now: float) -> dict[int, str]:
-        """The endpoints that it sends nothing while it has others, and why; changes nothing."""
-        out = {}
+        """The endpoints not used while there are others, with the reason; changes nothing."""
+        reasons = {}
         for server in self.ring:
             if now < server.drains_until:
-                out[server.info.id] = "drains"
+                reasons[server.info.id] = "drains"
             elif now < server.ejected_until:
-                out[server.info.id] = "out of reach" if server.missed >= LOST_AFTER else "ejected"
+                reasons[server.info.id] = "out of reach" if server.missed >= LOST_AFTER else "ejected"
             elif now > self._usable_until(server) or self._may_drain(server):
-                out[server.info.id] = "stale"
-        return out
+                reasons[server.info.id] = "stale"
+        return reasons
+
+    def _at_limit(self, server: Server, now: float) -> bool:
+        """Whether an endpoint has reached its share of the limit.
 
-    def _full(self, server: Server, now: float) -> bool:
-        """Whether it has its part of the limit: else all of that would meet on the few that are ready."""
+        Without this, all calls that the limit allows would go to the few endpoints that are ready.
+        """
         if self.admission is None:
             return False
-        return len(server.out) >= self.admission.cap(self.cold.share(server, now))
+        return len(server.out) >= self.admission.endpoint_limit(self.cold.share(server, now))
 
     def _load(self, server: Server, now: float) -> float:
-        """Own calls in flight and how slowly they are answered, against what the endpoint can do.
+        """Own calls in flight times slowness, relative to the endpoint's capacity.
 
-        The root of its size: half of a call's time is waiting for others, in slots that don't grow with size.
+        The square root of its size: half of a call's time is waiting for other services, in slots that don't
+        grow with the size.
         """
-        slowness = min(SLOW_MOST, max(SLOW_LEAST, server.slowness(now)))
+        slowness = min(MAX_LOAD_SLOWNESS, max(MIN_LOAD_SLOWNESS, server.slowness(now)))
         weight = math.sqrt(server.info.size) * self.cold.share(server, now)
-        return (len(server.out) + 1) * slowness / max(weight, LEAST_RATIO)
+        return (len(server.out) + 1) * slowness / max(weight, MIN_RATIO)
 
-    # The list
+    # Endpoint list
 
-    def _list(self, now: float, event: EndpointList) -> None:
+    def _endpoint_list(self, now: float, event: EndpointList) -> None:
         if event.kind is ListKind.MOVED:
             self._set_timer(self.discovery.move(now), None)
             return
@@ -1033,19 +1090,20 @@
             for id in [i for i in self.servers if i not in named]:
                 del self.servers[id]
         for info in event.endpoints:
-            self._entry(now, info)
-        self._arrange()
-        self._look_around(now)
-        self._serve_held(now)
-
-    def _arrange(self) -> None:
-        # In one order for all, instances that share an endpoint would turn to its neighbours together, on and
-        # on along the list. Each group of instances covers the list once, in its own order.
-        me, siblings = self.settings.index, self.settings.siblings
+            self._update_endpoint(now, info)
+        self._order_endpoints()
+        self._refresh(now)
+        self._send_held(now)
+
+    def _order_endpoints(self) -> None:
+        # With one order for all, the instances that share an overloaded endpoint would all move on to the
+        # next one in the list and overload it too, and so on. Each group of instances covers the list once,
+        # in its own order.
+        index, siblings = self.settings.index, self.settings.siblings
         groups = 1 << max(0, siblings * HOME_LEAST // max(1, len(self.servers))).bit_length() >> 1
-        ids = sorted(self.servers, key=lambda id: (scatter(id, me % max(1, groups)), id))
-        at = me * len(ids) // siblings
-        self.ring = [self.servers[id] for id in ids[at:] + ids[:at]]
+        ids = sorted(self.servers, key=lambda id: (shuffle_key(id, index % max(1, groups)), id))
+        offset = index * len(ids) // siblings
+        self.ring = [self.servers[id] for id in ids[offset:] + ids[:offset]]
         if self.locality is not None:
             self.zones = {}
             for server in self.ring:
@@ -1053,8 +1111,8 @@
             sizes = {zone: sum(s.info.size for s in ring) for zone, ring in self.zones.items()}
             self.locality.update_endpoints(sizes, {zone: len(ring) for zone, ring in self.zones.items()})
 
-    def _entry(self, now: float, info: Endpoint) -> None:
-        """Rule 3: an endpoint that drains or is gone is forgotten at once, its grace unused."""
+    def _update_endpoint(self, now: float, info: Endpoint) -> None:
+        """Rule 3: forget an endpoint that drains or is gone at once, without using its grace period."""
         if info.condition is not Condition.READY:
             self.servers.pop(info.id, None)
             return
@@ -1064,55 +1122,66 @@
         else:
             known.info = info
 
-    # Siblings
+    # Peers
 
     def evidence(self, now: float, named: set[int] | None = None) -> list[EndpointEvidence]:
-        """What it holds of each endpoint by its own calls, for siblings; changes nothing.
+        """What this instance's own calls show about each endpoint, for its peers; changes nothing.
 
-        With `named`, of those, and of others only where something is out of the ordinary. One that it ejected
-        counts as failing: what it was judged by is over, and its record halfway back.
+        With `named`, only those endpoints and others with an unusual state. An endpoint that it ejected
+        counts as failing: the outcomes that led to the ejection are past, and its record was reset halfway.
         """
-        told: list[EndpointEvidence] = []
+        reports: list[EndpointEvidence] = []
         for server in self.ring:
-            if named is not None and server.info.id not in named and self._ordinary(now, server):
+            if named is not None and server.info.id not in named and self._unremarkable(now, server):
                 continue
-            ill = server.missed >= LOST_AFTER or (now < server.ejected_until and not server.hearsay)
-            calls = max(server.served_rate(now) * SERVED_MEMORY, JUDGED_BY if ill else 0.0)
-            failing, started = 1.0 if ill else server.failing, max(server.info.started_at, server.back)
-            told.append(EndpointEvidence(server.info.id, failing, server.seen_slowness(now), calls, started))
-        return told
-
-    def _ordinary(self, now: float, server: Server) -> bool:
-        """Whether siblings need not hear of it: `millgw.peers.gossip.mark` would call it well."""
+            unhealthy = server.missed >= LOST_AFTER or (now < server.ejected_until and not server.hearsay)
+            calls = max(
+                server.served_rate(now) * SERVED_DECAY_MS, EJECTION_EVIDENCE_CALLS if unhealthy else 0.0
+            )
+            failure_rate, started_at = (
+                1.0 if unhealthy else server.failing,
+                max(server.info.started_at, server.back),
+            )
+            reports.append(
+                EndpointEvidence(
+                    server.info.id, failure_rate, server.measured_slowness(now), calls, started_at
+                )
+            )
+        return reports
+
+    def _unremarkable(self, now: float, server: Server) -> bool:
+        """Whether peers need no report of it: `millgw.peers.gossip.mark` would call it well."""
         return (
-            server.failing < OUTLIER_FAILING
+            server.failing < OUTLIER_FAILURE_RATE
             and server.slow < OUTLIER_MULTIPLE
             and server.missed < LOST_AFTER
             and now >= server.ejected_until
             and self.cold.share(server, now) >= 1.0
         )
 
-    def _hear(self, now: float, event: PeerReports) -> None:
-        """Take siblings' word, as far as it asks for more care than is taken already."""
+    def _peer_reports(self, now: float, event: PeerReports) -> None:
+        """Apply peers' reports, as far as they require more care than is taken already."""
         self.heard_siblings = event.siblings
         self.cold.siblings = max(self.settings.siblings, event.siblings)
         if self.admission is not None and self.admission.answers == 0:
             self.admission.each = max(1.0, min(self.admission.each, event.max_in_flight))
-        for told in event.endpoints:
-            server = self.servers.get(told.id)
+        for report in event.endpoints:
+            server = self.servers.get(report.id)
             if server is not None:
-                self._doubt(now, server, told)
-
-    def _doubt(self, now: float, server: Server, told: EndpointEvidence) -> None:
-        server.drains_until = max(server.drains_until, now + told.drain_valid_for)
-        server.back = max(server.back, min(now, told.started_at))
-        # Own calls outvote it; without any it weighs less the older it is, as its `calls` fade.
-        heed = told.calls / (told.calls + 1.0 + server.served_rate(now) * SERVED_MEMORY)
-        slow = 1.0 + (told.latency_ratio - 1.0) * heed
-        if slow > server.slowness(now):
-            server.heard_slow, server.heard_at = slow, now
-        if told.failure_rate * heed > OUTLIER_FAILING:
-            self.outliers.heed(now, server, told.failure_rate * heed, self.ring, self.doubts.random())
+                self._apply_report(now, server, report)
+
+    def _apply_report(self, now: float, server: Server, report: EndpointEvidence) -> None:
+        server.drains_until = max(server.drains_until, now + report.drain_valid_for)
+        server.back = max(server.back, min(now, report.started_at))
+        # Own calls outweigh a report; without any, an older report weighs less, as its `calls` decay.
+        weight = report.calls / (report.calls + 1.0 + server.served_rate(now) * SERVED_DECAY_MS)
+        slowness = 1.0 + (report.latency_ratio - 1.0) * weight
+        if slowness > server.slowness(now):
+            server.reported_slowness, server.reported_at = slowness, now
+        if report.failure_rate * weight > OUTLIER_FAILURE_RATE:
+            self.outliers.eject_on_report(
+                now, server, report.failure_rate * weight, self.ring, self.doubts.random()
+            )
 
     # Timers
 
@@ -1123,22 +1192,22 @@
             self.requests[request].timers.append(self.next_timer)
         self.actions.append(SetTimer(self.next_timer, at, request))
 
-    def _ask(self, now: float) -> None:
+    def _subscribe(self, now: float) -> None:
         self.actions.append(Subscribe())
         self._set_timer(self.discovery.asked(now), None)
 
-    def _timer(self, now: float, timer: int) -> None:
+    def _timer_fired(self, now: float, timer: int) -> None:
         if timer not in self.timers:
             return
         id = self.timers.pop(timer)
         if id is None:
             if now + self.settings.tick >= self.discovery.due:
-                self._ask(now)
+                self._subscribe(now)
             return
         request = self.requests.get(id)
-        if request is None or any(a.out for a in request.attempts):
+        if request is None or any(a.pending for a in request.attempts):
             return
         if id not in self.held:
             self._start(now, request)
-        elif now + self.settings.tick >= request.give_up:
-            self._end(request, request.lacks)
+        elif now + self.settings.tick >= request.held_until:
+            self._give_up(request, request.hold_reason)
--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -32,31 +32,61 @@
 # When discovery is asked stands in ms, as the time after which all counts as told does: parts of `ask_within`
 # alone would leave a silent watch too long where that is long, and storm where it is short.
 # Waits have a part for each sibling: discovery works through the calls of all of them in turn.
-START_SPREAD, START_SPREAD_EACH = 600.0, 100.0  # instances that start together ask at different times
-START_SPREAD_MOST, START_SPREAD_PART = 2500.0, 0.25  # the latter of `ask_within`
-RETRY, RETRY_PART = 300.0, 0.25  # longest wait after the end of a watch, and least after a silence
-RETRY_LEAST_PART = 0.07  # of that, the least after the end of a watch
-SILENT, SILENT_EACH, SILENT_MOST = 1300.0, 30.0, 2300.0  # longest wait after a silence: a dead connection's
-DOWN, DOWN_EACH, DOWN_MOST = 600.0, 150.0, 2700.0  # longest wait while discovery seems to be down
-DOWN_LEAST_PART = 0.4  # of that, the least
-DOWN_FOR = 30_000.0  # for which it may seem so: later it may rather be full
-CROWD_LASTS = 10_000.0  # after calls that failed, in which it may rather be full, too
-SMALL_FLEET = 10  # siblings up to which calls that fail at a start are no crowd of theirs
+START_SPREAD_MS, START_SPREAD_PER_SIBLING_MS = (
+    600.0,
+    100.0,
+)  # instances that start together ask at different times
+MAX_START_SPREAD_MS, START_SPREAD_SHARE = 2500.0, 0.25  # the latter of `ask_within`
+RETRY, RETRY_WAIT_SHARE = 300.0, 0.25  # longest wait after the end of a watch, and least after a silence
+MIN_RETRY_WAIT_FACTOR = 0.07  # of that, the least after the end of a watch
+SILENT_WAIT_MS, SILENT_WAIT_PER_SIBLING_MS, MAX_SILENT_WAIT_MS = (
+    1300.0,
+    30.0,
+    2300.0,
+)  # longest wait after a silence: a dead connection's
+DOWN_WAIT_MS, DOWN_WAIT_PER_SIBLING_MS, MAX_DOWN_WAIT_MS = (
+    600.0,
+    150.0,
+    2700.0,
+)  # longest wait while discovery seems to be down
+MIN_DOWN_WAIT_FACTOR = 0.4  # of that, the least
+MAX_ASSUMED_DOWN_MS = 30_000.0  # for which it may seem so: later it may rather be full
+OVERLOAD_SUSPECTED_MS = 10_000.0  # after calls that failed, in which it may rather be full, too
+SMALL_FLEET_SIZE = 10  # siblings up to which calls that fail at a start are no crowd of theirs
 START_RETRIES = 2  # first calls of a larger fleet that are made again sooner, where probes are allowed
-START_RETRY_LEAST, START_RETRY_MOST = 2000.0, 3900.0  # wait after these
-REFUSED_LEAST, REFUSED_MOST = 1000.0, 5000.0  # wait after a refused connection: nobody is at work on it
-CROWD_MOST = 6500.0  # longest wait after a call that was turned away by a discovery that seems to be full
-CROWD_LEAST_PART, CROWD_GROWTH = 0.5, 1.5  # the least of that, and what it grows by with each further one
-LONGEST, LONGEST_EACH = 10_000.0, 300.0  # of all waits
-LONGEST_PART = 3.0  # of `ask_within`, the same: a failed call keeps the list for four
-CALL_TIME = 5000.0  # longest silence after a call: over the longest that discovery works before it answers
-AGENT_RETRY, AGENT_MOST = 20.0, 250.0  # where lists are pushed: the own machine's agent answers at no cost
+MIN_START_RETRY_MS, MAX_START_RETRY_MS = 2000.0, 3900.0  # wait after these
+MIN_REFUSED_WAIT_MS, MAX_REFUSED_WAIT_MS = (
+    1000.0,
+    5000.0,
+)  # wait after a refused connection: nobody is at work on it
+MAX_OVERLOAD_WAIT_MS = (
+    6500.0  # longest wait after a call that was turned away by a discovery that seems to be full
+)
+MIN_OVERLOAD_WAIT_FACTOR, OVERLOAD_WAIT_GROWTH = (
+    0.5,
+    1.5,
+)  # the least of that, and what it grows by with each further one
+MAX_WAIT_MS, MAX_WAIT_PER_SIBLING_MS = 10_000.0, 300.0  # of all waits
+MAX_WAIT_SHARE = 3.0  # of `ask_within`, the same: a failed call keeps the list for four
+CALL_TIMEOUT_MS = (
+    5000.0  # longest silence after a call: over the longest that discovery works before it answers
+)
+MIN_AGENT_RETRY_MS, MAX_AGENT_RETRY_MS = (
+    20.0,
+    250.0,
+)  # where lists are pushed: the own machine's agent answers at no cost
 
 TOLD_WITHIN = 6000.0  # after which what was not heard counts as told, all at once
-TOLD_AFTER_END = 2000.0  # the same after a watch that has ended, or was given up for another discovery
-TOLD_AFTER_FAILURE_PART = 4.0  # of `ask_within`, the same after a call that failed
-AGENT_TOLD = 400.0  # the same where lists are pushed: what the agent has counts at once, and has a grace
-AGENT_AWAY = 800.0  # for which an agent that did not answer is taken for silent: it is asked sooner again
+KNOWN_AFTER_WATCH_END_MS = (
+    2000.0  # the same after a watch that has ended, or was given up for another discovery
+)
+KNOWN_AFTER_FAILURE_SHARE = 4.0  # of `ask_within`, the same after a call that failed
+AGENT_KNOWN_AFTER_MS = (
+    400.0  # the same where lists are pushed: what the agent has counts at once, and has a grace
+)
+AGENT_SILENT_MS = (
+    800.0  # for which an agent that did not answer is taken for silent: it is asked sooner again
+)
 
 
 class Freshness:
@@ -89,16 +119,16 @@
         self.settings = settings
         within = settings.ask_within
         siblings = settings.siblings
-        spread = min(START_SPREAD_MOST, START_SPREAD + START_SPREAD_EACH * siblings)
-        self.crowd = min(spread, START_SPREAD_PART * within)
-        self.retry = min(RETRY, RETRY_PART * within)
-        self.silent = min(SILENT_MOST, max(SILENT, SILENT_EACH * siblings))
-        self.down = min(DOWN_MOST, DOWN + DOWN_EACH * siblings)
-        self.longest = min(LONGEST_PART * within, max(LONGEST, LONGEST_EACH * siblings))
-        self.told_within = min(TOLD_WITHIN, within) if settings.ask_discovery else TOLD_WITHIN
-        after_end = TOLD_AFTER_END if settings.ask_discovery else AGENT_TOLD
-        self.told_after_end = min(after_end, self.told_within)
-        self.told_after_failure = min(TOLD_WITHIN, TOLD_AFTER_FAILURE_PART * within)
+        spread = min(MAX_START_SPREAD_MS, START_SPREAD_MS + START_SPREAD_PER_SIBLING_MS * siblings)
+        self.start_spread = min(spread, START_SPREAD_SHARE * within)
+        self.retry_wait = min(RETRY, RETRY_WAIT_SHARE * within)
+        self.silent_wait = min(MAX_SILENT_WAIT_MS, max(SILENT_WAIT_MS, SILENT_WAIT_PER_SIBLING_MS * siblings))
+        self.down_wait = min(MAX_DOWN_WAIT_MS, DOWN_WAIT_MS + DOWN_WAIT_PER_SIBLING_MS * siblings)
+        self.max_wait = min(MAX_WAIT_SHARE * within, max(MAX_WAIT_MS, MAX_WAIT_PER_SIBLING_MS * siblings))
+        self.known_after = min(TOLD_WITHIN, within) if settings.ask_discovery else TOLD_WITHIN
+        after_end = KNOWN_AFTER_WATCH_END_MS if settings.ask_discovery else AGENT_KNOWN_AFTER_MS
+        self.known_after_watch_end = min(after_end, self.known_after)
+        self.known_after_failure = min(TOLD_WITHIN, KNOWN_AFTER_FAILURE_SHARE * within)
 
     # What happens
 
@@ -107,15 +137,15 @@
         self.began = now
         if not self.settings.ask_discovery:
             return None
-        self.due = now + self.rng.random() * self.crowd
+        self.due = now + self.rng.random() * self.start_spread
         return self.due
 
     def asked(self, now: float) -> float:
         """A call is made; when to ask again if nothing at all is heard."""
         if self.spoken:
-            self._lose(now)
+            self._watch_lost(now)
         self.called, self.spoken = now, False
-        self.due = now + CALL_TIME
+        self.due = now + CALL_TIMEOUT_MS
         return self.due
 
     def move(self, now: float) -> float:
@@ -129,10 +159,10 @@
         """The watch or call has ended, or has fallen silent; when to ask again."""
         spoken, self.spoken = self.spoken, False
         if spoken:
-            self._lose(now)
+            self._watch_lost(now)
             self.watch_ended = kind is not ListKind.SILENT
         else:
-            self._fail(now, kind)
+            self._call_failed(now, kind)
         self.due = now + self._next_wait(spoken, kind)
         return self.due
 
@@ -151,7 +181,7 @@
         """Another process of this sidecar has handed over the list; discovery last spoke to it then."""
         self.began = min(self.began, heard_at)
 
-    def _lose(self, now: float) -> None:
+    def _watch_lost(self, now: float) -> None:
         self.lost_at = now
         self._forget_failures()
 
@@ -161,7 +191,7 @@
         self.unreachable_at = self.seems_down_at = -math.inf
         self.refused = self.watch_ended = False
 
-    def _fail(self, now: float, kind: ListKind) -> None:
+    def _call_failed(self, now: float, kind: ListKind) -> None:
         """A call has brought nothing; it may show that discovery was not there when it was made."""
         self.failures += 1
         if kind is ListKind.NOT_MADE:
@@ -193,7 +223,10 @@
         if self.settings.calls_fail_only_in_outages:
             return True
         lost_at = max(self.began, self.lost_at)
-        return self.called <= lost_at + DOWN_FOR and lost_at >= self.troubled_at + CROWD_LASTS
+        return (
+            self.called <= lost_at + MAX_ASSUMED_DOWN_MS
+            and lost_at >= self.troubled_at + OVERLOAD_SUSPECTED_MS
+        )
 
     # When to ask
 
@@ -206,25 +239,30 @@
         """
         if not self.settings.ask_discovery:
             # What the agent has counts as told while no watch is on, and what it gets when discovery is back.
-            self.wait = 0.0 if spoken else self.backoff.next(self.wait, AGENT_RETRY, AGENT_MOST)
+            self.wait = (
+                0.0 if spoken else self.backoff.next(self.wait, MIN_AGENT_RETRY_MS, MAX_AGENT_RETRY_MS)
+            )
             return self.wait
         if kind is ListKind.SILENT:
-            least, most = self.retry, self.silent
+            least, most = self.retry_wait, self.silent_wait
         elif spoken:
-            least, most = RETRY_LEAST_PART * self.retry, self.retry
+            least, most = MIN_RETRY_WAIT_FACTOR * self.retry_wait, self.retry_wait
         elif kind is ListKind.BROKEN_OFF and self.failures == 1:
-            least, most = self.retry, self.silent  # that connection's own trouble, for all that is known
+            least, most = (
+                self.retry_wait,
+                self.silent_wait,
+            )  # that connection's own trouble, for all that is known
         elif kind is ListKind.UNREACHABLE:
-            least, most = REFUSED_LEAST, REFUSED_MOST
-        elif self._seems_down() and (self.lost_at > -math.inf or self.settings.siblings <= SMALL_FLEET):
-            least, most = DOWN_LEAST_PART * self.down, self.down
+            least, most = MIN_REFUSED_WAIT_MS, MAX_REFUSED_WAIT_MS
+        elif self._seems_down() and (self.lost_at > -math.inf or self.settings.siblings <= SMALL_FLEET_SIZE):
+            least, most = MIN_DOWN_WAIT_FACTOR * self.down_wait, self.down_wait
         elif self.lost_at == -math.inf and self.failures <= START_RETRIES and self.settings.probing:
-            least, most = START_RETRY_LEAST, START_RETRY_MOST
+            least, most = MIN_START_RETRY_MS, MAX_START_RETRY_MS
         else:
             self.crowded += 1
-            most = min(self.longest, CROWD_MOST * CROWD_GROWTH ** (self.crowded - 1))
-            least = CROWD_LEAST_PART * most
-        self.wait = min(self.longest, least + (most - least) * self.rng.random())
+            most = min(self.max_wait, MAX_OVERLOAD_WAIT_MS * OVERLOAD_WAIT_GROWTH ** (self.crowded - 1))
+            least = MIN_OVERLOAD_WAIT_FACTOR * most
+        self.wait = min(self.max_wait, least + (most - least) * self.rng.random())
         return self.wait
 
     # What is known
@@ -237,7 +275,7 @@
         """Until when the endpoints of the list may be sent to: nothing can count as told of them by then."""
         if not self.disconnected():
             return math.inf
-        return max(self._word_holds_until(), self._away_until())
+        return max(self._word_holds_until(), self._outage_valid_until())
 
     def assumed_down_until(self) -> float:
         """Until when discovery may be taken to be down, by calls that were all turned away; -inf: it may not.
@@ -245,18 +283,18 @@
         No more than an assumption: it may be up and full. Where it is down a change counts as told
         `TOLD_WITHIN` after the last of these calls at the earliest.
         """
-        return self.seems_down_at + self.told_after_failure
+        return self.seems_down_at + self.known_after_failure
 
     def _word_holds_until(self) -> float:
         """The earliest time at which a change right after discovery's last word may count as told."""
         if self.lost_at == -math.inf:
-            return self.began + self.told_within  # no watch yet: the list is that of the process's start
+            return self.began + self.known_after  # no watch yet: the list is that of the process's start
         if self.moved or not self.failed_in_time or not self.settings.ask_discovery:
-            return min(self.heard_at + TOLD_WITHIN, self.lost_at + self.told_after_end)
-        return min(self.heard_at + TOLD_WITHIN, self.called + self.told_after_failure)
+            return min(self.heard_at + TOLD_WITHIN, self.lost_at + self.known_after_watch_end)
+        return min(self.heard_at + TOLD_WITHIN, self.called + self.known_after_failure)
 
-    def _away_until(self) -> float:
+    def _outage_valid_until(self) -> float:
         """The same of a change that discovery knows of once it can be reached again."""
         if not self.settings.ask_discovery:
-            return self.unreachable_at + AGENT_AWAY
-        return self.unreachable_at + self.told_after_failure
+            return self.unreachable_at + AGENT_SILENT_MS
+        return self.unreachable_at + self.known_after_failure
--- a/millgw/simulator/adapter.py
+++ b/millgw/simulator/adapter.py
@@ -31,33 +31,33 @@
 
 def to_event(record: wire.Record, tables: dict[int, tuple[api.Endpoint, ...]]) -> api.Event | None:
     """The balancer's event for a record, or None where it has no use for the record."""
-    if isinstance(record, wire.Ended):
+    if isinstance(record, wire.AttemptEnded):
         return api.AttemptEnded(
             record.request,
             record.endpoint,
             record.attempt,
             OUTCOMES.get(record.code, api.Outcome.ERROR),
             record.elapsed,
-            record.no_more,
+            record.request_finished,
         )
-    if isinstance(record, wire.Fired):
-        return api.TimerFired(record.name)
-    if isinstance(record, wire.Knock):
-        return api.RequestArrived(record.request, record.cls, record.not_after, record.tenant)
-    if isinstance(record, wire.Sync):
-        kind = LIST_KINDS.get(record.mode)
+    if isinstance(record, wire.TimerFired):
+        return api.TimerFired(record.timer)
+    if isinstance(record, wire.RequestArrived):
+        return api.RequestArrived(record.request, record.cls, record.deadline, record.tenant)
+    if isinstance(record, wire.ListUpdate):
+        kind = LIST_KINDS.get(record.kind)
         if kind is None:
-            raise wire.WireError(f"unknown list mode {record.mode}")
+            raise wire.WireError(f"unknown list mode {record.kind}")
         if kind is api.ListKind.FAILED:
             return api.EndpointList(kind)
         if record.table not in tables:
             raise wire.WireError(f"list number {record.table} was never declared")
         return api.EndpointList(kind, tables[record.table])
-    if isinstance(record, wire.Aborted):
+    if isinstance(record, wire.RequestAborted):
         return api.RequestAborted(record.request)
-    if isinstance(record, wire.Flowing):
+    if isinstance(record, wire.ResponseStarted):
         return api.ResponseStarted(record.request)
-    if isinstance(record, wire.Echo):
+    if isinstance(record, wire.ProbeEnded):
         return api.ProbeEnded(record.endpoint, OUTCOMES.get(record.code, api.Outcome.ERROR), record.elapsed)
     return None
 
@@ -65,32 +65,32 @@
 def to_record(action: api.Action) -> bytes:
     """The wire's record for an action."""
     if isinstance(action, api.Send):
-        return wire.dispatch(action.request, action.endpoint, NO_TIMEOUT)
+        return wire.send(action.request, action.endpoint, NO_TIMEOUT)
     if isinstance(action, api.SetTimer):
-        return wire.after(action.at, action.timer)
+        return wire.set_timer(action.at, action.timer)
     if isinstance(action, api.Refuse):
-        return wire.say_no(action.request, action.retry_after)
+        return wire.refuse(action.request, action.retry_after)
     if isinstance(action, api.Fail):
-        return wire.respond_error(action.request)
+        return wire.fail(action.request)
     if isinstance(action, api.Probe):
-        return wire.health_check(action.endpoint)
-    return wire.stream_changes(True)
+        return wire.probe(action.endpoint)
+    return wire.subscribe(True)
 
 
-class Host:
+class InstanceHost:
     """The instances of one process, and the lists that the wire declares to all of them."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
         self.tables: dict[int, tuple[api.Endpoint, ...]] = {}
 
-    def answer(self, now: float, count: int, body: bytes) -> bytes:
+    def handle_batch(self, now: float, count: int, body: bytes) -> bytes:
         """The reply to one batch."""
         out: list[bytes] = []
         current: int | None = None
         speaking: int | None = None
         for record in wire.decode(count, body):
-            if isinstance(record, wire.SwitchTo):
+            if isinstance(record, wire.SelectInstance):
                 current = record.instance
                 continue
             if isinstance(record, wire.Table):
@@ -99,40 +99,42 @@
             if current is None:
                 raise wire.WireError("a record came before any instance was named")
             try:
-                actions = self._step(now, current, record)
+                actions = self._handle_record(now, current, record)
             except (wire.WireError, SettingsError):
                 raise
             except Exception as error:  # the operators want the text, not a dead process
-                return wire.reply([wire.act_as(current), wire.broken(f"{type(error).__name__}: {error}")])
+                return wire.reply(
+                    [wire.select_instance(current), wire.instance_error(f"{type(error).__name__}: {error}")]
+                )
             if actions and speaking != current:
-                out.append(wire.act_as(current))
+                out.append(wire.select_instance(current))
                 speaking = current
             out.extend(map(to_record, actions))
         return wire.reply(out)
 
-    def _step(self, now: float, instance: int, record: wire.Record) -> list[api.Action]:
-        if isinstance(record, wire.Boot):
+    def _handle_record(self, now: float, instance: int, record: wire.Record) -> list[api.Action]:
+        if isinstance(record, wire.StartInstance):
             # The wire's own rule: a call that failed keeps the list for four `askWithin`.
             settings = replace(read_settings(record.settings), calls_fail_only_in_outages=True)
             self.balancers[instance] = Balancer(settings, record.seed)
             return []
-        if isinstance(record, wire.Stop):
+        if isinstance(record, wire.StopInstance):
             self.balancers.pop(instance, None)
             return []
         balancer = self.balancers.get(instance)
         if balancer is None:
             raise wire.WireError(f"instance {instance} has not been started")
-        if isinstance(record, wire.Knock) and record.cls >= len(balancer.settings.classes):
+        if isinstance(record, wire.RequestArrived) and record.cls >= len(balancer.settings.classes):
             raise wire.WireError(f"request {record.request} is of unknown class {record.cls}")
         event = to_event(record, self.tables)
         return [] if event is None else balancer.handle(now, event)
 
 
-def _endpoint(entry: wire.Entry) -> api.Endpoint:
+def _endpoint(entry: wire.TableEntry) -> api.Endpoint:
     condition = CONDITIONS.get(entry.condition)
     if condition is None:
         raise wire.WireError(f"endpoint {entry.endpoint} has unknown condition {entry.condition}")
-    return api.Endpoint(entry.endpoint, condition, entry.size, entry.cell, entry.zone, entry.since)
+    return api.Endpoint(entry.endpoint, condition, entry.size, entry.cell, entry.zone, entry.started_at)
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
@@ -144,11 +146,11 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    host = Host()
+    host = InstanceHost()
     while first := source.read(1):
         header = first + _read(source, wire.HEADER.size - 1)
         count, size, now = wire.HEADER.unpack(header)
-        sink.write(host.answer(now, count, _read(source, size)))
+        sink.write(host.handle_batch(now, count, _read(source, size)))
         sink.flush()
 
 
--- a/millgw/simulator/wire.py
+++ b/millgw/simulator/wire.py
@@ -13,23 +13,23 @@
 HEADER = struct.Struct(">IId")
 REPLY_HEADER = struct.Struct(">II")
 
-_BOOT = struct.Struct(">QI")
-_SYNC = struct.Struct(">IBB")
-_KNOCK = struct.Struct(">QHIQddB")
-_FLOWING = struct.Struct(">QdBI")
-_OUTCOME = struct.Struct(">QIdBBHB")
+_START_INSTANCE = struct.Struct(">QI")
+_LIST_UPDATE = struct.Struct(">IBB")
+_REQUEST_ARRIVED = struct.Struct(">QHIQddB")
+_RESPONSE_STARTED = struct.Struct(">QdBI")
+_ATTEMPT_ENDED = struct.Struct(">QIdBBHB")
 _U64 = struct.Struct(">Q")
 _U32 = struct.Struct(">I")
-_ECHO = struct.Struct(">IHdB")
-_PEER = struct.Struct(">HH")
+_PROBE_ENDED = struct.Struct(">IHdB")
+_PEER_MESSAGE = struct.Struct(">HH")
 _TABLE = struct.Struct(">BI")
-_ENTRY = struct.Struct(">BIfHBBd")
+_TABLE_ENTRY = struct.Struct(">BIfHBBd")
 
-_AS = struct.Struct(">BI")
-_DISPATCH = struct.Struct(">BQId")
-_SAY_NO = struct.Struct(">BQd")
-_ERROR = struct.Struct(">BQ")
-_AFTER = struct.Struct(">BdQ")
+_SELECT_INSTANCE = struct.Struct(">BI")
+_SEND = struct.Struct(">BQId")
+_REFUSE = struct.Struct(">BQd")
+_FAIL = struct.Struct(">BQ")
+_SET_TIMER = struct.Struct(">BdQ")
 _PROBE = struct.Struct(">BI")
 _WATCH = struct.Struct(">BB")
 _TEXT = struct.Struct(">BH")
@@ -42,53 +42,53 @@
 
 
 @dataclass(slots=True)
-class SwitchTo:
+class SelectInstance:
     instance: int
 
 
 @dataclass(slots=True)
-class Boot:
+class StartInstance:
     seed: int
     settings: bytes
 
 
 @dataclass(slots=True)
-class Entry:
+class TableEntry:
     kind: int
     endpoint: int
     size: float
     cell: int
     zone: int
     condition: int
-    since: float
+    started_at: float
 
 
 @dataclass(slots=True)
 class Table:
     number: int
-    entries: tuple[Entry, ...]
+    entries: tuple[TableEntry, ...]
 
 
 @dataclass(slots=True)
-class Sync:
+class ListUpdate:
     version: int
-    mode: int
+    kind: int
     table: int
 
 
 @dataclass(slots=True)
-class Knock:
+class RequestArrived:
     request: int
     cls: int
     tenant: int
     key: int
-    not_after: float
+    deadline: float
     cost: float
-    bits: int
+    flags: int
 
 
 @dataclass(slots=True)
-class Flowing:
+class ResponseStarted:
     request: int
     elapsed: float
     attempt: int
@@ -96,28 +96,28 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptEnded:
     request: int
     endpoint: int
     elapsed: float
     attempt: int
-    no_more: bool
+    request_finished: bool
     code: int
     report: tuple[float, ...]
 
 
 @dataclass(slots=True)
-class Aborted:
+class RequestAborted:
     request: int
 
 
 @dataclass(slots=True)
-class Fired:
-    name: int
+class TimerFired:
+    timer: int
 
 
 @dataclass(slots=True)
-class Echo:
+class ProbeEnded:
     endpoint: int
     code: int
     elapsed: float
@@ -125,17 +125,30 @@
 
 
 @dataclass(slots=True)
-class NoteFrom:
+class PeerMessage:
     sender: int
     contents: bytes
 
 
 @dataclass(slots=True)
-class Stop:
+class StopInstance:
     pass
 
 
-Record = SwitchTo | Boot | Table | Sync | Knock | Flowing | Ended | Aborted | Fired | Echo | NoteFrom | Stop
+Record = (
+    SelectInstance
+    | StartInstance
+    | Table
+    | ListUpdate
+    | RequestArrived
+    | ResponseStarted
+    | AttemptEnded
+    | RequestAborted
+    | TimerFired
+    | ProbeEnded
+    | PeerMessage
+    | StopInstance
+)
 
 
 def _floats(body: bytes, at: int, n: int) -> tuple[tuple[float, ...], int]:
@@ -151,39 +164,39 @@
 def _record(body: bytes, at: int) -> tuple[Record, int]:
     code, p = body[at], at + 1
     if code == 5:
-        f = _OUTCOME.unpack_from(body, p)
-        values, end = _floats(body, p + _OUTCOME.size, f[6])
-        return Ended(f[0], f[1], f[2], f[3], f[4] != 0, f[5], values), end
+        f = _ATTEMPT_ENDED.unpack_from(body, p)
+        values, end = _floats(body, p + _ATTEMPT_ENDED.size, f[6])
+        return AttemptEnded(f[0], f[1], f[2], f[3], f[4] != 0, f[5], values), end
     if code == 7:
-        return Fired(*_U64.unpack_from(body, p)), p + _U64.size
+        return TimerFired(*_U64.unpack_from(body, p)), p + _U64.size
     if code == 12:
-        return SwitchTo(*_U32.unpack_from(body, p)), p + _U32.size
+        return SelectInstance(*_U32.unpack_from(body, p)), p + _U32.size
     if code == 3:
-        return Knock(*_KNOCK.unpack_from(body, p)), p + _KNOCK.size
+        return RequestArrived(*_REQUEST_ARRIVED.unpack_from(body, p)), p + _REQUEST_ARRIVED.size
     if code == 6:
-        return Aborted(*_U64.unpack_from(body, p)), p + _U64.size
+        return RequestAborted(*_U64.unpack_from(body, p)), p + _U64.size
     if code == 2:
-        return Sync(*_SYNC.unpack_from(body, p)), p + _SYNC.size
+        return ListUpdate(*_LIST_UPDATE.unpack_from(body, p)), p + _LIST_UPDATE.size
     if code == 11:
         number, n = _TABLE.unpack_from(body, p)
-        raw, end = _bytes(body, p + _TABLE.size, n * _ENTRY.size)
-        return Table(number, tuple(Entry(*e) for e in _ENTRY.iter_unpack(raw))), end
+        raw, end = _bytes(body, p + _TABLE.size, n * _TABLE_ENTRY.size)
+        return Table(number, tuple(TableEntry(*e) for e in _TABLE_ENTRY.iter_unpack(raw))), end
     if code == 1:
-        seed, n = _BOOT.unpack_from(body, p)
-        raw, end = _bytes(body, p + _BOOT.size, n)
-        return Boot(seed, raw), end
+        seed, n = _START_INSTANCE.unpack_from(body, p)
+        raw, end = _bytes(body, p + _START_INSTANCE.size, n)
+        return StartInstance(seed, raw), end
     if code == 4:
-        return Flowing(*_FLOWING.unpack_from(body, p)), p + _FLOWING.size
+        return ResponseStarted(*_RESPONSE_STARTED.unpack_from(body, p)), p + _RESPONSE_STARTED.size
     if code == 8:
-        endpoint, result, elapsed, n = _ECHO.unpack_from(body, p)
-        values, end = _floats(body, p + _ECHO.size, n)
-        return Echo(endpoint, result, elapsed, values), end
+        endpoint, result, elapsed, n = _PROBE_ENDED.unpack_from(body, p)
+        values, end = _floats(body, p + _PROBE_ENDED.size, n)
+        return ProbeEnded(endpoint, result, elapsed, values), end
     if code == 9:
-        sender, n = _PEER.unpack_from(body, p)
-        raw, end = _bytes(body, p + _PEER.size, n)
-        return NoteFrom(sender, raw), end
+        sender, n = _PEER_MESSAGE.unpack_from(body, p)
+        raw, end = _bytes(body, p + _PEER_MESSAGE.size, n)
+        return PeerMessage(sender, raw), end
     if code == 10:
-        return Stop(), p
+        return StopInstance(), p
     raise WireError(f"unknown record code {code} at byte {at} of a batch")
 
 
@@ -204,35 +217,35 @@
         raise WireError(f"{len(body) - at} bytes left after the {count} records of a batch")
 
 
-def act_as(instance: int) -> bytes:
-    return _AS.pack(13, instance)
+def select_instance(instance: int) -> bytes:
+    return _SELECT_INSTANCE.pack(13, instance)
 
 
-def dispatch(request: int, endpoint: int, timeout: float) -> bytes:
-    return _DISPATCH.pack(1, request, endpoint, timeout)
+def send(request: int, endpoint: int, timeout: float) -> bytes:
+    return _SEND.pack(1, request, endpoint, timeout)
 
 
-def say_no(request: int, wait: float) -> bytes:
-    return _SAY_NO.pack(2, request, wait)
+def refuse(request: int, wait: float) -> bytes:
+    return _REFUSE.pack(2, request, wait)
 
 
-def respond_error(request: int) -> bytes:
-    return _ERROR.pack(3, request)
+def fail(request: int) -> bytes:
+    return _FAIL.pack(3, request)
 
 
-def after(at: float, name: int) -> bytes:
-    return _AFTER.pack(5, at, name)
+def set_timer(at: float, name: int) -> bytes:
+    return _SET_TIMER.pack(5, at, name)
 
 
-def health_check(endpoint: int) -> bytes:
+def probe(endpoint: int) -> bytes:
     return _PROBE.pack(6, endpoint)
 
 
-def stream_changes(want: bool) -> bytes:
+def subscribe(want: bool) -> bytes:
     return _WATCH.pack(11, int(want))
 
 
-def broken(text: str) -> bytes:
+def instance_error(text: str) -> bytes:
     raw = text.encode("utf-8", "replace")[:MAX_TEXT]
     return _TEXT.pack(10, len(raw)) + raw
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from millgw.decide import Admission, Balancer
+from millgw.decide import Balancer, ConcurrencyLimiter
 from millgw.interface import (
     Endpoint,
     EndpointList,
@@ -106,7 +106,7 @@
     admission = d.balancer.admission
     assert admission is not None
     serve(d, 300, times={3: 900.0})
-    assert admission.late < admission.target()
+    assert admission.late < admission.latency_target()
 
 
 def test_the_limit_leaves_room_for_the_usual_calls_in_flight() -> None:
@@ -121,7 +121,7 @@
     for _ in range(10):
         flood(d, 6)
         finish(d, 350.0)
-    assert admission.target() < admission.late < (1 + admission.undisturbed) / 2
+    assert admission.latency_target() < admission.late < (1 + admission.undisturbed) / 2
     assert admission.each >= admission.normal > 1
     assert admission.normal < usual, "the room fades while the trouble lasts"
 
@@ -250,7 +250,7 @@
             serve(d, 1, times={n: 200.0 for n in range(1, 9)})
             d.advance(d.now + pause)
     assert few.balancer.admission is not None and many.balancer.admission is not None
-    assert few.balancer.admission.target() > many.balancer.admission.target() + 0.05
+    assert few.balancer.admission.latency_target() > many.balancer.admission.latency_target() + 0.05
 
 
 def test_an_endpoint_that_fails_at_once_is_ejected_and_tried_again() -> None:
@@ -324,7 +324,7 @@
         d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
     assert cold.share(lost, d.now) == d.config.cold_share, "out of reach: the least until it answers"
-    lost.note(d.now, Outcome.OK)
+    lost.record_reachability(d.now, Outcome.OK)
     assert cold.share(lost, d.now) == d.config.cold_share
     assert cold.share(lost, d.now + d.config.cold_time / 2) == pytest.approx((1 + d.config.cold_share) / 2)
     assert cold.share(lost, d.now + d.config.cold_time) == 1.0
@@ -334,8 +334,8 @@
     d = drive(4)
     server = d.balancer.servers[1]
     for _ in range(5):
-        server.note(d.now, Outcome.CONNECT_FAILED)
-        server.note(d.now, Outcome.OK)
+        server.record_reachability(d.now, Outcome.CONNECT_FAILED)
+        server.record_reachability(d.now, Outcome.OK)
     assert d.balancer.cold.share(server, d.now) == 1.0
 
 
@@ -349,7 +349,7 @@
         server.slow = 1.0 if server.info.id < 10 else 0.4
     for _ in range(10):
         d.balancer.outliers.record(d.now, usual, False, 1.2)
-        d.balancer.outliers.judge(d.now, usual, d.balancer.ring)
+        d.balancer.outliers.eject_outlier(d.now, usual, d.balancer.ring)
     assert usual.ejected_until == -math.inf
 
 
@@ -418,9 +418,9 @@
             d.advance(d.now + 1000.0 - elapsed)
 
     seconds(60, 100.0)
-    assert admission.late < admission.target()
+    assert admission.late < admission.latency_target()
     seconds(5, 900.0)
-    assert admission.late > admission.target()
+    assert admission.late > admission.latency_target()
 
 
 def test_the_first_requests_of_a_day_are_not_refused() -> None:
@@ -487,8 +487,8 @@
         return look(self, *args)
 
     monkeypatch.setattr(Balancer, "_ready", counted)
-    monkeypatch.setattr(Balancer, "_full", lambda *_: True)
-    monkeypatch.setattr(Admission, "limit", 1000.0)
+    monkeypatch.setattr(Balancer, "_at_limit", lambda *_: True)
+    monkeypatch.setattr(ConcurrencyLimiter, "limit", 1000.0)
     assert len(d.balancer.held) > 50
     sent = next(r for r, tries in d.tries.items() if tries)
     d.outcome(sent, 0, Outcome.OK)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -112,19 +112,19 @@
     balancer.handle(0.0, EndpointList(ListKind.FULL, tuple(Endpoint(i) for i in range(4))))
     for at in range(0, 8000, 100):
         for id in (0, 1):
-            balancer.servers[id].count_served(float(at))
-    balancer.cold.learn(balancer.ring, 8000.0)
+            balancer.servers[id].record_served(float(at))
+    balancer.cold.learn_rate(balancer.ring, 8000.0)
     mean = balancer.cold.rates[None]
     for id in (2, 3):
         balancer.servers[id].ejected_until = 9000.0
-    balancer.cold.learn(balancer.ring, 8000.0)
+    balancer.cold.learn_rate(balancer.ring, 8000.0)
     assert balancer.cold.rates[None] == pytest.approx(2 * mean)
 
 
 def test_the_rate_of_an_endpoint_follows_soon_when_others_have_gone() -> None:
     server = decide.Server(Endpoint(1), 0.0)
     for at in range(0, 30_000, 200):
-        server.count_served(float(at))
+        server.record_served(float(at))
     for at in range(30_000, 35_000, 100):
-        server.count_served(float(at))
+        server.record_served(float(at))
     assert server.served_rate(35_000.0) > 0.8 * 0.01
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.joining import Run
-from millgw.decide import EJECT_SHARE, Balancer
+from millgw.decide import MAX_EJECTED_SHARE, Balancer
 from millgw.interface import (
     AttemptEnded,
     Endpoint,
@@ -66,7 +66,7 @@
 def test_never_more_than_a_third_is_left_alone_for_hearsay() -> None:
     made = balancer(9)
     made.handle(NOW, PeerReports(tuple(EndpointEvidence(i, failure_rate=1.0, calls=5.0) for i in range(9))))
-    assert len(made.aside(NOW)) <= math.ceil(9 * EJECT_SHARE)
+    assert len(made.aside(NOW)) <= math.ceil(9 * MAX_EJECTED_SHARE)
     assert sends(made, NOW, 10)
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -27,7 +27,7 @@
     Send,
     Subscribe,
 )
-from millgw.policy.freshness import DOWN_FOR, TOLD_AFTER_END, TOLD_WITHIN, Freshness
+from millgw.policy.freshness import KNOWN_AFTER_WATCH_END_MS, MAX_ASSUMED_DOWN_MS, TOLD_WITHIN, Freshness
 from millgw.simulation.told_terms import Outage, Silence, told_at
 from tests.support import SAFE, Drive, settings
 
@@ -315,7 +315,7 @@
     drive = Drive(settings(), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
-    drive.advance(drive.now + TOLD_AFTER_END + 1.0)
+    drive.advance(drive.now + KNOWN_AFTER_WATCH_END_MS + 1.0)
     request = drive.arrive(SAFE)
     assert drive.sent_to(request) == []
     drive.feed(EndpointList(ListKind.DELTA, (Endpoint(1, Condition.DRAINING),)))
@@ -332,7 +332,7 @@
     drive.advance(lost + 500.0)
     drive.arrive(SAFE)
     sends = [a.send_by for _, a in drive.log if isinstance(a, Send)]
-    assert sends == [lost + TOLD_AFTER_END]
+    assert sends == [lost + KNOWN_AFTER_WATCH_END_MS]
 
 
 def test_an_endpoint_that_turned_a_call_away_is_left_alone_until_discovery_is_heard() -> None:
@@ -413,10 +413,10 @@
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     lost = drive.now
-    drive.advance(lost + TOLD_AFTER_END - 100.0)
+    drive.advance(lost + KNOWN_AFTER_WATCH_END_MS - 100.0)
     for _ in range(20):
         drive.outcome(drive.arrive(SAFE), 0, Outcome.OK)
-    drive.advance(lost + TOLD_AFTER_END + 1.0)
+    drive.advance(lost + KNOWN_AFTER_WATCH_END_MS + 1.0)
     assert not drive.sent_to(drive.arrive(SAFE))
 
 
@@ -527,11 +527,11 @@
 
 def test_the_assumption_ends_after_half_a_minute() -> None:
     made, now = turned_away_after(), TURNED
-    while now < ENDED + DOWN_FOR:
+    while now < ENDED + MAX_ASSUMED_DOWN_MS:
         made.asked(now + 1000.0)
         now += 3000.0
         made.failed(now, ListKind.FAILED)
-    assert made.assumed_down_until() <= ENDED + DOWN_FOR + TOLD_WITHIN
+    assert made.assumed_down_until() <= ENDED + MAX_ASSUMED_DOWN_MS + TOLD_WITHIN
     made.asked(now + 1000.0)
     made.failed(now + 3000.0, ListKind.FAILED)
     assert made.assumed_down_until() == -math.inf
@@ -636,7 +636,7 @@
             if request in drive.open and drive.tries[request]:
                 drive.outcome(request, 0, Outcome.OK)
         probes = turning.probes()
-        most = 10 * (drive.balancer._home() + 1)
+        most = 10 * (drive.balancer._subset_size() + 1)
         assert not probes if heard else 0 < len(probes) <= most, "those to draw from, once a second"
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -83,7 +83,7 @@
 
 def test_a_request_is_sent_and_its_outcome_taken() -> None:
     got = replies(serve(started(5) + frame(switch(3), knock(9)) + frame(switch(3), outcome(9, 5, 200, 1))))
-    assert got == [b"", wire.act_as(3) + wire.dispatch(9, 5, 0.0), b""]
+    assert got == [b"", wire.select_instance(3) + wire.send(9, 5, 0.0), b""]
 
 
 def test_reused_list_numbers_resolve_in_event_order() -> None:
@@ -92,20 +92,20 @@
     )
     got = replies(serve(first + frame(switch(1), knock(1), switch(2), knock(2))))
     assert got[1] == b"".join(
-        [wire.act_as(1), wire.dispatch(1, 5, 0.0), wire.act_as(2), wire.dispatch(2, 6, 0.0)]
+        [wire.select_instance(1), wire.send(1, 5, 0.0), wire.select_instance(2), wire.send(2, 6, 0.0)]
     )
 
 
 def test_stop_and_boot_in_one_batch_leave_no_state() -> None:
     again = frame(switch(3), b"\x0a", boot(SETTINGS), table(0, 8), sync(0), knock(2))
     got = replies(serve(started(5) + again))
-    assert got[1] == wire.act_as(3) + wire.dispatch(2, 8, 0.0)
+    assert got[1] == wire.select_instance(3) + wire.send(2, 8, 0.0)
 
 
 def test_action_records_as_the_page_shows_them() -> None:
-    sent = wire.dispatch(0x000E944F5D3A91C4, 0x03124A07, 80.0)
+    sent = wire.send(0x000E944F5D3A91C4, 0x03124A07, 80.0)
     assert sent.hex() == "01000e944f5d3a91c403124a074054000000000000"
-    assert wire.after(float.fromhex("0x1.168p+15"), 0x4D).hex() == "0540e1680000000000000000000000004d"
+    assert wire.set_timer(float.fromhex("0x1.168p+15"), 0x4D).hex() == "0540e1680000000000000000000000004d"
     assert wire.reply([]) == bytes(8)
 
 
@@ -170,4 +170,4 @@
 
     monkeypatch.setattr(Balancer, "handle", fail)
     got = replies(serve(started(5)))
-    assert got[0] == wire.act_as(3) + wire.broken("RuntimeError: boom")
+    assert got[0] == wire.select_instance(3) + wire.instance_error("RuntimeError: boom")
