--- a/millgw/adapter.py
+++ b/millgw/adapter.py
@@ -1,4 +1,4 @@
-"""The former name of `millgw.simulator.adapter`: `python -m millgw.adapter` starts for one more release."""
+"""Deprecated alias of `millgw.simulator.adapter`: `python -m millgw.adapter` works for one more release."""
 
 from __future__ import annotations
 
--- a/millgw/policy/__init__.py
+++ b/millgw/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the decision module that have one job each: no I/O, no clock, seeded."""
+"""Parts of the decision module with a single task each: no I/O, no clock, seeded randomness."""
--- a/millgw/policy/backoff.py
+++ b/millgw/policy/backoff.py
@@ -1,4 +1,4 @@
-"""Waits between attempts: decorrelated jitter. Pure."""
+"""Exponential backoff with decorrelated jitter. Pure."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Backoff:
-    """Decorrelated jitter: each wait is drawn from the wait before it."""
+    """Decorrelated jitter: each wait is drawn from a range that depends on the previous wait."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
--- a/millgw/simulator/__init__.py
+++ b/millgw/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: frames in and out, and one Balancer for each instance."""
+"""The balancer behind the simulator's binary protocol: frames in and out, one Balancer per instance."""
--- a/millgw/simulator/adapter.py
+++ b/millgw/simulator/adapter.py
@@ -1,6 +1,6 @@
-"""The adapter: simulator frames on standard input and output, one Balancer for each instance.
+"""The simulator adapter: frames on standard input and output, one Balancer per instance.
 
-Translates words and numbers only; every decision is the balancer's.
+It only translates between records and events or actions; all decisions are the balancer's.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
     444: api.Outcome.CANCELLED,
     409: api.Outcome.NOT_SENT,
 }
-NO_TIMEOUT = 0.0  # an attempt waits until the client gives up
+NO_TIMEOUT = 0.0  # no own limit: an attempt waits until the client gives up
 CONDITIONS = {c.value: c for c in api.Condition}
 LIST_KINDS = {k.value: k for k in api.ListKind}
 
 
 def to_event(record: wire.Record, tables: dict[int, tuple[api.Endpoint, ...]]) -> api.Event | None:
-    """The balancer's event for a record, or None where it has no use for the record."""
+    """The balancer's event for a record, or None if the balancer does not use the record."""
     if isinstance(record, wire.AttemptEnded):
         return api.AttemptEnded(
             record.request,
@@ -63,7 +63,7 @@
 
 
 def to_record(action: api.Action) -> bytes:
-    """The wire's record for an action."""
+    """The encoded record for an action."""
     if isinstance(action, api.Send):
         return wire.send(action.request, action.endpoint, NO_TIMEOUT)
     if isinstance(action, api.SetTimer):
@@ -78,43 +78,43 @@
 
 
 class InstanceHost:
-    """The instances of one process, and the lists that the wire declares to all of them."""
+    """The instances of one process, and the endpoint lists declared for all of them."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
         self.tables: dict[int, tuple[api.Endpoint, ...]] = {}
 
     def handle_batch(self, now: float, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
-        out: list[bytes] = []
-        current: int | None = None
-        speaking: int | None = None
+        """The encoded reply to one batch."""
+        records: list[bytes] = []
+        instance: int | None = None
+        selected: int | None = None
         for record in wire.decode(count, body):
             if isinstance(record, wire.SelectInstance):
-                current = record.instance
+                instance = record.instance
                 continue
             if isinstance(record, wire.Table):
                 self.tables[record.number] = tuple(_endpoint(e) for e in record.entries)
                 continue
-            if current is None:
+            if instance is None:
                 raise wire.WireError("a record came before any instance was named")
             try:
-                actions = self._handle_record(now, current, record)
+                actions = self._handle_record(now, instance, record)
             except (wire.WireError, SettingsError):
                 raise
-            except Exception as error:  # the operators want the text, not a dead process
+            except Exception as error:  # operators need the error text, not a crashed process
                 return wire.reply(
-                    [wire.select_instance(current), wire.instance_error(f"{type(error).__name__}: {error}")]
+                    [wire.select_instance(instance), wire.instance_error(f"{type(error).__name__}: {error}")]
                 )
-            if actions and speaking != current:
-                out.append(wire.select_instance(current))
-                speaking = current
-            out.extend(map(to_record, actions))
-        return wire.reply(out)
+            if actions and selected != instance:
+                records.append(wire.select_instance(instance))
+                selected = instance
+            records.extend(map(to_record, actions))
+        return wire.reply(records)
 
     def _handle_record(self, now: float, instance: int, record: wire.Record) -> list[api.Action]:
         if isinstance(record, wire.StartInstance):
-            # The wire's own rule: a call that failed keeps the list for four `askWithin`.
+            # A rule of the simulator: after a failed call the list stays valid for four times `askWithin`.
             settings = replace(read_settings(record.settings), calls_fail_only_in_outages=True)
             self.balancers[instance] = Balancer(settings, record.seed)
             return []
--- a/millgw/simulator/wire.py
+++ b/millgw/simulator/wire.py
@@ -1,7 +1,7 @@
-"""Frame codec of the simulator's wire: bytes to records and back. Pure; no decisions.
+"""Codec of the simulator's binary protocol: bytes to records and back. Pure; no decisions.
 
-A batch is a header (record count, body size, clock) and records; a reply has no clock.
-All numbers are big-endian. Malformed input raises WireError, naming what and where.
+A batch is a header (number of records, body size, time) and records; a reply has no time. All numbers are
+big-endian. Malformed input raises a WireError that names what is wrong and where.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class WireError(ValueError):
-    """The input is not what the wire's page describes."""
+    """The input does not conform to the protocol."""
 
 
 @dataclass(slots=True)
@@ -201,7 +201,7 @@
 
 
 def decode(count: int, body: bytes) -> Iterator[Record]:
-    """The records of a batch, in order; the whole body must be used up by `count` of them."""
+    """The records of a batch, in order; `count` of them must use up the whole body."""
     at = 0
     for index in range(count):
         if at >= len(body):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -43,8 +43,8 @@
 
 def test_a_fleet_that_came_back_soon_would(monkeypatch: pytest.MonkeyPatch) -> None:
     """The model shows the failure that the waits are for."""
-    monkeypatch.setattr(freshness, "CROWD_MOST", 300.0)
-    monkeypatch.setattr(freshness, "CROWD_GROWTH", 1.0)
+    monkeypatch.setattr(freshness, "MAX_OVERLOAD_WAIT_MS", 300.0)
+    monkeypatch.setattr(freshness, "OVERLOAD_WAIT_GROWTH", 1.0)
     assert sorted(waits_until_heard(4.0, 60.0))[FLEET // 2] > 25_000.0
 
 
