--- a/tests/kinds.py
+++ b/tests/kinds.py
@@ -1,4 +1,4 @@
-"""Which kind of modules the tests run on: the sources, or what is compiled of them."""
+"""Marks for tests that are skipped when the modules are compiled, or when they are not."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 once = pytest.mark.skipif(
     bool(os.environ.get(compiled.PURE_VARIABLE)),
-    reason="touches nothing that is compiled: the other run has it",
+    reason="uses no compiled module: covered by the compiled run",
 )
 aside = pytest.mark.skipif(
     not os.environ.get(compiled.PURE_VARIABLE),
-    reason="touches nothing that is compiled: the sources' run has it",
+    reason="uses no compiled module: covered by the pure Python run",
 )
-patched = pytest.mark.skipif(COMPILED, reason="puts another method in place")
+patched = pytest.mark.skipif(COMPILED, reason="replaces a method, which compiled modules don't allow")
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Shared pieces of the tests: settings, endpoints, and a driver that keeps the books on the rules."""
+"""Test support: settings, endpoints, and a driver that checks the rules on every action of a balancer."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
         self.open: dict[int, RequestArrived] = {}
         self.tries: dict[int, list[tuple[int, float, Outcome | None]]] = {}
         self.known: dict[int, Endpoint] = {}
-        self.cells: dict[int, list[int]] = {}  # of the endpoints, as each was sent to
-        self.usable: set[int] = set()
+        self.cells: dict[int, list[int]] = {}  # cell of each attempt's endpoint at the time of sending
+        self.usable_ids: set[int] = set()
         self.answers: dict[int, str] = {}
         self.log: list[tuple[float, Action]] = []
         self.next_id = 0
@@ -82,27 +82,27 @@
         return actions
 
     def advance(self, to: float) -> list[Action]:
-        """Move the clock, firing each timer that falls due on the way."""
-        out: list[Action] = []
+        """Move the clock, firing each timer that becomes due on the way."""
+        actions: list[Action] = []
         while self.timers and min(self.timers)[0] <= to:
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            out += self.feed(TimerFired(due[1]))
+            actions += self.feed(TimerFired(due[1]))
         self.now = max(self.now, to)
         for id, request in list(self.open.items()):
             out_attempts = [t for t in self.tries[id] if t[2] is None]
             assert out_attempts or self.now < request.deadline, f"request {id} was never answered"
-        return out
+        return actions
 
     def show(self, *entries: Endpoint, kind: ListKind = ListKind.FULL) -> list[Action]:
         if kind in (ListKind.FULL, ListKind.CACHED):
-            self.usable.clear()
+            self.usable_ids.clear()
         for entry in entries:
             self.known[entry.id] = entry
-            self.usable.discard(entry.id)
+            self.usable_ids.discard(entry.id)
             if entry.condition is Condition.READY:
-                self.usable.add(entry.id)
+                self.usable_ids.add(entry.id)
         return self.feed(EndpointList(kind, entries))
 
     def arrive(self, cls: int = SAFE, patience: float = 1500.0, tenant: int = 0) -> int:
@@ -118,8 +118,8 @@
         return self.feed(RequestAborted(request))
 
     def outcome(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
-        endpoint, sent, before = self.tries[request][attempt]
-        assert before is None
+        endpoint, sent, ended = self.tries[request][attempt]
+        assert ended is None
         self.tries[request][attempt] = (endpoint, sent, outcome)
         if outcome is Outcome.OK and request in self.open:
             del self.open[request]
@@ -140,7 +140,7 @@
         elif isinstance(action, Send):
             self._check_send(action)
         elif isinstance(action, Refuse | Fail):
-            assert action.request in self.open, "an answer to a request that is owed none"
+            assert action.request in self.open, "an answer to a request that is not open"
             if isinstance(action, Refuse):
                 self._check_refuse(action.request)
             del self.open[action.request]
@@ -152,33 +152,35 @@
     def _check_send(self, action: Send) -> None:
         request = self.open.get(action.request)
         assert request is not None, "sent for a request that has ended"
-        assert action.endpoint in self.usable, "sent to an endpoint that drains or is gone"
+        assert action.endpoint in self.usable_ids, "sent to an endpoint that is draining or gone"
         assert self.now < request.deadline
-        tries, ran = self.tries[action.request], self._may_have_run(action.request)
-        assert len(tries) < self.config.max_attempts
+        attempts, may_have_run = self.tries[action.request], self._may_have_run(action.request)
+        assert len(attempts) < self.config.max_attempts
         if not self.config.concurrent_attempts:
-            assert all(t[2] is not None for t in tries), "two attempts out at once"
+            assert all(t[2] is not None for t in attempts), "two attempts pending at once"
         cls = self.config.classes[request.cls]
-        if ran and cls.repeat is Repeat.UNSAFE:
-            raise AssertionError("an unsafe request that may have run was sent again")
-        if (not ran or cls.repeat is Repeat.SAFE) and not self.balancer.discovery.disconnected():
-            assert action.send_by == math.inf, "a wait that ends for nothing"
-        if ran and cls.repeat is Repeat.KEYED:
-            assert self.now <= action.send_by <= ran[0][1] + cls.window, "resent outside its window"
+        if may_have_run and cls.repeat is Repeat.UNSAFE:
+            raise AssertionError("an unsafe request that may have been executed was sent again")
+        if (not may_have_run or cls.repeat is Repeat.SAFE) and not self.balancer.discovery.disconnected():
+            assert action.send_by == math.inf, "send_by is limited without a reason"
+        if may_have_run and cls.repeat is Repeat.KEYED:
+            assert self.now <= action.send_by <= may_have_run[0][1] + cls.window, "resent outside its window"
             if cls.scope is Scope.CELL:
-                cells = {c for c, t in zip(self.cells[action.request], tries, strict=True) if t in ran}
-                assert cells == {self.known[action.endpoint].cell}, "resent outside its group"
-        tries.append((action.endpoint, self.now, None))
+                cells = {
+                    c for c, t in zip(self.cells[action.request], attempts, strict=True) if t in may_have_run
+                }
+                assert cells == {self.known[action.endpoint].cell}, "resent outside its deduplication group"
+        attempts.append((action.endpoint, self.now, None))
         self.cells.setdefault(action.request, []).append(self.known[action.endpoint].cell)
 
     def _check_refuse(self, request: int) -> None:
         cls = self.config.classes[self.open[request].cls]
         if cls.repeat is Repeat.UNSAFE or (cls.repeat is Repeat.KEYED and cls.scope is not Scope.ALL):
-            assert not self._may_have_run(request), "refused although an attempt may have run"
+            assert not self._may_have_run(request), "refused although an attempt may have been executed"
 
 
 def drive(n: int = 4, **changes: object) -> Drive:
-    """A driver whose balancer has been shown `n` endpoints."""
-    made = Drive(settings(**changes))
-    made.show(*endpoints(n))
-    return made
+    """A driver whose balancer has received a list of `n` endpoints."""
+    driver = Drive(settings(**changes))
+    driver.show(*endpoints(n))
+    return driver
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Rule 4 over a whole fleet: what all sidecars together send a cold endpoint, in virtual time."""
+"""Rule 4 over a whole fleet in virtual time: what all sidecars together send to a cold endpoint."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 )
 
 SIDECARS = 30
-START = 1_000_000.0  # ms at which the endpoints start; a clock that is far from 0, as Unix time is
-WATCHED = 8000.0  # ms after it that are played
-BURST = 3000.0  # ms after it for which more is asked for
-ANSWER = 80.0  # ms of an answer on average
-CAPACITY = 12.0  # calls a second that a warm endpoint can do
+START = 1_000_000.0  # ms at which the endpoints start; far from 0, as Unix time is
+SIMULATED = 8000.0  # ms after `START` that are simulated
+BURST = 3000.0  # ms after `START` with a higher request rate
+MEAN_LATENCY = 80.0  # ms
+CAPACITY = 12.0  # calls per second of a warm endpoint
 READ = RequestClass("read", 4000.0, Repeat.SAFE, 1500.0)
 SETTINGS = Settings(
     (READ,), cold_share=0.2, cold_time=12_000.0, fall_multiple=2.5, fall_window=1000.0,
@@ -41,19 +41,19 @@
 )  # fmt: skip
 
 
-def bound(now: float) -> float:
-    """The calls within a window that end a cold endpoint's life: N + 2 x root of N + 2."""
+def max_calls_in_window(now: float) -> float:
+    """The calls N within a window that overload a cold endpoint, with a margin: N + 2 * sqrt(N) + 2."""
     share = SETTINGS.cold_share + (1 - SETTINGS.cold_share) * (now - START) / SETTINGS.cold_time
     allowed = SETTINGS.fall_multiple * share * CAPACITY * SETTINGS.fall_window / 1000
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
 class Fleet:
-    """Thirty sidecars before endpoints that all start at `START`, which every sidecar is told then.
+    """Thirty sidecars and endpoints that all start at `START`, as every sidecar learns at that time.
 
-    `before` is how many ms the sidecars have served at that time, by endpoints that were warm; 0: they start
-    with the endpoints. `load` is the part of all warm endpoints' capacity that is asked for, `burst` times
-    as much in the first seconds. `kept` of the endpoints come back, the others are gone.
+    `before` is how many ms the sidecars have already served with warm endpoints by then; 0: they start
+    together with the endpoints. `load` is the requested share of all warm endpoints' capacity; in the first
+    seconds it is multiplied by `burst`. `kept` of the endpoints remain, the others are removed.
     """
 
     def __init__(
@@ -65,26 +65,26 @@
         self.balancers = [Balancer(_settings(index), 1000 * seed + index) for index in range(SIDECARS)]
         self.attempts: dict[int, int] = defaultdict(int)
         self.windows: dict[int, deque[float]] = defaultdict(deque)
-        self.worst = 0.0  # the most calls within a window, of those at which an endpoint falls
+        self.worst_ratio = 0.0  # most calls within a window, relative to the number that overloads
         self.sent = 0
         warm = tuple(Endpoint(id, started_at=1.0) for id in range(endpoints))
         cold = tuple(Endpoint(id, started_at=START) for id in range(kept))
         rate = load * CAPACITY * endpoints / SIDECARS / 1000
         for index in range(SIDECARS):
             if before:
-                self.at(START - before, index, EndpointList(ListKind.FULL, warm))
-            self.at(START, index, EndpointList(ListKind.FULL, cold))
-            self.arrivals(index, START - before, START, rate)
-            self.arrivals(index, START, START + BURST, rate * burst)
-            self.arrivals(index, START + BURST, START + WATCHED, rate)
+                self.schedule(START - before, index, EndpointList(ListKind.FULL, warm))
+            self.schedule(START, index, EndpointList(ListKind.FULL, cold))
+            self.schedule_arrivals(index, START - before, START, rate)
+            self.schedule_arrivals(index, START, START + BURST, rate * burst)
+            self.schedule_arrivals(index, START + BURST, START + SIMULATED, rate)
 
-    def at(self, at: float, index: int, event: Event) -> None:
+    def schedule(self, at: float, index: int, event: Event) -> None:
         heapq.heappush(self.queue, (at, next(self.numbers), index, event))
 
-    def arrivals(self, index: int, since: float, until: float, rate: float) -> None:
-        now = since
-        while (now := now + self.rng.expovariate(rate)) < until:
-            self.at(now, index, RequestArrived(next(self.numbers), 0, now + READ.deadline))
+    def schedule_arrivals(self, index: int, start: float, end: float, rate: float) -> None:
+        now = start
+        while (now := now + self.rng.expovariate(rate)) < end:
+            self.schedule(now, index, RequestArrived(next(self.numbers), 0, now + READ.deadline))
 
     def play(self) -> Fleet:
         while self.queue:
@@ -95,23 +95,23 @@
 
     def carry_out(self, now: float, index: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.at(max(now, action.at), index, TimerFired(action.timer))
+            self.schedule(max(now, action.at), index, TimerFired(action.timer))
         elif isinstance(action, Send):
             if now >= START:
-                self.count(now, action.endpoint)
+                self.count_send(now, action.endpoint)
             number = self.attempts[action.request]
             self.attempts[action.request] += 1
-            took = min(2000.0, self.rng.expovariate(1 / ANSWER))
-            ended = AttemptEnded(action.request, action.endpoint, number, Outcome.OK, took, False)
-            self.at(now + took, index, ended)
+            latency = min(2000.0, self.rng.expovariate(1 / MEAN_LATENCY))
+            ended = AttemptEnded(action.request, action.endpoint, number, Outcome.OK, latency, False)
+            self.schedule(now + latency, index, ended)
 
-    def count(self, now: float, endpoint: int) -> None:
+    def count_send(self, now: float, endpoint: int) -> None:
         window = self.windows[endpoint]
         window.append(now)
         while window[0] <= now - SETTINGS.fall_window:
             window.popleft()
         self.sent += 1
-        self.worst = max(self.worst, len(window) / bound(now))
+        self.worst_ratio = max(self.worst_ratio, len(window) / max_calls_in_window(now))
 
 
 def _settings(index: int) -> Settings:
@@ -124,14 +124,14 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 @pytest.mark.parametrize("endpoints", [1, 3, 10])
-def test_new_sidecars_do_not_push_over_endpoints_that_start_with_them(endpoints: int, seed: int) -> None:
+def test_new_sidecars_do_not_overload_endpoints_that_start_with_them(endpoints: int, seed: int) -> None:
     fleet = Fleet(endpoints, endpoints, load=0.9, burst=4.0, before=0.0, seed=seed).play()
-    assert fleet.worst <= 1.0
-    assert fleet.sent >= 4 * endpoints, "what starts is used"
+    assert fleet.worst_ratio <= 1.0
+    assert fleet.sent >= 4 * endpoints, "started endpoints are used"
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_sidecars_that_run_do_not_push_over_the_one_endpoint_that_is_left_and_cold(seed: int) -> None:
+def test_running_sidecars_do_not_overload_a_single_remaining_cold_endpoint(seed: int) -> None:
     fleet = Fleet(8, 1, load=0.5, burst=1.0, before=12_000.0, seed=seed).play()
-    assert fleet.worst <= 1.0
+    assert fleet.worst_ratio <= 1.0
     assert fleet.sent >= 40
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""Each failure that the ordinary path does not survive, and the answer to it."""
+"""Failures and overload: ejection, limits, shedding, quotas, cold returns and a silent discovery."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 from tests.support import KEYED, SAFE, TENANTS, UNSAFE, Drive, drive, endpoints, settings
 
 
-def serve(
+def serve_calls(
     d: Drive, calls: int, times: dict[int, float] | None = None, failing: frozenset[int] = frozenset()
 ) -> None:
-    """One call after another; each endpoint takes its time (20 ms if not told) or fails at once."""
+    """One call after another; each endpoint needs its time (default 20 ms) or fails at once."""
     for _ in range(calls):
         request = d.arrive(patience=1400.0)
         while request in d.open and d.tries[request]:
@@ -44,16 +44,16 @@
                 d.outcome(request, index, Outcome.OK)
 
 
-def flood(d: Drive, calls: int, cls: int = SAFE, tenant: int = 0) -> list[int]:
+def send_burst(d: Drive, calls: int, cls: int = SAFE, tenant: int = 0) -> list[int]:
     return [d.arrive(cls, patience=2900.0, tenant=tenant) for _ in range(calls)]
 
 
-def flying(d: Drive) -> int:
+def attempts_in_flight(d: Drive) -> int:
     return sum(t[2] is None for tries in d.tries.values() for t in tries)
 
 
-def finish(d: Drive, after: float) -> None:
-    """Time passes, then all attempts that are out are served."""
+def serve_all_pending(d: Drive, after: float) -> None:
+    """Let time pass, then serve all pending attempts."""
     d.advance(d.now + after)
     for request, tries in list(d.tries.items()):
         for index, attempt in enumerate(tries):
@@ -61,51 +61,51 @@
                 d.outcome(request, index, Outcome.OK)
 
 
-def test_crowding_is_held_back_and_the_hopeless_refused() -> None:
+def test_overload_is_limited_and_requests_without_a_chance_are_refused() -> None:
     d = drive(4)
-    serve(d, 60)
-    requests = flood(d, 200)
-    assert flying(d) < 40
+    serve_calls(d, 60)
+    requests = send_burst(d, 200)
+    assert attempts_in_flight(d) < 40
     d.advance(d.now + 1500)
     assert sum(d.answers.get(r) == "refused" for r in requests) > 150
 
 
-def test_an_inner_tier_holds_nothing_back() -> None:
+def test_an_inner_tier_has_no_concurrency_limit() -> None:
     d = drive(4, stage=1)
-    flood(d, 200)
-    assert flying(d) == 200
+    send_burst(d, 200)
+    assert attempts_in_flight(d) == 200
 
 
 def test_late_answers_cut_the_limit_and_quick_ones_restore_it() -> None:
     d = drive(4)
-    serve(d, 60)
+    serve_calls(d, 60)
     admission = d.balancer.admission
     assert admission is not None
     for _ in range(12):
-        flood(d, 40)
-        finish(d, 50.0)
-    wide = admission.each
+        send_burst(d, 40)
+        serve_all_pending(d, 50.0)
+    high = admission.each
     for _ in range(6):
-        flood(d, 40)
-        finish(d, 950.0)
-    assert admission.each < wide / 2
+        send_burst(d, 40)
+        serve_all_pending(d, 950.0)
+    assert admission.each < high / 2
     for _ in range(100):
-        serve(d, 4)
-    narrow = admission.each
+        serve_calls(d, 4)
+    low = admission.each
     for _ in range(100):
-        flood(d, 40)
-        while flying(d):
-            finish(d, 30.0)
+        send_burst(d, 40)
+        while attempts_in_flight(d):
+            serve_all_pending(d, 30.0)
         d.advance(d.now + 200)
-    assert admission.each > 1.5 * narrow
+    assert admission.each > 1.5 * low
 
 
 def test_one_slow_endpoint_does_not_cut_the_limit() -> None:
-    """A mean would: 900 ms against 20 from one endpoint of six is far past the target."""
+    """A mean would cut it: 900 ms at one endpoint of six and 20 ms elsewhere is far above target."""
     d = drive(6)
     admission = d.balancer.admission
     assert admission is not None
-    serve(d, 300, times={3: 900.0})
+    serve_calls(d, 300, times={3: 900.0})
     assert admission.late < admission.latency_target()
 
 
@@ -114,20 +114,20 @@
     admission = d.balancer.admission
     assert admission is not None
     for _ in range(40):
-        flood(d, 6)
-        finish(d, 100.0)
+        send_burst(d, 6)
+        serve_all_pending(d, 100.0)
     assert admission.normal > 1
     usual = admission.normal
     for _ in range(10):
-        flood(d, 6)
-        finish(d, 350.0)
+        send_burst(d, 6)
+        serve_all_pending(d, 350.0)
     assert admission.latency_target() < admission.late < (1 + admission.undisturbed) / 2
     assert admission.each >= admission.normal > 1
-    assert admission.normal < usual, "the room fades while the trouble lasts"
+    assert admission.normal < usual, "the headroom shrinks while the overload lasts"
 
 
-def test_a_timer_that_comes_a_hair_early_still_answers_a_held_request() -> None:
-    """Clocks round: the timer of a held request once came back a fraction of a microsecond early."""
+def test_a_timer_that_fires_slightly_early_still_answers_a_held_request() -> None:
+    """Clocks round: the timer of a held request once fired a fraction of a microsecond early."""
     d = Drive(settings())
     request = d.arrive(patience=500.0)
     due, timer = max(t for t in d.timers if d.balancer.timers[t[1]] == request)
@@ -137,44 +137,44 @@
 
 
 def test_a_refusal_comes_early_enough_for_another_try() -> None:
-    """Refused late, a client tries again, is served too late and takes the place of one in time."""
+    """After a late refusal, the client's retry is served too late and takes the place of another request."""
     d = drive(2)
-    serve(d, 60)
-    requests = flood(d, 200)
+    serve_calls(d, 60)
+    requests = send_burst(d, 200)
     d.advance(d.now + 0.2 * d.config.classes[SAFE].aim)
     waiting = [r for r in requests if r in d.open and not d.tries[r]]
     assert not waiting and sum(d.answers.get(r) == "refused" for r in requests) > 100
 
 
-def test_the_worthiest_is_sent_first() -> None:
+def test_the_request_of_highest_worth_is_sent_first() -> None:
     d = drive(1)
-    serve(d, 30)
+    serve_calls(d, 30)
     d.outcome(d.arrive(UNSAFE), 0, Outcome.OK)
     for _ in range(20):
-        flood(d, 30)
-    cheap, dear = flood(d, 5), flood(d, 1, UNSAFE)
-    assert not d.tries[dear[0]] and not any(d.tries[r] for r in cheap)
-    for out in [r for r in d.tries if r in d.open and d.tries[r]]:
-        if not d.tries[dear[0]]:
-            d.outcome(out, 0, Outcome.OK)
+        send_burst(d, 30)
+    cheap, valuable = send_burst(d, 5), send_burst(d, 1, UNSAFE)
+    assert not d.tries[valuable[0]] and not any(d.tries[r] for r in cheap)
+    for pending in [r for r in d.tries if r in d.open and d.tries[r]]:
+        if not d.tries[valuable[0]]:
+            d.outcome(pending, 0, Outcome.OK)
     sent = [a.request for _, a in d.log if isinstance(a, Send)]
-    assert dear[0] in sent and all(sent.index(dear[0]) < sent.index(r) for r in cheap if r in sent)
+    assert valuable[0] in sent and all(sent.index(valuable[0]) < sent.index(r) for r in cheap if r in sent)
 
 
-def test_a_tenant_beyond_its_share_yields_first() -> None:
+def test_requests_beyond_a_tenants_quota_are_refused_first() -> None:
     d = drive(1, tenants=TENANTS, over_share_worth=0.1)
-    serve(d, 5)
-    over = flood(d, 60, tenant=0)
-    within = flood(d, 3, tenant=1)
-    finish(d, 10.0)
-    assert all(d.tries[r] for r in within)
-    assert sum(bool(d.tries[r]) for r in over) < 60
+    serve_calls(d, 5)
+    beyond_quota = send_burst(d, 60, tenant=0)
+    within_quota = send_burst(d, 3, tenant=1)
+    serve_all_pending(d, 10.0)
+    assert all(d.tries[r] for r in within_quota)
+    assert sum(bool(d.tries[r]) for r in beyond_quota) < 60
 
 
 def test_refused_requests_do_not_use_up_a_share() -> None:
     d = Drive(settings(tenants=TENANTS, over_share_worth=0.1))
     for _ in range(5):
-        flood(d, 40, tenant=0)
+        send_burst(d, 40, tenant=0)
         d.advance(d.now + 400)
     d.show(*endpoints(4))
     request = d.arrive(tenant=0)
@@ -182,10 +182,10 @@
 
 
 def test_an_instance_of_many_does_not_refuse_by_chance() -> None:
-    """Two calls at once are usual for an instance whose part of the limit is less than one."""
+    """Two calls at once are usual for an instance whose share of the limit is less than one."""
     d = drive(8, siblings=60)
     for _ in range(200):
-        pair = flood(d, 2)
+        pair = send_burst(d, 2)
         d.advance(d.now + 150.0)
         for request in pair:
             if d.tries[request]:
@@ -195,59 +195,59 @@
 
 
 @pytest.mark.parametrize("index", [0, 5, 11])
-def test_few_calls_keep_to_the_instances_own_part(index: int) -> None:
+def test_few_calls_use_only_the_instances_own_subset(index: int) -> None:
     d = drive(36, stage=1, siblings=12, index=index)
-    serve(d, 60)
+    serve_calls(d, 60)
     used = {e for r in d.tries for e in d.sent_to(r)}
     assert len(used) == 3
-    flood(d, 200)
-    assert len({e for r in d.tries for e in d.sent_to(r)}) == 36, "many calls use all endpoints"
+    send_burst(d, 200)
+    assert len({e for r in d.tries for e in d.sent_to(r)}) == 36, "many calls must use all endpoints"
 
 
-def test_a_busy_home_endpoint_does_not_open_foreign_ones() -> None:
+def test_a_busy_subset_endpoint_does_not_send_calls_outside_the_subset() -> None:
     d = drive(36, siblings=12)
     admission = d.balancer.admission
     assert admission is not None
     admission.each = 1.0
-    serve(d, 3)
-    home = {e for r in d.tries for e in d.sent_to(r)} | {1, 2, 3}
+    serve_calls(d, 3)
+    subset = {e for r in d.tries for e in d.sent_to(r)} | {1, 2, 3}
     first, second = d.arrive(), d.arrive()
-    assert set(d.sent_to(first) + d.sent_to(second)) <= home
+    assert set(d.sent_to(first) + d.sent_to(second)) <= subset
 
 
-def test_instances_that_share_an_endpoint_turn_to_different_ones_without_it() -> None:
-    """With one order for all, a crowd would walk along the list from one choked endpoint to the next."""
+def test_instances_that_share_an_endpoint_replace_it_by_different_ones() -> None:
+    """With one order for all, the same instances would overload one endpoint of the list after another."""
 
     def used(index: int, *without: int) -> set[int]:
         d = Drive(settings(stage=1, siblings=96, index=index))
         d.show(*[e for e in endpoints(24) if e.id not in without])
-        serve(d, 60)
+        serve_calls(d, 60)
         return {e for r in d.tries for e in d.sent_to(r)}
 
-    homes = {index: used(index) for index in range(96)}
-    shares = [sum(id in home for home in homes.values()) for id in range(1, 25)]
-    assert min(shares) >= 6 and max(shares) <= 18, "and all endpoints are drawn from alike"
-    sharing = [index for index, home in homes.items() if 7 in home]
+    subsets = {index: used(index) for index in range(96)}
+    shares = [sum(id in subset for subset in subsets.values()) for id in range(1, 25)]
+    assert min(shares) >= 6 and max(shares) <= 18, "all endpoints must be chosen about equally often"
+    sharing = [index for index, subset in subsets.items() if 7 in subset]
     others = set().union(*(used(index, 7) for index in sharing))
     assert len(others) > 12
 
 
 def test_one_quick_answer_does_not_double_the_limit_of_an_instance_of_many() -> None:
-    """An instance's part may be a fifth of each endpoint: a call more for it is five more for each."""
+    """With a fifth of each endpoint, one more call for this instance means five more per endpoint."""
     d = drive(8, siblings=40)
     admission = d.balancer.admission
     assert admission is not None
     before = admission.each
-    serve(d, 4)
+    serve_calls(d, 4)
     assert admission.each <= before + 2.0
 
 
-def test_a_median_of_few_answers_is_given_more_room() -> None:
-    """Its rises are chance: taken at their word they would shed and refuse on a quiet day."""
+def test_a_median_of_few_responses_gets_more_slack() -> None:
+    """Its rises are random: without slack they would cause shedding and refusals at low load."""
     few, many = drive(8), drive(8)
     for d, pause in ((few, 700.0), (many, 5.0)):
         for _ in range(150):
-            serve(d, 1, times={n: 200.0 for n in range(1, 9)})
+            serve_calls(d, 1, times={n: 200.0 for n in range(1, 9)})
             d.advance(d.now + pause)
     assert few.balancer.admission is not None and many.balancer.admission is not None
     assert few.balancer.admission.latency_target() > many.balancer.admission.latency_target() + 0.05
@@ -255,20 +255,20 @@
 
 def test_an_endpoint_that_fails_at_once_is_ejected_and_tried_again() -> None:
     d = drive(6)
-    serve(d, 120, failing=frozenset({4}))
+    serve_calls(d, 120, failing=frozenset({4}))
     before = d.count(4)
     assert before < 25
-    serve(d, 400, failing=frozenset({4}))
+    serve_calls(d, 400, failing=frozenset({4}))
     assert d.count(4) < before + 40
     d.advance(d.now + 40_000)
     served = d.count(4)
-    serve(d, 60)
-    assert d.count(4) > served + 3, "it recovers once it serves again"
+    serve_calls(d, 60)
+    assert d.count(4) > served + 3, "it must be used again once it serves"
 
 
 def test_a_slow_endpoint_is_ejected() -> None:
     d = drive(6)
-    serve(d, 200, times={2: 400.0})
+    serve_calls(d, 200, times={2: 400.0})
     taken = d.count(2)
     assert taken < 20
     share = taken / 200
@@ -276,61 +276,63 @@
 
 
 def test_when_all_fail_none_is_ejected() -> None:
-    """The trouble is then behind the endpoints, in a tier of their own."""
+    """The problem is then behind the endpoints, in a tier that they call."""
     d = drive(6)
-    serve(d, 100, failing=frozenset(range(1, 7)))
-    d.advance(d.now + 10_000)  # one that was met more often at first may have looked worse than the rest
-    serve(d, 100, failing=frozenset(range(1, 7)))
+    serve_calls(d, 100, failing=frozenset(range(1, 7)))
+    d.advance(d.now + 10_000)  # one that got more calls at first may have looked worse than the rest
+    serve_calls(d, 100, failing=frozenset(range(1, 7)))
     assert not any(s.ejected_until > d.now for s in d.balancer.ring)
 
 
 def test_never_more_than_a_third_is_ejected() -> None:
     d = drive(9)
-    serve(d, 400, failing=frozenset({1, 2, 3, 4, 5}))
+    serve_calls(d, 400, failing=frozenset({1, 2, 3, 4, 5}))
     assert sum(s.ejected_until > d.now for s in d.balancer.ring) <= 3
 
 
 def test_a_tie_goes_to_the_quicker_endpoint() -> None:
     d = drive(3, stage=1)
-    serve(d, 150, times={2: 32.0})
+    serve_calls(d, 150, times={2: 32.0})
     assert d.count(2) < 40
 
 
 def test_a_cold_endpoint_is_not_ejected_for_being_slow() -> None:
     d = drive(5)
-    serve(d, 100)
+    serve_calls(d, 100)
     d.show(Endpoint(9, started_at=d.now), kind=ListKind.DELTA)
     for _ in range(60):
-        for request in flood(d, 12):
+        for request in send_burst(d, 12):
             endpoint = d.sent_to(request)[0]
             d.advance(d.now + (8 if endpoint == 9 else 2))
             d.outcome(request, 0, Outcome.OK)
-        finish(d, 100.0)
+        serve_all_pending(d, 100.0)
     cold = d.balancer.servers[9]
     assert cold.ejected_until == -math.inf
 
 
-def test_a_machine_that_was_out_of_reach_is_cold_when_it_is_back_though_nobody_said_so() -> None:
-    """Guards against a machine that returns while discovery is down: its old entry says that it is warm."""
+def test_a_machine_that_was_unreachable_is_cold_after_its_return_without_word_from_discovery() -> None:
+    """If it restarts during an outage of discovery, its old list entry says warm: it would be overloaded."""
     d = drive(4)
-    serve(d, 200)
-    lost = d.balancer.servers[1]
+    serve_calls(d, 200)
+    unreachable = d.balancer.servers[1]
     cold = d.balancer.cold
-    assert cold.share(lost, d.now) == 1.0
-    while lost.missed < 2:
+    assert cold.share(unreachable, d.now) == 1.0
+    while unreachable.missed < 2:
         request = d.arrive()
         endpoint = d.tries[request][0][0]
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
-    assert cold.share(lost, d.now) == d.config.cold_share, "out of reach: the least until it answers"
-    lost.record_reachability(d.now, Outcome.OK)
-    assert cold.share(lost, d.now) == d.config.cold_share
-    assert cold.share(lost, d.now + d.config.cold_time / 2) == pytest.approx((1 + d.config.cold_share) / 2)
-    assert cold.share(lost, d.now + d.config.cold_time) == 1.0
+    assert cold.share(unreachable, d.now) == d.config.cold_share, "the minimum until it answers"
+    unreachable.record_reachability(d.now, Outcome.OK)
+    assert cold.share(unreachable, d.now) == d.config.cold_share
+    assert cold.share(unreachable, d.now + d.config.cold_time / 2) == pytest.approx(
+        (1 + d.config.cold_share) / 2
+    )
+    assert cold.share(unreachable, d.now + d.config.cold_time) == 1.0
 
 
-def test_one_connection_that_does_not_come_up_makes_nobody_cold() -> None:
+def test_a_single_connect_failure_does_not_make_an_endpoint_cold() -> None:
     d = drive(4)
     server = d.balancer.servers[1]
     for _ in range(5):
@@ -340,9 +342,9 @@
 
 
 def test_quick_cold_peers_do_not_make_a_usual_endpoint_an_outlier() -> None:
-    """Cold ones, judged by the least share they are told to have, look far quicker than they are."""
+    """Only the minimum capacity of cold endpoints is known: relative to it they look far too fast."""
     d = drive(4)
-    serve(d, 100)
+    serve_calls(d, 100)
     d.show(*[Endpoint(n, started_at=d.now) for n in range(10, 16)], kind=ListKind.DELTA)
     usual, *peers = sorted(d.balancer.ring, key=lambda s: s.info.id)
     for server in peers:
@@ -353,10 +355,10 @@
     assert usual.ejected_until == -math.inf
 
 
-def test_when_most_have_slowed_down_some_are_given_rest() -> None:
-    """Each is usual among its peers then, and none would ever be idle enough to recover."""
+def test_when_most_endpoints_are_slow_some_are_ejected_to_recover() -> None:
+    """Compared with its peers each is normal then, and none would ever be idle enough to recover."""
     d = drive(9)
-    serve(d, 600, times={n: 200.0 for n in range(1, 7)})
+    serve_calls(d, 600, times={n: 200.0 for n in range(1, 7)})
     assert sum(s.ejected_until > -math.inf for s in d.balancer.ring) >= 1
     assert sum(s.ejected_until > d.now for s in d.balancer.ring) <= 3
 
@@ -364,22 +366,22 @@
 def test_no_endpoint_takes_more_than_its_part_of_the_limit() -> None:
     d = drive(2)
     for _ in range(20):
-        flood(d, 20)
-        finish(d, 30.0)
+        send_burst(d, 20)
+        serve_all_pending(d, 30.0)
     d.show(*endpoints(2), *(replace(Endpoint(i), started_at=d.now) for i in range(10, 18)))
     admission = d.balancer.admission
     assert admission is not None
-    flood(d, 300)
+    send_burst(d, 300)
     assert all(len(s.out) <= admission.each for s in d.balancer.ring)
 
 
-def test_under_overload_the_least_worthy_work_is_shed_first() -> None:
-    """An instance of hundreds has a call or two: no queue in which the worthier could go first."""
+def test_under_overload_work_of_least_worth_is_shed_first() -> None:
+    """An instance of hundreds has a call or two: there is no queue to serve by worth."""
     d = drive(4, siblings=40)
     due: list[tuple[float, int]] = []
-    fates: dict[int, list[int]] = {SAFE: [], UNSAFE: []}
+    requests: dict[int, list[int]] = {SAFE: [], UNSAFE: []}
 
-    def minute(crowding: float) -> None:
+    def minute(delay_per_attempt: float) -> None:
         """Four requests a second; each attempt takes longer for every other one that is out."""
         nonlocal due
         for n in range(240):
@@ -389,11 +391,11 @@
                     d.outcome(request, len(d.tries[request]) - 1, Outcome.OK)
             due = [x for x in due if x[0] > d.now]
             cls = UNSAFE if n % 2 else SAFE
-            fates[cls].append(d.arrive(cls, patience=2900.0))
-            due.append((d.now + 200.0 + crowding * flying(d), fates[cls][-1]))
+            requests[cls].append(d.arrive(cls, patience=2900.0))
+            due.append((d.now + 200.0 + delay_per_attempt * attempts_in_flight(d), requests[cls][-1]))
 
     def served(cls: int) -> float:
-        latest = fates[cls][-80:]
+        latest = requests[cls][-80:]
         return sum(bool(d.tries[r]) for r in latest) / len(latest)
 
     minute(0.0)
@@ -401,11 +403,11 @@
     minute(300.0)
     assert served(SAFE) < 0.5 * served(UNSAFE), "the unsafe class is worth eight times as much"
     minute(0.0)
-    assert served(SAFE) == served(UNSAFE) == 1.0, "all is served again once answers are quick"
+    assert served(SAFE) == served(UNSAFE) == 1.0, "all must be served again once latencies are low"
 
 
 def test_few_answers_are_enough_to_see_late_ones() -> None:
-    """With a call a second, a memory of thirty answers would be blind for half a minute."""
+    """At one call per second, a median of the last thirty responses would lag by half a minute."""
     d = drive(4, siblings=40)
     admission = d.balancer.admission
     assert admission is not None
@@ -424,9 +426,9 @@
 
 
 def test_the_first_requests_of_a_day_are_not_refused() -> None:
-    """Before anything is learned, the limit leaves room for some calls on each endpoint."""
+    """Before anything is learned, the limit allows some calls on each endpoint."""
     d = drive(8)
-    assert flood(d, 30) and flying(d) >= 30
+    assert send_burst(d, 30) and attempts_in_flight(d) >= 30
 
 
 def test_keyed_class_of_scope_all_may_go_anywhere() -> None:
@@ -440,7 +442,7 @@
 
 
 def test_a_repeat_stays_in_the_group_that_its_first_try_was_sent_to() -> None:
-    """Also where the list moves the endpoint, which runs on, to another: only the old one may know of it."""
+    """If the list moves a running endpoint to another cell, only the old one may know the first attempt."""
     for seed in range(20):
         d = Drive(settings(), seed)
         d.show(*endpoints(6))
@@ -453,7 +455,7 @@
         assert len(d.sent_to(request)) == 2 and d.sent_to(request)[1] in group - {first}
 
 
-def test_odd_but_legal_settings_never_stop_it() -> None:
+def test_unusual_but_valid_settings_cause_no_exception() -> None:
     classes = tuple(replace(c, aim=0.0, window=0.0) for c in settings().classes)
     odd = {"cold_time": 0.0, "cold_share": 0.0, "fall_window": 0.0, "tick": 0.0, "ask_within": 0.0}
     d = Drive(settings(classes=classes, **odd))
@@ -466,7 +468,7 @@
                 d.outcome(request, 0, outcome)
 
 
-def test_a_cold_share_of_zero_never_stops_it() -> None:
+def test_a_cold_share_of_zero_causes_no_exception() -> None:
     d = Drive(settings(cold_share=0.0))
     d.show(*endpoints(3, started_at=d.now))
     assert d.tries[d.arrive()]
@@ -477,7 +479,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     d = drive(2, siblings=1)
-    flood(d, 200)
+    send_burst(d, 200)
     passes = 0
     look = Balancer._ready
 
@@ -496,15 +498,15 @@
 
 
 def test_the_only_endpoint_is_used_again_soon_after_it_was_out_of_reach_however_much_it_served() -> None:
-    """What it was sent while it was warm must not count against it once it is held to be cold."""
+    """Calls sent while it was warm must not count against it once it is assumed cold."""
     d = drive(1)
-    serve(d, 2000)
-    (lost,) = d.balancer.servers.values()
+    serve_calls(d, 2000)
+    (unreachable,) = d.balancer.servers.values()
     for _ in range(2):
         request = d.arrive(UNSAFE)
         d.outcome(request, 0, Outcome.CONNECT_FAILED)
         d.abort(request)
-    assert lost.missed == 2
+    assert unreachable.missed == 2
     tried = 0
     for _ in range(20):
         d.advance(d.now + 500.0)
@@ -512,36 +514,38 @@
         tried += len(d.tries[request])
         if d.tries[request]:
             d.outcome(request, 0, Outcome.OK)
-    assert tried > 5 and lost.missed == 0
+    assert tried > 5 and unreachable.missed == 0
 
 
 def test_an_endpoint_that_is_back_is_found_by_an_instance_with_one_call_at_a_time() -> None:
-    """As a cold one it would lose every draw, and it is held to be cold until it answers."""
+    """It is assumed cold until it answers, and a cold endpoint would lose every comparison."""
     d = drive(4)
-    serve(d, 400)
-    lost = d.balancer.servers[1]
+    serve_calls(d, 400)
+    returned = d.balancer.servers[1]
     for _ in range(200):
         request = d.arrive()
         endpoint = d.tries[request][0][0]
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
-        if lost.missed == 2:
+        if returned.missed == 2:
             break
-    assert lost.missed == 2
+    assert returned.missed == 2
     before = d.count(1)
     for _ in range(20):
         request = d.arrive()
-        assert d.tries[request][0][0] != 1, "it is left alone for a while"
+        assert d.tries[request][0][0] != 1, "it is avoided for a while"
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.OK)
         d.advance(d.now + 80)
-    serve(d, 1000)  # 20 ms each
-    assert lost.missed == 0 and d.count(1) > before, "it never got another chance"
+    serve_calls(d, 1000)  # 20 ms each
+    assert returned.missed == 0 and d.count(1) > before, "it was never tried again"
 
 
-def rounds(d: Drive, calls: int, turned: frozenset[int] = frozenset(), pause: float = 200.0) -> list[int]:
-    """One call after another, each served unless its endpoint turns it away; returns where attempts went."""
+def serve_or_reject(
+    d: Drive, calls: int, rejecting: frozenset[int] = frozenset(), pause: float = 200.0
+) -> list[int]:
+    """One call after another, served unless its endpoint is in `rejecting`; returns all endpoints used."""
     before = len(d.log)
     for _ in range(calls):
         request = d.arrive(SAFE)
@@ -550,49 +554,51 @@
             index = len(d.tries[request]) - 1
             endpoint, _, done = d.tries[request][index]
             if done is None:
-                d.outcome(request, index, Outcome.REJECTED if endpoint in turned else Outcome.OK)
+                d.outcome(request, index, Outcome.REJECTED if endpoint in rejecting else Outcome.OK)
             d.advance(d.now + 20)
         d.advance(d.now + pause)
     return [a.endpoint for _, a in d.log[before:] if isinstance(a, Send)]
 
 
-def test_an_endpoint_that_turns_calls_away_while_discovery_is_deaf_is_left_alone_until_it_is_heard() -> None:
-    """It may drain, and discovery has no way to tell: each further send would break rule 3."""
+def test_an_endpoint_that_rejects_calls_while_discovery_is_silent_is_avoided_until_a_message_arrives() -> (
+    None
+):
+    """It may be draining, and discovery can't say so: each further attempt there would violate rule 3."""
     d = drive(4)
     d.feed(EndpointList(ListKind.FAILED))
-    assert rounds(d, 40, turned=frozenset({1}), pause=0.0).count(1) == 1
+    assert serve_or_reject(d, 40, rejecting=frozenset({1}), pause=0.0).count(1) == 1
     d.advance(d.now + 4000.0)
     for _ in range(10):
         request = d.arrive(SAFE)
         assert not d.sent_to(request), "by then nothing proves that the others do not drain"
         d.abort(request)
     d.feed(EndpointList(ListKind.DELTA))
-    assert 1 in rounds(d, 40)
+    assert 1 in serve_or_reject(d, 40)
 
 
-def test_where_lists_are_pushed_and_while_a_watch_is_on_nothing_is_doubted() -> None:
+def test_rejections_are_ignored_for_pushed_lists_and_while_a_watch_is_active() -> None:
     for d in (drive(4, ask_discovery=False), drive(4)):
         d.advance(d.now + 60_000.0)
-        assert len(set(rounds(d, 60, turned=frozenset({1})))) == 4
+        assert len(set(serve_or_reject(d, 60, rejecting=frozenset({1})))) == 4
 
 
-def share_of_flights(d: Drive, endpoint: int, calls: int) -> float:
-    """The part of calls that one endpoint holds when all of them stay in flight."""
+def share_in_flight(d: Drive, endpoint: int, calls: int) -> float:
+    """The share of calls at one endpoint when all calls stay in flight."""
     for _ in range(calls):
         d.arrive(patience=2900.0)
     sent = [t[0][0] for t in d.tries.values() if t and t[0][2] is None]
     return sent.count(endpoint) / len(sent)
 
 
-def test_an_endpoint_that_answers_slowly_holds_fewer_calls_and_not_none() -> None:
-    """Its slots are taken by calls that wait; what this sidecar has there itself is too few to show it."""
+def test_a_slow_endpoint_gets_fewer_calls_but_not_none() -> None:
+    """Its slots are occupied by waiting calls; this sidecar's own calls there are too few to show it."""
     d = drive(2, stage=1)
     d.balancer.servers[1].slow, d.balancer.servers[1].judged_at = 2.0, d.now
-    assert 0.2 < share_of_flights(d, 1, 60) < 0.4
-    assert abs(share_of_flights(drive(2, stage=1), 1, 60) - 0.5) < 0.05
+    assert 0.2 < share_in_flight(d, 1, 60) < 0.4
+    assert abs(share_in_flight(drive(2, stage=1), 1, 60) - 0.5) < 0.05
 
 
 def test_an_endpoint_of_four_times_the_size_holds_twice_the_calls() -> None:
     d = Drive(settings(stage=1))
     d.show(Endpoint(1, size=4.0), Endpoint(2, size=1.0))
-    assert abs(share_of_flights(d, 1, 60) - 2 / 3) < 0.05
+    assert abs(share_in_flight(d, 1, 60) - 2 / 3) < 0.05
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -1,4 +1,4 @@
-"""What siblings tell, in the module: it only ever adds care, and is never told on as seen."""
+"""Peers' reports in the balancer: they only ever add caution and are never passed on as observed."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 from tests.kinds import once
 
 NOW = 1_000_000.0
-COLD = 10_000.0
-USUAL = 1000.0  # ms; what an answer is taken to need before any was seen
-READ = RequestClass("read", 5000.0, Repeat.SAFE, USUAL)
-SETTINGS = Settings((READ,), 0.2, COLD, 2.5, 1000.0, max_attempts=3, ask_discovery=False)
+COLD_TIME = 10_000.0
+USUAL_LATENCY = 1000.0  # ms; assumed latency before any response was seen
+READ = RequestClass("read", 5000.0, Repeat.SAFE, USUAL_LATENCY)
+SETTINGS = Settings((READ,), 0.2, COLD_TIME, 2.5, 1000.0, max_attempts=3, ask_discovery=False)
 
 
 def balancer(count: int, seed: int = 1, since: float = 1.0, **changes: object) -> Balancer:
@@ -41,72 +41,74 @@
 
 
 def sends(made: Balancer, now: float, count: int, first: int = 0, ended: bool = True) -> list[int]:
-    """The endpoints that so many calls go to, one a ms, each answered at once in the usual time, or never."""
-    went: list[int] = []
+    """The endpoints of `count` calls, one per ms, each answered at once with the usual latency, or never."""
+    sent_to: list[int] = []
     for number in range(first, first + count):
         at = now + number - first
         for action in made.handle(at, RequestArrived(number, 0, at + 5000.0)):
             if isinstance(action, Send):
-                went.append(action.endpoint)
+                sent_to.append(action.endpoint)
                 if ended:
-                    made.handle(at, AttemptEnded(number, action.endpoint, 0, Outcome.OK, USUAL, True))
-    return went
+                    made.handle(at, AttemptEnded(number, action.endpoint, 0, Outcome.OK, USUAL_LATENCY, True))
+    return sent_to
 
 
-def test_one_that_siblings_call_failing_is_left_alone_and_one_of_many_calls_is_not_believed() -> None:
+def test_an_endpoint_that_peers_report_as_failing_is_avoided_unless_own_calls_outweigh_it() -> None:
     fresh, busy = balancer(4, stage=1), balancer(4, stage=1)
     sends(busy, NOW, 400)
-    word = PeerReports((EndpointEvidence(2, failure_rate=1.0, calls=5.0),))
+    report = PeerReports((EndpointEvidence(2, failure_rate=1.0, calls=5.0),))
     for made in (fresh, busy):
-        made.handle(NOW + 400, word)
+        made.handle(NOW + 400, report)
     assert 2 not in sends(fresh, NOW + 400, 50, 1000)
-    assert 2 in sends(busy, NOW + 400, 50, 1000), "own calls outvote hearsay"
+    assert 2 in sends(busy, NOW + 400, 50, 1000), "own calls outweigh peers' reports"
 
 
-def test_never_more_than_a_third_is_left_alone_for_hearsay() -> None:
+def test_peer_reports_never_eject_more_than_a_third() -> None:
     made = balancer(9)
     made.handle(NOW, PeerReports(tuple(EndpointEvidence(i, failure_rate=1.0, calls=5.0) for i in range(9))))
     assert len(made.aside(NOW)) <= math.ceil(9 * MAX_EJECTED_SHARE)
     assert sends(made, NOW, 10)
 
 
-def test_what_siblings_told_is_not_told_on_as_seen() -> None:
+def test_peer_reports_are_not_passed_on_as_own_evidence() -> None:
     made = balancer(4)
-    word = EndpointEvidence(1, failure_rate=1.0, latency_ratio=9.0, calls=5.0)
-    made.handle(NOW, PeerReports((word, EndpointEvidence(2, drain_valid_for=5000.0))))
-    seen = {t.id: t for t in made.evidence(NOW)}
+    report = EndpointEvidence(1, failure_rate=1.0, latency_ratio=9.0, calls=5.0)
+    made.handle(NOW, PeerReports((report, EndpointEvidence(2, drain_valid_for=5000.0))))
+    evidence = {t.id: t for t in made.evidence(NOW)}
     assert len(made.aside(NOW)) == 2
     assert all(
         (t.failure_rate, t.latency_ratio, t.calls, t.drain_valid_for) == (0.0, 1.0, 0.0, 0.0)
-        for t in seen.values()
+        for t in evidence.values()
     )
 
 
-def test_what_it_ejected_itself_is_told() -> None:
+def test_own_ejections_are_reported_to_peers() -> None:
     made = balancer(4, stage=1)
     for number in range(60):
         for action in made.handle(NOW + number, RequestArrived(number, 0, NOW + 9000.0)):
             if isinstance(action, Send):
                 outcome = Outcome.ERROR if action.endpoint == 3 else Outcome.OK
-                made.handle(NOW + number, AttemptEnded(number, action.endpoint, 0, outcome, USUAL, True))
-    seen = {t.id: t for t in made.evidence(NOW + 60)}
-    assert seen[3].failure_rate == 1.0 and seen[3].calls >= 5.0
-    assert seen[0].failure_rate == 0.0 and seen[0].calls > 5.0
+                made.handle(
+                    NOW + number, AttemptEnded(number, action.endpoint, 0, outcome, USUAL_LATENCY, True)
+                )
+    evidence = {t.id: t for t in made.evidence(NOW + 60)}
+    assert evidence[3].failure_rate == 1.0 and evidence[3].calls >= 5.0
+    assert evidence[0].failure_rate == 0.0 and evidence[0].calls > 5.0
 
 
-def test_a_drain_that_siblings_heard_counts_as_told_and_is_over_with_their_word() -> None:
+def test_a_drain_reported_by_peers_counts_as_told_until_the_report_expires() -> None:
     made = balancer(3, stage=1)
     made.handle(NOW, PeerReports((EndpointEvidence(0, drain_valid_for=2000.0),)))
     assert 0 not in sends(made, NOW, 60)
     assert 0 in sends(made, NOW + 2001, 60, 100)
 
 
-def test_an_older_start_than_is_known_changes_nothing_and_a_later_one_makes_it_cold() -> None:
-    made = balancer(2, since=NOW - 2 * COLD)
+def test_only_a_reported_start_later_than_the_known_one_makes_an_endpoint_cold() -> None:
+    made = balancer(2, since=NOW - 2 * COLD_TIME)
     made.handle(
         NOW,
         PeerReports(
-            (EndpointEvidence(0, started_at=NOW - 5 * COLD), EndpointEvidence(1, started_at=NOW - 100.0))
+            (EndpointEvidence(0, started_at=NOW - 5 * COLD_TIME), EndpointEvidence(1, started_at=NOW - 100.0))
         ),
     )
     shares = [made.cold.share(made.servers[i], NOW) for i in (0, 1)]
@@ -115,33 +117,33 @@
     assert made.servers[1].started(NOW) <= NOW, "nothing starts in the future"
 
 
-def at_a_cold_one(told: bool) -> int:
-    """What 60 instances that start within a second send to a cold endpoint among 20 in that second."""
+def calls_to_a_cold_endpoint(reported: bool) -> int:
+    """What 60 instances that start within a second send to one cold endpoint of 20 in that second."""
     total = 0
     for i in range(60):
         made = Balancer(replace(SETTINGS, siblings=60, index=i, stage=1), i)
         ready = tuple(Endpoint(e, started_at=NOW - 500.0 if e == 7 else 1.0) for e in range(20))
         made.handle(NOW, EndpointList(ListKind.FULL, ready))
-        if told:
+        if reported:
             made.handle(NOW, PeerReports((EndpointEvidence(7, started_at=NOW - 500.0),), 60))
         total += sum(e == 7 for e in sends(made, NOW + i * 10, 40, ended=False))
     return total
 
 
-def test_a_crowd_that_has_just_learned_of_a_cold_endpoint_does_not_fall_on_it() -> None:
-    """Whether discovery or peers told of it: a whole call from each that draws it would be 20."""
-    assert at_a_cold_one(True) <= 2 and at_a_cold_one(False) <= 2
+def test_many_instances_that_learn_of_a_cold_endpoint_at_once_do_not_overload_it() -> None:
+    """From discovery or from peers: one whole call from each instance that chooses it would be 20 calls."""
+    assert calls_to_a_cold_endpoint(True) <= 2 and calls_to_a_cold_endpoint(False) <= 2
 
 
 @once
-def test_sidecars_that_join_amid_a_cold_start_push_it_over_alone_and_not_where_they_learn() -> None:
-    """Seventy endpoints, sixty sidecars, the same seed; of what the cold endpoint stands, 1 is its end."""
+def test_sidecars_that_join_during_a_cold_start_overload_it_without_peer_reports_only() -> None:
+    """Seventy endpoints, sixty sidecars, the same seed; 1.0 is the load at which the cold endpoint fails."""
     alone, _ = Run(70, 60, peers=False, heard=False, seed=1).play()
     learned, _ = Run(70, 60, peers=True, heard=False, seed=1).play()
     assert alone > 1.0 and learned < 0.8
 
 
-TOLD = st.builds(
+EVIDENCE = st.builds(
     EndpointEvidence,
     st.integers(0, 7),
     st.floats(0, 1),
@@ -152,12 +154,12 @@
 )
 
 
-@given(st.lists(TOLD, max_size=12), st.integers(1, 500), st.floats(0, 100), st.integers(0, 99))
-def test_whatever_is_told_care_only_grows(
-    told: list[EndpointEvidence], siblings: int, each: float, seed: int
+@given(st.lists(EVIDENCE, max_size=12), st.integers(1, 500), st.floats(0, 100), st.integers(0, 99))
+def test_peer_reports_only_make_the_balancer_more_careful(
+    reports: list[EndpointEvidence], siblings: int, max_in_flight: float, seed: int
 ) -> None:
-    made, plain = balancer(6, seed, since=NOW - COLD / 2), balancer(6, seed, since=NOW - COLD / 2)
-    made.handle(NOW, PeerReports(tuple(told), siblings, each))
+    made, plain = balancer(6, seed, since=NOW - COLD_TIME / 2), balancer(6, seed, since=NOW - COLD_TIME / 2)
+    made.handle(NOW, PeerReports(tuple(reports), siblings, max_in_flight))
     assert made.admission is not None and plain.admission is not None
     assert 1.0 <= made.admission.each <= plain.admission.each
     for id, server in made.servers.items():
@@ -166,7 +168,7 @@
         assert server.allowance <= before.allowance
         assert server.slowness(NOW) >= before.slowness(NOW)
         assert server.ejected_until >= before.ejected_until
-        assert (server.failing, server.slow) == (before.failing, before.slow), "its own record stays its own"
+        assert (server.failing, server.slow) == (before.failing, before.slow), "its own record is unchanged"
     assert len(made.aside(NOW)) - sum(s.drains_until > NOW for s in made.servers.values()) <= 3
     ready = [s for s in made.ring if s.drains_until <= NOW]
     assert not ready or sends(made, NOW, 3) or all(s.allowance < 1.0 for s in ready)
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -1,4 +1,4 @@
-"""The source design on the ordinary path."""
+"""The normal path: retries, backoff, retry budget and subscription to discovery."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 def test_budget_spends_and_earns() -> None:
     budget = RetryBudget()
-    assert budget.spend() and not budget.spend(), "a copy that has served nothing yet has one retry"
+    assert budget.spend() and not budget.spend(), "an instance that has served nothing yet has one retry"
     for _ in range(int(RETRY_COST)):
         assert not budget.spend()
         budget.earn()
@@ -97,7 +97,7 @@
         request = d.arrive(KEYED)
         d.outcome(request, 0, Outcome.RESET)
         d.advance(d.now + 500)
-        assert len(d.sent_to(request)) == 2  # the driver checks the group
+        assert len(d.sent_to(request)) == 2  # the driver checks the deduplication group
         d.outcome(request, 1, Outcome.OK)
     late = d.arrive(KEYED)
     d.advance(d.now + 790)
@@ -147,4 +147,4 @@
     d.show(*endpoints(2), kind=ListKind.DELTA)
     before = len(d.log)
     d.advance(d.now + 10 * within)
-    assert len(d.log) == before, "a live subscription is left alone"
+    assert len(d.log) == before, "an active subscription is not renewed"
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal event sequences: the four rules hold, names don't matter, and chance is seeded."""
+"""Properties over arbitrary valid event sequences: the four rules hold, and decisions are reproducible."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from millgw.interface import Condition, Endpoint, ListKind, Outcome, Settings
 from tests.support import SETTINGS, TENANTS, Drive, endpoints
 
-STEADY = hypothesis_settings(
+FIXED_EXAMPLES = hypothesis_settings(
     derandomize=True, deadline=None, max_examples=120, suppress_health_check=[HealthCheck.too_slow]
 )
 OUTCOMES = [o for o in Outcome if o is not Outcome.OK]
@@ -41,8 +41,8 @@
 )
 
 
-def play(config: Settings, steps: list[tuple[object, ...]], seed: int = 3) -> Drive:
-    """Turn drawn steps into events that the wire could have sent, then let everything end."""
+def run_steps(config: Settings, steps: list[tuple[object, ...]], seed: int = 3) -> Drive:
+    """Turn generated steps into events that could really occur, then let every request end."""
     drive = Drive(config, seed)
     drive.show(*endpoints(4), kind=ListKind.CACHED)
     for name, *args in steps:
@@ -72,7 +72,7 @@
 
 
 def overdue(drive: Drive) -> None:
-    """Attempts that are still out at their client's deadline time out there."""
+    """End attempts that are still pending at their client's deadline with a timeout."""
     for request, tries in list(drive.tries.items()):
         for index, attempt in enumerate(tries):
             event = drive.open.get(request)
@@ -80,13 +80,13 @@
                 drive.outcome(request, index, Outcome.TIMEOUT)
 
 
-@STEADY
+@FIXED_EXAMPLES
 @given(config, st.lists(step, max_size=60))
 def test_rules_hold_on_any_legal_sequence(config: Settings, steps: list[tuple[object, ...]]) -> None:
-    play(config, steps)
+    run_steps(config, steps)
 
 
-@STEADY
+@FIXED_EXAMPLES
 @given(config, st.lists(step, max_size=40))
 def test_same_events_same_actions_whatever_the_names(
     config: Settings, steps: list[tuple[object, ...]]
@@ -96,13 +96,13 @@
         classes=tuple(replace(c, name=f"other-{i}") for i, c in enumerate(config.classes)),
         tenants=tuple(replace(t, name=f"tenant-{i}") for i, t in enumerate(config.tenants)),
     )
-    assert play(config, steps).log == play(renamed, steps).log
+    assert run_steps(config, steps).log == run_steps(renamed, steps).log
 
 
-@STEADY
+@FIXED_EXAMPLES
 @given(st.integers(0, 2**32), st.integers(2, 8), st.floats(0.05, 0.9), st.integers(1, 12))
 def test_a_cold_endpoint_gets_its_fair_part(seed: int, n: int, share: float, siblings: int) -> None:
-    """Rule 4: with the rate of a warm endpoint known, a cold one stays far under the multiple."""
+    """Rule 4: with a known rate of warm endpoints, a cold one stays well below the allowed multiple."""
     config = replace(SETTINGS, cold_share=share, siblings=siblings)
     drive = Drive(config, seed)
     drive.show(*endpoints(n))
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -1,7 +1,8 @@
-"""The list in virtual time: drains, silences, breaks, moves and returns in any order, any `ask_within`.
+"""The endpoint list in virtual time: drains, silences, lost watches, moves and returns in any order.
 
-Held to: what a watch says counts at once; of what did not arrive, `millgw.simulation.told_terms`, or
-`ask_within` where that is less. An endpoint that drains serves on or turns calls away.
+Any `ask_within` is used. Required: what a watch reports counts at once; what did not arrive counts after the
+time given by `millgw.simulation.told_terms`, or `ask_within` if that is less. A draining endpoint goes on
+serving or rejects calls.
 """
 
 from __future__ import annotations
@@ -31,17 +32,23 @@
 from millgw.simulation.told_terms import Outage, Silence, told_at
 from tests.support import SAFE, Drive, settings
 
-STEADY = hypothesis_settings(
+FIXED_EXAMPLES = hypothesis_settings(
     derandomize=True, deadline=None, max_examples=150, suppress_health_check=[HealthCheck.too_slow]
 )
-HEARTBEAT, NOTICED, FIRST_LINE, TURNED_AWAY = 2000.0, 2600.0, 3000.0, 2000.0  # ms
+HEARTBEAT, SILENCE_NOTICED, FIRST_LINE_TIMEOUT, REJECTION_TIME = 2000.0, 2600.0, 3000.0, 2000.0  # ms
 CALL_GIVEN_UP = 3400.0  # ms without a first line
 GRACE = 500.0  # ms
 TICK = 100.0  # ms
 IDS = range(1, 5)
-DOWN = ("refuses", "is down")
-TIMES = {"answers": 300.0, "fails": TURNED_AWAY, "hangs": FIRST_LINE, "refuses": 0.0, "is down": TURNED_AWAY}
-ENDS = {
+DOWN_MODES = ("refuses", "is down")
+ANSWER_TIMES = {
+    "answers": 300.0,
+    "fails": REJECTION_TIME,
+    "hangs": FIRST_LINE_TIMEOUT,
+    "refuses": 0.0,
+    "is down": REJECTION_TIME,
+}
+FAILURE_KINDS = {
     "fails": ListKind.FAILED,
     "hangs": ListKind.SILENT,
     "silent": ListKind.SILENT,
@@ -50,34 +57,32 @@
 }
 
 
-class World:
-    """One module, the truth of its endpoints, and what discovery does with its calls."""
+class DiscoveryModel:
+    """One balancer, the real state of its endpoints, and how discovery treats its calls."""
 
     def __init__(self, ask_within: float, seed: int, vouched: bool = False, turns_away: bool = False) -> None:
         made = settings(ask_within=ask_within, stage=1, calls_fail_only_in_outages=vouched)
         self.drive = Drive(made, seed)
         self.ask_within = ask_within
         self.turns_away = turns_away
-        self.drive.usable = set(IDS)  # what may be sent to is judged here, by the time
-        self.begun = self.drive.now
+        self.drive.usable_ids = set(IDS)  # this model checks by the time which may be used
+        self.started_at = self.drive.now
         self.draining: dict[int, float] = {}  # since when
         self.told: set[int] = set()
-        self.looked_at = 0  # actions that were looked at for calls to discovery
+        self.actions_seen = 0  # actions already searched for calls to discovery
         self.mode = "answers"
-        self.on = False
-        self.heartbeat = -math.inf  # when the last line came
-        self.failed_at: float | None = (
-            None  # when the first call was made that failed since the watch was lost
-        )
+        self.watching = False
+        self.heartbeat = -math.inf  # when the last line arrived
+        self.failed_at: float | None = None  # start of the first failed call since the watch was lost
         self.outage: Outage | None = None  # the last one
         self.served = self.calls = 0
-        self.watched = False  # whether a watch has been on at all
-        self.silent: list[tuple[float, float, float]] = []  # the last line, from when on and until when
-        self.due: tuple[float, str] | None = None  # what comes of the call that is made
+        self.watched = False  # whether a watch was ever active
+        self.silent: list[tuple[float, float, float]] = []  # last line, start and end of each silence
+        self.pending_result: tuple[float, str] | None = None  # when the pending call ends, and how
         self.asked: list[float] = []
         self.drive.show(*map(Endpoint, IDS), kind=ListKind.CACHED)
 
-    def list_now(self) -> None:
+    def send_full_list(self) -> None:
         self.told = set(self.draining)
         self.silent.clear()
         self.watched = True
@@ -88,7 +93,7 @@
             self.heartbeat = self.drive.now
             self.failed_at = None
         elif kind.watch_ended and self.drive.balancer.discovery.spoken:
-            self.failed_at = None  # a watch has ended
+            self.failed_at = None  # a watch, not a call, has ended
         elif kind.watch_ended and self.failed_at is None:
             self.failed_at = self.asked[-1]
         self.drive.feed(EndpointList(kind, entries))
@@ -97,27 +102,27 @@
         now, id = self.drive.now, int(value) % len(IDS) + 1
         if name == "drain" and len(self.draining) < len(IDS) - 1 and id not in self.draining:
             self.draining[id] = now
-            if self.on:
+            if self.watching:
                 self.told.add(id)
                 self.feed(ListKind.DELTA, Endpoint(id, Condition.DRAINING))
         elif name == "return" and id in self.draining:
             del self.draining[id]
             self.told.discard(id)
-            if self.on:
+            if self.watching:
                 self.feed(ListKind.DELTA, Endpoint(id))
-        elif name == "silence" and self.on:
-            self.on = False
+        elif name == "silence" and self.watching:
+            self.watching = False
             self.silent.append((self.heartbeat, now, math.inf))
-            self.due = (self.heartbeat + NOTICED, "silent")
-        elif name == "break" and self.on:
-            self.on = False
+            self.pending_result = (self.heartbeat + SILENCE_NOTICED, "silent")
+        elif name == "break" and self.watching:
+            self.watching = False
             self.feed(ListKind.FAILED)
-        elif name == "break in place of a drain" and self.on and len(self.draining) < len(IDS) - 1:
-            self.on = False
+        elif name == "break in place of a drain" and self.watching and len(self.draining) < len(IDS) - 1:
+            self.watching = False
             self.draining.setdefault(id, now)
             self.feed(ListKind.FAILED)
-        elif name == "move" and self.on:
-            self.on = False
+        elif name == "move" and self.watching:
+            self.watching = False
             self.feed(ListKind.MOVED)
             self.call_discovery()
         elif name == "part" and self.draining:
@@ -125,19 +130,19 @@
             self.told.add(id)
             self.feed(ListKind.PARTIAL, Endpoint(id, Condition.DRAINING))
         elif name in ("answers", "fails", "hangs", "refuses", "is down"):
-            self.go(name)
+            self.set_mode(name)
         elif name in ("wait", "rest"):
             self.wait(value, calls=name == "wait")
 
-    def go(self, mode: str) -> None:
-        """Discovery answers, is full, hangs, or is down and refuses connections or turns calls away."""
-        was_down, down = self.mode in DOWN, mode in DOWN
+    def set_mode(self, mode: str) -> None:
+        """Discovery answers, is overloaded, hangs, or is down and refuses connections or rejects calls."""
+        was_down, down = self.mode in DOWN_MODES, mode in DOWN_MODES
         self.mode = mode
         now = self.drive.now
         if down and not was_down:
             self.outage = Outage(now)
-            if self.on:
-                self.on = False
+            if self.watching:
+                self.watching = False
                 self.feed(ListKind.FAILED)
         elif was_down and not down:
             assert self.outage is not None
@@ -147,38 +152,38 @@
         end = self.drive.now + ms
         while self.drive.now < end:
             self.drive.advance(self.drive.now + TICK)
-            new, self.looked_at = self.drive.log[self.looked_at :], len(self.drive.log)
+            new, self.actions_seen = self.drive.log[self.actions_seen :], len(self.drive.log)
             if any(isinstance(action, Subscribe) for _, action in new):
-                self.on = False
+                self.watching = False
                 self.asked.append(self.drive.now)
                 self.call_discovery()
-            if self.due is not None and self.drive.now >= self.due[0]:
-                _, what = self.due
-                self.due = None
+            if self.pending_result is not None and self.drive.now >= self.pending_result[0]:
+                _, what = self.pending_result
+                self.pending_result = None
                 if what == "answers":
-                    self.on = True
-                    self.list_now()
+                    self.watching = True
+                    self.send_full_list()
                 else:
-                    self.close()
-                    self.feed(ENDS[what])
-            if self.on and self.drive.now >= self.heartbeat + HEARTBEAT:
+                    self.end_silence()
+                    self.feed(FAILURE_KINDS[what])
+            if self.watching and self.drive.now >= self.heartbeat + HEARTBEAT:
                 self.feed(ListKind.DELTA)
             if calls:
                 self.call()
 
     def call_discovery(self) -> None:
-        self.close()
+        self.end_silence()
         if self.mode == "hangs":
             self.silent.append((self.drive.now, self.drive.now, math.inf))
-        self.due = (self.drive.now + TIMES[self.mode], self.mode)
+        self.pending_result = (self.drive.now + ANSWER_TIMES[self.mode], self.mode)
 
-    def close(self) -> None:
-        """The silent watch or call, if there is one, is given up."""
+    def end_silence(self) -> None:
+        """The silent watch or call, if there is one, is abandoned."""
         if self.silent and self.silent[-1][2] == math.inf:
             self.silent[-1] = (*self.silent[-1][:2], self.drive.now)
 
-    def counts(self, drained: float) -> float:
-        """From when on a drain counts as told that nothing was heard of."""
+    def counts_as_told_at(self, drained: float) -> float:
+        """From when a drain that was not reported counts as told."""
         silences = tuple(Silence(since, until) for _, since, until in self.silent)
         told = told_at(drained, silences, self.failed_at, self.outage)
         outage = self.outage
@@ -186,23 +191,23 @@
             return told
         if any(silence.since <= drained < silence.until for silence in silences):
             return told
-        # Four times `ask_within` behind a call that failed, else that behind the last call.
+        # Four times `ask_within` after a failed call, else `ask_within` after the last call.
         least = 4 * self.ask_within if self.failed_at is not None else self.ask_within
         return min(told, drained + least)
 
     def call(self) -> None:
-        """One request, answered at once by whom it comes to."""
+        """One request, answered at once by each endpoint that it is sent to."""
         drive = self.drive
         fresh = drive.now <= drive.balancer.discovery.fresh_until()
         request = drive.arrive(SAFE)
         self.calls += 1
         assert self.turns_away or bool(drive.tries[request]) == fresh, (
-            "refused only where the list may be over"
+            "refused only if the list may be outdated"
         )
         while drive.tries[request] and drive.tries[request][-1][2] is None:
             number = len(drive.tries[request]) - 1
             endpoint = drive.tries[request][number][0]
-            self.judge(endpoint)
+            self.check_not_told(endpoint)
             if endpoint in self.draining and self.turns_away:
                 drive.outcome(request, number, Outcome.REJECTED)
             else:
@@ -211,11 +216,11 @@
         if request in drive.open:
             drive.abort(request)
 
-    def judge(self, endpoint: int) -> None:
-        assert endpoint not in self.told, "told, and sent to"
+    def check_not_told(self, endpoint: int) -> None:
+        assert endpoint not in self.told, "sent to an endpoint whose drain was received"
         since = self.draining.get(endpoint)
         if since is not None:
-            assert self.drive.now <= self.counts(since) + GRACE, f"{endpoint} counts as told"
+            assert self.drive.now <= self.counts_as_told_at(since) + GRACE, f"{endpoint} counts as told"
 
 
 STEPS = st.lists(
@@ -238,40 +243,40 @@
     st.integers(0, 5),
     st.booleans(),
 )
-@STEADY
+@FIXED_EXAMPLES
 def test_nothing_is_sent_to_an_endpoint_that_counts_as_told(
     steps: list[tuple[str, float]], ask_within: float, seed: int, turns_away: bool
 ) -> None:
-    world = World(ask_within, seed, turns_away=turns_away)
+    world = DiscoveryModel(ask_within, seed, turns_away=turns_away)
     world.wait(2000.0)
     for name, value in steps:
         world.step(name, value)
-    world.go("answers")
+    world.set_mode("answers")
     world.wait(15_000.0)
-    assert world.on, "it is heard again, whatever came before"
+    assert world.watching, "a watch is active again, whatever happened before"
 
 
 @given(STEPS, st.sampled_from([10_000.0, 40_000.0]), st.integers(0, 5))
-@STEADY
-def test_the_same_holds_of_a_discovery_that_is_vouched_for_and_turns_calls_away_only_while_it_is_down(
+@FIXED_EXAMPLES
+def test_nothing_is_sent_to_told_endpoints_where_calls_fail_only_in_outages(
     steps: list[tuple[str, float]], ask_within: float, seed: int
 ) -> None:
-    world = World(ask_within, seed, vouched=True)
+    world = DiscoveryModel(ask_within, seed, vouched=True)
     world.wait(2000.0)
     for name, value in steps:
         if name != "fails":
             world.step(name, value)
-    world.go("answers")
+    world.set_mode("answers")
     world.wait(15_000.0)
-    assert world.on
+    assert world.watching
 
 
 @pytest.mark.parametrize("ask_within", [2000.0, 10_000.0, 30_000.0, 200_000.0])
 def test_a_silent_watch_is_asked_for_again_before_what_it_misses_counts_as_told(ask_within: float) -> None:
     for seed in range(30):
-        world = World(ask_within, seed)
+        world = DiscoveryModel(ask_within, seed)
         world.wait(3000.0)
-        assert world.on
+        assert world.watching
         fell = world.drive.now
         world.step("silence", 0.0)
         world.asked.clear()
@@ -281,21 +286,21 @@
 
 @pytest.mark.parametrize("ask_within", [2000.0, 10_000.0, 30_000.0])
 @pytest.mark.parametrize("mode", ["fails", "hangs"])
-def test_a_discovery_that_does_not_answer_meets_no_storm_and_no_long_silence(
+def test_calls_to_an_unanswering_discovery_are_neither_too_frequent_nor_too_rare(
     ask_within: float, mode: str
 ) -> None:
     for seed in range(10):
-        world = World(ask_within, seed)
-        world.go(mode)
+        world = DiscoveryModel(ask_within, seed)
+        world.set_mode(mode)
         world.wait(120_000.0)
         gaps = [b - a for a, b in zip(world.asked, world.asked[1:], strict=False)]
-        took = TURNED_AWAY if mode == "fails" else FIRST_LINE
-        assert min(gaps) >= took + 300.0 - TICK, "a call that is worked on is not given up for another"
+        took = REJECTION_TIME if mode == "fails" else FIRST_LINE_TIMEOUT
+        assert min(gaps) >= took + 300.0 - TICK, "a call in progress is not abandoned for another"
         assert max(gaps) <= took + 10_000.0 + 2 * TICK
 
 
-def test_where_no_endpoint_is_fresh_the_request_waits_and_is_refused_in_time() -> None:
-    """One that serves all it is sent may drain: nothing goes there once its drain may count as told."""
+def test_without_a_usable_endpoint_the_request_waits_and_is_refused_in_time() -> None:
+    """An endpoint that serves all calls may drain: nothing is sent there once its drain may count as told."""
     drive = Drive(settings(), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
@@ -308,10 +313,10 @@
     request = drive.arrive(SAFE)
     assert drive.sent_to(request) == []
     drive.advance(drive.now + 150.0)
-    assert drive.answers[request] == "refused", "soon, so that its client may try elsewhere"
+    assert drive.answers[request] == "refused", "early, so that its client may retry elsewhere"
 
 
-def test_a_request_that_waits_goes_out_as_soon_as_discovery_is_heard() -> None:
+def test_a_held_request_is_sent_as_soon_as_a_discovery_message_arrives() -> None:
     drive = Drive(settings(), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
@@ -322,9 +327,7 @@
     assert drive.sent_to(request) and 1 not in drive.sent_to(request)
 
 
-def test_what_is_sent_while_discovery_is_not_heard_leaves_while_its_endpoint_is_proven_or_not_at_all() -> (
-    None
-):
+def test_send_by_ends_when_a_drain_may_count_as_told() -> None:
     drive = Drive(settings(stage=1), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
@@ -335,8 +338,8 @@
     assert sends == [lost + KNOWN_AFTER_WATCH_END_MS]
 
 
-def test_an_endpoint_that_turned_a_call_away_is_left_alone_until_discovery_is_heard() -> None:
-    """It may drain, as nothing was told since."""
+def test_an_endpoint_that_rejected_a_call_is_avoided_until_a_discovery_message_arrives() -> None:
+    """It may be draining, as no message has arrived since."""
     drive = Drive(settings(stage=0), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
@@ -357,25 +360,25 @@
 
 @pytest.mark.parametrize(("mode", "vouched"), [("refuses", False), ("is down", True)])
 def test_an_outage_of_discovery_does_not_end_the_service(mode: str, vouched: bool) -> None:
-    """A refused connection shows that nothing can be told yet; where operators vouch, any call that fails."""
+    """A refused connection, or with an operators' guarantee any failed call, proves that none counts yet."""
     for seed in range(10):
-        world = World(10_000.0, seed, vouched=vouched)
+        world = DiscoveryModel(10_000.0, seed, vouched=vouched)
         world.wait(3000.0)
-        world.go(mode)
+        world.set_mode(mode)
         world.wait(60_000.0)
         served, calls = world.served, world.calls
         assert served >= (1.0 if mode == "refuses" else 0.6) * calls
-        world.go("answers")
+        world.set_mode("answers")
         world.wait(12_000.0)
-        assert world.on
+        assert world.watching
 
 
 @pytest.mark.parametrize("mode", ["fails", "hangs", "is down"])
-def test_without_a_proof_nothing_is_sent_however_long_discovery_says_nothing(mode: str) -> None:
-    """Seen: two calls that hung, or half a minute without a word, were taken for an outage."""
-    world = World(10_000.0, 1)
+def test_without_proof_of_an_outage_nothing_is_sent_however_long_discovery_is_silent(mode: str) -> None:
+    """Two calls that hung, or half a minute without a message, were once taken for an outage."""
+    world = DiscoveryModel(10_000.0, 1)
     world.wait(3000.0)
-    world.go(mode)
+    world.set_mode(mode)
     world.step("break", 0.0)
     world.wait(10_000.0)
     served = world.served
@@ -383,21 +386,21 @@
     assert world.served == served
 
 
-def test_a_discovery_that_refused_connections_and_turns_calls_away_now_is_back() -> None:
-    world = World(10_000.0, 1, vouched=True)
+def test_a_discovery_that_rejects_calls_after_refusing_connections_is_back() -> None:
+    world = DiscoveryModel(10_000.0, 1, vouched=True)
     world.wait(3000.0)
-    world.go("refuses")
+    world.set_mode("refuses")
     world.wait(20_000.0)
     assert world.served == world.calls
-    world.go("fails")
+    world.set_mode("fails")
     world.wait(TOLD_WITHIN + 100.0)
     served = world.served
     world.wait(10_000.0)
-    assert world.served == served, "it may have told of a drain by then"
+    assert world.served == served, "a drain may count as told by then"
 
 
 @pytest.mark.parametrize("kind", [ListKind.SILENT, ListKind.BROKEN_OFF])
-def test_a_call_that_discovery_has_taken_up_shows_no_outage_whoever_vouches(kind: ListKind) -> None:
+def test_a_call_that_discovery_accepted_is_no_proof_of_an_outage(kind: ListKind) -> None:
     drive = Drive(settings(calls_fail_only_in_outages=True), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
@@ -408,7 +411,7 @@
 
 
 def test_a_served_call_proves_nothing_of_its_endpoint() -> None:
-    """It may have begun to drain, and serve on: its drain counts as told 2 s after the watch ended."""
+    """It may be draining while it serves: its drain counts as told 2 s after the watch ended."""
     drive = Drive(settings(stage=1), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
@@ -420,14 +423,14 @@
     assert not drive.sent_to(drive.arrive(SAFE))
 
 
-def test_what_counts_as_told_sooner_where_discovery_has_to_be_asked_sooner() -> None:
+def test_a_short_ask_within_shortens_the_time_until_a_change_counts_as_told() -> None:
     drive = Drive(settings(stage=1, ask_within=1500.0), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     assert drive.balancer.discovery.fresh_until() == drive.now + 1500.0
 
 
-def test_a_silent_watch_holds_for_six_seconds_after_its_last_word_at_the_most() -> None:
+def test_a_silent_watch_is_valid_for_at_most_six_seconds_after_its_last_message() -> None:
     drive = Drive(settings(stage=1, ask_within=30_000.0), 1)
     drive.show(*map(Endpoint, IDS))
     fell = drive.now
@@ -445,8 +448,8 @@
     assert drive.balancer.discovery.fresh_until() == drive.now + 2000.0
 
 
-def test_where_lists_are_pushed_the_agent_is_asked_at_once_and_soon_again() -> None:
-    """What it has counts as told while no watch is on, and what it gets when discovery is back."""
+def test_with_pushed_lists_the_agent_is_asked_at_once_and_again_soon() -> None:
+    """What the agent knows, or receives after an outage, counts as told while no watch is active."""
     drive = Drive(settings(ask_discovery=False), 1)
     drive.show(*map(Endpoint, IDS))
     for nth, kind in enumerate([ListKind.FAILED, ListKind.FAILED, ListKind.SILENT, ListKind.SILENT] * 10):
@@ -458,7 +461,7 @@
         assert drive.now - failed <= (1.0 + drive.config.tick if nth == 0 else 251.0 + drive.config.tick)
 
 
-def test_a_part_is_no_sign_that_discovery_is_heard() -> None:
+def test_a_partial_list_does_not_show_that_a_watch_is_active() -> None:
     drive = Drive(settings(), 1)
     drive.show(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
@@ -468,26 +471,27 @@
     assert set(drive.balancer.servers) == {2, 3, 4}
 
 
-# Discovery turns away each call: it may be down, or full
+# Discovery rejects each call: it may be down or overloaded
 
 
-ENDED, ASKED, TURNED = 10_000.0, 10_200.0, 12_200.0  # ms: the watch, the call after it, and its answer 503
+# ms: the end of the watch, the next call, and its rejection (503)
+WATCH_ENDED_AT, CALLED_AT, REJECTED_AT = 10_000.0, 10_200.0, 12_200.0
 
 
-def turned_away_after(kind: ListKind = ListKind.FAILED, **changed: Any) -> Freshness:
-    """A machine whose watch was on until `ENDED`, ended so, and whose next call was turned away."""
+def rejected_after(kind: ListKind = ListKind.FAILED, **changed: Any) -> Freshness:
+    """A sidecar whose watch ended with `kind` at `WATCH_ENDED_AT`, and whose next call was rejected."""
     made = Freshness(settings(probing=True, **changed), random.Random(1))
     made.start(0.0)
-    made.heard(ENDED - 100.0)
-    made.failed(ENDED, kind)
-    made.asked(ASKED)
-    made.failed(TURNED, ListKind.FAILED)
+    made.heard(WATCH_ENDED_AT - 100.0)
+    made.failed(WATCH_ENDED_AT, kind)
+    made.asked(CALLED_AT)
+    made.failed(REJECTED_AT, ListKind.FAILED)
     return made
 
 
-def test_a_discovery_that_turns_calls_away_is_assumed_to_be_down_six_seconds_from_each() -> None:
-    made = turned_away_after()
-    assert made.assumed_down_until() == ASKED + TOLD_WITHIN
+def test_a_discovery_that_rejects_calls_is_assumed_down_for_six_seconds_after_each() -> None:
+    made = rejected_after()
+    assert made.assumed_down_until() == CALLED_AT + TOLD_WITHIN
     made.asked(15_000.0)
     made.failed(17_000.0, ListKind.FAILED)
     assert made.assumed_down_until() == 15_000.0 + TOLD_WITHIN
@@ -496,27 +500,27 @@
 @pytest.mark.parametrize(
     "kind", [ListKind.SILENT, ListKind.BROKEN_OFF, ListKind.UNREACHABLE, ListKind.NOT_MADE]
 )
-def test_a_call_that_ends_otherwise_is_no_reason_to_assume_it(kind: ListKind) -> None:
-    made = turned_away_after()
+def test_calls_that_fail_otherwise_do_not_extend_the_assumed_outage(kind: ListKind) -> None:
+    made = rejected_after()
     made.asked(15_000.0)
     made.failed(15_100.0, kind)
-    assert made.assumed_down_until() <= ASKED + TOLD_WITHIN
+    assert made.assumed_down_until() <= CALLED_AT + TOLD_WITHIN
     if kind is ListKind.UNREACHABLE:
         made.asked(15_500.0)
         made.failed(15_600.0, ListKind.FAILED)
-        assert made.assumed_down_until() == -math.inf, "it refused connections, and is back and full"
+        assert made.assumed_down_until() == -math.inf, "it refused connections, so it is back and overloaded"
 
 
-def test_a_watch_that_fell_silent_or_was_left_for_another_is_no_sign_of_an_outage() -> None:
-    assert turned_away_after(ListKind.SILENT).assumed_down_until() == -math.inf
-    moved = turned_away_after()
+def test_a_silent_or_moved_watch_is_no_sign_of_an_outage() -> None:
+    assert rejected_after(ListKind.SILENT).assumed_down_until() == -math.inf
+    moved = rejected_after()
     moved.move(13_000.0)
     moved.failed(14_000.0, ListKind.FAILED)
     assert moved.assumed_down_until() == -math.inf
 
 
-def test_where_calls_failed_a_moment_ago_it_may_rather_be_a_crowd() -> None:
-    made = turned_away_after()
+def test_no_outage_is_assumed_shortly_after_earlier_failed_calls() -> None:
+    made = rejected_after()
     made.asked(13_000.0)
     made.heard(13_500.0)
     made.failed(14_000.0, ListKind.FAILED)
@@ -525,72 +529,72 @@
     assert made.assumed_down_until() == -math.inf
 
 
-def test_the_assumption_ends_after_half_a_minute() -> None:
-    made, now = turned_away_after(), TURNED
-    while now < ENDED + MAX_ASSUMED_DOWN_MS:
+def test_the_assumed_outage_ends_after_half_a_minute() -> None:
+    made, now = rejected_after(), REJECTED_AT
+    while now < WATCH_ENDED_AT + MAX_ASSUMED_DOWN_MS:
         made.asked(now + 1000.0)
         now += 3000.0
         made.failed(now, ListKind.FAILED)
-    assert made.assumed_down_until() <= ENDED + MAX_ASSUMED_DOWN_MS + TOLD_WITHIN
+    assert made.assumed_down_until() <= WATCH_ENDED_AT + MAX_ASSUMED_DOWN_MS + TOLD_WITHIN
     made.asked(now + 1000.0)
     made.failed(now + 3000.0, ListKind.FAILED)
     assert made.assumed_down_until() == -math.inf
 
 
-def test_an_agent_that_turns_calls_away_is_not_assumed_to_be_down() -> None:
-    assert turned_away_after(ask_discovery=False).assumed_down_until() == -math.inf
+def test_an_agent_that_rejects_calls_is_not_assumed_down() -> None:
+    assert rejected_after(ask_discovery=False).assumed_down_until() == -math.inf
 
 
-class TurningAway:
-    """A module whose watch has ended, and whose calls to discovery are each turned away 2 s later."""
+class RejectingDiscovery:
+    """A balancer whose watch has ended, and whose calls to discovery are each rejected after 2 s."""
 
     def __init__(self, endpoints: Iterable[int] = IDS, **changed: Any) -> None:
         self.drive = Drive(settings(**changed), 1)
         self.drive.show(*map(Endpoint, endpoints))
         self.drive.feed(EndpointList(ListKind.FAILED))
-        self.lost = self.drive.now
+        self.watch_lost_at = self.drive.now
         self.asked = math.inf
-        self.seen = 0  # actions that were looked at for calls to discovery
+        self.actions_seen = 0  # actions already searched for calls to discovery
 
     def wait(self, ms: float) -> None:
         end = self.drive.now + ms
         while self.drive.now < end:
             self.drive.advance(min(end, self.drive.now + TICK))
-            actions, self.seen = self.drive.log[self.seen :], len(self.drive.log)
+            actions, self.actions_seen = self.drive.log[self.actions_seen :], len(self.drive.log)
             self.asked = min([self.asked, *(at for at, act in actions if isinstance(act, Subscribe))])
-            if self.drive.now >= self.asked + TURNED_AWAY:
+            if self.drive.now >= self.asked + REJECTION_TIME:
                 self.drive.feed(EndpointList(ListKind.FAILED))
                 self.asked = math.inf
 
-    def wait_until_the_list_is_over(self) -> None:
+    def wait_until_the_list_is_outdated(self) -> None:
         self.wait(TOLD_WITHIN + 1.0)
         discovery = self.drive.balancer.discovery
         assert discovery.fresh_until() < self.drive.now < discovery.assumed_down_until()
 
     def probes(self, since: int = 0) -> list[int]:
-        """The endpoints that were probed, from that place in the log on."""
+        """The endpoints that were probed, from position `since` of the log on."""
         return [act.endpoint for _, act in self.drive.log[since:] if isinstance(act, Probe)]
 
 
 @pytest.mark.parametrize("probing", [True, False])
-def test_while_it_is_assumed_only_endpoints_that_answer_probes_well_are_sent_to(probing: bool) -> None:
-    turning = TurningAway(stage=1, probing=probing)
+def test_in_an_assumed_outage_only_endpoints_that_pass_probes_are_used(probing: bool) -> None:
+    turning = RejectingDiscovery(stage=1, probing=probing)
     drive = turning.drive
     sent: set[int] = set()
-    while drive.now < turning.lost + TOLD_WITHIN + 4 * TURNED_AWAY:
+    while drive.now < turning.watch_lost_at + TOLD_WITHIN + 4 * REJECTION_TIME:
         turning.wait(TICK)
         before = len(drive.log)
         request = drive.arrive(SAFE)
         for endpoint in turning.probes(before):
             drive.feed(ProbeEnded(endpoint, Outcome.ERROR if endpoint == 1 else Outcome.OK, 0.0))
-        if drive.now > turning.lost + TOLD_WITHIN:
+        if drive.now > turning.watch_lost_at + TOLD_WITHIN:
             sent.update(drive.sent_to(request))
     assert sent == ({2, 3, 4} if probing else set())
 
 
-def test_a_request_that_waits_goes_to_the_endpoint_that_answers_a_probe_well() -> None:
-    turning = TurningAway(probing=True)
-    turning.wait_until_the_list_is_over()
+def test_a_held_request_is_sent_to_the_endpoint_that_passes_a_probe() -> None:
+    turning = RejectingDiscovery(probing=True)
+    turning.wait_until_the_list_is_outdated()
     drive, balancer = turning.drive, turning.drive.balancer
     request = drive.arrive(SAFE)
     assert drive.sent_to(request) == []
@@ -605,10 +609,10 @@
     assert until == min(drive.now - 2.0 + 2000.0, balancer.discovery.assumed_down_until())
 
 
-def test_a_full_or_tried_endpoint_is_no_reason_to_send_to_one_that_answered_no_probe() -> None:
-    """The fallback once looked at what was usable now, not at what was known."""
-    turning = TurningAway(probing=True, stage=0)
-    turning.wait_until_the_list_is_over()
+def test_if_probed_endpoints_are_full_or_tried_unprobed_ones_are_still_not_used() -> None:
+    """The fallback once considered which endpoints could be used now, not which were proven healthy."""
+    turning = RejectingDiscovery(probing=True, stage=0)
+    turning.wait_until_the_list_is_outdated()
     drive = turning.drive
     drive.abort(drive.arrive(SAFE))
     drive.feed(ProbeEnded(1, Outcome.OK, 0.0))
@@ -623,7 +627,7 @@
 
 def test_probes_are_few_and_only_while_discovery_seems_to_be_down() -> None:
     for heard in (True, False):
-        turning = TurningAway(range(1, 201), probing=True, stage=1)
+        turning = RejectingDiscovery(range(1, 201), probing=True, stage=1)
         drive = turning.drive
         if heard:
             drive.feed(EndpointList(ListKind.DELTA))
@@ -637,12 +641,12 @@
                 drive.outcome(request, 0, Outcome.OK)
         probes = turning.probes()
         most = 10 * (drive.balancer._subset_size() + 1)
-        assert not probes if heard else 0 < len(probes) <= most, "those to draw from, once a second"
+        assert not probes if heard else 0 < len(probes) <= most, "the subset, once a second"
 
 
 def test_probes_are_not_sent_where_they_are_not_allowed() -> None:
-    turning = TurningAway(probing=False)
-    turning.wait_until_the_list_is_over()
+    turning = RejectingDiscovery(probing=False)
+    turning.wait_until_the_list_is_outdated()
     turning.drive.arrive(SAFE)
     assert not turning.probes()
 
@@ -662,6 +666,6 @@
     made.start(0.0)
     made.asked(0.0)
     made.heard(HEARTBEAT)
-    asked = made.failed(HEARTBEAT + NOTICED, ListKind.SILENT)
+    asked = made.failed(HEARTBEAT + SILENCE_NOTICED, ListKind.SILENT)
     made.asked(asked)
     assert made.failed(asked + 100.0, ListKind.BROKEN_OFF) < made.fresh_until()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The frame codec and the adapter on top of it."""
+"""The codec of the simulator's protocol, and the adapter that uses it."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     return wire.HEADER.pack(len(records), len(body), now) + body
 
 
-def switch(instance: int) -> bytes:
+def select_instance(instance: int) -> bytes:
     return struct.pack(">BI", 12, instance)
 
 
-def boot(settings: dict[str, Any], seed: int = 7) -> bytes:
+def start_instance(settings: dict[str, Any], seed: int = 7) -> bytes:
     raw = json.dumps(settings).encode()
     return struct.pack(">BQI", 1, seed, len(raw)) + raw
 
@@ -46,15 +46,15 @@
     return struct.pack(">BBI", 11, number, len(ids)) + entries
 
 
-def sync(number: int, mode: int = 2) -> bytes:
+def list_update(number: int, mode: int = 2) -> bytes:
     return struct.pack(">BIBB", 2, 1, mode, number)
 
 
-def knock(request: int, cls: int = 0, until: float = 1900.0) -> bytes:
+def request_arrived(request: int, cls: int = 0, until: float = 1900.0) -> bytes:
     return struct.pack(">BQHIQddB", 3, request, cls, 0, 0, until, 0.0, 0)
 
 
-def outcome(request: int, endpoint: int, code: int, no_more: int) -> bytes:
+def attempt_ended(request: int, endpoint: int, code: int, no_more: int) -> bytes:
     return struct.pack(">BQIdBBHB2f", 5, request, endpoint, 10.0, 0, no_more, code, 2, 0.5, 1.0)
 
 
@@ -73,8 +73,8 @@
     return out
 
 
-def started(*ids: int) -> bytes:
-    return frame(switch(3), boot(SETTINGS), table(0, *ids), sync(0))
+def started_instance(*ids: int) -> bytes:
+    return frame(select_instance(3), start_instance(SETTINGS), table(0, *ids), list_update(0))
 
 
 def test_an_empty_batch_gets_an_empty_reply() -> None:
@@ -82,27 +82,44 @@
 
 
 def test_a_request_is_sent_and_its_outcome_taken() -> None:
-    got = replies(serve(started(5) + frame(switch(3), knock(9)) + frame(switch(3), outcome(9, 5, 200, 1))))
+    got = replies(
+        serve(
+            started_instance(5)
+            + frame(select_instance(3), request_arrived(9))
+            + frame(select_instance(3), attempt_ended(9, 5, 200, 1))
+        )
+    )
     assert got == [b"", wire.select_instance(3) + wire.send(9, 5, 0.0), b""]
 
 
 def test_reused_list_numbers_resolve_in_event_order() -> None:
     first = frame(
-        switch(1), boot(SETTINGS), table(0, 5), sync(0), switch(2), boot(SETTINGS), table(0, 6), sync(0)
+        select_instance(1),
+        start_instance(SETTINGS),
+        table(0, 5),
+        list_update(0),
+        select_instance(2),
+        start_instance(SETTINGS),
+        table(0, 6),
+        list_update(0),
+    )
+    got = replies(
+        serve(first + frame(select_instance(1), request_arrived(1), select_instance(2), request_arrived(2)))
     )
-    got = replies(serve(first + frame(switch(1), knock(1), switch(2), knock(2))))
     assert got[1] == b"".join(
         [wire.select_instance(1), wire.send(1, 5, 0.0), wire.select_instance(2), wire.send(2, 6, 0.0)]
     )
 
 
-def test_stop_and_boot_in_one_batch_leave_no_state() -> None:
-    again = frame(switch(3), b"\x0a", boot(SETTINGS), table(0, 8), sync(0), knock(2))
-    got = replies(serve(started(5) + again))
+def test_stop_and_start_in_one_batch_leave_no_state() -> None:
+    again = frame(
+        select_instance(3), b"\x0a", start_instance(SETTINGS), table(0, 8), list_update(0), request_arrived(2)
+    )
+    got = replies(serve(started_instance(5) + again))
     assert got[1] == wire.select_instance(3) + wire.send(2, 8, 0.0)
 
 
-def test_action_records_as_the_page_shows_them() -> None:
+def test_action_records_match_the_documented_bytes() -> None:
     sent = wire.send(0x000E944F5D3A91C4, 0x03124A07, 80.0)
     assert sent.hex() == "01000e944f5d3a91c403124a074054000000000000"
     assert wire.set_timer(float.fromhex("0x1.168p+15"), 0x4D).hex() == "0540e1680000000000000000000000004d"
@@ -113,23 +130,34 @@
     ("data", "says"),
     [
         (frame()[:7], "inside a frame"),
-        (started(5)[:-4], "inside a frame"),
+        (started_instance(5)[:-4], "inside a frame"),
         (frame(b"\xfe"), "unknown record code 254"),
-        (wire.HEADER.pack(2, 5, 0.0) + switch(1), "ends after 1"),
-        (wire.HEADER.pack(0, 5, 0.0) + switch(1), "5 bytes left"),
-        (frame(switch(1)[:3]), "cut short"),
-        (frame(knock(1)), "before any instance"),
-        (frame(switch(4), knock(1)), "instance 4 has not been started"),
-        (started(5) + frame(switch(3), knock(9, cls=7)), "unknown class 7"),
-        (started(5) + frame(switch(3), sync(9)), "list number 9"),
-        (frame(switch(1), boot({})), "classes"),
-        (frame(switch(1), boot({**SETTINGS, "rules": {}})), "coldShare"),
-        (frame(switch(1), boot({**SETTINGS, "classes": [{"deadline": -1, "repeat": "dedup"}]})), "deadline"),
-        (frame(switch(1), boot({**SETTINGS, "classes": [{"deadline": 1.0}]})), "repeat"),
-        (frame(switch(1), boot({**SETTINGS, "siblings": 0})), "Settings.siblings"),
-        (frame(switch(1), boot({**SETTINGS, "tick": float("nan")})), "tick"),
-        (frame(switch(1), boot(SETTINGS | {"rules": SETTINGS["rules"] | {"coldShare": 2}})), "cold_share"),
-        (frame(switch(1), struct.pack(">BQI", 1, 7, 2) + b"\xff{"), "not JSON"),
+        (wire.HEADER.pack(2, 5, 0.0) + select_instance(1), "ends after 1"),
+        (wire.HEADER.pack(0, 5, 0.0) + select_instance(1), "5 bytes left"),
+        (frame(select_instance(1)[:3]), "cut short"),
+        (frame(request_arrived(1)), "before any instance"),
+        (frame(select_instance(4), request_arrived(1)), "instance 4 has not been started"),
+        (started_instance(5) + frame(select_instance(3), request_arrived(9, cls=7)), "unknown class 7"),
+        (started_instance(5) + frame(select_instance(3), list_update(9)), "list number 9"),
+        (frame(select_instance(1), start_instance({})), "classes"),
+        (frame(select_instance(1), start_instance({**SETTINGS, "rules": {}})), "coldShare"),
+        (
+            frame(
+                select_instance(1),
+                start_instance({**SETTINGS, "classes": [{"deadline": -1, "repeat": "dedup"}]}),
+            ),
+            "deadline",
+        ),
+        (frame(select_instance(1), start_instance({**SETTINGS, "classes": [{"deadline": 1.0}]})), "repeat"),
+        (frame(select_instance(1), start_instance({**SETTINGS, "siblings": 0})), "Settings.siblings"),
+        (frame(select_instance(1), start_instance({**SETTINGS, "tick": float("nan")})), "tick"),
+        (
+            frame(
+                select_instance(1), start_instance(SETTINGS | {"rules": SETTINGS["rules"] | {"coldShare": 2}})
+            ),
+            "cold_share",
+        ),
+        (frame(select_instance(1), struct.pack(">BQI", 1, 7, 2) + b"\xff{"), "not JSON"),
     ],
 )
 def test_malformed_input_ends_with_one_plain_line(data: bytes, says: str) -> None:
@@ -146,7 +174,7 @@
 
 
 def test_the_adapter_starts_under_its_former_name_too() -> None:
-    data = frame(switch(1), boot(SETTINGS))
+    data = frame(select_instance(1), start_instance(SETTINGS))
     former, current = (
         subprocess.run(
             [sys.executable, "-m", module], input=data, capture_output=True, cwd=Path(__file__).parent.parent
@@ -169,5 +197,5 @@
         raise RuntimeError("boom")
 
     monkeypatch.setattr(Balancer, "handle", fail)
-    got = replies(serve(started(5)))
+    got = replies(serve(started_instance(5)))
     assert got[0] == wire.select_instance(3) + wire.instance_error("RuntimeError: boom")
