--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -60,7 +60,7 @@
 DEADLINE_MARGIN_TICKS = 4  # passing on a response takes a few ticks, whatever the aim
 
 # Cold endpoints
-MIN_COLD_CALLS = 2.0  # calls per window that all instances may send any cold endpoint: random variation
+MIN_COLD_CALLS = 2.0  # calls per window that all instances may send any cold endpoint: room for chance
 COLD_FILL = 0.8  # used share of `fall_multiple`: the rest covers random variation and uneven requests
 
 # Averages over time
@@ -701,8 +701,8 @@
                 attempt.server.out[attempt] = None
 
     def _attempt_ended(self, now: float, event: AttemptEnded) -> None:
-        key = (event.request, event.attempt)
-        attempt = self.flights.pop(key, None) or self.coming.pop(key, None)
+        attempt_key = (event.request, event.attempt)
+        attempt = self.flights.pop(attempt_key, None) or self.coming.pop(attempt_key, None)
         if attempt is None:
             return
         attempt.pending = False
@@ -710,7 +710,7 @@
         attempt.server.out.pop(attempt, None)
         self._learn(now, attempt, event)
         if self.locality is not None and self.locality.attempt_ended(
-            now, key, attempt.zone, attempt.cls, event.outcome, event.elapsed, self.spent[attempt.cls]
+            now, attempt_key, attempt.zone, attempt.cls, event.outcome, event.elapsed, self.spent[attempt.cls]
         ):
             # All endpoints of the zone may have restarted while it was lost.
             for server in self.zones.get(attempt.zone, ()):
@@ -838,16 +838,16 @@
     def _send(self, now: float, request: Request, server: Server) -> None:
         self.held.pop(request.id, None)
         attempt = Attempt(server, request.class_index, now)
-        key = (request.id, len(request.attempts))
+        attempt_key = (request.id, len(request.attempts))
         if request.partial:
             # Otherwise uploads that take a minute would use up the limit on calls in flight.
-            self.coming[key] = attempt
+            self.coming[attempt_key] = attempt
         else:
-            self.flights[key] = attempt
+            self.flights[attempt_key] = attempt
             server.out[attempt] = None
             if self.locality is not None:
                 self.locality.attempt_sent(
-                    now, key, attempt.zone, server.info.id, self.spent[request.class_index]
+                    now, attempt_key, attempt.zone, server.info.id, self.spent[request.class_index]
                 )
         # A handshake may delay it until there is no longer proof that the endpoint is not draining.
         send_by = min(self.rules.retry_deadline(request), self._usable_until(server))
@@ -975,7 +975,7 @@
         """
         healthy: list[Server] = []
         ejected: list[Server] = []
-        seen, subset_size, stale = 0, self._subset_size(), 0
+        usable, subset_size, stale = 0, self._subset_size(), 0
         fresh_until = self.discovery.fresh_until()
         probing = (
             self.settings.probing
@@ -998,10 +998,10 @@
             if now < server.ejected_until:
                 ejected.append(server)
                 continue
-            seen += 1
+            usable += 1
             if not self._at_limit(server, now):
                 healthy.append(server)
-            if seen >= subset_size and healthy:
+            if usable >= subset_size and healthy:
                 break
         if healthy or healthy_only:
             return healthy
