--- a/millgw/peers/__init__.py
+++ b/millgw/peers/__init__.py
@@ -1,8 +1,9 @@
-"""Learning from other sidecars: who is there, what they are believed, whose word it is.
+"""Peer-to-peer exchange between sidecars: membership, gossip about endpoints, message authentication.
 
-Pure: `swim` keeps the list of peers, `beliefs` weighs what they tell of endpoints, `gossip` says what is
-told and when, `sealed` proves who said it, `wire` and `state_transfer` word it, `endpoint_evidence`
-translates for the module. With I/O: `node` puts them together, `peer_transport` holds connections, `keys`
-reads files, `peer_discovery` asks a coordinator.
+Pure: `swim` maintains the membership list, `beliefs` combines the observations that peers report into priors,
+`gossip` decides what is sent and when, `sealed` authenticates messages, `wire` and `state_transfer` define
+the encoding and the connection protocol, `endpoint_evidence` converts from and to the balancer's events.
+With I/O: `node` connects these parts to sockets and timers, `peer_transport` manages connections, `keys`
+reads key files, `peer_discovery` finds peers through a coordinator.
 Design: docs/design/peers.md.
 """
--- a/millgw/peers/beliefs.py
+++ b/millgw/peers/beliefs.py
@@ -1,9 +1,10 @@
-"""What peers tell of endpoints, weighed: priors that can add care and never take any away. Pure.
+"""Combines the observations of peers into a prior per endpoint, which only makes the balancer more careful.
 
-An observation carries who made it, its number there and its age; whoever passes it on adds the time that it
-lay there, so what comes back is never fresher than it was. Ages are ms by each one's own monotonic clock, so
-clocks need not agree; the time on the way is not counted. Endpoints are named by their identity; `since` is
-their start as discovery tells it to all, by which two processes of one name are told apart.
+Pure, without I/O. An observation contains its origin, the origin's sequence number and its age. Each peer
+that relays it adds the time for which it was stored there, so an observation that returns is never younger
+than it was. Ages are ms measured on each peer's own monotonic clock, so clocks need not agree; network delay
+is not counted. Endpoints are identified by their id; `started_at` is the start time that discovery reports to
+all sidecars, which distinguishes two processes with the same id.
 """
 
 from __future__ import annotations
@@ -12,179 +13,211 @@
 from dataclasses import dataclass, replace
 from statistics import median
 
-HALF_LIFE = 5000.0  # ms after which an observation counts half: as long as a sidecar remembers its own
-GONE = 60_000.0  # ms after which it is forgotten
-MOST_CALLS = 5.0  # own calls that a prior weighs at the most: the last five decide of an endpoint
-ILL = 0.4  # share of calls failing from which hearsay calls an endpoint ill
-ILL_MOST = 1 / 3  # of all endpoints: when more are called ill, the trouble is not theirs
-DRAINS_MOST = 1 / 2  # of all endpoints that a minority's word alone may take out
-MIDDLE_OF = 3  # origins from which on the middle one counts
-MOST_ORIGINS = 16  # of which observations of one endpoint are kept
-MOST_ENDPOINTS = 8192  # guards against memory that fills with endpoints that somebody makes up
+HALF_LIFE_MS = 5000.0  # an observation of this age counts half; the same half-life as for own calls
+FORGET_AFTER_MS = 60_000.0  # an observation is dropped at this age
+MAX_PRIOR_CALLS = 5.0  # most own calls that a prior weighs as much as; the last five decide on an endpoint
+FAILURE_RATE_THRESHOLD = 0.4  # failed share of calls from which peer reports mark an endpoint unhealthy
+MAX_UNHEALTHY_SHARE = (
+    1 / 3
+)  # of all endpoints; if more are reported unhealthy, the cause is not the endpoints
+MAX_MINORITY_DRAIN_SHARE = 1 / 2  # of all endpoints that a minority of origins may report as draining
+MIN_ORIGINS_FOR_MEDIAN = 3  # with this many origins or more the median is used
+MAX_ORIGINS_PER_ENDPOINT = 16  # origins whose observations of one endpoint are kept
+MAX_ENDPOINTS = 8192  # without a limit, a peer that invents endpoints would exhaust memory
 
 
 @dataclass(slots=True, frozen=True)
 class Observation:
-    """What `origin` saw of an endpoint, `age` ms ago. `up` is ms since the endpoint's start, None: unknown.
+    """What `origin` observed of an endpoint `age` ms ago.
 
-    `failing` is a share of calls, `slow` times the usual, of so many `calls`. An origin's later observations
-    have higher numbers, over its restarts too.
+    `failure_rate` is the failed share of its calls, `latency_ratio` its latency as a multiple of the normal
+    one, both over `calls` calls. `started_at` is in Unix ms; `uptime` is ms since the endpoint's start, None
+    if unknown. An origin's later observations have higher sequence numbers, also after it restarts.
     """
 
     endpoint: str
     origin: str
     age: float
-    number: int = 0
-    since: float = 0.0
-    failing: float = 0.0
-    slow: float = 1.0
+    sequence: int = 0
+    started_at: float = 0.0
+    failure_rate: float = 0.0
+    latency_ratio: float = 1.0
     calls: int = 0
-    up: float | None = None
+    uptime: float | None = None
     draining: bool = False
 
     @property
-    def usable(self) -> bool:
-        """Whether its figures can be: a peer may tell anything."""
+    def valid(self) -> bool:
+        """Whether all values are in range: a peer may send anything."""
         return (
-            0 <= self.age < GONE
-            and 0 <= self.number < 1 << 63
-            and 0 <= self.since < 1e15
-            and 0 <= self.failing <= 1
-            and 0 < self.slow < 1e6
+            0 <= self.age < FORGET_AFTER_MS
+            and 0 <= self.sequence < 1 << 63
+            and 0 <= self.started_at < 1e15
+            and 0 <= self.failure_rate <= 1
+            and 0 < self.latency_ratio < 1e6
             and 0 <= self.calls < 1e9
-            and (self.up is None or 0 <= self.up < 1e13)
+            and (self.uptime is None or 0 <= self.uptime < 1e13)
         )
 
 
 @dataclass(slots=True, frozen=True)
 class Prior:
-    """What to hold of an endpoint before own calls tell. `calls` is what the share weighs in own calls.
+    """The assumption about an endpoint until own calls provide evidence.
 
-    `up`: ms since its start at the most, None where nobody saw it start lately. `slow` is 1 or more.
+    `calls` is the number of own calls that `failure_rate` weighs as much as. `latency_ratio` is at least 1.
+    `uptime` is an upper bound in ms, None if no peer reported a recent start.
     """
 
-    failing: float = 0.0
-    slow: float = 1.0
+    failure_rate: float = 0.0
+    latency_ratio: float = 1.0
     calls: float = 0.0
-    up: float | None = None
+    uptime: float | None = None
     draining: bool = False
 
 
 def weight(age: float) -> float:
-    """What an observation of this age counts, of 1."""
-    return 0.0 if age >= GONE else 0.5 ** (age / HALF_LIFE)
+    """The weight of an observation of this age (ms), from 0 to 1."""
+    return 0.0 if age >= FORGET_AFTER_MS else 0.5 ** (age / HALF_LIFE_MS)
 
 
-class Beliefs:
-    """Observations by endpoint and origin, the newest of each."""
+class ObservationStore:
+    """The newest observation for each endpoint and origin."""
 
     def __init__(self) -> None:
-        self.known: dict[str, dict[str, tuple[float, Observation]]] = {}
+        self.by_endpoint: dict[str, dict[str, tuple[float, Observation]]] = {}
 
-    def take(self, now: float, told: Iterable[Observation]) -> list[Observation]:
-        """Take what one peer told; what is older than what is known of the same origin is not taken.
+    def merge(self, now: float, observations: Iterable[Observation]) -> list[Observation]:
+        """Store observations that a peer reported and return those that were new.
 
-        Returns what was new.
+        An observation is ignored if one of the same origin with the same or a higher number is stored.
         """
-        return [observation for observation in told if observation.usable and self._take(now, observation)]
+        return [
+            observation
+            for observation in observations
+            if observation.valid and self._merge_one(now, observation)
+        ]
 
-    def _take(self, now: float, observation: Observation) -> bool:
+    def _merge_one(self, now: float, observation: Observation) -> bool:
         seen_at = now - observation.age
-        origins = self.known.get(observation.endpoint, {})
-        known = origins.get(observation.origin)
-        if known is not None:
-            if known[1].number == observation.number and seen_at < known[0]:
-                origins[observation.origin] = (seen_at, known[1])  # it came by a longer way first
-            if known[1].number >= observation.number:
+        origins = self.by_endpoint.get(observation.endpoint, {})
+        stored = origins.get(observation.origin)
+        if stored is not None:
+            if stored[1].sequence == observation.sequence and seen_at < stored[0]:
+                origins[observation.origin] = (
+                    seen_at,
+                    stored[1],
+                )  # the stored copy arrived over a slower path and seemed younger
+            if stored[1].sequence >= observation.sequence:
                 return False
-        elif len(origins) >= MOST_ORIGINS:
+        elif len(origins) >= MAX_ORIGINS_PER_ENDPOINT:
             oldest = min(origins, key=lambda o: origins[o][0])
             if origins[oldest][0] >= seen_at:
                 return False
             del origins[oldest]
-        elif not origins and len(self.known) >= MOST_ENDPOINTS:
+        elif not origins and len(self.by_endpoint) >= MAX_ENDPOINTS:
             return False
-        self.known.setdefault(observation.endpoint, {})[observation.origin] = (seen_at, observation)
+        self.by_endpoint.setdefault(observation.endpoint, {})[observation.origin] = (seen_at, observation)
         return True
 
-    def tell(self, now: float) -> list[Observation]:
-        """All that is known, as it is to be passed on: each as old as it is."""
-        self._forget(now)
-        return [self._aged(now, *pair) for origins in self.known.values() for pair in origins.values()]
+    def all_current(self, now: float) -> list[Observation]:
+        """All stored observations with their current ages, ready to be relayed."""
+        self._expire(now)
+        return [self._aged(now, *pair) for origins in self.by_endpoint.values() for pair in origins.values()]
 
-    def of(self, now: float, endpoint: str, origin: str) -> Observation | None:
-        """An origin's last word on an endpoint, as old as it is."""
-        known = self.known.get(endpoint, {}).get(origin)
-        if known is None or now - known[0] >= GONE:
+    def latest(self, now: float, endpoint: str, origin: str) -> Observation | None:
+        """An origin's latest observation of an endpoint, with its current age."""
+        stored = self.by_endpoint.get(endpoint, {}).get(origin)
+        if stored is None or now - stored[0] >= FORGET_AFTER_MS:
             return None
-        return self._aged(now, *known)
+        return self._aged(now, *stored)
 
-    def told(self, now: float, name: str, since: float, within: float = GONE) -> list[Observation]:
-        """What is known of an endpoint's process, and of a later one, from within so many ms."""
-        known = self.known.get(name, {}).values()
+    def recent(
+        self, now: float, endpoint: str, started_at: float, within: float = FORGET_AFTER_MS
+    ) -> list[Observation]:
+        """Observations from the last `within` ms of the process started at `started_at` or a later one."""
+        stored = self.by_endpoint.get(endpoint, {}).values()
         return [
-            self._aged(now, seen_at, o) for seen_at, o in known if o.since >= since and now - seen_at < within
+            self._aged(now, seen_at, o)
+            for seen_at, o in stored
+            if o.started_at >= started_at and now - seen_at < within
         ]
 
     def priors(
-        self, now: float, listed: Mapping[str, float], young: float, without: str = "", of: int = 0
+        self,
+        now: float,
+        start_times: Mapping[str, float],
+        cold_time: float,
+        excluded_origin: str = "",
+        endpoint_count: int = 0,
     ) -> dict[str, Prior]:
-        """What to hold of the endpoints of a list, by name the start that it tells of each.
+        """The priors for the endpoints in `start_times`, a mapping of endpoint to start time from discovery.
 
-        One that has been up for less than `young` ms is cold. `without` names an origin that does not count.
-        `of` is how many are on the list, where only those are given that something is known of.
+        An endpoint with an uptime below `cold_time` ms is cold. Observations of `excluded_origin` are
+        ignored. `endpoint_count` is the size of the whole endpoint list, if `start_times` contains only
+        endpoints with observations.
         """
-        whole = max(of, len(listed))
-        self._forget(now)
-        told = {
-            name: [o for o in self.told(now, name, since) if o.origin != without]
-            for name, since in listed.items()
-            if name in self.known
+        total = max(endpoint_count, len(start_times))
+        self._expire(now)
+        reported = {
+            name: [o for o in self.recent(now, name, started_at) if o.origin != excluded_origin]
+            for name, started_at in start_times.items()
+            if name in self.by_endpoint
+        }
+        priors = {
+            name: self._combine(observations) for name, observations in reported.items() if observations
         }
-        found = {name: self._prior(observations) for name, observations in told.items() if observations}
-        ill = sum(p.failing * min(1.0, p.calls) >= ILL for p in found.values())
-        if ill > ILL_MOST * whole:
-            found = {name: replace(p, failing=0.0, slow=1.0, calls=0.0) for name, p in found.items()}
-        for name in self._few(told, DRAINS_MOST * whole, lambda o: o.draining):
-            found[name] = replace(found[name], draining=False)
-        for name in self._few(told, ILL_MOST * whole, lambda o: o.up is not None and o.up < young):
-            found[name] = replace(found[name], up=None)
-        return found
+        unhealthy = sum(p.failure_rate * min(1.0, p.calls) >= FAILURE_RATE_THRESHOLD for p in priors.values())
+        if unhealthy > MAX_UNHEALTHY_SHARE * total:
+            priors = {
+                name: replace(p, failure_rate=0.0, latency_ratio=1.0, calls=0.0) for name, p in priors.items()
+            }
+        for name in self._suspect_minority_claims(
+            reported, MAX_MINORITY_DRAIN_SHARE * total, lambda o: o.draining
+        ):
+            priors[name] = replace(priors[name], draining=False)
+        for name in self._suspect_minority_claims(
+            reported, MAX_UNHEALTHY_SHARE * total, lambda o: o.uptime is not None and o.uptime < cold_time
+        ):
+            priors[name] = replace(priors[name], uptime=None)
+        return priors
 
     @staticmethod
-    def _few(
-        told: Mapping[str, list[Observation]], most: float, says: Callable[[Observation], bool]
+    def _suspect_minority_claims(
+        by_endpoint: Mapping[str, list[Observation]], limit: float, claims: Callable[[Observation], bool]
     ) -> list[str]:
-        """Guards against a few who say it of everything: a majority may, they may not."""
-        origins = {o.origin for observations in told.values() for o in observations}
-        counts = {name: sum(map(says, observations)) for name, observations in told.items()}
-        few = [name for name, count in counts.items() if 0 < 2 * count < len(origins)]
-        return few if len(few) >= most else []
+        """Endpoints for which only a minority makes a claim, if there are at least `limit` of these.
+
+        One or a few faulty origins that claim it of most endpoints are ignored; a majority is believed.
+        """
+        origins = {o.origin for observations in by_endpoint.values() for o in observations}
+        counts = {name: sum(map(claims, observations)) for name, observations in by_endpoint.items()}
+        minority = [name for name, count in counts.items() if 0 < 2 * count < len(origins)]
+        return minority if len(minority) >= limit else []
 
     @staticmethod
-    def _prior(observations: list[Observation]) -> Prior:
-        ups = [o.up for o in observations if o.up is not None]
+    def _combine(observations: list[Observation]) -> Prior:
+        uptimes = [o.uptime for o in observations if o.uptime is not None]
         return Prior(
-            failing=_careful([o.failing for o in observations]),
-            slow=_careful([max(1.0, o.slow) for o in observations]),
-            calls=_careful([min(MOST_CALLS, o.calls) * weight(o.age) for o in observations]),
-            up=None if not ups else -_careful([-up for up in ups]),
+            failure_rate=_cautious_estimate([o.failure_rate for o in observations]),
+            latency_ratio=_cautious_estimate([max(1.0, o.latency_ratio) for o in observations]),
+            calls=_cautious_estimate([min(MAX_PRIOR_CALLS, o.calls) * weight(o.age) for o in observations]),
+            uptime=None if not uptimes else -_cautious_estimate([-uptime for uptime in uptimes]),
             draining=any(o.draining for o in observations),
         )
 
     @staticmethod
     def _aged(now: float, seen_at: float, o: Observation) -> Observation:
         age = max(o.age, now - seen_at)
-        return replace(o, age=age, up=None if o.up is None else o.up + age - o.age)
+        return replace(o, age=age, uptime=None if o.uptime is None else o.uptime + age - o.age)
 
-    def _forget(self, now: float) -> None:
-        for name, origins in list(self.known.items()):
-            for origin in [o for o, (seen_at, _) in origins.items() if now - seen_at >= GONE]:
+    def _expire(self, now: float) -> None:
+        for name, origins in list(self.by_endpoint.items()):
+            for origin in [o for o, (seen_at, _) in origins.items() if now - seen_at >= FORGET_AFTER_MS]:
                 del origins[origin]
             if not origins:
-                del self.known[name]
+                del self.by_endpoint[name]
 
 
-def _careful(values: list[float]) -> float:
-    """The middle one of several, the largest of few."""
-    return float(median(values)) if len(values) >= MIDDLE_OF else max(values)
+def _cautious_estimate(values: list[float]) -> float:
+    """The median of enough values, otherwise the largest one."""
+    return float(median(values)) if len(values) >= MIN_ORIGINS_FOR_MEDIAN else max(values)
--- a/millgw/peers/endpoint_evidence.py
+++ b/millgw/peers/endpoint_evidence.py
@@ -1,6 +1,6 @@
-"""Between the module's words and the peers': a pool's evidence as observations, priors as hearsay. Pure.
+"""Converts a balancer's endpoint evidence to observations for peers, and priors to peer reports. Pure.
 
-Endpoints are named among peers by their number in hexadecimal, the same in every sidecar.
+Peers identify an endpoint by its id in hexadecimal, which is the same in every sidecar.
 """
 
 from __future__ import annotations
@@ -9,58 +9,66 @@
 from statistics import median
 
 from millgw.interface import Endpoint, EndpointEvidence, PeerReports
-from millgw.peers.beliefs import MIDDLE_OF, Observation, Prior
+from millgw.peers.beliefs import MIN_ORIGINS_FOR_MEDIAN, Observation, Prior
 
-DRAIN_HOLDS = 2000.0  # ms for which a drain that is told counts: it is told again while it is believed
-MOST_COUNTED = 1_000_000  # calls that an observation tells of at the most
+DRAIN_VALID_FOR_MS = 2000.0  # validity of a reported drain; it is reported again as long as the prior says so
+MAX_REPORTED_CALLS = 1_000_000  # upper limit of `calls` in an observation
 
 
-def key(id: int) -> str:
+def endpoint_key(id: int) -> str:
     return f"{id:016x}"
 
 
 def listed(endpoints: Iterable[Endpoint]) -> dict[str, float]:
-    """By name, the start that discovery tells of each."""
-    return {key(e.id): float(round(e.started_at)) for e in endpoints}
+    """The start time from discovery (Unix ms) by endpoint key."""
+    return {endpoint_key(e.id): float(round(e.started_at)) for e in endpoints}
 
 
 def observations(
-    now: float, evidence: Iterable[EndpointEvidence], since: Mapping[str, float], draining: Iterable[int]
+    now: float,
+    evidence: Iterable[EndpointEvidence],
+    start_times: Mapping[str, float],
+    draining: Iterable[int],
 ) -> list[Observation]:
-    """What a pool sees, `now` in the module's time. What is left to others: origin, number and age."""
-    seen = [
+    """A pool's own observations, with `now` on the balancer's clock. `Gossip` sets origin, number and age."""
+    observed = [
         Observation(
-            key(t.id), "", 0.0, 0, since.get(key(t.id), 0.0),
-            failing=min(1.0, max(0.0, t.failure_rate)), slow=max(0.001, t.latency_ratio),
-            calls=min(MOST_COUNTED, int(t.calls)),
-            up=max(0.0, now - t.started_at) if t.started_at > 0 else None,
+            endpoint_key(t.id), "", 0.0, 0, start_times.get(endpoint_key(t.id), 0.0),
+            failure_rate=min(1.0, max(0.0, t.failure_rate)), latency_ratio=max(0.001, t.latency_ratio),
+            calls=min(MAX_REPORTED_CALLS, int(t.calls)),
+            uptime=max(0.0, now - t.started_at) if t.started_at > 0 else None,
         )
         for t in evidence
     ]  # fmt: skip
-    names = {key(id) for id in draining}
-    drains = [Observation(name, "", 0.0, since=since.get(name, 0.0), draining=True) for name in names]
-    return [o for o in seen if o.endpoint not in names] + drains
+    names = {endpoint_key(id) for id in draining}
+    drains = [
+        Observation(name, "", 0.0, started_at=start_times.get(name, 0.0), draining=True) for name in names
+    ]
+    return [o for o in observed if o.endpoint not in names] + drains
 
 
 def hearsay(
-    now: float, priors: Mapping[str, Prior], young: float, siblings: int, limits: Sequence[float] = ()
+    now: float, priors: Mapping[str, Prior], cold_time: float, siblings: int, limits: Sequence[float] = ()
 ) -> PeerReports:
-    """What the module is to be told: of what is ordinary, nothing."""
-    told = tuple(
+    """The peer reports for the balancer; endpoints without anything unusual are left out."""
+    reports = tuple(
         EndpointEvidence(
-            int(name, 16), p.failing, p.slow, p.calls,
-            now - p.up if p.up is not None and p.up < young else 0.0,
-            DRAIN_HOLDS if p.draining else 0.0,
+            int(name, 16), p.failure_rate, p.latency_ratio, p.calls,
+            now - p.uptime if p.uptime is not None and p.uptime < cold_time else 0.0,
+            DRAIN_VALID_FOR_MS if p.draining else 0.0,
         )
         for name, p in priors.items()
-        if p.draining or p.failing > 0 or p.slow > 1 or (p.up is not None and p.up < young)
+        if p.draining
+        or p.failure_rate > 0
+        or p.latency_ratio > 1
+        or (p.uptime is not None and p.uptime < cold_time)
     )  # fmt: skip
-    return PeerReports(told, siblings, limit(limits))
+    return PeerReports(reports, siblings, combined_limit(limits))
 
 
-def limit(limits: Sequence[float]) -> float:
-    """Of three peers' limits or more the middle one, of fewer the lowest; infinite for none."""
+def combined_limit(limits: Sequence[float]) -> float:
+    """The median of three or more peers' limits, the lowest of fewer, infinity without any."""
     usable = [value for value in limits if value >= 1]
-    if len(usable) >= MIDDLE_OF:
+    if len(usable) >= MIN_ORIGINS_FOR_MEDIAN:
         return float(median(usable))
     return min(usable, default=float("inf"))
--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -1,11 +1,11 @@
-"""What is told of endpoints, when and how often: rumours with few repeats, and comparisons. Pure.
-
-A sidecar tells what is out of the ordinary as it sees it (an endpoint that fails, is slow, cold or drains),
-when that changes and now and then while it lasts; it contradicts what others say and it does not see. It
-keeps quiet where enough others say the same. Each rumour is passed on a number of times that grows with the
-logarithm of the fleet; who missed it finds out by comparing digests. All of it is bounded by node and second,
-whatever happens: `Terms.most` rumours to `Terms.fanout` peers each `Terms.every` ms. Times are ms on the
-caller's monotonic clock.
+"""Gossip about endpoint health: rumour mongering with few repeats, and anti-entropy by digests. Pure.
+
+A sidecar announces unusual states that it observes itself (an endpoint that fails, is slow, cold or draining)
+when they change, and repeats them at intervals while they last. It contradicts reports that its own calls
+don't confirm, and stays silent if enough others announce the same. Each rumour is relayed a number of times
+that grows with the logarithm of the fleet size; a node that missed it catches up by comparing digests. The
+traffic of a node is always bounded: `max_rumours` rumours to `fanout` peers every `interval` ms (see
+`GossipSettings`). Times are ms on the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,219 +18,241 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from millgw.peers.beliefs import ILL, MIDDLE_OF, Beliefs, Observation, Prior
+from millgw.peers.beliefs import (
+    FAILURE_RATE_THRESHOLD,
+    MIN_ORIGINS_FOR_MEDIAN,
+    Observation,
+    ObservationStore,
+    Prior,
+)
 
-SLOW = 2.0  # times the usual, from which an endpoint is slow
-STEADY_CALLS = 3  # own calls on which an endpoint can be said to be well
-NUMBERS_A_MS = 1024  # an origin's numbers begin with its start: later processes of it go before earlier ones
+LATENCY_RATIO_THRESHOLD = 2.0  # multiple of the normal latency from which an endpoint is slow
+MIN_CALLS_FOR_HEALTHY = 3  # own calls needed to contradict a report that an endpoint is unhealthy
+# An origin's sequence numbers begin at its start time, so a restarted process has higher numbers than before.
+SEQUENCES_PER_MS = 1024
 
 
 class Mark(Enum):
-    """What an endpoint is like."""
+    """The state of an endpoint according to an observation."""
 
     WELL = "well"
-    ILL = "ill"
+    UNHEALTHY = "ill"
     COLD = "cold"
-    DRAINS = "drains"
+    DRAINING = "drains"
 
 
-def mark(o: Observation, young: float) -> Mark:
-    """What an observation says; `young` is the ms for which an endpoint is cold."""
+def mark(o: Observation, cold_time: float) -> Mark:
+    """The state that an observation reports; `cold_time` is the ms for which a started endpoint is cold."""
     if o.draining:
-        return Mark.DRAINS
-    if o.failing >= ILL or o.slow >= SLOW:
-        return Mark.ILL
-    return Mark.COLD if o.up is not None and o.up < young else Mark.WELL
+        return Mark.DRAINING
+    if o.failure_rate >= FAILURE_RATE_THRESHOLD or o.latency_ratio >= LATENCY_RATIO_THRESHOLD:
+        return Mark.UNHEALTHY
+    return Mark.COLD if o.uptime is not None and o.uptime < cold_time else Mark.WELL
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
-    """Times in ms. `spread` times log2 of the fleet is how often a rumour is passed on."""
+class GossipSettings:
+    """Times in ms. A rumour is relayed `retransmit_factor` times log2 of the fleet size."""
 
-    every: float = 250.0
+    interval: float = 250.0
     fanout: int = 3
-    most: int = 8  # rumours in a datagram
-    spread: float = 1.5
-    again: float = 2000.0  # to twice that: then what is seen is told again, while it lasts
-    compare: float = 5000.0
-    burst: int = 3  # datagrams that a comparison may cause on each side
+    max_rumours: int = 8  # in a datagram
+    retransmit_factor: float = 1.5
+    repeat_interval: float = 2000.0  # a lasting state is repeated after one to two intervals
+    digest_interval: float = 5000.0
+    max_sync_datagrams: int = 3  # sent by each side after digests differed
 
 
 @dataclass(slots=True, frozen=True)
 class Digest:
-    """All that is held, in one number; `differs` where it answers one that is another."""
+    """A checksum of all stored observations; `differs` marks the answer to a different digest."""
 
-    number: int
+    checksum: int
     differs: bool
 
 
-Rumour = tuple[str, Observation]  # with its pool
-Said = tuple[Rumour, ...] | Digest
-Sent = tuple[str, Said]
+Rumour = tuple[str, Observation]  # pool name and observation
+GossipMessage = tuple[Rumour, ...] | Digest
+Outgoing = tuple[str, GossipMessage]
 
 
 class Gossip:
-    """One sidecar's part in it. `start` is Unix ms of its process, `name` where peers find it."""
+    """The gossip state of one sidecar. `start` is its process start in Unix ms, `name` its peer address."""
 
-    def __init__(self, name: str, start: int, seed: int, terms: Terms | None = None) -> None:
+    def __init__(self, name: str, start: int, seed: int, settings: GossipSettings | None = None) -> None:
         self.name = name
-        self.terms = terms or Terms()
+        self.settings = settings or GossipSettings()
         self.rng = random.Random(seed)
-        self.number = start * NUMBERS_A_MS
-        self.pools: dict[str, Beliefs] = {}
-        self.told: dict[tuple[str, str], tuple[float, Mark]] = {}  # by pool and endpoint: until when, what
-        self.own: dict[str, dict[str, Observation]] = {}
-        self.left: dict[tuple[str, str, str], int] = {}  # by pool, endpoint and origin
-        self.next = -math.inf
-        self.compares = -math.inf
-
-    # What is seen here
-
-    def see(self, now: float, pool: str, young: float, seen: Iterable[Observation]) -> None:
-        """What this sidecar holds of a pool's endpoints by its own calls.
-
-        All that is known of (`known`) and all that is out of the ordinary must be among them.
+        self.sequence = start * SEQUENCES_PER_MS
+        self.pools: dict[str, ObservationStore] = {}
+        # By pool and endpoint: when the state may be repeated, and the state.
+        self.announced: dict[tuple[str, str], tuple[float, Mark]] = {}
+        self.own_observations: dict[str, dict[str, Observation]] = {}
+        self.transmissions: dict[tuple[str, str, str], int] = {}  # times sent, by pool, endpoint, origin
+        self.next_tick = -math.inf
+        self.next_digest = -math.inf
+
+    # Own observations
+
+    def update_own(
+        self, now: float, pool: str, cold_time: float, observations: Iterable[Observation]
+    ) -> None:
+        """Replace this sidecar's own observations of a pool's endpoints and announce what is new.
+
+        They must include all endpoints in `known_endpoints` and all in an unusual state.
         """
-        self.own[pool] = own = {o.endpoint: o for o in seen}
-        beliefs = self.serve(pool)
+        self.own_observations[pool] = own = {o.endpoint: o for o in observations}
+        store = self.serve(pool)
         for endpoint, observation in own.items():
-            if self._worth_telling(now, pool, young, observation, beliefs):
-                # At times of its own each: those who saw it at once would all say it again at once.
-                again = now + self.terms.again * (1.0 + self.rng.random())
-                self.told[pool, endpoint] = (again, mark(observation, young))
-                self._tell(now, pool, observation)
-        for key in [k for k in self.told if k[0] == pool and k[1] not in own]:
-            del self.told[key]
-
-    def _worth_telling(self, now: float, pool: str, young: float, o: Observation, beliefs: Beliefs) -> bool:
-        is_now = mark(o, young)
-        if is_now is Mark.WELL and o.endpoint not in beliefs.known:
-            return False  # as nearly always
-        until, before = self.told.get((pool, o.endpoint), (-math.inf, Mark.WELL))
-        if is_now is not before:
+            if self._should_announce(now, pool, cold_time, observation, store):
+                # Random, as nodes that observed a change together would otherwise all repeat it together.
+                repeat_at = now + self.settings.repeat_interval * (1.0 + self.rng.random())
+                self.announced[pool, endpoint] = (repeat_at, mark(observation, cold_time))
+                self._announce(now, pool, observation)
+        for key in [k for k in self.announced if k[0] == pool and k[1] not in own]:
+            del self.announced[key]
+
+    def _should_announce(
+        self, now: float, pool: str, cold_time: float, o: Observation, store: ObservationStore
+    ) -> bool:
+        state = mark(o, cold_time)
+        if state is Mark.WELL and o.endpoint not in store.by_endpoint:
+            return False  # the usual case
+        repeat_at, previous = self.announced.get((pool, o.endpoint), (-math.inf, Mark.WELL))
+        if state is not previous:
             return True
-        if now < until:
+        if now < repeat_at:
             return False
         others = [
-            mark(known, young) for known in beliefs.told(now, o.endpoint, o.since, self.terms.again)
-            if known.origin != self.name
+            mark(stored, cold_time)
+            for stored in store.recent(now, o.endpoint, o.started_at, self.settings.repeat_interval)
+            if stored.origin != self.name
         ]  # fmt: skip
-        if others.count(is_now) >= MIDDLE_OF:
-            return False  # guards against a fleet in which all tell all the same
-        if is_now is Mark.WELL:
-            return o.calls >= STEADY_CALLS and Mark.ILL in others
+        if others.count(state) >= MIN_ORIGINS_FOR_MEDIAN:
+            return False  # otherwise every node of the fleet would announce the same
+        if state is Mark.WELL:
+            return o.calls >= MIN_CALLS_FOR_HEALTHY and Mark.UNHEALTHY in others
         return True
 
-    def _tell(self, now: float, pool: str, observation: Observation) -> None:
-        self.number += 1
-        told = replace(observation, origin=self.name, age=0.0, number=self.number)
-        self._pass_on(pool, self.pools[pool].take(now, [told]))
+    def _announce(self, now: float, pool: str, observation: Observation) -> None:
+        self.sequence += 1
+        announced = replace(observation, origin=self.name, age=0.0, sequence=self.sequence)
+        self._queue(pool, self.pools[pool].merge(now, [announced]))
 
-    # What others tell
+    # Reports of peers
 
-    def hear(self, now: float, told: Iterable[Rumour]) -> None:
-        for pool, observation in told:
+    def hear(self, now: float, rumours: Iterable[Rumour]) -> None:
+        for pool, observation in rumours:
             if observation.origin != self.name and pool in self.pools:
-                self._pass_on(pool, self.pools[pool].take(now, [observation]))
+                self._queue(pool, self.pools[pool].merge(now, [observation]))
 
     def learn(self, now: float, pools: Mapping[str, Iterable[Observation]]) -> None:
-        """Take a peer's snapshot; what it holds was told to the others when it was new."""
-        for pool, told in pools.items():
+        """Store a peer's snapshot without relaying it: its observations were relayed when they were new."""
+        for pool, observations in pools.items():
             if pool in self.pools:
-                self.pools[pool].take(now, [o for o in told if o.origin != self.name])
+                self.pools[pool].merge(now, [o for o in observations if o.origin != self.name])
 
-    def serve(self, pool: str) -> Beliefs:
-        """There is a pool of this name here, of which these are held: what is told of others is not kept."""
-        return self.pools.setdefault(pool, Beliefs())
+    def serve(self, pool: str) -> ObservationStore:
+        """Register a pool and return its store; reports about pools that are not registered are ignored."""
+        return self.pools.setdefault(pool, ObservationStore())
 
-    def drop(self, pool: str) -> None:
-        """A pool has ended."""
+    def remove_pool(self, pool: str) -> None:
+        """Discard everything about a pool that no longer exists."""
         self.pools.pop(pool, None)
-        self.own.pop(pool, None)
-        for key in [k for k in self.told if k[0] == pool]:
-            del self.told[key]
+        self.own_observations.pop(pool, None)
+        for key in [k for k in self.announced if k[0] == pool]:
+            del self.announced[key]
 
     def snapshot(self, now: float) -> dict[str, list[Observation]]:
-        """All that is held, own observations of what is ordinary among it."""
-        out: dict[str, list[Observation]] = {}
-        for pool, beliefs in self.pools.items():
-            own = self.own.get(pool, {})
-            out[pool] = [o for o in beliefs.tell(now) if o.origin != self.name or o.endpoint not in own]
+        """All observations by pool, including own ones of endpoints without anything unusual."""
+        by_pool: dict[str, list[Observation]] = {}
+        for pool, store in self.pools.items():
+            own = self.own_observations.get(pool, {})
+            by_pool[pool] = [
+                o for o in store.all_current(now) if o.origin != self.name or o.endpoint not in own
+            ]
             for observation in own.values():
-                self.number += 1
-                out[pool].append(replace(observation, origin=self.name, age=0.0, number=self.number))
-        return out
+                self.sequence += 1
+                by_pool[pool].append(replace(observation, origin=self.name, age=0.0, sequence=self.sequence))
+        return by_pool
 
     def priors(
-        self, now: float, pool: str, listed: Mapping[str, float], young: float, of: int = 0
+        self,
+        now: float,
+        pool: str,
+        start_times: Mapping[str, float],
+        cold_time: float,
+        endpoint_count: int = 0,
     ) -> dict[str, Prior]:
-        """What others' word comes to, for the endpoints of a list (see `Beliefs.priors`)."""
-        beliefs = self.pools.get(pool)
-        return {} if beliefs is None else beliefs.priors(now, listed, young, self.name, of)
+        """The priors from observations of other origins (see `ObservationStore.priors`)."""
+        store = self.pools.get(pool)
+        return {} if store is None else store.priors(now, start_times, cold_time, self.name, endpoint_count)
 
-    def known(self, pool: str) -> list[str]:
-        """The endpoints of which anything is held."""
-        beliefs = self.pools.get(pool)
-        return [] if beliefs is None else list(beliefs.known)
+    def known_endpoints(self, pool: str) -> list[str]:
+        """The endpoints with at least one stored observation."""
+        store = self.pools.get(pool)
+        return [] if store is None else list(store.by_endpoint)
 
-    # What goes out
+    # Sending
 
     def due(self) -> float:
-        return self.next
-
-    def tick(self, now: float, peers: Sequence[str]) -> list[Sent]:
-        """What to say now, to which of these peers."""
-        self.next = now + self.terms.every
-        sent: list[Sent] = []
-        some = self.rng.sample(peers, min(self.terms.fanout, len(peers)))
-        for peer in some:
-            rumours = self._hottest(now, len(peers))
+        return self.next_tick
+
+    def tick(self, now: float, peers: Sequence[str]) -> list[Outgoing]:
+        """The messages to send now, each with its recipient out of `peers`."""
+        self.next_tick = now + self.settings.interval
+        sent: list[Outgoing] = []
+        recipients = self.rng.sample(peers, min(self.settings.fanout, len(peers)))
+        for peer in recipients:
+            rumours = self._least_sent_rumours(now, len(peers))
             if rumours:
                 sent.append((peer, rumours))
-        if now >= self.compares and some:
-            self.compares = now + self.terms.compare * (0.5 + self.rng.random())
-            sent.append((some[0], Digest(self._digest(now), False)))
+        if now >= self.next_digest and recipients:
+            self.next_digest = now + self.settings.digest_interval * (0.5 + self.rng.random())
+            sent.append((recipients[0], Digest(self._digest(now), False)))
         return sent
 
-    def compare(self, now: float, sender: str, digest: Digest) -> list[Sent]:
-        """Answer another's digest: where it is not this one, each tells the other the youngest."""
-        mine = self._digest(now)
-        if digest.number == mine and not digest.differs:
+    def answer_digest(self, now: float, sender: str, digest: Digest) -> list[Outgoing]:
+        """Answer a peer's digest: if they differ, each side sends the other its youngest observations."""
+        own_checksum = self._digest(now)
+        if digest.checksum == own_checksum and not digest.differs:
             return []
         youngest = sorted(
-            ((pool, o) for pool, beliefs in self.pools.items() for o in beliefs.tell(now)),
+            ((pool, o) for pool, store in self.pools.items() for o in store.all_current(now)),
             key=lambda rumour: rumour[1].age,
         )
-        most, burst = self.terms.most, self.terms.burst
-        parts = [tuple(youngest[i * most : (i + 1) * most]) for i in range(burst)]
-        sent: list[Sent] = [(sender, part) for part in parts if part]
+        size, count = self.settings.max_rumours, self.settings.max_sync_datagrams
+        batches = [tuple(youngest[i * size : (i + 1) * size]) for i in range(count)]
+        sent: list[Outgoing] = [(sender, batch) for batch in batches if batch]
         if not digest.differs:
-            sent.append((sender, Digest(mine, True)))
+            sent.append((sender, Digest(own_checksum, True)))
         return sent
 
-    def _pass_on(self, pool: str, new: Iterable[Observation]) -> None:
-        for o in new:
-            self.left[pool, o.endpoint, o.origin] = 0  # how often it went out so far
+    def _queue(self, pool: str, observations: Iterable[Observation]) -> None:
+        for o in observations:
+            self.transmissions[pool, o.endpoint, o.origin] = 0
 
-    def _hottest(self, now: float, peers: int) -> tuple[Rumour, ...]:
-        """The rumours that went out least; each goes out so often and is then left to comparisons."""
-        most = math.ceil(self.terms.spread * math.log2(peers + 2))
+    def _least_sent_rumours(self, now: float, peer_count: int) -> tuple[Rumour, ...]:
+        """The rumours sent least often; one that reached the limit is left to the exchange of digests."""
+        max_sends = math.ceil(self.settings.retransmit_factor * math.log2(peer_count + 2))
         rumours: list[Rumour] = []
-        for key in heapq.nsmallest(self.terms.most, self.left, key=self.left.__getitem__):
+        for key in heapq.nsmallest(
+            self.settings.max_rumours, self.transmissions, key=self.transmissions.__getitem__
+        ):
             pool, endpoint, origin = key
-            beliefs = self.pools.get(pool)
-            known = None if beliefs is None else beliefs.of(now, endpoint, origin)
-            self.left[key] += 1
-            if known is None or self.left[key] >= most:
-                del self.left[key]
-            if known is not None:
-                rumours.append((pool, known))
+            store = self.pools.get(pool)
+            stored = None if store is None else store.latest(now, endpoint, origin)
+            self.transmissions[key] += 1
+            if stored is None or self.transmissions[key] >= max_sends:
+                del self.transmissions[key]
+            if stored is not None:
+                rumours.append((pool, stored))
         return tuple(rumours)
 
     def _digest(self, now: float) -> int:
-        held = sorted(
-            (pool, o.endpoint, o.origin, o.number)
-            for pool, beliefs in self.pools.items()
-            for o in beliefs.tell(now)
+        contents = sorted(
+            (pool, o.endpoint, o.origin, o.sequence)
+            for pool, store in self.pools.items()
+            for o in store.all_current(now)
         )
-        return zlib.crc32(repr(held).encode())
+        return zlib.crc32(repr(contents).encode())
--- a/millgw/peers/keys.py
+++ b/millgw/peers/keys.py
@@ -1,4 +1,4 @@
-"""The keys that peers prove themselves by: files, read at the start and again when they have changed."""
+"""Shared keys for authenticating peers, read from files at the start and again after a change."""
 
 from __future__ import annotations
 
@@ -8,25 +8,28 @@
 from millgw.log.events import log_event
 
 
-class Keys:
-    """A file for each key; a key is what the file holds, without white space at its ends."""
+class KeyFiles:
+    """One file per key; the key is the content of the file without surrounding white space."""
 
     def __init__(self, paths: Sequence[str]) -> None:
         self.paths = [Path(path) for path in paths]
-        self.marks: list[tuple[int, int]] = []
+        self.versions: list[tuple[int, int]] = []  # modification time (ns) and inode of each file
 
     def read(self) -> list[bytes]:
-        """The keys; an OSError tells that a file can't be read."""
-        self.marks = self._now()
+        """The keys; raises OSError if a file can't be read."""
+        self.versions = self._current_versions()
         return [path.read_bytes().strip() for path in self.paths]
 
-    def _now(self) -> list[tuple[int, int]]:
-        return [(found.st_mtime_ns, found.st_ino) for found in (path.stat() for path in self.paths)]
+    def _current_versions(self) -> list[tuple[int, int]]:
+        return [(stat.st_mtime_ns, stat.st_ino) for stat in (path.stat() for path in self.paths)]
 
-    def changed(self) -> list[bytes] | None:
-        """The keys if a file has changed since; None else, and where one can't be read: those held stay."""
+    def read_if_changed(self) -> list[bytes] | None:
+        """The keys if a file has changed since the last read, otherwise None.
+
+        Also None if a file can't be read: the current keys stay in use.
+        """
         try:
-            if self._now() == self.marks:
+            if self._current_versions() == self.versions:
                 return None
             keys = self.read()
         except OSError as error:
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -1,4 +1,4 @@
-"""This sidecar among its peers: sockets, timers, and what goes between them and the pools' modules."""
+"""The peer of this process: connects membership, gossip and snapshots to sockets, timers and balancers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from millgw.log.events import log_event
 from millgw.peers import endpoint_evidence, gossip, wire
 from millgw.peers.gossip import Digest, Gossip
-from millgw.peers.keys import Keys
-from millgw.peers.peer_transport import MOST_TAKEN, PeerTransport
-from millgw.peers.sealed import Opener, Refused, Seal
+from millgw.peers.keys import KeyFiles
+from millgw.peers.peer_transport import MAX_INBOUND, PeerTransport
+from millgw.peers.sealed import MessageRefused, Signer, Verifier
 from millgw.peers.state_transfer import StateTransfer
-from millgw.peers.swim import Kind, Message, Swim
+from millgw.peers.swim import Message, MessageKind, Swim
 from millgw.platform.config import Address, read_address
 from millgw.pool.pool import Pool
 
@@ -24,87 +24,96 @@
     from millgw.membership.source import Where
     from millgw.peers.peer_discovery import CoordinatorDiscovery
 
-MOST_ASKED = 3  # peers that a new sidecar asks for what they know
-LOOK = 500.0  # ms between two looks at the modules, both ways
-KEYS_EVERY = 5000.0  # ms between two looks at the key files
-TELL_EVERY = 60_000.0  # ms between two lines on peers in the log
-LISTEN_AGAIN = 0.5  # s until an address that another process of this sidecar has is tried again
-DESCRIPTORS = MOST_TAKEN + MOST_ASKED + 6  # that all of it takes at the most
+MAX_PEERS_ASKED = 3  # peers that a starting sidecar asks for a snapshot
+EXCHANGE_INTERVAL_MS = 500.0  # between two exchanges with the balancers, in both directions
+KEY_CHECK_INTERVAL_MS = 5000.0  # between two checks of the key files
+LOG_INTERVAL_MS = 60_000.0  # between two `peers` events in the log
+LISTEN_RETRY_S = 0.5  # delay before retrying an address that another process of this sidecar still uses
+MAX_DESCRIPTORS = MAX_INBOUND + MAX_PEERS_ASKED + 6  # most file descriptors used by peers
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """`listen` is where peers find it, and its name among them; `within` the ms that its start waits.
+    """`listen` is the address for peers and the name of this peer; `keys` are paths of key files.
 
-    The first peers are `join`, and those that a coordinator's directory names, where one is told.
+    `start_timeout` is how many ms the start waits for snapshots. The initial peers are `join` and, with a
+    `coordinator`, the ones registered in its directory.
     """
 
     listen: Address
     join: tuple[Address, ...]
     keys: tuple[str, ...]
-    within: float
+    start_timeout: float
     coordinator: Where | None = None
 
 
-def _clock() -> float:
+def _now_ms() -> float:
     return time.monotonic() * 1000
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Membership, gossip and snapshots of one process; an OSError or ValueError tells of keys without use."""
+    """Membership, gossip and snapshots of one process. Raises OSError or ValueError for unusable keys."""
 
-    descriptors = DESCRIPTORS
+    descriptors = MAX_DESCRIPTORS
 
-    def __init__(self, terms: Terms, pools: Callable[[], Sequence[Pool]], seed: int) -> None:
-        self.terms = terms
+    def __init__(self, settings: Terms, pools: Callable[[], Sequence[Pool]], seed: int) -> None:
+        self.settings = settings
         self.pools = pools
-        self.name = str(terms.listen)
+        self.name = str(settings.listen)
         start = int(time.time() * 1000)
-        self.keys = Keys(terms.keys)
-        held = self.keys.read()
-        self.seal, self.opener = Seal(self.name, start, held), Opener(held, wire.MOST_FRAME)
+        self.key_files = KeyFiles(settings.keys)
+        keys = self.key_files.read()
+        self.signer, self.verifier = Signer(self.name, start, keys), Verifier(keys, wire.MAX_FRAME_BYTES)
         self.swim = Swim(self.name, start, seed)
         self.gossip = Gossip(self.name, start, seed + 1)
-        self.peer_transport = PeerTransport(lambda: StateTransfer(self.seal, self.opener), self._asked)
-        self.since: dict[str, tuple[object, dict[str, float]]] = {}  # by pool: of which list, what
-        self.limits: dict[str, list[float]] = {}  # learned from peers, until the modules have been told
+        self.peer_transport = PeerTransport(
+            lambda: StateTransfer(self.signer, self.verifier), self._handle_connection_message
+        )
+        self.start_times: dict[
+            str, tuple[object, dict[str, float]]
+        ] = {}  # by pool: its ring, times by endpoint
+        self.learned_limits: dict[str, list[float]] = {}  # from peers, until passed to the balancers
         self.transport: asyncio.DatagramTransport | None = None
-        self.looks = self.rereads = self.tells = self.wholes = 0.0
+        self.last_exchange = self.last_key_check = self.last_log = self.last_full_collection = 0.0
         self.timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[object]] = set()
         self.stopped = False
         self.refused = 0
         self.snapshots = 0
-        self.found(str(address) for address in terms.join)
+        self.add_candidates(str(address) for address in settings.join)
         self.peer_discovery: CoordinatorDiscovery | None = None
-        if terms.coordinator is not None:
-            # Only here: a coordinator that is not told must cost nothing.
+        if settings.coordinator is not None:
+            # Imported only here, so that it costs nothing if no coordinator is configured.
             from millgw.peers.peer_discovery import CoordinatorDiscovery
 
-            self.peer_discovery = CoordinatorDiscovery(terms.coordinator, self.name, seed, self.found)
+            self.peer_discovery = CoordinatorDiscovery(
+                settings.coordinator, self.name, seed, self.add_candidates
+            )
 
-    def found(self, names: Iterable[str]) -> None:
-        """There may be peers of these names."""
-        self.swim.join(_clock(), [name for name in names if name != self.name])
+    def add_candidates(self, names: Iterable[str]) -> None:
+        """Add possible peers by name, without knowing whether they run."""
+        self.swim.join(_now_ms(), [name for name in names if name != self.name])
 
-    # Beginning and end
+    # Start and stop
 
     async def begin(self) -> None:
-        """Learn from peers, within `terms.within` ms, tell the modules, and be a peer from now on."""
+        """Get snapshots from peers within `start_timeout` ms, report to the balancers and start listening."""
         for pool in self.pools():
             self.gossip.serve(pool.name)
-        until = _clock() + self.terms.within
+        until = _now_ms() + self.settings.start_timeout
         if self.peer_discovery is not None:
             self.peer_discovery.start()
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.peer_discovery.known.wait(), self.terms.within / 1000)
+                await asyncio.wait_for(
+                    self.peer_discovery.directory_read.wait(), self.settings.start_timeout / 1000
+                )
         names = self.swim.alive()
-        some = self.swim.rng.sample(names, min(MOST_ASKED, len(names)))
-        asking = [self._task(self._ask(name, wire.Ask())) for name in some]
-        if asking:
-            await asyncio.wait(asking, timeout=max(0.0, until - _clock()) / 1000)
-        log_event("peers-learned", asked=len(asking), snapshots=self.snapshots)
-        self._tell_modules()
+        chosen = self.swim.rng.sample(names, min(MAX_PEERS_ASKED, len(names)))
+        requests = [self._task(self._ask(name, wire.SnapshotRequest())) for name in chosen]
+        if requests:
+            await asyncio.wait(requests, timeout=max(0.0, until - _now_ms()) / 1000)
+        log_event("peers-learned", asked=len(requests), snapshots=self.snapshots)
+        self._report_to_balancers()
         self._task(self._listen())
 
     async def _ask(self, name: str, body: wire.Body) -> None:
@@ -113,8 +122,8 @@
             await self.peer_transport.ask(address, body)
 
     async def _listen(self) -> None:
-        """Listen; where a process before this one still has the address, as soon as it has gone."""
-        loop, listen = asyncio.get_running_loop(), self.terms.listen
+        """Listen; retry while a predecessor process still uses the address."""
+        loop, listen = asyncio.get_running_loop(), self.settings.listen
         while not self.stopped:
             try:
                 if self.peer_transport.server is None:
@@ -122,15 +131,15 @@
                 await loop.create_datagram_endpoint(lambda: self, local_addr=(listen.host, listen.port))
             except OSError as error:
                 log_event("peers-not-listening", listen=listen, cause=error)
-                await asyncio.sleep(LISTEN_AGAIN)
+                await asyncio.sleep(LISTEN_RETRY_S)
             else:
                 if self.peer_discovery is not None:
                     self.peer_discovery.register()
-                self._wake()
+                self._run_due()
                 return
 
     def stop(self) -> None:
-        """Be gone, and say so."""
+        """Stop, and announce the departure to peers."""
         if self.stopped:
             return
         self.stopped = True
@@ -152,108 +161,117 @@
         task.add_done_callback(self.tasks.discard)
         return task
 
-    # Time
+    # Timer
 
-    def _wake(self) -> None:
-        now = _clock()
-        if now >= self.rereads + KEYS_EVERY:
-            self.rereads = now
-            self._reread()
-        if now >= self.tells + TELL_EVERY:
-            self.tells = now
+    def _run_due(self) -> None:
+        now = _now_ms()
+        if now >= self.last_key_check + KEY_CHECK_INTERVAL_MS:
+            self.last_key_check = now
+            self._reload_keys()
+        if now >= self.last_log + LOG_INTERVAL_MS:
+            self.last_log = now
             log_event("peers", **self.figures())
-        if now >= self.looks + LOOK:
-            self.looks = now
-            self._look(now)
+        if now >= self.last_exchange + EXCHANGE_INTERVAL_MS:
+            self.last_exchange = now
+            self._exchange(now)
         if now >= self.swim.due():
             for name, message in self.swim.tick(now):
-                self._pass(name, message)
+                self._send_swim(name, message)
         if now >= self.gossip.due():
-            for name, said in self.gossip.tick(now, self.swim.alive()):
-                self._say(name, said)
-        at = min(self.swim.due(), self.gossip.due(), self.looks + LOOK)
-        self.timer = asyncio.get_running_loop().call_later(max(0.0, at - _clock()) / 1000 + 0.001, self._wake)
-
-    def _reread(self) -> None:
-        keys = self.keys.changed()
+            for name, gossip_message in self.gossip.tick(now, self.swim.alive()):
+                self._send_gossip(name, gossip_message)
+        next_due = min(self.swim.due(), self.gossip.due(), self.last_exchange + EXCHANGE_INTERVAL_MS)
+        self.timer = asyncio.get_running_loop().call_later(
+            max(0.0, next_due - _now_ms()) / 1000 + 0.001, self._run_due
+        )
+
+    def _reload_keys(self) -> None:
+        keys = self.key_files.read_if_changed()
         if keys is not None:
             try:
-                self.seal.change(keys)
-                self.opener.change(keys)
+                self.signer.change(keys)
+                self.verifier.change(keys)
             except ValueError as error:
                 log_event("peer-keys-unusable", cause=error)
 
-    # The modules
+    # Exchange with the balancers
 
-    def _look(self, now: float) -> None:
-        """Take what the modules have seen, and tell them what peers have."""
-        self._see(now, whole=False)
-        self._tell_modules()
+    def _exchange(self, now: float) -> None:
+        """Collect evidence from the balancers and report the evidence of peers to them."""
+        self._collect_evidence(now, all_endpoints=False)
+        self._report_to_balancers()
 
-    def _see(self, now: float, whole: bool) -> None:
-        """Take what the modules have seen: of each endpoint, or of those only that are worth a word."""
+    def _collect_evidence(self, now: float, all_endpoints: bool) -> None:
+        """Collect the balancers' evidence, of all endpoints or only of unusual and reported ones."""
         pools = {pool.name for pool in self.pools()}
-        for gone in self.gossip.pools.keys() - pools:
-            self.gossip.drop(gone)
-            self.since.pop(gone, None)
+        for removed in self.gossip.pools.keys() - pools:
+            self.gossip.remove_pool(removed)
+            self.start_times.pop(removed, None)
         for pool in self.pools():
             driver = pool.driver
-            balancer, at = driver.balancer, driver.clock()
-            named = None if whole else {int(name, 16) for name in self.gossip.known(pool.name)}
-            evidence = balancer.evidence(at, named)
-            told = endpoint_evidence.observations(at, evidence, self._starts(pool), driver.draining)
-            self.gossip.see(now, pool.name, balancer.settings.cold_time, told)
-
-    def _starts(self, pool: Pool) -> dict[str, float]:
-        """By endpoint, starts as discovery tells them; made anew only when the list has changed."""
+            balancer, balancer_now = driver.balancer, driver.clock()
+            named = (
+                None if all_endpoints else {int(name, 16) for name in self.gossip.known_endpoints(pool.name)}
+            )
+            evidence = balancer.evidence(balancer_now, named)
+            observations = endpoint_evidence.observations(
+                balancer_now, evidence, self._pool_start_times(pool), driver.draining
+            )
+            self.gossip.update_own(now, pool.name, balancer.settings.cold_time, observations)
+
+    def _pool_start_times(self, pool: Pool) -> dict[str, float]:
+        """Start times from discovery by endpoint, recomputed only when the endpoint list has changed."""
         ring, draining = pool.driver.balancer.ring, pool.driver.draining
-        of, before = self.since.get(pool.name, (None, {}))
-        if of is ring:
-            return before
-        since = endpoint_evidence.listed(s.info for s in ring)
-        # The module has forgotten those that drain; their starts tell them from what follows them.
-        since |= {key: before[key] for key in map(endpoint_evidence.key, draining) if key in before}
-        self.since[pool.name] = ring, since
-        return since
-
-    def _tell_modules(self) -> None:
+        previous_ring, previous = self.start_times.get(pool.name, (None, {}))
+        if previous_ring is ring:
+            return previous
+        start_times = endpoint_evidence.listed(s.info for s in ring)
+        # The balancer has removed draining endpoints; their start times distinguish them from successors.
+        start_times |= {
+            key: previous[key] for key in map(endpoint_evidence.endpoint_key, draining) if key in previous
+        }
+        self.start_times[pool.name] = ring, start_times
+        return start_times
+
+    def _report_to_balancers(self) -> None:
         siblings = len(self.swim.alive()) + 1
         for pool in self.pools():
             driver = pool.driver
             settings = driver.balancer.settings
             servers = driver.balancer.servers
-            told_of = (servers.get(int(name, 16)) for name in self.gossip.known(pool.name))
-            known = endpoint_evidence.listed(server.info for server in told_of if server is not None)
-            priors = self.gossip.priors(_clock(), pool.name, known, settings.cold_time, len(servers))
-            limits = self.limits.pop(pool.name, [])
+            reported = (servers.get(int(name, 16)) for name in self.gossip.known_endpoints(pool.name))
+            known = endpoint_evidence.listed(server.info for server in reported if server is not None)
+            priors = self.gossip.priors(_now_ms(), pool.name, known, settings.cold_time, len(servers))
+            limits = self.learned_limits.pop(pool.name, [])
             event = endpoint_evidence.hearsay(driver.clock(), priors, settings.cold_time, siblings, limits)
             if event.endpoints or limits or siblings > settings.siblings:
                 driver.hear(event)
 
     # Connections
 
-    def _asked(self, sender: str, body: wire.Body) -> list[wire.Body]:
-        """Take what came on a connection; what to answer."""
-        if isinstance(body, wire.Ask):
-            now = _clock()
-            if now >= self.wholes + LOOK:
-                # Not for each of a crowd: what else is held leaves out what is well, which asks for no care.
-                self.wholes = now
-                self._see(now, whole=True)
-            return [wire.snapshot(self.gossip.snapshot(_clock()), self._own_limits())]
+    def _handle_connection_message(self, sender: str, body: wire.Body) -> list[wire.Body]:
+        """Process a message received on a connection and return the answers."""
+        if isinstance(body, wire.SnapshotRequest):
+            now = _now_ms()
+            if now >= self.last_full_collection + EXCHANGE_INTERVAL_MS:
+                # At most once per interval, as many peers may ask: in between, the snapshot leaves out
+                # healthy endpoints, which need no caution.
+                self.last_full_collection = now
+                self._collect_evidence(now, all_endpoints=True)
+            return [wire.snapshot(self.gossip.snapshot(_now_ms()), self._own_limits())]
         if isinstance(body, wire.Snapshot):
-            rows = {pool: map(wire.observation, told) for pool, told in body.pools.items()}
-            self.gossip.learn(_clock(), rows)
+            by_pool = {pool: map(wire.observation, rows) for pool, rows in body.pools.items()}
+            self.gossip.learn(_now_ms(), by_pool)
             for pool, limit in body.limits.items():
-                self.limits.setdefault(pool, []).append(limit)
+                self.learned_limits.setdefault(pool, []).append(limit)
             self.snapshots += 1
             return []
         if isinstance(body, wire.Probe):
             message = wire.message(body)
-            if message.kind in (Kind.SYNC, Kind.STATE):
-                answers = self.swim.receive(_clock(), sender, message)
+            if message.kind in (MessageKind.SYNC, MessageKind.STATE):
+                answers = self.swim.receive(_now_ms(), sender, message)
                 return [wire.probe(answer) for name, answer in answers if name == sender]
-        raise Refused("not for a connection")
+        raise MessageRefused("message type is not allowed on a connection")
 
     def _own_limits(self) -> dict[str, float]:
         limits = {pool.name: pool.driver.balancer.admission for pool in self.pools()}
@@ -265,67 +283,67 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        now = _clock()
+        now = _now_ms()
         try:
-            if len(data) > wire.MOST_DATAGRAM:
-                raise Refused("too long")
-            sender, body = self.opener.open(data)
-            self._take(now, sender, wire.decode(body))
-        except Refused as error:
+            if len(data) > wire.MAX_DATAGRAM_BYTES:
+                raise MessageRefused("datagram is too long")
+            sender, body = self.verifier.verify_once(data)
+            self._handle_datagram(now, sender, wire.decode(body))
+        except MessageRefused as error:
             self.refused += 1
             log_event("peer-refused", peer=address, cause=error, refused=self.refused)
 
-    def _take(self, now: float, sender: str, body: wire.Body) -> None:
+    def _handle_datagram(self, now: float, sender: str, body: wire.Body) -> None:
         if isinstance(body, wire.Rumours):
             self.gossip.hear(now, [(r.pool, wire.observation(r.row)) for r in body.rumours])
-        elif isinstance(body, wire.Sum):
-            for name, said in self.gossip.compare(now, sender, Digest(body.digest, body.differs)):
-                self._say(name, said)
-        elif isinstance(body, wire.Probe) and body.kind not in (Kind.SYNC, Kind.STATE):
+        elif isinstance(body, wire.GossipDigest):
+            for name, answer in self.gossip.answer_digest(now, sender, Digest(body.digest, body.differs)):
+                self._send_gossip(name, answer)
+        elif isinstance(body, wire.Probe) and body.kind not in (MessageKind.SYNC, MessageKind.STATE):
             for name, message in self.swim.receive(now, sender, wire.message(body)):
-                self._pass(name, message)
+                self._send_swim(name, message)
         else:
-            raise Refused("not for a datagram")
+            raise MessageRefused("message type is not allowed in a datagram")
 
-    def _pass(self, name: str, message: Message) -> None:
-        """Send a message of the list's machine, by a connection if it is long."""
-        if message.kind is Kind.SYNC:
+    def _send_swim(self, name: str, message: Message) -> None:
+        """Send a membership message, over a connection if it may be long."""
+        if message.kind is MessageKind.SYNC:
             self._task(self._ask(name, wire.probe(message)))
         else:
             self._send(name, wire.probe(message))
 
-    def _say(self, name: str, said: gossip.Said) -> None:
-        if isinstance(said, Digest):
-            self._send(name, wire.Sum(said.number, said.differs))
-        elif not self._send(name, wire.rumours(said)) and len(said) > 1:
-            # Pools' names may be long.
-            self._say(name, said[: len(said) // 2])
-            self._say(name, said[len(said) // 2 :])
+    def _send_gossip(self, name: str, message: gossip.GossipMessage) -> None:
+        if isinstance(message, Digest):
+            self._send(name, wire.GossipDigest(message.checksum, message.differs))
+        elif not self._send(name, wire.rumours(message)) and len(message) > 1:
+            # With long pool names the rumours may not fit into one datagram.
+            self._send_gossip(name, message[: len(message) // 2])
+            self._send_gossip(name, message[len(message) // 2 :])
 
     def _send(self, name: str, body: wire.Body) -> bool:
-        """Send a datagram; whether it is one."""
-        sealed = self.seal.seal(wire.encode(body))
-        if len(sealed) > wire.MOST_DATAGRAM:
+        """Send a datagram; returns False if the message is too long for one."""
+        signed = self.signer.sign(wire.encode(body))
+        if len(signed) > wire.MAX_DATAGRAM_BYTES:
             return False
         address = self._address(name)
         if address is not None and self.transport is not None:
-            self.transport.sendto(sealed, (address.host, address.port))
+            self.transport.sendto(signed, (address.host, address.port))
         return True
 
     @staticmethod
     def _address(name: str) -> Address | None:
-        """Where a peer is found; names that are none come from peers, who may say anything."""
+        """The address in a peer's name, None if invalid: a peer may send any text as a name."""
         try:
             return read_address(name)
         except ValueError:
             return None
 
-    # For people
+    # Status
 
     def figures(self) -> dict[str, object]:
-        """For the log: peers alive, rumours held, what was refused."""
-        held = sum(len(beliefs.known) for beliefs in self.gossip.pools.values())
+        """For the log: peers alive and known, endpoints with observations, snapshots, refused messages."""
+        reported = sum(len(store.by_endpoint) for store in self.gossip.pools.values())
         return {
-            "alive": len(self.swim.alive()), "known": len(self.swim.members), "told_of": held,
+            "alive": len(self.swim.alive()), "known": len(self.swim.members), "told_of": reported,
             "snapshots": self.snapshots, "refused": self.refused,
         }  # fmt: skip
--- a/millgw/peers/peer_discovery.py
+++ b/millgw/peers/peer_discovery.py
@@ -1,7 +1,7 @@
-"""Peers found at a coordinator: an ephemeral node for each of them below one path.
+"""Peer discovery through a coordinator: an ephemeral node for each peer below one path.
 
-Only the first ones need finding: the list is kept by probes, so a coordinator that is away or wrong costs
-nothing once two know of each other.
+Only the first peers have to be found this way: membership is maintained by probes, so an unavailable or wrong
+coordinator does no harm once two peers know each other.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from millgw.membership.source import Directory, Where
 from millgw.platform.discovery import Listed
 
-Found = Callable[[list[str]], None]
+OnFound = Callable[[list[str]], None]
 
 
 class NoWitness:
-    """Nothing is known here of whether a peer answers: that is for probes."""
+    """Has no evidence of whether a peer answers; that is determined by probes."""
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
         return None
@@ -28,33 +28,33 @@
 
 
 class CoordinatorDiscovery:
-    """Registers this sidecar by its name below the path of `where`, and tells of the others there."""
+    """Registers this sidecar below the path of `where` and reports the others registered there."""
 
-    def __init__(self, where: Where, name: str, seed: int, found: Found) -> None:
+    def __init__(self, where: Where, name: str, seed: int, on_found: OnFound) -> None:
         self.name = name
-        self.found = found
-        self.known = asyncio.Event()  # the directory was read
+        self.on_found = on_found
+        self.directory_read = asyncio.Event()
         self.directory = Directory(where, (), seed, NoWitness(), self._changed)
-        node = Entry(name.replace(":", "-"), name)  # a path's part without colons, as other tools expect
+        node = Entry(name.replace(":", "-"), name)  # no colons in the path component, as other tools expect
         self.registrar = Registrar(where.servers, where.path, node, where.timeout, random.Random(seed))
 
     def start(self) -> None:
         self.directory.start()
 
     def register(self) -> None:
-        """Others may find this one from now on."""
+        """Make this sidecar discoverable by others."""
         self.registrar.start()
 
     async def leave(self) -> None:
-        """Take the node down, or leave that to the session's end."""
+        """Remove the node; if that fails, the end of the session removes it."""
         self.directory.stop()
         await self.registrar.withdraw()
 
     def _changed(self, ready: dict[int, Listed], draining: dict[int, Listed]) -> None:
-        self.known.set()
+        self.directory_read.set()
         names = self._names(ready.values())
         if names:
-            self.found(names)
+            self.on_found(names)
 
     def _names(self, listed: Iterable[Listed]) -> list[str]:
         return [name for e in listed if e.address is not None and (name := str(e.address)) != self.name]
--- a/millgw/peers/peer_transport.py
+++ b/millgw/peers/peer_transport.py
@@ -1,4 +1,4 @@
-"""Connections between peers: one question and its answers each, bounded in time, size and number."""
+"""Connections between peers: one request and its answers each, bounded in time, size and number."""
 
 from __future__ import annotations
 
@@ -7,67 +7,67 @@
 from typing import cast
 
 from millgw.log.events import log_event
-from millgw.peers.sealed import Refused
+from millgw.peers.sealed import MessageRefused
 from millgw.peers.state_transfer import StateTransfer
 from millgw.peers.wire import Body, encode
 from millgw.platform.config import Address
 
-LIVES = 2.0  # s after which a connection ends, whatever is still to come: a peer may drip, or never end
-MOST_TAKEN = 8  # connections of others at once; the oldest gives way, as it may be a stranger's
+CONNECTION_LIMIT_S = 2.0  # longest lifetime of a connection: a peer may send byte by byte, or without end
+MAX_INBOUND = 8  # accepted connections at once; the oldest is closed first, as it may be unauthenticated
 
-Handle = Callable[[str, Body], list[Body]]
+MessageHandler = Callable[[str, Body], list[Body]]
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection. `handle` takes what the other side says and gives what to answer.
+    """One connection. `handle` processes a message of the other side and returns the answers.
 
-    `first` is what this side asks, if it is the one that does; `answered` is set when it was answered, or the
-    connection has ended.
+    `request` is the request of this side, None on an accepted connection; `answered` is set when it was
+    answered or the connection has ended.
     """
 
     def __init__(
         self,
         state_transfer: StateTransfer,
-        handle: Handle,
-        first: Body | None,
-        ended: Callable[[PeerConnection], None],
+        handle: MessageHandler,
+        request: Body | None,
+        on_closed: Callable[[PeerConnection], None],
     ) -> None:
         self.state_transfer = state_transfer
         self.handle = handle
-        self.first = first
-        self.ended = ended
+        self.request = request
+        self.on_closed = on_closed
         self.answered = asyncio.Event()
         self.transport: asyncio.Transport | None = None
-        self.limit: asyncio.TimerHandle | None = None
+        self.limit_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.limit = asyncio.get_running_loop().call_later(LIVES, self.transport.abort)
+        self.limit_timer = asyncio.get_running_loop().call_later(CONNECTION_LIMIT_S, self.transport.abort)
         self.transport.write(self.state_transfer.hello())
 
     def data_received(self, data: bytes) -> None:
         assert self.transport is not None
-        fresh = not self.state_transfer.ready
+        awaiting_hello = not self.state_transfer.ready
         try:
-            said = self.state_transfer.receive(data)
-            if fresh and self.state_transfer.ready and self.first is not None:
-                self.transport.write(self.state_transfer.say(self.first))
-            for sender, body in said:
+            messages = self.state_transfer.receive(data)
+            if awaiting_hello and self.state_transfer.ready and self.request is not None:
+                self.transport.write(self.state_transfer.encode_frame(self.request))
+            for sender, body in messages:
                 for answer in self.handle(sender, body):
-                    self.transport.write(self.state_transfer.word(encode(answer)))
-        except Refused as error:
+                    self.transport.write(self.state_transfer.frame(encode(answer)))
+        except MessageRefused as error:
             log_event("peer-refused", peer=self.transport.get_extra_info("peername"), cause=error)
             self.transport.abort()
             return
-        if said and self.first is not None:
+        if messages and self.request is not None:
             self.answered.set()
-            self.transport.close()  # what was written goes out before
+            self.transport.close()  # after flushing what was written
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.limit is not None:
-            self.limit.cancel()
+        if self.limit_timer is not None:
+            self.limit_timer.cancel()
         self.answered.set()
-        self.ended(self)
+        self.on_closed(self)
 
     def abort(self) -> None:
         if self.transport is not None:
@@ -75,42 +75,42 @@
 
 
 class PeerTransport:
-    """All of them, of one process."""
+    """All peer connections of one process."""
 
-    def __init__(self, state_transfer: Callable[[], StateTransfer], handle: Handle) -> None:
-        self.state_transfer = state_transfer
+    def __init__(self, new_state_transfer: Callable[[], StateTransfer], handle: MessageHandler) -> None:
+        self.new_state_transfer = new_state_transfer
         self.handle = handle
-        self.taken: dict[PeerConnection, None] = {}
-        self.made: dict[PeerConnection, None] = {}
+        self.inbound: dict[PeerConnection, None] = {}
+        self.outbound: dict[PeerConnection, None] = {}
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> None:
-        """Take connections; an OSError tells that the address can't be had."""
+        """Accept connections; raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(self._take, address.host, address.port)
+        self.server = await loop.create_server(self._accept, address.host, address.port)
 
-    def _take(self) -> PeerConnection:
-        if len(self.taken) >= MOST_TAKEN:
-            next(iter(self.taken)).abort()
+    def _accept(self) -> PeerConnection:
+        if len(self.inbound) >= MAX_INBOUND:
+            next(iter(self.inbound)).abort()
         connection = PeerConnection(
-            self.state_transfer(), self.handle, None, lambda gone: self.taken.pop(gone, None)
+            self.new_state_transfer(), self.handle, None, lambda closed: self.inbound.pop(closed, None)
         )
-        self.taken[connection] = None
+        self.inbound[connection] = None
         return connection
 
-    async def ask(self, address: Address, first: Body) -> bool:
-        """Ask a peer, whose answers go to `handle`; whether it was reached."""
+    async def ask(self, address: Address, request: Body) -> bool:
+        """Send a request, whose answers are passed to `handle`; returns whether the peer was reached."""
         connection = PeerConnection(
-            self.state_transfer(), self.handle, first, lambda gone: self.made.pop(gone, None)
+            self.new_state_transfer(), self.handle, request, lambda closed: self.outbound.pop(closed, None)
         )
-        self.made[connection] = None
+        self.outbound[connection] = None
         try:
-            async with asyncio.timeout(LIVES):
+            async with asyncio.timeout(CONNECTION_LIMIT_S):
                 await asyncio.get_running_loop().create_connection(
                     lambda: connection, address.host, address.port
                 )
         except (OSError, TimeoutError):
-            self.made.pop(connection, None)
+            self.outbound.pop(connection, None)
             return False
         await connection.answered.wait()
         return True
@@ -118,5 +118,5 @@
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for connection in [*self.taken, *self.made]:
+        for connection in [*self.inbound, *self.outbound]:
             connection.abort()
--- a/millgw/peers/state_transfer.py
+++ b/millgw/peers/state_transfer.py
@@ -1,78 +1,81 @@
 """The protocol of a connection between peers, without I/O.
 
-Each side begins with 16 bytes drawn by chance. From then on frames go both ways: a length of four bytes, then
-a sealed message whose body is the other's 16 bytes, the frame's number and what is said. So nothing that was
-said on another connection, or before on this one, is taken; a stranger hears 16 bytes of chance and no more.
+Each side first sends a random nonce of 16 bytes. Then frames are sent in both directions: a length of four
+bytes and a signed message whose body is the other side's nonce, the frame number and the encoded message. So
+no frame of another connection, and no earlier frame of this one, is accepted when replayed; a client without
+a key receives 16 random bytes and nothing else.
 """
 
 from __future__ import annotations
 
 import secrets
 
-from millgw.peers.sealed import Opener, Refused, Seal
-from millgw.peers.wire import MOST_FRAME, Body, decode, encode
+from millgw.peers.sealed import MessageRefused, Signer, Verifier
+from millgw.peers.wire import MAX_FRAME_BYTES, Body, decode, encode
 
-NONCE = 16  # bytes
-LENGTH = 4  # bytes
-NUMBER = 4  # bytes
+NONCE_BYTES = 16
+LENGTH_BYTES = 4  # length prefix of a frame
+NUMBER_BYTES = 4  # frame number
 
 
 class StateTransfer:
     """One side of one connection."""
 
-    def __init__(self, seal: Seal, opener: Opener, nonce: bytes | None = None) -> None:
-        self.seal = seal
-        self.opener = opener
-        self.nonce = secrets.token_bytes(NONCE) if nonce is None else nonce
-        self.theirs = b""
+    def __init__(self, signer: Signer, verifier: Verifier, nonce: bytes | None = None) -> None:
+        self.signer = signer
+        self.verifier = verifier
+        self.nonce = secrets.token_bytes(NONCE_BYTES) if nonce is None else nonce
+        self.peer_nonce = b""
         self.buffer = bytearray()
-        self.said = 0
-        self.heard = 0
+        self.frames_sent = 0
+        self.frames_received = 0
 
     def hello(self) -> bytes:
-        """What to write first."""
+        """The bytes to send first."""
         return self.nonce
 
     @property
     def ready(self) -> bool:
-        """Whether the other side has begun: nothing can be said before."""
-        return len(self.theirs) == NONCE
+        """Whether the other side's nonce has arrived; no frame can be sent before."""
+        return len(self.peer_nonce) == NONCE_BYTES
 
-    def word(self, body: bytes) -> bytes:
-        """A frame that says what `encode` has worded."""
+    def frame(self, body: bytes) -> bytes:
+        """The next frame for an encoded body; raises ValueError before the other side's nonce arrived."""
         if not self.ready:
-            raise ValueError("the other side has not begun")
-        sealed = self.seal.seal(self.theirs + self.said.to_bytes(NUMBER, "big") + body)
-        self.said += 1
-        return len(sealed).to_bytes(LENGTH, "big") + sealed
+            raise ValueError("the other side has not sent its nonce")
+        signed = self.signer.sign(self.peer_nonce + self.frames_sent.to_bytes(NUMBER_BYTES, "big") + body)
+        self.frames_sent += 1
+        return len(signed).to_bytes(LENGTH_BYTES, "big") + signed
 
-    def say(self, body: Body) -> bytes:
-        return self.word(encode(body))
+    def encode_frame(self, body: Body) -> bytes:
+        return self.frame(encode(body))
 
     def receive(self, data: bytes) -> list[tuple[str, Body]]:
-        """Who said what in the frames that are whole now; a Refused ends the connection."""
+        """Sender and message of each completed frame; after a MessageRefused, close the connection."""
         self.buffer += data
         if not self.ready:
-            if len(self.buffer) < NONCE:
+            if len(self.buffer) < NONCE_BYTES:
                 return []
-            self.theirs = bytes(self.buffer[:NONCE])
-            del self.buffer[:NONCE]
-        said: list[tuple[str, Body]] = []
-        while len(self.buffer) >= LENGTH:
-            length = int.from_bytes(self.buffer[:LENGTH], "big")
-            if length > MOST_FRAME:
-                raise Refused("too long")
-            if len(self.buffer) < LENGTH + length:
+            self.peer_nonce = bytes(self.buffer[:NONCE_BYTES])
+            del self.buffer[:NONCE_BYTES]
+        messages: list[tuple[str, Body]] = []
+        while len(self.buffer) >= LENGTH_BYTES:
+            length = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
+            if length > MAX_FRAME_BYTES:
+                raise MessageRefused("frame is too long")
+            if len(self.buffer) < LENGTH_BYTES + length:
                 break
-            said.append(self._frame(bytes(self.buffer[LENGTH : LENGTH + length])))
-            del self.buffer[: LENGTH + length]
-        return said
+            messages.append(self._read_frame(bytes(self.buffer[LENGTH_BYTES : LENGTH_BYTES + length])))
+            del self.buffer[: LENGTH_BYTES + length]
+        return messages
 
-    def _frame(self, sealed: bytes) -> tuple[str, Body]:
-        sender, body = self.opener.read(sealed)
-        if body[:NONCE] != self.nonce:
-            raise Refused("said on another connection")
-        if body[NONCE : NONCE + NUMBER] != self.heard.to_bytes(NUMBER, "big"):
-            raise Refused("not the next frame")
-        self.heard += 1
-        return sender, decode(body[NONCE + NUMBER :])
+    def _read_frame(self, signed: bytes) -> tuple[str, Body]:
+        sender, body = self.verifier.verify(signed)
+        if body[:NONCE_BYTES] != self.nonce:
+            raise MessageRefused("frame was signed for another connection")
+        if body[NONCE_BYTES : NONCE_BYTES + NUMBER_BYTES] != self.frames_received.to_bytes(
+            NUMBER_BYTES, "big"
+        ):
+            raise MessageRefused("frame number is not that of the next frame")
+        self.frames_received += 1
+        return sender, decode(body[NONCE_BYTES + NUMBER_BYTES :])
--- a/millgw/peers/wire.py
+++ b/millgw/peers/wire.py
@@ -1,9 +1,11 @@
-"""What peers say to each other, as bytes: version 1, checked by `msgspec`, bounded. Pure.
+"""The wire format of peer messages, version 1: msgpack, validated by `msgspec`, bounded in size. Pure.
 
-A body is a msgpack map whose `t` tells what it is; a key that is not known is skipped, a `t` that is not is
-refused. Datagrams carry `probe`, `rumours` and `sum`; connections `ask`, `snapshot` and `probe`, each frame
-a length of four bytes and a sealed message (see `millgw.peers.peer_transport`). Nothing of callers or keys is
-told.
+A body is a msgpack map whose `t` is the message type; unknown keys are ignored, an unknown `t` is refused.
+Datagrams carry `probe`, `rumours` and `sum`; connections carry `ask`, `snapshot` and `probe`, each in a frame
+of a four-byte length and a signed message (see `millgw.peers.state_transfer`). Messages contain nothing about
+callers or keys.
+
+Class names are not on the wire, but tags, field names and their order are: peers of other versions read them.
 """
 
 from __future__ import annotations
@@ -15,47 +17,47 @@
 from msgspec import Meta
 
 from millgw.peers.beliefs import Observation
-from millgw.peers.sealed import Refused
-from millgw.peers.swim import MOST_MEMBERS, Kind, Message, News, Status
+from millgw.peers.sealed import MessageRefused
+from millgw.peers.swim import MAX_MEMBERS, MemberUpdate, Message, MessageKind, Status
 
-MOST_DATAGRAM = 1400  # bytes, sealed: what goes through a network's usual frame
-MOST_FRAME = 4 * 1024 * 1024  # bytes, sealed: some thousands of endpoints of a few pools
-MOST_TOLD = 16_384  # observations in one message
+MAX_DATAGRAM_BYTES = 1400  # with signature; fits into an Ethernet frame
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # with signature; some thousands of endpoints in a few pools
+MAX_OBSERVATIONS = 16_384  # observations in one message
 
 Name = Annotated[str, Meta(max_length=256)]
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 Float = float
 
 
-class Row(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An observation (see `millgw.peers.beliefs`); ages and times in whole ms to keep datagrams small."""
+class ObservationRow(msgspec.Struct, frozen=True, omit_defaults=True):
+    """An `Observation` with short keys, and ages and times in whole ms, to keep datagrams small."""
 
-    e: Name
-    o: Name
-    n: Number
-    a: Number
-    s: Number = 0
-    f: Float = 0.0
-    w: Float = 1.0
-    c: Number = 0
-    u: Number | None = None
-    d: bool = False
+    e: Name  # endpoint
+    o: Name  # origin
+    n: Number  # sequence
+    a: Number  # age
+    s: Number = 0  # started_at
+    f: Float = 0.0  # failure_rate
+    w: Float = 1.0  # latency_ratio
+    c: Number = 0  # calls
+    u: Number | None = None  # uptime
+    d: bool = False  # draining
 
 
 class Rumour(msgspec.Struct, frozen=True):
     pool: Name
-    row: Row
+    row: ObservationRow
 
 
 class Probe(msgspec.Struct, frozen=True, tag_field="t", tag="probe", omit_defaults=True):
-    """A message of the list's machine; `news` are name, incarnation and status."""
+    """A membership message (see `millgw.peers.swim`); `news` are tuples of name, incarnation and status."""
 
-    kind: Annotated[int, Meta(ge=0, le=int(max(Kind)))]
+    kind: Annotated[int, Meta(ge=0, le=int(max(MessageKind)))]
     number: Number
     about: Name = ""
     news: Annotated[
         tuple[tuple[Name, Number, Annotated[int, Meta(ge=0, le=int(max(Status)))]], ...],
-        Meta(max_length=MOST_MEMBERS + 1),
+        Meta(max_length=MAX_MEMBERS + 1),
     ] = ()
 
 
@@ -63,40 +65,43 @@
     rumours: Annotated[tuple[Rumour, ...], Meta(max_length=64)]
 
 
-class Sum(msgspec.Struct, frozen=True, tag_field="t", tag="sum"):
-    """A digest of all that is held, and whether the other one's is known already to differ."""
+class GossipDigest(msgspec.Struct, frozen=True, tag_field="t", tag="sum"):
+    """A digest of all stored observations; `differs` is True if it answers a different digest."""
 
     digest: Number
     differs: bool = False
 
 
-class Ask(msgspec.Struct, frozen=True, tag_field="t", tag="ask"):
-    """Asks for all that is known of endpoints."""
+class SnapshotRequest(msgspec.Struct, frozen=True, tag_field="t", tag="ask"):
+    """Requests a snapshot."""
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag_field="t", tag="snapshot"):
-    """All that is known by pool, and its limits on calls in flight for each endpoint, as learned."""
+    """All observations by pool, and by pool the learned limit on calls in flight to each endpoint."""
 
-    pools: Annotated[dict[Name, Annotated[tuple[Row, ...], Meta(max_length=MOST_TOLD)]], Meta(max_length=256)]
+    pools: Annotated[
+        dict[Name, Annotated[tuple[ObservationRow, ...], Meta(max_length=MAX_OBSERVATIONS)]],
+        Meta(max_length=256),
+    ]
     limits: Annotated[dict[Name, Annotated[float, Meta(ge=0)]], Meta(max_length=256)]
 
 
-Body = Probe | Rumours | Sum | Ask | Snapshot
+Body = Probe | Rumours | GossipDigest | SnapshotRequest | Snapshot
 
-_reads = msgspec.msgpack.Decoder(Body)
-_words = msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(Body)
+_encoder = msgspec.msgpack.Encoder()
 
 
 def encode(body: Body) -> bytes:
-    return _words.encode(body)
+    return _encoder.encode(body)
 
 
 def decode(data: bytes) -> Body:
-    """What a body says; a Refused tells why it can't be read."""
+    """Decode a body; raises MessageRefused if it is invalid."""
     try:
-        return _reads.decode(data)
+        return _decoder.decode(data)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise Refused(f"can't be read: {error}") from None
+        raise MessageRefused(f"can't be decoded: {error}") from None
 
 
 def probe(message: Message) -> Probe:
@@ -105,30 +110,31 @@
 
 
 def message(body: Probe) -> Message:
-    news = tuple(News(name, incarnation, Status(status)) for name, incarnation, status in body.news)
-    return Message(Kind(body.kind), body.number, body.about, news)
+    news = tuple(MemberUpdate(name, incarnation, Status(status)) for name, incarnation, status in body.news)
+    return Message(MessageKind(body.kind), body.number, body.about, news)
 
 
-def row(o: Observation) -> Row:
-    up = None if o.up is None else round(o.up)
-    return Row(
-        o.endpoint, o.origin, o.number, round(o.age), round(o.since), round(o.failing, 3), round(o.slow, 2),
-        o.calls, up, o.draining,
+def row(o: Observation) -> ObservationRow:
+    uptime = None if o.uptime is None else round(o.uptime)
+    return ObservationRow(
+        o.endpoint, o.origin, o.sequence, round(o.age), round(o.started_at), round(o.failure_rate, 3),
+        round(o.latency_ratio, 2), o.calls, uptime, o.draining,
     )  # fmt: skip
 
 
-def observation(r: Row) -> Observation:
-    up = None if r.u is None else float(r.u)
-    return Observation(r.e, r.o, float(r.a), r.n, float(r.s), r.f, r.w, r.c, up, r.d)
+def observation(r: ObservationRow) -> Observation:
+    uptime = None if r.u is None else float(r.u)
+    return Observation(r.e, r.o, float(r.a), r.n, float(r.s), r.f, r.w, r.c, uptime, r.d)
 
 
-def rumours(told: Iterable[tuple[str, Observation]]) -> Rumours:
-    return Rumours(tuple(Rumour(pool, row(o)) for pool, o in told))
+def rumours(rumours: Iterable[tuple[str, Observation]]) -> Rumours:
+    return Rumours(tuple(Rumour(pool, row(o)) for pool, o in rumours))
 
 
 def snapshot(pools: Mapping[str, Iterable[Observation]], limits: Mapping[str, float]) -> Snapshot:
-    """At most so many rows for each pool, the youngest."""
+    """The `MAX_OBSERVATIONS` youngest observations of each pool, and the limits."""
     rows = {
-        pool: tuple(map(row, sorted(told, key=lambda o: o.age)[:MOST_TOLD])) for pool, told in pools.items()
+        pool: tuple(map(row, sorted(observations, key=lambda o: o.age)[:MAX_OBSERVATIONS]))
+        for pool, observations in pools.items()
     }
     return Snapshot(rows, dict(limits))
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -13,10 +13,10 @@
 from hypothesis import strategies as st
 
 from millgw.peers import wire
-from millgw.peers.beliefs import GONE, Observation
-from millgw.peers.endpoint_evidence import hearsay, limit, observations
-from millgw.peers.gossip import Digest, Gossip, Said, Terms
-from millgw.peers.sealed import Opener, Refused, Seal
+from millgw.peers.beliefs import FORGET_AFTER_MS, Observation
+from millgw.peers.endpoint_evidence import combined_limit, hearsay, observations
+from millgw.peers.gossip import Digest, Gossip, GossipMessage, GossipSettings
+from millgw.peers.sealed import MessageRefused, Signer, Verifier
 from millgw.peers.state_transfer import StateTransfer
 from millgw.standins.network import Network
 from tests.kinds import once
@@ -39,22 +39,22 @@
     def due(self) -> float:
         return self.gossip.due()
 
-    def tick(self, now: float) -> list[tuple[str, Said]]:
+    def tick(self, now: float) -> list[tuple[str, GossipMessage]]:
         if now >= self.looks:
             self.looks = now + LOOK
-            self.gossip.see(now, "p", YOUNG, self.sees(now))
+            self.gossip.update_own(now, "p", YOUNG, self.sees(now))
         return self.gossip.tick(now, self.others)
 
-    def receive(self, now: float, sender: str, said: Said) -> list[tuple[str, Said]]:
+    def receive(self, now: float, sender: str, said: GossipMessage) -> list[tuple[str, GossipMessage]]:
         if isinstance(said, Digest):
-            return self.gossip.compare(now, sender, said)
+            return self.gossip.answer_digest(now, sender, said)
         self.gossip.hear(now, said)
         return []
 
 
-def bytes_of(said: Said) -> int:
+def bytes_of(said: GossipMessage) -> int:
     if isinstance(said, Digest):
-        return len(wire.encode(wire.Sum(said.number, said.differs)))
+        return len(wire.encode(wire.GossipDigest(said.checksum, said.differs)))
     return len(wire.encode(wire.rumours(said)))
 
 
@@ -65,7 +65,7 @@
     """
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
-        self.network: Network[Said] = Network(seed, loss=loss, size=bytes_of)
+        self.network: Network[GossipMessage] = Network(seed, loss=loss, size=bytes_of)
         self.rng = random.Random(seed)
         self.names = [f"n{i}" for i in range(count)]
         self.calls = 0
@@ -81,7 +81,7 @@
 
     def sees(self, name: str) -> list[Observation]:
         ill = self.ill.get(name, set())
-        bad = Observation("", "", 0.0, failing=1.0, calls=20)
+        bad = Observation("", "", 0.0, failure_rate=1.0, calls=20)
         good = Observation("", "", 0.0, calls=self.calls)
         return [replace(bad if f"e{i}" in ill else good, endpoint=f"e{i}") for i in range(10)]
 
@@ -93,7 +93,7 @@
         listed = {f"e{i}": 0.0 for i in range(10)}
         now = self.network.now
         priors = [n.gossip.priors(now, "p", listed, YOUNG) for n in self.nodes.values()]
-        return sum(endpoint in p and p[endpoint].failing >= 0.4 for p in priors)
+        return sum(endpoint in p and p[endpoint].failure_rate >= 0.4 for p in priors)
 
 
 # How far it goes, and what it costs
@@ -122,9 +122,9 @@
     for name in fleet.names:
         fleet.ill[name] = {"e4"}
     fleet.run(6000.0)
-    numbers = {n.name: n.gossip.number for n in fleet.nodes.values()}
+    numbers = {n.name: n.gossip.sequence for n in fleet.nodes.values()}
     fleet.run(20_000.0)
-    told = [n.gossip.number - numbers[n.name] for n in fleet.nodes.values()]
+    told = [n.gossip.sequence - numbers[n.name] for n in fleet.nodes.values()]
     assert sum(told) < 60 * 20 / 2 / 3, "each would tell it ten times"
     assert fleet.believing("e4") == 60
 
@@ -148,8 +148,8 @@
     fleet.ill.clear()
     fleet.run(4000.0)
     assert fleet.believing("e4") == 0
-    fleet.run(GONE + 5000.0)
-    assert not any(n.gossip.pools["p"].tell(fleet.network.now) for n in fleet.nodes.values())
+    fleet.run(FORGET_AFTER_MS + 5000.0)
+    assert not any(n.gossip.pools["p"].all_current(fleet.network.now) for n in fleet.nodes.values())
 
 
 def test_two_groups_that_did_not_reach_each_other_come_to_hold_the_same() -> None:
@@ -176,25 +176,25 @@
         fresh.serve("p")
         fresh.learn(0.0, fleet.nodes[f"n{5 + i % 5}"].gossip.snapshot(now))  # a clock of its own
         priors = fresh.priors(0.0, "p", {f"e{k}": 0.0 for k in range(10)}, YOUNG)
-        assert priors["e4"].failing >= 0.4 and priors["e1"].failing == 0.0
+        assert priors["e4"].failure_rate >= 0.4 and priors["e1"].failure_rate == 0.0
 
 
 def test_of_pools_that_are_not_here_nothing_is_kept_and_of_one_that_ends_nothing_stays() -> None:
     gossip = Gossip("me", 1, 1)
-    told = Observation("e", "a", 0.0, 1, failing=1.0, calls=9)
+    told = Observation("e", "a", 0.0, 1, failure_rate=1.0, calls=9)
     gossip.hear(0.0, [("other", told)])
     assert not gossip.pools
     gossip.serve("p")
     gossip.hear(0.0, [("p", told)])
-    gossip.see(0.0, "p", YOUNG, [replace(told, origin="")])
-    gossip.drop("p")
-    assert not gossip.pools and not gossip.own and not gossip.told
+    gossip.update_own(0.0, "p", YOUNG, [replace(told, origin="")])
+    gossip.remove_pool("p")
+    assert not gossip.pools and not gossip.own_observations and not gossip.announced
     assert all(isinstance(said, Digest) for _, said in gossip.tick(0.0, ["a"]))
 
 
 ROWS = st.builds(
     Observation,
-    st.sampled_from(["e0", "e1"]), st.sampled_from(["a", "b", "me"]), st.floats(0, GONE / 2),
+    st.sampled_from(["e0", "e1"]), st.sampled_from(["a", "b", "me"]), st.floats(0, FORGET_AFTER_MS / 2),
     st.integers(0, 9), st.just(0.0), st.floats(0, 1), st.floats(0.1, 9), st.integers(0, 99),
 )  # fmt: skip
 
@@ -208,29 +208,29 @@
     first: dict[tuple[str, str, int], float] = {}  # when it was seen, by the oldest word of it
     for passed, o in told:
         now += passed
-        key = (o.endpoint, o.origin, o.number)
+        key = (o.endpoint, o.origin, o.sequence)
         first[key] = min(first.get(key, now), now - o.age)
         gossip.hear(now, [("p", o)])
         for _, said in gossip.tick(now, ["a", "b", "c", "d"]):
             for _, out in said if not isinstance(said, Digest) else ():
-                seen_at = first[out.endpoint, out.origin, out.number]
+                seen_at = first[out.endpoint, out.origin, out.sequence]
                 assert out.origin != "me" and now - out.age <= seen_at + 1e-6
-    assert len(gossip.left) <= 4
+    assert len(gossip.transmissions) <= 4
 
 
 def test_the_bound_on_what_a_node_sends_holds_when_everything_changes() -> None:
-    terms = Terms()
+    terms = GossipSettings()
     gossip = Gossip("me", 1, 1, terms)
     peers = [f"n{i}" for i in range(400)]
     now, sent = 0.0, 0
     for turn in range(40):
-        seen = [Observation(f"e{i}", "", 0.0, failing=float(turn % 2)) for i in range(500)]
-        gossip.see(now, "p", YOUNG, seen)
+        seen = [Observation(f"e{i}", "", 0.0, failure_rate=float(turn % 2)) for i in range(500)]
+        gossip.update_own(now, "p", YOUNG, seen)
         said = gossip.tick(now, peers)
         assert sum(not isinstance(s, Digest) for _, s in said) <= terms.fanout
-        assert all(isinstance(s, Digest) or len(s) <= terms.most for _, s in said)
+        assert all(isinstance(s, Digest) or len(s) <= terms.max_rumours for _, s in said)
         sent += sum(bytes_of(s) for _, s in said)
-        now += terms.every
+        now += terms.interval
     assert sent / 10 < 16_000  # bytes a second
 
 
@@ -238,16 +238,16 @@
 
 
 def test_a_field_that_is_not_known_is_skipped_and_a_message_that_is_not_is_refused() -> None:
-    words = msgspec.msgpack.decode(wire.encode(wire.Sum(7)))
-    assert wire.decode(msgspec.msgpack.encode({**words, "later": [1, 2]})) == wire.Sum(7)
+    words = msgspec.msgpack.decode(wire.encode(wire.GossipDigest(7)))
+    assert wire.decode(msgspec.msgpack.encode({**words, "later": [1, 2]})) == wire.GossipDigest(7)
     for bad in ({**words, "t": "verdict"}, {**words, "digest": -1}, {**words, "digest": "x"}, [1], {}):
-        with pytest.raises(Refused):
+        with pytest.raises(MessageRefused):
             wire.decode(msgspec.msgpack.encode(bad))
 
 
 @given(st.binary(max_size=300))
 def test_whatever_bytes_come_they_are_read_or_refused(data: bytes) -> None:
-    with suppress(Refused):
+    with suppress(MessageRefused):
         wire.decode(data)
 
 
@@ -257,8 +257,11 @@
     assert isinstance(body, wire.Rumours)
     (told,) = body.rumours
     again = wire.observation(told.row)
-    assert told.pool == pool and replace(again, age=o.age, failing=o.failing, slow=o.slow) == o
-    assert abs(again.age - o.age) <= 0.5 and abs(again.failing - o.failing) <= 0.0005
+    assert (
+        told.pool == pool
+        and replace(again, age=o.age, failure_rate=o.failure_rate, latency_ratio=o.latency_ratio) == o
+    )
+    assert abs(again.age - o.age) <= 0.5 and abs(again.failure_rate - o.failure_rate) <= 0.0005
 
 
 # Connections
@@ -267,7 +270,7 @@
 
 
 def begun(name: str) -> StateTransfer:
-    return StateTransfer(Seal(name, 1, [KEY]), Opener([KEY], wire.MOST_FRAME))
+    return StateTransfer(Signer(name, 1, [KEY]), Verifier([KEY], wire.MAX_FRAME_BYTES))
 
 
 def pair() -> tuple[StateTransfer, StateTransfer]:
@@ -281,32 +284,32 @@
 def test_frames_are_heard_whole_at_any_split(cuts: list[int]) -> None:
     one, other = begun("a"), begun("b")
     one.receive(other.hello())
-    data = one.hello() + one.say(wire.Ask()) + one.say(wire.Sum(3))
+    data = one.hello() + one.encode_frame(wire.SnapshotRequest()) + one.encode_frame(wire.GossipDigest(3))
     heard = []
     for cut in cuts:
         heard += other.receive(data[:cut])
         data = data[cut:]
     heard += other.receive(data)
-    assert heard == [("a", wire.Ask()), ("a", wire.Sum(3))]
+    assert heard == [("a", wire.SnapshotRequest()), ("a", wire.GossipDigest(3))]
 
 
 def test_what_was_said_on_another_connection_or_before_or_by_a_stranger_is_refused() -> None:
     one, other = pair()
-    frame = one.say(wire.Ask())
-    assert other.receive(frame) == [("a", wire.Ask())]
-    with pytest.raises(Refused, match="next frame"):
+    frame = one.encode_frame(wire.SnapshotRequest())
+    assert other.receive(frame) == [("a", wire.SnapshotRequest())]
+    with pytest.raises(MessageRefused, match="next frame"):
         other.receive(frame)
     _, later = pair()
-    with pytest.raises(Refused, match="another connection"):
+    with pytest.raises(MessageRefused, match="another connection"):
         later.receive(frame)
-    stranger = StateTransfer(Seal("a", 1, [b"x" * 16]), Opener([b"x" * 16], 9999))
+    stranger = StateTransfer(Signer("a", 1, [b"x" * 16]), Verifier([b"x" * 16], 9999))
     _, other = pair()
     stranger.receive(other.hello())
-    with pytest.raises(Refused, match="key"):
-        other.receive(stranger.say(wire.Ask()))
+    with pytest.raises(MessageRefused, match="key"):
+        other.receive(stranger.encode_frame(wire.SnapshotRequest()))
     _, other = pair()
-    with pytest.raises(Refused, match="too long"):
-        other.receive((wire.MOST_FRAME + 1).to_bytes(4, "big"))
+    with pytest.raises(MessageRefused, match="too long"):
+        other.receive((wire.MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
 
 
 # Between the module's words and the peers'
@@ -317,13 +320,13 @@
     assert seen[0].draining and seen[0].endpoint == f"{7:016x}"
     gossip = Gossip("me", 1, 1)
     gossip.serve("p")
-    ordinary = Observation(f"{1:016x}", "a", 0.0, 1, calls=50, up=1e9)
-    gossip.hear(0.0, [("p", ordinary), ("p", replace(ordinary, endpoint=f"{2:016x}", up=400.0))])
+    ordinary = Observation(f"{1:016x}", "a", 0.0, 1, calls=50, uptime=1e9)
+    gossip.hear(0.0, [("p", ordinary), ("p", replace(ordinary, endpoint=f"{2:016x}", uptime=400.0))])
     priors = gossip.priors(0.0, "p", {f"{i:016x}": 0.0 for i in range(9)}, YOUNG)
     word = hearsay(5000.0, priors, YOUNG, 4)
     assert [(t.id, t.started_at) for t in word.endpoints] == [(2, 4600.0)] and word.siblings == 4
-    assert limit([9.0, 3.0]) == 3.0 and limit([9.0, 3.0, 8.0]) == 8.0
-    assert limit([0.0, float("nan")]) == float("inf")
+    assert combined_limit([9.0, 3.0]) == 3.0 and combined_limit([9.0, 3.0, 8.0]) == 8.0
+    assert combined_limit([0.0, float("nan")]) == float("inf")
 
 
 @given(st.data())
@@ -335,4 +338,4 @@
     for i in range(data.draw(st.integers(0, 100))):
         o = Observation("e", data.draw(st.sampled_from(origins)), 0.0, i)
         gossip.hear(float(i), [(data.draw(st.sampled_from(["p", "q"])), o)])
-    assert len(gossip.pools["p"].known.get("e", {})) <= 16 and set(gossip.pools) == {"p"}
+    assert len(gossip.pools["p"].by_endpoint.get("e", {})) <= 16 and set(gossip.pools) == {"p"}
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -29,9 +29,9 @@
 from millgw.peers import node, peer_transport, wire
 from millgw.peers.beliefs import Observation
 from millgw.peers.node import Peers, Terms
-from millgw.peers.peer_transport import MOST_TAKEN
-from millgw.peers.sealed import Opener, Seal
-from millgw.peers.state_transfer import NONCE, StateTransfer
+from millgw.peers.peer_transport import MAX_INBOUND
+from millgw.peers.sealed import Signer, Verifier
+from millgw.peers.state_transfer import NONCE_BYTES, StateTransfer
 from millgw.peers.swim import Status
 from millgw.platform.config import Address
 from millgw.pool.pool import Pool
@@ -117,8 +117,8 @@
 def quick() -> Iterator[None]:
     """Look at key files at every look, end connections sooner."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(node, "KEYS_EVERY", 0.0)
-        patch.setattr(peer_transport, "LIVES", 0.3)
+        patch.setattr(node, "KEY_CHECK_INTERVAL_MS", 0.0)
+        patch.setattr(peer_transport, "CONNECTION_LIMIT_S", 0.3)
         yield
 
 
@@ -128,9 +128,11 @@
             first, served = await some.start()
             served.balancer.servers[2].back = served.clock()  # seen to come back: discovery did not tell
             served.draining = {3}
-            await until(lambda: bool(first.gossip.own.get("")))
-            await until(lambda: (first.gossip.own[""][f"{2:016x}"].up or 0.0) < SETTINGS.cold_time)
-            fresh, learned = await some.start(first.terms.listen)
+            await until(lambda: bool(first.gossip.own_observations.get("")))
+            await until(
+                lambda: (first.gossip.own_observations[""][f"{2:016x}"].uptime or 0.0) < SETTINGS.cold_time
+            )
+            fresh, learned = await some.start(first.settings.listen)
             assert fresh.snapshots == 1
             assert learned.cold(2) and not learned.cold(1)
             now = learned.clock()
@@ -140,7 +142,7 @@
             served.balancer.handle(served.clock(), listed)
             served.draining = {3, 5}
             await until(lambda: learned.balancer.servers[5].drains_until > learned.clock())
-            third, _ = await some.start(fresh.terms.listen)
+            third, _ = await some.start(fresh.settings.listen)
             await until(lambda: all(len(p.swim.alive()) == 2 for p in (first, fresh, third)))
             await until(lambda: bool(served.heard) and served.heard[-1].siblings == 3)
 
@@ -151,8 +153,8 @@
     async def test() -> None:
         async with fleet(tmp_path) as some:
             first, served = await some.start()
-            _, other = await some.start(first.terms.listen)
-            _, third = await some.start(first.terms.listen)
+            _, other = await some.start(first.settings.listen)
+            _, third = await some.start(first.settings.listen)
             served.balancer.servers[4].missed = 2  # out of reach, as its own calls found
             for peer in (other, third):
                 await until(lambda at=peer: len(at.balancer.aside(at.clock())) == 1)  # type: ignore[misc]
@@ -175,31 +177,36 @@
     async def test() -> None:
         async with fleet(tmp_path) as some:
             peers, _ = await some.start()
-            at = peers.terms.listen
-            stranger = StateTransfer(Seal("x", 1, [OTHER]), Opener([OTHER], 9999))
+            at = peers.settings.listen
+            stranger = StateTransfer(Signer("x", 1, [OTHER]), Verifier([OTHER], 9999))
             reader, writer = await asyncio.open_connection(at.host, at.port)
-            hello = await reader.readexactly(NONCE)
+            hello = await reader.readexactly(NONCE_BYTES)
             stranger.receive(hello)
-            writer.write(stranger.hello() + stranger.say(wire.Ask()))
+            writer.write(stranger.hello() + stranger.encode_frame(wire.SnapshotRequest()))
             assert await reader.read() == b"", "not a byte more"
             writer.close()
-            assert len(await talk(at, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 3)) == NONCE
+            assert len(await talk(at, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 3)) == NONCE_BYTES
             sent = asyncio.DatagramProtocol
             transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
                 sent, remote_addr=(at.host, at.port)
             )
-            true = Seal("127.0.0.1:1", 1, [KEY])
-            told = Observation(f"{1:016x}", "127.0.0.1:1", 0.0, 5, failing=1.0, calls=9)
+            true = Signer("127.0.0.1:1", 1, [KEY])
+            told = Observation(f"{1:016x}", "127.0.0.1:1", 0.0, 5, failure_rate=1.0, calls=9)
             rumour = wire.rumours([("", told)])
-            good = true.seal(wire.encode(rumour))
-            for bad in (b"x", b"x" * 40, Seal("x", 1, [OTHER]).seal(wire.encode(rumour)), good + b"x" * 2000):
+            good = true.sign(wire.encode(rumour))
+            for bad in (
+                b"x",
+                b"x" * 40,
+                Signer("x", 1, [OTHER]).sign(wire.encode(rumour)),
+                good + b"x" * 2000,
+            ):
                 transport.sendto(bad)
             await until(lambda: peers.refused == 4)
-            assert not peers.gossip.pools[""].known
+            assert not peers.gossip.pools[""].by_endpoint
             transport.sendto(good)
             transport.sendto(good)  # said again by somebody who heard it
             await until(lambda: peers.refused == 5)
-            assert len(peers.gossip.pools[""].known) == 1
+            assert len(peers.gossip.pools[""].by_endpoint) == 1
             transport.close()
 
     run(test)
@@ -211,15 +218,17 @@
         if how == "silent":
             await reader.read()
             return
-        state_transfer = StateTransfer(Seal("127.0.0.1:1", 1, [KEY]), Opener([KEY], wire.MOST_FRAME))
+        state_transfer = StateTransfer(Signer("127.0.0.1:1", 1, [KEY]), Verifier([KEY], wire.MAX_FRAME_BYTES))
         writer.write(state_transfer.hello())
-        state_transfer.receive(await reader.read(NONCE))
-        frame = state_transfer.say(wire.snapshot({"": [Observation(f"{1:016x}", "a", 0.0, 1, up=1.0)]}, {}))
+        state_transfer.receive(await reader.read(NONCE_BYTES))
+        frame = state_transfer.encode_frame(
+            wire.snapshot({"": [Observation(f"{1:016x}", "a", 0.0, 1, uptime=1.0)]}, {})
+        )
         if how == "vanishes":
             writer.write(frame[: len(frame) // 2])
             writer.close()
         elif how == "endless":
-            writer.write((wire.MOST_FRAME).to_bytes(4, "big") + b"x" * 100_000)
+            writer.write((wire.MAX_FRAME_BYTES).to_bytes(4, "big") + b"x" * 100_000)
             await reader.read()
         else:
             for byte in frame:
@@ -233,9 +242,9 @@
             peers, served = some.make(Address(host, port), within=50.0)
             await peers.begin()
             if how != "vanishes":
-                assert peers.peer_transport.made, "it goes on, and the start does not wait"
+                assert peers.peer_transport.outbound, "it goes on, and the start does not wait"
             assert not served.cold(1)
-            await until(lambda: not peers.peer_transport.made)  # bounded as well
+            await until(lambda: not peers.peer_transport.outbound)  # bounded as well
             assert not peers.snapshots
         server.close()
 
@@ -259,13 +268,13 @@
         async with fleet(tmp_path) as some:
             first, _ = await some.start()
             some.keys.write_bytes(b"short")
-            await until(lambda: first.keys.marks == first.keys._now())
-            assert first.opener.keys[0][1] == KEY
+            await until(lambda: first.key_files.versions == first.key_files._current_versions())
+            assert first.verifier.keys[0][1] == KEY
             some.keys.unlink()
             await asyncio.sleep(0.6)
             some.keys.write_bytes(OTHER)
-            await until(lambda: first.opener.keys[0][1] == OTHER)
-            fresh, _ = await some.start(first.terms.listen)
+            await until(lambda: first.verifier.keys[0][1] == OTHER)
+            fresh, _ = await some.start(first.settings.listen)
             assert fresh.snapshots == 1
 
     with quick():
@@ -276,9 +285,9 @@
     async def test() -> None:
         async with fleet(tmp_path) as some:
             old, _ = await some.start()
-            other, _ = await some.start(old.terms.listen)
+            other, _ = await some.start(old.settings.listen)
             await until(lambda: other.swim.alive() == [old.name])
-            fresh, _ = await some.start(other.terms.listen, listen=old.terms.listen)
+            fresh, _ = await some.start(other.settings.listen, listen=old.settings.listen)
             assert fresh.snapshots == 1 and fresh.transport is None
             old.stop()
             await until(lambda: fresh.transport is not None)
@@ -293,8 +302,8 @@
     async def test() -> None:
         async with fleet(tmp_path) as some:
             first, _ = await some.start()
-            second, _ = await some.start(first.terms.listen)
-            third, _ = await some.start(first.terms.listen)
+            second, _ = await some.start(first.settings.listen)
+            third, _ = await some.start(first.settings.listen)
             await until(lambda: all(len(p.swim.alive()) == 2 for p in (first, second, third)))
             third.stop()
             await until(lambda: first.swim.status(third.name) is Status.DEAD)
@@ -307,9 +316,9 @@
     async def test() -> None:
         async with fleet(tmp_path) as some:
             first, _ = await some.start()
-            at = first.terms.listen
-            held = [await asyncio.open_connection(at.host, at.port) for _ in range(3 * MOST_TAKEN)]
-            await until(lambda: len(first.peer_transport.taken) == MOST_TAKEN)
+            at = first.settings.listen
+            held = [await asyncio.open_connection(at.host, at.port) for _ in range(3 * MAX_INBOUND)]
+            await until(lambda: len(first.peer_transport.inbound) == MAX_INBOUND)
             fresh, _ = await some.start(at)
             assert fresh.snapshots == 1
             for _, writer in held:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,9 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millgw.peers.beliefs import GONE, ILL, Beliefs, Observation, weight
-from millgw.peers.sealed import WINDOW, Opener, Refused, Seal
-from millgw.peers.swim import Kind, Message, News, Status, Swim, Terms, agree
+from millgw.peers.beliefs import (
+    FAILURE_RATE_THRESHOLD,
+    FORGET_AFTER_MS,
+    Observation,
+    ObservationStore,
+    weight,
+)
+from millgw.peers.sealed import REPLAY_WINDOW, MessageRefused, Signer, Verifier
+from millgw.peers.swim import MemberUpdate, Message, MessageKind, Status, Swim, Terms, agree
 from millgw.standins.network import Network
 from tests.kinds import once
 
@@ -148,9 +154,13 @@
 @settings(max_examples=60, deadline=None)
 def test_whatever_others_say_a_node_holds_itself_alive_and_its_memory_bounded(data: st.DataObject) -> None:
     names = st.sampled_from(["me", "a", "b", "c", ""])
-    news = st.builds(News, names, st.integers(0, 5), st.sampled_from(Status))
+    news = st.builds(MemberUpdate, names, st.integers(0, 5), st.sampled_from(Status))
     messages = st.builds(
-        Message, st.sampled_from(Kind), st.integers(0, 9), names, st.lists(news, max_size=12).map(tuple)
+        Message,
+        st.sampled_from(MessageKind),
+        st.integers(0, 9),
+        names,
+        st.lists(news, max_size=12).map(tuple),
     )
     node, now = Swim("me", 1, 1), 0.0
     highest = 1
@@ -163,7 +173,7 @@
         assert node.own.status is Status.ALIVE and node.own.incarnation >= highest
         highest = node.own.incarnation
         assert "me" not in node.members and len(node.members) <= 4
-        assert set(node.hot.left) <= {"me", *node.members}
+        assert set(node.update_queue.remaining) <= {"me", *node.members}
 
 
 # What is believed
@@ -181,82 +191,87 @@
 
 
 def believed(*told: Observation, of: int = 6) -> dict[str, object]:
-    beliefs = Beliefs()
-    beliefs.take(0.0, told)
+    beliefs = ObservationStore()
+    beliefs.merge(0.0, told)
     return dict(beliefs.priors(0.0, listed("e", *(f"x{i}" for i in range(of - 1))), YOUNG))
 
 
 def test_one_who_lies_among_three_changes_no_verdict() -> None:
-    honest = [seen("a", failing=0.9), seen("b", failing=0.9)]
-    prior = believed(*honest, seen("liar", failing=0.0, up=1e9))["e"]
-    assert prior.failing == 0.9  # type: ignore[attr-defined]
+    honest = [seen("a", failure_rate=0.9), seen("b", failure_rate=0.9)]
+    prior = believed(*honest, seen("liar", failure_rate=0.0, uptime=1e9))["e"]
+    assert prior.failure_rate == 0.9  # type: ignore[attr-defined]
     good = [seen("a"), seen("b")]
-    prior = believed(*good, seen("liar", failing=1.0, slow=99.0, calls=10**8))["e"]
-    assert (prior.failing, prior.slow) == (0.0, 1.0)  # type: ignore[attr-defined]
-    cold = [seen("a", up=200.0), seen("b", up=300.0)]
-    assert believed(*cold, seen("liar", up=1e9))["e"].up == 300.0  # type: ignore[attr-defined]
+    prior = believed(*good, seen("liar", failure_rate=1.0, latency_ratio=99.0, calls=10**8))["e"]
+    assert (prior.failure_rate, prior.latency_ratio) == (0.0, 1.0)  # type: ignore[attr-defined]
+    cold = [seen("a", uptime=200.0), seen("b", uptime=300.0)]
+    assert believed(*cold, seen("liar", uptime=1e9))["e"].uptime == 300.0  # type: ignore[attr-defined]
 
 
 def test_of_one_or_two_the_most_careful_is_believed() -> None:
-    prior = believed(seen("a", failing=0.1, up=9000.0), seen("b", failing=0.8, up=100.0))["e"]
-    assert (prior.failing, prior.up) == (0.8, 100.0)  # type: ignore[attr-defined]
+    prior = believed(seen("a", failure_rate=0.1, uptime=9000.0), seen("b", failure_rate=0.8, uptime=100.0))[
+        "e"
+    ]
+    assert (prior.failure_rate, prior.uptime) == (0.8, 100.0)  # type: ignore[attr-defined]
 
 
 def test_where_all_are_called_ill_none_is_believed_to_be_and_what_is_cold_stays_cold() -> None:
-    beliefs = Beliefs()
+    beliefs = ObservationStore()
     names = [f"e{i}" for i in range(9)]
-    beliefs.take(0.0, [seen("a", name, failing=1.0, up=50.0) for name in names])
-    assert all(p.failing < ILL and p.up == 50.0 for p in beliefs.priors(0.0, listed(*names), YOUNG).values())
-    few = Beliefs()
-    few.take(0.0, [seen("a", name, failing=1.0) for name in names[:3]])
-    assert all(p.failing == 1.0 for p in few.priors(0.0, listed(*names), YOUNG).values())
+    beliefs.merge(0.0, [seen("a", name, failure_rate=1.0, uptime=50.0) for name in names])
+    assert all(
+        p.failure_rate < FAILURE_RATE_THRESHOLD and p.uptime == 50.0
+        for p in beliefs.priors(0.0, listed(*names), YOUNG).values()
+    )
+    few = ObservationStore()
+    few.merge(0.0, [seen("a", name, failure_rate=1.0) for name in names[:3]])
+    assert all(p.failure_rate == 1.0 for p in few.priors(0.0, listed(*names), YOUNG).values())
 
 
 def test_one_of_three_who_says_that_all_have_just_started_is_not_believed() -> None:
     names = [f"e{i}" for i in range(6)]
-    beliefs = Beliefs()
-    beliefs.take(0.0, [seen(o, name) for o in "ab" for name in names])  # who know of no start
-    beliefs.take(0.0, [seen("liar", name, up=50.0) for name in names])
-    assert all(p.up is None for p in beliefs.priors(0.0, listed(*names), YOUNG).values())
-    alone = Beliefs()
-    alone.take(0.0, [seen("a", name, up=1e8) for name in names] + [seen("b", "e1", up=50.0)])
-    assert alone.priors(0.0, listed(*names), YOUNG)["e1"].up == 50.0, "of one endpoint it may be so"
+    beliefs = ObservationStore()
+    beliefs.merge(0.0, [seen(o, name) for o in "ab" for name in names])  # who know of no start
+    beliefs.merge(0.0, [seen("liar", name, uptime=50.0) for name in names])
+    assert all(p.uptime is None for p in beliefs.priors(0.0, listed(*names), YOUNG).values())
+    alone = ObservationStore()
+    alone.merge(0.0, [seen("a", name, uptime=1e8) for name in names] + [seen("b", "e1", uptime=50.0)])
+    assert alone.priors(0.0, listed(*names), YOUNG)["e1"].uptime == 50.0, "of one endpoint it may be so"
 
 
 def test_of_an_earlier_process_of_its_name_nothing_counts_and_of_a_later_one_all() -> None:
-    beliefs = Beliefs()
-    beliefs.take(0.0, [seen("a", failing=1.0, draining=True, since=100.0)])
+    beliefs = ObservationStore()
+    beliefs.merge(0.0, [seen("a", failure_rate=1.0, draining=True, started_at=100.0)])
     assert not beliefs.priors(0.0, {"e": 200.0, "x": 0.0, "y": 0.0}, YOUNG), "another one is there by now"
     for since in (100.0, 50.0):
         (prior,) = beliefs.priors(0.0, {"e": since, "x": 0.0, "y": 0.0, "z": 0.0}, YOUNG).values()
-        assert prior.failing == 1.0 and prior.draining
+        assert prior.failure_rate == 1.0 and prior.draining
 
 
 def test_a_drain_that_one_heard_counts_but_not_a_few_who_say_that_all_drain() -> None:
     names = [f"e{i}" for i in range(6)]
-    beliefs = Beliefs()
-    beliefs.take(0.0, [seen("a", "e0", draining=True), seen("b", "e0"), seen("c", "e0")])
+    beliefs = ObservationStore()
+    beliefs.merge(0.0, [seen("a", "e0", draining=True), seen("b", "e0"), seen("c", "e0")])
     assert beliefs.priors(0.0, listed(*names), YOUNG)["e0"].draining
-    beliefs.take(0.0, [seen("liar", name, draining=True) for name in names])
+    beliefs.merge(0.0, [seen("liar", name, draining=True) for name in names])
     priors = beliefs.priors(0.0, listed(*names), YOUNG)
     assert [n for n, p in priors.items() if p.draining] == ["e0"], "a heard it too"
     for origin in "abc":
-        beliefs.take(1.0, [seen(origin, name, draining=True, number=1) for name in names])
+        beliefs.merge(1.0, [seen(origin, name, draining=True, sequence=1) for name in names])
     priors = beliefs.priors(1.0, listed(*names), YOUNG)
     assert all(p.draining for p in priors.values()), "most say so: it is a release"
 
 
 def test_what_is_passed_on_becomes_no_younger_and_no_echo_comes_back_as_news() -> None:
-    first, second, third = Beliefs(), Beliefs(), Beliefs()
-    first.take(0.0, [seen("a", age=1000.0, up=5000.0)])
-    second.take(70.0, first.tell(4000.0))  # clocks of their own
-    (told,) = second.tell(2070.0)
-    assert (told.origin, told.age, told.up) == ("a", 7000.0, 11_000.0)
-    third.take(0.0, second.tell(2070.0))
-    first.take(6000.0, third.tell(0.0))
-    (again,) = first.tell(6000.0)
+    first, second, third = ObservationStore(), ObservationStore(), ObservationStore()
+    first.merge(0.0, [seen("a", age=1000.0, uptime=5000.0)])
+    second.merge(70.0, first.all_current(4000.0))  # clocks of their own
+    (told,) = second.all_current(2070.0)
+    assert (told.origin, told.age, told.uptime) == ("a", 7000.0, 11_000.0)
+    third.merge(0.0, second.all_current(2070.0))
+    first.merge(6000.0, third.all_current(0.0))
+    (again,) = first.all_current(6000.0)
     assert again.age == 7000.0
-    assert not second.tell(70.0 + GONE)
+    assert not second.all_current(70.0 + FORGET_AFTER_MS)
 
 
 ROWS = st.tuples(st.sampled_from("abcd"), st.floats(0, 70_000), st.floats(0, 1), st.floats(0.1, 50))
@@ -264,10 +279,10 @@
 
 @given(st.lists(ROWS))
 def test_a_prior_only_adds_care_and_is_outvoted(rows: list[tuple[str, float, float, float]]) -> None:
-    told = [seen(o, age=age, failing=failing, slow=slow) for o, age, failing, slow in rows]
+    told = [seen(o, age=age, failure_rate=failing, latency_ratio=slow) for o, age, failing, slow in rows]
     for prior in believed(*told).values():
-        assert prior.slow >= 1.0 and 0 <= prior.calls <= 5.0  # type: ignore[attr-defined]
-        failing, calls = prior.failing, prior.calls  # type: ignore[attr-defined]
+        assert prior.latency_ratio >= 1.0 and 0 <= prior.calls <= 5.0  # type: ignore[attr-defined]
+        failing, calls = prior.failure_rate, prior.calls  # type: ignore[attr-defined]
         assert failing * calls / (calls + 50.0) < 0.1, "fifty own calls outvote it"
         ages = [min(o.age for o in told if o.origin == origin) for origin in {o.origin for o in told}]
         assert prior.calls <= 5.0 * max(weight(age) for age in ages)  # type: ignore[attr-defined]
@@ -275,18 +290,18 @@
 
 @given(st.floats(allow_nan=True), st.floats(allow_nan=True), st.integers(), st.floats(allow_nan=True))
 def test_figures_that_can_t_be_are_not_taken(age: float, failing: float, calls: int, up: float) -> None:
-    beliefs = Beliefs()
-    beliefs.take(0.0, [Observation("e", "a", age, 0, 0.0, failing, 1.0, calls, up)])
+    beliefs = ObservationStore()
+    beliefs.merge(0.0, [Observation("e", "a", age, 0, 0.0, failing, 1.0, calls, up)])
     for prior in beliefs.priors(0.0, listed("e"), YOUNG).values():
-        assert 0 <= prior.failing <= 1 and prior.up is not None and prior.up >= 0
+        assert 0 <= prior.failure_rate <= 1 and prior.uptime is not None and prior.uptime >= 0
 
 
 def test_the_middle_is_that_of_origins_and_not_of_how_often_one_says_it() -> None:
-    beliefs = Beliefs()
+    beliefs = ObservationStore()
     for at in range(50):
-        beliefs.take(float(at), [seen("liar", failing=1.0, number=int(at))])
-    beliefs.take(50.0, [seen("a", failing=0.1), seen("b", failing=0.2)])
-    assert beliefs.priors(50.0, listed(*"efghij"), YOUNG)["e"].failing == median([1.0, 0.1, 0.2])
+        beliefs.merge(float(at), [seen("liar", failure_rate=1.0, sequence=int(at))])
+    beliefs.merge(50.0, [seen("a", failure_rate=0.1), seen("b", failure_rate=0.2)])
+    assert beliefs.priors(50.0, listed(*"efghij"), YOUNG)["e"].failure_rate == median([1.0, 0.1, 0.2])
 
 
 # Whose word it is
@@ -295,16 +310,16 @@
 
 
 def test_a_key_is_changed_in_service_one_after_another() -> None:
-    seal, opener = Seal("a", 1, [OLD]), Opener([OLD], 1200)
-    assert opener.open(seal.seal(b"1")) == ("a", b"1")
+    seal, opener = Signer("a", 1, [OLD]), Verifier([OLD], 1200)
+    assert opener.verify_once(seal.sign(b"1")) == ("a", b"1")
     opener.change([OLD, NEW])
-    assert opener.open(seal.seal(b"2")) == ("a", b"2")
+    assert opener.verify_once(seal.sign(b"2")) == ("a", b"2")
     seal.change([NEW, OLD])
-    assert opener.open(seal.seal(b"3")) == ("a", b"3")
+    assert opener.verify_once(seal.sign(b"3")) == ("a", b"3")
     opener.change([NEW])
-    assert opener.open(seal.seal(b"4")) == ("a", b"4")
-    with pytest.raises(Refused, match="key"):
-        opener.open(Seal("a", 1, [OLD]).seal(b"5"))
+    assert opener.verify_once(seal.sign(b"4")) == ("a", b"4")
+    with pytest.raises(MessageRefused, match="key"):
+        opener.verify_once(Signer("a", 1, [OLD]).sign(b"5"))
     for keys in ([], [b"short"], [OLD, NEW, OTHER]):
         with pytest.raises(ValueError):
             opener.change(keys)
@@ -312,35 +327,40 @@
 
 @given(st.data())
 def test_what_was_changed_cut_or_made_by_a_stranger_is_refused(data: st.DataObject) -> None:
-    whole = Seal("a", 1, [OLD]).seal(b"body")
+    whole = Signer("a", 1, [OLD]).sign(b"body")
     if data.draw(st.booleans()):
         bad = whole[: data.draw(st.integers(0, len(whole) - 1))]
     else:
         at = data.draw(st.integers(0, len(whole) - 1))
         bad = whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :]
-    opener = Opener([OLD, NEW], 1200)
-    for refused in (bad, Seal("a", 1, [OTHER]).seal(b"body"), data.draw(st.binary(max_size=200)), whole * 20):
-        with pytest.raises(Refused):
-            opener.open(refused)
+    opener = Verifier([OLD, NEW], 1200)
+    for refused in (
+        bad,
+        Signer("a", 1, [OTHER]).sign(b"body"),
+        data.draw(st.binary(max_size=200)),
+        whole * 20,
+    ):
+        with pytest.raises(MessageRefused):
+            opener.verify_once(refused)
     assert not opener.replay_windows
 
 
 @given(st.lists(st.integers(0, 400), min_size=1, max_size=60))
 def test_each_message_is_taken_once_in_any_order_within_the_window(order: list[int]) -> None:
-    seal, opener = Seal("a", 1, [OLD]), Opener([OLD], 1200)
-    sealed = [seal.seal(b"%d" % n) for n in range(401)]
+    seal, opener = Signer("a", 1, [OLD]), Verifier([OLD], 1200)
+    sealed = [seal.sign(b"%d" % n) for n in range(401)]
     taken: list[int] = []
     for n in order:
         try:
-            opener.open(sealed[n])
-        except Refused:
-            assert n in taken or n <= max(taken) - WINDOW
+            opener.verify_once(sealed[n])
+        except MessageRefused:
+            assert n in taken or n <= max(taken) - REPLAY_WINDOW
         else:
             assert n not in taken
             taken.append(n)
-    with pytest.raises(Refused, match="before"):
-        opener.open(sealed[taken[-1]])
-    later = Seal("a", 2, [OLD]).seal(b"again")
-    assert opener.open(later) == ("a", b"again")
-    with pytest.raises(Refused, match="before"):
-        opener.open(sealed[400])
+    with pytest.raises(MessageRefused, match="before"):
+        opener.verify_once(sealed[taken[-1]])
+    later = Signer("a", 2, [OLD]).sign(b"again")
+    assert opener.verify_once(later) == ("a", b"again")
+    with pytest.raises(MessageRefused, match="before"):
+        opener.verify_once(sealed[400])
