--- a/millgw/peers/beliefs.py
+++ b/millgw/peers/beliefs.py
@@ -89,7 +89,7 @@
     def merge(self, now: float, observations: Iterable[Observation]) -> list[Observation]:
         """Store observations that a peer reported and return those that were new.
 
-        An observation is ignored if one of the same origin with the same or a higher number is stored.
+        Ignored are observations for which the same or a higher sequence number of the origin is stored.
         """
         return [
             observation
@@ -103,10 +103,8 @@
         stored = origins.get(observation.origin)
         if stored is not None:
             if stored[1].sequence == observation.sequence and seen_at < stored[0]:
-                origins[observation.origin] = (
-                    seen_at,
-                    stored[1],
-                )  # the stored copy arrived over a slower path and seemed younger
+                # The stored copy arrived over a slower path and seemed younger than it was.
+                origins[observation.origin] = (seen_at, stored[1])
             if stored[1].sequence >= observation.sequence:
                 return False
         elif len(origins) >= MAX_ORIGINS_PER_ENDPOINT:
--- a/millgw/peers/swim.py
+++ b/millgw/peers/swim.py
@@ -62,7 +62,7 @@
     kind: MessageKind
     number: int
     about: str = ""
-    news: tuple[MemberUpdate, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()  # piggybacked updates; the field has this name on the wire
 
 
 Outgoing = tuple[str, Message]
@@ -83,7 +83,7 @@
     retransmit_factor: float = 3.0
     suspicion: float = 1.0
     dead_probe_periods: int = 8  # periods between two probes of a member that is considered dead
-    sync_periods: int = 20  # periods between two comparisons of whole lists, as a node may miss updates
+    sync_periods: int = 20  # periods between two list comparisons: updates may miss a node or precede it
     forget_after: float = 600_000.0  # after which dead members are removed
 
 
--- a/millgw/peers/wire.py
+++ b/millgw/peers/wire.py
@@ -5,7 +5,7 @@
 of a four-byte length and a signed message (see `millgw.peers.state_transfer`). Messages contain nothing about
 callers or keys.
 
-Class names are not on the wire, but tags, field names and their order are: peers of other versions read them.
+Tags and field names are on the wire, where peers of other versions read them; class names are not.
 """
 
 from __future__ import annotations
@@ -110,8 +110,10 @@
 
 
 def message(body: Probe) -> Message:
-    news = tuple(MemberUpdate(name, incarnation, Status(status)) for name, incarnation, status in body.news)
-    return Message(MessageKind(body.kind), body.number, body.about, news)
+    updates = tuple(
+        MemberUpdate(name, incarnation, Status(status)) for name, incarnation, status in body.news
+    )
+    return Message(MessageKind(body.kind), body.number, body.about, updates)
 
 
 def row(o: Observation) -> ObservationRow:
@@ -127,8 +129,8 @@
     return Observation(r.e, r.o, float(r.a), r.n, float(r.s), r.f, r.w, r.c, uptime, r.d)
 
 
-def rumours(rumours: Iterable[tuple[str, Observation]]) -> Rumours:
-    return Rumours(tuple(Rumour(pool, row(o)) for pool, o in rumours))
+def rumours(items: Iterable[tuple[str, Observation]]) -> Rumours:
+    return Rumours(tuple(Rumour(pool, row(o)) for pool, o in items))
 
 
 def snapshot(pools: Mapping[str, Iterable[Observation]], limits: Mapping[str, float]) -> Snapshot:
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -1,4 +1,4 @@
-"""Peers on sockets: learning at the start, strangers, slow and vanishing peers, changed keys, upgrades."""
+"""Peers on sockets: snapshots at start, unauthenticated clients, slow and vanishing peers, key rotation."""
 
 from __future__ import annotations
 
@@ -48,8 +48,8 @@
 )
 
 
-class Served:
-    """A pool with six endpoints, warm all of them as far as it knows."""
+class FakePool:
+    """A pool with six endpoints, all of them warm by its own evidence."""
 
     name = ""
 
@@ -74,7 +74,7 @@
 
 
 class Fleet:
-    """Peers in one process, with a key file."""
+    """Peers in one process that share a key file."""
 
     def __init__(self, folder: Path) -> None:
         self.keys = folder / "keys"
@@ -87,19 +87,19 @@
         listen: Address | None = None,
         within: float = 5000.0,
         coordinator: Where | None = None,
-    ) -> tuple[Peers, Served]:
-        served = Served()
+    ) -> tuple[Peers, FakePool]:
+        pool = FakePool()
         terms = Terms(listen or free_address(), join, (str(self.keys),), within, coordinator)
-        peers = Peers(terms, lambda: [cast(Pool, served)], 7)
+        peers = Peers(terms, lambda: [cast(Pool, pool)], 7)
         self.running.append(peers)
-        return peers, served
+        return peers, pool
 
-    async def start(self, *join: Address, **more: Any) -> tuple[Peers, Served]:
-        peers, served = self.make(*join, **more)
+    async def start(self, *join: Address, **more: Any) -> tuple[Peers, FakePool]:
+        peers, pool = self.make(*join, **more)
         await peers.begin()
         if "listen" not in more:
             await until(lambda: peers.transport is not None)
-        return peers, served
+        return peers, pool
 
 
 @asynccontextmanager
@@ -114,48 +114,50 @@
 
 
 @contextmanager
-def quick() -> Iterator[None]:
-    """Look at key files at every look, end connections sooner."""
+def short_intervals() -> Iterator[None]:
+    """Check key files at every timer event and limit connections to 0.3 s."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(node, "KEY_CHECK_INTERVAL_MS", 0.0)
         patch.setattr(peer_transport, "CONNECTION_LIMIT_S", 0.3)
         yield
 
 
-def test_a_new_sidecar_learns_before_it_serves_and_the_list_of_peers_is_known_to_all(tmp_path: Path) -> None:
+def test_a_new_sidecar_gets_a_snapshot_before_it_serves_and_all_peers_learn_the_members(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            first, served = await some.start()
-            served.balancer.servers[2].back = served.clock()  # seen to come back: discovery did not tell
-            served.draining = {3}
+        async with fleet(tmp_path) as fleet_of_peers:
+            first, pool = await fleet_of_peers.start()
+            pool.balancer.servers[2].back = pool.clock()  # an observed restart that discovery did not report
+            pool.draining = {3}
             await until(lambda: bool(first.gossip.own_observations.get("")))
             await until(
                 lambda: (first.gossip.own_observations[""][f"{2:016x}"].uptime or 0.0) < SETTINGS.cold_time
             )
-            fresh, learned = await some.start(first.settings.listen)
+            fresh, fresh_pool = await fleet_of_peers.start(first.settings.listen)
             assert fresh.snapshots == 1
-            assert learned.cold(2) and not learned.cold(1)
-            now = learned.clock()
-            assert [s.info.id for s in learned.balancer.ring if s.drains_until > now] == [3]
-            # One that nothing was to be said of goes from the list as it drains: its start stays known.
+            assert fresh_pool.cold(2) and not fresh_pool.cold(1)
+            now = fresh_pool.clock()
+            assert [s.info.id for s in fresh_pool.balancer.ring if s.drains_until > now] == [3]
+            # A healthy endpoint is removed from the list as it drains; its start time must stay known.
             listed = EndpointList(ListKind.DELTA, (Endpoint(5, Condition.DRAINING),))
-            served.balancer.handle(served.clock(), listed)
-            served.draining = {3, 5}
-            await until(lambda: learned.balancer.servers[5].drains_until > learned.clock())
-            third, _ = await some.start(fresh.settings.listen)
+            pool.balancer.handle(pool.clock(), listed)
+            pool.draining = {3, 5}
+            await until(lambda: fresh_pool.balancer.servers[5].drains_until > fresh_pool.clock())
+            third, _ = await fleet_of_peers.start(fresh.settings.listen)
             await until(lambda: all(len(p.swim.alive()) == 2 for p in (first, fresh, third)))
-            await until(lambda: bool(served.heard) and served.heard[-1].siblings == 3)
+            await until(lambda: bool(pool.heard) and pool.heard[-1].siblings == 3)
 
     run(test)
 
 
-def test_what_one_hears_in_service_reaches_the_others_modules(tmp_path: Path) -> None:
+def test_the_evidence_of_one_peer_reaches_the_balancers_of_the_others(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            first, served = await some.start()
-            _, other = await some.start(first.settings.listen)
-            _, third = await some.start(first.settings.listen)
-            served.balancer.servers[4].missed = 2  # out of reach, as its own calls found
+        async with fleet(tmp_path) as fleet_of_peers:
+            first, pool = await fleet_of_peers.start()
+            _, other = await fleet_of_peers.start(first.settings.listen)
+            _, third = await fleet_of_peers.start(first.settings.listen)
+            pool.balancer.servers[4].missed = 2  # unreachable according to its own calls
             for peer in (other, third):
                 await until(lambda at=peer: len(at.balancer.aside(at.clock())) == 1)  # type: ignore[misc]
                 assert peer.balancer.servers[4].hearsay
@@ -163,8 +165,8 @@
     run(test)
 
 
-async def talk(address: Address, *said: bytes) -> bytes:
-    """What a stranger hears who says this and then waits for the end."""
+async def send_and_read_all(address: Address, *said: bytes) -> bytes:
+    """Send bytes without a key and return everything received until the connection ends."""
     reader, writer = await asyncio.open_connection(address.host, address.port)
     for part in said:
         writer.write(part)
@@ -173,38 +175,38 @@
     return heard
 
 
-def test_a_stranger_learns_nothing_and_changes_nothing(tmp_path: Path) -> None:
+def test_a_client_without_a_key_learns_nothing_and_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            peers, _ = await some.start()
+        async with fleet(tmp_path) as fleet_of_peers:
+            peers, _ = await fleet_of_peers.start()
             at = peers.settings.listen
             stranger = StateTransfer(Signer("x", 1, [OTHER]), Verifier([OTHER], 9999))
             reader, writer = await asyncio.open_connection(at.host, at.port)
             hello = await reader.readexactly(NONCE_BYTES)
             stranger.receive(hello)
             writer.write(stranger.hello() + stranger.encode_frame(wire.SnapshotRequest()))
-            assert await reader.read() == b"", "not a byte more"
+            assert await reader.read() == b"", "no byte after the nonce"
             writer.close()
-            assert len(await talk(at, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 3)) == NONCE_BYTES
+            assert len(await send_and_read_all(at, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n" * 3)) == NONCE_BYTES
             sent = asyncio.DatagramProtocol
             transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
                 sent, remote_addr=(at.host, at.port)
             )
-            true = Signer("127.0.0.1:1", 1, [KEY])
-            told = Observation(f"{1:016x}", "127.0.0.1:1", 0.0, 5, failure_rate=1.0, calls=9)
-            rumour = wire.rumours([("", told)])
-            good = true.sign(wire.encode(rumour))
+            signer = Signer("127.0.0.1:1", 1, [KEY])
+            observation = Observation(f"{1:016x}", "127.0.0.1:1", 0.0, 5, failure_rate=1.0, calls=9)
+            rumour = wire.rumours([("", observation)])
+            valid = signer.sign(wire.encode(rumour))
             for bad in (
                 b"x",
                 b"x" * 40,
                 Signer("x", 1, [OTHER]).sign(wire.encode(rumour)),
-                good + b"x" * 2000,
+                valid + b"x" * 2000,
             ):
                 transport.sendto(bad)
             await until(lambda: peers.refused == 4)
             assert not peers.gossip.pools[""].by_endpoint
-            transport.sendto(good)
-            transport.sendto(good)  # said again by somebody who heard it
+            transport.sendto(valid)
+            transport.sendto(valid)  # replayed
             await until(lambda: peers.refused == 5)
             assert len(peers.gossip.pools[""].by_endpoint) == 1
             transport.close()
@@ -213,7 +215,7 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "drips", "vanishes", "endless"])
-def test_a_start_waits_for_no_peer_longer_than_it_is_told_to(tmp_path: Path, how: str) -> None:
+def test_a_start_waits_for_no_peer_longer_than_its_timeout(tmp_path: Path, how: str) -> None:
     async def bad(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if how == "silent":
             await reader.read()
@@ -238,56 +240,58 @@
     async def test() -> None:
         server = await asyncio.start_server(bad, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
-        async with fleet(tmp_path) as some:
-            peers, served = some.make(Address(host, port), within=50.0)
+        async with fleet(tmp_path) as fleet_of_peers:
+            peers, pool = fleet_of_peers.make(Address(host, port), within=50.0)
             await peers.begin()
             if how != "vanishes":
-                assert peers.peer_transport.outbound, "it goes on, and the start does not wait"
-            assert not served.cold(1)
-            await until(lambda: not peers.peer_transport.outbound)  # bounded as well
+                assert peers.peer_transport.outbound, (
+                    "the connection is still open, and the start did not wait for it"
+                )
+            assert not pool.cold(1)
+            await until(lambda: not peers.peer_transport.outbound)  # closed by the time limit
             assert not peers.snapshots
         server.close()
 
-    with quick():
+    with short_intervals():
         run(test)
 
 
-def test_where_nobody_is_to_learn_from_a_start_waits_for_nobody(tmp_path: Path) -> None:
+def test_a_start_without_reachable_peers_does_not_wait(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            # Far more than a test may take: it does not wait so long, as they refuse at once.
-            peers, _ = some.make(free_address(), free_address(), within=60_000.0)
+        async with fleet(tmp_path) as fleet_of_peers:
+            # The start must not wait for this timeout, as the connections are refused at once.
+            peers, _ = fleet_of_peers.make(free_address(), free_address(), within=60_000.0)
             await peers.begin()
             assert peers.snapshots == 0
 
     run(test)
 
 
-def test_keys_are_changed_in_service_and_a_file_that_can_t_be_read_changes_nothing(tmp_path: Path) -> None:
+def test_keys_are_rotated_in_service_and_an_unusable_key_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            first, _ = await some.start()
-            some.keys.write_bytes(b"short")
+        async with fleet(tmp_path) as fleet_of_peers:
+            first, _ = await fleet_of_peers.start()
+            fleet_of_peers.keys.write_bytes(b"short")
             await until(lambda: first.key_files.versions == first.key_files._current_versions())
             assert first.verifier.keys[0][1] == KEY
-            some.keys.unlink()
+            fleet_of_peers.keys.unlink()
             await asyncio.sleep(0.6)
-            some.keys.write_bytes(OTHER)
+            fleet_of_peers.keys.write_bytes(OTHER)
             await until(lambda: first.verifier.keys[0][1] == OTHER)
-            fresh, _ = await some.start(first.settings.listen)
+            fresh, _ = await fleet_of_peers.start(first.settings.listen)
             assert fresh.snapshots == 1
 
-    with quick():
+    with short_intervals():
         run(test)
 
 
-def test_a_process_that_follows_another_at_its_address_is_a_peer_once_that_has_gone(tmp_path: Path) -> None:
+def test_a_successor_at_the_same_address_listens_once_its_predecessor_has_stopped(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            old, _ = await some.start()
-            other, _ = await some.start(old.settings.listen)
+        async with fleet(tmp_path) as fleet_of_peers:
+            old, _ = await fleet_of_peers.start()
+            other, _ = await fleet_of_peers.start(old.settings.listen)
             await until(lambda: other.swim.alive() == [old.name])
-            fresh, _ = await some.start(other.settings.listen, listen=old.settings.listen)
+            fresh, _ = await fleet_of_peers.start(other.settings.listen, listen=old.settings.listen)
             assert fresh.snapshots == 1 and fresh.transport is None
             old.stop()
             await until(lambda: fresh.transport is not None)
@@ -298,12 +302,12 @@
     run(test)
 
 
-def test_who_leaves_says_so(tmp_path: Path) -> None:
+def test_a_stopped_peer_announces_its_departure(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            first, _ = await some.start()
-            second, _ = await some.start(first.settings.listen)
-            third, _ = await some.start(first.settings.listen)
+        async with fleet(tmp_path) as fleet_of_peers:
+            first, _ = await fleet_of_peers.start()
+            second, _ = await fleet_of_peers.start(first.settings.listen)
+            third, _ = await fleet_of_peers.start(first.settings.listen)
             await until(lambda: all(len(p.swim.alive()) == 2 for p in (first, second, third)))
             third.stop()
             await until(lambda: first.swim.status(third.name) is Status.DEAD)
@@ -312,14 +316,14 @@
     run(test)
 
 
-def test_strangers_that_hold_connections_keep_no_peer_out(tmp_path: Path) -> None:
+def test_idle_unauthenticated_connections_do_not_keep_a_peer_out(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            first, _ = await some.start()
+        async with fleet(tmp_path) as fleet_of_peers:
+            first, _ = await fleet_of_peers.start()
             at = first.settings.listen
             held = [await asyncio.open_connection(at.host, at.port) for _ in range(3 * MAX_INBOUND)]
             await until(lambda: len(first.peer_transport.inbound) == MAX_INBOUND)
-            fresh, _ = await some.start(at)
+            fresh, _ = await fleet_of_peers.start(at)
             assert fresh.snapshots == 1
             for _, writer in held:
                 writer.close()
@@ -327,7 +331,7 @@
     run(test)
 
 
-def test_keys_that_can_t_be_had_end_the_start(tmp_path: Path) -> None:
+def test_missing_or_short_keys_prevent_the_start(tmp_path: Path) -> None:
     for paths in ((str(tmp_path / "none"),), (str(tmp_path / "short"),)):
         (tmp_path / "short").write_bytes(b"short")
         with pytest.raises((OSError, ValueError)):
@@ -336,13 +340,13 @@
 
 def test_peers_that_know_only_a_coordinator_find_each_other_and_leave_no_node(tmp_path: Path) -> None:
     async def test() -> None:
-        async with ensemble() as zk, fleet(tmp_path) as some:
+        async with ensemble() as zk, fleet(tmp_path) as fleet_of_peers:
             servers, _ = read_connect(zk.connect_string)
-            told = Where(servers, "/sidecars", 4000.0, judge.Terms())
-            first, _ = await some.start(coordinator=told)
+            directory = Where(servers, "/sidecars", 4000.0, judge.Terms())
+            first, _ = await fleet_of_peers.start(coordinator=directory)
             assert first.peer_discovery is not None
             await first.peer_discovery.registrar.registered.wait()
-            second, _ = await some.start(coordinator=told)
+            second, _ = await fleet_of_peers.start(coordinator=directory)
             assert second.snapshots == 1
             await until(lambda: first.swim.alive() == [second.name])
             assert second.peer_discovery is not None
@@ -353,18 +357,18 @@
     run(test)
 
 
-def test_a_coordinator_that_says_nothing_holds_no_start_up(tmp_path: Path) -> None:
+def test_an_unreachable_coordinator_does_not_delay_the_start(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as some:
-            told = Where((free_address(),), "/sidecars", 4000.0, judge.Terms())
-            peers, _ = some.make(within=50.0, coordinator=told)
+        async with fleet(tmp_path) as fleet_of_peers:
+            directory = Where((free_address(),), "/sidecars", 4000.0, judge.Terms())
+            peers, _ = fleet_of_peers.make(within=50.0, coordinator=directory)
             await peers.begin()
             assert peers.snapshots == 0
 
     run(test)
 
 
-def test_off_costs_nothing() -> None:
+def test_without_peers_the_package_is_not_imported() -> None:
     assert loaded("millgw.sidecar.__main__", "millgw.peers") == []
 
 
@@ -379,13 +383,15 @@
         ("", "peers"),
     ],
 )
-def test_a_table_that_can_t_be_used_is_named(
+def test_an_invalid_peers_table_is_reported_with_its_position(
     tmp_path: Path, text: str, says: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert says in refused(tmp_path, f'[peers]\nkeys = ["k"]\n{text}\n', capsys)
 
 
-def test_what_a_table_means_is_said(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_check_command_describes_the_peers_table(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "o.toml"
     path.write_text('[peers]\nkeys = ["k"]\nlisten = "127.0.0.1:7400"\n')
     assert main(["check", str(path)]) == 0
