--- a/millgw/peers/beliefs.py
+++ b/millgw/peers/beliefs.py
@@ -17,9 +17,7 @@
 FORGET_AFTER_MS = 60_000.0  # an observation is dropped at this age
 MAX_PRIOR_CALLS = 5.0  # most own calls that a prior weighs as much as; the last five decide on an endpoint
 FAILURE_RATE_THRESHOLD = 0.4  # failed share of calls from which peer reports mark an endpoint unhealthy
-MAX_UNHEALTHY_SHARE = (
-    1 / 3
-)  # of all endpoints; if more are reported unhealthy, the cause is not the endpoints
+MAX_UNHEALTHY_SHARE = 1 / 3  # of all endpoints; if more are reported unhealthy, they are not the cause
 MAX_MINORITY_DRAIN_SHARE = 1 / 2  # of all endpoints that a minority of origins may report as draining
 MIN_ORIGINS_FOR_MEDIAN = 3  # with this many origins or more the median is used
 MAX_ORIGINS_PER_ENDPOINT = 16  # origins whose observations of one endpoint are kept
