--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -5,7 +5,7 @@
 from millgw.connections.opening import Place
 from millgw.connections.tended import Tended
 from millgw.connections.terms import Terms
-from millgw.decide import LOST_AFTER
+from millgw.decide import UNREACHABLE_AFTER
 from millgw.interface import Endpoint, Settings
 from millgw.platform.config import Config
 from millgw.platform.descriptors import CALLERS_PART
@@ -29,7 +29,7 @@
         if server is None:
             # The module does not know the endpoint yet, so use the listed start.
             return (0.0, False) if host is None else (host.since, True)
-        if server.missed >= LOST_AFTER:
+        if server.missed >= UNREACHABLE_AFTER:
             return 0.0, False  # unreachable: it is probed by one connection at a time
         since = server.started(self.now())
         return since, since == server.info.started_at
--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -99,7 +99,7 @@
 EJECTION_MS = 4000.0  # mean length of an ejection: time to finish the calls in flight and to recover
 MIN_EJECTION_FACTOR = 0.5  # jitter: endpoints ejected by many instances return at different times
 MAX_EJECTED_SHARE = 1 / 3  # if more endpoints look bad, the problem is not theirs
-LOST_AFTER = 2  # consecutive connect failures after which a machine is assumed to be gone
+UNREACHABLE_AFTER = 2  # consecutive connect failures after which a machine is assumed to be gone
 
 # Endpoint selection, load shedding, quotas
 BUSY_LOAD = 3.0  # calls in flight times slowness above which the next zone is considered as well
@@ -255,14 +255,16 @@
         if outcome is Outcome.CONNECT_FAILED:
             self.missed += 1
             return
-        if self.missed >= LOST_AFTER:
+        if self.missed >= UNREACHABLE_AFTER:
             self.back = now
         self.missed = 0
 
     def started(self, now: float) -> float:
         """When it last started, as reported or observed; an unreachable machine has not started yet."""
         return (
-            now if self.missed >= LOST_AFTER else max(self.info.started_at, self.back, self.zone_restored_at)
+            now
+            if self.missed >= UNREACHABLE_AFTER
+            else max(self.info.started_at, self.back, self.zone_restored_at)
         )
 
     def slowness(self, now: float) -> float:
@@ -392,7 +394,11 @@
             # Otherwise calls sent while it was warm would count against it once it is cold.
             server.allowance, server.allowed_at, server.cold_ramp_started = 1.0, now, False
             return True
-        if not server.cold_ramp_started and server.missed < LOST_AFTER and self.siblings > MIN_COLD_CALLS:
+        if (
+            not server.cold_ramp_started
+            and server.missed < UNREACHABLE_AFTER
+            and self.siblings > MIN_COLD_CALLS
+        ):
             server.cold_ramp_started = True
             server.allowance = min(server.allowance, self.rng.random())
         min_rate = MIN_COLD_CALLS / (self.siblings * s.fall_window)
@@ -736,7 +742,7 @@
             attempt.server.record_reachability(now, event.outcome)
             if event.outcome is Outcome.REJECTED and self.discovery.disconnected():
                 attempt.server.unhealthy_at_message = self.discovery.words
-            if attempt.server.missed >= LOST_AFTER:
+            if attempt.server.missed >= UNREACHABLE_AFTER:
                 # Tried once after each ejection, not more often: each try delays a call by a connect timeout.
                 attempt.server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
                 attempt.server.hearsay = False
@@ -921,10 +927,10 @@
         if len(ready) < 2:
             return ready[0] if ready else None
         a, b = self.rng.sample(ready, 2)
-        if a.missed >= LOST_AFTER or b.missed >= LOST_AFTER:
+        if a.missed >= UNREACHABLE_AFTER or b.missed >= UNREACHABLE_AFTER:
             # Otherwise a returned endpoint might never be noticed: with few calls in flight, a cold endpoint
             # loses every comparison. The ejection time and the cold allowance limit such attempts.
-            return a if a.missed >= LOST_AFTER else b
+            return a if a.missed >= UNREACHABLE_AFTER else b
         load_a, load_b = self._load(a, now), self._load(b, now)
         if load_a == load_b:
             # With few calls in flight most counts are zero and tell nothing.
@@ -1048,7 +1054,7 @@
             if now < server.drains_until:
                 reasons[server.info.id] = "drains"
             elif now < server.ejected_until:
-                reasons[server.info.id] = "out of reach" if server.missed >= LOST_AFTER else "ejected"
+                reasons[server.info.id] = "out of reach" if server.missed >= UNREACHABLE_AFTER else "ejected"
             elif now > self._usable_until(server) or self._may_drain(server):
                 reasons[server.info.id] = "stale"
         return reasons
@@ -1134,7 +1140,9 @@
         for server in self.ring:
             if named is not None and server.info.id not in named and self._unremarkable(now, server):
                 continue
-            unhealthy = server.missed >= LOST_AFTER or (now < server.ejected_until and not server.hearsay)
+            unhealthy = server.missed >= UNREACHABLE_AFTER or (
+                now < server.ejected_until and not server.hearsay
+            )
             calls = max(
                 server.served_rate(now) * SERVED_DECAY_MS, EJECTION_EVIDENCE_CALLS if unhealthy else 0.0
             )
@@ -1154,7 +1162,7 @@
         return (
             server.failing < OUTLIER_FAILURE_RATE
             and server.slow < OUTLIER_MULTIPLE
-            and server.missed < LOST_AFTER
+            and server.missed < UNREACHABLE_AFTER
             and now >= server.ejected_until
             and self.cold.share(server, now) >= 1.0
         )
