--- a/benchmarks/parts.py
+++ b/benchmarks/parts.py
@@ -10,7 +10,7 @@
 
 import random
 
-from millgw.decide import HOME_LEAST, Balancer
+from millgw.decide import MIN_SUBSET_SIZE, Balancer
 from millgw.interface import Condition, Endpoint, EndpointList, ListKind, Repeat, RequestClass, Settings
 
 FLEETS = ((7, 10), (12, 20), (20, 20), (40, 60), (60, 20), (400, 60))  # sidecars, endpoints
@@ -22,7 +22,7 @@
     """The share of all parts that is new after one endpoint was replaced."""
     rng = random.Random(seed)
     ids = [rng.getrandbits(63) for _ in range(endpoints + 1)]
-    size = max(HOME_LEAST, -(-endpoints // sidecars))
+    size = max(MIN_SUBSET_SIZE, -(-endpoints // sidecars))
     new = 0
     for me in range(sidecars):
         balancer = Balancer(Settings(CLASSES, 0.2, 10_000.0, 2.5, 1000.0, index=me, siblings=sidecars), 1)
--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -103,7 +103,7 @@
 
 # Endpoint selection, load shedding, quotas
 BUSY_LOAD = 3.0  # calls in flight times slowness above which the next zone is considered as well
-HOME_LEAST = 3  # endpoints an instance always chooses from: two to compare and one for a retry elsewhere
+MIN_SUBSET_SIZE = 3  # endpoints an instance always chooses from: two to compare and one for a retry elsewhere
 SHED_RISE_RATE = 1.0  # share of all work by which shedding rises per aim of time if half the answers are late
 SHED_MOST = 0.95  # highest shed share: without any responses nothing more is learned
 HASH_MULTIPLIER = 0x9E3779B1  # odd, so that distinct ids give distinct products
@@ -758,7 +758,7 @@
     def _peers(self, server: Server) -> list[Server]:
         """The endpoints to compare with: those of its zone, whose problems are not the other zones'."""
         peers = self.zones.get(server.info.zone, self.ring)
-        return peers if len(peers) >= HOME_LEAST else self.ring
+        return peers if len(peers) >= MIN_SUBSET_SIZE else self.ring
 
     def _retry_budget(self, attempt: Attempt) -> RetryBudget:
         """The budget that an attempt's success adds to and a retry after it draws from."""
@@ -970,7 +970,7 @@
         from all.
         """
         fair_share = -(-len(self.ring) // self.settings.siblings)
-        return max(HOME_LEAST, fair_share, len(self.flights) + 1)
+        return max(MIN_SUBSET_SIZE, fair_share, len(self.flights) + 1)
 
     def _ready(
         self, now: float, request: Request, ring: list[Server], excluded: set[int], healthy_only: bool = False
@@ -1106,7 +1106,7 @@
         # next one in the list and overload it too, and so on. Each group of instances covers the list once,
         # in its own order.
         index, siblings = self.settings.index, self.settings.siblings
-        groups = 1 << max(0, siblings * HOME_LEAST // max(1, len(self.servers))).bit_length() >> 1
+        groups = 1 << max(0, siblings * MIN_SUBSET_SIZE // max(1, len(self.servers))).bit_length() >> 1
         ids = sorted(self.servers, key=lambda id: (shuffle_key(id, index % max(1, groups)), id))
         offset = index * len(ids) // siblings
         self.ring = [self.servers[id] for id in ids[offset:] + ids[:offset]]
