--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -105,7 +105,7 @@
 BUSY_LOAD = 3.0  # calls in flight times slowness above which the next zone is considered as well
 MIN_SUBSET_SIZE = 3  # endpoints an instance always chooses from: two to compare and one for a retry elsewhere
 SHED_RISE_RATE = 1.0  # share of all work by which shedding rises per aim of time if half the answers are late
-SHED_MOST = 0.95  # highest shed share: without any responses nothing more is learned
+MAX_SHED_LEVEL = 0.95  # highest shed share: without any responses nothing more is learned
 HASH_MULTIPLIER = 0x9E3779B1  # odd, so that distinct ids give distinct products
 TENANT_BURST_MS = 1000.0  # of a tenant's rate that may arrive at once and still be within its quota
 
@@ -507,7 +507,7 @@
         self.level_at = now
         slack = MAX_LATENCY_SLACK * (1.0 - limiter.undisturbed)
         rise = SHED_RISE_RATE * aims_passed * (limiter.late - limiter.undisturbed - slack) / slack
-        self.level = min(SHED_MOST, max(0.0, self.level + rise))
+        self.level = min(MAX_SHED_LEVEL, max(0.0, self.level + rise))
 
     def should_shed(self, now: float, request: Request, work: float) -> bool:
         """Whether a request of this worth per ms belongs to the share that is shed now."""
@@ -520,7 +520,7 @@
         self.worth_per_ms[kind] = request.worth_per_ms
         less_worthy = sum(w for k, w in self.demand.items() if self.worth_per_ms[k] < request.worth_per_ms)
         excess = self.level * sum(self.demand.values()) - less_worthy
-        return self.rng.random() * self.demand[kind] < min(excess, SHED_MOST * self.demand[kind])
+        return self.rng.random() * self.demand[kind] < min(excess, MAX_SHED_LEVEL * self.demand[kind])
 
 
 class TenantQuotas:
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -4,7 +4,7 @@
 
 import math
 
-from millgw.decide import BUDGET_CAPACITY, PAIR_PART, SHED_MOST, Balancer
+from millgw.decide import BUDGET_CAPACITY, MAX_SHED_LEVEL, PAIR_PART, Balancer
 
 SERVER_FIELDS = (
     "failing", "slow", "judged_at", "ejected_until", "served", "served_at", "allowance", "allowed_at", "back",
@@ -69,7 +69,7 @@
         balancer.quick[cls], balancer.spent[cls], balancer.answered[cls] = least, mean, int(answered)
     balancer.budget.tokens = min(BUDGET_CAPACITY, max(0.0, tokens))
     balancer.cold.rates[None] = rate
-    balancer.shedding.level = min(SHED_MOST, max(0.0, shed))
+    balancer.shedding.level = min(MAX_SHED_LEVEL, max(0.0, shed))
 
 
 def _adopt_servers(balancer: Balancer, rows: dict[int, list[float]]) -> None:
