--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -116,7 +116,7 @@
 MAX_HOLD_TIME = 0.1  # share of the aim that a request is held: a refused client needs the rest for a retry
 
 # Hot restart
-PAIR_PART = 0.5  # share of tokens and cold allowances for each of two processes of one sidecar
+PAIR_SHARE = 0.5  # share of tokens and cold allowances for each of two processes of one sidecar
 
 
 def shuffle_key(id: int, group: int) -> int:
@@ -671,7 +671,7 @@
 
     def pair(self, paired: bool) -> None:
         """Whether cold endpoints' allowances are shared with another process of this sidecar."""
-        self.cold.part = PAIR_PART if paired else 1.0
+        self.cold.part = PAIR_SHARE if paired else 1.0
 
     # Requests
 
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -4,7 +4,7 @@
 
 import math
 
-from millgw.decide import BUDGET_CAPACITY, MAX_SHED_LEVEL, PAIR_PART, Balancer
+from millgw.decide import BUDGET_CAPACITY, MAX_SHED_LEVEL, PAIR_SHARE, Balancer
 
 SERVER_FIELDS = (
     "failing", "slow", "judged_at", "ejected_until", "served", "served_at", "allowance", "allowed_at", "back",
@@ -22,9 +22,9 @@
 
 def export_learned(balancer: Balancer) -> Learned:
     """Export the learned state. Retry tokens and allowances are split: this balancer keeps half of them."""
-    balancer.budget.tokens *= PAIR_PART
+    balancer.budget.tokens *= PAIR_SHARE
     for server in balancer.ring:
-        server.allowance *= PAIR_PART
+        server.allowance *= PAIR_SHARE
     limit = balancer.admission
     return {
         "servers": {
