--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -227,7 +227,7 @@
 
     def __init__(self, info: Endpoint, now: float) -> None:
         self.info = info
-        self.out: dict[Attempt, None] = {}  # attempts in flight
+        self.in_flight: dict[Attempt, None] = {}  # attempts in flight
         self.slow = 1.0  # latency as a multiple of the usual one, as of `judged_at`
         self.judged_at = now
         self.failing = 0.0  # average failure rate
@@ -704,7 +704,7 @@
         for number, attempt in enumerate(request.attempts):
             if self.coming.pop((request.id, number), None) is not None:
                 self.flights[(request.id, number)] = attempt
-                attempt.server.out[attempt] = None
+                attempt.server.in_flight[attempt] = None
 
     def _attempt_ended(self, now: float, event: AttemptEnded) -> None:
         attempt_key = (event.request, event.attempt)
@@ -713,7 +713,7 @@
             return
         attempt.pending = False
         attempt.not_executed = event.outcome in NO_EFFECT_OUTCOMES
-        attempt.server.out.pop(attempt, None)
+        attempt.server.in_flight.pop(attempt, None)
         self._learn(now, attempt, event)
         if self.locality is not None and self.locality.attempt_ended(
             now, attempt_key, attempt.zone, attempt.cls, event.outcome, event.elapsed, self.spent[attempt.cls]
@@ -850,7 +850,7 @@
             self.coming[attempt_key] = attempt
         else:
             self.flights[attempt_key] = attempt
-            server.out[attempt] = None
+            server.in_flight[attempt] = None
             if self.locality is not None:
                 self.locality.attempt_sent(
                     now, attempt_key, attempt.zone, server.info.id, self.spent[request.class_index]
@@ -957,7 +957,7 @@
                 handicap = locality.handicap(first.info.zone, zone)
                 return server if self._load(first, now) > handicap * self._load(server, now) else first
             first = server
-            if not healthy_only or (len(server.out) + 1) * server.slowness(now) <= BUSY_LOAD:
+            if not healthy_only or (len(server.in_flight) + 1) * server.slowness(now) <= BUSY_LOAD:
                 return server
         return first
 
@@ -1066,7 +1066,7 @@
         """
         if self.admission is None:
             return False
-        return len(server.out) >= self.admission.endpoint_limit(self.cold.share(server, now))
+        return len(server.in_flight) >= self.admission.endpoint_limit(self.cold.share(server, now))
 
     def _load(self, server: Server, now: float) -> float:
         """Own calls in flight times slowness, relative to the endpoint's capacity.
@@ -1076,7 +1076,7 @@
         """
         slowness = min(MAX_LOAD_SLOWNESS, max(MIN_LOAD_SLOWNESS, server.slowness(now)))
         weight = math.sqrt(server.info.size) * self.cold.share(server, now)
-        return (len(server.out) + 1) * slowness / max(weight, MIN_RATIO)
+        return (len(server.in_flight) + 1) * slowness / max(weight, MIN_RATIO)
 
     # Endpoint list
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -372,7 +372,7 @@
     admission = d.balancer.admission
     assert admission is not None
     send_burst(d, 300)
-    assert all(len(s.out) <= admission.each for s in d.balancer.ring)
+    assert all(len(s.in_flight) <= admission.each for s in d.balancer.ring)
 
 
 def test_under_overload_work_of_least_worth_is_shed_first() -> None:
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -31,7 +31,7 @@
     assert len(d.balancer.flights) == 0
     d.feed(RequestBodyComplete(request, d.now + 500))
     assert len(d.balancer.flights) == 1
-    assert sum(len(s.out) for s in d.balancer.servers.values()) == 1
+    assert sum(len(s.in_flight) for s in d.balancer.servers.values()) == 1
     d.now += 490
     actions = d.outcome(request, 0, Outcome.CONNECT_FAILED)
     assert any(isinstance(a, Refuse | Fail) for a in actions), "there is no time for another attempt"
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -75,7 +75,7 @@
             assert len(driver.ready) == len(driver.balancer.servers) == len(driver.upstream.hosts) == 4
             balancer = driver.balancer
             assert not balancer.requests and not balancer.flights and not balancer.held
-            assert not any(s.out for s in balancer.servers.values()) and len(balancer.timers) <= 1
+            assert not any(s.in_flight for s in balancer.servers.values()) and len(balancer.timers) <= 1
             kept = driver.upstream.open
             assert kept == sum(len(p.idle) for p in driver.upstream.hosts.values())
             await asyncio.sleep(1)
@@ -143,7 +143,7 @@
             driver = only_instance(Driver)
             assert (await rig.ask(request("write"))).status == 400
             assert sum(len(e.got) for e in endpoints) == 1, "tried again elsewhere"
-            assert not any(s.failing or s.out for s in driver.balancer.servers.values())
+            assert not any(s.failing or s.in_flight for s in driver.balancer.servers.values())
 
     run(test)
 
@@ -161,7 +161,7 @@
             writer.write(STREAM + chunk(line(2, [new.entry()], snapshot=True)))
             while (await rig.ask(request("pay"))).status != 200 or not new.got:
                 pass
-            assert [len(s.out) for s in driver.balancer.servers.values()] == [0]
+            assert [len(s.in_flight) for s in driver.balancer.servers.values()] == [0]
             assert len(driver.balancer.flights) == 1, "the call that is still in flight at the old endpoint"
             old.served[0].write(ok(b"late"))
             assert (await read_message(waiting.reader)).body == b"late"
@@ -186,7 +186,7 @@
                 client.writer.close()
                 await until(lambda: not driver.calls)
             (server,) = driver.balancer.servers.values()
-            assert not server.missed and not server.out
+            assert not server.missed and not server.in_flight
             assert (await rig.ask(request("pay"))).status == 200
 
     run(test)
