--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -29,7 +29,7 @@
         if server is None:
             # The module does not know the endpoint yet, so use the listed start.
             return (0.0, False) if host is None else (host.since, True)
-        if server.missed >= UNREACHABLE_AFTER:
+        if server.connect_failures >= UNREACHABLE_AFTER:
             return 0.0, False  # unreachable: it is probed by one connection at a time
         since = server.started(self.now())
         return since, since == server.info.started_at
--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -237,7 +237,7 @@
         self.allowance = 1.0  # calls that a cold endpoint may be sent, as of `allowed_at`
         self.allowed_at = now
         self.cold_ramp_started = False  # whether its allowance was initialized as for a cold endpoint
-        self.missed = 0  # consecutive connect failures
+        self.connect_failures = 0  # consecutive connect failures
         self.back = 0.0  # when it was reachable again
         self.zone_restored_at = 0.0  # when its zone, which had been lost, returned
         # `Freshness.words` when it rejected a call or was unhealthy while discovery was disconnected.
@@ -253,17 +253,17 @@
     def record_reachability(self, now: float, outcome: Outcome) -> None:
         """Track connect failures: a machine that was unreachable may come back cold."""
         if outcome is Outcome.CONNECT_FAILED:
-            self.missed += 1
+            self.connect_failures += 1
             return
-        if self.missed >= UNREACHABLE_AFTER:
+        if self.connect_failures >= UNREACHABLE_AFTER:
             self.back = now
-        self.missed = 0
+        self.connect_failures = 0
 
     def started(self, now: float) -> float:
         """When it last started, as reported or observed; an unreachable machine has not started yet."""
         return (
             now
-            if self.missed >= UNREACHABLE_AFTER
+            if self.connect_failures >= UNREACHABLE_AFTER
             else max(self.info.started_at, self.back, self.zone_restored_at)
         )
 
@@ -396,7 +396,7 @@
             return True
         if (
             not server.cold_ramp_started
-            and server.missed < UNREACHABLE_AFTER
+            and server.connect_failures < UNREACHABLE_AFTER
             and self.siblings > MIN_COLD_CALLS
         ):
             server.cold_ramp_started = True
@@ -742,7 +742,7 @@
             attempt.server.record_reachability(now, event.outcome)
             if event.outcome is Outcome.REJECTED and self.discovery.disconnected():
                 attempt.server.unhealthy_at_message = self.discovery.words
-            if attempt.server.missed >= UNREACHABLE_AFTER:
+            if attempt.server.connect_failures >= UNREACHABLE_AFTER:
                 # Tried once after each ejection, not more often: each try delays a call by a connect timeout.
                 attempt.server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
                 attempt.server.hearsay = False
@@ -927,10 +927,10 @@
         if len(ready) < 2:
             return ready[0] if ready else None
         a, b = self.rng.sample(ready, 2)
-        if a.missed >= UNREACHABLE_AFTER or b.missed >= UNREACHABLE_AFTER:
+        if a.connect_failures >= UNREACHABLE_AFTER or b.connect_failures >= UNREACHABLE_AFTER:
             # Otherwise a returned endpoint might never be noticed: with few calls in flight, a cold endpoint
             # loses every comparison. The ejection time and the cold allowance limit such attempts.
-            return a if a.missed >= UNREACHABLE_AFTER else b
+            return a if a.connect_failures >= UNREACHABLE_AFTER else b
         load_a, load_b = self._load(a, now), self._load(b, now)
         if load_a == load_b:
             # With few calls in flight most counts are zero and tell nothing.
@@ -1054,7 +1054,9 @@
             if now < server.drains_until:
                 reasons[server.info.id] = "drains"
             elif now < server.ejected_until:
-                reasons[server.info.id] = "out of reach" if server.missed >= UNREACHABLE_AFTER else "ejected"
+                reasons[server.info.id] = (
+                    "out of reach" if server.connect_failures >= UNREACHABLE_AFTER else "ejected"
+                )
             elif now > self._usable_until(server) or self._may_drain(server):
                 reasons[server.info.id] = "stale"
         return reasons
@@ -1140,7 +1142,7 @@
         for server in self.ring:
             if named is not None and server.info.id not in named and self._unremarkable(now, server):
                 continue
-            unhealthy = server.missed >= UNREACHABLE_AFTER or (
+            unhealthy = server.connect_failures >= UNREACHABLE_AFTER or (
                 now < server.ejected_until and not server.hearsay
             )
             calls = max(
@@ -1162,7 +1164,7 @@
         return (
             server.failing < OUTLIER_FAILURE_RATE
             and server.slow < OUTLIER_MULTIPLE
-            and server.missed < UNREACHABLE_AFTER
+            and server.connect_failures < UNREACHABLE_AFTER
             and now >= server.ejected_until
             and self.cold.share(server, now) >= 1.0
         )
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -31,7 +31,7 @@
             str(s.info.id): [
                 *(max(-1.0, float(getattr(s, name))) for name in SERVER_FIELDS),
                 max(-1.0, balancer.discovery.heard_at),
-                s.missed,
+                s.connect_failures,
             ]
             for s in balancer.ring
         },
@@ -79,7 +79,7 @@
             for name, value in zip(SERVER_FIELDS, row, strict=False):
                 setattr(server, name, value)
             *_, heard_at, missed = row
-            server.missed = int(missed)
+            server.connect_failures = int(missed)
             balancer.discovery.adopt(heard_at)
 
 
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -279,7 +279,7 @@
     def misses(self, endpoint: int) -> int:
         """The number of consecutive attempts that got no connection to an endpoint."""
         server = self.balancer.servers.get(endpoint)
-        return 0 if server is None else server.missed
+        return 0 if server is None else server.connect_failures
 
     def fail_all(self) -> None:
         """Answer all open calls with a failure, as the process is about to exit."""
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -317,7 +317,7 @@
     unreachable = d.balancer.servers[1]
     cold = d.balancer.cold
     assert cold.share(unreachable, d.now) == 1.0
-    while unreachable.missed < 2:
+    while unreachable.connect_failures < 2:
         request = d.arrive()
         endpoint = d.tries[request][0][0]
         d.advance(d.now + 10)
@@ -506,7 +506,7 @@
         request = d.arrive(UNSAFE)
         d.outcome(request, 0, Outcome.CONNECT_FAILED)
         d.abort(request)
-    assert unreachable.missed == 2
+    assert unreachable.connect_failures == 2
     tried = 0
     for _ in range(20):
         d.advance(d.now + 500.0)
@@ -514,7 +514,7 @@
         tried += len(d.tries[request])
         if d.tries[request]:
             d.outcome(request, 0, Outcome.OK)
-    assert tried > 5 and unreachable.missed == 0
+    assert tried > 5 and unreachable.connect_failures == 0
 
 
 def test_an_endpoint_that_is_back_is_found_by_an_instance_with_one_call_at_a_time() -> None:
@@ -528,9 +528,9 @@
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
-        if returned.missed == 2:
+        if returned.connect_failures == 2:
             break
-    assert returned.missed == 2
+    assert returned.connect_failures == 2
     before = d.count(1)
     for _ in range(20):
         request = d.arrive()
@@ -539,7 +539,7 @@
         d.outcome(request, 0, Outcome.OK)
         d.advance(d.now + 80)
     serve_calls(d, 1000)  # 20 ms each
-    assert returned.missed == 0 and d.count(1) > before, "it was never tried again"
+    assert returned.connect_failures == 0 and d.count(1) > before, "it was never tried again"
 
 
 def serve_or_reject(
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -151,7 +151,9 @@
     cold = made.balancer.cold
     shares = [cold.share(s, made.now) for s in made.balancer.ring if s.info.zone == 0]
     assert max(shares) <= SETTINGS.cold_share + 0.01
-    assert not any(s.back for s in made.balancer.ring if s.missed < 2), "siblings are told of no restart"
+    assert not any(s.back for s in made.balancer.ring if s.connect_failures < 2), (
+        "siblings are told of no restart"
+    )
 
 
 def test_a_keyed_call_gets_no_second_group_because_its_zone_was_left() -> None:
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -157,7 +157,7 @@
             first, pool = await fleet_of_peers.start()
             _, other = await fleet_of_peers.start(first.settings.listen)
             _, third = await fleet_of_peers.start(first.settings.listen)
-            pool.balancer.servers[4].missed = 2  # unreachable according to its own calls
+            pool.balancer.servers[4].connect_failures = 2  # unreachable according to its own calls
             for peer in (other, third):
                 await until(lambda at=peer: len(at.balancer.aside(at.clock())) == 1)  # type: ignore[misc]
                 assert peer.balancer.servers[4].hearsay
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -186,7 +186,7 @@
                 client.writer.close()
                 await until(lambda: not driver.calls)
             (server,) = driver.balancer.servers.values()
-            assert not server.missed and not server.in_flight
+            assert not server.connect_failures and not server.in_flight
             assert (await rig.ask(request("pay"))).status == 200
 
     run(test)
