--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -245,7 +245,7 @@
         self.probed_at = -math.inf  # when the last probe was sent
         self.healthy_at = -math.inf  # when the last successful probe was sent
         # Peers' reports are kept apart from its own record: otherwise they would be passed on as observed.
-        self.drains_until = -math.inf  # a drain reported by peers
+        self.drain_reported_until = -math.inf  # a drain reported by peers
         self.reported_slowness = 1.0
         self.reported_at = now
         self.hearsay = False  # whether it is ejected because of peers' reports
@@ -991,7 +991,7 @@
         for server in ring:
             if server.info.id in excluded or not self.rules.may_send_to(request, server.info):
                 continue
-            if now < server.drains_until or self._may_drain(server):
+            if now < server.drain_reported_until or self._may_drain(server):
                 continue
             if not self.cold.admits(server, now):
                 continue
@@ -1051,7 +1051,7 @@
         """The endpoints not used while there are others, with the reason; changes nothing."""
         reasons = {}
         for server in self.ring:
-            if now < server.drains_until:
+            if now < server.drain_reported_until:
                 reasons[server.info.id] = "drains"
             elif now < server.ejected_until:
                 reasons[server.info.id] = (
@@ -1181,7 +1181,7 @@
                 self._apply_report(now, server, report)
 
     def _apply_report(self, now: float, server: Server, report: EndpointEvidence) -> None:
-        server.drains_until = max(server.drains_until, now + report.drain_valid_for)
+        server.drain_reported_until = max(server.drain_reported_until, now + report.drain_valid_for)
         server.back = max(server.back, min(now, report.started_at))
         # Own calls outweigh a report; without any, an older report weighs less, as its `calls` decay.
         weight = report.calls / (report.calls + 1.0 + server.served_rate(now) * SERVED_DECAY_MS)
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -169,6 +169,6 @@
         assert server.slowness(NOW) >= before.slowness(NOW)
         assert server.ejected_until >= before.ejected_until
         assert (server.failing, server.slow) == (before.failing, before.slow), "its own record is unchanged"
-    assert len(made.aside(NOW)) - sum(s.drains_until > NOW for s in made.servers.values()) <= 3
-    ready = [s for s in made.ring if s.drains_until <= NOW]
+    assert len(made.aside(NOW)) - sum(s.drain_reported_until > NOW for s in made.servers.values()) <= 3
+    ready = [s for s in made.ring if s.drain_reported_until <= NOW]
     assert not ready or sends(made, NOW, 3) or all(s.allowance < 1.0 for s in ready)
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -138,12 +138,12 @@
             assert fresh.snapshots == 1
             assert fresh_pool.cold(2) and not fresh_pool.cold(1)
             now = fresh_pool.clock()
-            assert [s.info.id for s in fresh_pool.balancer.ring if s.drains_until > now] == [3]
+            assert [s.info.id for s in fresh_pool.balancer.ring if s.drain_reported_until > now] == [3]
             # A healthy endpoint is removed from the list as it drains; its start time must stay known.
             listed = EndpointList(ListKind.DELTA, (Endpoint(5, Condition.DRAINING),))
             pool.balancer.handle(pool.clock(), listed)
             pool.draining = {3, 5}
-            await until(lambda: fresh_pool.balancer.servers[5].drains_until > fresh_pool.clock())
+            await until(lambda: fresh_pool.balancer.servers[5].drain_reported_until > fresh_pool.clock())
             third, _ = await fleet_of_peers.start(fresh.settings.listen)
             await until(lambda: all(len(p.swim.alive()) == 2 for p in (first, fresh, third)))
             await until(lambda: bool(pool.heard) and pool.heard[-1].siblings == 3)
