--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -248,7 +248,7 @@
         self.drain_reported_until = -math.inf  # a drain reported by peers
         self.reported_slowness = 1.0
         self.reported_at = now
-        self.hearsay = False  # whether it is ejected because of peers' reports
+        self.ejected_by_report = False  # whether it is ejected because of peers' reports
 
     def record_reachability(self, now: float, outcome: Outcome) -> None:
         """Track connect failures: a machine that was unreachable may come back cold."""
@@ -333,7 +333,7 @@
             faster_peers > int(FASTER_PEER_SHARE * len(warm))
         ):
             server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
-            server.hearsay = False
+            server.ejected_by_report = False
             server.failing = OUTLIER_FAILURE_RATE / 2
             server.slow = OUTLIER_MULTIPLE / 2
 
@@ -348,7 +348,7 @@
             OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * sum(s.failing for s in peers) / len(peers)
         ):
             server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + jitter)
-            server.hearsay = True
+            server.ejected_by_report = True
 
 
 class ColdStartLimiter:
@@ -745,7 +745,7 @@
             if attempt.server.connect_failures >= UNREACHABLE_AFTER:
                 # Tried once after each ejection, not more often: each try delays a call by a connect timeout.
                 attempt.server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
-                attempt.server.hearsay = False
+                attempt.server.ejected_by_report = False
             failed = event.outcome is not Outcome.OK
             slowness = event.elapsed / max(self.spent[attempt.cls], 1.0)
             slowness *= self.cold.share(attempt.server, now)
@@ -1143,7 +1143,7 @@
             if named is not None and server.info.id not in named and self._unremarkable(now, server):
                 continue
             unhealthy = server.connect_failures >= UNREACHABLE_AFTER or (
-                now < server.ejected_until and not server.hearsay
+                now < server.ejected_until and not server.ejected_by_report
             )
             calls = max(
                 server.served_rate(now) * SERVED_DECAY_MS, EJECTION_EVIDENCE_CALLS if unhealthy else 0.0
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -160,7 +160,7 @@
             pool.balancer.servers[4].connect_failures = 2  # unreachable according to its own calls
             for peer in (other, third):
                 await until(lambda at=peer: len(at.balancer.aside(at.clock())) == 1)  # type: ignore[misc]
-                assert peer.balancer.servers[4].hearsay
+                assert peer.balancer.servers[4].ejected_by_report
 
     run(test)
 
