--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -31,7 +31,7 @@
             return (0.0, False) if host is None else (host.since, True)
         if server.connect_failures >= UNREACHABLE_AFTER:
             return 0.0, False  # unreachable: it is probed by one connection at a time
-        since = server.started(self.now())
+        since = server.started_at(self.now())
         return since, since == server.info.started_at
 
     def descriptor_budget(self) -> int:
--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -259,7 +259,7 @@
             self.back = now
         self.connect_failures = 0
 
-    def started(self, now: float) -> float:
+    def started_at(self, now: float) -> float:
         """When it last started, as reported or observed; an unreachable machine has not started yet."""
         return (
             now
@@ -376,7 +376,7 @@
 
     def share(self, server: Server, now: float) -> float:
         """The share of its capacity that an endpoint certainly has by now."""
-        s, started_at = self.settings, server.started(now)
+        s, started_at = self.settings, server.started_at(now)
         if started_at <= 0 or s.cold_time <= 0 or now >= started_at + s.cold_time:
             return 1.0
         return s.cold_share + (1 - s.cold_share) * max(0.0, now - started_at) / s.cold_time
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -114,7 +114,7 @@
     shares = [made.cold.share(made.servers[i], NOW) for i in (0, 1)]
     assert shares[0] == 1.0 and 0.2 <= shares[1] < 0.25
     made.handle(NOW, PeerReports((EndpointEvidence(1, started_at=NOW + 9e9),)))
-    assert made.servers[1].started(NOW) <= NOW, "nothing starts in the future"
+    assert made.servers[1].started_at(NOW) <= NOW, "nothing starts in the future"
 
 
 def calls_to_a_cold_endpoint(reported: bool) -> int:
