--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -327,7 +327,7 @@
         # Compared with the faster peers: if most of a tier is slow from overload, the mean would eject none,
         # and none could recover. Only warm ones: of a cold endpoint only the minimum capacity is known, so it
         # looks faster than it is.
-        warm = [s for s in peers if self.cold.share(s, now) >= 1.0]
+        warm = [s for s in peers if self.cold.capacity_share(s, now) >= 1.0]
         faster_peers = sum(server.slow > OUTLIER_MULTIPLE * s.slow for s in warm)
         if server.failing > max(OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * peer_failure_rate) or (
             faster_peers > int(FASTER_PEER_SHARE * len(warm))
@@ -374,7 +374,7 @@
         self.rates: dict[int | None, float] = {None: 0.0}  # calls per ms; by zone too, if there are zones
         self.part = 1.0  # of this sidecar's cold allowances that belongs to this process
 
-    def share(self, server: Server, now: float) -> float:
+    def capacity_share(self, server: Server, now: float) -> float:
         """The share of its capacity that an endpoint certainly has by now."""
         s, started_at = self.settings, server.started_at(now)
         if started_at <= 0 or s.cold_time <= 0 or now >= started_at + s.cold_time:
@@ -383,13 +383,13 @@
 
     def learn_rate(self, servers: list[Server], now: float, zone: int | None = None) -> None:
         """Measure the rate of warm endpoints in use; if there are none, the last rate is kept."""
-        warm = [s for s in servers if now >= s.ejected_until and self.share(s, now) >= 1.0]
+        warm = [s for s in servers if now >= s.ejected_until and self.capacity_share(s, now) >= 1.0]
         size = sum(s.info.size for s in warm)
         if size > 0:
             self.rates[zone] = sum(s.served_rate(now) for s in warm) / size
 
     def admits(self, server: Server, now: float) -> bool:
-        s, share = self.settings, self.share(server, now)
+        s, share = self.settings, self.capacity_share(server, now)
         if share >= 1.0 or s.fall_window <= 0:
             # Otherwise calls sent while it was warm would count against it once it is cold.
             server.allowance, server.allowed_at, server.cold_ramp_started = 1.0, now, False
@@ -748,7 +748,7 @@
                 attempt.server.ejected_by_report = False
             failed = event.outcome is not Outcome.OK
             slowness = event.elapsed / max(self.spent[attempt.cls], 1.0)
-            slowness *= self.cold.share(attempt.server, now)
+            slowness *= self.cold.capacity_share(attempt.server, now)
             self.outliers.record(now, attempt.server, failed, slowness)
             self.outliers.eject_outlier(now, attempt.server, self._peers(attempt.server))
         if self.admission is not None and event.outcome is not Outcome.CANCELLED:
@@ -780,7 +780,7 @@
         if self.locality is not None:
             self._refresh_zones(now, self.locality)
         if self.admission is not None:
-            shares = [self.cold.share(s, now) for s in self.ring if now >= s.ejected_until]
+            shares = [self.cold.capacity_share(s, now) for s in self.ring if now >= s.ejected_until]
             self.admission.endpoint_share = max(1.0, sum(shares)) / self.settings.siblings
 
     def _refresh_zones(self, now: float, locality: Locality) -> None:
@@ -788,7 +788,7 @@
         for zone, ring in self.zones.items():
             self.cold.learn_rate(ring[: self._subset_size()], now, zone)
             available = [s for s in ring if now >= s.ejected_until]
-            ready[zone] = sum(s.info.size * self.cold.share(s, now) for s in available)
+            ready[zone] = sum(s.info.size * self.cold.capacity_share(s, now) for s in available)
         locality.update_capacity(now, ready)
 
     def _retry_or_end(self, now: float, request: Request) -> None:
@@ -1068,7 +1068,7 @@
         """
         if self.admission is None:
             return False
-        return len(server.in_flight) >= self.admission.endpoint_limit(self.cold.share(server, now))
+        return len(server.in_flight) >= self.admission.endpoint_limit(self.cold.capacity_share(server, now))
 
     def _load(self, server: Server, now: float) -> float:
         """Own calls in flight times slowness, relative to the endpoint's capacity.
@@ -1077,7 +1077,7 @@
         grow with the size.
         """
         slowness = min(MAX_LOAD_SLOWNESS, max(MIN_LOAD_SLOWNESS, server.slowness(now)))
-        weight = math.sqrt(server.info.size) * self.cold.share(server, now)
+        weight = math.sqrt(server.info.size) * self.cold.capacity_share(server, now)
         return (len(server.in_flight) + 1) * slowness / max(weight, MIN_RATIO)
 
     # Endpoint list
@@ -1166,7 +1166,7 @@
             and server.slow < OUTLIER_MULTIPLE
             and server.connect_failures < UNREACHABLE_AFTER
             and now >= server.ejected_until
-            and self.cold.share(server, now) >= 1.0
+            and self.cold.capacity_share(server, now) >= 1.0
         )
 
     def _peer_reports(self, now: float, event: PeerReports) -> None:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -316,20 +316,20 @@
     serve_calls(d, 200)
     unreachable = d.balancer.servers[1]
     cold = d.balancer.cold
-    assert cold.share(unreachable, d.now) == 1.0
+    assert cold.capacity_share(unreachable, d.now) == 1.0
     while unreachable.connect_failures < 2:
         request = d.arrive()
         endpoint = d.tries[request][0][0]
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
-    assert cold.share(unreachable, d.now) == d.config.cold_share, "the minimum until it answers"
+    assert cold.capacity_share(unreachable, d.now) == d.config.cold_share, "the minimum until it answers"
     unreachable.record_reachability(d.now, Outcome.OK)
-    assert cold.share(unreachable, d.now) == d.config.cold_share
-    assert cold.share(unreachable, d.now + d.config.cold_time / 2) == pytest.approx(
+    assert cold.capacity_share(unreachable, d.now) == d.config.cold_share
+    assert cold.capacity_share(unreachable, d.now + d.config.cold_time / 2) == pytest.approx(
         (1 + d.config.cold_share) / 2
     )
-    assert cold.share(unreachable, d.now + d.config.cold_time) == 1.0
+    assert cold.capacity_share(unreachable, d.now + d.config.cold_time) == 1.0
 
 
 def test_a_single_connect_failure_does_not_make_an_endpoint_cold() -> None:
@@ -338,7 +338,7 @@
     for _ in range(5):
         server.record_reachability(d.now, Outcome.CONNECT_FAILED)
         server.record_reachability(d.now, Outcome.OK)
-    assert d.balancer.cold.share(server, d.now) == 1.0
+    assert d.balancer.cold.capacity_share(server, d.now) == 1.0
 
 
 def test_quick_cold_peers_do_not_make_a_usual_endpoint_an_outlier() -> None:
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -111,7 +111,7 @@
             (EndpointEvidence(0, started_at=NOW - 5 * COLD_TIME), EndpointEvidence(1, started_at=NOW - 100.0))
         ),
     )
-    shares = [made.cold.share(made.servers[i], NOW) for i in (0, 1)]
+    shares = [made.cold.capacity_share(made.servers[i], NOW) for i in (0, 1)]
     assert shares[0] == 1.0 and 0.2 <= shares[1] < 0.25
     made.handle(NOW, PeerReports((EndpointEvidence(1, started_at=NOW + 9e9),)))
     assert made.servers[1].started_at(NOW) <= NOW, "nothing starts in the future"
@@ -164,7 +164,7 @@
     assert 1.0 <= made.admission.each <= plain.admission.each
     for id, server in made.servers.items():
         before = plain.servers[id]
-        assert made.cold.share(server, NOW) <= plain.cold.share(before, NOW)
+        assert made.cold.capacity_share(server, NOW) <= plain.cold.capacity_share(before, NOW)
         assert server.allowance <= before.allowance
         assert server.slowness(NOW) >= before.slowness(NOW)
         assert server.ejected_until >= before.ejected_until
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -149,7 +149,7 @@
     while serve(made) != 0:
         made.advance(made.now + 200.0)
     cold = made.balancer.cold
-    shares = [cold.share(s, made.now) for s in made.balancer.ring if s.info.zone == 0]
+    shares = [cold.capacity_share(s, made.now) for s in made.balancer.ring if s.info.zone == 0]
     assert max(shares) <= SETTINGS.cold_share + 0.01
     assert not any(s.back for s in made.balancer.ring if s.connect_failures < 2), (
         "siblings are told of no restart"
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -70,7 +70,7 @@
 
     def cold(self, id: int) -> bool:
         now = self.clock()
-        return self.balancer.cold.share(self.balancer.servers[id], now) < 1.0
+        return self.balancer.cold.capacity_share(self.balancer.servers[id], now) < 1.0
 
 
 class Fleet:
