--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -372,7 +372,7 @@
         self.rng = rng
         self.siblings = settings.siblings
         self.rates: dict[int | None, float] = {None: 0.0}  # calls per ms; by zone too, if there are zones
-        self.part = 1.0  # of this sidecar's cold allowances that belongs to this process
+        self.process_share = 1.0  # of this sidecar's cold allowances that belongs to this process
 
     def capacity_share(self, server: Server, now: float) -> float:
         """The share of its capacity that an endpoint certainly has by now."""
@@ -404,7 +404,7 @@
         min_rate = MIN_COLD_CALLS / (self.siblings * s.fall_window)
         rate = self.rates.get(server.info.zone, self.rates[None]) * server.info.size
         rate = rate * share * s.fall_multiple * COLD_FILL
-        rate = max(min_rate, rate) * self.part
+        rate = max(min_rate, rate) * self.process_share
         max_allowance = max(1.0, rate * s.fall_window * COLD_FILL)
         server.allowance = min(max_allowance, server.allowance + rate * (now - server.allowed_at))
         server.allowed_at = now
@@ -671,7 +671,7 @@
 
     def pair(self, paired: bool) -> None:
         """Whether cold endpoints' allowances are shared with another process of this sidecar."""
-        self.cold.part = PAIR_SHARE if paired else 1.0
+        self.cold.process_share = PAIR_SHARE if paired else 1.0
 
     # Requests
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -227,7 +227,11 @@
     flags = ("spoken", "moved", "failed_in_time", "refused", "watch_ended")
     for name in ("wait", "due", *called, *seen, *flags):
         setattr(made.discovery, name, getattr(held.discovery, name))
-    made.cold.rates, made.cold.part, made.cold.rng = dict(held.cold.rates), held.cold.part, held.doubts
+    made.cold.rates, made.cold.process_share, made.cold.rng = (
+        dict(held.cold.rates),
+        held.cold.process_share,
+        held.doubts,
+    )
     made.cold.siblings = max(settings.siblings, held.heard_siblings)
     assert made.shares is not None and held.shares is not None
     made.shares.tokens[: len(held.shares.tokens)] = held.shares.tokens
