--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -532,7 +532,7 @@
 
     def __init__(self, settings: Settings) -> None:
         self.tokens: list[float] = []
-        self.at = 0.0
+        self.refilled_at = 0.0
         self.reconfigure(settings)
 
     def reconfigure(self, settings: Settings) -> None:
@@ -549,8 +549,8 @@
         if tenant >= len(self.rates) or self.rates[tenant] <= 0:
             return True
         for i, rate in enumerate(self.rates):
-            self.tokens[i] = min(self.capacities[i], self.tokens[i] + rate * (now - self.at))
-        self.at = now
+            self.tokens[i] = min(self.capacities[i], self.tokens[i] + rate * (now - self.refilled_at))
+        self.refilled_at = now
         within = self.tokens[tenant] >= 1.0
         if within:
             self.tokens[tenant] -= 1.0
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -235,7 +235,7 @@
     made.cold.siblings = max(settings.siblings, held.heard_siblings)
     assert made.shares is not None and held.shares is not None
     made.shares.tokens[: len(held.shares.tokens)] = held.shares.tokens
-    made.shares.at = held.shares.at
+    made.shares.refilled_at = held.shares.refilled_at
     for cls, answered in enumerate(held.answered):
         if answered:
             made.quick[cls], made.spent[cls] = held.quick[cls], held.spent[cls]
