--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -571,8 +571,8 @@
         self.backoff = Backoff(self.rng)
         # For Retry-After. Its own generator: it must not change which endpoints are chosen.
         self.advice = Backoff(random.Random(seed + 1))
-        self.doubts = random.Random(seed + 2)  # for cold starts and peers' reports
-        self.cold = ColdStartLimiter(settings, self.doubts)
+        self.caution_rng = random.Random(seed + 2)  # for cold starts and peers' reports
+        self.cold = ColdStartLimiter(settings, self.caution_rng)
         self.outliers = OutlierDetector(self.rng, self.cold)
         self.discovery = Freshness(settings, self.rng)
         self.servers: dict[int, Server] = {}
@@ -1190,7 +1190,7 @@
             server.reported_slowness, server.reported_at = slowness, now
         if report.failure_rate * weight > OUTLIER_FAILURE_RATE:
             self.outliers.eject_on_report(
-                now, server, report.failure_rate * weight, self.ring, self.doubts.random()
+                now, server, report.failure_rate * weight, self.ring, self.caution_rng.random()
             )
 
     # Timers
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -216,7 +216,7 @@
     """A new balancer of other settings that takes over all that another one holds and has learned."""
     made = Balancer(settings, 99)
     for name in (
-        "rng", "budget", "backoff", "advice", "doubts", "servers", "requests", "flights", "coming",
+        "rng", "budget", "backoff", "advice", "caution_rng", "servers", "requests", "flights", "coming",
         "admission", "shedding", "answered", "held", "heard_siblings", "timers", "next_timer", "started",
     ):  # fmt: skip
         setattr(made, name, getattr(held, name))
@@ -230,7 +230,7 @@
     made.cold.rates, made.cold.process_share, made.cold.rng = (
         dict(held.cold.rates),
         held.cold.process_share,
-        held.doubts,
+        held.caution_rng,
     )
     made.cold.siblings = max(settings.siblings, held.heard_siblings)
     assert made.shares is not None and held.shares is not None
