--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -578,7 +578,7 @@
         self.servers: dict[int, Server] = {}
         self.ring: list[Server] = []  # all servers, in this instance's order of preference
         self.requests: dict[int, Request] = {}
-        self.flights: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
+        self.in_flight: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
         self.coming: dict[tuple[int, int], Attempt] = {}  # the same, for partial requests
         self.admission = ConcurrencyLimiter() if settings.stage == 0 else None
         self.shedding = LoadShedder(self.rng)
@@ -703,12 +703,12 @@
         request.deadline = event.deadline - self._deadline_margin(request.cls)
         for number, attempt in enumerate(request.attempts):
             if self.coming.pop((request.id, number), None) is not None:
-                self.flights[(request.id, number)] = attempt
+                self.in_flight[(request.id, number)] = attempt
                 attempt.server.in_flight[attempt] = None
 
     def _attempt_ended(self, now: float, event: AttemptEnded) -> None:
         attempt_key = (event.request, event.attempt)
-        attempt = self.flights.pop(attempt_key, None) or self.coming.pop(attempt_key, None)
+        attempt = self.in_flight.pop(attempt_key, None) or self.coming.pop(attempt_key, None)
         if attempt is None:
             return
         attempt.pending = False
@@ -752,7 +752,7 @@
             self.outliers.record(now, attempt.server, failed, slowness)
             self.outliers.eject_outlier(now, attempt.server, self._peers(attempt.server))
         if self.admission is not None and event.outcome is not Outcome.CANCELLED:
-            self.admission.learn(now, elapsed, aim, len(self.flights) + 1)
+            self.admission.learn(now, elapsed, aim, len(self.in_flight) + 1)
             self.shedding.learn(now, self.admission, aim)
 
     def _peers(self, server: Server) -> list[Server]:
@@ -839,7 +839,7 @@
         self._set_timer(request.held_until, request.id)
 
     def _has_room(self) -> bool:
-        return self.admission is None or len(self.flights) < self.admission.limit
+        return self.admission is None or len(self.in_flight) < self.admission.limit
 
     def _send(self, now: float, request: Request, server: Server) -> None:
         self.held.pop(request.id, None)
@@ -849,7 +849,7 @@
             # Otherwise uploads that take a minute would use up the limit on calls in flight.
             self.coming[attempt_key] = attempt
         else:
-            self.flights[attempt_key] = attempt
+            self.in_flight[attempt_key] = attempt
             server.in_flight[attempt] = None
             if self.locality is not None:
                 self.locality.attempt_sent(
@@ -970,7 +970,7 @@
         from all.
         """
         fair_share = -(-len(self.ring) // self.settings.siblings)
-        return max(MIN_SUBSET_SIZE, fair_share, len(self.flights) + 1)
+        return max(MIN_SUBSET_SIZE, fair_share, len(self.in_flight) + 1)
 
     def _ready(
         self, now: float, request: Request, ring: list[Server], excluded: set[int], healthy_only: bool = False
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -131,7 +131,7 @@
     assert d.balancer.handle(d.now, RequestAborted(777)) == []
     assert d.balancer.handle(d.now, TimerFired(999_999)) == []
     assert d.balancer.handle(d.now, AttemptEnded(777, 888, 0, Outcome.OK, 1.0, True)) == []
-    assert not d.balancer.requests and not d.balancer.flights
+    assert not d.balancer.requests and not d.balancer.in_flight
 
 
 def test_discovery_is_subscribed_and_asked_again_in_time() -> None:
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -28,14 +28,14 @@
 def test_a_complete_body_counts_against_the_limits_and_has_a_deadline() -> None:
     d = drive(4)
     request = partial(d, SAFE)
-    assert len(d.balancer.flights) == 0
+    assert len(d.balancer.in_flight) == 0
     d.feed(RequestBodyComplete(request, d.now + 500))
-    assert len(d.balancer.flights) == 1
+    assert len(d.balancer.in_flight) == 1
     assert sum(len(s.in_flight) for s in d.balancer.servers.values()) == 1
     d.now += 490
     actions = d.outcome(request, 0, Outcome.CONNECT_FAILED)
     assert any(isinstance(a, Refuse | Fail) for a in actions), "there is no time for another attempt"
-    assert not d.balancer.flights and not d.balancer.coming
+    assert not d.balancer.in_flight and not d.balancer.coming
 
 
 def test_a_request_whose_body_was_partly_sent_is_not_tried_again_and_is_refused_as_it_never_ran() -> None:
@@ -67,4 +67,4 @@
     d.feed(RequestBodyComplete(request, d.now + 100))
     d.feed(BodyDiscarded(request))
     d.outcome(request, 0, Outcome.CANCELLED)
-    assert not d.balancer.coming and not d.balancer.flights
+    assert not d.balancer.coming and not d.balancer.in_flight
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -74,7 +74,7 @@
             assert not driver.calls and not driver.open and not driver.upstream.tasks
             assert len(driver.ready) == len(driver.balancer.servers) == len(driver.upstream.hosts) == 4
             balancer = driver.balancer
-            assert not balancer.requests and not balancer.flights and not balancer.held
+            assert not balancer.requests and not balancer.in_flight and not balancer.held
             assert not any(s.in_flight for s in balancer.servers.values()) and len(balancer.timers) <= 1
             kept = driver.upstream.open
             assert kept == sum(len(p.idle) for p in driver.upstream.hosts.values())
@@ -162,10 +162,10 @@
             while (await rig.ask(request("pay"))).status != 200 or not new.got:
                 pass
             assert [len(s.in_flight) for s in driver.balancer.servers.values()] == [0]
-            assert len(driver.balancer.flights) == 1, "the call that is still in flight at the old endpoint"
+            assert len(driver.balancer.in_flight) == 1, "the call that is still in flight at the old endpoint"
             old.served[0].write(ok(b"late"))
             assert (await read_message(waiting.reader)).body == b"late"
-            assert not driver.balancer.flights and driver.upstream.open == 1
+            assert not driver.balancer.in_flight and driver.upstream.open == 1
 
     run(test)
 
