--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -579,7 +579,7 @@
         self.ring: list[Server] = []  # all servers, in this instance's order of preference
         self.requests: dict[int, Request] = {}
         self.in_flight: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
-        self.coming: dict[tuple[int, int], Attempt] = {}  # the same, for partial requests
+        self.uploading: dict[tuple[int, int], Attempt] = {}  # the same, for partial requests
         self.admission = ConcurrencyLimiter() if settings.stage == 0 else None
         self.shedding = LoadShedder(self.rng)
         self.shares = TenantQuotas(settings) if settings.stage == 0 else None
@@ -702,13 +702,13 @@
         request.partial = False
         request.deadline = event.deadline - self._deadline_margin(request.cls)
         for number, attempt in enumerate(request.attempts):
-            if self.coming.pop((request.id, number), None) is not None:
+            if self.uploading.pop((request.id, number), None) is not None:
                 self.in_flight[(request.id, number)] = attempt
                 attempt.server.in_flight[attempt] = None
 
     def _attempt_ended(self, now: float, event: AttemptEnded) -> None:
         attempt_key = (event.request, event.attempt)
-        attempt = self.in_flight.pop(attempt_key, None) or self.coming.pop(attempt_key, None)
+        attempt = self.in_flight.pop(attempt_key, None) or self.uploading.pop(attempt_key, None)
         if attempt is None:
             return
         attempt.pending = False
@@ -847,7 +847,7 @@
         attempt_key = (request.id, len(request.attempts))
         if request.partial:
             # Otherwise uploads that take a minute would use up the limit on calls in flight.
-            self.coming[attempt_key] = attempt
+            self.uploading[attempt_key] = attempt
         else:
             self.in_flight[attempt_key] = attempt
             server.in_flight[attempt] = None
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -35,7 +35,7 @@
     d.now += 490
     actions = d.outcome(request, 0, Outcome.CONNECT_FAILED)
     assert any(isinstance(a, Refuse | Fail) for a in actions), "there is no time for another attempt"
-    assert not d.balancer.in_flight and not d.balancer.coming
+    assert not d.balancer.in_flight and not d.balancer.uploading
 
 
 def test_a_request_whose_body_was_partly_sent_is_not_tried_again_and_is_refused_as_it_never_ran() -> None:
@@ -45,7 +45,7 @@
     actions = d.outcome(request, 0, Outcome.CONNECT_FAILED)
     assert any(isinstance(a, Refuse) for a in actions)
     assert not any(isinstance(a, Send) for a in d.advance(d.now + 3000))
-    assert not d.balancer.coming
+    assert not d.balancer.uploading
 
 
 def test_an_attempt_that_failed_before_any_of_the_body_was_sent_is_made_again() -> None:
@@ -67,4 +67,4 @@
     d.feed(RequestBodyComplete(request, d.now + 100))
     d.feed(BodyDiscarded(request))
     d.outcome(request, 0, Outcome.CANCELLED)
-    assert not d.balancer.coming and not d.balancer.in_flight
+    assert not d.balancer.uploading and not d.balancer.in_flight
