--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -584,8 +584,8 @@
         self.shedding = LoadShedder(self.rng)
         self.shares = TenantQuotas(settings) if settings.stage == 0 else None
         # By class: mean latency, low latency (ms), number of responses.
-        self.spent = [c.aim for c in settings.classes]
-        self.quick, self.answered = list(self.spent), [0] * len(settings.classes)
+        self.mean_latency = [c.aim for c in settings.classes]
+        self.quick, self.answered = list(self.mean_latency), [0] * len(settings.classes)
         self.held: dict[int, Request] = {}  # waiting for an endpoint
         self.heard_siblings = 1
         self.refreshed_at = 0.0
@@ -652,7 +652,7 @@
             self.shares.reconfigure(settings)
         for cls, responses in enumerate(self.answered):
             if not responses:
-                self.quick[cls] = self.spent[cls] = settings.classes[cls].aim
+                self.quick[cls] = self.mean_latency[cls] = settings.classes[cls].aim
         self._order_endpoints()
         self._refresh(now)
         self._send_held(now)
@@ -716,7 +716,13 @@
         attempt.server.in_flight.pop(attempt, None)
         self._learn(now, attempt, event)
         if self.locality is not None and self.locality.attempt_ended(
-            now, attempt_key, attempt.zone, attempt.cls, event.outcome, event.elapsed, self.spent[attempt.cls]
+            now,
+            attempt_key,
+            attempt.zone,
+            attempt.cls,
+            event.outcome,
+            event.elapsed,
+            self.mean_latency[attempt.cls],
         ):
             # All endpoints of the zone may have restarted while it was lost.
             for server in self.zones.get(attempt.zone, ()):
@@ -747,7 +753,7 @@
                 attempt.server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
                 attempt.server.ejected_by_report = False
             failed = event.outcome is not Outcome.OK
-            slowness = event.elapsed / max(self.spent[attempt.cls], 1.0)
+            slowness = event.elapsed / max(self.mean_latency[attempt.cls], 1.0)
             slowness *= self.cold.capacity_share(attempt.server, now)
             self.outliers.record(now, attempt.server, failed, slowness)
             self.outliers.eject_outlier(now, attempt.server, self._peers(attempt.server))
@@ -769,7 +775,7 @@
     def _learn_latency(self, cls: int, elapsed: float) -> None:
         self.answered[cls] += 1
         step = max(LATENCY_WEIGHT, 1.0 / self.answered[cls])
-        self.spent[cls] += step * (elapsed - self.spent[cls])
+        self.mean_latency[cls] += step * (elapsed - self.mean_latency[cls])
         rising = elapsed > self.quick[cls] and self.answered[cls] > 1
         self.quick[cls] += step * (LOW_LATENCY_RISE if rising else 1.0) * (elapsed - self.quick[cls])
 
@@ -853,7 +859,7 @@
             server.in_flight[attempt] = None
             if self.locality is not None:
                 self.locality.attempt_sent(
-                    now, attempt_key, attempt.zone, server.info.id, self.spent[request.class_index]
+                    now, attempt_key, attempt.zone, server.info.id, self.mean_latency[request.class_index]
                 )
         # A handshake may delay it until there is no longer proof that the endpoint is not draining.
         send_by = min(self.rules.retry_deadline(request), self._usable_until(server))
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -36,7 +36,9 @@
             for s in balancer.ring
         },
         "limit": [] if limit is None else [float(getattr(limit, name)) for name in LIMIT_FIELDS],
-        "times": [[*row] for row in zip(balancer.quick, balancer.spent, balancer.answered, strict=True)],
+        "times": [
+            [*row] for row in zip(balancer.quick, balancer.mean_latency, balancer.answered, strict=True)
+        ],
         "tokens": balancer.budget.tokens,
         "cold_rate": balancer.cold.rates[None],
         "shed": balancer.shedding.level,
@@ -66,7 +68,7 @@
             setattr(balancer.admission, name, value)
         balancer.admission.answers = int(limits[-1])
     for cls, (least, mean, answered) in enumerate(quick):
-        balancer.quick[cls], balancer.spent[cls], balancer.answered[cls] = least, mean, int(answered)
+        balancer.quick[cls], balancer.mean_latency[cls], balancer.answered[cls] = least, mean, int(answered)
     balancer.budget.tokens = min(BUDGET_CAPACITY, max(0.0, tokens))
     balancer.cold.rates[None] = rate
     balancer.shedding.level = min(MAX_SHED_LEVEL, max(0.0, shed))
