--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -585,7 +585,7 @@
         self.shares = TenantQuotas(settings) if settings.stage == 0 else None
         # By class: mean latency, low latency (ms), number of responses.
         self.mean_latency = [c.aim for c in settings.classes]
-        self.quick, self.answered = list(self.mean_latency), [0] * len(settings.classes)
+        self.low_latency, self.answered = list(self.mean_latency), [0] * len(settings.classes)
         self.held: dict[int, Request] = {}  # waiting for an endpoint
         self.heard_siblings = 1
         self.refreshed_at = 0.0
@@ -652,7 +652,7 @@
             self.shares.reconfigure(settings)
         for cls, responses in enumerate(self.answered):
             if not responses:
-                self.quick[cls] = self.mean_latency[cls] = settings.classes[cls].aim
+                self.low_latency[cls] = self.mean_latency[cls] = settings.classes[cls].aim
         self._order_endpoints()
         self._refresh(now)
         self._send_held(now)
@@ -683,7 +683,7 @@
         self.requests[event.request] = request
         if self.shares is not None:
             request.within_share = self.shares.take(now, event.tenant)
-            work = max(self.quick[event.cls], 1.0)
+            work = max(self.low_latency[event.cls], 1.0)
             worth = cls.worth * (1.0 if request.within_share else self.settings.over_share_worth)
             request.worth_per_ms = worth / work
             if self.shedding.should_shed(now, request, work):
@@ -776,8 +776,10 @@
         self.answered[cls] += 1
         step = max(LATENCY_WEIGHT, 1.0 / self.answered[cls])
         self.mean_latency[cls] += step * (elapsed - self.mean_latency[cls])
-        rising = elapsed > self.quick[cls] and self.answered[cls] > 1
-        self.quick[cls] += step * (LOW_LATENCY_RISE if rising else 1.0) * (elapsed - self.quick[cls])
+        rising = elapsed > self.low_latency[cls] and self.answered[cls] > 1
+        self.low_latency[cls] += (
+            step * (LOW_LATENCY_RISE if rising else 1.0) * (elapsed - self.low_latency[cls])
+        )
 
     def _refresh(self, now: float) -> None:
         """Periodic passes over the list: served rates and this instance's share of the endpoints."""
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -37,7 +37,7 @@
         },
         "limit": [] if limit is None else [float(getattr(limit, name)) for name in LIMIT_FIELDS],
         "times": [
-            [*row] for row in zip(balancer.quick, balancer.mean_latency, balancer.answered, strict=True)
+            [*row] for row in zip(balancer.low_latency, balancer.mean_latency, balancer.answered, strict=True)
         ],
         "tokens": balancer.budget.tokens,
         "cold_rate": balancer.cold.rates[None],
@@ -58,7 +58,7 @@
         limits = _read_numbers(limit, len(LIMIT_FIELDS)) if limit else []
         quick = [_read_numbers(row, 3) for row in times]
         tokens, rate, shed = _read_numbers([learned[k] for k in ("tokens", "cold_rate", "shed")], 3)
-        if len(quick) != len(balancer.quick):
+        if len(quick) != len(balancer.low_latency):
             raise ValueError("number of request classes differs")
     except (LookupError, TypeError, ValueError) as error:
         raise ValueError(f"learned state can't be read: {error}") from None
@@ -68,7 +68,11 @@
             setattr(balancer.admission, name, value)
         balancer.admission.answers = int(limits[-1])
     for cls, (least, mean, answered) in enumerate(quick):
-        balancer.quick[cls], balancer.mean_latency[cls], balancer.answered[cls] = least, mean, int(answered)
+        balancer.low_latency[cls], balancer.mean_latency[cls], balancer.answered[cls] = (
+            least,
+            mean,
+            int(answered),
+        )
     balancer.budget.tokens = min(BUDGET_CAPACITY, max(0.0, tokens))
     balancer.cold.rates[None] = rate
     balancer.shedding.level = min(MAX_SHED_LEVEL, max(0.0, shed))
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -238,7 +238,7 @@
     made.shares.refilled_at = held.shares.refilled_at
     for cls, answered in enumerate(held.answered):
         if answered:
-            made.quick[cls], made.mean_latency[cls] = held.quick[cls], held.mean_latency[cls]
+            made.low_latency[cls], made.mean_latency[cls] = held.low_latency[cls], held.mean_latency[cls]
     known = tuple(server.info for server in made.servers.values())
     fresh_until = made.discovery.fresh_until()
     # A list with nothing new puts its endpoints in order; a cached one is no sign of life.
@@ -566,7 +566,7 @@
             assert balancer.answered == [0, 0, 20]
             learned = (
                 balancer.mean_latency[2],
-                balancer.quick[2],
+                balancer.low_latency[2],
                 balancer.budget.tokens,
                 balancer.servers.copy(),
             )
@@ -583,7 +583,12 @@
             assert [c.aim for c in settings["login"].classes] == [444.0] * 3
             assert [c.aim for c in settings["campaign"].classes] == [500.0] * 3
             assert before["login"].upstream.idle_for == 15_000
-            kept = (balancer.mean_latency[2], balancer.quick[2], balancer.budget.tokens, balancer.servers)
+            kept = (
+                balancer.mean_latency[2],
+                balancer.low_latency[2],
+                balancer.budget.tokens,
+                balancer.servers,
+            )
             assert before["login"].driver.balancer is balancer and kept == learned
             share = before["campaign"].share
             assert isinstance(share, LentShare)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -100,7 +100,7 @@
         assert other.failing == server.failing and other.slow == server.slow
         assert (old.now < other.ejected_until) == (old.now < server.ejected_until)
     assert old.balancer.servers[3].failing > 0
-    assert new.balancer.quick == old.balancer.quick
+    assert new.balancer.low_latency == old.balancer.low_latency
     assert new.balancer.admission is not None and old.balancer.admission is not None
     assert new.balancer.admission.each == old.balancer.admission.each
     assert len(new.balancer.aside(new.now)) == len(old.balancer.aside(old.now))
@@ -130,12 +130,12 @@
 def test_learned_state_that_cannot_be_read_changes_nothing(field: str) -> None:
     old, new = drive(3), drive(3)
     learned = export_learned(old.balancer)
-    tokens, times = new.balancer.budget.tokens, list(new.balancer.quick)
+    tokens, times = new.balancer.budget.tokens, list(new.balancer.low_latency)
     servers = {id: server.failing for id, server in new.balancer.servers.items()}
     for bad in (None, [["x"]], {"1": [1]}, float("nan")):
         with pytest.raises(ValueError, match="learned"):
             adopt_learned(new.balancer, learned | {field: bad})
-    assert new.balancer.budget.tokens == tokens and new.balancer.quick == times
+    assert new.balancer.budget.tokens == tokens and new.balancer.low_latency == times
     assert {id: server.failing for id, server in new.balancer.servers.items()} == servers
 
 
