--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -585,7 +585,7 @@
         self.shares = TenantQuotas(settings) if settings.stage == 0 else None
         # By class: mean latency, low latency (ms), number of responses.
         self.mean_latency = [c.aim for c in settings.classes]
-        self.low_latency, self.answered = list(self.mean_latency), [0] * len(settings.classes)
+        self.low_latency, self.responses = list(self.mean_latency), [0] * len(settings.classes)
         self.held: dict[int, Request] = {}  # waiting for an endpoint
         self.heard_siblings = 1
         self.refreshed_at = 0.0
@@ -650,7 +650,7 @@
         self.discovery.reconfigure(settings)
         if self.shares is not None:
             self.shares.reconfigure(settings)
-        for cls, responses in enumerate(self.answered):
+        for cls, responses in enumerate(self.responses):
             if not responses:
                 self.low_latency[cls] = self.mean_latency[cls] = settings.classes[cls].aim
         self._order_endpoints()
@@ -773,10 +773,10 @@
         return self.budgets.setdefault(attempt.zone, RetryBudget())
 
     def _learn_latency(self, cls: int, elapsed: float) -> None:
-        self.answered[cls] += 1
-        step = max(LATENCY_WEIGHT, 1.0 / self.answered[cls])
+        self.responses[cls] += 1
+        step = max(LATENCY_WEIGHT, 1.0 / self.responses[cls])
         self.mean_latency[cls] += step * (elapsed - self.mean_latency[cls])
-        rising = elapsed > self.low_latency[cls] and self.answered[cls] > 1
+        rising = elapsed > self.low_latency[cls] and self.responses[cls] > 1
         self.low_latency[cls] += (
             step * (LOW_LATENCY_RISE if rising else 1.0) * (elapsed - self.low_latency[cls])
         )
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -37,7 +37,8 @@
         },
         "limit": [] if limit is None else [float(getattr(limit, name)) for name in LIMIT_FIELDS],
         "times": [
-            [*row] for row in zip(balancer.low_latency, balancer.mean_latency, balancer.answered, strict=True)
+            [*row]
+            for row in zip(balancer.low_latency, balancer.mean_latency, balancer.responses, strict=True)
         ],
         "tokens": balancer.budget.tokens,
         "cold_rate": balancer.cold.rates[None],
@@ -68,7 +69,7 @@
             setattr(balancer.admission, name, value)
         balancer.admission.answers = int(limits[-1])
     for cls, (least, mean, answered) in enumerate(quick):
-        balancer.low_latency[cls], balancer.mean_latency[cls], balancer.answered[cls] = (
+        balancer.low_latency[cls], balancer.mean_latency[cls], balancer.responses[cls] = (
             least,
             mean,
             int(answered),
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -217,7 +217,7 @@
     made = Balancer(settings, 99)
     for name in (
         "rng", "budget", "backoff", "advice", "caution_rng", "servers", "requests", "in_flight", "uploading",
-        "admission", "shedding", "answered", "held", "heard_siblings", "timers", "next_timer", "started",
+        "admission", "shedding", "responses", "held", "heard_siblings", "timers", "next_timer", "started",
     ):  # fmt: skip
         setattr(made, name, getattr(held, name))
     made.outliers.rng = made.discovery.rng = held.rng
@@ -236,7 +236,7 @@
     assert made.shares is not None and held.shares is not None
     made.shares.tokens[: len(held.shares.tokens)] = held.shares.tokens
     made.shares.refilled_at = held.shares.refilled_at
-    for cls, answered in enumerate(held.answered):
+    for cls, answered in enumerate(held.responses):
         if answered:
             made.low_latency[cls], made.mean_latency[cls] = held.low_latency[cls], held.mean_latency[cls]
     known = tuple(server.info for server in made.servers.values())
@@ -563,7 +563,7 @@
                 assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
             before = {pool.name: pool for pool in pools()}
             balancer = before["login"].driver.balancer
-            assert balancer.answered == [0, 0, 20]
+            assert balancer.responses == [0, 0, 20]
             learned = (
                 balancer.mean_latency[2],
                 balancer.low_latency[2],
