--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -587,7 +587,7 @@
         self.mean_latency = [c.aim for c in settings.classes]
         self.low_latency, self.responses = list(self.mean_latency), [0] * len(settings.classes)
         self.held: dict[int, Request] = {}  # waiting for an endpoint
-        self.heard_siblings = 1
+        self.reported_siblings = 1
         self.refreshed_at = 0.0
         self.timers: dict[int, int | None] = {}  # the request of each timer; None: for discovery
         self.next_timer = 0
@@ -645,7 +645,7 @@
         if settings == old:
             return self.actions
         self.settings = self.cold.settings = settings
-        self.cold.siblings = max(settings.siblings, self.heard_siblings)
+        self.cold.siblings = max(settings.siblings, self.reported_siblings)
         self.rules = RetryRules(settings)
         self.discovery.reconfigure(settings)
         if self.shares is not None:
@@ -1179,7 +1179,7 @@
 
     def _peer_reports(self, now: float, event: PeerReports) -> None:
         """Apply peers' reports, as far as they require more care than is taken already."""
-        self.heard_siblings = event.siblings
+        self.reported_siblings = event.siblings
         self.cold.siblings = max(self.settings.siblings, event.siblings)
         if self.admission is not None and self.admission.answers == 0:
             self.admission.each = max(1.0, min(self.admission.each, event.max_in_flight))
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -217,7 +217,7 @@
     made = Balancer(settings, 99)
     for name in (
         "rng", "budget", "backoff", "advice", "caution_rng", "servers", "requests", "in_flight", "uploading",
-        "admission", "shedding", "responses", "held", "heard_siblings", "timers", "next_timer", "started",
+        "admission", "shedding", "responses", "held", "reported_siblings", "timers", "next_timer", "started",
     ):  # fmt: skip
         setattr(made, name, getattr(held, name))
     made.outliers.rng = made.discovery.rng = held.rng
@@ -232,7 +232,7 @@
         held.cold.process_share,
         held.caution_rng,
     )
-    made.cold.siblings = max(settings.siblings, held.heard_siblings)
+    made.cold.siblings = max(settings.siblings, held.reported_siblings)
     assert made.shares is not None and held.shares is not None
     made.shares.tokens[: len(held.shares.tokens)] = held.shares.tokens
     made.shares.refilled_at = held.shares.refilled_at
