--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -592,7 +592,7 @@
         self.timers: dict[int, int | None] = {}  # the request of each timer; None: for discovery
         self.next_timer = 0
         self.started = False
-        self.probes = 0
+        self.probes_sent = 0
         self.looks_at_stale = 0  # searches that found only endpoints whose state may be outdated
         self.last_pick_stale = False  # whether the last search was one of these
         self.actions: list[Action] = []
@@ -1038,7 +1038,7 @@
             and now + PROBE_LEAD_MS >= server.healthy_at + PROBE_VALID_MS
         ):
             server.probed_at = now
-            self.probes += 1
+            self.probes_sent += 1
             self.actions.append(Probe(server.info.id))
 
     def _probe_ended(self, now: float, event: ProbeEnded) -> None:
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -206,7 +206,7 @@
             balancer.looks_at_stale - self.stale_lookups_before,
             balancer.looks_at_stale,
         )
-        probes, self.probes_before = balancer.probes - self.probes_before, balancer.probes
+        probes, self.probes_before = balancer.probes_sent - self.probes_before, balancer.probes_sent
         self.upstream.log.log_event(
             "list-fresh-again",
             unheard_ms=round(self.clock() - discovery.lost_at, 1),
