--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -593,7 +593,7 @@
         self.next_timer = 0
         self.started = False
         self.probes_sent = 0
-        self.looks_at_stale = 0  # searches that found only endpoints whose state may be outdated
+        self.stale_picks = 0  # searches that found only endpoints whose state may be outdated
         self.last_pick_stale = False  # whether the last search was one of these
         self.actions: list[Action] = []
 
@@ -1021,7 +1021,7 @@
             return healthy
         if not ejected and stale:
             self.last_pick_stale = True
-            self.looks_at_stale += 1
+            self.stale_picks += 1
         return ejected
 
     def _usable_until(self, server: Server) -> float:
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -203,8 +203,8 @@
         if not discovery.disconnected() or discovery.lost_at == -math.inf:
             return
         stale_lookups, self.stale_lookups_before = (
-            balancer.looks_at_stale - self.stale_lookups_before,
-            balancer.looks_at_stale,
+            balancer.stale_picks - self.stale_lookups_before,
+            balancer.stale_picks,
         )
         probes, self.probes_before = balancer.probes_sent - self.probes_before, balancer.probes_sent
         self.upstream.log.log_event(
