--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -582,7 +582,7 @@
         self.uploading: dict[tuple[int, int], Attempt] = {}  # the same, for partial requests
         self.admission = ConcurrencyLimiter() if settings.stage == 0 else None
         self.shedding = LoadShedder(self.rng)
-        self.shares = TenantQuotas(settings) if settings.stage == 0 else None
+        self.quotas = TenantQuotas(settings) if settings.stage == 0 else None
         # By class: mean latency, low latency (ms), number of responses.
         self.mean_latency = [c.aim for c in settings.classes]
         self.low_latency, self.responses = list(self.mean_latency), [0] * len(settings.classes)
@@ -648,8 +648,8 @@
         self.cold.siblings = max(settings.siblings, self.reported_siblings)
         self.rules = RetryRules(settings)
         self.discovery.reconfigure(settings)
-        if self.shares is not None:
-            self.shares.reconfigure(settings)
+        if self.quotas is not None:
+            self.quotas.reconfigure(settings)
         for cls, responses in enumerate(self.responses):
             if not responses:
                 self.low_latency[cls] = self.mean_latency[cls] = settings.classes[cls].aim
@@ -681,8 +681,8 @@
         cls = self.settings.classes[event.cls]
         request = Request(event, cls, now, event.deadline - self._deadline_margin(cls))
         self.requests[event.request] = request
-        if self.shares is not None:
-            request.within_share = self.shares.take(now, event.tenant)
+        if self.quotas is not None:
+            request.within_share = self.quotas.take(now, event.tenant)
             work = max(self.low_latency[event.cls], 1.0)
             worth = cls.worth * (1.0 if request.within_share else self.settings.over_share_worth)
             request.worth_per_ms = worth / work
@@ -889,8 +889,8 @@
                 none_ready = none_ready or not request.attempts
 
     def _give_up(self, request: Request, reason: GivenUp) -> None:
-        if self.shares is not None and request.within_share:
-            self.shares.refund(request.tenant)
+        if self.quotas is not None and request.within_share:
+            self.quotas.refund(request.tenant)
         if self.rules.may_refuse(request):
             self.actions.append(Refuse(request.id, reason, self._retry_after(request.cls)))
         else:
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -233,9 +233,9 @@
         held.caution_rng,
     )
     made.cold.siblings = max(settings.siblings, held.reported_siblings)
-    assert made.shares is not None and held.shares is not None
-    made.shares.tokens[: len(held.shares.tokens)] = held.shares.tokens
-    made.shares.refilled_at = held.shares.refilled_at
+    assert made.quotas is not None and held.quotas is not None
+    made.quotas.tokens[: len(held.quotas.tokens)] = held.quotas.tokens
+    made.quotas.refilled_at = held.quotas.refilled_at
     for cls, answered in enumerate(held.responses):
         if answered:
             made.low_latency[cls], made.mean_latency[cls] = held.low_latency[cls], held.mean_latency[cls]
@@ -334,10 +334,10 @@
 def test_a_tenant_that_is_added_has_its_own_share() -> None:
     made = drive(4, tenants=TENANTS)
     made.balancer.reconfigure(made.now, replace(made.config, tenants=(*TENANTS, Tenant("c", 5.0))))
-    assert made.balancer.shares is not None
-    assert made.balancer.shares.tokens[2] == 5.0
+    assert made.balancer.quotas is not None
+    assert made.balancer.quotas.tokens[2] == 5.0
     asked = made.arrive(tenant=2)
-    assert made.balancer.requests[asked].within_share and made.balancer.shares.tokens[2] == 4.0
+    assert made.balancer.requests[asked].within_share and made.balancer.quotas.tokens[2] == 4.0
 
 
 def test_waiting_calls_go_out_when_a_change_makes_room() -> None:
