--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -660,7 +660,7 @@
 
     # Hot restart: two processes of one sidecar
 
-    def follow(self) -> None:
+    def start_as_successor(self) -> None:
         """Another process of this sidecar is still serving. To be called before the first event.
 
         Discovery is asked at once: a process that replaces another one starts alone, so no spreading is
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -97,7 +97,7 @@
     from millgw.hot_restart.learned import adopt_learned
 
     balancer = pool.driver.balancer
-    balancer.follow()
+    balancer.start_as_successor()
     assert isinstance(pool.source, Discovery)
     pool.source.adopt(state.index, state.endpoints)
     try:
