--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -667,9 +667,9 @@
         needed.
         """
         self.discovery.start_spread = 0.0
-        self.pair(True)
+        self.set_paired(True)
 
-    def pair(self, paired: bool) -> None:
+    def set_paired(self, paired: bool) -> None:
         """Whether cold endpoints' allowances are shared with another process of this sidecar."""
         self.cold.process_share = PAIR_SHARE if paired else 1.0
 
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -121,7 +121,7 @@
         """Set the descriptor limit, and share cold endpoints' allowances with another process if `paired`."""
         self.parts.descriptors.set_limit(descriptor_limit)
         for pool in self.parts.pools():
-            pool.driver.balancer.pair(paired)
+            pool.driver.balancer.set_paired(paired)
 
     # The successor
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -159,7 +159,7 @@
     """The allowances of both processes together grow as that of a single process does."""
     alone, one, other = drive(6), drive(6), drive(6)
     for each in (one, other):
-        each.balancer.pair(True)
+        each.balancer.set_paired(True)
     for each in (alone, one, other):
         each.balancer.cold.rates[None] = 0.05
         each.show(*[replace(e.info, started_at=each.now - 1) for e in each.balancer.servers.values()])
