--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -1055,7 +1055,7 @@
         """Whether it rejected a call or reported being unhealthy since discovery's last message."""
         return server.unhealthy_at_message == self.discovery.words
 
-    def aside(self, now: float) -> dict[int, str]:
+    def out_of_rotation(self, now: float) -> dict[int, str]:
         """The endpoints not used while there are others, with the reason; changes nothing."""
         reasons = {}
         for server in self.ring:
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -263,7 +263,7 @@
 
     def out_of_rotation(self) -> dict[int, str]:
         """The listed endpoints that get no requests now, and why. Read-only, as other threads call it too."""
-        return dict.fromkeys(self.draining, "drains") | self.balancer.aside(self.clock())
+        return dict.fromkeys(self.draining, "drains") | self.balancer.out_of_rotation(self.clock())
 
     def address(self, endpoint: int) -> str:
         """The address of an endpoint; empty if it has none here."""
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -66,7 +66,7 @@
 def test_peer_reports_never_eject_more_than_a_third() -> None:
     made = balancer(9)
     made.handle(NOW, PeerReports(tuple(EndpointEvidence(i, failure_rate=1.0, calls=5.0) for i in range(9))))
-    assert len(made.aside(NOW)) <= math.ceil(9 * MAX_EJECTED_SHARE)
+    assert len(made.out_of_rotation(NOW)) <= math.ceil(9 * MAX_EJECTED_SHARE)
     assert sends(made, NOW, 10)
 
 
@@ -75,7 +75,7 @@
     report = EndpointEvidence(1, failure_rate=1.0, latency_ratio=9.0, calls=5.0)
     made.handle(NOW, PeerReports((report, EndpointEvidence(2, drain_valid_for=5000.0))))
     evidence = {t.id: t for t in made.evidence(NOW)}
-    assert len(made.aside(NOW)) == 2
+    assert len(made.out_of_rotation(NOW)) == 2
     assert all(
         (t.failure_rate, t.latency_ratio, t.calls, t.drain_valid_for) == (0.0, 1.0, 0.0, 0.0)
         for t in evidence.values()
@@ -169,6 +169,8 @@
         assert server.slowness(NOW) >= before.slowness(NOW)
         assert server.ejected_until >= before.ejected_until
         assert (server.failing, server.slow) == (before.failing, before.slow), "its own record is unchanged"
-    assert len(made.aside(NOW)) - sum(s.drain_reported_until > NOW for s in made.servers.values()) <= 3
+    assert (
+        len(made.out_of_rotation(NOW)) - sum(s.drain_reported_until > NOW for s in made.servers.values()) <= 3
+    )
     ready = [s for s in made.ring if s.drain_reported_until <= NOW]
     assert not ready or sends(made, NOW, 3) or all(s.allowance < 1.0 for s in ready)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -103,7 +103,7 @@
     assert new.balancer.low_latency == old.balancer.low_latency
     assert new.balancer.admission is not None and old.balancer.admission is not None
     assert new.balancer.admission.each == old.balancer.admission.each
-    assert len(new.balancer.aside(new.now)) == len(old.balancer.aside(old.now))
+    assert len(new.balancer.out_of_rotation(new.now)) == len(old.balancer.out_of_rotation(old.now))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -159,7 +159,7 @@
             _, third = await fleet_of_peers.start(first.settings.listen)
             pool.balancer.servers[4].connect_failures = 2  # unreachable according to its own calls
             for peer in (other, third):
-                await until(lambda at=peer: len(at.balancer.aside(at.clock())) == 1)  # type: ignore[misc]
+                await until(lambda at=peer: len(at.balancer.out_of_rotation(at.clock())) == 1)  # type: ignore[misc]
                 assert peer.balancer.servers[4].ejected_by_report
 
     run(test)
