--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -39,7 +39,7 @@
 START_SPREAD_MS, START_SPREAD_PER_SIBLING_MS = 600.0, 100.0
 MAX_START_SPREAD_MS, START_SPREAD_SHARE = 2500.0, 0.25
 # Longest wait after the end of a watch and shortest after a silence; the share is of `ask_within`
-RETRY, RETRY_WAIT_SHARE = 300.0, 0.25
+RETRY_WAIT_MS, RETRY_WAIT_SHARE = 300.0, 0.25
 MIN_RETRY_WAIT_FACTOR = 0.07  # shortest wait after the end of a watch, as a share of the longest
 # Longest wait after a silence, which is usually a dead connection
 SILENT_WAIT_MS, SILENT_WAIT_PER_SIBLING_MS, MAX_SILENT_WAIT_MS = 1300.0, 30.0, 2300.0
@@ -100,7 +100,7 @@
         siblings = settings.siblings
         spread = min(MAX_START_SPREAD_MS, START_SPREAD_MS + START_SPREAD_PER_SIBLING_MS * siblings)
         self.start_spread = min(spread, START_SPREAD_SHARE * ask_within)
-        self.retry_wait = min(RETRY, RETRY_WAIT_SHARE * ask_within)
+        self.retry_wait = min(RETRY_WAIT_MS, RETRY_WAIT_SHARE * ask_within)
         self.silent_wait = min(MAX_SILENT_WAIT_MS, max(SILENT_WAIT_MS, SILENT_WAIT_PER_SIBLING_MS * siblings))
         self.down_wait = min(MAX_DOWN_WAIT_MS, DOWN_WAIT_MS + DOWN_WAIT_PER_SIBLING_MS * siblings)
         self.max_wait = min(MAX_WAIT_SHARE * ask_within, max(MAX_WAIT_MS, MAX_WAIT_PER_SIBLING_MS * siblings))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -356,7 +356,7 @@
                     _, writer = await rig.discovery.calls.get()
             writer.write(STREAM + chunk(line(1, [one.entry()])))
             await writer.drain()
-            async with asyncio.timeout(5 * freshness.RETRY / 1000):  # s; under 5 retry delays
+            async with asyncio.timeout(5 * freshness.RETRY_WAIT_MS / 1000):  # s; under 5 retry delays
                 for index in range(5):
                     await asyncio.sleep(0)
                     writer.transport.abort()
