--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -61,7 +61,7 @@
 MIN_AGENT_RETRY_MS, MAX_AGENT_RETRY_MS = 20.0, 250.0  # for pushed lists: a call to the local agent is cheap
 
 # When a change counts as told although it was not received
-TOLD_WITHIN = 6000.0  # ms after the change
+KNOWN_AFTER_MS = 6000.0  # ms after the change
 KNOWN_AFTER_WATCH_END_MS = 2000.0  # after the end of a watch, or after it was replaced by another discovery
 KNOWN_AFTER_FAILURE_SHARE = 4.0  # share of `ask_within`, after a failed call
 AGENT_KNOWN_AFTER_MS = 400.0  # for pushed lists: what the agent knows counts at once, with a grace period
@@ -104,10 +104,10 @@
         self.silent_wait = min(MAX_SILENT_WAIT_MS, max(SILENT_WAIT_MS, SILENT_WAIT_PER_SIBLING_MS * siblings))
         self.down_wait = min(MAX_DOWN_WAIT_MS, DOWN_WAIT_MS + DOWN_WAIT_PER_SIBLING_MS * siblings)
         self.max_wait = min(MAX_WAIT_SHARE * ask_within, max(MAX_WAIT_MS, MAX_WAIT_PER_SIBLING_MS * siblings))
-        self.known_after = min(TOLD_WITHIN, ask_within) if settings.ask_discovery else TOLD_WITHIN
+        self.known_after = min(KNOWN_AFTER_MS, ask_within) if settings.ask_discovery else KNOWN_AFTER_MS
         after_watch_end = KNOWN_AFTER_WATCH_END_MS if settings.ask_discovery else AGENT_KNOWN_AFTER_MS
         self.known_after_watch_end = min(after_watch_end, self.known_after)
-        self.known_after_failure = min(TOLD_WITHIN, KNOWN_AFTER_FAILURE_SHARE * ask_within)
+        self.known_after_failure = min(KNOWN_AFTER_MS, KNOWN_AFTER_FAILURE_SHARE * ask_within)
 
     # Events
 
@@ -210,7 +210,7 @@
     # Next call
 
     def _next_wait(self, answered: bool, kind: ListKind) -> float:
-        """How long to wait before the next call: it must bring news within `TOLD_WITHIN` of a return.
+        """How long to wait before the next call: it must bring news within `KNOWN_AFTER_MS` of a return.
 
         All instances may ask at once, so waits are spread. Too many calls can keep discovery overloaded: it
         also works on calls that have already timed out, and answers none as long as they arrive at the rate
@@ -260,7 +260,7 @@
         """Until when discovery may be assumed down, as it rejected all calls; -inf: no such assumption.
 
         It is only an assumption: discovery may be up and overloaded. If it is down, a change counts as told
-        `TOLD_WITHIN` after the last of these calls at the earliest.
+        `KNOWN_AFTER_MS` after the last of these calls at the earliest.
         """
         return self.seems_down_at + self.known_after_failure
 
@@ -269,8 +269,8 @@
         if self.lost_at == -math.inf:
             return self.began + self.known_after  # no watch yet: the initial list
         if self.moved or not self.failed_in_time or not self.settings.ask_discovery:
-            return min(self.heard_at + TOLD_WITHIN, self.lost_at + self.known_after_watch_end)
-        return min(self.heard_at + TOLD_WITHIN, self.called + self.known_after_failure)
+            return min(self.heard_at + KNOWN_AFTER_MS, self.lost_at + self.known_after_watch_end)
+        return min(self.heard_at + KNOWN_AFTER_MS, self.called + self.known_after_failure)
 
     def _outage_valid_until(self) -> float:
         """The same for a change that discovery learns of only after its outage."""
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -8,7 +8,7 @@
 import pytest
 
 from millgw.interface import ListKind
-from millgw.policy.freshness import TOLD_WITHIN, Freshness
+from millgw.policy.freshness import KNOWN_AFTER_MS, Freshness
 from millgw.simulation.explore import explore
 from millgw.simulation.models.freshness import FreshnessModel
 from tests.kinds import aside
@@ -83,14 +83,14 @@
     """As it once was: a proof holds for 6 s, whatever was silent or due by then."""
 
     def fresh_until(self) -> float:
-        return self.heard_at + TOLD_WITHIN if self.disconnected() else math.inf
+        return self.heard_at + KNOWN_AFTER_MS if self.disconnected() else math.inf
 
 
 class NoGaps(Freshness):
     """As it was next: what changes between a watch and the next call, or under that, was not thought of."""
 
     def _word_holds_until(self) -> float:
-        return max(self.heard_at, self.lost_at) + TOLD_WITHIN
+        return max(self.heard_at, self.lost_at) + KNOWN_AFTER_MS
 
 
 class ServedProves(Freshness):
@@ -112,7 +112,7 @@
 
     def _word_holds_until(self) -> float:
         if self.failures and not self.moved:
-            return self.heard_at + TOLD_WITHIN
+            return self.heard_at + KNOWN_AFTER_MS
         return super()._word_holds_until()
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -28,7 +28,7 @@
     Send,
     Subscribe,
 )
-from millgw.policy.freshness import KNOWN_AFTER_WATCH_END_MS, MAX_ASSUMED_DOWN_MS, TOLD_WITHIN, Freshness
+from millgw.policy.freshness import KNOWN_AFTER_MS, KNOWN_AFTER_WATCH_END_MS, MAX_ASSUMED_DOWN_MS, Freshness
 from millgw.simulation.told_terms import Outage, Silence, told_at
 from tests.support import SAFE, Drive, settings
 
@@ -393,7 +393,7 @@
     world.wait(20_000.0)
     assert world.served == world.calls
     world.set_mode("fails")
-    world.wait(TOLD_WITHIN + 100.0)
+    world.wait(KNOWN_AFTER_MS + 100.0)
     served = world.served
     world.wait(10_000.0)
     assert world.served == served, "a drain may count as told by then"
@@ -407,7 +407,7 @@
     lost = drive.now
     drive.advance(lost + 1000.0)
     drive.feed(EndpointList(kind))
-    assert drive.balancer.discovery.fresh_until() == lost + TOLD_WITHIN
+    assert drive.balancer.discovery.fresh_until() == lost + KNOWN_AFTER_MS
 
 
 def test_a_served_call_proves_nothing_of_its_endpoint() -> None:
@@ -436,7 +436,7 @@
     fell = drive.now
     drive.advance(fell + 5000.0)
     drive.feed(EndpointList(ListKind.SILENT))
-    assert drive.balancer.discovery.fresh_until() == fell + TOLD_WITHIN
+    assert drive.balancer.discovery.fresh_until() == fell + KNOWN_AFTER_MS
 
 
 def test_a_move_counts_as_the_end_of_its_watch() -> None:
@@ -491,10 +491,10 @@
 
 def test_a_discovery_that_rejects_calls_is_assumed_down_for_six_seconds_after_each() -> None:
     made = rejected_after()
-    assert made.assumed_down_until() == CALLED_AT + TOLD_WITHIN
+    assert made.assumed_down_until() == CALLED_AT + KNOWN_AFTER_MS
     made.asked(15_000.0)
     made.failed(17_000.0, ListKind.FAILED)
-    assert made.assumed_down_until() == 15_000.0 + TOLD_WITHIN
+    assert made.assumed_down_until() == 15_000.0 + KNOWN_AFTER_MS
 
 
 @pytest.mark.parametrize(
@@ -504,7 +504,7 @@
     made = rejected_after()
     made.asked(15_000.0)
     made.failed(15_100.0, kind)
-    assert made.assumed_down_until() <= CALLED_AT + TOLD_WITHIN
+    assert made.assumed_down_until() <= CALLED_AT + KNOWN_AFTER_MS
     if kind is ListKind.UNREACHABLE:
         made.asked(15_500.0)
         made.failed(15_600.0, ListKind.FAILED)
@@ -535,7 +535,7 @@
         made.asked(now + 1000.0)
         now += 3000.0
         made.failed(now, ListKind.FAILED)
-    assert made.assumed_down_until() <= WATCH_ENDED_AT + MAX_ASSUMED_DOWN_MS + TOLD_WITHIN
+    assert made.assumed_down_until() <= WATCH_ENDED_AT + MAX_ASSUMED_DOWN_MS + KNOWN_AFTER_MS
     made.asked(now + 1000.0)
     made.failed(now + 3000.0, ListKind.FAILED)
     assert made.assumed_down_until() == -math.inf
@@ -567,7 +567,7 @@
                 self.asked = math.inf
 
     def wait_until_the_list_is_outdated(self) -> None:
-        self.wait(TOLD_WITHIN + 1.0)
+        self.wait(KNOWN_AFTER_MS + 1.0)
         discovery = self.drive.balancer.discovery
         assert discovery.fresh_until() < self.drive.now < discovery.assumed_down_until()
 
@@ -581,13 +581,13 @@
     turning = RejectingDiscovery(stage=1, probing=probing)
     drive = turning.drive
     sent: set[int] = set()
-    while drive.now < turning.watch_lost_at + TOLD_WITHIN + 4 * REJECTION_TIME:
+    while drive.now < turning.watch_lost_at + KNOWN_AFTER_MS + 4 * REJECTION_TIME:
         turning.wait(TICK)
         before = len(drive.log)
         request = drive.arrive(SAFE)
         for endpoint in turning.probes(before):
             drive.feed(ProbeEnded(endpoint, Outcome.ERROR if endpoint == 1 else Outcome.OK, 0.0))
-        if drive.now > turning.watch_lost_at + TOLD_WITHIN:
+        if drive.now > turning.watch_lost_at + KNOWN_AFTER_MS:
             sent.update(drive.sent_to(request))
     assert sent == ({2, 3, 4} if probing else set())
 
