--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -78,7 +78,7 @@
         self.wait = 0.0
         self.due = math.inf  # when to ask again; never while a watch is active
         self.began = -math.inf  # when the initial list was obtained
-        self.called = -math.inf  # when the last call was made
+        self.called_at = -math.inf  # when the last call was made
         self.spoken = False  # whether it has returned anything
         self.heard_at = -math.inf  # when the last message arrived
         self.words = 0  # how many messages arrived
@@ -123,7 +123,7 @@
         """A call is made; returns when to ask again if nothing is received."""
         if self.spoken:
             self._watch_lost(now)
-        self.called, self.spoken = now, False
+        self.called_at, self.spoken = now, False
         self.due = now + CALL_TIMEOUT_MS
         return self.due
 
@@ -175,14 +175,14 @@
         self.failures += 1
         if kind is ListKind.NOT_MADE:
             return
-        self.failed_in_time = self.failed_in_time or self.called <= self._word_holds_until()
+        self.failed_in_time = self.failed_in_time or self.called_at <= self._word_holds_until()
         self.refused = self.refused or kind is ListKind.UNREACHABLE
         # A call made after missed changes could count as told proves nothing about them.
-        in_time = self.called <= max(self.fresh_until(), self.assumed_down_until())
-        if self._shows_outage(kind) and self.called <= self.fresh_until():
-            self.unreachable_at = self.called
+        in_time = self.called_at <= max(self.fresh_until(), self.assumed_down_until())
+        if self._shows_outage(kind) and self.called_at <= self.fresh_until():
+            self.unreachable_at = self.called_at
         seems_down = kind is ListKind.FAILED and in_time and self._seems_down()
-        self.seems_down_at = self.called if seems_down else -math.inf
+        self.seems_down_at = self.called_at if seems_down else -math.inf
 
     def _shows_outage(self, kind: ListKind) -> bool:
         if not self.settings.ask_discovery:
@@ -203,7 +203,7 @@
             return True
         lost_at = max(self.began, self.lost_at)
         return (
-            self.called <= lost_at + MAX_ASSUMED_DOWN_MS
+            self.called_at <= lost_at + MAX_ASSUMED_DOWN_MS
             and lost_at >= self.troubled_at + OVERLOAD_SUSPECTED_MS
         )
 
@@ -270,7 +270,7 @@
             return self.began + self.known_after  # no watch yet: the initial list
         if self.moved or not self.failed_in_time or not self.settings.ask_discovery:
             return min(self.heard_at + KNOWN_AFTER_MS, self.lost_at + self.known_after_watch_end)
-        return min(self.heard_at + KNOWN_AFTER_MS, self.called + self.known_after_failure)
+        return min(self.heard_at + KNOWN_AFTER_MS, self.called_at + self.known_after_failure)
 
     def _outage_valid_until(self) -> float:
         """The same for a change that discovery learns of only after its outage."""
