--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -79,7 +79,7 @@
         self.due = math.inf  # when to ask again; never while a watch is active
         self.began = -math.inf  # when the initial list was obtained
         self.called_at = -math.inf  # when the last call was made
-        self.spoken = False  # whether it has returned anything
+        self.call_answered = False  # whether it has returned anything
         self.heard_at = -math.inf  # when the last message arrived
         self.words = 0  # how many messages arrived
         self.lost_at = -math.inf  # when the last watch that had sent a message was lost
@@ -121,9 +121,9 @@
 
     def asked(self, now: float) -> float:
         """A call is made; returns when to ask again if nothing is received."""
-        if self.spoken:
+        if self.call_answered:
             self._watch_lost(now)
-        self.called_at, self.spoken = now, False
+        self.called_at, self.call_answered = now, False
         self.due = now + CALL_TIMEOUT_MS
         return self.due
 
@@ -136,7 +136,7 @@
 
     def failed(self, now: float, kind: ListKind) -> float:
         """The watch or call has ended or timed out; returns when to ask again."""
-        answered, self.spoken = self.spoken, False
+        answered, self.call_answered = self.call_answered, False
         if answered:
             self._watch_lost(now)
             self.watch_ended = kind is not ListKind.SILENT
@@ -147,7 +147,7 @@
 
     def heard(self, now: float) -> None:
         """Discovery has sent a message or a heartbeat."""
-        self.heard_at, self.spoken = now, True
+        self.heard_at, self.call_answered = now, True
         self.words += 1
         self.moved = False
         if self.failures:
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -224,7 +224,7 @@
     made.discovery.backoff = held.discovery.backoff
     called = ("began", "called_at", "heard_at", "words", "lost_at", "failures", "crowded")
     seen = ("unreachable_at", "seems_down_at", "troubled_at")
-    flags = ("spoken", "moved", "failed_in_time", "refused", "watch_ended")
+    flags = ("call_answered", "moved", "failed_in_time", "refused", "watch_ended")
     for name in ("wait", "due", *called, *seen, *flags):
         setattr(made.discovery, name, getattr(held.discovery, name))
     made.cold.rates, made.cold.process_share, made.cold.rng = (
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -92,7 +92,7 @@
         if not kind.watch_ended and kind is not ListKind.PARTIAL:
             self.heartbeat = self.drive.now
             self.failed_at = None
-        elif kind.watch_ended and self.drive.balancer.discovery.spoken:
+        elif kind.watch_ended and self.drive.balancer.discovery.call_answered:
             self.failed_at = None  # a watch, not a call, has ended
         elif kind.watch_ended and self.failed_at is None:
             self.failed_at = self.asked[-1]
