--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -82,7 +82,7 @@
         self.call_answered = False  # whether it has returned anything
         self.heard_at = -math.inf  # when the last message arrived
         self.words = 0  # how many messages arrived
-        self.lost_at = -math.inf  # when the last watch that had sent a message was lost
+        self.watch_lost_at = -math.inf  # when the last watch that had sent a message was lost
         self.moved = False  # whether it was replaced by another discovery server
         self.failures = 0  # consecutive failed calls since the watch was lost
         self.failed_in_time = False  # whether one failed before missed changes could count as told
@@ -161,7 +161,7 @@
         self.began = min(self.began, heard_at)
 
     def _watch_lost(self, now: float) -> None:
-        self.lost_at = now
+        self.watch_lost_at = now
         self._forget_failures()
 
     def _forget_failures(self) -> None:
@@ -201,7 +201,7 @@
             return False
         if self.settings.calls_fail_only_in_outages:
             return True
-        lost_at = max(self.began, self.lost_at)
+        lost_at = max(self.began, self.watch_lost_at)
         return (
             self.called_at <= lost_at + MAX_ASSUMED_DOWN_MS
             and lost_at >= self.troubled_at + OVERLOAD_SUSPECTED_MS
@@ -233,9 +233,11 @@
             min_wait, max_wait = self.retry_wait, self.silent_wait
         elif kind is ListKind.UNREACHABLE:
             min_wait, max_wait = MIN_REFUSED_WAIT_MS, MAX_REFUSED_WAIT_MS
-        elif self._seems_down() and (self.lost_at > -math.inf or self.settings.siblings <= SMALL_FLEET_SIZE):
+        elif self._seems_down() and (
+            self.watch_lost_at > -math.inf or self.settings.siblings <= SMALL_FLEET_SIZE
+        ):
             min_wait, max_wait = MIN_DOWN_WAIT_FACTOR * self.down_wait, self.down_wait
-        elif self.lost_at == -math.inf and self.failures <= START_RETRIES and self.settings.probing:
+        elif self.watch_lost_at == -math.inf and self.failures <= START_RETRIES and self.settings.probing:
             min_wait, max_wait = MIN_START_RETRY_MS, MAX_START_RETRY_MS
         else:
             self.crowded += 1
@@ -266,10 +268,10 @@
 
     def _word_holds_until(self) -> float:
         """The earliest time at which a change right after discovery's last message may count as told."""
-        if self.lost_at == -math.inf:
+        if self.watch_lost_at == -math.inf:
             return self.began + self.known_after  # no watch yet: the initial list
         if self.moved or not self.failed_in_time or not self.settings.ask_discovery:
-            return min(self.heard_at + KNOWN_AFTER_MS, self.lost_at + self.known_after_watch_end)
+            return min(self.heard_at + KNOWN_AFTER_MS, self.watch_lost_at + self.known_after_watch_end)
         return min(self.heard_at + KNOWN_AFTER_MS, self.called_at + self.known_after_failure)
 
     def _outage_valid_until(self) -> float:
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -200,7 +200,7 @@
     def _log_discovery_restored(self) -> None:
         """Log the effects of a discovery outage that has just ended."""
         balancer, discovery = self.balancer, self.balancer.discovery
-        if not discovery.disconnected() or discovery.lost_at == -math.inf:
+        if not discovery.disconnected() or discovery.watch_lost_at == -math.inf:
             return
         stale_lookups, self.stale_lookups_before = (
             balancer.stale_picks - self.stale_lookups_before,
@@ -209,7 +209,7 @@
         probes, self.probes_before = balancer.probes_sent - self.probes_before, balancer.probes_sent
         self.upstream.log.log_event(
             "list-fresh-again",
-            unheard_ms=round(self.clock() - discovery.lost_at, 1),
+            unheard_ms=round(self.clock() - discovery.watch_lost_at, 1),
             calls=discovery.failures + 1,
             found_none=stale_lookups,
             probes=probes,
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -90,7 +90,7 @@
     """As it was next: what changes between a watch and the next call, or under that, was not thought of."""
 
     def _word_holds_until(self) -> float:
-        return max(self.heard_at, self.lost_at) + KNOWN_AFTER_MS
+        return max(self.heard_at, self.watch_lost_at) + KNOWN_AFTER_MS
 
 
 class ServedProves(Freshness):
