--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -87,7 +87,7 @@
         self.failures = 0  # consecutive failed calls since the watch was lost
         self.failed_in_time = False  # whether one failed before missed changes could count as told
         self.crowded = 0  # of these, calls rejected by a discovery that seems overloaded
-        self.unreachable_at = -math.inf  # when the last call was made that proves an outage
+        self.outage_shown_at = -math.inf  # when the last call was made that proves an outage
         self.refused = False  # whether a connection was refused since the watch was lost
         self.watch_ended = True  # whether the watch ended by itself, as all do when discovery goes down
         self.seems_down_at = -math.inf  # when the last call was made that suggests an outage
@@ -167,7 +167,7 @@
     def _forget_failures(self) -> None:
         self.failures = self.crowded = 0
         self.failed_in_time = False
-        self.unreachable_at = self.seems_down_at = -math.inf
+        self.outage_shown_at = self.seems_down_at = -math.inf
         self.refused = self.watch_ended = False
 
     def _call_failed(self, now: float, kind: ListKind) -> None:
@@ -180,7 +180,7 @@
         # A call made after missed changes could count as told proves nothing about them.
         in_time = self.called_at <= max(self.fresh_until(), self.assumed_down_until())
         if self._shows_outage(kind) and self.called_at <= self.fresh_until():
-            self.unreachable_at = self.called_at
+            self.outage_shown_at = self.called_at
         seems_down = kind is ListKind.FAILED and in_time and self._seems_down()
         self.seems_down_at = self.called_at if seems_down else -math.inf
 
@@ -277,5 +277,5 @@
     def _outage_valid_until(self) -> float:
         """The same for a change that discovery learns of only after its outage."""
         if not self.settings.ask_discovery:
-            return self.unreachable_at + AGENT_SILENT_MS
-        return self.unreachable_at + self.known_after_failure
+            return self.outage_shown_at + AGENT_SILENT_MS
+        return self.outage_shown_at + self.known_after_failure
