--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -91,7 +91,7 @@
         self.refused = False  # whether a connection was refused since the watch was lost
         self.watch_ended = True  # whether the watch ended by itself, as all do when discovery goes down
         self.seems_down_at = -math.inf  # when the last call was made that suggests an outage
-        self.troubled_at = -math.inf  # when the last message after failed calls arrived
+        self.recovered_at = -math.inf  # when the last message after failed calls arrived
 
     def reconfigure(self, settings: Settings) -> None:
         """Compute the waits from the settings; what was received, and the current wait, are kept."""
@@ -151,7 +151,7 @@
         self.words += 1
         self.moved = False
         if self.failures:
-            self.troubled_at = now
+            self.recovered_at = now
         self._forget_failures()
         self.wait = 0.0
         self.due = math.inf
@@ -204,7 +204,7 @@
         lost_at = max(self.began, self.watch_lost_at)
         return (
             self.called_at <= lost_at + MAX_ASSUMED_DOWN_MS
-            and lost_at >= self.troubled_at + OVERLOAD_SUSPECTED_MS
+            and lost_at >= self.recovered_at + OVERLOAD_SUSPECTED_MS
         )
 
     # Next call
