--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -1219,7 +1219,7 @@
             return
         id = self.timers.pop(timer)
         if id is None:
-            if now + self.settings.tick >= self.discovery.due:
+            if now + self.settings.tick >= self.discovery.next_call_at:
                 self._subscribe(now)
             return
         request = self.requests.get(id)
--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -76,7 +76,7 @@
         self.rng = rng
         self.reconfigure(settings)
         self.wait = 0.0
-        self.due = math.inf  # when to ask again; never while a watch is active
+        self.next_call_at = math.inf  # when to ask again; never while a watch is active
         self.began = -math.inf  # when the initial list was obtained
         self.called_at = -math.inf  # when the last call was made
         self.call_answered = False  # whether it has returned anything
@@ -116,16 +116,16 @@
         self.began = now
         if not self.settings.ask_discovery:
             return None
-        self.due = now + self.rng.random() * self.start_spread
-        return self.due
+        self.next_call_at = now + self.rng.random() * self.start_spread
+        return self.next_call_at
 
     def asked(self, now: float) -> float:
         """A call is made; returns when to ask again if nothing is received."""
         if self.call_answered:
             self._watch_lost(now)
         self.called_at, self.call_answered = now, False
-        self.due = now + CALL_TIMEOUT_MS
-        return self.due
+        self.next_call_at = now + CALL_TIMEOUT_MS
+        return self.next_call_at
 
     def move(self, now: float) -> float:
         """Another discovery server is asked instead; returns when to ask again if it does not answer."""
@@ -142,8 +142,8 @@
             self.watch_ended = kind is not ListKind.SILENT
         else:
             self._call_failed(now, kind)
-        self.due = now + self._next_wait(answered, kind)
-        return self.due
+        self.next_call_at = now + self._next_wait(answered, kind)
+        return self.next_call_at
 
     def heard(self, now: float) -> None:
         """Discovery has sent a message or a heartbeat."""
@@ -154,7 +154,7 @@
             self.recovered_at = now
         self._forget_failures()
         self.wait = 0.0
-        self.due = math.inf
+        self.next_call_at = math.inf
 
     def adopt(self, heard_at: float) -> None:
         """Take over the list of another process of this sidecar, last confirmed at `heard_at`."""
@@ -250,7 +250,7 @@
 
     def disconnected(self) -> bool:
         """Whether no watch is known to be active: the list may be outdated."""
-        return self.due < math.inf
+        return self.next_call_at < math.inf
 
     def fresh_until(self) -> float:
         """Until when listed endpoints may be used: no drain can count as told before."""
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -222,7 +222,7 @@
         self.upstream.log.log_event(
             "discovery-wait",
             after=kind.name.lower(),
-            next_ms=round(discovery.due - now, 1),
+            next_ms=round(discovery.next_call_at - now, 1),
             unheard_ms=-1 if heard_at == -math.inf else round(now - heard_at, 1),
         )
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -225,7 +225,7 @@
     called = ("began", "called_at", "heard_at", "words", "watch_lost_at", "failures", "crowded")
     seen = ("outage_shown_at", "seems_down_at", "recovered_at")
     flags = ("call_answered", "moved", "failed_in_time", "refused", "watch_ended")
-    for name in ("wait", "due", *called, *seen, *flags):
+    for name in ("wait", "next_call_at", *called, *seen, *flags):
         setattr(made.discovery, name, getattr(held.discovery, name))
     made.cold.rates, made.cold.process_share, made.cold.rng = (
         dict(held.cold.rates),
