--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -175,7 +175,7 @@
         self.failures += 1
         if kind is ListKind.NOT_MADE:
             return
-        self.failed_in_time = self.failed_in_time or self.called_at <= self._word_holds_until()
+        self.failed_in_time = self.failed_in_time or self.called_at <= self._last_message_valid_until()
         self.refused = self.refused or kind is ListKind.UNREACHABLE
         # A call made after missed changes could count as told proves nothing about them.
         in_time = self.called_at <= max(self.fresh_until(), self.assumed_down_until())
@@ -256,7 +256,7 @@
         """Until when listed endpoints may be used: no drain can count as told before."""
         if not self.disconnected():
             return math.inf
-        return max(self._word_holds_until(), self._outage_valid_until())
+        return max(self._last_message_valid_until(), self._outage_valid_until())
 
     def assumed_down_until(self) -> float:
         """Until when discovery may be assumed down, as it rejected all calls; -inf: no such assumption.
@@ -266,7 +266,7 @@
         """
         return self.seems_down_at + self.known_after_failure
 
-    def _word_holds_until(self) -> float:
+    def _last_message_valid_until(self) -> float:
         """The earliest time at which a change right after discovery's last message may count as told."""
         if self.watch_lost_at == -math.inf:
             return self.began + self.known_after  # no watch yet: the initial list
