--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -62,7 +62,7 @@
 from tests.rig import request, run, until
 from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, drive, endpoints
 from tests.test_control import call, figures
-from tests.test_properties import overdue, step
+from tests.test_properties import step, time_out_overdue
 from tests.test_services import static, two
 from tests.test_sidecar_process import start
 
@@ -167,7 +167,7 @@
                 drive.abort(list(drive.open)[n % len(drive.open)])
             case "advance", [float(by)]:
                 drive.advance(drive.now + by)
-                overdue(drive)
+                time_out_overdue(drive)
             case "change", [Settings() as config] if isinstance(drive, ChangingDrive):
                 drive.change(config)
             case "full", [set() as ids, bool(fresh)]:
@@ -188,7 +188,7 @@
     made.show(*endpoints(4), kind=ListKind.CACHED)
     carry_out(made, steps)
     made.advance(made.now + 5000)
-    overdue(made)
+    time_out_overdue(made)
     assert not made.open, "a request was left without an answer"
 
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -56,7 +56,7 @@
                 drive.abort(list(drive.open)[n % len(drive.open)])
             case "advance", [float(by)]:
                 drive.advance(drive.now + by)
-                overdue(drive)
+                time_out_overdue(drive)
             case "condition", [int(id), Condition() as condition, bool(fresh)]:
                 since = drive.now if fresh else 0.0
                 drive.show(Endpoint(id, condition, cell=id % 2, started_at=since), kind=ListKind.DELTA)
@@ -66,12 +66,12 @@
             case "failed", []:
                 drive.show(kind=ListKind.FAILED)
     drive.advance(drive.now + 5000)
-    overdue(drive)
+    time_out_overdue(drive)
     assert not drive.open, "a request was left without an answer"
     return drive
 
 
-def overdue(drive: Drive) -> None:
+def time_out_overdue(drive: Drive) -> None:
     """End attempts that are still pending at their client's deadline with a timeout."""
     for request, tries in list(drive.tries.items()):
         for index, attempt in enumerate(tries):
