--- a/tests/support.py
+++ b/tests/support.py
@@ -66,7 +66,7 @@
         self.now = 1000.0
         self.timers: list[tuple[float, int]] = []
         self.open: dict[int, RequestArrived] = {}
-        self.tries: dict[int, list[tuple[int, float, Outcome | None]]] = {}
+        self.attempts: dict[int, list[tuple[int, float, Outcome | None]]] = {}
         self.known: dict[int, Endpoint] = {}
         self.cells: dict[int, list[int]] = {}  # cell of each attempt's endpoint at the time of sending
         self.usable_ids: set[int] = set()
@@ -91,7 +91,7 @@
             actions += self.feed(TimerFired(due[1]))
         self.now = max(self.now, to)
         for id, request in list(self.open.items()):
-            out_attempts = [t for t in self.tries[id] if t[2] is None]
+            out_attempts = [t for t in self.attempts[id] if t[2] is None]
             assert out_attempts or self.now < request.deadline, f"request {id} was never answered"
         return actions
 
@@ -109,7 +109,7 @@
         self.next_id += 1
         event = RequestArrived(self.next_id, cls, self.now + patience, tenant)
         self.open[event.request] = event
-        self.tries[event.request] = []
+        self.attempts[event.request] = []
         self.feed(event)
         return event.request
 
@@ -118,9 +118,9 @@
         return self.feed(RequestAborted(request))
 
     def outcome(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
-        endpoint, sent, ended = self.tries[request][attempt]
+        endpoint, sent, ended = self.attempts[request][attempt]
         assert ended is None
-        self.tries[request][attempt] = (endpoint, sent, outcome)
+        self.attempts[request][attempt] = (endpoint, sent, outcome)
         if outcome is Outcome.OK and request in self.open:
             del self.open[request]
             self.answers[request] = "served"
@@ -129,7 +129,7 @@
         )
 
     def sent_to(self, request: int) -> list[int]:
-        return [endpoint for endpoint, _, _ in self.tries[request]]
+        return [endpoint for endpoint, _, _ in self.attempts[request]]
 
     def count(self, endpoint: int) -> int:
         return sum(isinstance(a, Send) and a.endpoint == endpoint for _, a in self.log)
@@ -147,14 +147,14 @@
             self.answers[action.request] = "refused" if isinstance(action, Refuse) else "failed"
 
     def _may_have_run(self, request: int) -> list[tuple[int, float, Outcome | None]]:
-        return [t for t in self.tries[request] if t[2] not in NO_EFFECT_OUTCOMES]
+        return [t for t in self.attempts[request] if t[2] not in NO_EFFECT_OUTCOMES]
 
     def _check_send(self, action: Send) -> None:
         request = self.open.get(action.request)
         assert request is not None, "sent for a request that has ended"
         assert action.endpoint in self.usable_ids, "sent to an endpoint that is draining or gone"
         assert self.now < request.deadline
-        attempts, may_have_run = self.tries[action.request], self._may_have_run(action.request)
+        attempts, may_have_run = self.attempts[action.request], self._may_have_run(action.request)
         assert len(attempts) < self.config.max_attempts
         if not self.config.concurrent_attempts:
             assert all(t[2] is not None for t in attempts), "two attempts pending at once"
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -157,7 +157,7 @@
 def carry_out(drive: Drive, steps: list[tuple[object, ...]]) -> None:
     """The steps of the module's own properties, and changes of settings among them."""
     for name, *args in steps:
-        pending = [(r, i) for r, tries in drive.tries.items() for i, t in enumerate(tries) if t[2] is None]
+        pending = [(r, i) for r, tries in drive.attempts.items() for i, t in enumerate(tries) if t[2] is None]
         match name, args:
             case "arrive", [int(cls), float(patience), int(tenant)]:
                 drive.arrive(cls, patience, tenant)
@@ -276,11 +276,11 @@
     made.balancer.reconfigure(made.now, replace(SETTINGS, classes=tuple(classes)))
     made.outcome(asked, 0, Outcome.RESET)
     made.advance(made.now + 400)
-    assert len(made.tries[asked]) == 2, "it was taken as one that may be repeated, with its key"
+    assert len(made.attempts[asked]) == 2, "it was taken as one that may be repeated, with its key"
     later = made.arrive(KEYED)
     made.outcome(later, 0, Outcome.RESET)
     made.advance(made.now + 400)
-    assert len(made.tries[later]) == 1 and made.answers[later] == "failed"
+    assert len(made.attempts[later]) == 1 and made.answers[later] == "failed"
 
 
 def test_a_class_that_becomes_repeatable_leaves_earlier_calls_unsafe() -> None:
@@ -311,7 +311,7 @@
     asked = made.arrive()
     made.balancer.reconfigure(made.now, replace(SETTINGS, max_attempts=1))
     made.outcome(asked, 0, Outcome.ERROR)
-    assert made.answers[asked] == "refused" and len(made.tries[asked]) == 1
+    assert made.answers[asked] == "refused" and len(made.attempts[asked]) == 1
 
 
 @pytest.mark.parametrize(
@@ -344,7 +344,7 @@
     made = drive(0, cold_time=1e9, cold_share=0.0, ask_within=1e6)
     made.show(*endpoints(1, started_at=made.now))
     first, second = made.arrive(), made.arrive()
-    waiting = [r for r in (first, second) if not made.tries[r]]
+    waiting = [r for r in (first, second) if not made.attempts[r]]
     assert waiting, "a cold endpoint takes one at a time"
     actions = made.balancer.reconfigure(made.now, replace(SETTINGS, cold_time=0.0))
     assert [a.request for a in actions if isinstance(a, Send)] == waiting
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -30,9 +30,9 @@
     """One call after another; each endpoint needs its time (default 20 ms) or fails at once."""
     for _ in range(calls):
         request = d.arrive(patience=1400.0)
-        while request in d.open and d.tries[request]:
-            index = len(d.tries[request]) - 1
-            endpoint, _, done = d.tries[request][index]
+        while request in d.open and d.attempts[request]:
+            index = len(d.attempts[request]) - 1
+            endpoint, _, done = d.attempts[request][index]
             if done is not None:
                 d.advance(d.now + 5)
                 continue
@@ -49,13 +49,13 @@
 
 
 def attempts_in_flight(d: Drive) -> int:
-    return sum(t[2] is None for tries in d.tries.values() for t in tries)
+    return sum(t[2] is None for tries in d.attempts.values() for t in tries)
 
 
 def serve_all_pending(d: Drive, after: float) -> None:
     """Let time pass, then serve all pending attempts."""
     d.advance(d.now + after)
-    for request, tries in list(d.tries.items()):
+    for request, tries in list(d.attempts.items()):
         for index, attempt in enumerate(tries):
             if attempt[2] is None and request in d.open:
                 d.outcome(request, index, Outcome.OK)
@@ -142,7 +142,7 @@
     serve_calls(d, 60)
     requests = send_burst(d, 200)
     d.advance(d.now + 0.2 * d.config.classes[SAFE].aim)
-    waiting = [r for r in requests if r in d.open and not d.tries[r]]
+    waiting = [r for r in requests if r in d.open and not d.attempts[r]]
     assert not waiting and sum(d.answers.get(r) == "refused" for r in requests) > 100
 
 
@@ -153,9 +153,9 @@
     for _ in range(20):
         send_burst(d, 30)
     cheap, valuable = send_burst(d, 5), send_burst(d, 1, UNSAFE)
-    assert not d.tries[valuable[0]] and not any(d.tries[r] for r in cheap)
-    for pending in [r for r in d.tries if r in d.open and d.tries[r]]:
-        if not d.tries[valuable[0]]:
+    assert not d.attempts[valuable[0]] and not any(d.attempts[r] for r in cheap)
+    for pending in [r for r in d.attempts if r in d.open and d.attempts[r]]:
+        if not d.attempts[valuable[0]]:
             d.outcome(pending, 0, Outcome.OK)
     sent = [a.request for _, a in d.log if isinstance(a, Send)]
     assert valuable[0] in sent and all(sent.index(valuable[0]) < sent.index(r) for r in cheap if r in sent)
@@ -167,8 +167,8 @@
     beyond_quota = send_burst(d, 60, tenant=0)
     within_quota = send_burst(d, 3, tenant=1)
     serve_all_pending(d, 10.0)
-    assert all(d.tries[r] for r in within_quota)
-    assert sum(bool(d.tries[r]) for r in beyond_quota) < 60
+    assert all(d.attempts[r] for r in within_quota)
+    assert sum(bool(d.attempts[r]) for r in beyond_quota) < 60
 
 
 def test_refused_requests_do_not_use_up_a_share() -> None:
@@ -188,7 +188,7 @@
         pair = send_burst(d, 2)
         d.advance(d.now + 150.0)
         for request in pair:
-            if d.tries[request]:
+            if d.attempts[request]:
                 d.outcome(request, 0, Outcome.OK)
         d.advance(d.now + 400.0)
     assert sum(a == "served" for a in d.answers.values()) >= 395
@@ -198,10 +198,10 @@
 def test_few_calls_use_only_the_instances_own_subset(index: int) -> None:
     d = drive(36, stage=1, siblings=12, index=index)
     serve_calls(d, 60)
-    used = {e for r in d.tries for e in d.sent_to(r)}
+    used = {e for r in d.attempts for e in d.sent_to(r)}
     assert len(used) == 3
     send_burst(d, 200)
-    assert len({e for r in d.tries for e in d.sent_to(r)}) == 36, "many calls must use all endpoints"
+    assert len({e for r in d.attempts for e in d.sent_to(r)}) == 36, "many calls must use all endpoints"
 
 
 def test_a_busy_subset_endpoint_does_not_send_calls_outside_the_subset() -> None:
@@ -210,7 +210,7 @@
     assert admission is not None
     admission.each = 1.0
     serve_calls(d, 3)
-    subset = {e for r in d.tries for e in d.sent_to(r)} | {1, 2, 3}
+    subset = {e for r in d.attempts for e in d.sent_to(r)} | {1, 2, 3}
     first, second = d.arrive(), d.arrive()
     assert set(d.sent_to(first) + d.sent_to(second)) <= subset
 
@@ -222,7 +222,7 @@
         d = Drive(settings(stage=1, siblings=96, index=index))
         d.show(*[e for e in endpoints(24) if e.id not in without])
         serve_calls(d, 60)
-        return {e for r in d.tries for e in d.sent_to(r)}
+        return {e for r in d.attempts for e in d.sent_to(r)}
 
     subsets = {index: used(index) for index in range(96)}
     shares = [sum(id in subset for subset in subsets.values()) for id in range(1, 25)]
@@ -319,7 +319,7 @@
     assert cold.capacity_share(unreachable, d.now) == 1.0
     while unreachable.connect_failures < 2:
         request = d.arrive()
-        endpoint = d.tries[request][0][0]
+        endpoint = d.attempts[request][0][0]
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
@@ -387,8 +387,8 @@
         for n in range(240):
             d.advance(d.now + 250.0)
             for _, request in [x for x in due if x[0] <= d.now]:
-                if request in d.open and d.tries[request]:
-                    d.outcome(request, len(d.tries[request]) - 1, Outcome.OK)
+                if request in d.open and d.attempts[request]:
+                    d.outcome(request, len(d.attempts[request]) - 1, Outcome.OK)
             due = [x for x in due if x[0] > d.now]
             cls = UNSAFE if n % 2 else SAFE
             requests[cls].append(d.arrive(cls, patience=2900.0))
@@ -396,7 +396,7 @@
 
     def served(cls: int) -> float:
         latest = requests[cls][-80:]
-        return sum(bool(d.tries[r]) for r in latest) / len(latest)
+        return sum(bool(d.attempts[r]) for r in latest) / len(latest)
 
     minute(0.0)
     assert served(SAFE) == served(UNSAFE) == 1.0
@@ -464,14 +464,14 @@
     for cls in (SAFE, KEYED, UNSAFE):
         for outcome in Outcome:
             request = d.arrive(cls)
-            if d.tries[request]:
+            if d.attempts[request]:
                 d.outcome(request, 0, outcome)
 
 
 def test_a_cold_share_of_zero_causes_no_exception() -> None:
     d = Drive(settings(cold_share=0.0))
     d.show(*endpoints(3, started_at=d.now))
-    assert d.tries[d.arrive()]
+    assert d.attempts[d.arrive()]
 
 
 @patched
@@ -492,7 +492,7 @@
     monkeypatch.setattr(Balancer, "_at_limit", lambda *_: True)
     monkeypatch.setattr(ConcurrencyLimiter, "limit", 1000.0)
     assert len(d.balancer.held) > 50
-    sent = next(r for r, tries in d.tries.items() if tries)
+    sent = next(r for r, tries in d.attempts.items() if tries)
     d.outcome(sent, 0, Outcome.OK)
     assert passes == 1
 
@@ -511,8 +511,8 @@
     for _ in range(20):
         d.advance(d.now + 500.0)
         request = d.arrive(UNSAFE)
-        tried += len(d.tries[request])
-        if d.tries[request]:
+        tried += len(d.attempts[request])
+        if d.attempts[request]:
             d.outcome(request, 0, Outcome.OK)
     assert tried > 5 and unreachable.connect_failures == 0
 
@@ -524,7 +524,7 @@
     returned = d.balancer.servers[1]
     for _ in range(200):
         request = d.arrive()
-        endpoint = d.tries[request][0][0]
+        endpoint = d.attempts[request][0][0]
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
@@ -534,7 +534,7 @@
     before = d.count(1)
     for _ in range(20):
         request = d.arrive()
-        assert d.tries[request][0][0] != 1, "it is avoided for a while"
+        assert d.attempts[request][0][0] != 1, "it is avoided for a while"
         d.advance(d.now + 10)
         d.outcome(request, 0, Outcome.OK)
         d.advance(d.now + 80)
@@ -551,8 +551,8 @@
         request = d.arrive(SAFE)
         d.advance(d.now + 20)
         while request in d.open:
-            index = len(d.tries[request]) - 1
-            endpoint, _, done = d.tries[request][index]
+            index = len(d.attempts[request]) - 1
+            endpoint, _, done = d.attempts[request][index]
             if done is None:
                 d.outcome(request, index, Outcome.REJECTED if endpoint in rejecting else Outcome.OK)
             d.advance(d.now + 20)
@@ -586,7 +586,7 @@
     """The share of calls at one endpoint when all calls stay in flight."""
     for _ in range(calls):
         d.arrive(patience=2900.0)
-    sent = [t[0][0] for t in d.tries.values() if t and t[0][2] is None]
+    sent = [t[0][0] for t in d.attempts.values() if t and t[0][2] is None]
     return sent.count(endpoint) / len(sent)
 
 
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -11,7 +11,7 @@
     d.next_id += 1
     event = RequestArrived(d.next_id, cls, d.now + 1e6, 0, partial=True)
     d.open[event.request] = event
-    d.tries[event.request] = []
+    d.attempts[event.request] = []
     d.feed(event)
     return event.request
 
@@ -19,10 +19,10 @@
 def test_incomplete_bodies_count_against_no_limit_and_no_endpoint() -> None:
     d = drive(4)
     for _ in range(500):
-        assert d.tries[partial(d)], "held back by a limit that it does not count against yet"
+        assert d.attempts[partial(d)], "held back by a limit that it does not count against yet"
     for _ in range(4):
         request = d.arrive()
-        assert d.tries[request], "held back by incomplete bodies"
+        assert d.attempts[request], "held back by incomplete bodies"
 
 
 def test_a_complete_body_counts_against_the_limits_and_has_a_deadline() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -46,7 +46,7 @@
     drive = Drive(config, seed)
     drive.show(*endpoints(4), kind=ListKind.CACHED)
     for name, *args in steps:
-        pending = [(r, i) for r, tries in drive.tries.items() for i, t in enumerate(tries) if t[2] is None]
+        pending = [(r, i) for r, tries in drive.attempts.items() for i, t in enumerate(tries) if t[2] is None]
         match name, args:
             case "arrive", [int(cls), float(patience), int(tenant)]:
                 drive.arrive(cls, patience, tenant)
@@ -73,7 +73,7 @@
 
 def time_out_overdue(drive: Drive) -> None:
     """End attempts that are still pending at their client's deadline with a timeout."""
-    for request, tries in list(drive.tries.items()):
+    for request, tries in list(drive.attempts.items()):
         for index, attempt in enumerate(tries):
             event = drive.open.get(request)
             if event is not None and attempt[2] is None and drive.now >= event.deadline:
@@ -112,7 +112,7 @@
         for _ in range(count):
             request = drive.arrive()
             drive.advance(drive.now + 20)
-            for index, attempt in enumerate(drive.tries[request]):
+            for index, attempt in enumerate(drive.attempts[request]):
                 if attempt[2] is None:
                     drive.outcome(request, index, Outcome.OK)
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -201,12 +201,12 @@
         fresh = drive.now <= drive.balancer.discovery.fresh_until()
         request = drive.arrive(SAFE)
         self.calls += 1
-        assert self.turns_away or bool(drive.tries[request]) == fresh, (
+        assert self.turns_away or bool(drive.attempts[request]) == fresh, (
             "refused only if the list may be outdated"
         )
-        while drive.tries[request] and drive.tries[request][-1][2] is None:
-            number = len(drive.tries[request]) - 1
-            endpoint = drive.tries[request][number][0]
+        while drive.attempts[request] and drive.attempts[request][-1][2] is None:
+            number = len(drive.attempts[request]) - 1
+            endpoint = drive.attempts[request][number][0]
             self.check_not_told(endpoint)
             if endpoint in self.draining and self.turns_away:
                 drive.outcome(request, number, Outcome.REJECTED)
@@ -619,7 +619,7 @@
     for _ in range(30):
         drive.arrive(SAFE)
     assert {a.endpoint for _, a in drive.log if isinstance(a, Send)} == {1}
-    tried = next(request for request, tries in drive.tries.items() if tries)
+    tried = next(request for request, tries in drive.attempts.items() if tries)
     drive.outcome(tried, 0, Outcome.REJECTED)
     turning.wait(400.0)
     assert {a.endpoint for _, a in drive.log if isinstance(a, Send)} == {1}
@@ -637,7 +637,7 @@
             request = drive.arrive(SAFE)
             for endpoint in turning.probes(before):
                 drive.feed(ProbeEnded(endpoint, Outcome.OK, 0.0))
-            if request in drive.open and drive.tries[request]:
+            if request in drive.open and drive.attempts[request]:
                 drive.outcome(request, 0, Outcome.OK)
         probes = turning.probes()
         most = 10 * (drive.balancer._subset_size() + 1)
