--- a/tests/support.py
+++ b/tests/support.py
@@ -95,7 +95,7 @@
             assert out_attempts or self.now < request.deadline, f"request {id} was never answered"
         return actions
 
-    def show(self, *entries: Endpoint, kind: ListKind = ListKind.FULL) -> list[Action]:
+    def send_list(self, *entries: Endpoint, kind: ListKind = ListKind.FULL) -> list[Action]:
         if kind in (ListKind.FULL, ListKind.CACHED):
             self.usable_ids.clear()
         for entry in entries:
@@ -182,5 +182,5 @@
 def drive(n: int = 4, **changes: object) -> Drive:
     """A driver whose balancer has received a list of `n` endpoints."""
     driver = Drive(settings(**changes))
-    driver.show(*endpoints(n))
+    driver.send_list(*endpoints(n))
     return driver
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -172,9 +172,9 @@
                 drive.change(config)
             case "full", [set() as ids, bool(fresh)]:
                 since = drive.now if fresh else 0.0
-                drive.show(*(replace(e, started_at=since) for e in endpoints(6) if e.id in ids))
+                drive.send_list(*(replace(e, started_at=since) for e in endpoints(6) if e.id in ids))
             case "failed", []:
-                drive.show(kind=ListKind.FAILED)
+                drive.send_list(kind=ListKind.FAILED)
 
 
 START = replace(SETTINGS, tenants=TENANTS, over_share_worth=0.1)
@@ -185,7 +185,7 @@
 @given(st.lists(step | change, max_size=60))
 def test_rules_hold_and_no_call_is_lost_however_settings_change(steps: list[tuple[object, ...]]) -> None:
     made = ChangingDrive(START)
-    made.show(*endpoints(4), kind=ListKind.CACHED)
+    made.send_list(*endpoints(4), kind=ListKind.CACHED)
     carry_out(made, steps)
     made.advance(made.now + 5000)
     time_out_overdue(made)
@@ -199,7 +199,7 @@
 ) -> None:
     plain, changed = ChangingDrive(START), ChangingDrive(START)
     for made in (plain, changed):
-        made.show(*endpoints(4), kind=ListKind.CACHED)
+        made.send_list(*endpoints(4), kind=ListKind.CACHED)
         carry_out(made, before)
     same = replace(
         START,
@@ -254,7 +254,7 @@
 ) -> None:
     made, twin = ChangingDrive(START), ChangingDrive(START)
     for driven in (made, twin):  # same events, same state; compiled objects can't be copied
-        driven.show(*endpoints(5), kind=ListKind.CACHED)
+        driven.send_list(*endpoints(5), kind=ListKind.CACHED)
         driven.feed(PeerReports((), siblings=3))
         carry_out(driven, before)
     fresh = fresh_with_learned(twin.balancer, after, made.now)
@@ -342,7 +342,7 @@
 
 def test_waiting_calls_go_out_when_a_change_makes_room() -> None:
     made = drive(0, cold_time=1e9, cold_share=0.0, ask_within=1e6)
-    made.show(*endpoints(1, started_at=made.now))
+    made.send_list(*endpoints(1, started_at=made.now))
     first, second = made.arrive(), made.arrive()
     waiting = [r for r in (first, second) if not made.attempts[r]]
     assert waiting, "a cold endpoint takes one at a time"
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -176,7 +176,7 @@
     for _ in range(5):
         send_burst(d, 40, tenant=0)
         d.advance(d.now + 400)
-    d.show(*endpoints(4))
+    d.send_list(*endpoints(4))
     request = d.arrive(tenant=0)
     assert d.balancer.requests[request].within_share
 
@@ -220,7 +220,7 @@
 
     def used(index: int, *without: int) -> set[int]:
         d = Drive(settings(stage=1, siblings=96, index=index))
-        d.show(*[e for e in endpoints(24) if e.id not in without])
+        d.send_list(*[e for e in endpoints(24) if e.id not in without])
         serve_calls(d, 60)
         return {e for r in d.attempts for e in d.sent_to(r)}
 
@@ -299,7 +299,7 @@
 def test_a_cold_endpoint_is_not_ejected_for_being_slow() -> None:
     d = drive(5)
     serve_calls(d, 100)
-    d.show(Endpoint(9, started_at=d.now), kind=ListKind.DELTA)
+    d.send_list(Endpoint(9, started_at=d.now), kind=ListKind.DELTA)
     for _ in range(60):
         for request in send_burst(d, 12):
             endpoint = d.sent_to(request)[0]
@@ -345,7 +345,7 @@
     """Only the minimum capacity of cold endpoints is known: relative to it they look far too fast."""
     d = drive(4)
     serve_calls(d, 100)
-    d.show(*[Endpoint(n, started_at=d.now) for n in range(10, 16)], kind=ListKind.DELTA)
+    d.send_list(*[Endpoint(n, started_at=d.now) for n in range(10, 16)], kind=ListKind.DELTA)
     usual, *peers = sorted(d.balancer.ring, key=lambda s: s.info.id)
     for server in peers:
         server.slow = 1.0 if server.info.id < 10 else 0.4
@@ -368,7 +368,7 @@
     for _ in range(20):
         send_burst(d, 20)
         serve_all_pending(d, 30.0)
-    d.show(*endpoints(2), *(replace(Endpoint(i), started_at=d.now) for i in range(10, 18)))
+    d.send_list(*endpoints(2), *(replace(Endpoint(i), started_at=d.now) for i in range(10, 18)))
     admission = d.balancer.admission
     assert admission is not None
     send_burst(d, 300)
@@ -445,11 +445,11 @@
     """If the list moves a running endpoint to another cell, only the old one may know the first attempt."""
     for seed in range(20):
         d = Drive(settings(), seed)
-        d.show(*endpoints(6))
+        d.send_list(*endpoints(6))
         request = d.arrive(KEYED)
         (first,) = d.sent_to(request)
         group = {e.id for e in endpoints(6) if e.cell == first % 2}
-        d.show(Endpoint(first, cell=1 - first % 2), kind=ListKind.DELTA)
+        d.send_list(Endpoint(first, cell=1 - first % 2), kind=ListKind.DELTA)
         d.outcome(request, 0, Outcome.RESET)
         d.advance(d.now + 500)
         assert len(d.sent_to(request)) == 2 and d.sent_to(request)[1] in group - {first}
@@ -460,7 +460,7 @@
     odd = {"cold_time": 0.0, "cold_share": 0.0, "fall_window": 0.0, "tick": 0.0, "ask_within": 0.0}
     d = Drive(settings(classes=classes, **odd))
     d.now = 0.0
-    d.show(replace(Endpoint(1), size=0.0), Endpoint(2, started_at=99.0))
+    d.send_list(replace(Endpoint(1), size=0.0), Endpoint(2, started_at=99.0))
     for cls in (SAFE, KEYED, UNSAFE):
         for outcome in Outcome:
             request = d.arrive(cls)
@@ -470,7 +470,7 @@
 
 def test_a_cold_share_of_zero_causes_no_exception() -> None:
     d = Drive(settings(cold_share=0.0))
-    d.show(*endpoints(3, started_at=d.now))
+    d.send_list(*endpoints(3, started_at=d.now))
     assert d.attempts[d.arrive()]
 
 
@@ -600,5 +600,5 @@
 
 def test_an_endpoint_of_four_times_the_size_holds_twice_the_calls() -> None:
     d = Drive(settings(stage=1))
-    d.show(Endpoint(1, size=4.0), Endpoint(2, size=1.0))
+    d.send_list(Endpoint(1, size=4.0), Endpoint(2, size=1.0))
     assert abs(share_in_flight(d, 1, 60) - 2 / 3) < 0.05
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -65,7 +65,7 @@
     # Two zones can do what callers ask for, so that one lost zone sends nobody to another region.
     router = ZoneRouter(Places(0, REGIONS), LocalityOptions(fill=0.5, **options), seed)
     made = Drive(config, seed, router)
-    made.show(*listed(each))
+    made.send_list(*listed(each))
     for _ in range(40):
         made.advance(made.now + 1000.0)
         for _ in range(4):
@@ -113,7 +113,7 @@
 def test_an_order_of_zones_never_costs_a_call_that_some_endpoint_can_serve() -> None:
     """All of the near zones drain: what is left far away is sent to."""
     made = near()
-    made.show(
+    made.send_list(
         *(replace(e, condition=Condition.DRAINING) for e in listed() if e.zone < 2), kind=ListKind.DELTA
     )
     assert {serve(made) for _ in range(20)} == {2}
@@ -175,7 +175,9 @@
 
 def test_a_class_that_is_kept_fails_rather_than_leave_its_region() -> None:
     made = near(kept=frozenset({SAFE}))
-    made.show(*(replace(e, condition=Condition.GONE) for e in listed() if e.zone < 2), kind=ListKind.DELTA)
+    made.send_list(
+        *(replace(e, condition=Condition.GONE) for e in listed() if e.zone < 2), kind=ListKind.DELTA
+    )
     call = made.arrive(SAFE, patience=500.0)
     assert made.sent_to(call) == []
     made.advance(made.now + 500.0)
@@ -201,7 +203,7 @@
     made = near()
     call = made.arrive(patience=5000.0)
     moved = replace(made.known[made.sent_to(call)[0]], zone=1)
-    made.show(moved, placed(7, 0), placed(7, 1), kind=ListKind.DELTA)
+    made.send_list(moved, placed(7, 0), placed(7, 1), kind=ListKind.DELTA)
     made.outcome(call, 0, Outcome.OK)
     assert set(made.balancer.zones) == {0, 1, 2, 7}
     assert sum(len(ring) for ring in made.balancer.zones.values()) == 14
@@ -214,7 +216,7 @@
     logs = []
     for zones in (True, False):
         made = Drive(SETTINGS, 3)
-        made.show(*(e if zones else replace(e, zone=0) for e in listed()))
+        made.send_list(*(e if zones else replace(e, zone=0) for e in listed()))
         for i in range(300):
             outcome = Outcome.ERROR if i % 7 == 0 else Outcome.OK
             call = made.arrive()
@@ -232,7 +234,7 @@
 def test_rules_hold_whatever_zones_do(seed: int, steps: list[str]) -> None:
     """Losses, returns, moves and drains in any order: `Drive` checks rules 1 to 3 on every action."""
     made = Drive(BY_ZONE, seed, ZoneRouter(Places(0, REGIONS), LocalityOptions(), seed))
-    made.show(*listed())
+    made.send_list(*listed())
     gone: set[int] = set()
     for i, step in enumerate(steps):
         made.advance(made.now + 150.0)
@@ -240,9 +242,11 @@
             gone ^= {"abc".index(step)}
         elif step == "d":
             moved = made.known[100 + i % 4]
-            made.show(replace(moved, zone=(moved.zone + 1) % 3), kind=ListKind.DELTA)
+            made.send_list(replace(moved, zone=(moved.zone + 1) % 3), kind=ListKind.DELTA)
         elif step == "e":
-            made.show(replace(made.known[200 + i % 4], condition=Condition.DRAINING), kind=ListKind.DELTA)
+            made.send_list(
+                replace(made.known[200 + i % 4], condition=Condition.DRAINING), kind=ListKind.DELTA
+            )
         else:
             call = made.arrive(i % 3)
             for number in range(4):
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -118,7 +118,7 @@
     other = d.arrive(patience=2000.0)
     d.advance(d.now + 20)
     assert d.answers[request] == "refused"
-    d.show(Endpoint(1))
+    d.send_list(Endpoint(1))
     assert d.sent_to(other) == [1]
 
 
@@ -136,15 +136,15 @@
 
 def test_discovery_is_subscribed_and_asked_again_in_time() -> None:
     d = Drive(settings())
-    d.show(*endpoints(2), kind=ListKind.CACHED)
+    d.send_list(*endpoints(2), kind=ListKind.CACHED)
     within = d.config.ask_within
     d.advance(d.now + within)
     asked = [t for t, a in d.log if isinstance(a, Subscribe)]
     assert len(asked) >= 2 and asked[0] <= 1000 + within / 5
-    d.show(kind=ListKind.FAILED)
+    d.send_list(kind=ListKind.FAILED)
     d.advance(d.now + within)
     assert len([a for _, a in d.log if isinstance(a, Subscribe)]) > len(asked)
-    d.show(*endpoints(2), kind=ListKind.DELTA)
+    d.send_list(*endpoints(2), kind=ListKind.DELTA)
     before = len(d.log)
     d.advance(d.now + 10 * within)
     assert len(d.log) == before, "an active subscription is not renewed"
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -44,7 +44,7 @@
 def run_steps(config: Settings, steps: list[tuple[object, ...]], seed: int = 3) -> Drive:
     """Turn generated steps into events that could really occur, then let every request end."""
     drive = Drive(config, seed)
-    drive.show(*endpoints(4), kind=ListKind.CACHED)
+    drive.send_list(*endpoints(4), kind=ListKind.CACHED)
     for name, *args in steps:
         pending = [(r, i) for r, tries in drive.attempts.items() for i, t in enumerate(tries) if t[2] is None]
         match name, args:
@@ -59,12 +59,12 @@
                 time_out_overdue(drive)
             case "condition", [int(id), Condition() as condition, bool(fresh)]:
                 since = drive.now if fresh else 0.0
-                drive.show(Endpoint(id, condition, cell=id % 2, started_at=since), kind=ListKind.DELTA)
+                drive.send_list(Endpoint(id, condition, cell=id % 2, started_at=since), kind=ListKind.DELTA)
             case "full", [set() as ids, bool(fresh)]:
                 since = drive.now if fresh else 0.0
-                drive.show(*(Endpoint(int(i), cell=int(i) % 2, started_at=since) for i in sorted(ids)))
+                drive.send_list(*(Endpoint(int(i), cell=int(i) % 2, started_at=since) for i in sorted(ids)))
             case "failed", []:
-                drive.show(kind=ListKind.FAILED)
+                drive.send_list(kind=ListKind.FAILED)
     drive.advance(drive.now + 5000)
     time_out_overdue(drive)
     assert not drive.open, "a request was left without an answer"
@@ -105,7 +105,7 @@
     """Rule 4: with a known rate of warm endpoints, a cold one stays well below the allowed multiple."""
     config = replace(SETTINGS, cold_share=share, siblings=siblings)
     drive = Drive(config, seed)
-    drive.show(*endpoints(n))
+    drive.send_list(*endpoints(n))
     cold = 0
 
     def serve(count: int) -> None:
@@ -119,7 +119,7 @@
     serve(600)
     warm_rate = len(drive.log) / 12_000 / n
     since = drive.now
-    drive.show(Endpoint(99, started_at=since), kind=ListKind.DELTA)
+    drive.send_list(Endpoint(99, started_at=since), kind=ListKind.DELTA)
     serve(int(config.fall_window / 20))
     cold = drive.count(99)
     end_share = share + (1 - share) * config.fall_window / config.cold_time
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -80,7 +80,7 @@
         self.silent: list[tuple[float, float, float]] = []  # last line, start and end of each silence
         self.pending_result: tuple[float, str] | None = None  # when the pending call ends, and how
         self.asked: list[float] = []
-        self.drive.show(*map(Endpoint, IDS), kind=ListKind.CACHED)
+        self.drive.send_list(*map(Endpoint, IDS), kind=ListKind.CACHED)
 
     def send_full_list(self) -> None:
         self.told = set(self.draining)
@@ -302,7 +302,7 @@
 def test_without_a_usable_endpoint_the_request_waits_and_is_refused_in_time() -> None:
     """An endpoint that serves all calls may drain: nothing is sent there once its drain may count as told."""
     drive = Drive(settings(), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     for _ in range(30):
         drive.advance(drive.now + 50.0)
@@ -318,7 +318,7 @@
 
 def test_a_held_request_is_sent_as_soon_as_a_discovery_message_arrives() -> None:
     drive = Drive(settings(), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     drive.advance(drive.now + KNOWN_AFTER_WATCH_END_MS + 1.0)
     request = drive.arrive(SAFE)
@@ -329,7 +329,7 @@
 
 def test_send_by_ends_when_a_drain_may_count_as_told() -> None:
     drive = Drive(settings(stage=1), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     lost = drive.now
     drive.advance(lost + 500.0)
@@ -341,7 +341,7 @@
 def test_an_endpoint_that_rejected_a_call_is_avoided_until_a_discovery_message_arrives() -> None:
     """It may be draining, as no message has arrived since."""
     drive = Drive(settings(stage=0), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     tried = drive.arrive(SAFE)
     (left,) = drive.sent_to(tried)
@@ -402,7 +402,7 @@
 @pytest.mark.parametrize("kind", [ListKind.SILENT, ListKind.BROKEN_OFF])
 def test_a_call_that_discovery_accepted_is_no_proof_of_an_outage(kind: ListKind) -> None:
     drive = Drive(settings(calls_fail_only_in_outages=True), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     lost = drive.now
     drive.advance(lost + 1000.0)
@@ -413,7 +413,7 @@
 def test_a_served_call_proves_nothing_of_its_endpoint() -> None:
     """It may be draining while it serves: its drain counts as told 2 s after the watch ended."""
     drive = Drive(settings(stage=1), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     lost = drive.now
     drive.advance(lost + KNOWN_AFTER_WATCH_END_MS - 100.0)
@@ -425,14 +425,14 @@
 
 def test_a_short_ask_within_shortens_the_time_until_a_change_counts_as_told() -> None:
     drive = Drive(settings(stage=1, ask_within=1500.0), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     assert drive.balancer.discovery.fresh_until() == drive.now + 1500.0
 
 
 def test_a_silent_watch_is_valid_for_at_most_six_seconds_after_its_last_message() -> None:
     drive = Drive(settings(stage=1, ask_within=30_000.0), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     fell = drive.now
     drive.advance(fell + 5000.0)
     drive.feed(EndpointList(ListKind.SILENT))
@@ -441,7 +441,7 @@
 
 def test_a_move_counts_as_the_end_of_its_watch() -> None:
     drive = Drive(settings(stage=1), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.advance(drive.now + 1000.0)
     drive.feed(EndpointList(ListKind.MOVED))
     assert drive.balancer.discovery.disconnected()
@@ -451,7 +451,7 @@
 def test_with_pushed_lists_the_agent_is_asked_at_once_and_again_soon() -> None:
     """What the agent knows, or receives after an outage, counts as told while no watch is active."""
     drive = Drive(settings(ask_discovery=False), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     for nth, kind in enumerate([ListKind.FAILED, ListKind.FAILED, ListKind.SILENT, ListKind.SILENT] * 10):
         before = len(drive.log)
         failed = drive.now
@@ -463,7 +463,7 @@
 
 def test_a_partial_list_does_not_show_that_a_watch_is_active() -> None:
     drive = Drive(settings(), 1)
-    drive.show(*map(Endpoint, IDS))
+    drive.send_list(*map(Endpoint, IDS))
     drive.feed(EndpointList(ListKind.FAILED))
     wait = drive.balancer.discovery.wait
     drive.feed(EndpointList(ListKind.PARTIAL, (Endpoint(1, Condition.DRAINING),)))
@@ -550,7 +550,7 @@
 
     def __init__(self, endpoints: Iterable[int] = IDS, **changed: Any) -> None:
         self.drive = Drive(settings(**changed), 1)
-        self.drive.show(*map(Endpoint, endpoints))
+        self.drive.send_list(*map(Endpoint, endpoints))
         self.drive.feed(EndpointList(ListKind.FAILED))
         self.watch_lost_at = self.drive.now
         self.asked = math.inf
