--- a/tests/support.py
+++ b/tests/support.py
@@ -65,7 +65,7 @@
         self.balancer = Balancer(config, seed, locality)
         self.now = 1000.0
         self.timers: list[tuple[float, int]] = []
-        self.open: dict[int, RequestArrived] = {}
+        self.unanswered: dict[int, RequestArrived] = {}
         self.attempts: dict[int, list[tuple[int, float, Outcome | None]]] = {}
         self.known: dict[int, Endpoint] = {}
         self.cells: dict[int, list[int]] = {}  # cell of each attempt's endpoint at the time of sending
@@ -90,7 +90,7 @@
             self.now = max(self.now, due[0])
             actions += self.feed(TimerFired(due[1]))
         self.now = max(self.now, to)
-        for id, request in list(self.open.items()):
+        for id, request in list(self.unanswered.items()):
             out_attempts = [t for t in self.attempts[id] if t[2] is None]
             assert out_attempts or self.now < request.deadline, f"request {id} was never answered"
         return actions
@@ -108,24 +108,24 @@
     def arrive(self, cls: int = SAFE, patience: float = 1500.0, tenant: int = 0) -> int:
         self.next_id += 1
         event = RequestArrived(self.next_id, cls, self.now + patience, tenant)
-        self.open[event.request] = event
+        self.unanswered[event.request] = event
         self.attempts[event.request] = []
         self.feed(event)
         return event.request
 
     def abort(self, request: int) -> list[Action]:
-        self.open.pop(request, None)
+        self.unanswered.pop(request, None)
         return self.feed(RequestAborted(request))
 
     def outcome(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
         endpoint, sent, ended = self.attempts[request][attempt]
         assert ended is None
         self.attempts[request][attempt] = (endpoint, sent, outcome)
-        if outcome is Outcome.OK and request in self.open:
-            del self.open[request]
+        if outcome is Outcome.OK and request in self.unanswered:
+            del self.unanswered[request]
             self.answers[request] = "served"
         return self.feed(
-            AttemptEnded(request, endpoint, attempt, outcome, self.now - sent, request not in self.open)
+            AttemptEnded(request, endpoint, attempt, outcome, self.now - sent, request not in self.unanswered)
         )
 
     def sent_to(self, request: int) -> list[int]:
@@ -140,17 +140,17 @@
         elif isinstance(action, Send):
             self._check_send(action)
         elif isinstance(action, Refuse | Fail):
-            assert action.request in self.open, "an answer to a request that is not open"
+            assert action.request in self.unanswered, "an answer to a request that is not open"
             if isinstance(action, Refuse):
                 self._check_refuse(action.request)
-            del self.open[action.request]
+            del self.unanswered[action.request]
             self.answers[action.request] = "refused" if isinstance(action, Refuse) else "failed"
 
     def _may_have_run(self, request: int) -> list[tuple[int, float, Outcome | None]]:
         return [t for t in self.attempts[request] if t[2] not in NO_EFFECT_OUTCOMES]
 
     def _check_send(self, action: Send) -> None:
-        request = self.open.get(action.request)
+        request = self.unanswered.get(action.request)
         assert request is not None, "sent for a request that has ended"
         assert action.endpoint in self.usable_ids, "sent to an endpoint that is draining or gone"
         assert self.now < request.deadline
@@ -174,7 +174,7 @@
         self.cells.setdefault(action.request, []).append(self.known[action.endpoint].cell)
 
     def _check_refuse(self, request: int) -> None:
-        cls = self.config.classes[self.open[request].cls]
+        cls = self.config.classes[self.unanswered[request].cls]
         if cls.repeat is Repeat.UNSAFE or (cls.repeat is Repeat.KEYED and cls.scope is not Scope.ALL):
             assert not self._may_have_run(request), "refused although an attempt may have been executed"
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -144,7 +144,7 @@
         self.drive, self.request, self.config = drive, request, drive.config
 
     def __enter__(self) -> None:
-        event = self.drive.open.get(self.request)
+        event = self.drive.unanswered.get(self.request)
         if event is not None:
             classes = list(self.config.classes)
             classes[event.cls] = self.drive.classes[self.request]
@@ -163,8 +163,8 @@
                 drive.arrive(cls, patience, tenant)
             case "end", [int(n), Outcome() as outcome] if pending:
                 drive.outcome(*pending[n % len(pending)], outcome)
-            case "abort", [int(n)] if drive.open:
-                drive.abort(list(drive.open)[n % len(drive.open)])
+            case "abort", [int(n)] if drive.unanswered:
+                drive.abort(list(drive.unanswered)[n % len(drive.unanswered)])
             case "advance", [float(by)]:
                 drive.advance(drive.now + by)
                 time_out_overdue(drive)
@@ -189,7 +189,7 @@
     carry_out(made, steps)
     made.advance(made.now + 5000)
     time_out_overdue(made)
-    assert not made.open, "a request was left without an answer"
+    assert not made.unanswered, "a request was left without an answer"
 
 
 @STEADY
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -30,7 +30,7 @@
     """One call after another; each endpoint needs its time (default 20 ms) or fails at once."""
     for _ in range(calls):
         request = d.arrive(patience=1400.0)
-        while request in d.open and d.attempts[request]:
+        while request in d.unanswered and d.attempts[request]:
             index = len(d.attempts[request]) - 1
             endpoint, _, done = d.attempts[request][index]
             if done is not None:
@@ -57,7 +57,7 @@
     d.advance(d.now + after)
     for request, tries in list(d.attempts.items()):
         for index, attempt in enumerate(tries):
-            if attempt[2] is None and request in d.open:
+            if attempt[2] is None and request in d.unanswered:
                 d.outcome(request, index, Outcome.OK)
 
 
@@ -142,7 +142,7 @@
     serve_calls(d, 60)
     requests = send_burst(d, 200)
     d.advance(d.now + 0.2 * d.config.classes[SAFE].aim)
-    waiting = [r for r in requests if r in d.open and not d.attempts[r]]
+    waiting = [r for r in requests if r in d.unanswered and not d.attempts[r]]
     assert not waiting and sum(d.answers.get(r) == "refused" for r in requests) > 100
 
 
@@ -154,7 +154,7 @@
         send_burst(d, 30)
     cheap, valuable = send_burst(d, 5), send_burst(d, 1, UNSAFE)
     assert not d.attempts[valuable[0]] and not any(d.attempts[r] for r in cheap)
-    for pending in [r for r in d.attempts if r in d.open and d.attempts[r]]:
+    for pending in [r for r in d.attempts if r in d.unanswered and d.attempts[r]]:
         if not d.attempts[valuable[0]]:
             d.outcome(pending, 0, Outcome.OK)
     sent = [a.request for _, a in d.log if isinstance(a, Send)]
@@ -387,7 +387,7 @@
         for n in range(240):
             d.advance(d.now + 250.0)
             for _, request in [x for x in due if x[0] <= d.now]:
-                if request in d.open and d.attempts[request]:
+                if request in d.unanswered and d.attempts[request]:
                     d.outcome(request, len(d.attempts[request]) - 1, Outcome.OK)
             due = [x for x in due if x[0] > d.now]
             cls = UNSAFE if n % 2 else SAFE
@@ -550,7 +550,7 @@
     for _ in range(calls):
         request = d.arrive(SAFE)
         d.advance(d.now + 20)
-        while request in d.open:
+        while request in d.unanswered:
             index = len(d.attempts[request]) - 1
             endpoint, _, done = d.attempts[request][index]
             if done is None:
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -190,7 +190,7 @@
     for _ in range(60):
         call = made.arrive()
         for number in range(4):
-            if len(made.attempts[call]) <= number or call not in made.open:
+            if len(made.attempts[call]) <= number or call not in made.unanswered:
                 break
             zone = made.known[made.attempts[call][number][0]].zone
             made.outcome(call, number, Outcome.ERROR if zone == 0 else Outcome.OK)
@@ -222,7 +222,7 @@
             call = made.arrive()
             made.advance(made.now + 15.0)
             for number in range(4):
-                if number < len(made.attempts[call]) and call in made.open:
+                if number < len(made.attempts[call]) and call in made.unanswered:
                     made.outcome(call, number, outcome)
                     made.advance(made.now + 600.0)
         logs.append([(t, str(a)) for t, a in made.log])
@@ -250,12 +250,12 @@
         else:
             call = made.arrive(i % 3)
             for number in range(4):
-                if number >= len(made.attempts[call]) or call not in made.open:
+                if number >= len(made.attempts[call]) or call not in made.unanswered:
                     break
                 zone = made.known[made.attempts[call][number][0]].zone
                 wait = 400.0 if zone in gone else 10.0
                 made.advance(made.now + wait)
-                if call in made.open:
+                if call in made.unanswered:
                     made.outcome(call, number, Outcome.TIMEOUT if zone in gone else Outcome.OK)
                 made.advance(made.now + 50.0)
                 keyed = [
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -10,7 +10,7 @@
     """Feed a request whose body is still being received; returns its number."""
     d.next_id += 1
     event = RequestArrived(d.next_id, cls, d.now + 1e6, 0, partial=True)
-    d.open[event.request] = event
+    d.unanswered[event.request] = event
     d.attempts[event.request] = []
     d.feed(event)
     return event.request
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -52,8 +52,8 @@
                 drive.arrive(cls, patience, tenant)
             case "end", [int(n), Outcome() as outcome] if pending:
                 drive.outcome(*pending[n % len(pending)], outcome)
-            case "abort", [int(n)] if drive.open:
-                drive.abort(list(drive.open)[n % len(drive.open)])
+            case "abort", [int(n)] if drive.unanswered:
+                drive.abort(list(drive.unanswered)[n % len(drive.unanswered)])
             case "advance", [float(by)]:
                 drive.advance(drive.now + by)
                 time_out_overdue(drive)
@@ -67,7 +67,7 @@
                 drive.send_list(kind=ListKind.FAILED)
     drive.advance(drive.now + 5000)
     time_out_overdue(drive)
-    assert not drive.open, "a request was left without an answer"
+    assert not drive.unanswered, "a request was left without an answer"
     return drive
 
 
@@ -75,7 +75,7 @@
     """End attempts that are still pending at their client's deadline with a timeout."""
     for request, tries in list(drive.attempts.items()):
         for index, attempt in enumerate(tries):
-            event = drive.open.get(request)
+            event = drive.unanswered.get(request)
             if event is not None and attempt[2] is None and drive.now >= event.deadline:
                 drive.outcome(request, index, Outcome.TIMEOUT)
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -213,7 +213,7 @@
             else:
                 self.served += 1
                 drive.outcome(request, number, Outcome.OK)
-        if request in drive.open:
+        if request in drive.unanswered:
             drive.abort(request)
 
     def check_not_told(self, endpoint: int) -> None:
@@ -637,7 +637,7 @@
             request = drive.arrive(SAFE)
             for endpoint in turning.probes(before):
                 drive.feed(ProbeEnded(endpoint, Outcome.OK, 0.0))
-            if request in drive.open and drive.attempts[request]:
+            if request in drive.unanswered and drive.attempts[request]:
                 drive.outcome(request, 0, Outcome.OK)
         probes = turning.probes()
         most = 10 * (drive.balancer._subset_size() + 1)
