--- a/tests/support.py
+++ b/tests/support.py
@@ -117,7 +117,7 @@
         self.unanswered.pop(request, None)
         return self.feed(RequestAborted(request))
 
-    def outcome(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
+    def end_attempt(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
         endpoint, sent, ended = self.attempts[request][attempt]
         assert ended is None
         self.attempts[request][attempt] = (endpoint, sent, outcome)
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -162,7 +162,7 @@
             case "arrive", [int(cls), float(patience), int(tenant)]:
                 drive.arrive(cls, patience, tenant)
             case "end", [int(n), Outcome() as outcome] if pending:
-                drive.outcome(*pending[n % len(pending)], outcome)
+                drive.end_attempt(*pending[n % len(pending)], outcome)
             case "abort", [int(n)] if drive.unanswered:
                 drive.abort(list(drive.unanswered)[n % len(drive.unanswered)])
             case "advance", [float(by)]:
@@ -274,11 +274,11 @@
     classes = list(SETTINGS.classes)
     classes[KEYED] = replace(classes[KEYED], repeat=Repeat.UNSAFE)
     made.balancer.reconfigure(made.now, replace(SETTINGS, classes=tuple(classes)))
-    made.outcome(asked, 0, Outcome.RESET)
+    made.end_attempt(asked, 0, Outcome.RESET)
     made.advance(made.now + 400)
     assert len(made.attempts[asked]) == 2, "it was taken as one that may be repeated, with its key"
     later = made.arrive(KEYED)
-    made.outcome(later, 0, Outcome.RESET)
+    made.end_attempt(later, 0, Outcome.RESET)
     made.advance(made.now + 400)
     assert len(made.attempts[later]) == 1 and made.answers[later] == "failed"
 
@@ -289,7 +289,7 @@
     classes = list(SETTINGS.classes)
     classes[UNSAFE] = replace(classes[UNSAFE], repeat=Repeat.KEYED, scope=Scope.ALL, window=5000.0)
     made.balancer.reconfigure(made.now, replace(SETTINGS, classes=tuple(classes)))
-    made.outcome(asked, 0, Outcome.RESET)
+    made.end_attempt(asked, 0, Outcome.RESET)
     assert made.answers[asked] == "failed", "it came without a key: nobody could recognise its repeat"
 
 
@@ -298,7 +298,7 @@
     for _ in range(50):
         asked = made.arrive()
         made.advance(made.now + 30)
-        made.outcome(asked, 0, Outcome.OK)
+        made.end_attempt(asked, 0, Outcome.OK)
     before, servers = export_learned(made.balancer), dict(made.balancer.servers)
     made.balancer.reconfigure(made.now, replace(SETTINGS, max_attempts=2, fall_multiple=2.0))
     after = export_learned(made.balancer)
@@ -310,7 +310,7 @@
     made = drive(4)
     asked = made.arrive()
     made.balancer.reconfigure(made.now, replace(SETTINGS, max_attempts=1))
-    made.outcome(asked, 0, Outcome.ERROR)
+    made.end_attempt(asked, 0, Outcome.ERROR)
     assert made.answers[asked] == "refused" and len(made.attempts[asked]) == 1
 
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -38,10 +38,10 @@
                 continue
             if endpoint in failing:
                 d.advance(d.now + 1)
-                d.outcome(request, index, Outcome.ERROR)
+                d.end_attempt(request, index, Outcome.ERROR)
             else:
                 d.advance(d.now + (times or {}).get(endpoint, 20.0))
-                d.outcome(request, index, Outcome.OK)
+                d.end_attempt(request, index, Outcome.OK)
 
 
 def send_burst(d: Drive, calls: int, cls: int = SAFE, tenant: int = 0) -> list[int]:
@@ -58,7 +58,7 @@
     for request, tries in list(d.attempts.items()):
         for index, attempt in enumerate(tries):
             if attempt[2] is None and request in d.unanswered:
-                d.outcome(request, index, Outcome.OK)
+                d.end_attempt(request, index, Outcome.OK)
 
 
 def test_overload_is_limited_and_requests_without_a_chance_are_refused() -> None:
@@ -149,14 +149,14 @@
 def test_the_request_of_highest_worth_is_sent_first() -> None:
     d = drive(1)
     serve_calls(d, 30)
-    d.outcome(d.arrive(UNSAFE), 0, Outcome.OK)
+    d.end_attempt(d.arrive(UNSAFE), 0, Outcome.OK)
     for _ in range(20):
         send_burst(d, 30)
     cheap, valuable = send_burst(d, 5), send_burst(d, 1, UNSAFE)
     assert not d.attempts[valuable[0]] and not any(d.attempts[r] for r in cheap)
     for pending in [r for r in d.attempts if r in d.unanswered and d.attempts[r]]:
         if not d.attempts[valuable[0]]:
-            d.outcome(pending, 0, Outcome.OK)
+            d.end_attempt(pending, 0, Outcome.OK)
     sent = [a.request for _, a in d.log if isinstance(a, Send)]
     assert valuable[0] in sent and all(sent.index(valuable[0]) < sent.index(r) for r in cheap if r in sent)
 
@@ -189,7 +189,7 @@
         d.advance(d.now + 150.0)
         for request in pair:
             if d.attempts[request]:
-                d.outcome(request, 0, Outcome.OK)
+                d.end_attempt(request, 0, Outcome.OK)
         d.advance(d.now + 400.0)
     assert sum(a == "served" for a in d.answers.values()) >= 395
 
@@ -304,7 +304,7 @@
         for request in send_burst(d, 12):
             endpoint = d.sent_to(request)[0]
             d.advance(d.now + (8 if endpoint == 9 else 2))
-            d.outcome(request, 0, Outcome.OK)
+            d.end_attempt(request, 0, Outcome.OK)
         serve_all_pending(d, 100.0)
     cold = d.balancer.servers[9]
     assert cold.ejected_until == -math.inf
@@ -321,7 +321,7 @@
         request = d.arrive()
         endpoint = d.attempts[request][0][0]
         d.advance(d.now + 10)
-        d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
+        d.end_attempt(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
     assert cold.capacity_share(unreachable, d.now) == d.config.cold_share, "the minimum until it answers"
     unreachable.record_reachability(d.now, Outcome.OK)
@@ -388,7 +388,7 @@
             d.advance(d.now + 250.0)
             for _, request in [x for x in due if x[0] <= d.now]:
                 if request in d.unanswered and d.attempts[request]:
-                    d.outcome(request, len(d.attempts[request]) - 1, Outcome.OK)
+                    d.end_attempt(request, len(d.attempts[request]) - 1, Outcome.OK)
             due = [x for x in due if x[0] > d.now]
             cls = UNSAFE if n % 2 else SAFE
             requests[cls].append(d.arrive(cls, patience=2900.0))
@@ -416,7 +416,7 @@
         for _ in range(n):
             request = d.arrive(patience=2900.0)
             d.advance(d.now + elapsed)
-            d.outcome(request, 0, Outcome.OK)
+            d.end_attempt(request, 0, Outcome.OK)
             d.advance(d.now + 1000.0 - elapsed)
 
     seconds(60, 100.0)
@@ -435,7 +435,7 @@
     classes = (RequestClass("k", 3000.0, Repeat.KEYED, 1000.0, scope=Scope.ALL, window=900.0),)
     d = drive(3, classes=classes)
     request = d.arrive(0)
-    d.outcome(request, 0, Outcome.RESET)
+    d.end_attempt(request, 0, Outcome.RESET)
     d.advance(d.now + 500)
     assert len(set(d.sent_to(request))) == 2
     assert KEYED == 1
@@ -450,7 +450,7 @@
         (first,) = d.sent_to(request)
         group = {e.id for e in endpoints(6) if e.cell == first % 2}
         d.send_list(Endpoint(first, cell=1 - first % 2), kind=ListKind.DELTA)
-        d.outcome(request, 0, Outcome.RESET)
+        d.end_attempt(request, 0, Outcome.RESET)
         d.advance(d.now + 500)
         assert len(d.sent_to(request)) == 2 and d.sent_to(request)[1] in group - {first}
 
@@ -465,7 +465,7 @@
         for outcome in Outcome:
             request = d.arrive(cls)
             if d.attempts[request]:
-                d.outcome(request, 0, outcome)
+                d.end_attempt(request, 0, outcome)
 
 
 def test_a_cold_share_of_zero_causes_no_exception() -> None:
@@ -493,7 +493,7 @@
     monkeypatch.setattr(ConcurrencyLimiter, "limit", 1000.0)
     assert len(d.balancer.held) > 50
     sent = next(r for r, tries in d.attempts.items() if tries)
-    d.outcome(sent, 0, Outcome.OK)
+    d.end_attempt(sent, 0, Outcome.OK)
     assert passes == 1
 
 
@@ -504,7 +504,7 @@
     (unreachable,) = d.balancer.servers.values()
     for _ in range(2):
         request = d.arrive(UNSAFE)
-        d.outcome(request, 0, Outcome.CONNECT_FAILED)
+        d.end_attempt(request, 0, Outcome.CONNECT_FAILED)
         d.abort(request)
     assert unreachable.connect_failures == 2
     tried = 0
@@ -513,7 +513,7 @@
         request = d.arrive(UNSAFE)
         tried += len(d.attempts[request])
         if d.attempts[request]:
-            d.outcome(request, 0, Outcome.OK)
+            d.end_attempt(request, 0, Outcome.OK)
     assert tried > 5 and unreachable.connect_failures == 0
 
 
@@ -526,7 +526,7 @@
         request = d.arrive()
         endpoint = d.attempts[request][0][0]
         d.advance(d.now + 10)
-        d.outcome(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
+        d.end_attempt(request, 0, Outcome.CONNECT_FAILED if endpoint == 1 else Outcome.OK)
         d.advance(d.now + 500)
         if returned.connect_failures == 2:
             break
@@ -536,7 +536,7 @@
         request = d.arrive()
         assert d.attempts[request][0][0] != 1, "it is avoided for a while"
         d.advance(d.now + 10)
-        d.outcome(request, 0, Outcome.OK)
+        d.end_attempt(request, 0, Outcome.OK)
         d.advance(d.now + 80)
     serve_calls(d, 1000)  # 20 ms each
     assert returned.connect_failures == 0 and d.count(1) > before, "it was never tried again"
@@ -554,7 +554,7 @@
             index = len(d.attempts[request]) - 1
             endpoint, _, done = d.attempts[request][index]
             if done is None:
-                d.outcome(request, index, Outcome.REJECTED if endpoint in rejecting else Outcome.OK)
+                d.end_attempt(request, index, Outcome.REJECTED if endpoint in rejecting else Outcome.OK)
             d.advance(d.now + 20)
         d.advance(d.now + pause)
     return [a.endpoint for _, a in d.log[before:] if isinstance(a, Send)]
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -88,7 +88,7 @@
         number = old.arrive()
         ill = old.sent_to(number)[0] == 3
         old.advance(old.now + 20)
-        old.outcome(number, 0, Outcome.ERROR if ill and n < 40 else Outcome.OK)
+        old.end_attempt(number, 0, Outcome.ERROR if ill and n < 40 else Outcome.OK)
         old.advance(old.now + 500)
     before = old.balancer.budget.tokens
     learned = export_learned(old.balancer)
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -78,7 +78,7 @@
     call = made.arrive(cls)
     zone = made.known[made.sent_to(call)[0]].zone
     made.advance(made.now + took)
-    made.outcome(call, 0, outcome)
+    made.end_attempt(call, 0, outcome)
     return zone
 
 
@@ -90,7 +90,7 @@
         if made.known[made.sent_to(call)[0]].zone == zone:
             calls.append(call)
         else:
-            made.outcome(call, 0, Outcome.OK)
+            made.end_attempt(call, 0, Outcome.OK)
     made.advance(made.now + 2 * STALL_LEAST)
     serve(made)
     return calls
@@ -129,7 +129,7 @@
     ejected = [s for s in made.balancer.ring if made.now < s.ejected_until]
     assert not ejected, "the zone is left as one, with no ejection"
     for call in calls:
-        made.outcome(call, 0, Outcome.TIMEOUT)
+        made.end_attempt(call, 0, Outcome.TIMEOUT)
 
 
 def test_a_zone_that_returns_is_tried_by_one_call_and_counts_as_cold() -> None:
@@ -140,10 +140,10 @@
         made.advance(made.now + 200.0)
         call = made.arrive()
         zone = made.known[made.sent_to(call)[0]].zone
-        made.outcome(call, 0, Outcome.CONNECT_FAILED if zone == 0 else Outcome.OK)
+        made.end_attempt(call, 0, Outcome.CONNECT_FAILED if zone == 0 else Outcome.OK)
         if zone == 0:
             made.advance(made.now + 600.0)
-            made.outcome(call, 1, Outcome.OK)
+            made.end_attempt(call, 1, Outcome.OK)
     tries = [t for t, a in made.log if isinstance(a, Send) and t > back - 9000 and a.endpoint < 200]
     assert 1 <= len(tries) <= 8
     while serve(made) != 0:
@@ -161,7 +161,7 @@
     call = made.arrive(KEYED, patience=60_000.0)
     zone = made.known[made.sent_to(call)[0]].zone
     silence(made, zone)
-    made.outcome(call, 0, Outcome.TIMEOUT)
+    made.end_attempt(call, 0, Outcome.TIMEOUT)
     made.advance(made.now + 700.0)
     assert {made.known[e].zone for e in made.sent_to(call)} == {zone}
 
@@ -169,7 +169,7 @@
 def test_an_unsafe_call_that_may_have_run_is_not_sent_to_another_zone() -> None:
     made = near()
     call = made.arrive(UNSAFE)
-    made.outcome(call, 0, Outcome.TIMEOUT)
+    made.end_attempt(call, 0, Outcome.TIMEOUT)
     assert len(made.sent_to(call)) == 1 and made.answers[call] == "failed"
 
 
@@ -193,7 +193,7 @@
             if len(made.attempts[call]) <= number or call not in made.unanswered:
                 break
             zone = made.known[made.attempts[call][number][0]].zone
-            made.outcome(call, number, Outcome.ERROR if zone == 0 else Outcome.OK)
+            made.end_attempt(call, number, Outcome.ERROR if zone == 0 else Outcome.OK)
             made.advance(made.now + 600.0)
     budgets = made.balancer.budgets
     assert budgets[0].tokens < 10.0 <= budgets[1].tokens
@@ -204,7 +204,7 @@
     call = made.arrive(patience=5000.0)
     moved = replace(made.known[made.sent_to(call)[0]], zone=1)
     made.send_list(moved, placed(7, 0), placed(7, 1), kind=ListKind.DELTA)
-    made.outcome(call, 0, Outcome.OK)
+    made.end_attempt(call, 0, Outcome.OK)
     assert set(made.balancer.zones) == {0, 1, 2, 7}
     assert sum(len(ring) for ring in made.balancer.zones.values()) == 14
     zones = {serve(made) for _ in range(100)}
@@ -223,7 +223,7 @@
             made.advance(made.now + 15.0)
             for number in range(4):
                 if number < len(made.attempts[call]) and call in made.unanswered:
-                    made.outcome(call, number, outcome)
+                    made.end_attempt(call, number, outcome)
                     made.advance(made.now + 600.0)
         logs.append([(t, str(a)) for t, a in made.log])
     assert logs[0] == logs[1]
@@ -256,7 +256,7 @@
                 wait = 400.0 if zone in gone else 10.0
                 made.advance(made.now + wait)
                 if call in made.unanswered:
-                    made.outcome(call, number, Outcome.TIMEOUT if zone in gone else Outcome.OK)
+                    made.end_attempt(call, number, Outcome.TIMEOUT if zone in gone else Outcome.OK)
                 made.advance(made.now + 50.0)
                 keyed = [
                     made.known[e].zone for e, _, o in made.attempts[call] if o is not Outcome.CONNECT_FAILED
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -27,12 +27,12 @@
 def test_a_retry_waits_goes_elsewhere_and_is_served() -> None:
     d = drive()
     request = d.arrive(SAFE)
-    d.outcome(request, 0, Outcome.ERROR)
+    d.end_attempt(request, 0, Outcome.ERROR)
     assert len(d.sent_to(request)) == 1, "a retry waits first"
     d.advance(d.now + BACKOFF_CAP * 1000)
     first, second = d.sent_to(request)
     assert first != second
-    d.outcome(request, 1, Outcome.OK)
+    d.end_attempt(request, 1, Outcome.OK)
     assert d.answers[request] == "served"
 
 
@@ -56,7 +56,7 @@
     while d.balancer.budget.spend():
         pass
     request = d.arrive(SAFE)
-    d.outcome(request, 0, Outcome.ERROR)
+    d.end_attempt(request, 0, Outcome.ERROR)
     assert d.answers[request] == "refused"
 
 
@@ -75,15 +75,15 @@
     d = drive()
     request = d.arrive(SAFE, patience=60.0)
     d.advance(d.now + 45)
-    d.outcome(request, 0, Outcome.ERROR)
+    d.end_attempt(request, 0, Outcome.ERROR)
     assert d.answers[request] == "refused"
 
 
 def test_unsafe_is_resent_only_when_proven_not_run() -> None:
     d = drive()
     proven, unknown = d.arrive(UNSAFE), d.arrive(UNSAFE)
-    d.outcome(proven, 0, Outcome.REJECTED)
-    d.outcome(unknown, 0, Outcome.ERROR)
+    d.end_attempt(proven, 0, Outcome.REJECTED)
+    d.end_attempt(unknown, 0, Outcome.ERROR)
     d.advance(d.now + 600)
     assert len(d.sent_to(proven)) == 2
     assert d.answers[unknown] == "failed"
@@ -92,16 +92,16 @@
 def test_keyed_stays_in_its_group_and_window() -> None:
     d = drive(6)
     for _ in range(100):
-        d.outcome(d.arrive(SAFE), 0, Outcome.OK)
+        d.end_attempt(d.arrive(SAFE), 0, Outcome.OK)
     for _ in range(9):
         request = d.arrive(KEYED)
-        d.outcome(request, 0, Outcome.RESET)
+        d.end_attempt(request, 0, Outcome.RESET)
         d.advance(d.now + 500)
         assert len(d.sent_to(request)) == 2  # the driver checks the deduplication group
-        d.outcome(request, 1, Outcome.OK)
+        d.end_attempt(request, 1, Outcome.OK)
     late = d.arrive(KEYED)
     d.advance(d.now + 790)
-    d.outcome(late, 0, Outcome.ERROR)
+    d.end_attempt(late, 0, Outcome.ERROR)
     assert d.answers[late] == "failed"
 
 
@@ -126,7 +126,7 @@
     d = drive()
     request = d.arrive()
     d.abort(request)
-    d.outcome(request, 0, Outcome.ERROR)
+    d.end_attempt(request, 0, Outcome.ERROR)
     assert d.balancer.handle(d.now, RequestAborted(request)) == []
     assert d.balancer.handle(d.now, RequestAborted(777)) == []
     assert d.balancer.handle(d.now, TimerFired(999_999)) == []
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -33,7 +33,7 @@
     assert len(d.balancer.in_flight) == 1
     assert sum(len(s.in_flight) for s in d.balancer.servers.values()) == 1
     d.now += 490
-    actions = d.outcome(request, 0, Outcome.CONNECT_FAILED)
+    actions = d.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     assert any(isinstance(a, Refuse | Fail) for a in actions), "there is no time for another attempt"
     assert not d.balancer.in_flight and not d.balancer.uploading
 
@@ -42,7 +42,7 @@
     d = drive(4)
     request = partial(d)
     d.feed(BodyDiscarded(request))
-    actions = d.outcome(request, 0, Outcome.CONNECT_FAILED)
+    actions = d.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     assert any(isinstance(a, Refuse) for a in actions)
     assert not any(isinstance(a, Send) for a in d.advance(d.now + 3000))
     assert not d.balancer.uploading
@@ -51,9 +51,9 @@
 def test_an_attempt_that_failed_before_any_of_the_body_was_sent_is_made_again() -> None:
     d = drive(4)
     for _ in range(30):  # answers fill the retry budget
-        d.outcome(d.arrive(), 0, Outcome.OK)
+        d.end_attempt(d.arrive(), 0, Outcome.OK)
     request = partial(d)
-    d.outcome(request, 0, Outcome.CONNECT_FAILED)
+    d.end_attempt(request, 0, Outcome.CONNECT_FAILED)
     d.advance(d.now + 1000)
     first, second = d.sent_to(request)
     assert first != second
@@ -66,5 +66,5 @@
     d.abort(request)
     d.feed(RequestBodyComplete(request, d.now + 100))
     d.feed(BodyDiscarded(request))
-    d.outcome(request, 0, Outcome.CANCELLED)
+    d.end_attempt(request, 0, Outcome.CANCELLED)
     assert not d.balancer.uploading and not d.balancer.in_flight
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -51,7 +51,7 @@
             case "arrive", [int(cls), float(patience), int(tenant)]:
                 drive.arrive(cls, patience, tenant)
             case "end", [int(n), Outcome() as outcome] if pending:
-                drive.outcome(*pending[n % len(pending)], outcome)
+                drive.end_attempt(*pending[n % len(pending)], outcome)
             case "abort", [int(n)] if drive.unanswered:
                 drive.abort(list(drive.unanswered)[n % len(drive.unanswered)])
             case "advance", [float(by)]:
@@ -77,7 +77,7 @@
         for index, attempt in enumerate(tries):
             event = drive.unanswered.get(request)
             if event is not None and attempt[2] is None and drive.now >= event.deadline:
-                drive.outcome(request, index, Outcome.TIMEOUT)
+                drive.end_attempt(request, index, Outcome.TIMEOUT)
 
 
 @FIXED_EXAMPLES
@@ -114,7 +114,7 @@
             drive.advance(drive.now + 20)
             for index, attempt in enumerate(drive.attempts[request]):
                 if attempt[2] is None:
-                    drive.outcome(request, index, Outcome.OK)
+                    drive.end_attempt(request, index, Outcome.OK)
 
     serve(600)
     warm_rate = len(drive.log) / 12_000 / n
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -209,10 +209,10 @@
             endpoint = drive.attempts[request][number][0]
             self.check_not_told(endpoint)
             if endpoint in self.draining and self.turns_away:
-                drive.outcome(request, number, Outcome.REJECTED)
+                drive.end_attempt(request, number, Outcome.REJECTED)
             else:
                 self.served += 1
-                drive.outcome(request, number, Outcome.OK)
+                drive.end_attempt(request, number, Outcome.OK)
         if request in drive.unanswered:
             drive.abort(request)
 
@@ -308,7 +308,7 @@
         drive.advance(drive.now + 50.0)
         request = drive.arrive(SAFE)
         assert drive.sent_to(request)
-        drive.outcome(request, 0, Outcome.OK)
+        drive.end_attempt(request, 0, Outcome.OK)
     drive.advance(drive.now + 1000.0)
     request = drive.arrive(SAFE)
     assert drive.sent_to(request) == []
@@ -345,12 +345,12 @@
     drive.feed(EndpointList(ListKind.FAILED))
     tried = drive.arrive(SAFE)
     (left,) = drive.sent_to(tried)
-    drive.outcome(tried, 0, Outcome.REJECTED)
+    drive.end_attempt(tried, 0, Outcome.REJECTED)
     before = drive.count(left)
     for _ in range(20):
         drive.advance(drive.now + 50.0)
         request = drive.arrive(SAFE)
-        drive.outcome(request, 0, Outcome.OK)
+        drive.end_attempt(request, 0, Outcome.OK)
     assert drive.count(left) == before
     drive.feed(EndpointList(ListKind.DELTA))
     while drive.sent_to(drive.arrive(SAFE)):  # all at once, up to the limit on calls in flight
@@ -418,7 +418,7 @@
     lost = drive.now
     drive.advance(lost + KNOWN_AFTER_WATCH_END_MS - 100.0)
     for _ in range(20):
-        drive.outcome(drive.arrive(SAFE), 0, Outcome.OK)
+        drive.end_attempt(drive.arrive(SAFE), 0, Outcome.OK)
     drive.advance(lost + KNOWN_AFTER_WATCH_END_MS + 1.0)
     assert not drive.sent_to(drive.arrive(SAFE))
 
@@ -620,7 +620,7 @@
         drive.arrive(SAFE)
     assert {a.endpoint for _, a in drive.log if isinstance(a, Send)} == {1}
     tried = next(request for request, tries in drive.attempts.items() if tries)
-    drive.outcome(tried, 0, Outcome.REJECTED)
+    drive.end_attempt(tried, 0, Outcome.REJECTED)
     turning.wait(400.0)
     assert {a.endpoint for _, a in drive.log if isinstance(a, Send)} == {1}
 
@@ -638,7 +638,7 @@
             for endpoint in turning.probes(before):
                 drive.feed(ProbeEnded(endpoint, Outcome.OK, 0.0))
             if request in drive.unanswered and drive.attempts[request]:
-                drive.outcome(request, 0, Outcome.OK)
+                drive.end_attempt(request, 0, Outcome.OK)
         probes = turning.probes()
         most = 10 * (drive.balancer._subset_size() + 1)
         assert not probes if heard else 0 < len(probes) <= most, "the subset, once a second"
