--- a/tests/support.py
+++ b/tests/support.py
@@ -179,7 +179,7 @@
             assert not self._may_have_run(request), "refused although an attempt may have been executed"
 
 
-def drive(n: int = 4, **changes: object) -> Drive:
+def make_drive(n: int = 4, **changes: object) -> Drive:
     """A driver whose balancer has received a list of `n` endpoints."""
     driver = Drive(settings(**changes))
     driver.send_list(*endpoints(n))
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -60,7 +60,7 @@
 from tests.control_instance import ControlInstance
 from tests.outside import loaded, refused
 from tests.rig import request, run, until
-from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, drive, endpoints
+from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, endpoints, make_drive
 from tests.test_control import call, figures
 from tests.test_properties import step, time_out_overdue
 from tests.test_services import static, two
@@ -269,7 +269,7 @@
 
 
 def test_a_call_in_flight_keeps_the_class_it_came_in() -> None:
-    made = drive(4)
+    made = make_drive(4)
     asked = made.arrive(KEYED)
     classes = list(SETTINGS.classes)
     classes[KEYED] = replace(classes[KEYED], repeat=Repeat.UNSAFE)
@@ -284,7 +284,7 @@
 
 
 def test_a_class_that_becomes_repeatable_leaves_earlier_calls_unsafe() -> None:
-    made = drive(4)
+    made = make_drive(4)
     asked = made.arrive(UNSAFE)
     classes = list(SETTINGS.classes)
     classes[UNSAFE] = replace(classes[UNSAFE], repeat=Repeat.KEYED, scope=Scope.ALL, window=5000.0)
@@ -294,7 +294,7 @@
 
 
 def test_what_was_learned_stays() -> None:
-    made = drive(4)
+    made = make_drive(4)
     for _ in range(50):
         asked = made.arrive()
         made.advance(made.now + 30)
@@ -307,7 +307,7 @@
 
 
 def test_fewer_attempts_hold_for_calls_that_are_open() -> None:
-    made = drive(4)
+    made = make_drive(4)
     asked = made.arrive()
     made.balancer.reconfigure(made.now, replace(SETTINGS, max_attempts=1))
     made.end_attempt(asked, 0, Outcome.ERROR)
@@ -324,7 +324,7 @@
     ],
 )
 def test_what_takes_a_new_balancer_is_named_and_nothing_changes(field: str, settings: Settings) -> None:
-    made = drive(4, tenants=TENANTS)
+    made = make_drive(4, tenants=TENANTS)
     before = made.balancer.settings
     with pytest.raises(ValueError, match=rf"Settings\.{field} can't be changed in service"):
         made.balancer.reconfigure(made.now, settings)
@@ -332,7 +332,7 @@
 
 
 def test_a_tenant_that_is_added_has_its_own_share() -> None:
-    made = drive(4, tenants=TENANTS)
+    made = make_drive(4, tenants=TENANTS)
     made.balancer.reconfigure(made.now, replace(made.config, tenants=(*TENANTS, Tenant("c", 5.0))))
     assert made.balancer.quotas is not None
     assert made.balancer.quotas.tokens[2] == 5.0
@@ -341,7 +341,7 @@
 
 
 def test_waiting_calls_go_out_when_a_change_makes_room() -> None:
-    made = drive(0, cold_time=1e9, cold_share=0.0, ask_within=1e6)
+    made = make_drive(0, cold_time=1e9, cold_share=0.0, ask_within=1e6)
     made.send_list(*endpoints(1, started_at=made.now))
     first, second = made.arrive(), made.arrive()
     waiting = [r for r in (first, second) if not made.attempts[r]]
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from tests.kinds import patched
-from tests.support import KEYED, SAFE, TENANTS, UNSAFE, Drive, drive, endpoints, settings
+from tests.support import KEYED, SAFE, TENANTS, UNSAFE, Drive, endpoints, make_drive, settings
 
 
 def serve_calls(
@@ -62,7 +62,7 @@
 
 
 def test_overload_is_limited_and_requests_without_a_chance_are_refused() -> None:
-    d = drive(4)
+    d = make_drive(4)
     serve_calls(d, 60)
     requests = send_burst(d, 200)
     assert attempts_in_flight(d) < 40
@@ -71,13 +71,13 @@
 
 
 def test_an_inner_tier_has_no_concurrency_limit() -> None:
-    d = drive(4, stage=1)
+    d = make_drive(4, stage=1)
     send_burst(d, 200)
     assert attempts_in_flight(d) == 200
 
 
 def test_late_answers_cut_the_limit_and_quick_ones_restore_it() -> None:
-    d = drive(4)
+    d = make_drive(4)
     serve_calls(d, 60)
     admission = d.balancer.admission
     assert admission is not None
@@ -102,7 +102,7 @@
 
 def test_one_slow_endpoint_does_not_cut_the_limit() -> None:
     """A mean would cut it: 900 ms at one endpoint of six and 20 ms elsewhere is far above target."""
-    d = drive(6)
+    d = make_drive(6)
     admission = d.balancer.admission
     assert admission is not None
     serve_calls(d, 300, times={3: 900.0})
@@ -110,7 +110,7 @@
 
 
 def test_the_limit_leaves_room_for_the_usual_calls_in_flight() -> None:
-    d = drive(2)
+    d = make_drive(2)
     admission = d.balancer.admission
     assert admission is not None
     for _ in range(40):
@@ -138,7 +138,7 @@
 
 def test_a_refusal_comes_early_enough_for_another_try() -> None:
     """After a late refusal, the client's retry is served too late and takes the place of another request."""
-    d = drive(2)
+    d = make_drive(2)
     serve_calls(d, 60)
     requests = send_burst(d, 200)
     d.advance(d.now + 0.2 * d.config.classes[SAFE].aim)
@@ -147,7 +147,7 @@
 
 
 def test_the_request_of_highest_worth_is_sent_first() -> None:
-    d = drive(1)
+    d = make_drive(1)
     serve_calls(d, 30)
     d.end_attempt(d.arrive(UNSAFE), 0, Outcome.OK)
     for _ in range(20):
@@ -162,7 +162,7 @@
 
 
 def test_requests_beyond_a_tenants_quota_are_refused_first() -> None:
-    d = drive(1, tenants=TENANTS, over_share_worth=0.1)
+    d = make_drive(1, tenants=TENANTS, over_share_worth=0.1)
     serve_calls(d, 5)
     beyond_quota = send_burst(d, 60, tenant=0)
     within_quota = send_burst(d, 3, tenant=1)
@@ -183,7 +183,7 @@
 
 def test_an_instance_of_many_does_not_refuse_by_chance() -> None:
     """Two calls at once are usual for an instance whose share of the limit is less than one."""
-    d = drive(8, siblings=60)
+    d = make_drive(8, siblings=60)
     for _ in range(200):
         pair = send_burst(d, 2)
         d.advance(d.now + 150.0)
@@ -196,7 +196,7 @@
 
 @pytest.mark.parametrize("index", [0, 5, 11])
 def test_few_calls_use_only_the_instances_own_subset(index: int) -> None:
-    d = drive(36, stage=1, siblings=12, index=index)
+    d = make_drive(36, stage=1, siblings=12, index=index)
     serve_calls(d, 60)
     used = {e for r in d.attempts for e in d.sent_to(r)}
     assert len(used) == 3
@@ -205,7 +205,7 @@
 
 
 def test_a_busy_subset_endpoint_does_not_send_calls_outside_the_subset() -> None:
-    d = drive(36, siblings=12)
+    d = make_drive(36, siblings=12)
     admission = d.balancer.admission
     assert admission is not None
     admission.each = 1.0
@@ -234,7 +234,7 @@
 
 def test_one_quick_answer_does_not_double_the_limit_of_an_instance_of_many() -> None:
     """With a fifth of each endpoint, one more call for this instance means five more per endpoint."""
-    d = drive(8, siblings=40)
+    d = make_drive(8, siblings=40)
     admission = d.balancer.admission
     assert admission is not None
     before = admission.each
@@ -244,7 +244,7 @@
 
 def test_a_median_of_few_responses_gets_more_slack() -> None:
     """Its rises are random: without slack they would cause shedding and refusals at low load."""
-    few, many = drive(8), drive(8)
+    few, many = make_drive(8), make_drive(8)
     for d, pause in ((few, 700.0), (many, 5.0)):
         for _ in range(150):
             serve_calls(d, 1, times={n: 200.0 for n in range(1, 9)})
@@ -254,7 +254,7 @@
 
 
 def test_an_endpoint_that_fails_at_once_is_ejected_and_tried_again() -> None:
-    d = drive(6)
+    d = make_drive(6)
     serve_calls(d, 120, failing=frozenset({4}))
     before = d.count(4)
     assert before < 25
@@ -267,7 +267,7 @@
 
 
 def test_a_slow_endpoint_is_ejected() -> None:
-    d = drive(6)
+    d = make_drive(6)
     serve_calls(d, 200, times={2: 400.0})
     taken = d.count(2)
     assert taken < 20
@@ -277,7 +277,7 @@
 
 def test_when_all_fail_none_is_ejected() -> None:
     """The problem is then behind the endpoints, in a tier that they call."""
-    d = drive(6)
+    d = make_drive(6)
     serve_calls(d, 100, failing=frozenset(range(1, 7)))
     d.advance(d.now + 10_000)  # one that got more calls at first may have looked worse than the rest
     serve_calls(d, 100, failing=frozenset(range(1, 7)))
@@ -285,19 +285,19 @@
 
 
 def test_never_more_than_a_third_is_ejected() -> None:
-    d = drive(9)
+    d = make_drive(9)
     serve_calls(d, 400, failing=frozenset({1, 2, 3, 4, 5}))
     assert sum(s.ejected_until > d.now for s in d.balancer.ring) <= 3
 
 
 def test_a_tie_goes_to_the_quicker_endpoint() -> None:
-    d = drive(3, stage=1)
+    d = make_drive(3, stage=1)
     serve_calls(d, 150, times={2: 32.0})
     assert d.count(2) < 40
 
 
 def test_a_cold_endpoint_is_not_ejected_for_being_slow() -> None:
-    d = drive(5)
+    d = make_drive(5)
     serve_calls(d, 100)
     d.send_list(Endpoint(9, started_at=d.now), kind=ListKind.DELTA)
     for _ in range(60):
@@ -312,7 +312,7 @@
 
 def test_a_machine_that_was_unreachable_is_cold_after_its_return_without_word_from_discovery() -> None:
     """If it restarts during an outage of discovery, its old list entry says warm: it would be overloaded."""
-    d = drive(4)
+    d = make_drive(4)
     serve_calls(d, 200)
     unreachable = d.balancer.servers[1]
     cold = d.balancer.cold
@@ -333,7 +333,7 @@
 
 
 def test_a_single_connect_failure_does_not_make_an_endpoint_cold() -> None:
-    d = drive(4)
+    d = make_drive(4)
     server = d.balancer.servers[1]
     for _ in range(5):
         server.record_reachability(d.now, Outcome.CONNECT_FAILED)
@@ -343,7 +343,7 @@
 
 def test_quick_cold_peers_do_not_make_a_usual_endpoint_an_outlier() -> None:
     """Only the minimum capacity of cold endpoints is known: relative to it they look far too fast."""
-    d = drive(4)
+    d = make_drive(4)
     serve_calls(d, 100)
     d.send_list(*[Endpoint(n, started_at=d.now) for n in range(10, 16)], kind=ListKind.DELTA)
     usual, *peers = sorted(d.balancer.ring, key=lambda s: s.info.id)
@@ -357,14 +357,14 @@
 
 def test_when_most_endpoints_are_slow_some_are_ejected_to_recover() -> None:
     """Compared with its peers each is normal then, and none would ever be idle enough to recover."""
-    d = drive(9)
+    d = make_drive(9)
     serve_calls(d, 600, times={n: 200.0 for n in range(1, 7)})
     assert sum(s.ejected_until > -math.inf for s in d.balancer.ring) >= 1
     assert sum(s.ejected_until > d.now for s in d.balancer.ring) <= 3
 
 
 def test_no_endpoint_takes_more_than_its_part_of_the_limit() -> None:
-    d = drive(2)
+    d = make_drive(2)
     for _ in range(20):
         send_burst(d, 20)
         serve_all_pending(d, 30.0)
@@ -377,7 +377,7 @@
 
 def test_under_overload_work_of_least_worth_is_shed_first() -> None:
     """An instance of hundreds has a call or two: there is no queue to serve by worth."""
-    d = drive(4, siblings=40)
+    d = make_drive(4, siblings=40)
     due: list[tuple[float, int]] = []
     requests: dict[int, list[int]] = {SAFE: [], UNSAFE: []}
 
@@ -408,7 +408,7 @@
 
 def test_few_answers_are_enough_to_see_late_ones() -> None:
     """At one call per second, a median of the last thirty responses would lag by half a minute."""
-    d = drive(4, siblings=40)
+    d = make_drive(4, siblings=40)
     admission = d.balancer.admission
     assert admission is not None
 
@@ -427,13 +427,13 @@
 
 def test_the_first_requests_of_a_day_are_not_refused() -> None:
     """Before anything is learned, the limit allows some calls on each endpoint."""
-    d = drive(8)
+    d = make_drive(8)
     assert send_burst(d, 30) and attempts_in_flight(d) >= 30
 
 
 def test_keyed_class_of_scope_all_may_go_anywhere() -> None:
     classes = (RequestClass("k", 3000.0, Repeat.KEYED, 1000.0, scope=Scope.ALL, window=900.0),)
-    d = drive(3, classes=classes)
+    d = make_drive(3, classes=classes)
     request = d.arrive(0)
     d.end_attempt(request, 0, Outcome.RESET)
     d.advance(d.now + 500)
@@ -478,7 +478,7 @@
 def test_held_requests_do_not_each_pass_over_endpoints_that_are_all_busy(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    d = drive(2, siblings=1)
+    d = make_drive(2, siblings=1)
     send_burst(d, 200)
     passes = 0
     look = Balancer._ready
@@ -499,7 +499,7 @@
 
 def test_the_only_endpoint_is_used_again_soon_after_it_was_out_of_reach_however_much_it_served() -> None:
     """Calls sent while it was warm must not count against it once it is assumed cold."""
-    d = drive(1)
+    d = make_drive(1)
     serve_calls(d, 2000)
     (unreachable,) = d.balancer.servers.values()
     for _ in range(2):
@@ -519,7 +519,7 @@
 
 def test_an_endpoint_that_is_back_is_found_by_an_instance_with_one_call_at_a_time() -> None:
     """It is assumed cold until it answers, and a cold endpoint would lose every comparison."""
-    d = drive(4)
+    d = make_drive(4)
     serve_calls(d, 400)
     returned = d.balancer.servers[1]
     for _ in range(200):
@@ -564,7 +564,7 @@
     None
 ):
     """It may be draining, and discovery can't say so: each further attempt there would violate rule 3."""
-    d = drive(4)
+    d = make_drive(4)
     d.feed(EndpointList(ListKind.FAILED))
     assert serve_or_reject(d, 40, rejecting=frozenset({1}), pause=0.0).count(1) == 1
     d.advance(d.now + 4000.0)
@@ -577,7 +577,7 @@
 
 
 def test_rejections_are_ignored_for_pushed_lists_and_while_a_watch_is_active() -> None:
-    for d in (drive(4, ask_discovery=False), drive(4)):
+    for d in (make_drive(4, ask_discovery=False), make_drive(4)):
         d.advance(d.now + 60_000.0)
         assert len(set(serve_or_reject(d, 60, rejecting=frozenset({1})))) == 4
 
@@ -592,10 +592,10 @@
 
 def test_a_slow_endpoint_gets_fewer_calls_but_not_none() -> None:
     """Its slots are occupied by waiting calls; this sidecar's own calls there are too few to show it."""
-    d = drive(2, stage=1)
+    d = make_drive(2, stage=1)
     d.balancer.servers[1].slow, d.balancer.servers[1].judged_at = 2.0, d.now
     assert 0.2 < share_in_flight(d, 1, 60) < 0.4
-    assert abs(share_in_flight(drive(2, stage=1), 1, 60) - 0.5) < 0.05
+    assert abs(share_in_flight(make_drive(2, stage=1), 1, 60) - 0.5) < 0.05
 
 
 def test_an_endpoint_of_four_times_the_size_holds_twice_the_calls() -> None:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -43,7 +43,7 @@
     read_message,
 )
 from tests.rig import SETTINGS, config, request, run, until
-from tests.support import drive
+from tests.support import make_drive
 from tests.test_control import call
 
 # The state
@@ -83,7 +83,7 @@
 
 
 def test_learned_state_is_handed_over_and_tokens_are_split() -> None:
-    old, new = drive(6), drive(6)
+    old, new = make_drive(6), make_drive(6)
     for n in range(60):
         number = old.arrive()
         ill = old.sent_to(number)[0] == 3
@@ -115,7 +115,7 @@
     async def test() -> None:
         parts = assemble_single_pool(config([], Address("127.0.0.1", 9)), {}, Lifecycle())
         (pool,) = parts.pools()
-        learned = export_learned(drive(1).balancer) | {"classes": classes, "tokens": 77.0}
+        learned = export_learned(make_drive(1).balancer) | {"classes": classes, "tokens": 77.0}
         parts.begin(replace(STATE, learned=json.loads(json.dumps(learned))))
         assert isinstance(pool.source, Discovery)
         assert pool.source.index == (41 if taken else 1), "the configuration's own list is of version 1"
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("field", ["servers", "limit", "times", "tokens"])
 def test_learned_state_that_cannot_be_read_changes_nothing(field: str) -> None:
-    old, new = drive(3), drive(3)
+    old, new = make_drive(3), make_drive(3)
     learned = export_learned(old.balancer)
     tokens, times = new.balancer.budget.tokens, list(new.balancer.low_latency)
     servers = {id: server.failing for id, server in new.balancer.servers.items()}
@@ -157,7 +157,7 @@
 
 def test_two_processes_send_a_cold_endpoint_no_more_than_one() -> None:
     """The allowances of both processes together grow as that of a single process does."""
-    alone, one, other = drive(6), drive(6), drive(6)
+    alone, one, other = make_drive(6), make_drive(6), make_drive(6)
     for each in (one, other):
         each.balancer.set_paired(True)
     for each in (alone, one, other):
--- a/tests/test_ordinary_path.py
+++ b/tests/test_ordinary_path.py
@@ -21,11 +21,11 @@
     TimerFired,
 )
 from millgw.policy.backoff import Backoff
-from tests.support import KEYED, SAFE, UNSAFE, Drive, drive, endpoints, settings
+from tests.support import KEYED, SAFE, UNSAFE, Drive, endpoints, make_drive, settings
 
 
 def test_a_retry_waits_goes_elsewhere_and_is_served() -> None:
-    d = drive()
+    d = make_drive()
     request = d.arrive(SAFE)
     d.end_attempt(request, 0, Outcome.ERROR)
     assert len(d.sent_to(request)) == 1, "a retry waits first"
@@ -52,7 +52,7 @@
 
 
 def test_an_empty_budget_ends_the_request() -> None:
-    d = drive()
+    d = make_drive()
     while d.balancer.budget.spend():
         pass
     request = d.arrive(SAFE)
@@ -72,7 +72,7 @@
 
 
 def test_no_retry_past_the_deadline() -> None:
-    d = drive()
+    d = make_drive()
     request = d.arrive(SAFE, patience=60.0)
     d.advance(d.now + 45)
     d.end_attempt(request, 0, Outcome.ERROR)
@@ -80,7 +80,7 @@
 
 
 def test_unsafe_is_resent_only_when_proven_not_run() -> None:
-    d = drive()
+    d = make_drive()
     proven, unknown = d.arrive(UNSAFE), d.arrive(UNSAFE)
     d.end_attempt(proven, 0, Outcome.REJECTED)
     d.end_attempt(unknown, 0, Outcome.ERROR)
@@ -90,7 +90,7 @@
 
 
 def test_keyed_stays_in_its_group_and_window() -> None:
-    d = drive(6)
+    d = make_drive(6)
     for _ in range(100):
         d.end_attempt(d.arrive(SAFE), 0, Outcome.OK)
     for _ in range(9):
@@ -106,7 +106,7 @@
 
 
 def test_the_less_loaded_of_two_takes_the_call() -> None:
-    d = drive(2)
+    d = make_drive(2)
     first, second = d.arrive(), d.arrive()
     assert set(d.sent_to(first) + d.sent_to(second)) == {1, 2}
 
@@ -123,7 +123,7 @@
 
 
 def test_stale_and_unknown_events_are_harmless() -> None:
-    d = drive()
+    d = make_drive()
     request = d.arrive()
     d.abort(request)
     d.end_attempt(request, 0, Outcome.ERROR)
--- a/tests/test_partial.py
+++ b/tests/test_partial.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from millgw.interface import BodyDiscarded, Fail, Outcome, Refuse, RequestArrived, RequestBodyComplete, Send
-from tests.support import SAFE, UNSAFE, Drive, drive
+from tests.support import SAFE, UNSAFE, Drive, make_drive
 
 
 def partial(d: Drive, cls: int = UNSAFE) -> int:
@@ -17,7 +17,7 @@
 
 
 def test_incomplete_bodies_count_against_no_limit_and_no_endpoint() -> None:
-    d = drive(4)
+    d = make_drive(4)
     for _ in range(500):
         assert d.attempts[partial(d)], "held back by a limit that it does not count against yet"
     for _ in range(4):
@@ -26,7 +26,7 @@
 
 
 def test_a_complete_body_counts_against_the_limits_and_has_a_deadline() -> None:
-    d = drive(4)
+    d = make_drive(4)
     request = partial(d, SAFE)
     assert len(d.balancer.in_flight) == 0
     d.feed(RequestBodyComplete(request, d.now + 500))
@@ -39,7 +39,7 @@
 
 
 def test_a_request_whose_body_was_partly_sent_is_not_tried_again_and_is_refused_as_it_never_ran() -> None:
-    d = drive(4)
+    d = make_drive(4)
     request = partial(d)
     d.feed(BodyDiscarded(request))
     actions = d.end_attempt(request, 0, Outcome.CONNECT_FAILED)
@@ -49,7 +49,7 @@
 
 
 def test_an_attempt_that_failed_before_any_of_the_body_was_sent_is_made_again() -> None:
-    d = drive(4)
+    d = make_drive(4)
     for _ in range(30):  # answers fill the retry budget
         d.end_attempt(d.arrive(), 0, Outcome.OK)
     request = partial(d)
@@ -60,7 +60,7 @@
 
 
 def test_events_about_requests_that_ended_are_harmless() -> None:
-    d = drive(4)
+    d = make_drive(4)
     request = partial(d)
     d.feed(BodyDiscarded(request))
     d.abort(request)
