--- a/tests/kinds.py
+++ b/tests/kinds.py
@@ -10,7 +10,7 @@
 
 COMPILED = not str(decide.__file__).endswith(".py")
 
-once = pytest.mark.skipif(
+skip_if_pure = pytest.mark.skipif(
     bool(os.environ.get(compiled.PURE_VARIABLE)),
     reason="uses no compiled module: covered by the compiled run",
 )
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -32,9 +32,9 @@
 from millgw.standins.coordinator.command import carry_out
 from millgw.standins.coordinator.ensemble import Ensemble
 from millgw.standins.coordinator.tree import Failed, Tree
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 
-pytestmark = once
+pytestmark = skip_if_pure
 
 T = TypeVar("T")
 LIMIT = 15.0  # s that anything may take, far over what it needs
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -19,9 +19,9 @@
 from millgw.peers.sealed import MessageRefused, Signer, Verifier
 from millgw.peers.state_transfer import StateTransfer
 from millgw.standins.network import Network
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 
-pytestmark = once
+pytestmark = skip_if_pure
 COLD_TIME = 10_000.0
 OBSERVE_INTERVAL_MS = 500.0
 
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -24,7 +24,7 @@
     Send,
     Settings,
 )
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 
 NOW = 1_000_000.0
 COLD_TIME = 10_000.0
@@ -135,7 +135,7 @@
     assert calls_to_a_cold_endpoint(True) <= 2 and calls_to_a_cold_endpoint(False) <= 2
 
 
-@once
+@skip_if_pure
 def test_sidecars_that_join_during_a_cold_start_overload_it_without_peer_reports_only() -> None:
     """Seventy endpoints, sixty sidecars, the same seed; 1.0 is the load at which the cold endpoint fails."""
     alone, _ = Run(70, 60, peers=False, heard=False, seed=1).play()
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -34,7 +34,7 @@
 from millgw.top import door
 from millgw.top.show import as_json
 from millgw.top.standing import Standing as Sidecar
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 from tests.outside import loaded, refused
 from tests.rig import SETTINGS as WORDED
 from tests.rig import request, run, services
@@ -275,7 +275,7 @@
 """
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize(
     ("text", "says"),
     [
@@ -299,7 +299,7 @@
     assert says in refused(tmp_path, text, capsys)
 
 
-@once
+@skip_if_pure
 def test_a_zone_that_the_settings_do_not_have_ends_a_start(tmp_path: Path) -> None:
     async def test() -> None:
         with pytest.raises(ValueError, match=r"places\.zone: the settings' localities have no 'z'"):
@@ -309,7 +309,7 @@
     run(test)
 
 
-@once
+@skip_if_pure
 def test_the_daemon_loads_nothing_of_zones_without_places() -> None:
     assert loaded("millgw.sidecar.__main__, millgw.sidecar.parts", "millgw.locality") == []
 
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -29,9 +29,9 @@
 from millgw.platform.config import Address
 from millgw.platform.discovery import Listed, endpoint_id, listed_as
 from millgw.standins.coordinator.tree import Failed, Told, Tree
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 
-pytestmark = once
+pytestmark = skip_if_pure
 
 TIMEOUT = 10_000.0  # ms of a session
 NOWHERE = Stat(1, 2, 3, 4, 0, 0, 0, 0, 0, 0, 5)
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -36,12 +36,12 @@
 from millgw.platform.config import Address
 from millgw.pool.pool import Pool
 from millgw.standins.address import free_address
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 from tests.outside import loaded, refused
 from tests.rig import run, until
 from tests.test_membership import ensemble
 
-pytestmark = once
+pytestmark = skip_if_pure
 KEY, OTHER = b"0123456789abcdef", b"fedcba9876543210"
 SETTINGS = Settings(
     (RequestClass("read", 5000.0, Repeat.SAFE, 1000.0),), 0.2, 10_000.0, 2.5, 1000.0, ask_discovery=False
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -19,9 +19,9 @@
 from millgw.peers.sealed import REPLAY_WINDOW, MessageRefused, Signer, Verifier
 from millgw.peers.swim import MemberUpdate, Message, MessageKind, Status, Swim, Terms, agree
 from millgw.standins.network import Network
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 
-pytestmark = once
+pytestmark = skip_if_pure
 
 PERIOD = Terms().period
 
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -30,9 +30,9 @@
     Told,
     Word,
 )
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 
-pytestmark = once
+pytestmark = skip_if_pure
 
 RULES = AuditRules(
     classes={
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -27,9 +27,9 @@
 from millgw.standins.discovery_server import OutageKind
 from millgw.standins.endpoint_registry import EndpointRegistry, Entry
 from millgw.standins.ledger import Attempt, Call, End, InjectedFault, Ledger, Life, Told, Upgrade, shift
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 
-pytestmark = once
+pytestmark = skip_if_pure
 
 SEEDS = st.integers(0, 10**9)
 
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -23,7 +23,7 @@
 from millgw.rehearsal.testbed import Testbed
 from millgw.standins.ledger import Call, Ledger
 from tests.alone import alone
-from tests.kinds import aside, once
+from tests.kinds import aside, skip_if_pure
 
 SCRIPT = Path(__file__).parent / "wrong" / "sidecar.py"
 RULES = {
@@ -232,7 +232,7 @@
     return {f.rule: [str(e) for e in f.evidence[:3]] for f in day.audit.findings if f.broken}
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize("kind", RULES)
 def test_a_wrong_sidecar_breaks_exactly_its_rule(kind: str) -> None:
     day = wrong_days()[kind]
@@ -240,14 +240,14 @@
     assert day.audit.exit_code == 1
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize("kind", FOUND_BY_A_LATE_RIG)
 def test_a_wrong_sidecar_is_found_by_a_rig_that_is_late(kind: str) -> None:
     day = late_rig_days()[kind]
     assert set(broken(day)) == {RULES[kind]}, broken(day)
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize("kind", NEVER_CLEARED_BY_A_LATE_RIG)
 def test_a_wrong_sidecar_is_never_cleared_by_a_rig_that_is_late(kind: str) -> None:
     day = late_rig_days()[kind]
@@ -256,7 +256,7 @@
     assert set(broken(day)) <= {RULES[kind]}, broken(day)
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize("name", ["right", "callers-leave", "drain-wave"])
 def test_a_rig_that_is_late_accuses_no_honest_sidecar(name: str) -> None:
     """Otherwise what the rig read, wrote or closed late is held against the sidecar."""
@@ -266,19 +266,19 @@
     assert day.conclusion == "INCONCLUSIVE" and day.summary.served > 0
 
 
-@once
+@skip_if_pure
 def test_the_same_sidecar_with_nothing_planted_breaks_none() -> None:
     assert not broken(wrong_days()["right"])
 
 
-@once
+@skip_if_pure
 def test_a_sidecar_that_sends_only_what_the_protocol_asks_for_is_served() -> None:
     day = wrong_days()["bare"]
     assert not broken(day), broken(day)
     assert not day.summary.unusable and day.summary.served > day.summary.asked * 0.8
 
 
-@once
+@skip_if_pure
 def test_a_day_that_served_nothing_is_inconclusive_and_names_the_cause() -> None:
     day = wrong_days()["misspells"]
     assert day.conclusion == "INCONCLUSIVE" and day.audit.exit_code == 3 and not day.summary.served
@@ -300,7 +300,7 @@
     assert day.summary.served > 0 and day.audit.findings[0].checked > day.summary.asked / 2
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize("seed", SOAKED)
 def test_the_daemon_breaks_no_rule_on_days_that_a_soak_draws(seed: int) -> None:
     day = soaked_days()[str(seed)]
@@ -308,7 +308,7 @@
     assert day.summary.served > 0 and day.audit.findings[0].checked > day.summary.asked / 2
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize("name", COORDINATED)
 def test_the_daemon_breaks_no_rule_by_a_coordinator_s_word(name: str) -> None:
     day = coordinated_days()[name]
@@ -379,7 +379,7 @@
     assert effects.kinds["a fragile request sent again that may have run"] > 0
 
 
-@once
+@skip_if_pure
 @pytest.mark.parametrize("name", ["upgrade", "upgrade, marked"])
 def test_upgrades_hit_no_request_and_break_no_rule(name: str) -> None:
     """The second with unsafe calls marked in a store, which one process at a time has."""
@@ -389,7 +389,7 @@
     assert day.summary.hit_by_upgrades == 0 and day.summary.served > 0.9 * day.summary.asked
 
 
-@once
+@skip_if_pure
 def test_clients_are_sent_away_and_taken_again() -> None:
     day = daily_days()["drain-and-resume"]
     assert not broken(day), broken(day)
@@ -397,7 +397,7 @@
     assert day.summary.served > 0.9 * day.summary.asked
 
 
-@once
+@skip_if_pure
 def test_long_bodies_and_answers_come_whole_within_the_memory() -> None:
     day = daily_days()["long-bodies"]
     assert not broken(day), broken(day)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -27,10 +27,10 @@
 from millgw.standins.ledger import Call, End, Ledger, Told
 from millgw.standins.request_check import answer_token
 from millgw.standins.scripted import ScriptedEndpoint, answering, read_message, silent
-from tests.kinds import once
+from tests.kinds import skip_if_pure
 from tests.rig import run, until
 
-pytestmark = once
+pytestmark = skip_if_pure
 
 TASKS = {
     "codigo": Task(work=2.0, wait=0.0, cv=0.0, deadline=5000.0),
