--- a/tests/kinds.py
+++ b/tests/kinds.py
@@ -14,7 +14,7 @@
     bool(os.environ.get(compiled.PURE_VARIABLE)),
     reason="uses no compiled module: covered by the compiled run",
 )
-aside = pytest.mark.skipif(
+pure_run_only = pytest.mark.skipif(
     not os.environ.get(compiled.PURE_VARIABLE),
     reason="uses no compiled module: covered by the pure Python run",
 )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -25,11 +25,11 @@
 from millgw.cli.report import FileReporting, Out, Reporting, Serving
 from millgw.cli.tree import COMMANDS, TREE
 from millgw.standins.address import free_address
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.outside import loaded
 from tests.rig import LIMIT
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 ROOT = Path(millgw.__file__).parent.parent
 NO_REPORT = {
--- a/tests/test_configuration_command.py
+++ b/tests/test_configuration_command.py
@@ -33,10 +33,10 @@
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from tests.configuration_rig import call
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import LIMIT
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -23,10 +23,10 @@
 from millgw.configuration.state import State
 from millgw.store.faulty import Crash, FaultyFiles, FaultyHandle, Inode
 from millgw.store.mark import NAMES
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.replica_cluster import Cluster, Node
 
-pytestmark = aside
+pytestmark = pure_run_only
 WALL = 1_800_000_000_000.0
 
 
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -12,10 +12,10 @@
 from millgw.configuration.control_client import Outcome, propose
 from millgw.configuration.document import Change
 from tests.configuration_rig import Cluster, Watcher
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import run, until
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 FAULT_TIME = 6.0  # s in which faults come and go
 PROPOSAL_WITHIN = 1.5  # s for one proposal
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -32,10 +32,10 @@
     call,
     propose,
 )
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import run, until
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 FLEET = 670  # sidecars
 STORM_TIME = 10.0  # s for all of them to be served again, far over what it takes
--- a/tests/test_configuration_messages.py
+++ b/tests/test_configuration_messages.py
@@ -34,9 +34,9 @@
     encode,
 )
 from millgw.configuration.proposal import MAX_DEPTH, ProposalError, check_document, check_proposal
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 BOUNDED = settings(
     deadline=None,
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -16,10 +16,10 @@
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from tests.configuration_rig import Answer, Cluster, Watcher, address_of, call, propose
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import run, until
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 ENTRIES = st.dictionaries(st.sampled_from("abc"), st.fixed_dictionaries({"n": st.integers(0, 2)}))
 
--- a/tests/test_configuration_replica.py
+++ b/tests/test_configuration_replica.py
@@ -35,10 +35,10 @@
 from millgw.configuration.state import State
 from millgw.simulation.explore import explore
 from millgw.simulation.models.replication import Replication, UntimedReplica
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.replica_cluster import Cluster, InvariantBroken, MakeReplica, Network, change
 
-pytestmark = aside
+pytestmark = pure_run_only
 THREE = ("a", "b", "c")
 FIVE = ("a", "b", "c", "d", "e")
 LEASE = Options("a", THREE).lease
--- a/tests/test_configuration_transport.py
+++ b/tests/test_configuration_transport.py
@@ -12,10 +12,10 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Clock, Listener, ServerConnection, listener, ok, status
 from millgw.standins.http import Message as HttpMessage
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import run, until
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 
 def request(epoch: int) -> VoteRequest:
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -35,9 +35,9 @@
     Watch,
     Watchers,
 )
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 
 def version(index: int, value: object = None) -> Version:
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -28,9 +28,9 @@
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.connections.terms import Order, Terms
 from millgw.interface import Condition, Endpoint, ListKind
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 SINCE = 1_000_000.0
 WALL = 1_700_000_000_000.0  # a Unix time
 TICK = 50.0  # ms between two checks of an instance
--- a/tests/test_interrupts.py
+++ b/tests/test_interrupts.py
@@ -13,9 +13,9 @@
 from millgw.cli.interrupts import run_interruptible
 from millgw.configuration import command as configuration_command
 from millgw.top import command as top_command
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 LIMIT = 10.0  # s
 AT = "127.0.0.1:1"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -7,10 +7,10 @@
 import pytest
 
 from tests.conftest import KnownFailure, known_failures, read_known_failures, unknown_tests
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
 pytest_plugins = ["pytester"]
-pytestmark = aside
+pytestmark = pure_run_only
 
 LISTED = "test_listed.py::test_it | pytest, seed 1 | it waits | issue 1"
 SUITE = "def test_it():\n    assert {passes}\n\ndef test_other():\n    pass\n"
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -26,9 +26,9 @@
 from millgw.load.shapes import parse as read_shape
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 BOUNDS = Bounds(1000.0, 0.05)  # far over what a busy machine makes of it: what is provoked is far over that
 
 
--- a/tests/test_load_pure.py
+++ b/tests/test_load_pure.py
@@ -25,9 +25,9 @@
 from millgw.load.run import parts
 from millgw.load.shapes import ShapeError, merged
 from millgw.load.shapes import parse as read_shape
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 
 def plan(*shapes: str, seconds: float = 10.0, **more: object) -> Plan:
--- a/tests/test_rehearsal_command.py
+++ b/tests/test_rehearsal_command.py
@@ -21,10 +21,10 @@
 from millgw.rehearsal.report import judge, to_json
 from millgw.rehearsal.scenario_files import parse, shipped
 from millgw.rehearsal.testbed import Testbed
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import LIMIT
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 ROOT = Path(__file__).parent.parent
 TINY = """
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -35,11 +35,11 @@
 from millgw.standins.configuration_ledger import ControlLife, ProposedVersion, VersionLook, VersionReport
 from millgw.standins.ledger import Ledger, Sample, SidecarLife
 from tests.alone import alone
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import LIMIT
 from tests.test_rehearsal_command import ROOT, processes, wait_until
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 EVERY = 200.0  # ms between two looks of the books
 SECONDS = 30
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -23,7 +23,7 @@
 from millgw.rehearsal.testbed import Testbed
 from millgw.standins.ledger import Call, Ledger
 from tests.alone import alone
-from tests.kinds import aside, skip_if_pure
+from tests.kinds import pure_run_only, skip_if_pure
 
 SCRIPT = Path(__file__).parent / "wrong" / "sidecar.py"
 RULES = {
@@ -334,7 +334,7 @@
     assert by_rule[2].checked and by_rule[3].checked and by_rule[4].checked
 
 
-@aside
+@pure_run_only
 @pytest.mark.parametrize("name", TENDED)
 def test_the_daemon_breaks_no_rule_with_its_connections_tended(name: str) -> None:
     day = tended_days()[name]
@@ -348,7 +348,7 @@
         assert day.summary.cold_handshakes <= day.scenario.connections.cold_per_s
 
 
-@aside
+@pure_run_only
 @pytest.mark.parametrize("name", PEERED)
 def test_sidecars_that_learn_from_each_other_break_no_rule_whoever_lies_or_vanishes(name: str) -> None:
     day = peered_days()[name]
@@ -358,7 +358,7 @@
     assert day.summary.asked > 100 and day.summary.served > 0.5 * day.summary.asked
 
 
-@aside
+@pure_run_only
 @pytest.mark.parametrize("name", ZONED)
 def test_sidecars_that_choose_by_zone_break_no_rule_whatever_happens_to_zones(name: str) -> None:
     day = zoned_days()[name]
@@ -370,7 +370,7 @@
         assert cold.checked and cold.nearest <= 1.0
 
 
-@aside
+@pure_run_only
 def test_no_login_code_is_sent_again_across_restarts_where_it_is_marked_and_is_where_it_is_not() -> None:
     marked, plain = marked_days()["marked"], marked_days()["plain"]
     assert not broken(marked), broken(marked)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,10 +26,10 @@
 from millgw.scale.schedule import Fault
 from millgw.standins.address import free_address
 from tests.alone import alone
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import LIMIT
 
-pytestmark = aside
+pytestmark = pure_run_only
 ROOT = Path(millgw.__file__).parent.parent
 AT_ONCE = 4  # runs beside each other: what takes time is mostly waiting
 RUN_TIME = 3 * LIMIT
--- a/tests/test_scale_pure.py
+++ b/tests/test_scale_pure.py
@@ -40,9 +40,9 @@
 )
 from millgw.scale.spread import Sightings, Topic
 from millgw.scale.targets import LATE_MOST, Row, Verdict, exit_code, judge, judge_time
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 STEADY = hypothesis_settings(derandomize=True, deadline=None, max_examples=40)
 OPERATORS = Sizes(670, 19, 7, 2, real=4)
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -11,9 +11,9 @@
 from millgw.policy.freshness import KNOWN_AFTER_MS, Freshness
 from millgw.simulation.explore import explore
 from millgw.simulation.models.freshness import FreshnessModel
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 
 class Jugs:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -45,9 +45,9 @@
     StoreFull,
 )
 from millgw.store.writer import Sync, Writer
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 SENT, UNSENT = Standing.SENT, Standing.UNSENT
 LIMIT = 10.0  # s
 WALL = 1_800_000_000_000.0
--- a/tests/test_top.py
+++ b/tests/test_top.py
@@ -22,10 +22,10 @@
 from millgw.top.figures import Aside, Figures, LocalityFigures, Look, Rotation, ZoneFigures
 from millgw.top.show import MOST_ENDPOINTS, as_json, tables
 from millgw.top.standing import KINDS, Standing, by_class, by_distance, by_endpoint, by_zone
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 from tests.rig import request, run, sidecar
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 
 def seen(served: int, relayed: int = 0, ready: bool = True, out: tuple[Aside, ...] = ()) -> Look:
--- a/tests/test_zone_fleet.py
+++ b/tests/test_zone_fleet.py
@@ -18,9 +18,9 @@
     ZoneFaultKind,
     ZoneFleet,
 )
-from tests.kinds import aside
+from tests.kinds import pure_run_only
 
-pytestmark = aside
+pytestmark = pure_run_only
 
 REGIONS = (0, 0, 0, 0, 1, 1, 1)
 EVEN = (5,) * 7
