--- a/tests/kinds.py
+++ b/tests/kinds.py
@@ -18,4 +18,6 @@
     not os.environ.get(compiled.PURE_VARIABLE),
     reason="uses no compiled module: covered by the pure Python run",
 )
-patched = pytest.mark.skipif(COMPILED, reason="replaces a method, which compiled modules don't allow")
+skip_if_compiled = pytest.mark.skipif(
+    COMPILED, reason="replaces a method, which compiled modules don't allow"
+)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -20,7 +20,7 @@
     Send,
     TimerFired,
 )
-from tests.kinds import patched
+from tests.kinds import skip_if_compiled
 from tests.support import KEYED, SAFE, TENANTS, UNSAFE, Drive, endpoints, make_drive, settings
 
 
@@ -474,7 +474,7 @@
     assert d.attempts[d.arrive()]
 
 
-@patched
+@skip_if_compiled
 def test_held_requests_do_not_each_pass_over_endpoints_that_are_all_busy(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -43,7 +43,7 @@
     read_message,
     silent,
 )
-from tests.kinds import patched
+from tests.kinds import skip_if_compiled
 from tests.rig import LIMIT, PATIENCE, SETTINGS, Client, request, run, sidecar, until
 
 
@@ -731,7 +731,7 @@
     run(test)
 
 
-@patched
+@skip_if_compiled
 def test_the_balancer_that_does_not_answer_is_answered_for() -> None:
     """The driver answers every call once and in time, even if the balancer module has a fault."""
 
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -13,7 +13,7 @@
 from millgw.pool.driver import Driver
 from millgw.pool.start_times import MAX_LISTING_DELAY_MS, MAX_REMEMBERED, StartTimes
 from millgw.standins.scripted import ScriptedEndpoint
-from tests.kinds import patched
+from tests.kinds import skip_if_compiled
 from tests.rig import run, sidecar, until
 
 HOUR = 3_600_000.0
@@ -83,7 +83,7 @@
     assert len(times.known) == MAX_REMEMBERED and 0 not in times.known
 
 
-@patched
+@skip_if_compiled
 @pytest.mark.parametrize("ahead", [HOUR, -HOUR])
 def test_a_sidecar_whose_clock_is_wrong_takes_a_new_endpoint_for_cold(
     ahead: float, monkeypatch: pytest.MonkeyPatch
