--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -228,7 +228,7 @@
     def __init__(self, info: Endpoint, now: float) -> None:
         self.info = info
         self.in_flight: dict[Attempt, None] = {}  # attempts in flight
-        self.slow = 1.0  # latency as a multiple of the usual one, as of `judged_at`
+        self.own_slowness = 1.0  # latency as a multiple of the usual one, as of `judged_at`
         self.judged_at = now
         self.failing = 0.0  # average failure rate
         self.ejected_until = -math.inf
@@ -278,7 +278,7 @@
 
     def measured_slowness(self, now: float) -> float:
         """The same from this instance's own calls alone."""
-        return 1.0 + (self.slow - 1.0) * math.exp((self.judged_at - now) / SLOWNESS_DECAY_MS)
+        return 1.0 + (self.own_slowness - 1.0) * math.exp((self.judged_at - now) / SLOWNESS_DECAY_MS)
 
     def record_served(self, now: float) -> None:
         self.served = self.served_rate(now) * SERVED_DECAY_MS + 1
@@ -306,8 +306,8 @@
     def record(now: float, server: Server, failed: bool, slowness: float) -> None:
         """Add one outcome; `slowness` is its latency as a multiple of the usual one of its class."""
         server.failing += FAILURE_WEIGHT * (failed - server.failing)
-        if not failed or slowness > server.slow:
-            server.slow += SLOWNESS_WEIGHT * (slowness - server.slow)
+        if not failed or slowness > server.own_slowness:
+            server.own_slowness += SLOWNESS_WEIGHT * (slowness - server.own_slowness)
             server.judged_at = now
 
     @staticmethod
@@ -318,7 +318,7 @@
         return [] if too_many_ejected or now < server.ejected_until else peers
 
     def eject_outlier(self, now: float, server: Server, ring: list[Server]) -> None:
-        if server.failing <= OUTLIER_FAILURE_RATE and server.slow <= 1.0:
+        if server.failing <= OUTLIER_FAILURE_RATE and server.own_slowness <= 1.0:
             return
         peers = self._remaining_peers(now, server, ring)
         if not peers:
@@ -328,14 +328,14 @@
         # and none could recover. Only warm ones: of a cold endpoint only the minimum capacity is known, so it
         # looks faster than it is.
         warm = [s for s in peers if self.cold.capacity_share(s, now) >= 1.0]
-        faster_peers = sum(server.slow > OUTLIER_MULTIPLE * s.slow for s in warm)
+        faster_peers = sum(server.own_slowness > OUTLIER_MULTIPLE * s.own_slowness for s in warm)
         if server.failing > max(OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * peer_failure_rate) or (
             faster_peers > int(FASTER_PEER_SHARE * len(warm))
         ):
             server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
             server.ejected_by_report = False
             server.failing = OUTLIER_FAILURE_RATE / 2
-            server.slow = OUTLIER_MULTIPLE / 2
+            server.own_slowness = OUTLIER_MULTIPLE / 2
 
     def eject_on_report(
         self, now: float, server: Server, failure_rate: float, ring: list[Server], jitter: float
@@ -1171,7 +1171,7 @@
         """Whether peers need no report of it: `millgw.peers.gossip.mark` would call it well."""
         return (
             server.failing < OUTLIER_FAILURE_RATE
-            and server.slow < OUTLIER_MULTIPLE
+            and server.own_slowness < OUTLIER_MULTIPLE
             and server.connect_failures < UNREACHABLE_AFTER
             and now >= server.ejected_until
             and self.cold.capacity_share(server, now) >= 1.0
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -348,7 +348,7 @@
     d.send_list(*[Endpoint(n, started_at=d.now) for n in range(10, 16)], kind=ListKind.DELTA)
     usual, *peers = sorted(d.balancer.ring, key=lambda s: s.info.id)
     for server in peers:
-        server.slow = 1.0 if server.info.id < 10 else 0.4
+        server.own_slowness = 1.0 if server.info.id < 10 else 0.4
     for _ in range(10):
         d.balancer.outliers.record(d.now, usual, False, 1.2)
         d.balancer.outliers.eject_outlier(d.now, usual, d.balancer.ring)
@@ -593,7 +593,7 @@
 def test_a_slow_endpoint_gets_fewer_calls_but_not_none() -> None:
     """Its slots are occupied by waiting calls; this sidecar's own calls there are too few to show it."""
     d = make_drive(2, stage=1)
-    d.balancer.servers[1].slow, d.balancer.servers[1].judged_at = 2.0, d.now
+    d.balancer.servers[1].own_slowness, d.balancer.servers[1].judged_at = 2.0, d.now
     assert 0.2 < share_in_flight(d, 1, 60) < 0.4
     assert abs(share_in_flight(make_drive(2, stage=1), 1, 60) - 0.5) < 0.05
 
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -168,7 +168,9 @@
         assert server.allowance <= before.allowance
         assert server.slowness(NOW) >= before.slowness(NOW)
         assert server.ejected_until >= before.ejected_until
-        assert (server.failing, server.slow) == (before.failing, before.slow), "its own record is unchanged"
+        assert (server.failing, server.own_slowness) == (before.failing, before.own_slowness), (
+            "its own record is unchanged"
+        )
     assert (
         len(made.out_of_rotation(NOW)) - sum(s.drain_reported_until > NOW for s in made.servers.values()) <= 3
     )
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -97,7 +97,7 @@
     assert old.balancer.budget.tokens + new.balancer.budget.tokens == pytest.approx(before)
     for id, server in old.balancer.servers.items():
         other = new.balancer.servers[id]
-        assert other.failing == server.failing and other.slow == server.slow
+        assert other.failing == server.failing and other.own_slowness == server.own_slowness
         assert (old.now < other.ejected_until) == (old.now < server.ejected_until)
     assert old.balancer.servers[3].failing > 0
     assert new.balancer.low_latency == old.balancer.low_latency
