--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -228,8 +228,8 @@
     def __init__(self, info: Endpoint, now: float) -> None:
         self.info = info
         self.in_flight: dict[Attempt, None] = {}  # attempts in flight
-        self.own_slowness = 1.0  # latency as a multiple of the usual one, as of `judged_at`
-        self.judged_at = now
+        self.own_slowness = 1.0  # latency as a multiple of the usual one, as of `slowness_at`
+        self.slowness_at = now
         self.failing = 0.0  # average failure rate
         self.ejected_until = -math.inf
         self.served = 0.0  # decaying count of served calls, as of `served_at`
@@ -278,7 +278,7 @@
 
     def measured_slowness(self, now: float) -> float:
         """The same from this instance's own calls alone."""
-        return 1.0 + (self.own_slowness - 1.0) * math.exp((self.judged_at - now) / SLOWNESS_DECAY_MS)
+        return 1.0 + (self.own_slowness - 1.0) * math.exp((self.slowness_at - now) / SLOWNESS_DECAY_MS)
 
     def record_served(self, now: float) -> None:
         self.served = self.served_rate(now) * SERVED_DECAY_MS + 1
@@ -308,7 +308,7 @@
         server.failing += FAILURE_WEIGHT * (failed - server.failing)
         if not failed or slowness > server.own_slowness:
             server.own_slowness += SLOWNESS_WEIGHT * (slowness - server.own_slowness)
-            server.judged_at = now
+            server.slowness_at = now
 
     @staticmethod
     def _remaining_peers(now: float, server: Server, ring: list[Server]) -> list[Server]:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -593,7 +593,7 @@
 def test_a_slow_endpoint_gets_fewer_calls_but_not_none() -> None:
     """Its slots are occupied by waiting calls; this sidecar's own calls there are too few to show it."""
     d = make_drive(2, stage=1)
-    d.balancer.servers[1].own_slowness, d.balancer.servers[1].judged_at = 2.0, d.now
+    d.balancer.servers[1].own_slowness, d.balancer.servers[1].slowness_at = 2.0, d.now
     assert 0.2 < share_in_flight(d, 1, 60) < 0.4
     assert abs(share_in_flight(make_drive(2, stage=1), 1, 60) - 0.5) < 0.05
 
