--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -230,7 +230,7 @@
         self.in_flight: dict[Attempt, None] = {}  # attempts in flight
         self.own_slowness = 1.0  # latency as a multiple of the usual one, as of `slowness_at`
         self.slowness_at = now
-        self.failing = 0.0  # average failure rate
+        self.failure_rate = 0.0  # average failure rate
         self.ejected_until = -math.inf
         self.served = 0.0  # decaying count of served calls, as of `served_at`
         self.served_at = now
@@ -305,7 +305,7 @@
     @staticmethod
     def record(now: float, server: Server, failed: bool, slowness: float) -> None:
         """Add one outcome; `slowness` is its latency as a multiple of the usual one of its class."""
-        server.failing += FAILURE_WEIGHT * (failed - server.failing)
+        server.failure_rate += FAILURE_WEIGHT * (failed - server.failure_rate)
         if not failed or slowness > server.own_slowness:
             server.own_slowness += SLOWNESS_WEIGHT * (slowness - server.own_slowness)
             server.slowness_at = now
@@ -318,23 +318,23 @@
         return [] if too_many_ejected or now < server.ejected_until else peers
 
     def eject_outlier(self, now: float, server: Server, ring: list[Server]) -> None:
-        if server.failing <= OUTLIER_FAILURE_RATE and server.own_slowness <= 1.0:
+        if server.failure_rate <= OUTLIER_FAILURE_RATE and server.own_slowness <= 1.0:
             return
         peers = self._remaining_peers(now, server, ring)
         if not peers:
             return
-        peer_failure_rate = sum(s.failing for s in peers) / len(peers)
+        peer_failure_rate = sum(s.failure_rate for s in peers) / len(peers)
         # Compared with the faster peers: if most of a tier is slow from overload, the mean would eject none,
         # and none could recover. Only warm ones: of a cold endpoint only the minimum capacity is known, so it
         # looks faster than it is.
         warm = [s for s in peers if self.cold.capacity_share(s, now) >= 1.0]
         faster_peers = sum(server.own_slowness > OUTLIER_MULTIPLE * s.own_slowness for s in warm)
-        if server.failing > max(OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * peer_failure_rate) or (
+        if server.failure_rate > max(OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * peer_failure_rate) or (
             faster_peers > int(FASTER_PEER_SHARE * len(warm))
         ):
             server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
             server.ejected_by_report = False
-            server.failing = OUTLIER_FAILURE_RATE / 2
+            server.failure_rate = OUTLIER_FAILURE_RATE / 2
             server.own_slowness = OUTLIER_MULTIPLE / 2
 
     def eject_on_report(
@@ -345,7 +345,7 @@
         if not peers:
             return
         if failure_rate > max(
-            OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * sum(s.failing for s in peers) / len(peers)
+            OUTLIER_FAILURE_RATE, OUTLIER_MULTIPLE * sum(s.failure_rate for s in peers) / len(peers)
         ):
             server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + jitter)
             server.ejected_by_report = True
@@ -1157,7 +1157,7 @@
                 server.served_rate(now) * SERVED_DECAY_MS, EJECTION_EVIDENCE_CALLS if unhealthy else 0.0
             )
             failure_rate, started_at = (
-                1.0 if unhealthy else server.failing,
+                1.0 if unhealthy else server.failure_rate,
                 max(server.info.started_at, server.back),
             )
             reports.append(
@@ -1170,7 +1170,7 @@
     def _unremarkable(self, now: float, server: Server) -> bool:
         """Whether peers need no report of it: `millgw.peers.gossip.mark` would call it well."""
         return (
-            server.failing < OUTLIER_FAILURE_RATE
+            server.failure_rate < OUTLIER_FAILURE_RATE
             and server.own_slowness < OUTLIER_MULTIPLE
             and server.connect_failures < UNREACHABLE_AFTER
             and now >= server.ejected_until
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -168,7 +168,7 @@
         assert server.allowance <= before.allowance
         assert server.slowness(NOW) >= before.slowness(NOW)
         assert server.ejected_until >= before.ejected_until
-        assert (server.failing, server.own_slowness) == (before.failing, before.own_slowness), (
+        assert (server.failure_rate, server.own_slowness) == (before.failure_rate, before.own_slowness), (
             "its own record is unchanged"
         )
     assert (
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -97,9 +97,9 @@
     assert old.balancer.budget.tokens + new.balancer.budget.tokens == pytest.approx(before)
     for id, server in old.balancer.servers.items():
         other = new.balancer.servers[id]
-        assert other.failing == server.failing and other.own_slowness == server.own_slowness
+        assert other.failure_rate == server.failure_rate and other.own_slowness == server.own_slowness
         assert (old.now < other.ejected_until) == (old.now < server.ejected_until)
-    assert old.balancer.servers[3].failing > 0
+    assert old.balancer.servers[3].failure_rate > 0
     assert new.balancer.low_latency == old.balancer.low_latency
     assert new.balancer.admission is not None and old.balancer.admission is not None
     assert new.balancer.admission.each == old.balancer.admission.each
@@ -131,12 +131,12 @@
     old, new = make_drive(3), make_drive(3)
     learned = export_learned(old.balancer)
     tokens, times = new.balancer.budget.tokens, list(new.balancer.low_latency)
-    servers = {id: server.failing for id, server in new.balancer.servers.items()}
+    servers = {id: server.failure_rate for id, server in new.balancer.servers.items()}
     for bad in (None, [["x"]], {"1": [1]}, float("nan")):
         with pytest.raises(ValueError, match="learned"):
             adopt_learned(new.balancer, learned | {field: bad})
     assert new.balancer.budget.tokens == tokens and new.balancer.low_latency == times
-    assert {id: server.failing for id, server in new.balancer.servers.items()} == servers
+    assert {id: server.failure_rate for id, server in new.balancer.servers.items()} == servers
 
 
 @given(most=st.integers(8, 5000), held=st.integers(0, 6000))
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -143,7 +143,7 @@
             driver = only_instance(Driver)
             assert (await rig.ask(request("write"))).status == 400
             assert sum(len(e.got) for e in endpoints) == 1, "tried again elsewhere"
-            assert not any(s.failing or s.in_flight for s in driver.balancer.servers.values())
+            assert not any(s.failure_rate or s.in_flight for s in driver.balancer.servers.values())
 
     run(test)
 
