--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -232,7 +232,7 @@
         self.slowness_at = now
         self.failure_rate = 0.0  # average failure rate
         self.ejected_until = -math.inf
-        self.served = 0.0  # decaying count of served calls, as of `served_at`
+        self.served_calls = 0.0  # decaying count of served calls, as of `served_at`
         self.served_at = now
         self.allowance = 1.0  # calls that a cold endpoint may be sent, as of `allowed_at`
         self.allowed_at = now
@@ -281,12 +281,12 @@
         return 1.0 + (self.own_slowness - 1.0) * math.exp((self.slowness_at - now) / SLOWNESS_DECAY_MS)
 
     def record_served(self, now: float) -> None:
-        self.served = self.served_rate(now) * SERVED_DECAY_MS + 1
+        self.served_calls = self.served_rate(now) * SERVED_DECAY_MS + 1
         self.served_at = now
 
     def served_rate(self, now: float) -> float:
         """Calls served per ms, as an exponentially decaying average."""
-        return self.served * math.exp((self.served_at - now) / SERVED_DECAY_MS) / SERVED_DECAY_MS
+        return self.served_calls * math.exp((self.served_at - now) / SERVED_DECAY_MS) / SERVED_DECAY_MS
 
 
 class OutlierDetector:
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -123,7 +123,7 @@
             writer.write(STREAM + chunk(line(2, [endpoint.entry(since_ms=int(time.time() * 1000))])))
             await until(lambda: endpoint.lost_connections == 1)  # its idle connection is closed
             (new,) = driver.balancer.servers.values()
-            assert new.info.id != old.info.id and not new.served and driver.balancer.ring == [new]
+            assert new.info.id != old.info.id and not new.served_calls and driver.balancer.ring == [new]
             endpoint.name = "old"  # a late list entry, from before the new endpoint
             writer.write(chunk(line(3, [endpoint.entry(since_ms=1)])))
             writer.write(chunk(line(4, [])))
