--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -234,7 +234,7 @@
         self.ejected_until = -math.inf
         self.served_calls = 0.0  # decaying count of served calls, as of `served_at`
         self.served_at = now
-        self.allowance = 1.0  # calls that a cold endpoint may be sent, as of `allowed_at`
+        self.cold_allowance = 1.0  # calls that a cold endpoint may be sent, as of `allowed_at`
         self.allowed_at = now
         self.cold_ramp_started = False  # whether its allowance was initialized as for a cold endpoint
         self.connect_failures = 0  # consecutive connect failures
@@ -392,7 +392,7 @@
         s, share = self.settings, self.capacity_share(server, now)
         if share >= 1.0 or s.fall_window <= 0:
             # Otherwise calls sent while it was warm would count against it once it is cold.
-            server.allowance, server.allowed_at, server.cold_ramp_started = 1.0, now, False
+            server.cold_allowance, server.allowed_at, server.cold_ramp_started = 1.0, now, False
             return True
         if (
             not server.cold_ramp_started
@@ -400,15 +400,15 @@
             and self.siblings > MIN_COLD_CALLS
         ):
             server.cold_ramp_started = True
-            server.allowance = min(server.allowance, self.rng.random())
+            server.cold_allowance = min(server.cold_allowance, self.rng.random())
         min_rate = MIN_COLD_CALLS / (self.siblings * s.fall_window)
         rate = self.rates.get(server.info.zone, self.rates[None]) * server.info.size
         rate = rate * share * s.fall_multiple * COLD_FILL
         rate = max(min_rate, rate) * self.process_share
         max_allowance = max(1.0, rate * s.fall_window * COLD_FILL)
-        server.allowance = min(max_allowance, server.allowance + rate * (now - server.allowed_at))
+        server.cold_allowance = min(max_allowance, server.cold_allowance + rate * (now - server.allowed_at))
         server.allowed_at = now
-        return server.allowance >= 1.0
+        return server.cold_allowance >= 1.0
 
 
 class ConcurrencyLimiter:
@@ -866,7 +866,7 @@
         # A handshake may delay it until there is no longer proof that the endpoint is not draining.
         send_by = min(self.rules.retry_deadline(request), self._usable_until(server))
         request.attempts.append(attempt)
-        server.allowance -= 1
+        server.cold_allowance -= 1
         self.actions.append(Send(request.id, server.info.id, send_by))
 
     def _send_held(self, now: float) -> None:
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -7,7 +7,7 @@
 from millgw.decide import BUDGET_CAPACITY, MAX_SHED_LEVEL, PAIR_SHARE, Balancer
 
 SERVER_FIELDS = (
-    "failure_rate", "own_slowness", "slowness_at", "ejected_until", "served_calls", "served_at", "allowance", "allowed_at", "back",
+    "failure_rate", "own_slowness", "slowness_at", "ejected_until", "served_calls", "served_at", "cold_allowance", "allowed_at", "back",
 )  # fmt: skip
 """Exported per endpoint, followed by when discovery was last heard from, and by `missed`, a count."""
 SERVER_ROW_LENGTH = len(SERVER_FIELDS) + 2
@@ -24,7 +24,7 @@
     """Export the learned state. Retry tokens and allowances are split: this balancer keeps half of them."""
     balancer.budget.tokens *= PAIR_SHARE
     for server in balancer.ring:
-        server.allowance *= PAIR_SHARE
+        server.cold_allowance *= PAIR_SHARE
     limit = balancer.admission
     return {
         "servers": {
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -165,7 +165,7 @@
     for id, server in made.servers.items():
         before = plain.servers[id]
         assert made.cold.capacity_share(server, NOW) <= plain.cold.capacity_share(before, NOW)
-        assert server.allowance <= before.allowance
+        assert server.cold_allowance <= before.cold_allowance
         assert server.slowness(NOW) >= before.slowness(NOW)
         assert server.ejected_until >= before.ejected_until
         assert (server.failure_rate, server.own_slowness) == (before.failure_rate, before.own_slowness), (
@@ -175,4 +175,4 @@
         len(made.out_of_rotation(NOW)) - sum(s.drain_reported_until > NOW for s in made.servers.values()) <= 3
     )
     ready = [s for s in made.ring if s.drain_reported_until <= NOW]
-    assert not ready or sends(made, NOW, 3) or all(s.allowance < 1.0 for s in ready)
+    assert not ready or sends(made, NOW, 3) or all(s.cold_allowance < 1.0 for s in ready)
