--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -234,8 +234,8 @@
         self.ejected_until = -math.inf
         self.served_calls = 0.0  # decaying count of served calls, as of `served_at`
         self.served_at = now
-        self.cold_allowance = 1.0  # calls that a cold endpoint may be sent, as of `allowed_at`
-        self.allowed_at = now
+        self.cold_allowance = 1.0  # calls that a cold endpoint may be sent, as of `cold_allowance_at`
+        self.cold_allowance_at = now
         self.cold_ramp_started = False  # whether its allowance was initialized as for a cold endpoint
         self.connect_failures = 0  # consecutive connect failures
         self.back = 0.0  # when it was reachable again
@@ -392,7 +392,7 @@
         s, share = self.settings, self.capacity_share(server, now)
         if share >= 1.0 or s.fall_window <= 0:
             # Otherwise calls sent while it was warm would count against it once it is cold.
-            server.cold_allowance, server.allowed_at, server.cold_ramp_started = 1.0, now, False
+            server.cold_allowance, server.cold_allowance_at, server.cold_ramp_started = 1.0, now, False
             return True
         if (
             not server.cold_ramp_started
@@ -406,8 +406,10 @@
         rate = rate * share * s.fall_multiple * COLD_FILL
         rate = max(min_rate, rate) * self.process_share
         max_allowance = max(1.0, rate * s.fall_window * COLD_FILL)
-        server.cold_allowance = min(max_allowance, server.cold_allowance + rate * (now - server.allowed_at))
-        server.allowed_at = now
+        server.cold_allowance = min(
+            max_allowance, server.cold_allowance + rate * (now - server.cold_allowance_at)
+        )
+        server.cold_allowance_at = now
         return server.cold_allowance >= 1.0
 
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -164,7 +164,7 @@
         each.balancer.cold.rates[None] = 0.05
         each.send_list(*[replace(e.info, started_at=each.now - 1) for e in each.balancer.servers.values()])
         for server in each.balancer.servers.values():
-            server.cold_allowance, server.allowed_at = 0.0, each.now
+            server.cold_allowance, server.cold_allowance_at = 0.0, each.now
 
     def grown(d: object) -> float:
         balancer = d.balancer  # type: ignore[attr-defined]
