--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -238,7 +238,7 @@
         self.cold_allowance_at = now
         self.cold_ramp_started = False  # whether its allowance was initialized as for a cold endpoint
         self.connect_failures = 0  # consecutive connect failures
-        self.back = 0.0  # when it was reachable again
+        self.reachable_again_at = 0.0  # when it was reachable again
         self.zone_restored_at = 0.0  # when its zone, which had been lost, returned
         # `Freshness.words` when it rejected a call or was unhealthy while discovery was disconnected.
         self.unhealthy_at_message = -1
@@ -256,7 +256,7 @@
             self.connect_failures += 1
             return
         if self.connect_failures >= UNREACHABLE_AFTER:
-            self.back = now
+            self.reachable_again_at = now
         self.connect_failures = 0
 
     def started_at(self, now: float) -> float:
@@ -264,7 +264,7 @@
         return (
             now
             if self.connect_failures >= UNREACHABLE_AFTER
-            else max(self.info.started_at, self.back, self.zone_restored_at)
+            else max(self.info.started_at, self.reachable_again_at, self.zone_restored_at)
         )
 
     def slowness(self, now: float) -> float:
@@ -1160,7 +1160,7 @@
             )
             failure_rate, started_at = (
                 1.0 if unhealthy else server.failure_rate,
-                max(server.info.started_at, server.back),
+                max(server.info.started_at, server.reachable_again_at),
             )
             reports.append(
                 EndpointEvidence(
@@ -1192,7 +1192,7 @@
 
     def _apply_report(self, now: float, server: Server, report: EndpointEvidence) -> None:
         server.drain_reported_until = max(server.drain_reported_until, now + report.drain_valid_for)
-        server.back = max(server.back, min(now, report.started_at))
+        server.reachable_again_at = max(server.reachable_again_at, min(now, report.started_at))
         # Own calls outweigh a report; without any, an older report weighs less, as its `calls` decay.
         weight = report.calls / (report.calls + 1.0 + server.served_rate(now) * SERVED_DECAY_MS)
         slowness = 1.0 + (report.latency_ratio - 1.0) * weight
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -151,7 +151,7 @@
     cold = made.balancer.cold
     shares = [cold.capacity_share(s, made.now) for s in made.balancer.ring if s.info.zone == 0]
     assert max(shares) <= SETTINGS.cold_share + 0.01
-    assert not any(s.back for s in made.balancer.ring if s.connect_failures < 2), (
+    assert not any(s.reachable_again_at for s in made.balancer.ring if s.connect_failures < 2), (
         "siblings are told of no restart"
     )
 
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -128,7 +128,9 @@
     async def test() -> None:
         async with fleet(tmp_path) as fleet_of_peers:
             first, pool = await fleet_of_peers.start()
-            pool.balancer.servers[2].back = pool.clock()  # an observed restart that discovery did not report
+            pool.balancer.servers[
+                2
+            ].reachable_again_at = pool.clock()  # an observed restart that discovery did not report
             pool.draining = {3}
             await until(lambda: bool(first.gossip.own_observations.get("")))
             await until(
