--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -421,7 +421,7 @@
     """
 
     def __init__(self) -> None:
-        self.each = INITIAL_LIMIT  # calls in flight per endpoint, over all instances
+        self.per_endpoint = INITIAL_LIMIT  # calls in flight per endpoint, over all instances
         self.endpoint_share = 1.0  # usable endpoints divided by the number of instances
         self.normal = 0.0  # usual calls in flight, in the same unit as `each`
         self.late = 0.0  # running median of the latency, as a share of the aim
@@ -442,7 +442,7 @@
 
     def endpoint_limit(self, share: float) -> int:
         """Most calls in flight to one endpoint: whole calls, as an endpoint with a single slot needs."""
-        return max(1, int(self.each * share))
+        return max(1, int(self.per_endpoint * share))
 
     def latency_target(self) -> float:
         """The highest allowed median: the fewer responses it is based on, the more it varies by chance."""
@@ -475,16 +475,16 @@
         if self.late > target:
             self.normal -= weight * self.normal  # lasting congestion, unlike a burst, gets no headroom
             if now >= self.settled:
-                used = min(self.each, inflight / self.endpoint_share)
-                self.each = max(
+                used = min(self.per_endpoint, inflight / self.endpoint_share)
+                self.per_endpoint = max(
                     1.0, NORMAL_HEADROOM * self.normal, used * max(MIN_LIMIT_KEPT, target / self.late)
                 )
                 self.settled = now + self.late * aim
             return
         if inflight < self.limit:
             self.normal += weight * (inflight / self.endpoint_share - self.normal)
-        if inflight >= GROWTH_UTILIZATION * self.each * self.endpoint_share:
-            self.each += min(MAX_LIMIT_GROWTH, 1.0 / self.endpoint_share) * (1.0 - self.late / target)
+        if inflight >= GROWTH_UTILIZATION * self.per_endpoint * self.endpoint_share:
+            self.per_endpoint += min(MAX_LIMIT_GROWTH, 1.0 / self.endpoint_share) * (1.0 - self.late / target)
 
 
 class LoadShedder:
@@ -1184,7 +1184,7 @@
         self.reported_siblings = event.siblings
         self.cold.siblings = max(self.settings.siblings, event.siblings)
         if self.admission is not None and self.admission.answers == 0:
-            self.admission.each = max(1.0, min(self.admission.each, event.max_in_flight))
+            self.admission.per_endpoint = max(1.0, min(self.admission.per_endpoint, event.max_in_flight))
         for report in event.endpoints:
             server = self.servers.get(report.id)
             if server is not None:
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -275,7 +275,9 @@
 
     def _own_limits(self) -> dict[str, float]:
         limits = {pool.name: pool.driver.balancer.admission for pool in self.pools()}
-        return {name: limit.each for name, limit in limits.items() if limit is not None and limit.answers}
+        return {
+            name: limit.per_endpoint for name, limit in limits.items() if limit is not None and limit.answers
+        }
 
     # Datagrams
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -84,20 +84,20 @@
     for _ in range(12):
         send_burst(d, 40)
         serve_all_pending(d, 50.0)
-    high = admission.each
+    high = admission.per_endpoint
     for _ in range(6):
         send_burst(d, 40)
         serve_all_pending(d, 950.0)
-    assert admission.each < high / 2
+    assert admission.per_endpoint < high / 2
     for _ in range(100):
         serve_calls(d, 4)
-    low = admission.each
+    low = admission.per_endpoint
     for _ in range(100):
         send_burst(d, 40)
         while attempts_in_flight(d):
             serve_all_pending(d, 30.0)
         d.advance(d.now + 200)
-    assert admission.each > 1.5 * low
+    assert admission.per_endpoint > 1.5 * low
 
 
 def test_one_slow_endpoint_does_not_cut_the_limit() -> None:
@@ -122,7 +122,7 @@
         send_burst(d, 6)
         serve_all_pending(d, 350.0)
     assert admission.latency_target() < admission.late < (1 + admission.undisturbed) / 2
-    assert admission.each >= admission.normal > 1
+    assert admission.per_endpoint >= admission.normal > 1
     assert admission.normal < usual, "the headroom shrinks while the overload lasts"
 
 
@@ -208,7 +208,7 @@
     d = make_drive(36, siblings=12)
     admission = d.balancer.admission
     assert admission is not None
-    admission.each = 1.0
+    admission.per_endpoint = 1.0
     serve_calls(d, 3)
     subset = {e for r in d.attempts for e in d.sent_to(r)} | {1, 2, 3}
     first, second = d.arrive(), d.arrive()
@@ -237,9 +237,9 @@
     d = make_drive(8, siblings=40)
     admission = d.balancer.admission
     assert admission is not None
-    before = admission.each
+    before = admission.per_endpoint
     serve_calls(d, 4)
-    assert admission.each <= before + 2.0
+    assert admission.per_endpoint <= before + 2.0
 
 
 def test_a_median_of_few_responses_gets_more_slack() -> None:
@@ -372,7 +372,7 @@
     admission = d.balancer.admission
     assert admission is not None
     send_burst(d, 300)
-    assert all(len(s.in_flight) <= admission.each for s in d.balancer.ring)
+    assert all(len(s.in_flight) <= admission.per_endpoint for s in d.balancer.ring)
 
 
 def test_under_overload_work_of_least_worth_is_shed_first() -> None:
--- a/tests/test_hearsay.py
+++ b/tests/test_hearsay.py
@@ -161,7 +161,7 @@
     made, plain = balancer(6, seed, since=NOW - COLD_TIME / 2), balancer(6, seed, since=NOW - COLD_TIME / 2)
     made.handle(NOW, PeerReports(tuple(reports), siblings, max_in_flight))
     assert made.admission is not None and plain.admission is not None
-    assert 1.0 <= made.admission.each <= plain.admission.each
+    assert 1.0 <= made.admission.per_endpoint <= plain.admission.per_endpoint
     for id, server in made.servers.items():
         before = plain.servers[id]
         assert made.cold.capacity_share(server, NOW) <= plain.cold.capacity_share(before, NOW)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -102,7 +102,7 @@
     assert old.balancer.servers[3].failure_rate > 0
     assert new.balancer.low_latency == old.balancer.low_latency
     assert new.balancer.admission is not None and old.balancer.admission is not None
-    assert new.balancer.admission.each == old.balancer.admission.each
+    assert new.balancer.admission.per_endpoint == old.balancer.admission.per_endpoint
     assert len(new.balancer.out_of_rotation(new.now)) == len(old.balancer.out_of_rotation(old.now))
 
 
