--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -423,7 +423,7 @@
     def __init__(self) -> None:
         self.per_endpoint = INITIAL_LIMIT  # calls in flight per endpoint, over all instances
         self.endpoint_share = 1.0  # usable endpoints divided by the number of instances
-        self.normal = 0.0  # usual calls in flight, in the same unit as `each`
+        self.usual_in_flight = 0.0  # usual calls in flight, in the same unit as `each`
         self.late = 0.0  # running median of the latency, as a share of the aim
         self.steady = 0.0  # the same with a much longer memory
         self.noise = LATENCY_WEIGHT  # average weight of one response in `late`
@@ -473,16 +473,20 @@
         weight = max(1.0 / self.answers, 1.0 - math.exp((self.at - now) / RATE_DECAY_MS))
         self.at = now
         if self.late > target:
-            self.normal -= weight * self.normal  # lasting congestion, unlike a burst, gets no headroom
+            self.usual_in_flight -= (
+                weight * self.usual_in_flight
+            )  # lasting congestion, unlike a burst, gets no headroom
             if now >= self.settled:
                 used = min(self.per_endpoint, inflight / self.endpoint_share)
                 self.per_endpoint = max(
-                    1.0, NORMAL_HEADROOM * self.normal, used * max(MIN_LIMIT_KEPT, target / self.late)
+                    1.0,
+                    NORMAL_HEADROOM * self.usual_in_flight,
+                    used * max(MIN_LIMIT_KEPT, target / self.late),
                 )
                 self.settled = now + self.late * aim
             return
         if inflight < self.limit:
-            self.normal += weight * (inflight / self.endpoint_share - self.normal)
+            self.usual_in_flight += weight * (inflight / self.endpoint_share - self.usual_in_flight)
         if inflight >= GROWTH_UTILIZATION * self.per_endpoint * self.endpoint_share:
             self.per_endpoint += min(MAX_LIMIT_GROWTH, 1.0 / self.endpoint_share) * (1.0 - self.late / target)
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -116,14 +116,14 @@
     for _ in range(40):
         send_burst(d, 6)
         serve_all_pending(d, 100.0)
-    assert admission.normal > 1
-    usual = admission.normal
+    assert admission.usual_in_flight > 1
+    usual = admission.usual_in_flight
     for _ in range(10):
         send_burst(d, 6)
         serve_all_pending(d, 350.0)
     assert admission.latency_target() < admission.late < (1 + admission.undisturbed) / 2
-    assert admission.per_endpoint >= admission.normal > 1
-    assert admission.normal < usual, "the headroom shrinks while the overload lasts"
+    assert admission.per_endpoint >= admission.usual_in_flight > 1
+    assert admission.usual_in_flight < usual, "the headroom shrinks while the overload lasts"
 
 
 def test_a_timer_that_fires_slightly_early_still_answers_a_held_request() -> None:
