--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -424,7 +424,7 @@
         self.per_endpoint = INITIAL_LIMIT  # calls in flight per endpoint, over all instances
         self.endpoint_share = 1.0  # usable endpoints divided by the number of instances
         self.usual_in_flight = 0.0  # usual calls in flight, in the same unit as `each`
-        self.late = 0.0  # running median of the latency, as a share of the aim
+        self.median_latency = 0.0  # running median of the latency, as a share of the aim
         self.steady = 0.0  # the same with a much longer memory
         self.noise = LATENCY_WEIGHT  # average weight of one response in `late`
         self.undisturbed = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
@@ -464,7 +464,9 @@
         self.answers += 1
         ratio = max(elapsed / aim, MIN_RATIO)
         latest_weight = min(MAX_LATENCY_WEIGHT, 1.0 - math.exp((self.at - now) / (LATENCY_DECAY_AIMS * aim)))
-        self.late = self._step_median(self.late, ratio, max(LATENCY_WEIGHT, latest_weight))
+        self.median_latency = self._step_median(
+            self.median_latency, ratio, max(LATENCY_WEIGHT, latest_weight)
+        )
         self.noise += max(BASE_LATENCY_WEIGHT, 1.0 / self.answers) * (latest_weight - self.noise)
         self.steady = self._step_median(self.steady, ratio, BASE_LATENCY_WEIGHT)
         if self.answers * LATENCY_WEIGHT >= 1.0:
@@ -472,7 +474,7 @@
         target = self.latency_target()
         weight = max(1.0 / self.answers, 1.0 - math.exp((self.at - now) / RATE_DECAY_MS))
         self.at = now
-        if self.late > target:
+        if self.median_latency > target:
             self.usual_in_flight -= (
                 weight * self.usual_in_flight
             )  # lasting congestion, unlike a burst, gets no headroom
@@ -481,14 +483,16 @@
                 self.per_endpoint = max(
                     1.0,
                     NORMAL_HEADROOM * self.usual_in_flight,
-                    used * max(MIN_LIMIT_KEPT, target / self.late),
+                    used * max(MIN_LIMIT_KEPT, target / self.median_latency),
                 )
-                self.settled = now + self.late * aim
+                self.settled = now + self.median_latency * aim
             return
         if inflight < self.limit:
             self.usual_in_flight += weight * (inflight / self.endpoint_share - self.usual_in_flight)
         if inflight >= GROWTH_UTILIZATION * self.per_endpoint * self.endpoint_share:
-            self.per_endpoint += min(MAX_LIMIT_GROWTH, 1.0 / self.endpoint_share) * (1.0 - self.late / target)
+            self.per_endpoint += min(MAX_LIMIT_GROWTH, 1.0 / self.endpoint_share) * (
+                1.0 - self.median_latency / target
+            )
 
 
 class LoadShedder:
@@ -512,7 +516,7 @@
         aims_passed = min(1.0, max(0.0, now - self.level_at) / aim)
         self.level_at = now
         slack = MAX_LATENCY_SLACK * (1.0 - limiter.undisturbed)
-        rise = SHED_RISE_RATE * aims_passed * (limiter.late - limiter.undisturbed - slack) / slack
+        rise = SHED_RISE_RATE * aims_passed * (limiter.median_latency - limiter.undisturbed - slack) / slack
         self.level = min(MAX_SHED_LEVEL, max(0.0, self.level + rise))
 
     def should_shed(self, now: float, request: Request, work: float) -> bool:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -106,7 +106,7 @@
     admission = d.balancer.admission
     assert admission is not None
     serve_calls(d, 300, times={3: 900.0})
-    assert admission.late < admission.latency_target()
+    assert admission.median_latency < admission.latency_target()
 
 
 def test_the_limit_leaves_room_for_the_usual_calls_in_flight() -> None:
@@ -121,7 +121,7 @@
     for _ in range(10):
         send_burst(d, 6)
         serve_all_pending(d, 350.0)
-    assert admission.latency_target() < admission.late < (1 + admission.undisturbed) / 2
+    assert admission.latency_target() < admission.median_latency < (1 + admission.undisturbed) / 2
     assert admission.per_endpoint >= admission.usual_in_flight > 1
     assert admission.usual_in_flight < usual, "the headroom shrinks while the overload lasts"
 
@@ -420,9 +420,9 @@
             d.advance(d.now + 1000.0 - elapsed)
 
     seconds(60, 100.0)
-    assert admission.late < admission.latency_target()
+    assert admission.median_latency < admission.latency_target()
     seconds(5, 900.0)
-    assert admission.late > admission.latency_target()
+    assert admission.median_latency > admission.latency_target()
 
 
 def test_the_first_requests_of_a_day_are_not_refused() -> None:
