--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -425,7 +425,7 @@
         self.endpoint_share = 1.0  # usable endpoints divided by the number of instances
         self.usual_in_flight = 0.0  # usual calls in flight, in the same unit as `each`
         self.median_latency = 0.0  # running median of the latency, as a share of the aim
-        self.steady = 0.0  # the same with a much longer memory
+        self.slow_median = 0.0  # the same with a much longer memory
         self.noise = LATENCY_WEIGHT  # average weight of one response in `late`
         self.undisturbed = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
         self.answers = 0
@@ -468,9 +468,9 @@
             self.median_latency, ratio, max(LATENCY_WEIGHT, latest_weight)
         )
         self.noise += max(BASE_LATENCY_WEIGHT, 1.0 / self.answers) * (latest_weight - self.noise)
-        self.steady = self._step_median(self.steady, ratio, BASE_LATENCY_WEIGHT)
+        self.slow_median = self._step_median(self.slow_median, ratio, BASE_LATENCY_WEIGHT)
         if self.answers * LATENCY_WEIGHT >= 1.0:
-            self.undisturbed = min(self.steady, self.undisturbed)
+            self.undisturbed = min(self.slow_median, self.undisturbed)
         target = self.latency_target()
         weight = max(1.0 / self.answers, 1.0 - math.exp((self.at - now) / RATE_DECAY_MS))
         self.at = now
