--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -426,7 +426,7 @@
         self.usual_in_flight = 0.0  # usual calls in flight, in the same unit as `each`
         self.median_latency = 0.0  # running median of the latency, as a share of the aim
         self.slow_median = 0.0  # the same with a much longer memory
-        self.noise = LATENCY_WEIGHT  # average weight of one response in `late`
+        self.response_weight = LATENCY_WEIGHT  # average weight of one response in `late`
         self.undisturbed = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
         self.answers = 0
         self.settled = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
@@ -446,7 +446,7 @@
 
     def latency_target(self) -> float:
         """The highest allowed median: the fewer responses it is based on, the more it varies by chance."""
-        slack = min(MAX_LATENCY_SLACK, max(LATENCY_SLACK, NOISE_SLACK * self.noise))
+        slack = min(MAX_LATENCY_SLACK, max(LATENCY_SLACK, NOISE_SLACK * self.response_weight))
         return self.undisturbed + slack * (1.0 - self.undisturbed)
 
     def _step_median(self, median: float, ratio: float, weight: float) -> float:
@@ -467,7 +467,9 @@
         self.median_latency = self._step_median(
             self.median_latency, ratio, max(LATENCY_WEIGHT, latest_weight)
         )
-        self.noise += max(BASE_LATENCY_WEIGHT, 1.0 / self.answers) * (latest_weight - self.noise)
+        self.response_weight += max(BASE_LATENCY_WEIGHT, 1.0 / self.answers) * (
+            latest_weight - self.response_weight
+        )
         self.slow_median = self._step_median(self.slow_median, ratio, BASE_LATENCY_WEIGHT)
         if self.answers * LATENCY_WEIGHT >= 1.0:
             self.undisturbed = min(self.slow_median, self.undisturbed)
