--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -427,7 +427,7 @@
         self.median_latency = 0.0  # running median of the latency, as a share of the aim
         self.slow_median = 0.0  # the same with a much longer memory
         self.response_weight = LATENCY_WEIGHT  # average weight of one response in `late`
-        self.undisturbed = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
+        self.base_latency = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
         self.answers = 0
         self.settled = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
         self.at = 0.0  # when the last response arrived
@@ -447,7 +447,7 @@
     def latency_target(self) -> float:
         """The highest allowed median: the fewer responses it is based on, the more it varies by chance."""
         slack = min(MAX_LATENCY_SLACK, max(LATENCY_SLACK, NOISE_SLACK * self.response_weight))
-        return self.undisturbed + slack * (1.0 - self.undisturbed)
+        return self.base_latency + slack * (1.0 - self.base_latency)
 
     def _step_median(self, median: float, ratio: float, weight: float) -> float:
         """One step of a running median."""
@@ -472,7 +472,7 @@
         )
         self.slow_median = self._step_median(self.slow_median, ratio, BASE_LATENCY_WEIGHT)
         if self.answers * LATENCY_WEIGHT >= 1.0:
-            self.undisturbed = min(self.slow_median, self.undisturbed)
+            self.base_latency = min(self.slow_median, self.base_latency)
         target = self.latency_target()
         weight = max(1.0 / self.answers, 1.0 - math.exp((self.at - now) / RATE_DECAY_MS))
         self.at = now
@@ -517,8 +517,8 @@
         """Follow the median latency: shedding rises while it is closer to the aim than to the base."""
         aims_passed = min(1.0, max(0.0, now - self.level_at) / aim)
         self.level_at = now
-        slack = MAX_LATENCY_SLACK * (1.0 - limiter.undisturbed)
-        rise = SHED_RISE_RATE * aims_passed * (limiter.median_latency - limiter.undisturbed - slack) / slack
+        slack = MAX_LATENCY_SLACK * (1.0 - limiter.base_latency)
+        rise = SHED_RISE_RATE * aims_passed * (limiter.median_latency - limiter.base_latency - slack) / slack
         self.level = min(MAX_SHED_LEVEL, max(0.0, self.level + rise))
 
     def should_shed(self, now: float, request: Request, work: float) -> bool:
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -121,7 +121,7 @@
     for _ in range(10):
         send_burst(d, 6)
         serve_all_pending(d, 350.0)
-    assert admission.latency_target() < admission.median_latency < (1 + admission.undisturbed) / 2
+    assert admission.latency_target() < admission.median_latency < (1 + admission.base_latency) / 2
     assert admission.per_endpoint >= admission.usual_in_flight > 1
     assert admission.usual_in_flight < usual, "the headroom shrinks while the overload lasts"
 
