--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -429,7 +429,7 @@
         self.response_weight = LATENCY_WEIGHT  # average weight of one response in `late`
         self.base_latency = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
         self.answers = 0
-        self.settled = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
+        self.next_cut_at = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
         self.at = 0.0  # when the last response arrived
 
     @property
@@ -480,14 +480,14 @@
             self.usual_in_flight -= (
                 weight * self.usual_in_flight
             )  # lasting congestion, unlike a burst, gets no headroom
-            if now >= self.settled:
+            if now >= self.next_cut_at:
                 used = min(self.per_endpoint, inflight / self.endpoint_share)
                 self.per_endpoint = max(
                     1.0,
                     NORMAL_HEADROOM * self.usual_in_flight,
                     used * max(MIN_LIMIT_KEPT, target / self.median_latency),
                 )
-                self.settled = now + self.median_latency * aim
+                self.next_cut_at = now + self.median_latency * aim
             return
         if inflight < self.limit:
             self.usual_in_flight += weight * (inflight / self.endpoint_share - self.usual_in_flight)
