--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -430,7 +430,7 @@
         self.base_latency = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
         self.answers = 0
         self.next_cut_at = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
-        self.at = 0.0  # when the last response arrived
+        self.last_response_at = 0.0  # when the last response arrived
 
     @property
     def limit(self) -> float:
@@ -463,7 +463,9 @@
         """
         self.answers += 1
         ratio = max(elapsed / aim, MIN_RATIO)
-        latest_weight = min(MAX_LATENCY_WEIGHT, 1.0 - math.exp((self.at - now) / (LATENCY_DECAY_AIMS * aim)))
+        latest_weight = min(
+            MAX_LATENCY_WEIGHT, 1.0 - math.exp((self.last_response_at - now) / (LATENCY_DECAY_AIMS * aim))
+        )
         self.median_latency = self._step_median(
             self.median_latency, ratio, max(LATENCY_WEIGHT, latest_weight)
         )
@@ -474,8 +476,8 @@
         if self.answers * LATENCY_WEIGHT >= 1.0:
             self.base_latency = min(self.slow_median, self.base_latency)
         target = self.latency_target()
-        weight = max(1.0 / self.answers, 1.0 - math.exp((self.at - now) / RATE_DECAY_MS))
-        self.at = now
+        weight = max(1.0 / self.answers, 1.0 - math.exp((self.last_response_at - now) / RATE_DECAY_MS))
+        self.last_response_at = now
         if self.median_latency > target:
             self.usual_in_flight -= (
                 weight * self.usual_in_flight
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -13,7 +13,7 @@
 SERVER_ROW_LENGTH = len(SERVER_FIELDS) + 2
 
 LIMIT_FIELDS = (
-    "per_endpoint", "usual_in_flight", "median_latency", "slow_median", "response_weight", "base_latency", "next_cut_at", "at", "answers",
+    "per_endpoint", "usual_in_flight", "median_latency", "slow_median", "response_weight", "base_latency", "next_cut_at", "last_response_at", "answers",
 )  # fmt: skip
 """Exported state of the limit on calls in flight; the last field is a count."""
 
