--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -428,7 +428,7 @@
         self.slow_median = 0.0  # the same with a much longer memory
         self.response_weight = LATENCY_WEIGHT  # average weight of one response in `late`
         self.base_latency = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
-        self.answers = 0
+        self.responses = 0
         self.next_cut_at = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
         self.last_response_at = 0.0  # when the last response arrived
 
@@ -451,8 +451,8 @@
 
     def _step_median(self, median: float, ratio: float, weight: float) -> float:
         """One step of a running median."""
-        step = 1 + max(weight, 1.0 / self.answers)
-        if self.answers == 1:
+        step = 1 + max(weight, 1.0 / self.responses)
+        if self.responses == 1:
             return ratio
         return min(median * step, 1.0) if ratio > median else median / step
 
@@ -461,7 +461,7 @@
 
         A running median is not moved by a few slow endpoints.
         """
-        self.answers += 1
+        self.responses += 1
         ratio = max(elapsed / aim, MIN_RATIO)
         latest_weight = min(
             MAX_LATENCY_WEIGHT, 1.0 - math.exp((self.last_response_at - now) / (LATENCY_DECAY_AIMS * aim))
@@ -469,14 +469,14 @@
         self.median_latency = self._step_median(
             self.median_latency, ratio, max(LATENCY_WEIGHT, latest_weight)
         )
-        self.response_weight += max(BASE_LATENCY_WEIGHT, 1.0 / self.answers) * (
+        self.response_weight += max(BASE_LATENCY_WEIGHT, 1.0 / self.responses) * (
             latest_weight - self.response_weight
         )
         self.slow_median = self._step_median(self.slow_median, ratio, BASE_LATENCY_WEIGHT)
-        if self.answers * LATENCY_WEIGHT >= 1.0:
+        if self.responses * LATENCY_WEIGHT >= 1.0:
             self.base_latency = min(self.slow_median, self.base_latency)
         target = self.latency_target()
-        weight = max(1.0 / self.answers, 1.0 - math.exp((self.last_response_at - now) / RATE_DECAY_MS))
+        weight = max(1.0 / self.responses, 1.0 - math.exp((self.last_response_at - now) / RATE_DECAY_MS))
         self.last_response_at = now
         if self.median_latency > target:
             self.usual_in_flight -= (
@@ -1195,7 +1195,7 @@
         """Apply peers' reports, as far as they require more care than is taken already."""
         self.reported_siblings = event.siblings
         self.cold.siblings = max(self.settings.siblings, event.siblings)
-        if self.admission is not None and self.admission.answers == 0:
+        if self.admission is not None and self.admission.responses == 0:
             self.admission.per_endpoint = max(1.0, min(self.admission.per_endpoint, event.max_in_flight))
         for report in event.endpoints:
             server = self.servers.get(report.id)
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -13,7 +13,7 @@
 SERVER_ROW_LENGTH = len(SERVER_FIELDS) + 2
 
 LIMIT_FIELDS = (
-    "per_endpoint", "usual_in_flight", "median_latency", "slow_median", "response_weight", "base_latency", "next_cut_at", "last_response_at", "answers",
+    "per_endpoint", "usual_in_flight", "median_latency", "slow_median", "response_weight", "base_latency", "next_cut_at", "last_response_at", "responses",
 )  # fmt: skip
 """Exported state of the limit on calls in flight; the last field is a count."""
 
@@ -67,7 +67,7 @@
     if balancer.admission is not None and limits:
         for name, value in zip(LIMIT_FIELDS[:-1], limits, strict=False):
             setattr(balancer.admission, name, value)
-        balancer.admission.answers = int(limits[-1])
+        balancer.admission.responses = int(limits[-1])
     for cls, (least, mean, answered) in enumerate(quick):
         balancer.low_latency[cls], balancer.mean_latency[cls], balancer.responses[cls] = (
             least,
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -276,7 +276,9 @@
     def _own_limits(self) -> dict[str, float]:
         limits = {pool.name: pool.driver.balancer.admission for pool in self.pools()}
         return {
-            name: limit.per_endpoint for name, limit in limits.items() if limit is not None and limit.answers
+            name: limit.per_endpoint
+            for name, limit in limits.items()
+            if limit is not None and limit.responses
         }
 
     # Datagrams
