--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -584,7 +584,7 @@
         self.budgets: dict[int, RetryBudget] = {}  # by zone: a failing one must not use up the others'
         self.backoff = Backoff(self.rng)
         # For Retry-After. Its own generator: it must not change which endpoints are chosen.
-        self.advice = Backoff(random.Random(seed + 1))
+        self.retry_after_backoff = Backoff(random.Random(seed + 1))
         self.caution_rng = random.Random(seed + 2)  # for cold starts and peers' reports
         self.cold = ColdStartLimiter(settings, self.caution_rng)
         self.outliers = OutlierDetector(self.rng, self.cold)
@@ -917,7 +917,7 @@
         Without it all refused clients would return at once. The answer itself is never delayed.
         """
         cap = BACKOFF_CAP * cls.aim
-        wait = self.advice.next(self.shedding.level * cap, BACKOFF_BASE * cls.aim, cap)
+        wait = self.retry_after_backoff.next(self.shedding.level * cap, BACKOFF_BASE * cls.aim, cap)
         return min(wait, self.settings.retry_after_most)
 
     def _forget(self, id: int) -> None:
