--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -77,7 +77,7 @@
         self.reconfigure(settings)
         self.wait = 0.0
         self.next_call_at = math.inf  # when to ask again; never while a watch is active
-        self.began = -math.inf  # when the initial list was obtained
+        self.list_obtained_at = -math.inf  # when the initial list was obtained
         self.called_at = -math.inf  # when the last call was made
         self.call_answered = False  # whether it has returned anything
         self.heard_at = -math.inf  # when the last message arrived
@@ -113,7 +113,7 @@
 
     def start(self, now: float) -> float | None:
         """The first event has arrived; returns when to ask, or None if lists are pushed."""
-        self.began = now
+        self.list_obtained_at = now
         if not self.settings.ask_discovery:
             return None
         self.next_call_at = now + self.rng.random() * self.start_spread
@@ -158,7 +158,7 @@
 
     def adopt(self, heard_at: float) -> None:
         """Take over the list of another process of this sidecar, last confirmed at `heard_at`."""
-        self.began = min(self.began, heard_at)
+        self.list_obtained_at = min(self.list_obtained_at, heard_at)
 
     def _watch_lost(self, now: float) -> None:
         self.watch_lost_at = now
@@ -201,7 +201,7 @@
             return False
         if self.settings.calls_fail_only_in_outages:
             return True
-        lost_at = max(self.began, self.watch_lost_at)
+        lost_at = max(self.list_obtained_at, self.watch_lost_at)
         return (
             self.called_at <= lost_at + MAX_ASSUMED_DOWN_MS
             and lost_at >= self.recovered_at + OVERLOAD_SUSPECTED_MS
@@ -269,7 +269,7 @@
     def _last_message_valid_until(self) -> float:
         """The earliest time at which a change right after discovery's last message may count as told."""
         if self.watch_lost_at == -math.inf:
-            return self.began + self.known_after  # no watch yet: the initial list
+            return self.list_obtained_at + self.known_after  # no watch yet: the initial list
         if self.moved or not self.failed_in_time or not self.settings.ask_discovery:
             return min(self.heard_at + KNOWN_AFTER_MS, self.watch_lost_at + self.known_after_watch_end)
         return min(self.heard_at + KNOWN_AFTER_MS, self.called_at + self.known_after_failure)
