--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -240,7 +240,7 @@
         self.connect_failures = 0  # consecutive connect failures
         self.reachable_again_at = 0.0  # when it was reachable again
         self.zone_restored_at = 0.0  # when its zone, which had been lost, returned
-        # `Freshness.words` when it rejected a call or was unhealthy while discovery was disconnected.
+        # `Freshness.message_count` when it rejected a call or was unhealthy while discovery was disconnected.
         self.unhealthy_at_message = -1
         self.probed_at = -math.inf  # when the last probe was sent
         self.healthy_at = -math.inf  # when the last successful probe was sent
@@ -761,7 +761,7 @@
         if event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
             attempt.server.record_reachability(now, event.outcome)
             if event.outcome is Outcome.REJECTED and self.discovery.disconnected():
-                attempt.server.unhealthy_at_message = self.discovery.words
+                attempt.server.unhealthy_at_message = self.discovery.message_count
             if attempt.server.connect_failures >= UNREACHABLE_AFTER:
                 # Tried once after each ejection, not more often: each try delays a call by a connect timeout.
                 attempt.server.ejected_until = now + EJECTION_MS * (MIN_EJECTION_FACTOR + self.rng.random())
@@ -1063,11 +1063,11 @@
             server.healthy_at = max(server.healthy_at, now - event.elapsed)
             self._send_held(now)
         elif event.outcome is Outcome.ERROR:
-            server.unhealthy_at_message = self.discovery.words
+            server.unhealthy_at_message = self.discovery.message_count
 
     def _may_drain(self, server: Server) -> bool:
         """Whether it rejected a call or reported being unhealthy since discovery's last message."""
-        return server.unhealthy_at_message == self.discovery.words
+        return server.unhealthy_at_message == self.discovery.message_count
 
     def out_of_rotation(self, now: float) -> dict[int, str]:
         """The endpoints not used while there are others, with the reason; changes nothing."""
--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -81,7 +81,7 @@
         self.called_at = -math.inf  # when the last call was made
         self.call_answered = False  # whether it has returned anything
         self.heard_at = -math.inf  # when the last message arrived
-        self.words = 0  # how many messages arrived
+        self.message_count = 0  # how many messages arrived
         self.watch_lost_at = -math.inf  # when the last watch that had sent a message was lost
         self.moved = False  # whether it was replaced by another discovery server
         self.failures = 0  # consecutive failed calls since the watch was lost
@@ -148,7 +148,7 @@
     def heard(self, now: float) -> None:
         """Discovery has sent a message or a heartbeat."""
         self.heard_at, self.call_answered = now, True
-        self.words += 1
+        self.message_count += 1
         self.moved = False
         if self.failures:
             self.recovered_at = now
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -222,7 +222,15 @@
         setattr(made, name, getattr(held, name))
     made.outliers.rng = made.discovery.rng = held.rng
     made.discovery.backoff = held.discovery.backoff
-    called = ("list_obtained_at", "called_at", "heard_at", "words", "watch_lost_at", "failures", "crowded")
+    called = (
+        "list_obtained_at",
+        "called_at",
+        "heard_at",
+        "message_count",
+        "watch_lost_at",
+        "failures",
+        "crowded",
+    )
     seen = ("outage_shown_at", "seems_down_at", "recovered_at")
     flags = ("call_answered", "moved", "failed_in_time", "refused", "watch_ended")
     for name in ("wait", "next_call_at", *called, *seen, *flags):
