--- a/millgw/policy/freshness.py
+++ b/millgw/policy/freshness.py
@@ -86,7 +86,7 @@
         self.moved = False  # whether it was replaced by another discovery server
         self.failures = 0  # consecutive failed calls since the watch was lost
         self.failed_in_time = False  # whether one failed before missed changes could count as told
-        self.crowded = 0  # of these, calls rejected by a discovery that seems overloaded
+        self.overload_failures = 0  # of these, calls rejected by a discovery that seems overloaded
         self.outage_shown_at = -math.inf  # when the last call was made that proves an outage
         self.refused = False  # whether a connection was refused since the watch was lost
         self.watch_ended = True  # whether the watch ended by itself, as all do when discovery goes down
@@ -165,7 +165,7 @@
         self._forget_failures()
 
     def _forget_failures(self) -> None:
-        self.failures = self.crowded = 0
+        self.failures = self.overload_failures = 0
         self.failed_in_time = False
         self.outage_shown_at = self.seems_down_at = -math.inf
         self.refused = self.watch_ended = False
@@ -240,8 +240,10 @@
         elif self.watch_lost_at == -math.inf and self.failures <= START_RETRIES and self.settings.probing:
             min_wait, max_wait = MIN_START_RETRY_MS, MAX_START_RETRY_MS
         else:
-            self.crowded += 1
-            max_wait = min(self.max_wait, MAX_OVERLOAD_WAIT_MS * OVERLOAD_WAIT_GROWTH ** (self.crowded - 1))
+            self.overload_failures += 1
+            max_wait = min(
+                self.max_wait, MAX_OVERLOAD_WAIT_MS * OVERLOAD_WAIT_GROWTH ** (self.overload_failures - 1)
+            )
             min_wait = MIN_OVERLOAD_WAIT_FACTOR * max_wait
         self.wait = min(self.max_wait, min_wait + (max_wait - min_wait) * self.rng.random())
         return self.wait
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -229,7 +229,7 @@
         "message_count",
         "watch_lost_at",
         "failures",
-        "crowded",
+        "overload_failures",
     )
     seen = ("outage_shown_at", "seems_down_at", "recovered_at")
     flags = ("call_answered", "moved", "failed_in_time", "refused", "watch_ended")
