--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -9,7 +9,7 @@
 from millgw.endpoints.attempt import Intent as Sent
 from millgw.http.message import Answer
 from millgw.interface import Repeat, SetTimer
-from millgw.pool.deadlines import Due
+from millgw.pool.deadlines import TimerEntry
 from millgw.streams.flow import Flow
 from millgw.streams.upload import Upload
 
@@ -88,4 +88,6 @@
         self.deadline = 0.0
         self.attempts_sent = 0
         self.open_attempts: dict[int, OpenAttempt] = {}
-        self.timers: list[Due[Call | SetTimer | Flow]] = []  # for its deadline and those set by the module
+        self.timers: list[
+            TimerEntry[Call | SetTimer | Flow]
+        ] = []  # for its deadline and those set by the module
--- a/millgw/pool/deadlines.py
+++ b/millgw/pool/deadlines.py
@@ -14,7 +14,7 @@
 T = TypeVar("T")
 
 
-class Due(Generic[T]):
+class TimerEntry(Generic[T]):
     """One queued timer and its item; `slot` is -1 once it has fired or was cancelled."""
 
     __slots__ = ("item", "slot")
@@ -31,13 +31,13 @@
     """Items ordered by the time at which they are due."""
 
     def __init__(self) -> None:
-        self.slots: dict[int, dict[Due[T], None]] = {}
+        self.slots: dict[int, dict[TimerEntry[T], None]] = {}
         self.slot_heap: list[int] = []  # heap of the slots
 
-    def add(self, at: float, item: T) -> Due[T]:
+    def add(self, at: float, item: T) -> TimerEntry[T]:
         """Add a timer. It is due at the given time or up to 1 ms later, never earlier."""
         slot = math.ceil(at)
-        entry = Due(slot, item)
+        entry = TimerEntry(slot, item)
         entries = self.slots.get(slot)
         if entries is None:
             self.slots[slot] = entries = {}
@@ -45,7 +45,7 @@
         entries[entry] = None
         return entry
 
-    def cancel(self, entry: Due[T]) -> None:
+    def cancel(self, entry: TimerEntry[T]) -> None:
         """Cancel a timer; no effect if it has already fired."""
         if entry.slot >= 0:
             self.slots[entry.slot].pop(entry, None)
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -21,7 +21,7 @@
 from millgw.http.request import BadRequest, Head, word
 from millgw.interface import Outcome, Repeat
 from millgw.platform.config import Address
-from millgw.pool.deadlines import Deadlines, Due
+from millgw.pool.deadlines import Deadlines, TimerEntry
 from millgw.streams.room import LONG
 
 
@@ -239,7 +239,7 @@
 @settings(max_examples=200, deadline=None)
 def test_each_deadline_is_due_once_in_order_and_never_early(steps: list[tuple[str, float, int]]) -> None:
     deadlines: Deadlines[int] = Deadlines()
-    waiting: dict[int, tuple[float, Due[int]]] = {}
+    waiting: dict[int, tuple[float, TimerEntry[int]]] = {}
     now, numbers = 1e12, iter(range(1000))
     for what, amount, which in steps:
         if what == "add":
