--- a/millgw/pool/deadlines.py
+++ b/millgw/pool/deadlines.py
@@ -27,7 +27,7 @@
         return self.slot < 0
 
 
-class Deadlines(Generic[T]):
+class TimerQueue(Generic[T]):
     """Items ordered by the time at which they are due."""
 
     def __init__(self) -> None:
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -48,7 +48,7 @@
 )
 from millgw.platform.discovery import Listed
 from millgw.pool.call import Call, OpenAttempt
-from millgw.pool.deadlines import Deadlines
+from millgw.pool.deadlines import TimerQueue
 from millgw.pool.health_probe import PROBE_TIMEOUT_MS, HealthProbe
 from millgw.pool.start_times import StartTimes
 from millgw.streams.flow import Flow
@@ -98,7 +98,7 @@
         self.draining: set[int] = set()
         self.events: deque[Event] = deque()
         self.handling_events = False
-        self.timers: Deadlines[Call | SetTimer | Flow] = Deadlines()
+        self.timers: TimerQueue[Call | SetTimer | Flow] = TimerQueue()
         self.wake_timer: asyncio.TimerHandle | None = None
         self.wake_at = math.inf
         self.ended = False
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -21,7 +21,7 @@
 from millgw.http.request import BadRequest, Head, word
 from millgw.interface import Outcome, Repeat
 from millgw.platform.config import Address
-from millgw.pool.deadlines import Deadlines, TimerEntry
+from millgw.pool.deadlines import TimerEntry, TimerQueue
 from millgw.streams.room import LONG
 
 
@@ -238,7 +238,7 @@
 )
 @settings(max_examples=200, deadline=None)
 def test_each_deadline_is_due_once_in_order_and_never_early(steps: list[tuple[str, float, int]]) -> None:
-    deadlines: Deadlines[int] = Deadlines()
+    deadlines: TimerQueue[int] = TimerQueue()
     waiting: dict[int, tuple[float, TimerEntry[int]]] = {}
     now, numbers = 1e12, iter(range(1000))
     for what, amount, which in steps:
@@ -265,7 +265,7 @@
 
 
 def test_a_thousand_deadlines_in_one_millisecond_each_of_which_cancels_the_next() -> None:
-    deadlines: Deadlines[int] = Deadlines()
+    deadlines: TimerQueue[int] = TimerQueue()
     dues = [deadlines.add(100.0 + i / 1000, i) for i in range(1000)]
     expired = []
     while (number := deadlines.pop(101.0)) is not None:
