--- a/millgw/pool/deadlines.py
+++ b/millgw/pool/deadlines.py
@@ -51,7 +51,7 @@
             self.slots[entry.slot].pop(entry, None)
             entry.slot = -1
 
-    def next(self) -> float | None:
+    def next_due(self) -> float | None:
         """When the earliest timer is due; None if there is none."""
         while self.slot_heap:
             slot = self.slot_heap[0]
@@ -63,7 +63,7 @@
 
     def pop(self, now: float) -> T | None:
         """Remove and return the earliest item that is due; None if none is."""
-        first = self.next()
+        first = self.next_due()
         if first is None or first > now:
             return None
         entries = self.slots[self.slot_heap[0]]
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -383,7 +383,7 @@
 
         A timer that is set too early stays: its entry was cancelled, as most are, and waking up is harmless.
         """
-        first = self.timers.next()
+        first = self.timers.next_due()
         if first is None or first >= self.wake_at:
             return
         if self.wake_timer is not None:
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -259,7 +259,7 @@
                 assert at <= now and due.cancelled() and int(at) >= slot - 1
                 slot = int(at)
             assert all(at > now - 1 for at, _ in waiting.values())
-    first = deadlines.next()
+    first = deadlines.next_due()
     assert (first is None) == (not waiting)
     assert first is None or first - 1 <= min(at for at, _ in waiting.values()) <= first
 
@@ -272,7 +272,7 @@
         expired.append(number)
         if number % 2 == 0 and number + 1 < 1000:
             deadlines.cancel(dues[number + 1])
-    assert expired == list(range(0, 1000, 2)) and deadlines.next() is None and not deadlines.slots
+    assert expired == list(range(0, 1000, 2)) and deadlines.next_due() is None and not deadlines.slots
 
 
 # Holding back the last byte
