--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -58,7 +58,7 @@
     """
 
     __slots__ = (
-        "attempts_sent", "build_payload", "cls", "deadline", "gone", "id", "intent", "on_answer",
+        "attempts_sent", "build_payload", "class_index", "deadline", "gone", "id", "intent", "on_answer",
         "open_attempts", "owner", "repeat", "tenant", "timeout", "timers", "trace_id", "upload",
     )  # fmt: skip
 
@@ -73,7 +73,7 @@
         repeat: Repeat,
         owner: Owner,
     ) -> None:
-        self.cls = class_index
+        self.class_index = class_index
         self.tenant = tenant
         self.timeout = timeout
         self.build_payload = build_payload
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -118,14 +118,16 @@
         if upload is None:
             call.deadline = now + call.timeout - ANSWER_MARGIN
             call.timers.append(self.timers.add(call.deadline, call))
-            self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant))
+            self._handle_event(RequestArrived(call.id, call.class_index, call.deadline, call.tenant))
             self._schedule_wake()
             return
         # The timeout counts from the last byte of the body; the caller side ends clients that stop sending.
         call.deadline = now + MAX_UPLOAD_MS
         upload.gone = partial(self._handle_event, BodyDiscarded(call.id))
         self.partial_calls.add(call.id)
-        self._handle_event(RequestArrived(call.id, call.cls, call.deadline, call.tenant, partial=True))
+        self._handle_event(
+            RequestArrived(call.id, call.class_index, call.deadline, call.tenant, partial=True)
+        )
 
     def whole(self, call: Call) -> None:
         """A streamed request body is complete; the timeout of the call begins."""
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -339,7 +339,7 @@
     take = Driver.take
 
     def record(driver: Driver, call: Call) -> None:
-        taken.append(driver.balancer.settings.classes[call.cls].name)
+        taken.append(driver.balancer.settings.classes[call.class_index].name)
         take(driver, call)
 
     monkeypatch.setattr(Driver, "take", record)
