--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -281,7 +281,7 @@
                 self._report_status(head, result.status)
                 self._answer_early(result)
             return
-        result.gone = self.client_gone
+        result.client_gone = self.client_gone
         upload = Upload(
             None if head.declared_length < 0 else head.declared_length,
             head.pool.enter(),
@@ -477,7 +477,7 @@
             self.current_head = item
             if isinstance(result, Call):
                 self.current = result
-                result.gone = self.client_gone
+                result.client_gone = self.client_gone
                 if item.pool is not None:
                     self.lane = item.pool.name
                 result.owner.take(result)
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -58,8 +58,22 @@
     """
 
     __slots__ = (
-        "attempts_sent", "build_payload", "class_index", "deadline", "gone", "id", "intent", "on_answer",
-        "open_attempts", "owner", "repeat", "tenant", "timeout", "timers", "trace_id", "upload",
+        "attempts_sent",
+        "build_payload",
+        "class_index",
+        "client_gone",
+        "deadline",
+        "id",
+        "intent",
+        "on_answer",
+        "open_attempts",
+        "owner",
+        "repeat",
+        "tenant",
+        "timeout",
+        "timers",
+        "trace_id",
+        "upload",
     )  # fmt: skip
 
     def __init__(
@@ -81,7 +95,7 @@
         self.trace_id = trace_id
         self.repeat = repeat
         self.owner = owner
-        self.gone: Callable[[], bool] | None = None  # whether the client is seen to have disconnected
+        self.client_gone: Callable[[], bool] | None = None  # whether the client is seen to have disconnected
         self.intent: Intent | None = None  # set for unsafe calls whose sends are recorded
         self.upload: Upload | None = None  # set if the request body is streamed
         self.id = 0
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -487,7 +487,7 @@
     def _send(self, call: Call, endpoint: int, send_by: float) -> None:
         now, number = self.clock(), call.attempts_sent
         call.attempts_sent += 1
-        if call.gone is not None and call.gone():
+        if call.client_gone is not None and call.client_gone():
             # A disconnect is not noticed while the connection is not read: check before sending in vain.
             self._handle_event(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
             self.left(call)
@@ -495,7 +495,7 @@
         ended, began = partial(self._attempt_ended, call, number), partial(self._answer_began, call, number)
         payload = partial(self._payload, call)
         attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace_id)
-        attempt.gone, attempt.looked = call.gone, time.monotonic() * 1000
+        attempt.gone, attempt.looked = call.client_gone, time.monotonic() * 1000
         attempt.until = attempt.looked + send_by - now
         call.open_attempts[number] = OpenAttempt(endpoint, now, attempt)
         self.upstream.send(endpoint, attempt)
