--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -89,7 +89,7 @@
         self.upstream = upstream
         self.subscribe = subscribe
         self.calls: dict[int, Call] = {}
-        self.open: set[bytes] = set()  # X-Trace-Ids of the open calls
+        self.open_trace_ids: set[bytes] = set()  # X-Trace-Ids of the open calls
         self.partial_calls: set[int] = set()  # calls whose request bodies are still arriving
         self.flows: set[Flow] = set()  # answers that are being streamed
         self.last_id = 0
@@ -113,7 +113,7 @@
         self.last_id += 1
         call.id = self.last_id
         self.calls[call.id] = call
-        self.open.add(call.trace_id)
+        self.open_trace_ids.add(call.trace_id)
         upload = call.upload
         if upload is None:
             call.deadline = now + call.timeout - ANSWER_MARGIN
@@ -515,7 +515,7 @@
             call.upload.drop()
         if call.intent is not None:
             call.intent.end()
-        self.open.discard(call.trace_id)
+        self.open_trace_ids.discard(call.trace_id)
         return self.calls.pop(call.id, None) is not None
 
 
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -143,7 +143,7 @@
             return self._refusal()
         call = self.call_factory.make_call(head, answer)
         call.timeout = self.share.patience(call.timeout)
-        if call.trace_id in self.driver.open:
+        if call.trace_id in self.driver.open_trace_ids:
             # Otherwise one request could get two answers, and the attempts of one call disturb the other's.
             raise BadRequest(409, "X-Trace-Id is that of an open request")
         if self.intents is not None and call.repeat is Repeat.UNSAFE:
