--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -245,7 +245,7 @@
             limits = self.learned_limits.pop(pool.name, [])
             event = endpoint_evidence.hearsay(driver.clock(), priors, settings.cold_time, siblings, limits)
             if event.endpoints or limits or siblings > settings.siblings:
-                driver.hear(event)
+                driver.handle_peer_reports(event)
 
     # Connections
 
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -233,7 +233,7 @@
         if not self.ended:
             self._process(self.balancer.reconfigure(self.clock(), settings))
 
-    def hear(self, event: PeerReports) -> None:
+    def handle_peer_reports(self, event: PeerReports) -> None:
         """Pass the siblings' reports to the module."""
         self._handle_event(event)
 
