--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -272,7 +272,7 @@
         host = self.upstream.hosts.get(endpoint)
         return "" if host is None else str(host.address)
 
-    def entries(self) -> tuple[Listed, ...]:
+    def ready_entries(self) -> tuple[Listed, ...]:
         """The ready endpoints, for the process that takes over."""
         servers, hosts = self.balancer.servers, self.upstream.hosts
         known = [id for id in self.ready if id in servers and id in hosts]
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -159,7 +159,7 @@
         pools = self.parts.pools()
         source, driver = pools[0].source, pools[0].driver
         if len(pools) == 1 and isinstance(source, Discovery):
-            index, endpoints = source.index, driver.entries()
+            index, endpoints = source.index, driver.ready_entries()
             learned = export_learned(driver.balancer) | {"classes": class_names(pools[0].settings)}
         lifecycle, held = self.parts.lifecycle, self.parts.descriptors.in_use()
         return encode(
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -107,7 +107,7 @@
             entry = Listed(Endpoint(77, started_at=now - ahead), Address("127.0.0.1", 9))
             driver.handle_list(ListKind.DELTA, (entry,))
             assert now <= driver.balancer.servers[77].info.started_at <= driver.clock()
-            (passed_on,) = (e.endpoint for e in driver.entries() if e.endpoint.id == 77)
+            (passed_on,) = (e.endpoint for e in driver.ready_entries() if e.endpoint.id == 77)
             assert passed_on.started_at == now - ahead, (
                 "the next process gets the start as discovery reported it"
             )
