--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -28,7 +28,7 @@
 RETIRE_POLL_S = 0.1  # interval of the check whether a retired pool has open calls left
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """Provides the endpoint list of a pool. The balancer decides when to query it."""
 
     def start(self, known: Any) -> None:
@@ -73,7 +73,7 @@
         seed: int,
         room: Room,
         share: Share,
-        source: Callable[[Heard, Witness], Source],
+        source: Callable[[Heard, Witness], EndpointSource],
         lanes: Lanes | None = None,
         locality: Locality | None = None,
     ) -> None:
