--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -25,7 +25,7 @@
 from millgw.membership.servers import Waits
 from millgw.platform.config import Address
 from millgw.platform.discovery import Discovery, Heard, Listed, endpoint_id, listed_as
-from millgw.pool.pool import Witness
+from millgw.pool.pool import EndpointObserver
 
 LOOK = 0.05  # s between two looks while a departure is weighed
 IDLE_LOOK = 1.0  # s between two looks while all is quiet
@@ -53,7 +53,7 @@
     """Follows one directory and judges it; `changed` is told what comes of it, once it is known at all."""
 
     def __init__(
-        self, where: Where, zones: tuple[str, ...], seed: int, witness: Witness, changed: Changed
+        self, where: Where, zones: tuple[str, ...], seed: int, witness: EndpointObserver, changed: Changed
     ) -> None:
         rng = random.Random(f"membership {seed}")
         self.where = where
@@ -224,7 +224,7 @@
     """A pool's source: a coordinator alone."""
 
     def __init__(
-        self, where: Where, zones: tuple[str, ...], seed: int, witness: Witness, heard: Heard
+        self, where: Where, zones: tuple[str, ...], seed: int, witness: EndpointObserver, heard: Heard
     ) -> None:
         self.heard = heard
         self.directory = Directory(where, zones, seed, witness, self._changed)
@@ -269,7 +269,7 @@
         ask_within: float,
         zones: tuple[str, ...],
         seed: int,
-        witness: Witness,
+        witness: EndpointObserver,
         heard: Heard,
     ) -> None:
         self.heard = heard
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -44,7 +44,7 @@
         """Its state, for the log."""
 
 
-class Witness(Protocol):
+class EndpointObserver(Protocol):
     """A pool's own observations of its endpoints; some sources compare them with the reported list."""
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None: ...
@@ -73,7 +73,7 @@
         seed: int,
         room: Room,
         share: Share,
-        source: Callable[[Heard, Witness], EndpointSource],
+        source: Callable[[Heard, EndpointObserver], EndpointSource],
         lanes: Lanes | None = None,
         locality: Locality | None = None,
     ) -> None:
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -13,7 +13,7 @@
 from millgw.operator.file import Coordinator, Directory, Operator, Service
 from millgw.platform.config import Config, ConfigError, read_address, with_settings
 from millgw.platform.discovery import Discovery, Heard, Listed, of_platform, read_listing
-from millgw.pool.pool import EndpointSource, Pool, Witness
+from millgw.pool.pool import EndpointObserver, EndpointSource, Pool
 
 if TYPE_CHECKING:
     from millgw.configuration.client import Client, Target
@@ -72,7 +72,9 @@
     return out
 
 
-def list_source(name: str, service: Service, config: Config) -> Callable[[Heard, Witness], EndpointSource]:
+def list_source(
+    name: str, service: Service, config: Config
+) -> Callable[[Heard, EndpointObserver], EndpointSource]:
     """A factory for the source of a service's endpoint list."""
     if service.endpoints:
         entries = static_entries(service, config)
@@ -87,7 +89,7 @@
 
 def _coordinator_source(
     service: Service, coordinator: Coordinator, config: Config, seed: int
-) -> Callable[[Heard, Witness], EndpointSource]:
+) -> Callable[[Heard, EndpointObserver], EndpointSource]:
     # Imported here: without a coordinator these modules must not be loaded.
     from millgw.membership.judge import Terms
     from millgw.membership.merge import Merger, Mode
