--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -122,7 +122,7 @@
 
     # Requests
 
-    def busy(self) -> Answer | None:
+    def refusal_if_full(self) -> Answer | None:
         """The refusal of a new request if the pool is at its limit of calls; usable once its head is read.
 
         Without it, the calls of a flood would take the capacity of other pools or find no file descriptor.
@@ -136,7 +136,7 @@
 
     def call(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
         """Make the call of a request, or the answer if it can't be accepted."""
-        busy = self.busy()
+        busy = self.refusal_if_full()
         if busy is not None:
             return busy
         if head.long and self.upstream.streams.full():
