--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -81,7 +81,7 @@
         self.config = config
         self.settings = config.settings
         self.share = share
-        self.bodies = 0
+        self.body_bytes = 0
         self.retired = False
         self.upstream = Upstream(
             room, config.connect_timeout, config.idle, config.memory, lambda: self.most(ANSWERS), lanes, name
@@ -166,9 +166,9 @@
 
         Otherwise the bodies of many clients, each within its own limit, could fill the memory.
         """
-        if more > 0 and self.bodies + more > self.most(BODIES):
+        if more > 0 and self.body_bytes + more > self.most(BODIES):
             raise BadRequest(REFUSED, "too much is being sent")
-        self.bodies += more
+        self.body_bytes += more
 
     # Metrics
 
@@ -204,7 +204,7 @@
             return len(self.driver.calls)
         if kind == CONNECTIONS:
             return self.upstream.holds()
-        return self.bodies if kind == BODIES else self.upstream.held
+        return self.body_bytes if kind == BODIES else self.upstream.held
 
     def most(self, kind: str) -> int:
         return self.share.most(kind)
