--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -219,7 +219,7 @@
         self.source.stop()
         self._end_when_idle()
 
-    def drop(self) -> None:
+    def shut_down(self) -> None:
         """Stop all timers and callbacks, which would keep the pool in memory."""
         self.upstream.stop()
         self.driver.end()
@@ -232,7 +232,7 @@
             host = self.upstream.forget(endpoint)
             if host is not None:
                 self.upstream.close(host)
-        self.drop()
+        self.shut_down()
         log_event("pool-ended", pool=self.name)
 
     def figures(self) -> dict[str, object]:
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -247,7 +247,7 @@
             # Converted to text here: a stored log record would keep the error's frames and pools alive.
             log_event("reload-refused", cause=str(error))
             for served in new_services:
-                served.pool.drop()
+                served.pool.shut_down()
             for listener in new_listeners.values():
                 listener.server.stop()
             return
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -121,7 +121,7 @@
         assert pool.source.index == (41 if taken else 1), "the configuration's own list is of version 1"
         assert (pool.driver.balancer.budget.tokens == 77.0) == taken
         pool.source.stop()
-        pool.drop()
+        pool.shut_down()
 
     run(test)
 
