--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -8,7 +8,7 @@
 from millgw.http.message import REFUSED, Answer
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
-from millgw.pool.pool import Pool, read
+from millgw.pool.pool import Pool, make_call
 
 
 class PlainFront:
@@ -29,7 +29,7 @@
             head.wrong = BadRequest(405, "only GET asks whether the sidecar is ready")
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
-        return read(head, answer, self._answer_ready)
+        return make_call(head, answer, self._answer_ready)
 
     def _answer_ready(self, head: Head) -> Answer:
         return Answer(200 if self.pool.driver.ready and self.lifecycle.welcome() else REFUSED)
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -263,7 +263,7 @@
         return f"{self.name}: {state}, {figures['endpoints']} endpoints, {kinds}, {sends}{connections}"
 
 
-def read(head: Head, answer: Callable[[Answer], None], ready: Callable[[Head], Answer]) -> Call | Answer:
+def make_call(head: Head, answer: Callable[[Answer], None], ready: Callable[[Head], Answer]) -> Call | Answer:
     """Make the call of a complete request, or its answer. A request without a pool is one for /ready."""
     if head.wrong is not None:
         raise head.wrong
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -17,7 +17,7 @@
 from millgw.http.message import REFUSED, Answer, plain
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
-from millgw.pool.pool import Pool, read
+from millgw.pool.pool import Pool, make_call
 from millgw.routing.table import Asked, NoRoute, Route, Table
 from millgw.routing.target import BadTarget, read_target
 from millgw.services.turns import FairQueue
@@ -101,7 +101,7 @@
         return self.registry.pools[found.service]
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
-        return read(head, answer, self._answer_ready)
+        return make_call(head, answer, self._answer_ready)
 
     def _answer_ready(self, head: Head) -> Answer:
         if head.method != b"GET":
