--- a/millgw/pool/share.py
+++ b/millgw/pool/share.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 CALLS, CONNECTIONS, BODIES, ANSWERS = "calls", "connections", "bodies", "answers"
-BODIES_PART = 1 / 8  # of the memory limit, for request bodies of open or arriving requests
+BODIES_MEMORY_SHARE = 1 / 8  # of the memory limit, for request bodies of open or arriving requests
 
 
 class Share(Protocol):
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -20,7 +20,7 @@
 from millgw.platform.descriptors import Descriptors
 from millgw.pool.driver import Clock
 from millgw.pool.pool import Pool
-from millgw.pool.share import ANSWERS, BODIES, BODIES_PART, CALLS, CONNECTIONS
+from millgw.pool.share import ANSWERS, BODIES, BODIES_MEMORY_SHARE, CALLS, CONNECTIONS
 from millgw.services.front import PoolRegistry, RoutedFront, TurnScheduler
 from millgw.services.limits import Allotment
 from millgw.services.parts import attach, list_source, locality, make_intents, pool_config, pool_seed
@@ -144,7 +144,7 @@
         totals = {
             CALLS: self.shared.most_calls,
             CONNECTIONS: self.shared.most - self.shared.most_callers,
-            BODIES: int(BODIES_PART * self.config.memory),
+            BODIES: int(BODIES_MEMORY_SHARE * self.config.memory),
             ANSWERS: int(ANSWERS_PART * self.config.memory),
         }
         allotments = {}
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -17,7 +17,7 @@
 from millgw.platform.descriptors import Descriptors
 from millgw.platform.discovery import Discovery, of_platform
 from millgw.pool.pool import Pool
-from millgw.pool.share import ANSWERS, BODIES, BODIES_PART, CALLS, CONNECTIONS, Whole
+from millgw.pool.share import ANSWERS, BODIES, BODIES_MEMORY_SHARE, CALLS, CONNECTIONS, Whole
 
 if TYPE_CHECKING:
     from millgw.configuration.client import Client
@@ -59,7 +59,7 @@
         {
             CALLS: descriptors.most_calls,
             CONNECTIONS: descriptors.most,
-            BODIES: int(BODIES_PART * config.memory),
+            BODIES: int(BODIES_MEMORY_SHARE * config.memory),
             ANSWERS: int(ANSWERS_PART * config.memory),
         }
     )
