--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -10,7 +10,7 @@
 from millgw.platform.config import Config
 from millgw.platform.descriptors import CALLERS_PART
 from millgw.pool.pool import Pool
-from millgw.pool.share import CONNECTIONS, Whole
+from millgw.pool.share import CONNECTIONS, WholeShare
 
 
 class LivePoolView:
@@ -37,7 +37,7 @@
     def descriptor_budget(self) -> int:
         most = self.pool.most(CONNECTIONS)
         # A single pool may use all descriptors, but those for callers must not go to idle connections.
-        return most - int(CALLERS_PART * most) if isinstance(self.pool.share, Whole) else most
+        return most - int(CALLERS_PART * most) if isinstance(self.pool.share, WholeShare) else most
 
     def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
         self.pool.driver.replace_list(endpoints)
--- a/millgw/pool/share.py
+++ b/millgw/pool/share.py
@@ -25,7 +25,7 @@
         """The timeout (ms) granted to a call that asks for `patience` ms: borrowed capacity must return."""
 
 
-class Whole:
+class WholeShare:
     """The share of the only pool of a process: everything."""
 
     def __init__(self, totals: dict[str, int]) -> None:
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -17,7 +17,7 @@
 from millgw.platform.descriptors import Descriptors
 from millgw.platform.discovery import Discovery, of_platform
 from millgw.pool.pool import Pool
-from millgw.pool.share import ANSWERS, BODIES, BODIES_MEMORY_SHARE, CALLS, CONNECTIONS, Whole
+from millgw.pool.share import ANSWERS, BODIES, BODIES_MEMORY_SHARE, CALLS, CONNECTIONS, WholeShare
 
 if TYPE_CHECKING:
     from millgw.configuration.client import Client
@@ -55,7 +55,7 @@
     locality: Locality | None = None,
 ) -> Parts:
     descriptors = Descriptors(config.sockets)
-    process_limits = Whole(
+    process_limits = WholeShare(
         {
             CALLS: descriptors.most_calls,
             CONNECTIONS: descriptors.most,
