--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -193,9 +193,9 @@
         self.pool.reconfigure(self.config)
         if self.tended is None or self.terms is None:
             return
-        from millgw.connections.attach import place_of
+        from millgw.connections.attach import instance_position
 
-        self.tended.settle(place_of(self.config.settings), self.config.idle)
+        self.tended.settle(instance_position(self.config.settings), self.config.idle)
         if self.terms != self.tended.terms:
             self.tended.change(self.terms)
 
--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -43,14 +43,14 @@
         self.pool.driver.replace_list(endpoints)
 
 
-def place_of(settings: Settings) -> Place:
+def instance_position(settings: Settings) -> Place:
     """The instance's index among its siblings and how endpoints warm up, by its settings."""
     return Place(settings.index, max(1, settings.siblings), settings.cold_share, settings.cold_time)
 
 
 def tend(pool: Pool, terms: Terms, config: Config, seed: int) -> Tended:
     """Manage a pool's connections from now on; called before the pool is started."""
-    place = place_of(pool.settings)
+    place = instance_position(pool.settings)
     manager = Tended(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
     pool.upstream.tend(manager)
     pool.driver.list_filter = manager
