--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -48,7 +48,7 @@
     return Place(settings.index, max(1, settings.siblings), settings.cold_share, settings.cold_time)
 
 
-def tend(pool: Pool, terms: Terms, config: Config, seed: int) -> Tended:
+def manage_connections(pool: Pool, terms: Terms, config: Config, seed: int) -> Tended:
     """Manage a pool's connections from now on; called before the pool is started."""
     place = instance_position(pool.settings)
     manager = Tended(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -124,9 +124,9 @@
     if terms is None:
         return None
     # Imported here: without managed connections these modules must not be loaded.
-    from millgw.connections.attach import tend
+    from millgw.connections.attach import manage_connections
 
-    return tend(pool, terms, config, seed)
+    return manage_connections(pool, terms, config, seed)
 
 
 def peers(operator: Operator, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
