--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -25,7 +25,7 @@
 from millgw.settings import REPEATS, SCOPES, read_list, read_table
 
 if TYPE_CHECKING:
-    from millgw.connections.tended import Tended
+    from millgw.connections.tended import ConnectionManager
     from millgw.connections.terms import Terms
     from millgw.pool.pool import Pool
 
@@ -184,7 +184,7 @@
     """What becomes of one pool, checked already."""
 
     pool: Pool
-    tended: Tended | None
+    tended: ConnectionManager | None
     config: Config
     terms: Terms | None
 
@@ -200,7 +200,9 @@
             self.tended.change(self.terms)
 
 
-def plan(path: str, pool: Pool, tended: Tended | None, config: Config, terms: Terms | None) -> PoolChange:
+def plan(
+    path: str, pool: Pool, tended: ConnectionManager | None, config: Config, terms: Terms | None
+) -> PoolChange:
     """The change of a pool to a configuration; a RefusedVersionError names what can't change in service."""
     if (tended is None) != (terms is None):
         raise RestartNeededError(f"{path}{CONNECTIONS}")
@@ -241,7 +243,7 @@
         raise RefusedVersionError(in_words(error)) from None
 
 
-def plan_service(files: Files, name: str, pool: Pool, tended: Tended | None) -> PoolChange:
+def plan_service(files: Files, name: str, pool: Pool, tended: ConnectionManager | None) -> PoolChange:
     """The change of one service's pool to what the files say, with entries over them."""
     service, config = files.operator.services[name], service_config(files, name)
     two_sources = service.coordinator is not None and service.membership is not None
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -13,7 +13,7 @@
 from millgw.pool.pool import Pool
 
 if TYPE_CHECKING:
-    from millgw.connections.tended import Tended
+    from millgw.connections.tended import ConnectionManager
 
 
 class SinglePool:
@@ -26,7 +26,11 @@
         self.entries: Entries = {}
 
     def serve(
-        self, entries: Entries, pool: Pool, tended: Tended | None, reload_rest: Callable[[Config], None]
+        self,
+        entries: Entries,
+        pool: Pool,
+        tended: ConnectionManager | None,
+        reload_rest: Callable[[Config], None],
     ) -> None:
         """The pool is there, made with these entries; `reload_rest` applies what a SIGHUP changes beside."""
         self.entries = entries
--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from millgw.connections.opening import Place
-from millgw.connections.tended import Tended
+from millgw.connections.tended import ConnectionManager
 from millgw.connections.terms import Terms
 from millgw.decide import UNREACHABLE_AFTER
 from millgw.interface import Endpoint, Settings
@@ -48,10 +48,10 @@
     return Place(settings.index, max(1, settings.siblings), settings.cold_share, settings.cold_time)
 
 
-def manage_connections(pool: Pool, terms: Terms, config: Config, seed: int) -> Tended:
+def manage_connections(pool: Pool, terms: Terms, config: Config, seed: int) -> ConnectionManager:
     """Manage a pool's connections from now on; called before the pool is started."""
     place = instance_position(pool.settings)
-    manager = Tended(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
+    manager = ConnectionManager(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
     pool.upstream.tend(manager)
     pool.driver.list_filter = manager
     return manager
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -64,7 +64,7 @@
         self.serve_scheduled = False  # `_serve_waiting` is scheduled
 
 
-class Tended:
+class ConnectionManager:
     """Connections of one pool. `promised_idle` (ms) is how long endpoints promise to keep an idle one."""
 
     def __init__(
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -27,7 +27,7 @@
 from millgw.services.shares import ConnectionBudget, LentShare, PoolLimits
 
 if TYPE_CHECKING:
-    from millgw.connections.tended import Tended
+    from millgw.connections.tended import ConnectionManager
 
 STATUS_INTERVAL = 60.0  # s between log lines on each pool
 LEND_MS = 2000.0  # ms within which borrowed capacity returns
@@ -40,7 +40,7 @@
     pool: Pool
     entry: Service
     raw_settings: Mapping[str, Any]
-    tended: Tended | None
+    tended: ConnectionManager | None
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -64,7 +64,7 @@
         # Entries of the distributed document, overlaid on the files.
         self.entries: Mapping[str, Mapping[str, Any]] = {}
         self.shared = Descriptors(config.sockets)
-        self.tended: Tended | None = None  # without services: that of the single pool
+        self.tended: ConnectionManager | None = None  # without services: that of the single pool
         self.intents = make_intents(self.operator, config.memory)
 
     def open(self) -> tuple[Callable[[], Sequence[Server]], Callable[[], Sequence[Pool]], Callable[[], None]]:
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -19,7 +19,7 @@
 from millgw.configuration.apply import RefusedVersionError, in_service, one_line, overlay
 from millgw.configuration.client import START_WITHIN
 from millgw.configuration.last_good import LastGood
-from millgw.connections.tended import Tended
+from millgw.connections.tended import ConnectionManager
 from millgw.decide import Balancer
 from millgw.hot_restart.learned import export_learned
 from millgw.interface import (
@@ -713,7 +713,7 @@
             assert control.reports[-1]["status"] == "applied"
             assert pool.settings.cold_time == 9000.0
             tended = pool.upstream.tending
-            assert isinstance(tended, Tended)
+            assert isinstance(tended, ConnectionManager)
             assert tended.terms.keep_least == 2 and tended.place.cold_time == 9000.0
             changed = copy.deepcopy(rig.SETTINGS)
             changed["rules"] |= {"cold": 1.0, "fall": 77.0}
