--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -195,7 +195,7 @@
             return
         from millgw.connections.attach import instance_position
 
-        self.tended.settle(instance_position(self.config.settings), self.config.idle)
+        self.tended.set_position(instance_position(self.config.settings), self.config.idle)
         if self.terms != self.tended.terms:
             self.tended.change(self.terms)
 
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -219,7 +219,7 @@
             state.policy.change(terms, self.promised_idle)
         self._schedule_tick(0.0)
 
-    def settle(self, position: Place, promised_idle: float) -> None:
+    def set_position(self, position: Place, promised_idle: float) -> None:
         """Apply another position among the siblings and another idle timeout promised by the endpoints."""
         if (position, promised_idle) == (self.place, self.promised_idle):
             return
