--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -78,7 +78,7 @@
     ) -> None:
         self.upstream = upstream
         self.terms = terms
-        self.place = position
+        self.position = position
         self.promised_idle = promised_idle
         self.pool_view = pool_view
         self.rng = random.Random(f"connections {seed}")
@@ -221,10 +221,10 @@
 
     def set_position(self, position: Place, promised_idle: float) -> None:
         """Apply another position among the siblings and another idle timeout promised by the endpoints."""
-        if (position, promised_idle) == (self.place, self.promised_idle):
+        if (position, promised_idle) == (self.position, self.promised_idle):
             return
         self.promised_idle = promised_idle
-        self.place = position
+        self.position = position
         self.cold_filter.cold_time = position.cold_time
         for state in self.states.values():
             state.policy.set_position(self._position_for(state.endpoint))
@@ -232,7 +232,7 @@
         self.change(self.terms)
 
     def _position_for(self, endpoint: int) -> Place:
-        return replace(self.place, index=(self.place.index + endpoint) % self.place.siblings)
+        return replace(self.position, index=(self.position.index + endpoint) % self.position.siblings)
 
     def stop(self) -> None:
         self.stopped = True
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -714,7 +714,7 @@
             assert pool.settings.cold_time == 9000.0
             tended = pool.upstream.tending
             assert isinstance(tended, ConnectionManager)
-            assert tended.terms.keep_least == 2 and tended.place.cold_time == 9000.0
+            assert tended.terms.keep_least == 2 and tended.position.cold_time == 9000.0
             changed = copy.deepcopy(rig.SETTINGS)
             changed["rules"] |= {"cold": 1.0, "fall": 77.0}
             data = json.loads(node.config.read_text())
