--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from millgw.connections.opening import Place
+from millgw.connections.opening import InstancePosition
 from millgw.connections.tended import ConnectionManager
 from millgw.connections.terms import Terms
 from millgw.decide import UNREACHABLE_AFTER
@@ -43,9 +43,11 @@
         self.pool.driver.replace_list(endpoints)
 
 
-def instance_position(settings: Settings) -> Place:
+def instance_position(settings: Settings) -> InstancePosition:
     """The instance's index among its siblings and how endpoints warm up, by its settings."""
-    return Place(settings.index, max(1, settings.siblings), settings.cold_share, settings.cold_time)
+    return InstancePosition(
+        settings.index, max(1, settings.siblings), settings.cold_share, settings.cold_time
+    )
 
 
 def manage_connections(pool: Pool, terms: Terms, config: Config, seed: int) -> ConnectionManager:
--- a/millgw/connections/keeper.py
+++ b/millgw/connections/keeper.py
@@ -15,7 +15,7 @@
 
 from millgw.connections.lifetime import AFTER_ANSWER_MS, IdleLimit, UseLimit
 from millgw.connections.need import ConnectionDemand
-from millgw.connections.opening import Place, Turns, retry_turns
+from millgw.connections.opening import InstancePosition, Turns, retry_turns
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
 from millgw.connections.terms import Order, Terms
 
@@ -65,7 +65,9 @@
 class EndpointPolicy:
     """Policy of one endpoint. `promised_idle` is how long (ms) it promises to keep an idle connection."""
 
-    def __init__(self, terms: Terms, position: Place, promised_idle: float, rng: random.Random) -> None:
+    def __init__(
+        self, terms: Terms, position: InstancePosition, promised_idle: float, rng: random.Random
+    ) -> None:
         self.terms = terms
         self.position = position
         self.rng = rng
@@ -91,7 +93,7 @@
         self.retry_turns = retry_turns(self.position, terms.cold_rate, self.rng)
         self.reachability.min_wait, self.reachability.max_wait = terms.probe_base, terms.probe_most
 
-    def set_position(self, position: Place) -> None:
+    def set_position(self, position: InstancePosition) -> None:
         """Apply another position among the siblings; a cold start must be reported again."""
         self.position = position
         self.turns = None
--- a/millgw/connections/opening.py
+++ b/millgw/connections/opening.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class InstancePosition:
     """An instance's index among its siblings, and how capacity rises: `cold_share` to 1 in `cold_time` ms."""
 
     index: int
@@ -44,7 +44,7 @@
     __slots__ = ("first", "last_used", "position", "rate", "since")
 
     def __init__(
-        self, position: Place, rate: float, since: float, start_shared: bool, rng: random.Random
+        self, position: InstancePosition, rate: float, since: float, start_shared: bool, rng: random.Random
     ) -> None:
         self.position = position
         self.rate = PLANNED_RATE_SHARE * rate / 1000 * (1.0 if start_shared else UNSHARED_START_FACTOR)
@@ -103,6 +103,6 @@
         return min(max(now, due), max(now, self.since + self.position.cold_time))
 
 
-def retry_turns(position: Place, rate: float, rng: random.Random) -> Turns:
+def retry_turns(position: InstancePosition, rate: float, rng: random.Random) -> Turns:
     """An instance's turns to retry an unreachable endpoint, by the wall clock, which all siblings share."""
-    return Turns(Place(position.index, position.siblings, 1.0, math.inf), rate, 0.0, True, rng)
+    return Turns(InstancePosition(position.index, position.siblings, 1.0, math.inf), rate, 0.0, True, rng)
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -19,7 +19,7 @@
 from millgw.connections.counts import ConnectionCounts
 from millgw.connections.introduction import ColdEndpointFilter
 from millgw.connections.keeper import ConnectionRecord, EndpointPolicy, GiveUp, Opening
-from millgw.connections.opening import Place
+from millgw.connections.opening import InstancePosition
 from millgw.connections.standing import DOWN, panic_mode
 from millgw.connections.terms import Proving, Terms
 from millgw.endpoints.attempt import WRITTEN, Attempt
@@ -71,7 +71,7 @@
         self,
         upstream: Upstream,
         terms: Terms,
-        position: Place,
+        position: InstancePosition,
         promised_idle: float,
         seed: int,
         pool_view: PoolView,
@@ -219,7 +219,7 @@
             state.policy.change(terms, self.promised_idle)
         self._schedule_tick(0.0)
 
-    def set_position(self, position: Place, promised_idle: float) -> None:
+    def set_position(self, position: InstancePosition, promised_idle: float) -> None:
         """Apply another position among the siblings and another idle timeout promised by the endpoints."""
         if (position, promised_idle) == (self.position, self.promised_idle):
             return
@@ -231,7 +231,7 @@
             self._note_cold(state)
         self.change(self.terms)
 
-    def _position_for(self, endpoint: int) -> Place:
+    def _position_for(self, endpoint: int) -> InstancePosition:
         return replace(self.position, index=(self.position.index + endpoint) % self.position.siblings)
 
     def stop(self) -> None:
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -24,7 +24,7 @@
     UseLimit,
 )
 from millgw.connections.need import ConnectionDemand
-from millgw.connections.opening import Place, Turns, retry_turns
+from millgw.connections.opening import InstancePosition, Turns, retry_turns
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.connections.terms import Order, Terms
 from millgw.interface import Condition, Endpoint, ListKind
@@ -43,7 +43,7 @@
     rng = random.Random(seed)
     opened = []
     for index in range(siblings):
-        turns = Turns(Place(index, siblings, share, cold), rate, SINCE, common, rng)
+        turns = Turns(InstancePosition(index, siblings, share, cold), rate, SINCE, common, rng)
         now = SINCE + TICK * rng.random()
         while turns.cold(now):
             if turns.take(now):
@@ -82,7 +82,7 @@
 
 
 def test_an_unused_turn_expires() -> None:
-    turns = Turns(Place(0, 1, 1.0, 10_000.0), 10.0, SINCE, True, random.Random(1))
+    turns = Turns(InstancePosition(0, 1, 1.0, 10_000.0), 10.0, SINCE, True, random.Random(1))
     assert not turns.take(SINCE + 5)
     taken = [turns.take(SINCE + 3000) for _ in range(5)]  # 24 turns were due by then
     assert sum(taken) <= 1
@@ -92,7 +92,7 @@
 def test_the_count_of_handshakes_and_its_time_are_inverse_functions(
     share: float, cold: float, rate: float, part: float
 ) -> None:
-    turns = Turns(Place(0, 7, share, cold), rate, SINCE, True, random.Random(1))
+    turns = Turns(InstancePosition(0, 7, share, cold), rate, SINCE, True, random.Random(1))
     at = SINCE + part * cold
     assert turns.time_of(turns.handshakes_by(at)) == pytest.approx(at, abs=1.0)
     assert turns.next_due(at) >= at
@@ -103,7 +103,7 @@
     """So that all siblings together do not exceed the rate when the endpoint comes back."""
     rng, opened = random.Random(1), []
     for index in range(siblings):
-        turns = retry_turns(Place(index, siblings, 0.2, 14_000.0), 20.0, rng)
+        turns = retry_turns(InstancePosition(index, siblings, 0.2, 14_000.0), 20.0, rng)
         now = WALL + TICK * rng.random()
         while now < WALL + 30_000.0:
             if turns.take(now):
@@ -113,7 +113,7 @@
 
 
 def test_an_endpoint_that_is_warm_may_be_opened_to_at_any_time() -> None:
-    turns = Turns(Place(3, 400, 0.2, 1000.0), 20.0, SINCE, True, random.Random(1))
+    turns = Turns(InstancePosition(3, 400, 0.2, 1000.0), 20.0, SINCE, True, random.Random(1))
     assert all(turns.take(SINCE + 1000) for _ in range(9)) and not turns.cold(SINCE + 1000)
 
 
@@ -165,7 +165,7 @@
     assert known.limit(3.0) == 40 and known.limit(3.0 + USE_LIMIT_MEMORY_MS * CONFIRMATIONS) == 0
 
 
-PLACE = Place(0, 1, 0.2, 5000.0)
+PLACE = InstancePosition(0, 1, 0.2, 5000.0)
 
 
 def make_policy(**terms: object) -> EndpointPolicy:
