--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -38,7 +38,7 @@
 from benchmarks.flags import words
 from benchmarks.rehearsal import play
 from millgw.cli.tree import run
-from millgw.connections.opening import InstancePosition, Turns
+from millgw.connections.opening import HandshakeTurns, InstancePosition
 from millgw.platform.config import Address
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.rehearsal.scenario_files import load, to_toml
@@ -260,7 +260,7 @@
         for common in (True, False):
             rng, times = random.Random(1), []
             for index in range(count):
-                turns = Turns(InstancePosition(index, count, 0.2, 14_000.0), 20.0, 1e6, common, rng)
+                turns = HandshakeTurns(InstancePosition(index, count, 0.2, 14_000.0), 20.0, 1e6, common, rng)
                 now = 1e6 + 50 * rng.random()
                 while turns.cold(now):
                     if turns.take(now):
--- a/millgw/connections/keeper.py
+++ b/millgw/connections/keeper.py
@@ -2,7 +2,7 @@
 
 The policy is informed of events and asked what to do. It knows connections by their `ConnectionRecord`; the
 sockets are held elsewhere. Times are in ms: `now` on any monotonic clock, the same for all methods; `wall`
-and endpoints' start times on the clock of `Turns`.
+and endpoints' start times on the clock of `HandshakeTurns`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from millgw.connections.lifetime import AFTER_ANSWER_MS, IdleLimit, UseLimit
 from millgw.connections.need import ConnectionDemand
-from millgw.connections.opening import InstancePosition, Turns, retry_turns
+from millgw.connections.opening import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
 from millgw.connections.terms import Order, Terms
 
@@ -75,7 +75,7 @@
         self.use_limit = UseLimit()
         self.demand = ConnectionDemand()
         self.reachability = Reachability(rng, terms.probe_base, terms.probe_most)
-        self.turns: Turns | None = None  # used while the endpoint is cold
+        self.turns: HandshakeTurns | None = None  # used while the endpoint is cold
         self.retry_turns = retry_turns(position, terms.cold_rate, rng)  # used while the endpoint is down
         self.unused_in_a_row = 0  # consecutive connections that ended without a request
         self.open_ahead_after = 0.0
@@ -103,7 +103,7 @@
     def set_cold_start(self, since: float, start_shared: bool) -> None:
         """The endpoint is cold since a time; `start_shared` is set if the siblings know that start too."""
         if self.turns is None or self.turns.since != since:
-            self.turns = Turns(self.position, self.terms.cold_rate, since, start_shared, self.rng)
+            self.turns = HandshakeTurns(self.position, self.terms.cold_rate, since, start_shared, self.rng)
 
     def connected(self, now: float) -> ConnectionRecord:
         """A connection was established; returns its record."""
--- a/millgw/connections/opening.py
+++ b/millgw/connections/opening.py
@@ -34,7 +34,7 @@
     cold_time: float
 
 
-class Turns:
+class HandshakeTurns:
     """One instance's turns to open a connection to one endpoint that started at `since`.
 
     `rate` is the handshakes per second of all siblings at full capacity. `start_shared` tells whether the
@@ -103,6 +103,8 @@
         return min(max(now, due), max(now, self.since + self.position.cold_time))
 
 
-def retry_turns(position: InstancePosition, rate: float, rng: random.Random) -> Turns:
+def retry_turns(position: InstancePosition, rate: float, rng: random.Random) -> HandshakeTurns:
     """An instance's turns to retry an unreachable endpoint, by the wall clock, which all siblings share."""
-    return Turns(InstancePosition(position.index, position.siblings, 1.0, math.inf), rate, 0.0, True, rng)
+    return HandshakeTurns(
+        InstancePosition(position.index, position.siblings, 1.0, math.inf), rate, 0.0, True, rng
+    )
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -24,7 +24,7 @@
     UseLimit,
 )
 from millgw.connections.need import ConnectionDemand
-from millgw.connections.opening import InstancePosition, Turns, retry_turns
+from millgw.connections.opening import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.connections.terms import Order, Terms
 from millgw.interface import Condition, Endpoint, ListKind
@@ -43,7 +43,7 @@
     rng = random.Random(seed)
     opened = []
     for index in range(siblings):
-        turns = Turns(InstancePosition(index, siblings, share, cold), rate, SINCE, common, rng)
+        turns = HandshakeTurns(InstancePosition(index, siblings, share, cold), rate, SINCE, common, rng)
         now = SINCE + TICK * rng.random()
         while turns.cold(now):
             if turns.take(now):
@@ -82,7 +82,7 @@
 
 
 def test_an_unused_turn_expires() -> None:
-    turns = Turns(InstancePosition(0, 1, 1.0, 10_000.0), 10.0, SINCE, True, random.Random(1))
+    turns = HandshakeTurns(InstancePosition(0, 1, 1.0, 10_000.0), 10.0, SINCE, True, random.Random(1))
     assert not turns.take(SINCE + 5)
     taken = [turns.take(SINCE + 3000) for _ in range(5)]  # 24 turns were due by then
     assert sum(taken) <= 1
@@ -92,7 +92,7 @@
 def test_the_count_of_handshakes_and_its_time_are_inverse_functions(
     share: float, cold: float, rate: float, part: float
 ) -> None:
-    turns = Turns(InstancePosition(0, 7, share, cold), rate, SINCE, True, random.Random(1))
+    turns = HandshakeTurns(InstancePosition(0, 7, share, cold), rate, SINCE, True, random.Random(1))
     at = SINCE + part * cold
     assert turns.time_of(turns.handshakes_by(at)) == pytest.approx(at, abs=1.0)
     assert turns.next_due(at) >= at
@@ -113,7 +113,7 @@
 
 
 def test_an_endpoint_that_is_warm_may_be_opened_to_at_any_time() -> None:
-    turns = Turns(InstancePosition(3, 400, 0.2, 1000.0), 20.0, SINCE, True, random.Random(1))
+    turns = HandshakeTurns(InstancePosition(3, 400, 0.2, 1000.0), 20.0, SINCE, True, random.Random(1))
     assert all(turns.take(SINCE + 1000) for _ in range(9)) and not turns.cold(SINCE + 1000)
 
 
