--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from millgw.connections.tended import ConnectionManager
-    from millgw.connections.terms import Terms
+    from millgw.connections.terms import ConnectionSettings
     from millgw.pool.pool import Pool
 
 Entries = Mapping[str, Mapping[str, Any]]
@@ -186,7 +186,7 @@
     pool: Pool
     tended: ConnectionManager | None
     config: Config
-    terms: Terms | None
+    terms: ConnectionSettings | None
 
     def carry_out(self) -> None:
         """Have the pool go by it from now on."""
@@ -201,7 +201,7 @@
 
 
 def plan(
-    path: str, pool: Pool, tended: ConnectionManager | None, config: Config, terms: Terms | None
+    path: str, pool: Pool, tended: ConnectionManager | None, config: Config, terms: ConnectionSettings | None
 ) -> PoolChange:
     """The change of a pool to a configuration; a RefusedVersionError names what can't change in service."""
     if (tended is None) != (terms is None):
--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -4,7 +4,7 @@
 
 from millgw.connections.opening import InstancePosition
 from millgw.connections.tended import ConnectionManager
-from millgw.connections.terms import Terms
+from millgw.connections.terms import ConnectionSettings
 from millgw.decide import UNREACHABLE_AFTER
 from millgw.interface import Endpoint, Settings
 from millgw.platform.config import Config
@@ -50,7 +50,7 @@
     )
 
 
-def manage_connections(pool: Pool, terms: Terms, config: Config, seed: int) -> ConnectionManager:
+def manage_connections(pool: Pool, terms: ConnectionSettings, config: Config, seed: int) -> ConnectionManager:
     """Manage a pool's connections from now on; called before the pool is started."""
     place = instance_position(pool.settings)
     manager = ConnectionManager(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
--- a/millgw/connections/keeper.py
+++ b/millgw/connections/keeper.py
@@ -17,7 +17,7 @@
 from millgw.connections.need import ConnectionDemand
 from millgw.connections.opening import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
-from millgw.connections.terms import Order, Terms
+from millgw.connections.terms import ConnectionSettings, Order
 
 UNSAFE_IDLE_SHARE = 0.5  # of the idle limit: an unsafe call needs a connection that was idle for less
 # Delay before another connection is opened ahead of need; doubles with each one in a row that ended unused.
@@ -66,7 +66,7 @@
     """Policy of one endpoint. `promised_idle` is how long (ms) it promises to keep an idle connection."""
 
     def __init__(
-        self, terms: Terms, position: InstancePosition, promised_idle: float, rng: random.Random
+        self, terms: ConnectionSettings, position: InstancePosition, promised_idle: float, rng: random.Random
     ) -> None:
         self.terms = terms
         self.position = position
@@ -86,7 +86,7 @@
         self.observed_limit = math.inf  # connections that the endpoint was seen to accept
         self.observed_limit_at = 0.0
 
-    def change(self, terms: Terms, promised_idle: float) -> None:
+    def change(self, terms: ConnectionSettings, promised_idle: float) -> None:
         """Apply other settings; what was learned about the endpoint is kept."""
         self.terms = terms
         self.idle_limit.set_maximum(terms.idle_part * promised_idle)
--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -21,7 +21,7 @@
 from millgw.connections.keeper import ConnectionRecord, EndpointPolicy, GiveUp, Opening
 from millgw.connections.opening import InstancePosition
 from millgw.connections.standing import DOWN, panic_mode
-from millgw.connections.terms import Proving, Terms
+from millgw.connections.terms import ConnectionSettings, Proving
 from millgw.endpoints.attempt import WRITTEN, Attempt
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.host import Host
@@ -70,7 +70,7 @@
     def __init__(
         self,
         upstream: Upstream,
-        terms: Terms,
+        terms: ConnectionSettings,
         position: InstancePosition,
         promised_idle: float,
         seed: int,
@@ -212,7 +212,7 @@
             return 0.0
         return self.terms.prove_most
 
-    def change(self, terms: Terms) -> None:
+    def change(self, terms: ConnectionSettings) -> None:
         """Apply other settings; what was learned is kept."""
         self.terms = terms
         for state in self.states.values():
--- a/millgw/connections/terms.py
+++ b/millgw/connections/terms.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class ConnectionSettings:
     """Settings of one pool. Counts are per endpoint unless stated otherwise.
 
     Pool size: at least `keep_least` connections are kept open, at most `keep_most` idle (0: limited by the
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -11,7 +11,7 @@
 
 from msgspec import Meta, field
 
-from millgw.connections.terms import Order, Proving, Terms
+from millgw.connections.terms import ConnectionSettings, Order, Proving
 from millgw.membership.servers import check_path, read_connect
 from millgw.operator.toml_schema import FileError, Table, read
 from millgw.platform.config import read_address
@@ -85,9 +85,9 @@
     silent_after_s: Annotated[float, Meta(ge=0, le=1e6)] = 5.0
     prove_ms: Annotated[float, Meta(ge=10, le=10_000)] = 100.0
 
-    def terms(self) -> Terms:
+    def terms(self) -> ConnectionSettings:
         """These settings as the connection policy takes them; raises ValueError naming an invalid field."""
-        return Terms(
+        return ConnectionSettings(
             order=Order(self.order), keep_least=self.keep_least, keep_most=self.keep_most,
             open_most=self.open_most, ahead=self.ahead, headroom=self.headroom, age=self.age_s * 1000,
             uses=self.uses, idle_part=self.idle_part, jitter=self.jitter, learn=self.learn,
@@ -213,7 +213,7 @@
     configuration: Configuration | None = None
     places: Places | None = None
 
-    def tends(self, name: str = "") -> Terms | None:
+    def tends(self, name: str = "") -> ConnectionSettings | None:
         """The connection settings of a service, or of the single pool; None if they are not managed."""
         own = self.services[name].connections if name else None
         connections = self.connections if own is None else own
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from millgw.configuration.client import Client, Target
     from millgw.connections.tended import ConnectionManager
-    from millgw.connections.terms import Terms
+    from millgw.connections.terms import ConnectionSettings
     from millgw.intents.log import Intents
     from millgw.membership.judge import Terms as JudgeTerms
     from millgw.membership.source import Where
@@ -119,7 +119,9 @@
     return Where(servers, root + directory.path, directory.session_s * 1000, terms, port)
 
 
-def attach(pool: Pool, terms: Terms | None, config: Config, seed: int) -> ConnectionManager | None:
+def attach(
+    pool: Pool, terms: ConnectionSettings | None, config: Config, seed: int
+) -> ConnectionManager | None:
     """Attach a connection manager to a pool, where the operator's file has settings for one."""
     if terms is None:
         return None
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -26,7 +26,7 @@
 from millgw.connections.need import ConnectionDemand
 from millgw.connections.opening import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
-from millgw.connections.terms import Order, Terms
+from millgw.connections.terms import ConnectionSettings, Order
 from millgw.interface import Condition, Endpoint, ListKind
 from tests.kinds import pure_run_only
 
@@ -169,7 +169,7 @@
 
 
 def make_policy(**terms: object) -> EndpointPolicy:
-    return EndpointPolicy(Terms(jitter=0.0, **terms), PLACE, 10_000.0, random.Random(1))  # type: ignore[arg-type]
+    return EndpointPolicy(ConnectionSettings(jitter=0.0, **terms), PLACE, 10_000.0, random.Random(1))  # type: ignore[arg-type]
 
 
 def test_each_cause_ends_a_connection() -> None:
@@ -190,7 +190,9 @@
 
 
 def test_bounds_differ_from_one_connection_to_the_next() -> None:
-    policy = EndpointPolicy(Terms(age=10_000.0, uses=1000, jitter=0.2), PLACE, 10_000.0, random.Random(1))
+    policy = EndpointPolicy(
+        ConnectionSettings(age=10_000.0, uses=1000, jitter=0.2), PLACE, 10_000.0, random.Random(1)
+    )
     records = [policy.connected(0.0) for _ in range(50)]
     assert len({x.max_age for x in records}) == 50 and len({x.idle_share for x in records}) == 50
     assert all(8000 <= x.max_age <= 10_000 and 800 <= x.max_uses <= 1000 for x in records)
