--- a/tests/probe_proofs.py
+++ b/tests/probe_proofs.py
@@ -44,7 +44,7 @@
 
         return answer
 
-    def unexplained(self, answers: list[TimedAnswer]) -> list[TimedAnswer]:
+    def unexplained_refusals(self, answers: list[TimedAnswer]) -> list[TimedAnswer]:
         """The refusals although an answered probe proved the endpoint, or without a probe near them."""
         return [answer for answer in answers if answer.status != 200 and not self._explains(answer)]
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -134,7 +134,9 @@
         if probing and how in SEEMS_DOWN:
             while statuses(last := await ask_at_once(rig)) != {200}:
                 answers += last  # a busy machine may need longer for a probe than a call waits for it
-            assert not probes.unexplained(answers), f"{how}: refused though a probe proved an endpoint"
+            assert not probes.unexplained_refusals(answers), (
+                f"{how}: refused though a probe proved an endpoint"
+            )
         else:
             assert statuses(answers) == {503}, f"{how}: nothing shows that either does not drain"
         failing.cancel()
