--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -198,7 +198,7 @@
 
     # Resource limits
 
-    def held(self, kind: str) -> int:
+    def in_use(self, kind: str) -> int:
         """How much of a kind of resource the pool holds now."""
         if kind == CALLS:
             return len(self.driver.calls)
@@ -239,7 +239,7 @@
         """Resources held and their limits, for the log."""
         figures: dict[str, object] = {"pool": self.name, "endpoints": len(self.driver.ready)}
         for kind in (CALLS, CONNECTIONS, BODIES, ANSWERS):
-            figures[kind] = f"{self.held(kind)}/{self.most(kind)}"
+            figures[kind] = f"{self.in_use(kind)}/{self.most(kind)}"
         figures |= self.source.figures() | self.connection_counts()
         return figures | {"sends": self.upstream.sends, "held_back": self.upstream.held_back}
 
--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -22,11 +22,11 @@
     def used(self, kind: str) -> dict[str, int]:
         """What each pool holds of a kind of resource; a service without a pool yet holds nothing."""
         names = self.allotments[kind].guaranteed
-        return {name: self.pools[name].held(kind) if name in self.pools else 0 for name in names}
+        return {name: self.pools[name].in_use(kind) if name in self.pools else 0 for name in names}
 
     def held_by_retired(self, kind: str) -> int:
         """What removed pools still hold, so that it is not available yet."""
-        return sum(pool.held(kind) for pool in self.retired)
+        return sum(pool.in_use(kind) for pool in self.retired)
 
 
 class LentShare:
@@ -81,9 +81,9 @@
         """Close an idle connection of the pool that is furthest above its guarantee."""
         guaranteed = self.limits.allotments[CONNECTIONS].guaranteed
         over = [
-            (guaranteed[p.name] - p.held(CONNECTIONS), p)
+            (guaranteed[p.name] - p.in_use(CONNECTIONS), p)
             for p in self.limits.pools.values()
-            if p.name != self.name and p.held(CONNECTIONS) > guaranteed[p.name]
+            if p.name != self.name and p.in_use(CONNECTIONS) > guaranteed[p.name]
         ]
         over.sort(key=lambda pair: pair[0])
         return any(pool.upstream.give_way() for _, pool in over)
