--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -292,7 +292,7 @@
         head.upload = result.upload = upload
         self.bad_requests = 0
         self.current, self.current_head, self.upload = result, head, upload
-        result.owner.take(result)
+        result.owner.accept(result)
 
     def _upload_received(self, upload: Upload) -> None:
         call = self.current
@@ -480,7 +480,7 @@
                 result.client_gone = self.client_gone
                 if item.pool is not None:
                     self.lane = item.pool.name
-                result.owner.take(result)
+                result.owner.accept(result)
             else:
                 self._answer(result)
         self.serving = False
