--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -110,7 +110,7 @@
 
     # Events
 
-    def take(self, call: Call) -> None:
+    def accept(self, call: Call) -> None:
         now = self.clock()
         self.last_id += 1
         call.id = self.last_id
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -336,13 +336,13 @@
 ) -> None:
     """All requests arrive in one loop iteration; the one behind 80 of the flood is still among the first."""
     taken: list[str] = []
-    take = Driver.take
+    take = Driver.accept
 
     def record(driver: Driver, call: Call) -> None:
         taken.append(driver.balancer.settings.classes[call.class_index].name)
         take(driver, call)
 
-    monkeypatch.setattr(Driver, "take", record)
+    monkeypatch.setattr(Driver, "accept", record)
 
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
