--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -310,7 +310,7 @@
         call, self.current, self.upload = self.current, None, None
         self._release_current()
         if call is not None:
-            call.owner.left(call)
+            call.owner.client_left(call)
 
     def _incomplete_head(self) -> Head | None:
         """The incomplete request whose client is expected to send; None if there is none."""
@@ -421,7 +421,7 @@
         streamed, self.streamed = self.streamed, None
         if call is not None:
             self._release_current()
-            call.owner.left(call)
+            call.owner.client_left(call)
         if streamed is not None:
             self._release_current()
             streamed.cancel()
