--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -144,7 +144,7 @@
         self._handle_event(RequestBodyComplete(call.id, call.deadline))
         self._schedule_wake()
 
-    def left(self, call: Call) -> None:
+    def client_left(self, call: Call) -> None:
         """The client has disconnected, or the sidecar has answered instead of the balancer."""
         if self._close_call(call):
             self._handle_event(RequestAborted(call.id))
@@ -288,7 +288,7 @@
     def fail_all(self) -> None:
         """Answer all open calls with a failure, as the process is about to exit."""
         for call in list(self.calls.values()):
-            self.left(call)
+            self.client_left(call)
             call.on_answer(Answer(FAILED))
         for flow in list(self.flows):
             flow.source.abandon()
@@ -352,7 +352,7 @@
         self._give_up_attempts(call, concluded=False)
         if call.id in self.calls:
             # The balancer should have answered by now; if not, the call still gets its one answer in time.
-            self.left(call)
+            self.client_left(call)
             call.on_answer(Answer(FAILED))
 
     def _give_up_attempts(self, call: Call, concluded: bool) -> None:
@@ -492,7 +492,7 @@
         if call.client_gone is not None and call.client_gone():
             # A disconnect is not noticed while the connection is not read: check before sending in vain.
             self._handle_event(AttemptEnded(call.id, endpoint, number, Outcome.CANCELLED, 0.0, True))
-            self.left(call)
+            self.client_left(call)
             return
         ended, began = partial(self._attempt_ended, call, number), partial(self._answer_began, call, number)
         payload = partial(self._payload, call)
