--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -299,7 +299,7 @@
         if upload.whole:
             self.upload = None
             if call is not None:
-                call.owner.whole(call)
+                call.owner.body_complete(call)
         upload.wake()
 
     def _upload_has_room(self) -> None:
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -46,7 +46,7 @@
 
     def client_left(self, call: Call) -> None: ...
 
-    def whole(self, call: Call) -> None:
+    def body_complete(self, call: Call) -> None:
         """The last byte of a streamed request body has arrived."""
 
 
