--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -131,7 +131,7 @@
             RequestArrived(call.id, call.class_index, call.deadline, call.tenant, partial=True)
         )
 
-    def whole(self, call: Call) -> None:
+    def body_complete(self, call: Call) -> None:
         """A streamed request body is complete; the timeout of the call begins."""
         if call.id not in self.calls:
             return
