--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -207,7 +207,7 @@
         return self.body_bytes if kind == BODIES else self.upstream.held
 
     def most(self, kind: str) -> int:
-        return self.share.most(kind)
+        return self.share.limit(kind)
 
     # Retirement
 
--- a/millgw/pool/share.py
+++ b/millgw/pool/share.py
@@ -15,7 +15,7 @@
 class Share(Protocol):
     """The share of one pool."""
 
-    def most(self, kind: str) -> int:
+    def limit(self, kind: str) -> int:
         """How much of a resource the pool may hold now."""
 
     def end(self) -> None:
