--- a/millgw/pool/share.py
+++ b/millgw/pool/share.py
@@ -31,7 +31,7 @@
     def __init__(self, totals: dict[str, int]) -> None:
         self.totals = totals
 
-    def most(self, kind: str) -> int:
+    def limit(self, kind: str) -> int:
         return self.totals[kind]
 
     def end(self) -> None:
