--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -40,7 +40,7 @@
         self.bounds = limits
         self.retired = False
 
-    def most(self, kind: str) -> int:
+    def limit(self, kind: str) -> int:
         allotment = self.bounds.allotments[kind]
         if self.retired or self.name not in allotment.guaranteed:
             return allotment.total
@@ -71,7 +71,7 @@
         return self.descriptors.full() or self._share_used_up()
 
     def _share_used_up(self) -> bool:
-        return self.endpoints() >= self.share.most(CONNECTIONS)
+        return self.endpoints() >= self.share.limit(CONNECTIONS)
 
     def make(self) -> bool:
         """Free a descriptor by closing an idle connection elsewhere, unless the pool's share is used up."""
