--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -35,7 +35,7 @@
         return since, since == server.info.started_at
 
     def descriptor_budget(self) -> int:
-        most = self.pool.most(CONNECTIONS)
+        most = self.pool.limit(CONNECTIONS)
         # A single pool may use all descriptors, but those for callers must not go to idle connections.
         return most - int(CALLERS_PART * most) if isinstance(self.pool.share, WholeShare) else most
 
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -84,7 +84,7 @@
         self.body_bytes = 0
         self.retired = False
         self.upstream = Upstream(
-            room, config.connect_timeout, config.idle, config.memory, lambda: self.most(ANSWERS), lanes, name
+            room, config.connect_timeout, config.idle, config.memory, lambda: self.limit(ANSWERS), lanes, name
         )
         self.source = source(self._list_received, self)
         self.driver = Driver(Balancer(self.settings, seed, locality), self.upstream, self.source.subscribe)
@@ -127,7 +127,7 @@
 
         Without it, the calls of a flood would take the capacity of other pools or find no file descriptor.
         """
-        if self.retired or len(self.driver.calls) >= self.most(CALLS):
+        if self.retired or len(self.driver.calls) >= self.limit(CALLS):
             return self._refusal()
         return None
 
@@ -166,7 +166,7 @@
 
         Otherwise the bodies of many clients, each within its own limit, could fill the memory.
         """
-        if more > 0 and self.body_bytes + more > self.most(BODIES):
+        if more > 0 and self.body_bytes + more > self.limit(BODIES):
             raise BadRequest(REFUSED, "too much is being sent")
         self.body_bytes += more
 
@@ -206,7 +206,7 @@
             return self.upstream.holds()
         return self.body_bytes if kind == BODIES else self.upstream.held
 
-    def most(self, kind: str) -> int:
+    def limit(self, kind: str) -> int:
         return self.share.limit(kind)
 
     # Retirement
@@ -239,7 +239,7 @@
         """Resources held and their limits, for the log."""
         figures: dict[str, object] = {"pool": self.name, "endpoints": len(self.driver.ready)}
         for kind in (CALLS, CONNECTIONS, BODIES, ANSWERS):
-            figures[kind] = f"{self.in_use(kind)}/{self.most(kind)}"
+            figures[kind] = f"{self.in_use(kind)}/{self.limit(kind)}"
         figures |= self.source.figures() | self.connection_counts()
         return figures | {"sends": self.upstream.sends, "held_back": self.upstream.held_back}
 
