--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -142,7 +142,7 @@
         if head.long and self.upstream.streams.full():
             return self._refusal()
         call = self.call_factory.make_call(head, answer)
-        call.timeout = self.share.patience(call.timeout)
+        call.timeout = self.share.grant_timeout(call.timeout)
         if call.trace_id in self.driver.open_trace_ids:
             # Otherwise one request could get two answers, and the attempts of one call disturb the other's.
             raise BadRequest(409, "X-Trace-Id is that of an open request")
