--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -51,7 +51,7 @@
     def end(self) -> None:
         self.retired = True
 
-    def patience(self, patience: float) -> float:
+    def grant_timeout(self, patience: float) -> float:
         calls = self.bounds.allotments[CALLS]
         borrowing = calls.would_borrow(self.name, self.bounds.used(CALLS))
         return min(patience, calls.lend_ms) if borrowing else patience
