--- a/millgw/pool/share.py
+++ b/millgw/pool/share.py
@@ -21,7 +21,7 @@
     def end(self) -> None:
         """The pool is removed: it takes nothing new, but keeps what it holds until that is released."""
 
-    def grant_timeout(self, patience: float) -> float:
+    def grant_timeout(self, timeout: float) -> float:
         """The timeout (ms) granted to a call that asks for `patience` ms: borrowed capacity must return."""
 
 
