--- a/millgw/pool/share.py
+++ b/millgw/pool/share.py
@@ -37,5 +37,5 @@
     def end(self) -> None:
         """Nothing to do, as there is no other pool."""
 
-    def grant_timeout(self, patience: float) -> float:
-        return patience
+    def grant_timeout(self, timeout: float) -> float:
+        return timeout
