--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -51,10 +51,10 @@
     def end(self) -> None:
         self.retired = True
 
-    def grant_timeout(self, patience: float) -> float:
+    def grant_timeout(self, timeout: float) -> float:
         calls = self.bounds.allotments[CALLS]
         borrowing = calls.would_borrow(self.name, self.bounds.used(CALLS))
-        return min(patience, calls.lend_ms) if borrowing else patience
+        return min(timeout, calls.lend_ms) if borrowing else timeout
 
 
 class ConnectionBudget:
