--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -31,7 +31,7 @@
 ENDED: Final = 4
 
 # ms between two checks whether the caller has disconnected: a fifth of the time in which it must be noticed.
-LOOK_AGAIN = 20.0
+CALLER_CHECK_INTERVAL_MS = 20.0
 
 
 class Intent(Protocol):
@@ -109,7 +109,7 @@
         Without this check an attempt that waited for its connection or its intent record could be sent
         after its caller is gone.
         """
-        if self.gone is None or now < self.looked + LOOK_AGAIN:
+        if self.gone is None or now < self.looked + CALLER_CHECK_INTERVAL_MS:
             return False
         self.looked = now
         return self.gone()
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -263,7 +263,7 @@
         upstream.send(1, attempt)
         await until(lambda: mark.then is not None)
         left = True
-        await asyncio.sleep(attempt_module.LOOK_AGAIN / 1000)
+        await asyncio.sleep(attempt_module.CALLER_CHECK_INTERVAL_MS / 1000)
         mark.known = True
         assert mark.then is not None
         mark.then()
