--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -71,8 +71,19 @@
     """
 
     __slots__ = (
-        "connection", "dials", "gone", "intent", "looked", "on_outcome", "on_stream", "payload", "repeat",
-        "state", "trace_id", "until", "upload",
+        "connect_tasks",
+        "connection",
+        "gone",
+        "intent",
+        "looked",
+        "on_outcome",
+        "on_stream",
+        "payload",
+        "repeat",
+        "state",
+        "trace_id",
+        "until",
+        "upload",
     )  # fmt: skip
 
     def __init__(
@@ -96,7 +107,9 @@
         self.upload = upload  # the body that follows the payload, if the body is streamed
         self.repeat = repeat
         self.state = CONNECTING
-        self.dials: tuple[asyncio.Task[Outcome | None], ...] = ()  # connects in progress for this attempt
+        self.connect_tasks: tuple[
+            asyncio.Task[Outcome | None], ...
+        ] = ()  # connects in progress for this attempt
         self.connection: AttemptConnection | None = None
 
     @property
@@ -141,5 +154,5 @@
 
     def cancel_connects(self) -> None:
         """Cancel the connects in progress for this attempt."""
-        for dial in self.dials:
+        for dial in self.connect_tasks:
             dial.cancel()
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -262,7 +262,7 @@
             attempt.end(Outcome.NOT_SENT, NOTHING)
             return False
         host.connecting[attempt] = None
-        attempt.dials += (self._start_connect(host, attempt),)
+        attempt.connect_tasks += (self._start_connect(host, attempt),)
         if self.tending is None:
             self.loop.call_later(
                 LATE_CONNECT_SHARE * self.connect_timeout, self._connect_again, host, attempt
@@ -276,14 +276,16 @@
         attempt. There is at most one second connect per endpoint at a time, because twice the handshakes
         would make an overloaded endpoint worse.
         """
-        is_waiting = attempt in host.connecting and attempt.state == CONNECTING and bool(attempt.dials)
+        is_waiting = (
+            attempt in host.connecting and attempt.state == CONNECTING and bool(attempt.connect_tasks)
+        )
         if (
             is_waiting
             and host.used
             and not self.room.full()
-            and all(len(a.dials) < 2 for a in host.connecting)
+            and all(len(a.connect_tasks) < 2 for a in host.connecting)
         ):
-            attempt.dials += (self._start_connect(host, attempt),)
+            attempt.connect_tasks += (self._start_connect(host, attempt),)
 
     def open_ahead(self, host: Host) -> None:
         """Open a connection that no attempt waits for."""
@@ -301,8 +303,8 @@
         failure = None if task.cancelled() or task.exception() is not None else task.result()
         if attempt is not None:
             # This also breaks a reference cycle through the task's traceback.
-            attempt.dials = tuple(running for running in attempt.dials if running is not task)
-            if not attempt.dials:
+            attempt.connect_tasks = tuple(running for running in attempt.connect_tasks if running is not task)
+            if not attempt.connect_tasks:
                 host.connecting.pop(attempt, None)
                 if failure is not None and attempt.state == CONNECTING:
                     attempt.end(failure, NOTHING)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -850,15 +850,15 @@
     async def test() -> None:
         with lossy() as late:
             upstream, ended, attempt = upstream_to_lossy(late)
-            (first,) = attempt.dials
+            (first,) = attempt.connect_tasks
             await asyncio.sleep(0.1)  # the first handshake is lost by now
             late.heal()
             connection = await late.accept()
-            assert first in attempt.dials and len(attempt.dials) <= 2 and not first.done()
+            assert first in attempt.connect_tasks and len(attempt.connect_tasks) <= 2 and not first.done()
             second = asyncio.create_task(late.accept())  # of the retransmitted SYN; kept
             await late.read(connection, 1)
             await second
-            await until(lambda: bool(upstream.hosts[1].idle) and not attempt.dials)
+            await until(lambda: bool(upstream.hosts[1].idle) and not attempt.connect_tasks)
             assert upstream.open == 2 and not ended
             await asyncio.get_running_loop().sock_sendall(connection, ok())
             await until(lambda: bool(ended))
@@ -879,7 +879,7 @@
             waiting = Attempt(lambda: request("read"), lambda outcome, _: ended.append(outcome), Repeat.SAFE)
             upstream.send(1, waiting)
             await asyncio.sleep(0.05)
-            assert waiting.dials and waiting in upstream.hosts[1].connecting
+            assert waiting.connect_tasks and waiting in upstream.hosts[1].connecting
             await asyncio.get_running_loop().sock_sendall(busy, ok())
             await late.serve(busy)
             await until(lambda: len(ended) == 2)
@@ -894,8 +894,8 @@
     async def test() -> None:
         with lossy() as late:
             upstream, ended, attempt = upstream_to_lossy(late, SHORT_CONNECT)
-            await until(lambda: len(attempt.dials) == 2)
-            host, dials = upstream.hosts[1], attempt.dials
+            await until(lambda: len(attempt.connect_tasks) == 2)
+            host, dials = upstream.hosts[1], attempt.connect_tasks
             if what == "drains":
                 upstream.forget(1)
                 upstream.close(host)
@@ -903,7 +903,7 @@
                 assert not attempt.give_up(), "it has not run"
             await until(lambda: not upstream.tasks)
             assert ended == ([] if what == "given up" else [Outcome.CONNECT_FAILED])
-            assert not attempt.dials and not host.connecting and upstream.open == 0
+            assert not attempt.connect_tasks and not host.connecting and upstream.open == 0
             assert {dial.cancelled() for dial in dials} == {what != "nothing comes up"}
             late.heal()
             await asyncio.sleep(0.05)
