--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -71,9 +71,9 @@
     """
 
     __slots__ = (
+        "caller_disconnected",
         "connect_tasks",
         "connection",
-        "gone",
         "intent",
         "looked",
         "on_outcome",
@@ -98,7 +98,9 @@
     ) -> None:
         self.trace_id = trace_id  # trace ID of the call, for the log
         self.until = math.inf  # ms, monotonic: the last byte must not be sent later than this
-        self.gone: Callable[[], bool] | None = None  # whether the caller is seen to have disconnected
+        self.caller_disconnected: Callable[[], bool] | None = (
+            None  # whether the caller is seen to have disconnected
+        )
         self.looked = -math.inf  # ms, monotonic: when `gone` was last called
         self.intent = intent
         self.payload = payload
@@ -122,10 +124,10 @@
         Without this check an attempt that waited for its connection or its intent record could be sent
         after its caller is gone.
         """
-        if self.gone is None or now < self.looked + CALLER_CHECK_INTERVAL_MS:
+        if self.caller_disconnected is None or now < self.looked + CALLER_CHECK_INTERVAL_MS:
             return False
         self.looked = now
-        return self.gone()
+        return self.caller_disconnected()
 
     def end(self, outcome: Outcome, content: Content) -> None:
         """Report the outcome, unless the attempt has ended already."""
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -259,7 +259,7 @@
         upstream, ended, end = pool_of(endpoint)
         left = False
         attempt = Attempt(lambda: request("pay"), end, Repeat.UNSAFE, intent=mark)
-        attempt.gone = lambda: left
+        attempt.caller_disconnected = lambda: left
         upstream.send(1, attempt)
         await until(lambda: mark.then is not None)
         left = True
