--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -71,11 +71,11 @@
     """
 
     __slots__ = (
+        "caller_checked_at",
         "caller_disconnected",
         "connect_tasks",
         "connection",
         "intent",
-        "looked",
         "on_outcome",
         "on_stream",
         "payload",
@@ -101,7 +101,7 @@
         self.caller_disconnected: Callable[[], bool] | None = (
             None  # whether the caller is seen to have disconnected
         )
-        self.looked = -math.inf  # ms, monotonic: when `gone` was last called
+        self.caller_checked_at = -math.inf  # ms, monotonic: when `gone` was last called
         self.intent = intent
         self.payload = payload
         self.on_outcome = on_outcome
@@ -124,9 +124,9 @@
         Without this check an attempt that waited for its connection or its intent record could be sent
         after its caller is gone.
         """
-        if self.caller_disconnected is None or now < self.looked + CALLER_CHECK_INTERVAL_MS:
+        if self.caller_disconnected is None or now < self.caller_checked_at + CALLER_CHECK_INTERVAL_MS:
             return False
-        self.looked = now
+        self.caller_checked_at = now
         return self.caller_disconnected()
 
     def end(self, outcome: Outcome, content: Content) -> None:
