--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -80,9 +80,9 @@
         "on_stream",
         "payload",
         "repeat",
+        "send_deadline",
         "state",
         "trace_id",
-        "until",
         "upload",
     )  # fmt: skip
 
@@ -97,7 +97,7 @@
         trace_id: bytes = b"",
     ) -> None:
         self.trace_id = trace_id  # trace ID of the call, for the log
-        self.until = math.inf  # ms, monotonic: the last byte must not be sent later than this
+        self.send_deadline = math.inf  # ms, monotonic: the last byte must not be sent later than this
         self.caller_disconnected: Callable[[], bool] | None = (
             None  # whether the caller is seen to have disconnected
         )
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -127,7 +127,7 @@
         assert self.transport is not None and self.core is not None
         self.core.begin()
         self.attempt, attempt.connection = attempt, self
-        if now > attempt.until or attempt.caller_left(now):
+        if now > attempt.send_deadline or attempt.caller_left(now):
             self.end_unsent()
             return
         payload = attempt.payload()
@@ -180,7 +180,7 @@
             attempt = self.attempt
             intent = None if attempt is None else attempt.intent
             now = time.monotonic() * 1000
-            if attempt is not None and (now > attempt.until or attempt.caller_left(now)):
+            if attempt is not None and (now > attempt.send_deadline or attempt.caller_left(now)):
                 self.end_unsent()
                 return
             if attempt is not None and intent is not None and not self.check_intent(attempt, intent):
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -498,7 +498,7 @@
         payload = partial(self._payload, call)
         attempt = Attempt(payload, ended, call.repeat, began, call.upload, call.intent, call.trace_id)
         attempt.caller_disconnected, attempt.caller_checked_at = call.client_gone, time.monotonic() * 1000
-        attempt.until = attempt.caller_checked_at + send_by - now
+        attempt.send_deadline = attempt.caller_checked_at + send_by - now
         call.open_attempts[number] = OpenAttempt(endpoint, now, attempt)
         self.upstream.send(endpoint, attempt)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -926,16 +926,16 @@
 
         def payload() -> bytes:
             if when == "held back":
-                attempt.until = 0.0
+                attempt.send_deadline = 0.0
             return request("write")
 
         attempt = Attempt(payload, end, Repeat.KEYED, intent=intent)
         upstream.send(1, attempt)
         if when == "connecting":
-            attempt.until = 0.0
+            attempt.send_deadline = 0.0
         if intent is not None:
             await until(lambda: mark.then is not None)
-            attempt.until = 0.0
+            attempt.send_deadline = 0.0
             mark.known = True
             assert mark.then is not None
             mark.then()
