--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -82,7 +82,7 @@
     """
 
     def __init__(self, owner: ConnectionOwner, host: Host, attempt: Attempt | None, max_body: int) -> None:
-        self.home = owner
+        self.owner = owner
         self.host = host
         self.attempt = attempt
         self.opened_ahead = attempt is None
@@ -136,14 +136,14 @@
             self.body.begin(payload)
             return
         hold = self.host.hold_policy.hold_time(
-            now, attempt.repeat, self.reused, self.idle_since, self.home.strays_until
+            now, attempt.repeat, self.reused, self.idle_since, self.owner.strays_until
         )
         if prove > 0:
             hold, self.ack_deadline = max(hold, HOLD_BACK), now + prove
         if hold > 0:
             attempt.state = LAST_BYTE_HELD
             self.last_byte = payload[-1:]
-            self.home.held_back += 1
+            self.owner.held_back += 1
             if attempt.intent is not None:
                 attempt.intent.begin()
             self.transport.write(payload[:-1])
@@ -155,7 +155,7 @@
 
     def hold_back(self, milliseconds: float, then: Callable[[], None]) -> None:
         """Continue the request with `then` after the hold time, unless the attempt has ended by then."""
-        self.hold_timer = self.home.loop.call_later(milliseconds / 1000, then)
+        self.hold_timer = self.owner.loop.call_later(milliseconds / 1000, then)
 
     def note_written(self) -> None:
         """Note that the last byte is written: the request may have run once the kernel has taken it."""
@@ -163,7 +163,7 @@
         # With a high-water mark of 0 the transport buffers only what the kernel did not take at once.
         if self.attempt is not None and not self.transport.get_write_buffer_size():
             self.attempt.state = WRITTEN
-            self.home.written += 1
+            self.owner.written += 1
 
     def _write_last_byte(self) -> None:
         self.hold_timer = None
@@ -242,7 +242,7 @@
         self._stop_body()
         self.attempt = attempt.connection = None
         attempt.state = CONNECTING
-        self.home.resend(self, attempt)
+        self.owner.resend(self, attempt)
 
     def abandon_attempt(self) -> None:
         """Close the connection, as its attempt was given up."""
@@ -269,7 +269,7 @@
         self._stop_timers()
         self._stop_body()
         self.last_byte = b""
-        self.home.held -= self.counted_bytes
+        self.owner.held -= self.counted_bytes
         self.counted_bytes = 0
         attempt, self.attempt = self.attempt, None
         core = self.core
@@ -285,7 +285,7 @@
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.home.open += 1
+        self.owner.open += 1
         attempt = self.attempt
         if not self.host.used if attempt is None else attempt.given_up:
             # While it was connecting the attempt was given up, or the endpoint was told to drain.
@@ -302,7 +302,7 @@
         self.opened_at = time.monotonic() * 1000
         if attempt is None:
             self.reused, self.idle_since = True, self.opened_at
-        self.home.connected(self)
+        self.owner.connected(self)
         if attempt is not None:
             self.host.connecting.pop(attempt, None)
             self.send(attempt, self.opened_at)
@@ -320,15 +320,15 @@
         if not self.last_byte:
             if self.attempt is not None and self.attempt.state == WRITING:
                 self.attempt.state = WRITTEN
-                self.home.written += 1
+                self.owner.written += 1
         elif self.hold_timer is None:
             self._write_last_byte()
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        return self.home.buffer
+        return self.owner.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self._received(bytes(memoryview(self.home.buffer)[:nbytes]))
+        self._received(bytes(memoryview(self.owner.buffer)[:nbytes]))
 
     def _received(self, data: bytes) -> None:
         attempt, core = self.attempt, self.core
@@ -338,8 +338,8 @@
         if attempt is None or core is None:
             # If the connection were kept, these bytes would be taken for the next request's answer.
             after_ms = time.monotonic() * 1000 - self.idle_since
-            self.home.note_stray_bytes()
-            self.home.log.log_event(
+            self.owner.note_stray_bytes()
+            self.owner.log.log_event(
                 "bytes-after-answer", endpoint=self.host.address, after_ms=round(after_ms, 1)
             )
             self.abort()
@@ -354,20 +354,20 @@
         result = core.feed(data)
         grown = len(core.body) - self.counted_bytes
         self.counted_bytes += grown
-        self.home.held += grown
+        self.owner.held += grown
         if result == COMPLETE and core.status == 200 and self._request_incomplete():
             self._fail_answer("endpoint answered 200 before the whole request was sent")
         elif result == COMPLETE:
             self._stop_timers()
-            if self.home.lanes is None:
+            if self.owner.lanes is None:
                 self._handle_answer(attempt, core)
             else:
                 # Handling an answer costs more than parsing it, so it waits for its turn as requests do.
                 self.awaits_turn = True
-                self.home.lanes.wait(self.home.lane, self)
+                self.owner.lanes.wait(self.owner.lane, self)
         elif result == INVALID:
             self._fail_answer(core.error)
-        elif self.home.held > self.home.answer_bytes_limit():
+        elif self.owner.held > self.owner.answer_bytes_limit():
             # Many answers, each within its own limit, could otherwise fill the memory.
             self._fail_answer("answers being received exceed their memory limit")
         elif not core.in_message:
@@ -379,7 +379,7 @@
             self.last_data_at = time.monotonic()
             if self.stall_timer is None:
                 delay = OPEN_ENDED_STREAM_DELAY if core.open_ended else ANSWER_TIME
-                self.stall_timer = self.home.loop.call_later(delay, self._check_progress)
+                self.stall_timer = self.owner.loop.call_later(delay, self._check_progress)
 
     def _request_incomplete(self) -> bool:
         """Whether a part of the request is not sent yet, so that no endpoint can have run it."""
@@ -395,13 +395,13 @@
             self._begin_streaming()
         elif quiet < ANSWER_TIME - 0.001:
             delay = OPEN_ENDED_STREAM_DELAY if self.core.open_ended else ANSWER_TIME - quiet
-            self.stall_timer = self.home.loop.call_later(delay, self._check_progress)
+            self.stall_timer = self.owner.loop.call_later(delay, self._check_progress)
         else:
             self._fail_answer("it stopped half-way")
 
     def _begin_streaming(self) -> None:
         """Stream the answer to its caller from now on; this ends the attempt."""
-        attempt, core, home = self.attempt, self.core, self.home
+        attempt, core, home = self.attempt, self.core, self.owner
         assert attempt is not None and core is not None
         if home.streams.full():
             self._fail_answer("too many streams are open")
@@ -435,14 +435,14 @@
         if reusable:
             self.idle_since = time.monotonic() * 1000
             self.reused = True
-            self.home.keep(self)
+            self.owner.keep(self)
         else:
             self.abort()
 
     def log_failure(self, event: str, cause: str, trace_id: bytes) -> None:
         """Log why an answer to this call failed."""
         shown = trace_id.decode("ascii", "backslashreplace")
-        self.home.log.log_event(event, endpoint=self.host.address, call=shown, cause=cause)
+        self.owner.log.log_event(event, endpoint=self.host.address, call=shown, cause=cause)
 
     def _fail_answer(self, cause: str) -> None:
         self.log_failure("answer-spoilt", cause, b"" if self.attempt is None else self.attempt.trace_id)
@@ -468,7 +468,7 @@
             self.streamed.break_off("connection to the endpoint broke")
         if self.core is not None:
             self.core.close()
-        self.home.lost(self)
+        self.owner.lost(self)
         if exc is not None:
             self.host.broken = time.monotonic() * 1000
         if self.last_byte or (self.attempt is not None and self.attempt.state == LAST_BYTE_HELD):
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -43,7 +43,7 @@
         attempt.state = LAST_BYTE_HELD
         if attempt.intent is not None:
             attempt.intent.begin()
-        connection.home.held_back += 1
+        connection.owner.held_back += 1
         connection.transport.set_write_buffer_limits(high=self.upload.window)
         connection.transport.write(head)
         connection.hold_back(HOLD_BACK, self.write_first)
@@ -63,7 +63,7 @@
         if attempt.intent is not None and not connection.check_intent(attempt, attempt.intent):
             return
         attempt.state = WRITING
-        self.progress_timer = connection.home.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
+        self.progress_timer = connection.owner.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
         self.upload.consumer = self
         self.write_more()
 
@@ -114,4 +114,4 @@
             connection.finish(Outcome.CONNECT_FAILED)  # its last byte was never written
             return
         self.progress = (self.written, left)
-        self.progress_timer = connection.home.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
+        self.progress_timer = connection.owner.loop.call_later(BODY_STALL_TIMEOUT, self._check_progress)
--- a/millgw/endpoints/streamed_answer.py
+++ b/millgw/endpoints/streamed_answer.py
@@ -29,7 +29,7 @@
         self.paused = False  # reading is paused, as the caller does not read
         self.progress_timer: asyncio.TimerHandle | None = None
         length = None if core.length < 0 else core.length
-        flow = Flow(self, core.headers, length, connection.home.streams.enter())
+        flow = Flow(self, core.headers, length, connection.owner.streams.enter())
         flow.over_calls.append(self._flow_ended)
         core.sink = flow.data
         self.flow: Flow | None = flow  # reset at the end: the cycle would otherwise wait for the collector
@@ -75,13 +75,13 @@
         self.flow = None
         self.connection.streamed = None
         self.resume()  # otherwise a kept connection would stay paused and never be read again
-        self.connection.home.streams.leave()
+        self.connection.owner.streams.leave()
         if self.progress_timer is not None:
             self.progress_timer.cancel()
             self.progress_timer = None
 
     def _start_progress_timer(self, seconds: float) -> None:
-        self.progress_timer = self.connection.home.loop.call_later(seconds, self._check_progress)
+        self.progress_timer = self.connection.owner.loop.call_later(seconds, self._check_progress)
 
     def _check_progress(self) -> None:
         self.progress_timer = None
