--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -450,7 +450,7 @@
         self.finish(Outcome.ERROR)
 
     def eof_received(self) -> None:
-        self.host.broken = time.monotonic() * 1000
+        self.host.last_broken = time.monotonic() * 1000
         core, attempt, streamed = self.core, self.attempt, self.streamed
         if core is not None and not self.awaits_turn and core.in_message and core.connection_ended():
             self.abort()
@@ -470,7 +470,7 @@
             self.core.close()
         self.owner.lost(self)
         if exc is not None:
-            self.host.broken = time.monotonic() * 1000
+            self.host.last_broken = time.monotonic() * 1000
         if self.last_byte or (self.attempt is not None and self.attempt.state == LAST_BYTE_HELD):
             self.abandon_broken()
         elif self.attempt is not None and self.attempt.state == WRITTEN:
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -20,7 +20,7 @@
     or refused a connection. Membership asks for both when an endpoint's registration disappears.
     """
 
-    __slots__ = ("address", "broken", "connecting", "hold_policy", "idle", "missed", "since", "used")
+    __slots__ = ("address", "connecting", "hold_policy", "idle", "last_broken", "missed", "since", "used")
 
     def __init__(self, address: Address, started_at: float) -> None:
         self.address = address
@@ -30,4 +30,4 @@
         self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, oldest first
         self.hold_policy = HoldPolicy()
         self.missed = -math.inf
-        self.broken = -math.inf
+        self.last_broken = -math.inf
