--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -20,7 +20,16 @@
     or refused a connection. Membership asks for both when an endpoint's registration disappears.
     """
 
-    __slots__ = ("address", "connecting", "hold_policy", "idle", "last_broken", "missed", "since", "used")
+    __slots__ = (
+        "address",
+        "connecting",
+        "hold_policy",
+        "idle",
+        "last_broken",
+        "last_connect_failure",
+        "since",
+        "used",
+    )
 
     def __init__(self, address: Address, started_at: float) -> None:
         self.address = address
@@ -29,5 +38,5 @@
         self.idle: list[Connection] = []  # the most recently used is last, and is reused first
         self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, oldest first
         self.hold_policy = HoldPolicy()
-        self.missed = -math.inf
+        self.last_connect_failure = -math.inf
         self.last_broken = -math.inf
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -195,7 +195,7 @@
             return None
         answered = max([c.idle_since for c in host.idle], default=-math.inf)
         opened = min([c.opened_at for c in host.idle], default=math.inf)
-        return answered, opened, host.last_broken, host.missed
+        return answered, opened, host.last_broken, host.last_connect_failure
 
     def doubt(self, endpoint: int) -> None:
         """Close an endpoint's kept connections after an attempt there got no answer.
@@ -323,7 +323,7 @@
             if error.errno in LOCAL_FAILURES:
                 self.log.log_event("connect-not-made", endpoint=host.address, cause=error)
                 return Outcome.NOT_SENT
-            host.missed = host.last_broken = time.monotonic() * 1000  # refused or timed out
+            host.last_connect_failure = host.last_broken = time.monotonic() * 1000  # refused or timed out
             return Outcome.CONNECT_FAILED
         return None
 
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -725,7 +725,7 @@
         upstream.send(1, Attempt(lambda: b"", lambda outcome, _: ended.append(outcome)))
         await until(lambda: bool(ended))
         assert ended == [Outcome.NOT_SENT]
-        assert upstream.hosts[1].missed == upstream.hosts[1].last_broken == -math.inf
+        assert upstream.hosts[1].last_connect_failure == upstream.hosts[1].last_broken == -math.inf
         upstream.stop()
 
     run(test)
