--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -28,7 +28,7 @@
         server = self.pool.driver.balancer.servers.get(endpoint)
         if server is None:
             # The module does not know the endpoint yet, so use the listed start.
-            return (0.0, False) if host is None else (host.since, True)
+            return (0.0, False) if host is None else (host.started_at, True)
         if server.connect_failures >= UNREACHABLE_AFTER:
             return 0.0, False  # unreachable: it is probed by one connection at a time
         since = server.started_at(self.now())
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -27,13 +27,13 @@
         "idle",
         "last_broken",
         "last_connect_failure",
-        "since",
+        "started_at",
         "used",
     )
 
     def __init__(self, address: Address, started_at: float) -> None:
         self.address = address
-        self.since = started_at
+        self.started_at = started_at
         self.used = True
         self.idle: list[Connection] = []  # the most recently used is last, and is reused first
         self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, oldest first
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -160,7 +160,7 @@
         silently and is back, requests on connections kept from before would end as resets.
         """
         host = self.hosts.get(endpoint)
-        if host is not None and host.address == address and host.since == started_at:
+        if host is not None and host.address == address and host.started_at == started_at:
             return None
         self.hosts[endpoint] = Host(address, started_at)
         return host
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -250,7 +250,9 @@
         endpoint at its address and would not be counted for that endpoint.
         """
         listed_ids = {e.endpoint.id for e in entries}
-        newest = {p.address: (p.since, id) for id, p in self.upstream.hosts.items() if id not in listed_ids}
+        newest = {
+            p.address: (p.started_at, id) for id, p in self.upstream.hosts.items() if id not in listed_ids
+        }
         superseded = set()
         for entry in entries:
             if entry.address is not None:
