--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -112,7 +112,7 @@
         self.counts.moved(attempt.repeat)
         record = self._forget(connection)
         state = self.states.get(host)
-        if state is None or not host.used:
+        if state is None or not host.in_use:
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             return
         if record is not None:
@@ -131,7 +131,7 @@
         self.counts.opened(connection.attempt is None)
         if connection.attempt is not None:
             self._mark_busy(state, connection)
-        elif connection.host.used:
+        elif connection.host.in_use:
             connection.host.idle.append(connection)
         self._schedule_serve(state)
         if self.cold_filter.connected(state.endpoint):
@@ -154,7 +154,7 @@
         """The answer on a connection is complete, and the connection may be reused."""
         host, now = connection.host, time.monotonic() * 1000
         state, record = self.states.get(host), self.records.get(connection)
-        if state is None or record is None or not host.used:
+        if state is None or record is None or not host.in_use:
             connection.abort()
             return
         self._mark_idle(state, connection)
@@ -393,7 +393,7 @@
     def _open_ahead(self, state: HostState, now: float) -> bool:
         """Open a connection if one will be needed soon, but never at the cost of one in use."""
         host = state.host
-        if not host.used or self.upstream.room.full():
+        if not host.in_use or self.upstream.room.full():
             return False
         if self.upstream.holds() >= AHEAD_BUDGET_SHARE * self.pool_view.descriptor_budget():
             return False
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -216,7 +216,7 @@
         # The attempt may have been given up, moved to another connection or ended meanwhile.
         if self.attempt is not attempt or attempt.state != LAST_BYTE_HELD or self.hold_timer is not None:
             return
-        if not self.host.used:
+        if not self.host.in_use:
             # The endpoint was drained meanwhile, and the record may have taken longer than the drain's grace.
             self.abort()
             self.finish(Outcome.CONNECT_FAILED)
@@ -287,7 +287,7 @@
         self.transport = transport
         self.owner.open += 1
         attempt = self.attempt
-        if not self.host.used if attempt is None else attempt.given_up:
+        if not self.host.in_use if attempt is None else attempt.given_up:
             # While it was connecting the attempt was given up, or the endpoint was told to drain.
             self.attempt = None
             self.abort()
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -25,16 +25,16 @@
         "connecting",
         "hold_policy",
         "idle",
+        "in_use",
         "last_broken",
         "last_connect_failure",
         "started_at",
-        "used",
     )
 
     def __init__(self, address: Address, started_at: float) -> None:
         self.address = address
         self.started_at = started_at
-        self.used = True
+        self.in_use = True
         self.idle: list[Connection] = []  # the most recently used is last, and is reused first
         self.connecting: dict[Attempt, None] = {}  # attempts that wait for a connection, oldest first
         self.hold_policy = HoldPolicy()
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -175,7 +175,7 @@
         An attempt that is still connecting when its endpoint drains could otherwise be written after the
         drain's grace. Attempts that are written go on.
         """
-        host.used = False
+        host.in_use = False
         self._close_idle(host)
         for attempt in list(host.connecting):
             del host.connecting[attempt]
@@ -254,7 +254,7 @@
 
     def connect(self, host: Host, attempt: Attempt) -> bool:
         """Send the attempt on a new connection; returns whether one is being opened."""
-        if not host.used:
+        if not host.in_use:
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             return False
         if self.room.full() and not (self.give_way() or self.room.make()):
@@ -281,7 +281,7 @@
         )
         if (
             is_waiting
-            and host.used
+            and host.in_use
             and not self.room.full()
             and all(len(a.connect_tasks) < 2 for a in host.connecting)
         ):
@@ -337,7 +337,7 @@
         """Keep a connection for the next attempt, unless its endpoint is no longer in use."""
         if self.tending is not None:
             self.tending.keep(connection)
-        elif connection.host.used:
+        elif connection.host.in_use:
             connection.host.idle.append(connection)
             if connection.host.connecting:
                 # Later, because a request caused by the answer comes first and may reuse this connection.
