--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -125,7 +125,7 @@
             return
         # The timeout counts from the last byte of the body; the caller side ends clients that stop sending.
         call.deadline = now + MAX_UPLOAD_MS
-        upload.gone = partial(self._handle_event, BodyDiscarded(call.id))
+        upload.on_first_taken = partial(self._handle_event, BodyDiscarded(call.id))
         self.partial_calls.add(call.id)
         self._handle_event(
             RequestArrived(call.id, call.class_index, call.deadline, call.tenant, partial=True)
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -24,7 +24,15 @@
     """
 
     __slots__ = (
-        "buffered", "consumer", "discarded", "gone", "length", "on_space", "pieces", "taken", "whole",
+        "buffered",
+        "consumer",
+        "discarded",
+        "length",
+        "on_first_taken",
+        "on_space",
+        "pieces",
+        "taken",
+        "whole",
         "window",
     )  # fmt: skip
 
@@ -32,7 +40,7 @@
         self.length = length
         self.window = window
         self.on_space = on_space
-        self.gone: Callable[[], None] | None = None
+        self.on_first_taken: Callable[[], None] | None = None
         self.pieces: list[bytes] = []
         self.buffered = 0
         self.taken = False
@@ -75,8 +83,8 @@
         self.buffered = 0
         if data and not self.taken:
             self.taken = True
-            if self.gone is not None:
-                self.gone()
+            if self.on_first_taken is not None:
+                self.on_first_taken()
         if data:
             self.on_space()
         return data
