--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -296,7 +296,7 @@
 
     def _upload_received(self, upload: Upload) -> None:
         call = self.current
-        if upload.whole:
+        if upload.complete:
             self.upload = None
             if call is not None:
                 call.owner.body_complete(call)
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -81,9 +81,9 @@
         data = upload.take()
         if upload.length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data) if data else b""
-            if upload.whole:
+            if upload.complete:
                 data += b"0\r\n\r\n"
-        if upload.whole:
+        if upload.complete:
             connection.body = None
             self.stop()
             # From here on the transport reports when the kernel has taken the last byte.
@@ -91,7 +91,7 @@
         if data:
             self.written += len(data)
             transport.write(data)
-        if upload.whole:
+        if upload.complete:
             connection.note_written()
 
     def stop(self) -> None:
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -25,6 +25,7 @@
 
     __slots__ = (
         "buffered",
+        "complete",
         "consumer",
         "discarded",
         "length",
@@ -32,7 +33,6 @@
         "on_space",
         "pieces",
         "taken",
-        "whole",
         "window",
     )  # fmt: skip
 
@@ -44,7 +44,7 @@
         self.pieces: list[bytes] = []
         self.buffered = 0
         self.taken = False
-        self.whole = False
+        self.complete = False
         self.discarded = False
         self.consumer: UploadConsumer | None = None
 
@@ -60,7 +60,7 @@
             self.buffered += len(data)
 
     def end(self) -> None:
-        self.whole = True
+        self.complete = True
 
     def drop(self) -> None:
         """Discard the rest of the body, as the request is answered."""
