--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -516,7 +516,7 @@
         call.timers.clear()
         self.partial_calls.discard(call.id)
         if call.upload is not None:
-            call.upload.drop()
+            call.upload.discard()
         if call.intent is not None:
             call.intent.end()
         self.open_trace_ids.discard(call.trace_id)
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -62,7 +62,7 @@
     def end(self) -> None:
         self.complete = True
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Discard the rest of the body, as the request is answered."""
         self.discarded = True
         self.consumer = None
