--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -300,7 +300,7 @@
             self.upload = None
             if call is not None:
                 call.owner.body_complete(call)
-        upload.wake()
+        upload.notify_consumer()
 
     def _upload_has_room(self) -> None:
         self.server.loop.call_soon(self._parse)
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -69,7 +69,7 @@
         self.pieces.clear()
         self.buffered = 0
 
-    def wake(self) -> None:
+    def notify_consumer(self) -> None:
         """Let the endpoint's side take what has arrived."""
         if self.consumer is not None:
             self.consumer.write_more()
