--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -287,7 +287,7 @@
             head.pool.enter(),
             self._upload_has_room,
         )
-        upload.put(head.body)
+        upload.append(head.body)
         head.release()
         head.upload = result.upload = upload
         self.bad_requests = 0
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -136,7 +136,7 @@
         if self.body_received > MAX_BODY:
             raise BadRequest(413, "the body is too large")
         if self.upload is not None:
-            self.upload.put(body)
+            self.upload.append(body)
             return
         self.long = self.long or self.body_received > LONG
         if self.pool is not None and self.refused is None:
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -54,7 +54,7 @@
     def full(self) -> bool:
         return self.buffered >= self.window and not self.discarded
 
-    def put(self, data: bytes) -> None:
+    def append(self, data: bytes) -> None:
         if not self.discarded:
             self.pieces.append(data)
             self.buffered += len(data)
