--- a/millgw/callers/streamed_answer.py
+++ b/millgw/callers/streamed_answer.py
@@ -38,7 +38,7 @@
     def pause(self) -> None:
         """Pause the flow: the client's write buffer is full."""
         if self.flow is not None:
-            self.flow.hold()
+            self.flow.pause()
 
     def resume(self) -> None:
         """Resume the flow: the client's write buffer has room again."""
--- a/millgw/streams/flow.py
+++ b/millgw/streams/flow.py
@@ -87,7 +87,7 @@
             self._end()
             self.source.abandon()
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         if not self.ended:
             self.source.pause()
 
