--- a/millgw/callers/streamed_answer.py
+++ b/millgw/callers/streamed_answer.py
@@ -43,7 +43,7 @@
     def resume(self) -> None:
         """Resume the flow: the client's write buffer has room again."""
         if self.flow is not None:
-            self.flow.go_on()
+            self.flow.resume()
 
     def cancel(self) -> None:
         """Cancel the flow: the client has disconnected."""
--- a/millgw/streams/flow.py
+++ b/millgw/streams/flow.py
@@ -91,7 +91,7 @@
         if not self.ended:
             self.source.pause()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         if not self.ended:
             self.source.resume()
 
