--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -336,10 +336,10 @@
         if not self._close_call(call):
             return False
         self.flows.add(flow)
-        flow.over_calls.append(self.flows.discard)
+        flow.on_end.append(self.flows.discard)
         if body_complete:  # otherwise the timeout has not begun
             timer = self.timers.add(call.deadline, flow)
-            flow.over_calls.append(lambda _: self.timers.cancel(timer))
+            flow.on_end.append(lambda _: self.timers.cancel(timer))
             self._schedule_wake()
         call.on_answer(Answer(SERVED, Content(flow.headers), flow=flow))
         self._handle_event(AttemptEnded(call.id, open_attempt.endpoint, number, Outcome.OK, elapsed, True))
--- a/millgw/streams/flow.py
+++ b/millgw/streams/flow.py
@@ -39,7 +39,7 @@
 class Flow:
     """One streamed answer with its `headers` and `length` (None if unknown); buffers up to `window` bytes."""
 
-    __slots__ = ("bytes_passed", "ended", "headers", "length", "over_calls", "sink", "source", "window")
+    __slots__ = ("bytes_passed", "ended", "headers", "length", "on_end", "sink", "source", "window")
 
     def __init__(self, source: Source, headers: bytes, length: int | None, window: int) -> None:
         self.source = source
@@ -49,7 +49,7 @@
         self.sink: Sink | None = None
         self.ended = False
         self.bytes_passed = 0  # bytes of the body passed on so far
-        self.over_calls: list[Callable[[Flow], None]] = []
+        self.on_end: list[Callable[[Flow], None]] = []
 
     # Called by the endpoint's side
 
@@ -97,6 +97,6 @@
 
     def _end(self) -> None:
         self.ended = True
-        for call in self.over_calls:
+        for call in self.on_end:
             call(self)
-        self.over_calls.clear()
+        self.on_end.clear()
