--- a/millgw/endpoints/streamed_answer.py
+++ b/millgw/endpoints/streamed_answer.py
@@ -29,7 +29,7 @@
         self.paused = False  # reading is paused, as the caller does not read
         self.progress_timer: asyncio.TimerHandle | None = None
         length = None if core.length < 0 else core.length
-        flow = Flow(self, core.headers, length, connection.owner.streams.enter())
+        flow = Flow(self, core.headers, length, connection.owner.streams.open_stream())
         flow.on_end.append(self._flow_ended)
         core.sink = flow.data
         self.flow: Flow | None = flow  # reset at the end: the cycle would otherwise wait for the collector
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -155,7 +155,7 @@
 
     def enter(self) -> int:
         """Register a body that is streamed; returns the bytes of its flow control window."""
-        return self.upstream.streams.enter()
+        return self.upstream.streams.open_stream()
 
     def leave(self) -> None:
         """A streamed body has ended."""
--- a/millgw/streams/room.py
+++ b/millgw/streams/room.py
@@ -32,7 +32,7 @@
     def full(self) -> bool:
         return self.open >= self.max_streams()
 
-    def enter(self) -> int:
+    def open_stream(self) -> int:
         """Open one more stream; returns its window in bytes, which does not change later."""
         self.open += 1
         return max(MIN_WINDOW, min(MAX_WINDOW, self.memory_limit // self.open - READ_SIZE))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -94,7 +94,7 @@
     limiter = StreamLimiter(memory)
     windows: list[int] = []
     while len(windows) < wanted and not limiter.full():
-        windows.append(limiter.enter())
+        windows.append(limiter.open_stream())
     assert all(MIN_WINDOW <= w <= MAX_WINDOW for w in windows)
     last = windows[-1] if windows else 0
     assert limiter.open == 1 or limiter.open * (last + READ_SIZE) <= limiter.memory_limit
