--- a/millgw/endpoints/streamed_answer.py
+++ b/millgw/endpoints/streamed_answer.py
@@ -75,7 +75,7 @@
         self.flow = None
         self.connection.streamed = None
         self.resume()  # otherwise a kept connection would stay paused and never be read again
-        self.connection.owner.streams.leave()
+        self.connection.owner.streams.close_stream()
         if self.progress_timer is not None:
             self.progress_timer.cancel()
             self.progress_timer = None
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -159,7 +159,7 @@
 
     def leave(self) -> None:
         """A streamed body has ended."""
-        self.upstream.streams.leave()
+        self.upstream.streams.close_stream()
 
     def hold(self, more: int) -> None:
         """Account for more (or fewer) bytes of request bodies; raises BadRequest at the pool's limit.
--- a/millgw/streams/room.py
+++ b/millgw/streams/room.py
@@ -37,6 +37,6 @@
         self.open += 1
         return max(MIN_WINDOW, min(MAX_WINDOW, self.memory_limit // self.open - READ_SIZE))
 
-    def leave(self) -> None:
+    def close_stream(self) -> None:
         """Close a stream."""
         self.open -= 1
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -99,7 +99,7 @@
     last = windows[-1] if windows else 0
     assert limiter.open == 1 or limiter.open * (last + READ_SIZE) <= limiter.memory_limit
     for _ in windows:
-        limiter.leave()
+        limiter.close_stream()
     assert limiter.open == 0 and not limiter.full()
 
 
