--- a/millgw/endpoints/core.py
+++ b/millgw/endpoints/core.py
@@ -17,7 +17,7 @@
 
 from millgw.http.message import FRAMING_PART, MAX_HEAD, OWN_HEADERS, Content
 from millgw.interface import Outcome
-from millgw.streams.room import LONG
+from millgw.streams.room import STREAM_THRESHOLD
 
 # Results of `AnswerCore.feed`
 INCOMPLETE: Final = 0  # the answer is incomplete
@@ -112,7 +112,11 @@
     @property
     def too_long_to_buffer(self) -> bool:
         """Whether the answer is to be streamed: larger than what is buffered, and its body has begun."""
-        return self.status == 200 and self.body_bytes > 0 and max(self.length, self.body_bytes) > LONG
+        return (
+            self.status == 200
+            and self.body_bytes > 0
+            and max(self.length, self.body_bytes) > STREAM_THRESHOLD
+        )
 
     @property
     def open_ended(self) -> bool:
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -10,7 +10,7 @@
 from typing import Final, Protocol
 
 from millgw.http.message import MAX_BODY, MAX_HEAD, OWN_HEADERS, Answer, plain
-from millgw.streams.room import LONG
+from millgw.streams.room import STREAM_THRESHOLD
 from millgw.streams.upload import Upload
 
 SINGLE_HEADERS: Final = frozenset(
@@ -124,7 +124,7 @@
             raise BadRequest(413, "the body is too large")
         if coding is None:
             self.declared_length = int(length)
-            self.long = self.declared_length > LONG
+            self.long = self.declared_length > STREAM_THRESHOLD
 
     @property
     def trace_id(self) -> str:
@@ -138,7 +138,7 @@
         if self.upload is not None:
             self.upload.append(body)
             return
-        self.long = self.long or self.body_received > LONG
+        self.long = self.long or self.body_received > STREAM_THRESHOLD
         if self.pool is not None and self.refused is None:
             self.pool.hold(len(body))
             self.body += body
--- a/millgw/streams/room.py
+++ b/millgw/streams/room.py
@@ -9,7 +9,7 @@
 
 from typing import Final
 
-LONG: Final = 64 * 1024  # bytes; a longer body or answer is streamed, not buffered whole
+STREAM_THRESHOLD: Final = 64 * 1024  # bytes; a longer body or answer is streamed, not buffered whole
 READ_SIZE: Final = 64 * 1024  # bytes of one read
 STREAMS_MEMORY_SHARE: Final = 1 / 4  # share of the memory for all streams
 MAX_WINDOW: Final = 128 * 1024  # bytes of a window: more does not make a stream faster
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -22,7 +22,7 @@
 from millgw.interface import Outcome, Repeat
 from millgw.platform.config import Address
 from millgw.pool.deadlines import TimerEntry, TimerQueue
-from millgw.streams.room import LONG
+from millgw.streams.room import STREAM_THRESHOLD
 
 
 class Bodies:
@@ -119,9 +119,9 @@
         return parse_requests(data, tuple(cut for cut in sliced if cut < len(data)))
 
     assert read(b"1;" + b"x" * 70_000 + b"\r\na\r\n0\r\n\r\n") == [(400,)]
-    assert read(b"1;xxxxxxxxxxxxxxxxxxxx\r\na\r\n" * LONG + b"0\r\n\r\n") == [(400,)]
-    ((*_, body, keep),) = read(b"1\r\na\r\n" * LONG + b"0\r\n\r\n")
-    assert body == b"a" * LONG and keep
+    assert read(b"1;xxxxxxxxxxxxxxxxxxxx\r\na\r\n" * STREAM_THRESHOLD + b"0\r\n\r\n") == [(400,)]
+    ((*_, body, keep),) = read(b"1\r\na\r\n" * STREAM_THRESHOLD + b"0\r\n\r\n")
+    assert body == b"a" * STREAM_THRESHOLD and keep
 
 
 def test_a_request_refused_by_its_head_buffers_no_body_and_gets_no_100_continue() -> None:
