--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -21,7 +21,7 @@
 from millgw.streams.room import READ_SIZE, StreamLimiter
 
 ANSWER_MEMORY_SHARE = 1 / 32  # of the memory, for one answer's body: answers of up to 400 kB were observed
-ANSWERS_PART = 1 / 8  # of the memory, for all incomplete answers
+ALL_ANSWERS_MEMORY_SHARE = 1 / 8  # of the memory, for all incomplete answers
 # Share of an endpoint's idle timeout after which a connection is not reused, as it may be closing.
 REUSE_IDLE_SHARE = 0.5
 SWEEP_INTERVAL = 1.0  # s between two searches for connections that were idle for too long
@@ -121,7 +121,7 @@
         self.streams = StreamLimiter(memory)
         self.open = 0
         self.max_answer_body = int(ANSWER_MEMORY_SHARE * memory)
-        self.default_answer_bytes_limit = int(ANSWERS_PART * memory)
+        self.default_answer_bytes_limit = int(ALL_ANSWERS_MEMORY_SHARE * memory)
         self.get_answer_bytes_limit = answer_bytes_limit
         self.held = 0  # bytes of incomplete answers
         self.strays_until = 0.0  # ms, monotonic; until then more bytes are expected behind answers here
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -11,7 +11,7 @@
 
 from millgw.callers.lifecycle import Lifecycle
 from millgw.callers.server import Server
-from millgw.endpoints.upstream import ANSWERS_PART
+from millgw.endpoints.upstream import ALL_ANSWERS_MEMORY_SHARE
 from millgw.log.events import log_event
 from millgw.operator.file import LIMIT_KINDS, Limits, Operator, OperatorError, Service, compile_routes, load
 from millgw.operator.files import Files
@@ -145,7 +145,7 @@
             CALLS: self.shared.most_calls,
             CONNECTIONS: self.shared.most - self.shared.most_callers,
             BODIES: int(BODIES_MEMORY_SHARE * self.config.memory),
-            ANSWERS: int(ANSWERS_PART * self.config.memory),
+            ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * self.config.memory),
         }
         allotments = {}
         for kind in LIMIT_KINDS:
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -10,7 +10,7 @@
 from millgw.callers.lifecycle import Lifecycle
 from millgw.callers.plain import PlainFront
 from millgw.callers.server import Server
-from millgw.endpoints.upstream import ANSWERS_PART
+from millgw.endpoints.upstream import ALL_ANSWERS_MEMORY_SHARE
 from millgw.interface import Locality, Settings
 from millgw.log.events import log_event
 from millgw.platform.config import Config, ConfigError, read_config
@@ -60,7 +60,7 @@
             CALLS: descriptors.most_calls,
             CONNECTIONS: descriptors.most,
             BODIES: int(BODIES_MEMORY_SHARE * config.memory),
-            ANSWERS: int(ANSWERS_PART * config.memory),
+            ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * config.memory),
         }
     )
     pool = Pool(
