--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -38,7 +38,7 @@
 """Errors for which this machine can't open connections at all: they say nothing about the endpoint."""
 
 
-class Room(Protocol):
+class DescriptorLimiter(Protocol):
     """The limit of file descriptors, shared with the other users of them."""
 
     endpoints: Callable[[], int]  # how many descriptors the upstream uses; the upstream sets it
@@ -100,7 +100,7 @@
 
     def __init__(
         self,
-        descriptors: Room,
+        descriptors: DescriptorLimiter,
         connect_timeout: float,
         idle_timeout: float,
         memory: float,
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -11,7 +11,7 @@
 
 from millgw.decide import Balancer
 from millgw.endpoints.connection import Lanes
-from millgw.endpoints.upstream import Room, Upstream
+from millgw.endpoints.upstream import DescriptorLimiter, Upstream
 from millgw.http.message import REFUSED, Answer
 from millgw.http.request import BadRequest, Head
 from millgw.interface import ListKind, Locality, Repeat
@@ -71,7 +71,7 @@
         name: str,
         config: Config,
         seed: int,
-        room: Room,
+        room: DescriptorLimiter,
         share: Share,
         source: Callable[[Heard, EndpointObserver], EndpointSource],
         lanes: Lanes | None = None,
