--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -130,7 +130,7 @@
         self.held_back = 0  # sends whose last byte was held back
         self.tasks: set[asyncio.Task[Outcome | None]] = set()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
-        self.tending: ConnectionManager | None = None
+        self.manager: ConnectionManager | None = None
 
     def reconfigure(self, connect_timeout: float, idle_timeout: float) -> None:
         """Set the timeout (ms) of connects and the time (ms) after which endpoints close idle connections."""
@@ -140,7 +140,7 @@
     def tend(self, manager: ConnectionManager) -> None:
         """Let `manager` choose which connections are reused, kept and opened."""
         self.sweep_timer.cancel()
-        self.tending = manager
+        self.manager = manager
 
     def holds(self) -> int:
         """How many file descriptors are in use."""
@@ -181,8 +181,8 @@
             del host.connecting[attempt]
             attempt.cancel_connects()
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
-        if self.tending is not None:
-            self.tending.close(host)
+        if self.manager is not None:
+            self.manager.close(host)
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
         """Times (ms, monotonic) of an endpoint's connections, None if the endpoint is not in use.
@@ -206,8 +206,8 @@
         host = self.hosts.get(endpoint)
         if host is not None:
             self._close_idle(host)
-            if self.tending is not None:
-                self.tending.doubt(host)
+            if self.manager is not None:
+                self.manager.doubt(host)
 
     def _close_idle(self, host: Host) -> None:
         for connection in host.idle:
@@ -221,8 +221,8 @@
             return
         self.sends += 1
         now = time.monotonic() * 1000
-        if self.tending is not None:
-            self.tending.send(endpoint, host, attempt, now)
+        if self.manager is not None:
+            self.manager.send(endpoint, host, attempt, now)
             return
         connection = self._take_idle(host, now)
         if connection is not None:
@@ -247,8 +247,8 @@
 
     def resend(self, connection: Connection, attempt: Attempt) -> None:
         """Send an attempt that has not run on another connection, as its own is dead."""
-        if self.tending is not None:
-            self.tending.again(connection, attempt)
+        if self.manager is not None:
+            self.manager.again(connection, attempt)
         else:
             self.connect(connection.host, attempt)
 
@@ -263,7 +263,7 @@
             return False
         host.connecting[attempt] = None
         attempt.connect_tasks += (self._start_connect(host, attempt),)
-        if self.tending is None:
+        if self.manager is None:
             self.loop.call_later(
                 LATE_CONNECT_SHARE * self.connect_timeout, self._connect_again, host, attempt
             )
@@ -308,8 +308,8 @@
                 host.connecting.pop(attempt, None)
                 if failure is not None and attempt.state == CONNECTING:
                     attempt.end(failure, NOTHING)
-        if self.tending is not None:
-            self.tending.tried(host, failure is Outcome.CONNECT_FAILED)
+        if self.manager is not None:
+            self.manager.tried(host, failure is Outcome.CONNECT_FAILED)
 
     async def _connect(self, host: Host, attempt: Attempt | None) -> Outcome | None:
         """Open a connection. Returns None on success, `CONNECT_FAILED` if the endpoint could not be reached,
@@ -328,15 +328,15 @@
         return None
 
     def connected(self, connection: Connection) -> None:
-        if self.tending is not None:
-            self.tending.up(connection)
+        if self.manager is not None:
+            self.manager.up(connection)
         elif connection.attempt is None:
             connection.host.idle.append(connection)
 
     def keep(self, connection: Connection) -> None:
         """Keep a connection for the next attempt, unless its endpoint is no longer in use."""
-        if self.tending is not None:
-            self.tending.keep(connection)
+        if self.manager is not None:
+            self.manager.keep(connection)
         elif connection.host.in_use:
             connection.host.idle.append(connection)
             if connection.host.connecting:
@@ -359,8 +359,8 @@
         idle = connection in connection.host.idle
         if idle:
             connection.host.idle.remove(connection)
-        if self.tending is not None:
-            self.tending.lost(connection, idle)
+        if self.manager is not None:
+            self.manager.lost(connection, idle)
 
     def give_way(self) -> bool:
         """Close the connection that was idle for longest; returns whether there was one."""
@@ -385,5 +385,5 @@
     def stop(self) -> None:
         """Stop the timers; called when no connection is needed any more."""
         self.sweep_timer.cancel()
-        if self.tending is not None:
-            self.tending.stop()
+        if self.manager is not None:
+            self.manager.stop()
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -245,7 +245,7 @@
 
     def connection_counts(self) -> dict[str, object]:
         """Counts of connection events, if connections are managed."""
-        tending = self.upstream.tending
+        tending = self.upstream.manager
         return {} if tending is None else tending.figures()
 
     def locality(self) -> dict[str, object] | None:
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -712,7 +712,7 @@
             await until(lambda: bool(control.reports))
             assert control.reports[-1]["status"] == "applied"
             assert pool.settings.cold_time == 9000.0
-            tended = pool.upstream.tending
+            tended = pool.upstream.manager
             assert isinstance(tended, ConnectionManager)
             assert tended.terms.keep_least == 2 and tended.position.cold_time == 9000.0
             changed = copy.deepcopy(rig.SETTINGS)
