--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -54,6 +54,6 @@
     """Manage a pool's connections from now on; called before the pool is started."""
     place = instance_position(pool.settings)
     manager = ConnectionManager(pool.upstream, terms, place, config.idle, seed, LivePoolView(pool))
-    pool.upstream.tend(manager)
+    pool.upstream.use_manager(manager)
     pool.driver.list_filter = manager
     return manager
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -137,7 +137,7 @@
         self.connect_timeout = connect_timeout / 1000
         self.idle_for = REUSE_IDLE_SHARE * idle_timeout  # ms
 
-    def tend(self, manager: ConnectionManager) -> None:
+    def use_manager(self, manager: ConnectionManager) -> None:
         """Let `manager` choose which connections are reused, kept and opened."""
         self.sweep_timer.cancel()
         self.manager = manager
