--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -377,7 +377,7 @@
         state.host.connecting.pop(attempt, None)
 
     def _no_descriptors(self) -> bool:
-        room = self.upstream.room
+        room = self.upstream.descriptors
         return room.full() and not (self.upstream.give_way() or room.make())
 
     def _panic_mode(self) -> bool:
@@ -393,7 +393,7 @@
     def _open_ahead(self, state: HostState, now: float) -> bool:
         """Open a connection if one will be needed soon, but never at the cost of one in use."""
         host = state.host
-        if not host.in_use or self.upstream.room.full():
+        if not host.in_use or self.upstream.descriptors.full():
             return False
         if self.upstream.holds() >= AHEAD_BUDGET_SHARE * self.pool_view.descriptor_budget():
             return False
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -112,8 +112,8 @@
         self.lanes = lanes
         self.lane = lane
         self.log = BoundLogger(service=lane) if lane else BoundLogger()
-        self.room = descriptors
-        self.room.endpoints = self.holds
+        self.descriptors = descriptors
+        self.descriptors.endpoints = self.holds
         self.reconfigure(connect_timeout, idle_timeout)
         self.hosts: dict[int, Host] = {}
         # Shared by all connections: each read is copied out before the next.
@@ -257,7 +257,7 @@
         if not host.in_use:
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             return False
-        if self.room.full() and not (self.give_way() or self.room.make()):
+        if self.descriptors.full() and not (self.give_way() or self.descriptors.make()):
             self.log.log_event("no-descriptor", endpoint=host.address)
             attempt.end(Outcome.NOT_SENT, NOTHING)
             return False
@@ -282,7 +282,7 @@
         if (
             is_waiting
             and host.in_use
-            and not self.room.full()
+            and not self.descriptors.full()
             and all(len(a.connect_tasks) < 2 for a in host.connecting)
         ):
             attempt.connect_tasks += (self._start_connect(host, attempt),)
