--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -128,7 +128,7 @@
         self.sends = 0
         self.written = 0  # attempts whose last byte the kernel has taken
         self.held_back = 0  # sends whose last byte was held back
-        self.tasks: set[asyncio.Task[Outcome | None]] = set()
+        self.connect_tasks: set[asyncio.Task[Outcome | None]] = set()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         self.manager: ConnectionManager | None = None
 
@@ -144,7 +144,7 @@
 
     def holds(self) -> int:
         """How many file descriptors are in use."""
-        return self.open + len(self.tasks)
+        return self.open + len(self.connect_tasks)
 
     def answer_bytes_limit(self) -> int:
         return (
@@ -293,13 +293,13 @@
 
     def _start_connect(self, host: Host, attempt: Attempt | None) -> asyncio.Task[Outcome | None]:
         task = self.loop.create_task(self._connect(host, attempt))
-        self.tasks.add(task)
+        self.connect_tasks.add(task)
         task.add_done_callback(partial(self._connect_ended, host, attempt))
         return task
 
     def _connect_ended(self, host: Host, attempt: Attempt | None, task: asyncio.Task[Outcome | None]) -> None:
         """Handle the end of a connect. A callback, as a task cancelled before it starts runs no `finally`."""
-        self.tasks.discard(task)
+        self.connect_tasks.discard(task)
         failure = None if task.cancelled() or task.exception() is not None else task.result()
         if attempt is not None:
             # This also breaks a reference cycle through the task's traceback.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -901,7 +901,7 @@
                 upstream.close(host)
             elif what == "given up":
                 assert not attempt.give_up(), "it has not run"
-            await until(lambda: not upstream.tasks)
+            await until(lambda: not upstream.connect_tasks)
             assert ended == ([] if what == "given up" else [Outcome.CONNECT_FAILED])
             assert not attempt.connect_tasks and not host.connecting and upstream.open == 0
             assert {dial.cancelled() for dial in dials} == {what != "nothing comes up"}
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -781,7 +781,7 @@
         assert forgotten is host
         upstream.close(host)
         assert ended == [Outcome.CONNECT_FAILED]
-        await until(lambda: not upstream.tasks)
+        await until(lambda: not upstream.connect_tasks)
         assert ended == [Outcome.CONNECT_FAILED] and attempt.given_up
 
     run(test)
