--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -135,7 +135,7 @@
     def reconfigure(self, connect_timeout: float, idle_timeout: float) -> None:
         """Set the timeout (ms) of connects and the time (ms) after which endpoints close idle connections."""
         self.connect_timeout = connect_timeout / 1000
-        self.idle_for = REUSE_IDLE_SHARE * idle_timeout  # ms
+        self.max_idle_ms = REUSE_IDLE_SHARE * idle_timeout  # ms
 
     def use_manager(self, manager: ConnectionManager) -> None:
         """Let `manager` choose which connections are reused, kept and opened."""
@@ -236,7 +236,7 @@
             connection = host.idle.pop(choose_idle(host.idle, now))
             # A request on a connection that the endpoint is about to close, as its own idle timeout ends,
             # fails as a reset and may have run.
-            if connection.idle_since > now - self.idle_for and connection.usable():
+            if connection.idle_since > now - self.max_idle_ms and connection.usable():
                 return connection
             connection.abort()
         return None
@@ -375,7 +375,7 @@
         return True
 
     def _sweep(self) -> None:
-        oldest = time.monotonic() * 1000 - self.idle_for
+        oldest = time.monotonic() * 1000 - self.max_idle_ms
         for host in self.hosts.values():
             for connection in [c for c in host.idle if c.idle_since <= oldest]:
                 host.idle.remove(connection)
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -590,7 +590,7 @@
             assert settings["login"].max_attempts == settings["campaign"].max_attempts == 1
             assert [c.aim for c in settings["login"].classes] == [444.0] * 3
             assert [c.aim for c in settings["campaign"].classes] == [500.0] * 3
-            assert before["login"].upstream.idle_for == 15_000
+            assert before["login"].upstream.max_idle_ms == 15_000
             kept = (
                 balancer.mean_latency[2],
                 balancer.low_latency[2],
