--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -395,7 +395,7 @@
         host = state.host
         if not host.in_use or self.upstream.descriptors.full():
             return False
-        if self.upstream.holds() >= AHEAD_BUDGET_SHARE * self.pool_view.descriptor_budget():
+        if self.upstream.descriptors_in_use() >= AHEAD_BUDGET_SHARE * self.pool_view.descriptor_budget():
             return False
         minimum = 1 if state.endpoint in self.cold_filter.hidden else 0
         if not state.policy.should_open_ahead(
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -113,7 +113,7 @@
         self.lane = lane
         self.log = BoundLogger(service=lane) if lane else BoundLogger()
         self.descriptors = descriptors
-        self.descriptors.endpoints = self.holds
+        self.descriptors.endpoints = self.descriptors_in_use
         self.reconfigure(connect_timeout, idle_timeout)
         self.hosts: dict[int, Host] = {}
         # Shared by all connections: each read is copied out before the next.
@@ -142,7 +142,7 @@
         self.sweep_timer.cancel()
         self.manager = manager
 
-    def holds(self) -> int:
+    def descriptors_in_use(self) -> int:
         """How many file descriptors are in use."""
         return self.open + len(self.connect_tasks)
 
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -203,7 +203,7 @@
         if kind == CALLS:
             return len(self.driver.calls)
         if kind == CONNECTIONS:
-            return self.upstream.holds()
+            return self.upstream.descriptors_in_use()
         return self.body_bytes if kind == BODIES else self.upstream.held
 
     def limit(self, kind: str) -> int:
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -74,7 +74,7 @@
         self.registry = PoolRegistry(self.lifecycle)
         self.running: dict[str, RunningService] = {}
         self.scheduler = TurnScheduler()
-        self.shared.endpoints = lambda: sum(p.upstream.holds() for p in self._all_pools())
+        self.shared.endpoints = lambda: sum(p.upstream.descriptors_in_use() for p in self._all_pools())
         for name in self.operator.services:
             self.running[name] = self._make_pool(self.filed, overlaid, name)
         self._publish()
