--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -153,7 +153,7 @@
             else self.get_answer_bytes_limit()
         )
 
-    def point(self, endpoint: int, address: Address, started_at: float = 0.0) -> Host | None:
+    def set_address(self, endpoint: int, address: Address, started_at: float = 0.0) -> Host | None:
         """Use this address for the endpoint from now on; returns the previous host if it is a different one.
 
         An endpoint with another start time gets a new host even at the same address: if a machine failed
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -174,7 +174,7 @@
         for entry in entries:
             id = entry.endpoint.id
             if entry.address is not None and id not in gone:
-                replaced_hosts.append(self.upstream.point(id, entry.address, entry.endpoint.started_at))
+                replaced_hosts.append(self.upstream.set_address(id, entry.address, entry.endpoint.started_at))
                 ready.add(id)
         gone |= {e.id for e in changed} - ready
         if kind.complete:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -680,7 +680,7 @@
 def pool_of(endpoint: ScriptedEndpoint) -> tuple[Upstream, list[Outcome], Callable[[Outcome, Content], None]]:
     """An upstream with one endpoint, the list of outcomes of its attempts, and the callback that fills it."""
     upstream = Upstream(UnlimitedDescriptors(), 5000.0, 60_000.0, 2.0**26)
-    upstream.point(1, endpoint.address)
+    upstream.set_address(1, endpoint.address)
     ended: list[Outcome] = []
     return upstream, ended, lambda outcome, _: ended.append(outcome)
 
@@ -839,7 +839,7 @@
 ) -> tuple[Upstream, list[Outcome], Attempt]:
     """An upstream to the lossy listener, the list of outcomes, and an attempt in progress."""
     upstream = Upstream(UnlimitedDescriptors(), connecting, 60_000.0, 2.0**26)
-    upstream.point(1, late.address)
+    upstream.set_address(1, late.address)
     ended: list[Outcome] = []
     attempt = Attempt(lambda: request("read"), lambda outcome, _: ended.append(outcome), Repeat.SAFE)
     upstream.send(1, attempt)
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -188,7 +188,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         upstream = Upstream(Descriptors(64), 5000.0, 60_000.0, 2.0**26)
-        upstream.point(1, endpoint.address)
+        upstream.set_address(1, endpoint.address)
         ended: asyncio.Queue[tuple[Outcome, Content]] = asyncio.Queue()
 
         def send() -> None:
@@ -715,7 +715,7 @@
         upstream = Upstream(Descriptors(64), 5000.0, 60_000.0, 2.0**26)
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        upstream.point(1, endpoint.address)
+        upstream.set_address(1, endpoint.address)
 
         async def create_connection(*_: Any) -> Any:
             raise OSError(failure, os.strerror(failure))
@@ -763,7 +763,7 @@
 async def _connecting_attempt() -> tuple[Upstream, Host, Attempt, list[Outcome]]:
     """An attempt to an address where nothing listens, still before its connect is refused."""
     upstream = Upstream(Descriptors(64), 5000.0, 60_000.0, 2.0**26)
-    upstream.point(1, free_address())
+    upstream.set_address(1, free_address())
     ended: list[Outcome] = []
 
     def end(outcome: Outcome, _: Content) -> None:
