--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -165,7 +165,7 @@
         self.hosts[endpoint] = Host(address, started_at)
         return host
 
-    def forget(self, endpoint: int) -> Host | None:
+    def remove(self, endpoint: int) -> Host | None:
         """Send nothing more to this endpoint; returns its host."""
         return self.hosts.pop(endpoint, None)
 
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -186,7 +186,7 @@
         self.draining = (before | drains) - ready - ended
         filtered = tuple(changed) if self.list_filter is None else self.list_filter.filter_list(kind, changed)
         self._handle_event(EndpointList(kind, filtered))
-        replaced_hosts += [self.upstream.forget(id) for id in gone]
+        replaced_hosts += [self.upstream.remove(id) for id in gone]
         for host in replaced_hosts:
             if host is not None:
                 self.upstream.close(host)
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -229,7 +229,7 @@
             self.upstream.loop.call_later(RETIRE_POLL_S, self._end_when_idle)
             return
         for endpoint in list(self.upstream.hosts):
-            host = self.upstream.forget(endpoint)
+            host = self.upstream.remove(endpoint)
             if host is not None:
                 self.upstream.close(host)
         self.shut_down()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -814,7 +814,7 @@
         if what == "left":
             assert not attempt.give_up(), "it has not run"
         else:
-            host = upstream.forget(1)
+            host = upstream.remove(1)
             assert host is not None
             upstream.close(host)
         mark.known = True
@@ -897,7 +897,7 @@
             await until(lambda: len(attempt.connect_tasks) == 2)
             host, dials = upstream.hosts[1], attempt.connect_tasks
             if what == "drains":
-                upstream.forget(1)
+                upstream.remove(1)
                 upstream.close(host)
             elif what == "given up":
                 assert not attempt.give_up(), "it has not run"
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -777,7 +777,7 @@
 def test_an_attempt_still_connecting_when_its_endpoint_drains_never_ran() -> None:
     async def test() -> None:
         upstream, host, attempt, ended = await _connecting_attempt()
-        forgotten = upstream.forget(1)
+        forgotten = upstream.remove(1)
         assert forgotten is host
         upstream.close(host)
         assert ended == [Outcome.CONNECT_FAILED]
