--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -184,7 +184,7 @@
         if self.manager is not None:
             self.manager.close(host)
 
-    def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
+    def connection_times(self, endpoint: int) -> tuple[float, float, float, float] | None:
         """Times (ms, monotonic) of an endpoint's connections, None if the endpoint is not in use.
 
         These are: when a kept connection last had an answer, when the oldest of them was opened, when the
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -93,8 +93,8 @@
         self.answer_counts = AnswerCounts([c.name for c in self.settings.classes])
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
-        """What the connections to an endpoint show of its state (see `Upstream.seen`)."""
-        return self.upstream.seen(endpoint)
+        """What the connections to an endpoint show of its state (see `Upstream.connection_times`)."""
+        return self.upstream.connection_times(endpoint)
 
     def misses(self, endpoint: int) -> int:
         """The number of consecutive attempts that got no connection to an endpoint."""
