--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -197,7 +197,7 @@
         opened = min([c.opened_at for c in host.idle], default=math.inf)
         return answered, opened, host.last_broken, host.last_connect_failure
 
-    def doubt(self, endpoint: int) -> None:
+    def close_kept(self, endpoint: int) -> None:
         """Close an endpoint's kept connections after an attempt there got no answer.
 
         If its machine has failed silently, a request on an open connection only times out and may have run,
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -370,7 +370,7 @@
                 outcome = Outcome.CONNECT_FAILED  # its last byte was never written
             else:
                 outcome = Outcome.TIMEOUT
-                self.upstream.doubt(open_attempt.endpoint)
+                self.upstream.close_kept(open_attempt.endpoint)
             self._handle_event(
                 AttemptEnded(
                     call.id, open_attempt.endpoint, number, outcome, now - open_attempt.sent_at, concluded
@@ -450,7 +450,7 @@
             self._probe(action.endpoint)
         elif isinstance(action, CloseConnections):
             for endpoint in action.endpoints:
-                self.upstream.doubt(endpoint)
+                self.upstream.close_kept(endpoint)
         else:
             self.subscribe()
 
