--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -378,7 +378,7 @@
 
     def _no_descriptors(self) -> bool:
         room = self.upstream.descriptors
-        return room.full() and not (self.upstream.give_way() or room.make())
+        return room.full() and not (self.upstream.close_oldest_idle() or room.make())
 
     def _panic_mode(self) -> bool:
         down = sum(state.policy.reachability.state == DOWN for state in self.states.values())
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -257,7 +257,7 @@
         if not host.in_use:
             attempt.end(Outcome.CONNECT_FAILED, NOTHING)
             return False
-        if self.descriptors.full() and not (self.give_way() or self.descriptors.make()):
+        if self.descriptors.full() and not (self.close_oldest_idle() or self.descriptors.make()):
             self.log.log_event("no-descriptor", endpoint=host.address)
             attempt.end(Outcome.NOT_SENT, NOTHING)
             return False
@@ -362,7 +362,7 @@
         if self.manager is not None:
             self.manager.lost(connection, idle)
 
-    def give_way(self) -> bool:
+    def close_oldest_idle(self) -> bool:
         """Close the connection that was idle for longest; returns whether there was one."""
         oldest: Connection | None = None
         for host in self.hosts.values():
--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -86,4 +86,4 @@
             if p.name != self.name and p.in_use(CONNECTIONS) > guaranteed[p.name]
         ]
         over.sort(key=lambda pair: pair[0])
-        return any(pool.upstream.give_way() for _, pool in over)
+        return any(pool.upstream.close_oldest_idle() for _, pool in over)
