--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -49,7 +49,7 @@
     lanes: Lanes | None
     lane: str
     open: int
-    held: int
+    answer_bytes: int
     held_back: int
     written: int
     buffer: bytearray
@@ -269,7 +269,7 @@
         self._stop_timers()
         self._stop_body()
         self.last_byte = b""
-        self.owner.held -= self.counted_bytes
+        self.owner.answer_bytes -= self.counted_bytes
         self.counted_bytes = 0
         attempt, self.attempt = self.attempt, None
         core = self.core
@@ -354,7 +354,7 @@
         result = core.feed(data)
         grown = len(core.body) - self.counted_bytes
         self.counted_bytes += grown
-        self.owner.held += grown
+        self.owner.answer_bytes += grown
         if result == COMPLETE and core.status == 200 and self._request_incomplete():
             self._fail_answer("endpoint answered 200 before the whole request was sent")
         elif result == COMPLETE:
@@ -367,7 +367,7 @@
                 self.owner.lanes.wait(self.owner.lane, self)
         elif result == INVALID:
             self._fail_answer(core.error)
-        elif self.owner.held > self.owner.answer_bytes_limit():
+        elif self.owner.answer_bytes > self.owner.answer_bytes_limit():
             # Many answers, each within its own limit, could otherwise fill the memory.
             self._fail_answer("answers being received exceed their memory limit")
         elif not core.in_message:
@@ -409,7 +409,7 @@
         self._stop_timers()
         first = bytes(core.body)
         core.body.clear()
-        home.held -= self.counted_bytes
+        home.answer_bytes -= self.counted_bytes
         self.counted_bytes = 0
         self.streamed = streamed = StreamedAnswer(self, core, attempt.trace_id)
         self.attempt = attempt.connection = None
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -273,7 +273,7 @@
                 assert len((await rig.ask(request("pay"))).body) == 30_000
             hosts = [h for h in gc.get_objects() if isinstance(h, Host) and h.address == endpoint.address]
             (kept,) = hosts[0].idle
-            assert kept.owner.held == 0 and kept.core is not None and not kept.core.body
+            assert kept.owner.answer_bytes == 0 and kept.core is not None and not kept.core.body
             endpoint.script = answering(ok(b"x" * 30_000)[:-1])
             asked = [await rig.connect() for _ in range(5)]
             for client in asked:
@@ -281,7 +281,7 @@
             assert (await asyncio.wait_for(first_answer(asked), LIMIT)).status == 502
             for client in asked:
                 client.writer.close()
-            await until(lambda: kept.owner.held == 0)
+            await until(lambda: kept.owner.answer_bytes == 0)
 
     run(test)
 
