--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -123,7 +123,7 @@
         self.max_answer_body = int(ANSWER_MEMORY_SHARE * memory)
         self.default_answer_bytes_limit = int(ALL_ANSWERS_MEMORY_SHARE * memory)
         self.get_answer_bytes_limit = answer_bytes_limit
-        self.held = 0  # bytes of incomplete answers
+        self.answer_bytes = 0  # bytes of incomplete answers
         self.strays_until = 0.0  # ms, monotonic; until then more bytes are expected behind answers here
         self.sends = 0
         self.written = 0  # attempts whose last byte the kernel has taken
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -204,7 +204,7 @@
             return len(self.driver.calls)
         if kind == CONNECTIONS:
             return self.upstream.descriptors_in_use()
-        return self.body_bytes if kind == BODIES else self.upstream.held
+        return self.body_bytes if kind == BODIES else self.upstream.answer_bytes
 
     def limit(self, kind: str) -> int:
         return self.share.limit(kind)
