--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -59,7 +59,7 @@
     def answer_bytes_limit(self) -> int:
         """The limit in bytes for all incomplete answers together."""
 
-    strays_until: float  # ms, monotonic; until then more bytes are expected behind answers
+    stray_bytes_until: float  # ms, monotonic; until then more bytes are expected behind answers
 
     def note_stray_bytes(self) -> None:
         """Note that bytes arrived behind an answer, while no request was outstanding."""
@@ -136,7 +136,7 @@
             self.body.begin(payload)
             return
         hold = self.host.hold_policy.hold_time(
-            now, attempt.repeat, self.reused, self.idle_since, self.owner.strays_until
+            now, attempt.repeat, self.reused, self.idle_since, self.owner.stray_bytes_until
         )
         if prove > 0:
             hold, self.ack_deadline = max(hold, HOLD_BACK), now + prove
