--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -124,7 +124,7 @@
         self.default_answer_bytes_limit = int(ALL_ANSWERS_MEMORY_SHARE * memory)
         self.get_answer_bytes_limit = answer_bytes_limit
         self.answer_bytes = 0  # bytes of incomplete answers
-        self.strays_until = 0.0  # ms, monotonic; until then more bytes are expected behind answers here
+        self.stray_bytes_until = 0.0  # ms, monotonic; until then more bytes are expected behind answers here
         self.sends = 0
         self.written = 0  # attempts whose last byte the kernel has taken
         self.held_back = 0  # sends whose last byte was held back
@@ -243,7 +243,7 @@
 
     def note_stray_bytes(self) -> None:
         """Note that bytes came behind an answer, while no request was outstanding: more are expected."""
-        self.strays_until = time.monotonic() * 1000 + DISTRUST_TIME
+        self.stray_bytes_until = time.monotonic() * 1000 + DISTRUST_TIME
 
     def resend(self, connection: Connection, attempt: Attempt) -> None:
         """Send an attempt that has not run on another connection, as its own is dead."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -725,10 +725,10 @@
         upstream, ended, end = pool_of(endpoint)
         upstream.send(1, Attempt(lambda: request("read"), end, Repeat.SAFE))
         await until(lambda: bool(ended))
-        assert upstream.strays_until == 0.0
+        assert upstream.stray_bytes_until == 0.0
         endpoint.served[0].write(ok(b"stray"))
         await until(lambda: endpoint.lost_connections == 1)
-        assert upstream.strays_until > time.monotonic() * 1000
+        assert upstream.stray_bytes_until > time.monotonic() * 1000
         upstream.stop()
 
     run(test)
