--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -25,7 +25,7 @@
 from millgw.streams.room import StreamLimiter
 
 # s without data after which an incomplete answer counts as stalled; the request is then tried elsewhere.
-ANSWER_TIME = 1.0
+ANSWER_DATA_TIMEOUT = 1.0
 # s after which an incomplete answer of unknown length is streamed, as it may become a long one.
 OPEN_ENDED_STREAM_DELAY = 0.3
 # s since its last data, up to which an answer of unknown length counts as still arriving.
@@ -378,7 +378,7 @@
             # Most answers arrive in one read; only the others need a timer.
             self.last_data_at = time.monotonic()
             if self.stall_timer is None:
-                delay = OPEN_ENDED_STREAM_DELAY if core.open_ended else ANSWER_TIME
+                delay = OPEN_ENDED_STREAM_DELAY if core.open_ended else ANSWER_DATA_TIMEOUT
                 self.stall_timer = self.owner.loop.call_later(delay, self._check_progress)
 
     def _request_incomplete(self) -> bool:
@@ -393,8 +393,8 @@
         quiet = time.monotonic() - self.last_data_at
         if self.core.open_ended and quiet <= RECENT_DATA_TIME and self.attempt.state == WRITTEN:
             self._begin_streaming()
-        elif quiet < ANSWER_TIME - 0.001:
-            delay = OPEN_ENDED_STREAM_DELAY if self.core.open_ended else ANSWER_TIME - quiet
+        elif quiet < ANSWER_DATA_TIMEOUT - 0.001:
+            delay = OPEN_ENDED_STREAM_DELAY if self.core.open_ended else ANSWER_DATA_TIMEOUT - quiet
             self.stall_timer = self.owner.loop.call_later(delay, self._check_progress)
         else:
             self._fail_answer("it stopped half-way")
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -246,7 +246,7 @@
 def test_a_spoilt_answer_fails_at_once_and_may_have_run(
     answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection_module, "ANSWER_TIME", 0.1)
+    monkeypatch.setattr(connection_module, "ANSWER_DATA_TIMEOUT", 0.1)
 
     async def test() -> None:
         async def spoilt_once(_: Message, endpoint: ScriptedEndpoint) -> bytes:
@@ -264,7 +264,7 @@
 def test_an_answer_is_not_kept_and_all_that_are_held_together_are_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_module, "ANSWER_TIME", 2 * LIMIT)
+    monkeypatch.setattr(connection_module, "ANSWER_DATA_TIMEOUT", 2 * LIMIT)
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", answering(ok(b"x" * 30_000)))
