--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -16,7 +16,7 @@
 from millgw.endpoints.attempt import CONNECTING, LAST_BYTE_HELD, WRITING, WRITTEN, Attempt, Intent
 from millgw.endpoints.core import COMPLETE, INVALID, AnswerCore
 from millgw.endpoints.host import Host
-from millgw.endpoints.proof import HOLD_BACK
+from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
 from millgw.endpoints.request_body import RequestBody
 from millgw.endpoints.streamed_answer import StreamedAnswer
 from millgw.http.message import NOTHING, unconfirmed, unread, watcher
@@ -139,7 +139,7 @@
             now, attempt.repeat, self.reused, self.idle_since, self.owner.stray_bytes_until
         )
         if prove > 0:
-            hold, self.ack_deadline = max(hold, HOLD_BACK), now + prove
+            hold, self.ack_deadline = max(hold, LAST_BYTE_HOLD_TIME), now + prove
         if hold > 0:
             attempt.state = LAST_BYTE_HELD
             self.last_byte = payload[-1:]
@@ -173,7 +173,7 @@
         elif self.last_byte and self.ack_deadline > 0 and unconfirmed(self.transport):
             # A NAT or firewall on the path may have dropped the connection's state: writes are then lost.
             if time.monotonic() * 1000 < self.ack_deadline:
-                self.hold_back(HOLD_BACK, self._write_last_byte)
+                self.hold_back(LAST_BYTE_HOLD_TIME, self._write_last_byte)
             else:
                 self.abandon_broken()
         elif self.last_byte and self.transport.get_write_buffer_size() == 0:
--- a/millgw/endpoints/proof.py
+++ b/millgw/endpoints/proof.py
@@ -22,7 +22,7 @@
 
 from millgw.interface import Repeat
 
-HOLD_BACK = 2.0  # ms that the last byte is held back: more than a network round trip
+LAST_BYTE_HOLD_TIME = 2.0  # ms that the last byte is held back: more than a network round trip
 DISTRUST_TIME: Final = 30_000.0  # ms without trust in an endpoint after it broke a connection under a request
 SAFE_REUSE_TIME: Final = 1000.0  # ms after an answer during which its connection is trusted for safe calls
 SETTLE_TIME: Final = 5.0  # ms after an answer in which more bytes may follow it: up to 4 ms were observed
@@ -45,7 +45,7 @@
     ) -> float:
         """How long (ms) to hold back the last byte of a request of this kind; 0 for not at all.
 
-        `answered_at` is when the last answer came on the connection, if it is `reused`. Until `strays_until`,
+        `answered_at` is when the last answer came on the connection, if it is `reused`. Until `stray_bytes_until`,
         more bytes are expected behind the answers of the pool's endpoints.
         """
         safe = repeat is Repeat.SAFE
@@ -53,7 +53,7 @@
         trusted = (
             safe and now >= self.distrusted_until and (not reused or now - answered_at <= SAFE_REUSE_TIME)
         )
-        hold = 0.0 if trusted else HOLD_BACK
+        hold = 0.0 if trusted else LAST_BYTE_HOLD_TIME
         if reused and (not safe or now < strays_until):
             hold = max(hold, answered_at + SETTLE_TIME - now)
         return hold
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from millgw.endpoints.attempt import LAST_BYTE_HELD, WRITING, Attempt
-from millgw.endpoints.proof import HOLD_BACK
+from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
 from millgw.interface import Outcome
 from millgw.streams.upload import Upload
 
@@ -46,7 +46,7 @@
         connection.owner.held_back += 1
         connection.transport.set_write_buffer_limits(high=self.upload.window)
         connection.transport.write(head)
-        connection.hold_back(HOLD_BACK, self.write_first)
+        connection.hold_back(LAST_BYTE_HOLD_TIME, self.write_first)
 
     def write_first(self) -> None:
         """Write the first part of the body, if the connection is still open and the attempt may be sent."""
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -15,7 +15,13 @@
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.core import COMPLETE, INCOMPLETE, INVALID, AnswerCore
 from millgw.endpoints.host import Host
-from millgw.endpoints.proof import DISTRUST_TIME, HOLD_BACK, SAFE_REUSE_TIME, SETTLE_TIME, HoldPolicy
+from millgw.endpoints.proof import (
+    DISTRUST_TIME,
+    LAST_BYTE_HOLD_TIME,
+    SAFE_REUSE_TIME,
+    SETTLE_TIME,
+    HoldPolicy,
+)
 from millgw.endpoints.upstream import choose_idle
 from millgw.http.message import REFUSED, Answer, Content
 from millgw.http.request import BadRequest, Head, word
@@ -287,7 +293,7 @@
     answered_at = now - idle
     held = policy.hold_time(now, repeat, reused, answered_at)
     if repeat is not Repeat.SAFE:
-        assert held >= HOLD_BACK
+        assert held >= LAST_BYTE_HOLD_TIME
     elif reused:
         assert (held == 0) == (now - answered_at <= SAFE_REUSE_TIME)
     for strays_until in (now - 1.0, now + 1.0):
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -173,7 +173,7 @@
 def test_callers_that_leave_while_their_sends_are_held_back_do_not_count_against_the_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(proof_module, "HOLD_BACK", 300.0)
+    monkeypatch.setattr(proof_module, "LAST_BYTE_HOLD_TIME", 300.0)
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e")
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -168,7 +168,7 @@
 def test_what_comes_before_the_last_byte_of_a_request_is_not_its_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(proof_module, "HOLD_BACK", 300.0)
+    monkeypatch.setattr(proof_module, "LAST_BYTE_HOLD_TIME", 300.0)
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
