--- a/millgw/callers/steering.py
+++ b/millgw/callers/steering.py
@@ -17,7 +17,7 @@
 BPF_RETURN_CONSTANT = 0x06  # BPF_RET | BPF_K, linux/bpf_common.h
 
 
-def steer(listener: socket.socket, index: int = 1) -> bool:
+def select_listener(listener: socket.socket, index: int = 1) -> bool:
     """Send new connections to the socket with this index in the group; False if the kernel refuses."""
     code = array.array("B", struct.pack("=HBBI", BPF_RETURN_CONSTANT, 0, 0, index))
     try:
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Mapping
 
-from millgw.callers.steering import steer
+from millgw.callers.steering import select_listener
 from millgw.control.calls import CallTable, yes_no_answer
 from millgw.control.door import ControlServer
 from millgw.hot_restart import limits, old_process
@@ -96,7 +96,9 @@
         Called once this process listens. Returns when the predecessor has acknowledged or can't be reached:
         it may get SIGTERM as soon as this process reports ready, and has to know its successor by then.
         """
-        steered = self.old_process is not None and all(steer(s.socket) for s in self.parts.servers())
+        steered = self.old_process is not None and all(
+            select_listener(s.socket) for s in self.parts.servers()
+        )
         self._publish_handover()
         if self.old_process is not None:
             await asyncio.to_thread(self.old_process.announce_successor, self.control, steered)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,7 +22,7 @@
 
 from millgw.callers.lifecycle import Lifecycle
 from millgw.callers.server import share_address
-from millgw.callers.steering import steer
+from millgw.callers.steering import select_listener
 from millgw.hot_restart import limits
 from millgw.hot_restart.learned import adopt_learned, export_learned
 from millgw.hot_restart.old_process import HANDOVER_FILE, find_old_process, publish_handover
@@ -217,7 +217,7 @@
     old = listen(0)
     port = old.getsockname()[1]
     new = listen(port)
-    if not steer(new):
+    if not select_listener(new):
         pytest.skip("this kernel does not support steering connections")
     clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
     assert (accepted(old), accepted(new)) == (0, 40)
