--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -11,7 +11,7 @@
 from millgw.pool.pool import Pool, make_call
 
 
-class PlainFront:
+class SinglePoolFront:
     """`life` tells whether new calls are accepted and what /ready answers."""
 
     def __init__(self, pool: Pool, life: Lifecycle) -> None:
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from millgw.callers.lifecycle import Lifecycle
-from millgw.callers.plain import PlainFront
+from millgw.callers.plain import SinglePoolFront
 from millgw.callers.server import Server
 from millgw.endpoints.upstream import ALL_ANSWERS_MEMORY_SHARE
 from millgw.interface import Locality, Settings
@@ -70,7 +70,7 @@
     if configure_pool is not None:
         configure_pool(pool)
     assert isinstance(pool.source, Discovery)
-    front = PlainFront(pool, lifecycle)
+    front = SinglePoolFront(pool, lifecycle)
     server = Server(config.listen, descriptors, front, lifecycle)
     descriptors.callers, descriptors.close_caller = server.held, server.give_way
     begin = partial(_start_pool, config, pool)
