--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -76,7 +76,7 @@
         self.lanes = lanes
         self.parts: dict[str, float] = {}  # the share of connections of each lane, where there are several
         self.connections: set[CallerConnection] = set()
-        self.fresh: dict[CallerConnection, None] = {}  # before their first request, oldest first
+        self.newly_connected: dict[CallerConnection, None] = {}  # before their first request, oldest first
         self.kept: dict[CallerConnection, None] = {}  # between requests, longest idle first
         self.accepting: set[asyncio.Task[object]] = set()
         self.buffer = bytearray(READ_SIZE)  # shared: each read is copied out before the next
@@ -169,7 +169,7 @@
         """
         if self.parts and self._evict_from_large_lane():
             return True
-        for connections, min_idle in ((self.fresh, CONNECT_GRACE), (self.kept, MIN_IDLE)):
+        for connections, min_idle in ((self.newly_connected, CONNECT_GRACE), (self.kept, MIN_IDLE)):
             for connection in connections:
                 if connection.close_if_idle(min_idle, CAUSE_EVICTED):
                     return True
@@ -200,7 +200,7 @@
         self._resume_accepting()
 
     def mark_busy(self, connection: CallerConnection) -> None:
-        self.fresh.pop(connection, None)
+        self.newly_connected.pop(connection, None)
         self.kept.pop(connection, None)
 
     def _sweep(self) -> None:
@@ -223,7 +223,7 @@
             connection.abort()
         for connection in [c for c in self.connections if c.paused]:
             connection.check_client_gone()
-        self._close_those_idle(self.fresh, FIRST_REQUEST_TIMEOUT, CAUSE_NO_REQUEST)
+        self._close_those_idle(self.newly_connected, FIRST_REQUEST_TIMEOUT, CAUSE_NO_REQUEST)
         self._close_those_idle(self.kept, IDLE_TIMEOUT, CAUSE_IDLE)
         if self.lifecycle.closes_idle(now):
             self.close_idle()
@@ -251,5 +251,5 @@
         self.socket.close()
 
     def close_idle(self) -> None:
-        self._close_those_idle(self.fresh, CONNECT_GRACE, CAUSE_DRAINING)
+        self._close_those_idle(self.newly_connected, CONNECT_GRACE, CAUSE_DRAINING)
         self._close_those_idle(self.kept, CONNECT_GRACE, CAUSE_DRAINING)
