--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -77,7 +77,7 @@
         self.parts: dict[str, float] = {}  # the share of connections of each lane, where there are several
         self.connections: set[CallerConnection] = set()
         self.newly_connected: dict[CallerConnection, None] = {}  # before their first request, oldest first
-        self.kept: dict[CallerConnection, None] = {}  # between requests, longest idle first
+        self.between_requests: dict[CallerConnection, None] = {}  # between requests, longest idle first
         self.accepting: set[asyncio.Task[object]] = set()
         self.buffer = bytearray(READ_SIZE)  # shared: each read is copied out before the next
         self.accept_retry: asyncio.TimerHandle | None = None
@@ -169,7 +169,10 @@
         """
         if self.parts and self._evict_from_large_lane():
             return True
-        for connections, min_idle in ((self.newly_connected, CONNECT_GRACE), (self.kept, MIN_IDLE)):
+        for connections, min_idle in (
+            (self.newly_connected, CONNECT_GRACE),
+            (self.between_requests, MIN_IDLE),
+        ):
             for connection in connections:
                 if connection.close_if_idle(min_idle, CAUSE_EVICTED):
                     return True
@@ -187,7 +190,7 @@
         counts: dict[str, int] = {}
         for connection in self.connections:
             counts[connection.lane] = counts.get(connection.lane, 0) + 1
-        for kept in self.kept:
+        for kept in self.between_requests:
             share = self.parts.get(kept.lane)
             large = share is not None and counts[kept.lane] > share
             if large and kept.close_if_idle(0.0, CAUSE_EVICTED):
@@ -201,7 +204,7 @@
 
     def mark_busy(self, connection: CallerConnection) -> None:
         self.newly_connected.pop(connection, None)
-        self.kept.pop(connection, None)
+        self.between_requests.pop(connection, None)
 
     def _sweep(self) -> None:
         """Close connections that have timed out.
@@ -224,7 +227,7 @@
         for connection in [c for c in self.connections if c.paused]:
             connection.check_client_gone()
         self._close_those_idle(self.newly_connected, FIRST_REQUEST_TIMEOUT, CAUSE_NO_REQUEST)
-        self._close_those_idle(self.kept, IDLE_TIMEOUT, CAUSE_IDLE)
+        self._close_those_idle(self.between_requests, IDLE_TIMEOUT, CAUSE_IDLE)
         if self.lifecycle.closes_idle(now):
             self.close_idle()
         self.loop.call_later(SWEEP, self._sweep)
@@ -252,4 +255,4 @@
 
     def close_idle(self) -> None:
         self._close_those_idle(self.newly_connected, CONNECT_GRACE, CAUSE_DRAINING)
-        self._close_those_idle(self.kept, CONNECT_GRACE, CAUSE_DRAINING)
+        self._close_those_idle(self.between_requests, CONNECT_GRACE, CAUSE_DRAINING)
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -70,7 +70,11 @@
                 leaving.writer.write(request("pay")[:-9] if turn % 2 else request("pay"))
                 leaving.writer.close()
             await until(lambda: not server.connections)
-            assert not server.newly_connected and not server.kept and not only_instance(Pool).body_bytes
+            assert (
+                not server.newly_connected
+                and not server.between_requests
+                and not only_instance(Pool).body_bytes
+            )
             assert not driver.calls and not driver.open_trace_ids and not driver.upstream.connect_tasks
             assert len(driver.ready) == len(driver.balancer.servers) == len(driver.upstream.hosts) == 4
             balancer = driver.balancer
