--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -74,7 +74,9 @@
         self.front = front
         self.lifecycle = life
         self.lanes = lanes
-        self.parts: dict[str, float] = {}  # the share of connections of each lane, where there are several
+        self.lane_shares: dict[
+            str, float
+        ] = {}  # the share of connections of each lane, where there are several
         self.connections: set[CallerConnection] = set()
         self.newly_connected: dict[CallerConnection, None] = {}  # before their first request, oldest first
         self.between_requests: dict[CallerConnection, None] = {}  # between requests, longest idle first
@@ -167,7 +169,7 @@
         The order: idle ones of a lane above its share, those before their first request, those between
         requests.
         """
-        if self.parts and self._evict_from_large_lane():
+        if self.lane_shares and self._evict_from_large_lane():
             return True
         for connections, min_idle in (
             (self.newly_connected, CONNECT_GRACE),
@@ -191,7 +193,7 @@
         for connection in self.connections:
             counts[connection.lane] = counts.get(connection.lane, 0) + 1
         for kept in self.between_requests:
-            share = self.parts.get(kept.lane)
+            share = self.lane_shares.get(kept.lane)
             large = share is not None and counts[kept.lane] > share
             if large and kept.close_if_idle(0.0, CAUSE_EVICTED):
                 return True
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -111,7 +111,7 @@
         given = sum(share for share in shares.values() if share is not None)
         rest = (1.0 - given) / max(1, sum(share is None for share in shares.values()))
         for server in self._servers():
-            server.parts = {
+            server.lane_shares = {
                 name: self.shared.most_callers * (rest if share is None else share)
                 for name, share in shares.items()
             }
