--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -159,7 +159,7 @@
             self.accept_retry = None
             self.loop.add_reader(self.socket, self._accept)
 
-    def held(self) -> int:
+    def descriptors_in_use(self) -> int:
         """Number of descriptors that callers' connections use."""
         return len(self.connections) + len(self.accepting)
 
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -86,7 +86,7 @@
                 self.listeners[name] = self._open_listener(self.operator, name)
         self.closing: list[Server] = []
         self._share_callers(self.operator)
-        self.shared.callers = lambda: sum(s.held() for s in self._servers())
+        self.shared.callers = lambda: sum(s.descriptors_in_use() for s in self._servers())
         self.shared.close_caller = lambda: any(s.give_way() for s in self._servers())
         self._log_pools()
         return self._servers, self._all_pools, self.reload
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -115,14 +115,16 @@
     # Otherwise the listeners stay open: they get no connections unless the successor dies.
     try:
         async with asyncio.timeout(remaining):
-            while any(server.held() for server in servers) or not all(server.closed for server in servers):
+            while any(server.descriptors_in_use() for server in servers) or not all(
+                server.closed for server in servers
+            ):
                 await asyncio.sleep(SHUTDOWN_POLL_INTERVAL)
                 if has_successor and parts.intents is not None and parts.intents.idle():
                     parts.intents.stop()  # the successor waits for the store
                 if lifecycle.closes_idle(time.monotonic()):
                     for server in servers:
                         server.close_idle()
-                if not any(server.held() for server in servers):
+                if not any(server.descriptors_in_use() for server in servers):
                     for server in servers:
                         server.stop()  # also accepts connections still in the backlog
     except TimeoutError:
