--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -118,7 +118,7 @@
         With `last` the bound on connections is ignored: those left in the backlog would be reset.
         """
         for _ in range(most):
-            if not last and self.descriptors.full_of_callers() and not self.give_way():
+            if not last and self.descriptors.full_of_callers() and not self.evict_one():
                 # Further connections stay in the backlog: the process would run out of descriptors.
                 self._end_slow()
                 self._pause_accepting()
@@ -163,7 +163,7 @@
         """Number of descriptors that callers' connections use."""
         return len(self.connections) + len(self.accepting)
 
-    def give_way(self) -> bool:
+    def evict_one(self) -> bool:
         """Evict one connection without an open request; False if there is none.
 
         The order: idle ones of a lane above its share, those before their first request, those between
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -563,7 +563,7 @@
         await until(lambda: bool(server.between_requests if why == "idle" else server.newly_connected))
         await asyncio.sleep(max(CONNECT_GRACE, MIN_IDLE) + 0.01)
         if why == "gives-way":
-            assert server.give_way()
+            assert server.evict_one()
         else:
             server.close_idle()
         watcher = select.poll()  # the event loop does not run from here on
