--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -102,7 +102,7 @@
         self.loop.add_reader(self.socket, self._accept)
         self.loop.call_later(SWEEP, self._sweep)
 
-    def end_halves(self) -> None:
+    def refuse_incomplete(self) -> None:
         """Refuse requests that are only partly received, because the process is about to end.
 
         Otherwise the last byte of one could arrive during the shutdown, and the request would be accepted.
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -133,7 +133,7 @@
         for pool in parts.pools():
             pool.driver.fail_all()
         for server in servers:
-            server.end_halves()
+            server.refuse_incomplete()
         end = time.monotonic() + FLUSH_TIME
         while time.monotonic() < end:
             for server in servers:
