--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -10,7 +10,7 @@
 import select
 import time
 
-from millgw.callers.core import RequestCore, word_answer
+from millgw.callers.core import RequestCore, encode_answer
 from millgw.callers.endings import (
     CAUSE_DISCONNECTED,
     client_address,
@@ -95,7 +95,7 @@
         return not unread(self.transport, self.poll)
 
     def close_if_idle(self, min_idle: float, cause: str) -> bool:
-        """Close it if `idle_for(min_idle)`; True if it was closed.
+        """Close it if `max_idle_ms(min_idle)`; True if it was closed.
 
         The FIN is sent at once. The transport would send it in the next iteration of the event loop, which
         may be late, and a request that the client writes before that would be reset.
@@ -603,4 +603,4 @@
 
     def _write(self, answer: Answer) -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(word_answer(answer, not self.keep_alive or self.server.stopping))
+            self.transport.write(encode_answer(answer, not self.keep_alive or self.server.stopping))
--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -29,7 +29,7 @@
 }
 
 
-def word_answer(answer: Answer, close: bool) -> bytes:
+def encode_answer(answer: Answer, close: bool) -> bytes:
     """Encode a whole answer; `close` marks the last one on its connection."""
     content = answer.content
     headers = content.headers
--- a/millgw/control/door.py
+++ b/millgw/control/door.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-from millgw.callers.core import word_answer
+from millgw.callers.core import encode_answer
 from millgw.control.core import ControlRequest, ControlRequestParser
 from millgw.http.message import Answer
 from millgw.http.request import BadRequest
@@ -132,7 +132,7 @@
         connection.since = time.monotonic()
         connection.socket.settimeout(WRITE_TIMEOUT)
         try:
-            connection.socket.sendall(word_answer(answer, True))
+            connection.socket.sendall(encode_answer(answer, True))
             connection.socket.shutdown(socket.SHUT_WR)
             connection.socket.setblocking(False)
         except OSError:
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millgw.callers.core import RequestCore, word_answer
+from millgw.callers.core import RequestCore, encode_answer
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.core import COMPLETE, INCOMPLETE, INVALID, AnswerCore
 from millgw.endpoints.host import Host
@@ -173,7 +173,7 @@
     assert word(head, 7) == (
         b"POST /api?k=1 HTTP/1.1\r\nHost: a\r\nA: b\r\nX-Expires-In-Ms: 7\r\nContent-Length: 2\r\n\r\nhi"
     )
-    answer = word_answer(Answer(503, Content(b"X: y\r\n", b"no"), 1500.0), close=True)
+    answer = encode_answer(Answer(503, Content(b"X: y\r\n", b"no"), 1500.0), close=True)
     assert answer == (
         b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\nX: y\r\nRetry-After: 1.500\r\n"
         b"Connection: close\r\n\r\nno"
