--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -225,8 +225,8 @@
                 break
             if core.head is not None and core.head.pool is not None:
                 self.lane = core.head.pool.name
-            if core.expects and not self.busy and self.transport is not None:
-                core.expects = False
+            if core.expects_continue and not self.busy and self.transport is not None:
+                core.expects_continue = False
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
                 self.progress.last_received = time.monotonic()  # the client is expected to send from now on
             if self.upload is not None:
--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -66,7 +66,7 @@
     """
 
     __slots__ = (
-        "arrived", "assign_pool", "body_bytes", "expects", "framing_bytes", "head", "in_body", "parser",
+        "arrived", "assign_pool", "body_bytes", "expects_continue", "framing_bytes", "head", "in_body", "parser",
         "queue", "requests_begun",
     )  # fmt: skip
 
@@ -77,7 +77,7 @@
         self.head: Head | None = None
         self.in_body = False
         self.requests_begun = 0
-        self.expects = False
+        self.expects_continue = False
         self.framing_bytes = 0  # bytes of the current request so far, without its body
         self.body_bytes = 0  # bytes of bodies so far, summed over all requests
         self.arrived = 0.0
@@ -127,7 +127,7 @@
         self.requests_begun += 1
         self.framing_bytes = 0
         self.in_body = False
-        self.expects = False
+        self.expects_continue = False
 
     def on_url(self, url: bytes) -> None:
         assert self.head is not None
@@ -149,7 +149,7 @@
             if head.refused is not None:
                 # A final answer instead of 100 Continue (RFC 9110 section 10.1.1): the body is never sent.
                 raise BadRequest(head.refused.status, "there is no room now")
-            self.expects = True
+            self.expects_continue = True
 
     def on_body(self, body: bytes) -> None:
         assert self.head is not None
@@ -165,4 +165,4 @@
             self.head.long = False  # received whole before streaming began
             self.queue.append(self.head)
         self.head = None
-        self.expects = False
+        self.expects_continue = False
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -141,7 +141,7 @@
     refusal = core(pool, Answer(REFUSED)).feed(head + b"Expect: 100-continue\r\n\r\n", 0.0)
     assert refusal is not None and refusal.status == REFUSED
     accepting = core(pool)
-    assert accepting.feed(head + b"Expect: 100-continue\r\n\r\n", 0.0) is None and accepting.expects
+    assert accepting.feed(head + b"Expect: 100-continue\r\n\r\n", 0.0) is None and accepting.expects_continue
 
 
 def test_a_body_over_the_memory_limit_is_refused_and_all_its_bytes_are_released() -> None:
