--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -26,7 +26,7 @@
     """`able` is set from outside once calls can be served. `last`: every answer closes its connection."""
 
     def __init__(self) -> None:
-        self.able = False
+        self.can_serve = False
         self.drained = False
         self.shutting_down = False
         self.has_successor = False
@@ -40,7 +40,7 @@
 
     def ready(self) -> bool:
         """Whether this process can serve calls, as the admin server reports it; a drained one still can."""
-        return self.able and not self.shutting_down
+        return self.can_serve and not self.shutting_down
 
     def welcome(self) -> bool:
         """Whether clients should connect to this sidecar, as /ready on the callers' address reports it.
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -85,9 +85,9 @@
 
 
 async def watch(parts: Parts) -> None:
-    """Keep `Lifecycle.able` up to date: whether any pool has an endpoint ready."""
+    """Keep `Lifecycle.can_serve` up to date: whether any pool has an endpoint ready."""
     while True:
-        parts.lifecycle.able = any(pool.driver.ready for pool in parts.pools())
+        parts.lifecycle.can_serve = any(pool.driver.ready for pool in parts.pools())
         await asyncio.sleep(READINESS_POLL_INTERVAL)
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -74,7 +74,7 @@
 
     @rule(able=st.booleans())
     def become(self, able: bool) -> None:
-        self.life.able = able
+        self.life.can_serve = able
 
     @rule()
     def drain(self) -> None:
@@ -104,7 +104,7 @@
     @invariant()
     def answers_follow_the_lifecycle_rules(self) -> None:
         life, leaving = self.life, self.end_requested_at is not None
-        assert life.ready() == (life.able and not leaving)
+        assert life.ready() == (life.can_serve and not leaving)
         assert life.welcome() == (self.drained_at is None and (not leaving or self.succeeded))
         assert life.last == (self.drained_at is not None or self.over)
         if not life.last:
