--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -66,7 +66,7 @@
         self.close_idle_from = math.inf
         return True
 
-    def leave(self, now: float, has_successor: bool) -> None:
+    def shut_down(self, now: float, has_successor: bool) -> None:
         """Begin the shutdown. Unless drained or replaced by a successor, it goes on serving for a while."""
         if self.shutting_down:
             return
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -104,7 +104,7 @@
     remaining = min(longest, LONGEST) + ANSWER_WITHIN
     lifecycle, servers = parts.lifecycle, parts.servers()
     has_successor = control is not None and await control.has_successor()
-    lifecycle.leave(time.monotonic(), has_successor)
+    lifecycle.shut_down(time.monotonic(), has_successor)
     if not lifecycle.ending:
         await asyncio.sleep(SERVE_PART * remaining)
         lifecycle.end(time.monotonic())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -90,7 +90,7 @@
 
     @rule(succeeded=st.booleans())
     def leave(self, succeeded: bool) -> None:
-        self.life.leave(self.now, succeeded)
+        self.life.shut_down(self.now, succeeded)
         if self.end_requested_at is None:
             self.end_requested_at, self.succeeded = self.now, succeeded
             self.over = succeeded or self.drained_at is not None
