--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -32,7 +32,7 @@
         self.has_successor = False
         self.ending = False
         self.close_idle_from = math.inf
-        self.over = False  # too little time is left to serve new requests: they are refused at once
+        self.refuses_new = False  # too little time is left to serve new requests: they are refused at once
 
     @property
     def last(self) -> bool:
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -129,7 +129,7 @@
                         server.stop()  # also accepts connections still in the backlog
     except TimeoutError:
         log_event("ended-unserved", requests=sum(len(p.driver.calls) for p in parts.pools()))
-        lifecycle.over = True  # refuse calls that could not be answered before the exit
+        lifecycle.refuses_new = True  # refuse calls that could not be answered before the exit
         for pool in parts.pools():
             pool.driver.fail_all()
         for server in servers:
