--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -35,7 +35,7 @@
         self.refuses_new = False  # too little time is left to serve new requests: they are refused at once
 
     @property
-    def last(self) -> bool:
+    def answers_close(self) -> bool:
         return self.drained or self.ending
 
     def ready(self) -> bool:
--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -95,7 +95,7 @@
     @property
     def stopping(self) -> bool:
         """Whether every answer closes its connection."""
-        return self.closed or self.lifecycle.last
+        return self.closed or self.lifecycle.answers_close
 
     def start(self) -> None:
         self.socket.listen(BACKLOG)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -106,8 +106,8 @@
         life, leaving = self.life, self.end_requested_at is not None
         assert life.ready() == (life.can_serve and not leaving)
         assert life.welcome() == (self.drained_at is None and (not leaving or self.succeeded))
-        assert life.last == (self.drained_at is not None or self.over)
-        if not life.last:
+        assert life.answers_close == (self.drained_at is not None or self.over)
+        if not life.answers_close:
             assert not life.closes_idle(self.now), "connections are closed without an announcement"
         if self.drained_at is not None and self.now > self.drained_at + 1.5:
             assert life.closes_idle(self.now), "a drain has 4 s in all"
