--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -42,7 +42,7 @@
         """Whether this process can serve calls, as the admin server reports it; a drained one still can."""
         return self.can_serve and not self.shutting_down
 
-    def welcome(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether clients should connect to this sidecar, as /ready on the callers' address reports it.
 
         True while it shuts down in favour of a successor process: to clients the two are one sidecar.
--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -32,4 +32,4 @@
         return make_call(head, answer, self._answer_ready)
 
     def _answer_ready(self, head: Head) -> Answer:
-        return Answer(200 if self.pool.driver.ready and self.lifecycle.welcome() else REFUSED)
+        return Answer(200 if self.pool.driver.ready and self.lifecycle.accepts_clients() else REFUSED)
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -111,5 +111,5 @@
         if name and name not in pools:
             raise BadRequest(404, "no such service")
         asked = [pools[name]] if name else list(pools.values())
-        ready = any(pool.driver.ready for pool in asked) and self.registry.lifecycle.welcome()
+        ready = any(pool.driver.ready for pool in asked) and self.registry.lifecycle.accepts_clients()
         return plain(200 if ready else REFUSED, "\n".join(pool.status() for pool in asked))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -105,7 +105,7 @@
     def answers_follow_the_lifecycle_rules(self) -> None:
         life, leaving = self.life, self.end_requested_at is not None
         assert life.ready() == (life.can_serve and not leaving)
-        assert life.welcome() == (self.drained_at is None and (not leaving or self.succeeded))
+        assert life.accepts_clients() == (self.drained_at is None and (not leaving or self.succeeded))
         assert life.answers_close == (self.drained_at is not None or self.over)
         if not life.answers_close:
             assert not life.closes_idle(self.now), "connections are closed without an announcement"
