--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -78,7 +78,7 @@
         elif self.drained:
             self.ending = True
 
-    def end(self, now: float) -> None:
+    def stop_serving(self, now: float) -> None:
         """End the phase in which a process that shuts down still keeps connections open."""
         if not self.ending:
             self.ending = True
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -107,7 +107,7 @@
     lifecycle.shut_down(time.monotonic(), has_successor)
     if not lifecycle.ending:
         await asyncio.sleep(SERVE_PART * remaining)
-        lifecycle.end(time.monotonic())
+        lifecycle.stop_serving(time.monotonic())
         remaining -= SERVE_PART * remaining
     if not has_successor or control is None or not control.steered:
         for server in servers:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -98,7 +98,7 @@
     @rule()
     def end(self) -> None:
         if self.end_requested_at is not None:
-            self.life.end(self.now)
+            self.life.stop_serving(self.now)
             self.over = True
 
     @invariant()
