--- a/millgw/callers/progress.py
+++ b/millgw/callers/progress.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 HEAD_TIMEOUT = 2.4  # s from the first byte of a request to the end of its head
-QUIET_TIME = 2.5  # s without a byte after which a client counts as stopped
+STALL_TIMEOUT = 2.5  # s without a byte after which a client counts as stopped
 BODY_TIMEOUT = 60.0  # s that a body may take, in addition to its length divided by `MIN_BODY_RATE`
 MIN_BODY_RATE = 32 * 1024  # bytes/s of a body; half the rate of the slowest client that must be served
 SLOW_AFTER = 4.8  # s in addition to the length divided by `MIN_BODY_RATE`, after which a client is slow
@@ -54,7 +54,7 @@
 
     def stalled(self, now: float) -> bool:
         """Whether the client counts as stopped, provided that no bytes wait in the socket."""
-        return now > self.last_received + QUIET_TIME
+        return now > self.last_received + STALL_TIMEOUT
 
     def overdue(self, now: float, in_body: bool, length: int) -> Overdue | None:
         """Why the request has timed out, or None; only meaningful while no bytes wait in the socket.
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -579,7 +579,7 @@
 
 
 def test_a_request_that_never_comes_to_its_end_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(progress_module, "QUIET_TIME", 0.01)
+    monkeypatch.setattr(progress_module, "STALL_TIMEOUT", 0.01)
     monkeypatch.setattr(server_module, "SWEEP", 0.05)
 
     async def test() -> None:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -50,7 +50,7 @@
 
 
 async def begin_long_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer a request with a head that states `LONG` bytes, and the first 100 of them."""
+    """Answer a request with a head that states `STREAM_THRESHOLD` bytes, and the first 100 of them."""
     await read_head(reader)
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LONG + bytes(100))
 
@@ -624,7 +624,7 @@
 
 
 def test_a_body_that_stalls_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(progress, "QUIET_TIME", 0.2)
+    monkeypatch.setattr(progress, "STALL_TIMEOUT", 0.2)
 
     async def test() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
