--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -39,7 +39,7 @@
 MIN_IDLE = 0.5  # s between requests before a connection may be evicted: its client may be about to use it
 CONNECT_GRACE = 0.1  # s for which a new connection is not evicted: its client is about to send a request
 READ_SIZE = 16 * 1024  # bytes per read
-SWEEP = 0.2  # s between two checks for connections that have timed out
+SWEEP_INTERVAL = 0.2  # s between two checks for connections that have timed out
 
 
 def accept(listener: socket.socket) -> socket.socket:
@@ -100,7 +100,7 @@
     def start(self) -> None:
         self.socket.listen(BACKLOG)
         self.loop.add_reader(self.socket, self._accept)
-        self.loop.call_later(SWEEP, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def refuse_incomplete(self) -> None:
         """Refuse requests that are only partly received, because the process is about to end.
@@ -232,7 +232,7 @@
         self._close_those_idle(self.between_requests, IDLE_TIMEOUT, CAUSE_IDLE)
         if self.lifecycle.closes_idle(now):
             self.close_idle()
-        self.loop.call_later(SWEEP, self._sweep)
+        self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     @staticmethod
     def _close_those_idle(connections: dict[CallerConnection, None], min_idle: float, cause: str) -> None:
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -542,7 +542,7 @@
 ) -> None:
     monkeypatch.setattr(server_module, "FIRST_REQUEST_TIMEOUT", 0.2)
     monkeypatch.setattr(server_module, "IDLE_TIMEOUT", 0.2)
-    monkeypatch.setattr(server_module, "SWEEP", 0.01)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL", 0.01)
 
     async def test() -> None:
         async with sidecar(ScriptedEndpoint("e1")) as rig:
@@ -580,7 +580,7 @@
 
 def test_a_request_that_never_comes_to_its_end_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(progress_module, "STALL_TIMEOUT", 0.01)
-    monkeypatch.setattr(server_module, "SWEEP", 0.05)
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL", 0.05)
 
     async def test() -> None:
         async with sidecar(ScriptedEndpoint("e1")) as rig:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -227,7 +227,7 @@
     how: str, behind: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its first packet was lost. With a request behind, the caller's connection is not read."""
-    monkeypatch.setattr(server_module, "SWEEP", 60.0)  # no look for its end comes to help
+    monkeypatch.setattr(server_module, "SWEEP_INTERVAL", 60.0)  # no look for its end comes to help
 
     async def test() -> None:
         with lossy() as late:
