--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -164,7 +164,7 @@
         self.transport = transport
         self.poll = watcher(transport)
         self.server.connections.add(self)
-        self.server.fresh[self] = None
+        self.server.newly_connected[self] = None
 
     def get_buffer(self, sizehint: int) -> bytearray:
         return self.server.buffer
--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -42,7 +42,7 @@
     lanes: Lanes | None
     buffer: bytearray
     connections: set[CallerConnection]
-    fresh: dict[CallerConnection, None]
+    newly_connected: dict[CallerConnection, None]
     kept: dict[CallerConnection, None]
 
     @property
