--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -243,7 +243,7 @@
             if self.paused:
                 self._resume_reading(transport)
             if core.requests_begun and core.head is None and not self.busy:
-                self.server.kept[self] = None
+                self.server.between_requests[self] = None
 
     def _pause_reading(self) -> None:
         if not self.paused and self.transport is not None:
--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -43,7 +43,7 @@
     buffer: bytearray
     connections: set[CallerConnection]
     newly_connected: dict[CallerConnection, None]
-    kept: dict[CallerConnection, None]
+    between_requests: dict[CallerConnection, None]
 
     @property
     def stopping(self) -> bool: ...
