--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -11,7 +11,7 @@
 
 import httptools
 
-from millgw.http.message import FRAMING_PART, MAX_HEAD, Answer
+from millgw.http.message import MAX_FRAMING_RATIO, MAX_HEAD, Answer
 from millgw.http.request import BadRequest, Head, ReceiveStage
 
 REASONS: Final = {
@@ -115,7 +115,7 @@
             if not self.in_body:
                 if self.framing_bytes > MAX_HEAD:
                     return BadRequest(431, "the headers are too large")
-            elif self.framing_bytes > MAX_HEAD + FRAMING_PART * self.head.body_received:
+            elif self.framing_bytes > MAX_HEAD + MAX_FRAMING_RATIO * self.head.body_received:
                 # Otherwise chunk extensions, which have no use here, could be sent without end.
                 return BadRequest(400, "the body's framing is too large")
         return None
--- a/millgw/endpoints/core.py
+++ b/millgw/endpoints/core.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from millgw.http.message import FRAMING_PART, MAX_HEAD, OWN_HEADERS, Content
+from millgw.http.message import MAX_FRAMING_RATIO, MAX_HEAD, OWN_HEADERS, Content
 from millgw.interface import Outcome
 from millgw.streams.room import STREAM_THRESHOLD
 
@@ -82,7 +82,7 @@
             self.reusable = self.reusable and not error
             return COMPLETE  # an error behind the answer does not invalidate it
         if not error and self.framing_bytes > MAX_HEAD + (
-            0 if self.in_head else FRAMING_PART * self.body_bytes
+            0 if self.in_head else MAX_FRAMING_RATIO * self.body_bytes
         ):
             error = "answer head or framing is too large"
         if error:
