--- a/millgw/endpoints/core.py
+++ b/millgw/endpoints/core.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from millgw.http.message import MAX_FRAMING_RATIO, MAX_HEAD, OWN_HEADERS, Content
+from millgw.http.message import HOP_BY_HOP_HEADERS, MAX_FRAMING_RATIO, MAX_HEAD, Content
 from millgw.interface import Outcome
 from millgw.streams.room import STREAM_THRESHOLD
 
@@ -157,7 +157,7 @@
             self.delimited = True
         elif lower == b"transfer-encoding":
             self.delimited = True
-        elif lower not in OWN_HEADERS:
+        elif lower not in HOP_BY_HOP_HEADERS:
             self.headers += b"%b: %b\r\n" % (name, value)
 
     def on_headers_complete(self) -> None:
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -21,7 +21,7 @@
 MAX_BODY = 64 * 1024 * 1024  # bytes of a request's body
 MAX_FRAMING_RATIO = 8  # maximum framing, as a multiple of the body: chunks may be small, not endless
 
-OWN_HEADERS: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         b"connection",
         b"content-length",
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Final, Protocol
 
-from millgw.http.message import MAX_BODY, MAX_HEAD, OWN_HEADERS, Answer, plain
+from millgw.http.message import HOP_BY_HOP_HEADERS, MAX_BODY, MAX_HEAD, Answer, plain
 from millgw.streams.room import STREAM_THRESHOLD
 from millgw.streams.upload import Upload
 
@@ -105,7 +105,7 @@
         if lower in SINGLE_HEADERS and lower in self.values:
             raise BadRequest(400, f"{lower.decode()} is given twice")
         self.values[lower] = value
-        if lower not in OWN_HEADERS:
+        if lower not in HOP_BY_HOP_HEADERS:
             self.forward += b"%b: %b\r\n" % (name, value)
 
     def complete(self, method: bytes, version: str, keep: bool) -> None:
