--- a/millgw/connections/tended.py
+++ b/millgw/connections/tended.py
@@ -26,7 +26,7 @@
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.host import Host
 from millgw.endpoints.upstream import Upstream
-from millgw.http.message import NOTHING
+from millgw.http.message import EMPTY_CONTENT
 from millgw.interface import Endpoint, ListKind, Outcome, Repeat
 
 TICK_S = 0.25  # interval of the regular check of all connections
@@ -113,7 +113,7 @@
         record = self._forget(connection)
         state = self.states.get(host)
         if state is None or not host.in_use:
-            attempt.end(Outcome.CONNECT_FAILED, NOTHING)
+            attempt.end(Outcome.CONNECT_FAILED, EMPTY_CONTENT)
             return
         if record is not None:
             state.policy.found_dead(now, record)
@@ -354,11 +354,11 @@
             elif opening is Opening.UNREACHABLE:
                 self._dequeue(state, attempt)
                 self.counts.unreachable()
-                attempt.end(Outcome.CONNECT_FAILED, NOTHING)
+                attempt.end(Outcome.CONNECT_FAILED, EMPTY_CONTENT)
             elif now >= wait_until:
                 self._dequeue(state, attempt)
                 self.counts.wait_timed_out()
-                attempt.end(Outcome.NOT_SENT, NOTHING)
+                attempt.end(Outcome.NOT_SENT, EMPTY_CONTENT)
             else:
                 waited = True
                 break
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -19,7 +19,7 @@
 from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
 from millgw.endpoints.request_body import RequestBody
 from millgw.endpoints.streamed_answer import StreamedAnswer
-from millgw.http.message import NOTHING, unconfirmed, unread, watcher
+from millgw.http.message import EMPTY_CONTENT, unconfirmed, unread, watcher
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
 from millgw.streams.room import StreamLimiter
@@ -274,9 +274,9 @@
         attempt, self.attempt = self.attempt, None
         core = self.core
         if core is None:
-            content = NOTHING
+            content = EMPTY_CONTENT
         else:
-            content = core.content() if core.complete else NOTHING
+            content = core.content() if core.complete else EMPTY_CONTENT
             core.body.clear()
         if attempt is not None:
             attempt.end(outcome, content)
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -14,7 +14,7 @@
 from millgw.endpoints.connection import Connection, Lanes
 from millgw.endpoints.host import Host
 from millgw.endpoints.proof import DISTRUST_TIME, SETTLE_TIME
-from millgw.http.message import NOTHING
+from millgw.http.message import EMPTY_CONTENT
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
 from millgw.platform.config import Address
@@ -180,7 +180,7 @@
         for attempt in list(host.connecting):
             del host.connecting[attempt]
             attempt.cancel_connects()
-            attempt.end(Outcome.CONNECT_FAILED, NOTHING)
+            attempt.end(Outcome.CONNECT_FAILED, EMPTY_CONTENT)
         if self.manager is not None:
             self.manager.close(host)
 
@@ -217,7 +217,7 @@
     def send(self, endpoint: int, attempt: Attempt) -> None:
         host = self.hosts.get(endpoint)
         if host is None:
-            attempt.end(Outcome.NOT_SENT, NOTHING)
+            attempt.end(Outcome.NOT_SENT, EMPTY_CONTENT)
             return
         self.sends += 1
         now = time.monotonic() * 1000
@@ -255,11 +255,11 @@
     def connect(self, host: Host, attempt: Attempt) -> bool:
         """Send the attempt on a new connection; returns whether one is being opened."""
         if not host.in_use:
-            attempt.end(Outcome.CONNECT_FAILED, NOTHING)
+            attempt.end(Outcome.CONNECT_FAILED, EMPTY_CONTENT)
             return False
         if self.descriptors.full() and not (self.close_oldest_idle() or self.descriptors.make()):
             self.log.log_event("no-descriptor", endpoint=host.address)
-            attempt.end(Outcome.NOT_SENT, NOTHING)
+            attempt.end(Outcome.NOT_SENT, EMPTY_CONTENT)
             return False
         host.connecting[attempt] = None
         attempt.connect_tasks += (self._start_connect(host, attempt),)
@@ -307,7 +307,7 @@
             if not attempt.connect_tasks:
                 host.connecting.pop(attempt, None)
                 if failure is not None and attempt.state == CONNECTING:
-                    attempt.end(failure, NOTHING)
+                    attempt.end(failure, EMPTY_CONTENT)
         if self.manager is not None:
             self.manager.tried(host, failure is Outcome.CONNECT_FAILED)
 
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -49,7 +49,7 @@
     body: bytes = b""
 
 
-NOTHING: Final = Content()
+EMPTY_CONTENT: Final = Content()
 
 SERVED: Final = 200
 UNUSABLE: Final = 400
@@ -62,7 +62,7 @@
     """A final answer: an endpoint's, a failure, or a refusal with the time after which to retry (ms)."""
 
     status: int
-    content: Content = NOTHING
+    content: Content = EMPTY_CONTENT
     retry_after: float = 0.0
     flow: Flow | None = None  # the body, if it is streamed
 
