--- a/millgw/control/calls.py
+++ b/millgw/control/calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from millgw.control.core import ControlRequest
-from millgw.http.message import Answer, plain
+from millgw.http.message import Answer, text_answer
 
 OK, UNAVAILABLE = 200, 503
 
@@ -14,7 +14,7 @@
 
 def yes_no_answer(holds: bool, text: str) -> Answer:
     """200 or 503 by whether `text` holds, with `text` or its negation as the body."""
-    return plain(OK if holds else UNAVAILABLE, text if holds else f"not {text}")
+    return text_answer(OK if holds else UNAVAILABLE, text if holds else f"not {text}")
 
 
 class CallTable:
@@ -29,9 +29,9 @@
     def __call__(self, request: ControlRequest) -> Answer:
         methods = self.paths.get(request.path)
         if methods is None:
-            return plain(404, "no such call")
+            return text_answer(404, "no such call")
         handler = methods.get(request.method)
         if handler is None:
             allow = ", ".join(sorted(methods)).encode()
-            return plain(405, "not by this method", b"Allow: %b\r\n" % allow)
+            return text_answer(405, "not by this method", b"Allow: %b\r\n" % allow)
         return handler(request)
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -67,7 +67,7 @@
     flow: Flow | None = None  # the body, if it is streamed
 
 
-def plain(status: int, text: str, headers: bytes = b"") -> Answer:
+def text_answer(status: int, text: str, headers: bytes = b"") -> Answer:
     """An answer with one line of plain text, meant for people."""
     return Answer(status, Content(b"Content-Type: text/plain\r\n" + headers, f"{text}\n".encode()))
 
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Final, Protocol
 
-from millgw.http.message import HOP_BY_HOP_HEADERS, MAX_BODY, MAX_HEAD, Answer, plain
+from millgw.http.message import HOP_BY_HOP_HEADERS, MAX_BODY, MAX_HEAD, Answer, text_answer
 from millgw.streams.room import STREAM_THRESHOLD
 from millgw.streams.upload import Upload
 
@@ -51,7 +51,7 @@
 
     def answer(self) -> Answer:
         """The answer to the client, in plain text."""
-        return plain(self.status, str(self))
+        return text_answer(self.status, str(self))
 
 
 class RequestPool(Protocol):
--- a/millgw/intents/log.py
+++ b/millgw/intents/log.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from millgw.http.message import FAILED, Answer, plain
+from millgw.http.message import FAILED, Answer, text_answer
 from millgw.http.request import Head
 from millgw.intents.book import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.log.events import log_event
@@ -159,12 +159,12 @@
                 return taken
             trace = head.values[b"x-trace-id"].decode("latin-1")
             log_event("not-sent-again", trace=trace, cause=taken.value)
-            return plain(CONFLICT if taken is Refusal.OPEN else FAILED, taken.value)
+            return text_answer(CONFLICT if taken is Refusal.OPEN else FAILED, taken.value)
         if self.opening is not None and not self.opening.done():
             self.waiting_for_store.append(Intent(None, keys))
             return self.waiting_for_store[-1]
         # Not a 503, which would promise that the call never ran: another process may have sent it.
-        return plain(FAILED, "what was sent before is not known yet")
+        return text_answer(FAILED, "what was sent before is not known yet")
 
     def _keys(self, pool: bytes, head: Head) -> tuple[bytes, ...]:
         values = head.values
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from millgw.callers.lifecycle import Lifecycle
-from millgw.http.message import REFUSED, Answer, plain
+from millgw.http.message import REFUSED, Answer, text_answer
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
 from millgw.pool.pool import Pool, make_call
@@ -112,4 +112,4 @@
             raise BadRequest(404, "no such service")
         asked = [pools[name]] if name else list(pools.values())
         ready = any(pool.driver.ready for pool in asked) and self.registry.lifecycle.accepts_clients()
-        return plain(200 if ready else REFUSED, "\n".join(pool.status() for pool in asked))
+        return text_answer(200 if ready else REFUSED, "\n".join(pool.status() for pool in asked))
