--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -22,7 +22,7 @@
 from millgw.callers.progress import ReceiveProgress
 from millgw.callers.stall import WriteStall
 from millgw.callers.streamed_answer import StreamedAnswer
-from millgw.http.message import Answer, gone, send_fin, since_received, unread, watcher
+from millgw.http.message import Answer, gone, make_poll, send_fin, since_received, unread
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
 from millgw.streams.flow import Flow
@@ -162,7 +162,7 @@
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.poll = watcher(transport)
+        self.poll = make_poll(transport)
         self.server.connections.add(self)
         self.server.newly_connected[self] = None
 
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -19,7 +19,7 @@
 from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
 from millgw.endpoints.request_body import RequestBody
 from millgw.endpoints.streamed_answer import StreamedAnswer
-from millgw.http.message import EMPTY_CONTENT, unconfirmed, unread, watcher
+from millgw.http.message import EMPTY_CONTENT, make_poll, unconfirmed, unread
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
 from millgw.streams.room import StreamLimiter
@@ -297,7 +297,7 @@
             self.opened_ahead = True
         # Created only here: a failed connect has no `connection_lost` in which the cycle could be broken.
         self.core = AnswerCore(self.max_body)
-        self.poll = watcher(transport)
+        self.poll = make_poll(transport)
         transport.set_write_buffer_limits(high=0)
         self.opened_at = time.monotonic() * 1000
         if attempt is None:
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -72,7 +72,7 @@
     return Answer(status, Content(b"Content-Type: text/plain\r\n" + headers, f"{text}\n".encode()))
 
 
-def watcher(transport: asyncio.Transport) -> select.poll:
+def make_poll(transport: asyncio.Transport) -> select.poll:
     """The poll object for `unread` and `gone`; made once per connection, as they run for every request."""
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
@@ -83,7 +83,7 @@
     """Whether a connection's socket has bytes, or an end, that the event loop has not delivered yet."""
     if transport.is_closing():
         return True  # its descriptor may already belong to another connection
-    return bool((poll or watcher(transport)).poll(0))
+    return bool((poll or make_poll(transport)).poll(0))
 
 
 END_EVENTS: Final = select.POLLRDHUP | select.POLLHUP | select.POLLERR
@@ -96,7 +96,7 @@
     """
     if transport.is_closing():
         return True
-    return any(events & END_EVENTS for _, events in (poll or watcher(transport)).poll(0))
+    return any(events & END_EVENTS for _, events in (poll or make_poll(transport)).poll(0))
 
 
 def send_fin(transport: asyncio.Transport) -> None:
