--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -22,7 +22,7 @@
 from millgw.callers.progress import ReceiveProgress
 from millgw.callers.stall import WriteStall
 from millgw.callers.streamed_answer import StreamedAnswer
-from millgw.http.message import Answer, gone, make_poll, send_fin, since_received, unread
+from millgw.http.message import Answer, gone, has_unread, make_poll, send_fin, since_received
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
 from millgw.streams.flow import Flow
@@ -92,7 +92,7 @@
         """
         if self.transport is None or self.awaits_turn or time.monotonic() < self.last_used + min_idle:
             return False
-        return not unread(self.transport, self.poll)
+        return not has_unread(self.transport, self.poll)
 
     def close_if_idle(self, min_idle: float, cause: str) -> bool:
         """Close it if `max_idle_ms(min_idle)`; True if it was closed.
@@ -324,7 +324,7 @@
         Nothing is done while bytes wait in the socket: the client sent them in time, this side is late.
         """
         head, transport = self._incomplete_head(), self.transport
-        if head is None or transport is None or unread(transport, self.poll):
+        if head is None or transport is None or has_unread(transport, self.poll):
             return
         overdue = self.progress.overdue(now, self.core.in_body, head.body_received)
         if overdue is not None:
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -19,7 +19,7 @@
 from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
 from millgw.endpoints.request_body import RequestBody
 from millgw.endpoints.streamed_answer import StreamedAnswer
-from millgw.http.message import EMPTY_CONTENT, make_poll, unconfirmed, unread
+from millgw.http.message import EMPTY_CONTENT, has_unread, make_poll, unconfirmed
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
 from millgw.streams.room import StreamLimiter
@@ -110,7 +110,7 @@
 
     def usable(self) -> bool:
         """Whether it is open without unread bytes, which would be taken for the next request's answer."""
-        return self.transport is not None and not unread(self.transport, self.poll)
+        return self.transport is not None and not has_unread(self.transport, self.poll)
 
     # The attempt
 
@@ -168,7 +168,7 @@
     def _write_last_byte(self) -> None:
         self.hold_timer = None
         assert self.transport is not None
-        if unread(self.transport, self.poll):
+        if has_unread(self.transport, self.poll):
             self.abandon_broken()
         elif self.last_byte and self.ack_deadline > 0 and unconfirmed(self.transport):
             # A NAT or firewall on the path may have dropped the connection's state: writes are then lost.
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -79,7 +79,7 @@
     return poll
 
 
-def unread(transport: asyncio.Transport, poll: select.poll | None = None) -> bool:
+def has_unread(transport: asyncio.Transport, poll: select.poll | None = None) -> bool:
     """Whether a connection's socket has bytes, or an end, that the event loop has not delivered yet."""
     if transport.is_closing():
         return True  # its descriptor may already belong to another connection
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import cast
 
-from millgw.http.message import gone, unread
+from millgw.http.message import gone, has_unread
 from millgw.platform.config import Address
 from millgw.standins import http
 from millgw.standins.http import AnswerReader, Clock
@@ -61,7 +61,7 @@
     def usable(self) -> bool:
         """Whether it is open and nothing has come on it, also as far as only the kernel knows."""
         transport = self.transport
-        return not self.closed and transport is not None and not unread(transport)
+        return not self.closed and transport is not None and not has_unread(transport)
 
     def ask(self, call: Call, data: bytes) -> asyncio.Future[None]:
         """Write a request; the future ends when the call has."""
@@ -247,7 +247,7 @@
     async def _read_waiting(line: Line, done: asyncio.Future[None]) -> bool:
         """Read what has come and this loop, which may be late, has not; tells whether it ends the call."""
         for _ in range(READ_TURNS):
-            if done.done() or line.transport is None or not unread(line.transport):
+            if done.done() or line.transport is None or not has_unread(line.transport):
                 break
             await asyncio.sleep(0.001)
         return done.done()
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -23,7 +23,7 @@
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.host import Host
 from millgw.endpoints.upstream import Upstream
-from millgw.http.message import Content, unread
+from millgw.http.message import Content, has_unread
 from millgw.http.request import Head
 from millgw.interface import Outcome
 from millgw.platform.descriptors import Descriptors
@@ -203,7 +203,7 @@
         (kept,) = upstream.hosts[1].idle
         kept.transport.pause_reading()  # type: ignore[union-attr]
         endpoint.served[0].write(ok(b"stale"))
-        await until(lambda: unread(kept.transport))  # type: ignore[arg-type]
+        await until(lambda: has_unread(kept.transport))  # type: ignore[arg-type]
         send()
         assert (await ended.get())[1].body == b"done" and endpoint.connections == 2
         await until(lambda: kept.core is None)
