--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -22,7 +22,7 @@
 from millgw.callers.progress import ReceiveProgress
 from millgw.callers.stall import WriteStall
 from millgw.callers.streamed_answer import StreamedAnswer
-from millgw.http.message import Answer, gone, has_unread, make_poll, send_fin, since_received
+from millgw.http.message import Answer, has_unread, make_poll, peer_closed, send_fin, since_received
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
 from millgw.streams.flow import Flow
@@ -390,7 +390,7 @@
         the connection was not accepted yet or the process was not scheduled, the event loop delivers the
         bytes first and the end in its next iteration.
         """
-        return self.transport is not None and gone(self.transport, self.poll)
+        return self.transport is not None and peer_closed(self.transport, self.poll)
 
     def check_client_gone(self) -> None:
         """Drop the calls of a client that disconnected while reading was paused."""
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -89,7 +89,7 @@
 END_EVENTS: Final = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-def gone(transport: asyncio.Transport, poll: select.poll | None = None) -> bool:
+def peer_closed(transport: asyncio.Transport, poll: select.poll | None = None) -> bool:
     """Whether the peer has closed or reset a connection, even if bytes before that are unread.
 
     The event loop reports it later: it delivers those bytes first, and nothing while reading is paused.
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import cast
 
-from millgw.http.message import gone, has_unread
+from millgw.http.message import has_unread, peer_closed
 from millgw.platform.config import Address
 from millgw.standins import http
 from millgw.standins.http import AnswerReader, Clock
@@ -76,7 +76,7 @@
             return self.done
         self.transport.write(data)
         call.sent = self.desk.clock()
-        self.met_end = gone(self.transport)
+        self.met_end = peer_closed(self.transport)
         return self.done
 
     async def _write(self, call: Call, data: bytes) -> None:
