--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -105,10 +105,10 @@
     Does nothing while the transport's write buffer holds bytes, as they would be lost.
     """
     if not transport.get_write_buffer_size():
-        shut_down(transport, socket.SHUT_WR)
+        shut_down_socket(transport, socket.SHUT_WR)
 
 
-def shut_down(transport: asyncio.Transport, how: int) -> None:
+def shut_down_socket(transport: asyncio.Transport, how: int) -> None:
     """Call shutdown(2) on a connection's socket directly, as the transport has no method for it."""
     if transport.is_closing():
         return
--- a/millgw/standins/kernel.py
+++ b/millgw/standins/kernel.py
@@ -9,7 +9,7 @@
 import asyncio
 import socket
 
-from millgw.http.message import shut_down, since_received
+from millgw.http.message import shut_down_socket, since_received
 
 TICK = 10.0  # ms by which the kernel's count of ticks may be over: at least one tick of any usual kernel
 
@@ -23,4 +23,4 @@
 
 def end_now(transport: asyncio.Transport) -> None:
     """Have the other side see the end at once: an abort of the transport ends it in the loop's next turn."""
-    shut_down(transport, socket.SHUT_RDWR)
+    shut_down_socket(transport, socket.SHUT_RDWR)
