--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -121,7 +121,7 @@
         duplicate.detach()
 
 
-def waiting(transport: asyncio.Transport, max_bytes: int) -> bytes:
+def read_undelivered(transport: asyncio.Transport, max_bytes: int) -> bytes:
     """Up to `most` bytes that the event loop has not delivered yet; for a connection about to be closed."""
     if transport.is_closing():
         return b""
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from millgw.http.message import waiting
+from millgw.http.message import read_undelivered
 from millgw.interface import Condition, Endpoint, ListKind
 from millgw.log.events import log_event
 from millgw.platform.config import Address, Config, read_address
@@ -326,7 +326,7 @@
         """
         if self.transport is not None:
             with suppress(httptools.HttpParserError):
-                self.parser.feed_data(waiting(self.transport, MAX_LINE_SIZE))
+                self.parser.feed_data(read_undelivered(self.transport, MAX_LINE_SIZE))
         for line in bytes(self.buffer).split(b"\n"):
             self.discovery.take_fragment(line)
         self.buffer.clear()
