--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -19,7 +19,7 @@
 from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
 from millgw.endpoints.request_body import RequestBody
 from millgw.endpoints.streamed_answer import StreamedAnswer
-from millgw.http.message import EMPTY_CONTENT, has_unread, make_poll, unconfirmed
+from millgw.http.message import EMPTY_CONTENT, has_unacknowledged, has_unread, make_poll
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
 from millgw.streams.room import StreamLimiter
@@ -170,7 +170,7 @@
         assert self.transport is not None
         if has_unread(self.transport, self.poll):
             self.abandon_broken()
-        elif self.last_byte and self.ack_deadline > 0 and unconfirmed(self.transport):
+        elif self.last_byte and self.ack_deadline > 0 and has_unacknowledged(self.transport):
             # A NAT or firewall on the path may have dropped the connection's state: writes are then lost.
             if time.monotonic() * 1000 < self.ack_deadline:
                 self.hold_back(LAST_BYTE_HOLD_TIME, self._write_last_byte)
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -157,7 +157,7 @@
 UNACKED_OFFSET: Final = 24  # offset (bytes) of tcpi_unacked there
 
 
-def unconfirmed(transport: asyncio.Transport) -> bool:
+def has_unacknowledged(transport: asyncio.Transport) -> bool:
     """Whether some of the data sent on a connection has not been acknowledged by TCP yet."""
     if transport.is_closing():
         return True
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from millgw.http.message import unconfirmed
+from millgw.http.message import has_unacknowledged
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
 from millgw.standins.address import free_address
@@ -272,11 +272,11 @@
         reader, writer = await bench.connect()
         writer.write(bench.word())
         assert (await read_message(reader)).status == 200
-        assert not unconfirmed(writer.transport)  # type: ignore[arg-type]
+        assert not has_unacknowledged(writer.transport)  # type: ignore[arg-type]
         await until(lambda: all(c.forgotten for c in bench.endpoint.connections))
         writer.write(bench.word(trace="vanishes"))
         await asyncio.sleep(0.1)
-        assert unconfirmed(writer.transport)  # type: ignore[arg-type]
+        assert has_unacknowledged(writer.transport)  # type: ignore[arg-type]
         assert [a.trace for a in bench.ledger.attempts] == ["t1"]
         assert (await bench.ask(bench.word())).status == 200  # new ones are not harmed
 
