--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -22,7 +22,7 @@
 from millgw.callers.progress import ReceiveProgress
 from millgw.callers.stall import WriteStall
 from millgw.callers.streamed_answer import StreamedAnswer
-from millgw.http.message import Answer, has_unread, make_poll, peer_closed, send_fin, since_received
+from millgw.http.message import Answer, has_unread, make_poll, peer_closed, seconds_since_received, send_fin
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
 from millgw.streams.flow import Flow
@@ -196,7 +196,7 @@
         read because a previous answer was outstanding.
         """
         max_delay, self.unread_since = now - self.unread_since, math.inf
-        return 0.0 if self.transport is None else min(max_delay, since_received(self.transport))
+        return 0.0 if self.transport is None else min(max_delay, seconds_since_received(self.transport))
 
     def turn(self) -> None:
         """Called when it is the lane's turn: parse what was read."""
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -137,7 +137,7 @@
 LAST_DATA_RECV_OFFSET: Final = 52  # offset (bytes) of tcpi_last_data_recv there, in ms
 
 
-def since_received(transport: asyncio.Transport) -> float:
+def seconds_since_received(transport: asyncio.Transport) -> float:
     """Seconds since the kernel last received data on a connection; 0 if it does not report that."""
     if transport.is_closing():
         return 0.0
--- a/millgw/standins/kernel.py
+++ b/millgw/standins/kernel.py
@@ -9,7 +9,7 @@
 import asyncio
 import socket
 
-from millgw.http.message import shut_down_socket, since_received
+from millgw.http.message import seconds_since_received, shut_down_socket
 
 TICK = 10.0  # ms by which the kernel's count of ticks may be over: at least one tick of any usual kernel
 
@@ -18,7 +18,7 @@
     """For how long (ms) at the least the last bytes of a connection had waited in this machine's kernel."""
     if transport is None:
         return 0.0
-    return max(0.0, since_received(transport) * 1000 - TICK)
+    return max(0.0, seconds_since_received(transport) * 1000 - TICK)
 
 
 def end_now(transport: asyncio.Transport) -> None:
