--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -92,7 +92,7 @@
             return ReceiveStage.WHOLE
         if self.in_body:
             return ReceiveStage.BODY
-        return ReceiveStage.HEAD if self.head.values else ReceiveStage.LINE
+        return ReceiveStage.HEAD if self.head.headers else ReceiveStage.LINE
 
     def feed(self, data: bytes, now: float) -> BadRequest | None:
         """Parse `data`, which arrived at `now` (s). After an error is returned, nothing more may be fed."""
@@ -144,7 +144,7 @@
         self.in_body = True
         head.complete(parser.get_method(), parser.get_http_version(), parser.should_keep_alive())
         self.assign_pool(head)
-        expect = head.values.get(b"expect")
+        expect = head.headers.get(b"expect")
         if expect is not None and expect.lower() == b"100-continue":
             if head.refused is not None:
                 # A final answer instead of 100 Continue (RFC 9110 section 10.1.1): the body is never sent.
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -78,14 +78,27 @@
     """
 
     __slots__ = (
-        "body", "body_received", "declared_length", "ended", "forward", "keep", "long", "method", "pool",
-        "refused", "target", "upload", "values", "version", "wrong",
+        "body",
+        "body_received",
+        "declared_length",
+        "ended",
+        "forward",
+        "headers",
+        "keep",
+        "long",
+        "method",
+        "pool",
+        "refused",
+        "target",
+        "upload",
+        "version",
+        "wrong",
     )  # fmt: skip
 
     def __init__(self) -> None:
         self.method = b""
         self.target = b""
-        self.values: dict[bytes, bytes] = {}
+        self.headers: dict[bytes, bytes] = {}
         self.forward = b""
         self.body = b""
         self.body_received = 0  # bytes of the body so far
@@ -102,9 +115,9 @@
     def add(self, name: bytes, value: bytes) -> None:
         lower = name.lower()
         value = value.rstrip(b" \t")  # left by the parser, but not part of the value (RFC 9110 section 5.5)
-        if lower in SINGLE_HEADERS and lower in self.values:
+        if lower in SINGLE_HEADERS and lower in self.headers:
             raise BadRequest(400, f"{lower.decode()} is given twice")
-        self.values[lower] = value
+        self.headers[lower] = value
         if lower not in HOP_BY_HOP_HEADERS:
             self.forward += b"%b: %b\r\n" % (name, value)
 
@@ -113,9 +126,9 @@
         self.method, self.version, self.keep = method, version, keep
         if len(self.target) + len(self.forward) > MAX_HEAD:
             raise BadRequest(431, "the headers are too large")
-        coding, length = self.values.get(b"transfer-encoding"), self.values.get(b"content-length", b"0")
+        coding, length = self.headers.get(b"transfer-encoding"), self.headers.get(b"content-length", b"0")
         if coding is not None and (
-            coding.lower() != b"chunked" or b"content-length" in self.values or version != "1.1"
+            coding.lower() != b"chunked" or b"content-length" in self.headers or version != "1.1"
         ):
             raise BadRequest(400, "Transfer-Encoding is ambiguous or not known")
         if not length.isdigit():
@@ -129,7 +142,7 @@
     @property
     def trace_id(self) -> str:
         """The X-Trace-Id for the log; empty if none was read."""
-        return self.values.get(b"x-trace-id", b"").decode("ascii", "backslashreplace")
+        return self.headers.get(b"x-trace-id", b"").decode("ascii", "backslashreplace")
 
     def extend(self, body: bytes) -> None:
         self.body_received += len(body)
--- a/millgw/intents/log.py
+++ b/millgw/intents/log.py
@@ -157,7 +157,7 @@
             taken = self.registry.take(keys)
             if isinstance(taken, Intent):
                 return taken
-            trace = head.values[b"x-trace-id"].decode("latin-1")
+            trace = head.headers[b"x-trace-id"].decode("latin-1")
             log_event("not-sent-again", trace=trace, cause=taken.value)
             return text_answer(CONFLICT if taken is Refusal.OPEN else FAILED, taken.value)
         if self.opening is not None and not self.opening.done():
@@ -167,7 +167,7 @@
         return text_answer(FAILED, "what was sent before is not known yet")
 
     def _keys(self, pool: bytes, head: Head) -> tuple[bytes, ...]:
-        values = head.values
+        values = head.headers
         keys = [b"%b\0trace\0%b" % (pool, values[b"x-trace-id"])]
         own = values.get(self.settings.key_header, b"") if self.settings.key_header else b""
         if own:
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -174,7 +174,7 @@
 
     def answered(self, head: Head, status: int) -> None:
         """A client got the final answer to a request that had arrived whole."""
-        cls = self.call_factory.classes.get(head.values.get(b"x-qos", b""))
+        cls = self.call_factory.classes.get(head.headers.get(b"x-qos", b""))
         if cls is not None:
             self.answer_counts.answered(cls, status)
 
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -41,7 +41,7 @@
 
     def make_call(self, head: Head, on_answer: Callable[[Answer], None]) -> Call:
         """Make the call of a request to /api; raises BadRequest if the request is invalid."""
-        values = head.values
+        values = head.headers
         trace_id = values.get(b"x-trace-id", b"")
         if not trace_id:
             raise BadRequest(400, "X-Trace-Id is missing")
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -79,7 +79,7 @@
 
     def _find_pool(self, head: Head) -> Pool | BadRequest | None:
         """The pool of a request, or the error to refuse it with; None for /ready, which is of no service."""
-        values = head.values
+        values = head.headers
         host = values.get(b"host")
         try:
             target = read_target(head.target, () if host is None else (host,))
