--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -82,7 +82,7 @@
         "body_received",
         "declared_length",
         "ended",
-        "forward",
+        "forwarded_headers",
         "headers",
         "keep",
         "long",
@@ -99,7 +99,7 @@
         self.method = b""
         self.target = b""
         self.headers: dict[bytes, bytes] = {}
-        self.forward = b""
+        self.forwarded_headers = b""
         self.body = b""
         self.body_received = 0  # bytes of the body so far
         self.declared_length = -1  # Content-Length, 0 where there is none; -1 if chunked
@@ -119,12 +119,12 @@
             raise BadRequest(400, f"{lower.decode()} is given twice")
         self.headers[lower] = value
         if lower not in HOP_BY_HOP_HEADERS:
-            self.forward += b"%b: %b\r\n" % (name, value)
+            self.forwarded_headers += b"%b: %b\r\n" % (name, value)
 
     def complete(self, method: bytes, version: str, keep: bool) -> None:
         """Check length and framing once the headers are complete; BadRequest if they are unacceptable."""
         self.method, self.version, self.keep = method, version, keep
-        if len(self.target) + len(self.forward) > MAX_HEAD:
+        if len(self.target) + len(self.forwarded_headers) > MAX_HEAD:
             raise BadRequest(431, "the headers are too large")
         coding, length = self.headers.get(b"transfer-encoding"), self.headers.get(b"content-length", b"0")
         if coding is not None and (
@@ -173,7 +173,7 @@
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\n%b\r\n\r\n" % (
         head.method,
         head.target,
-        head.forward,
+        head.forwarded_headers,
         time_left,
         framing,
     )
@@ -186,7 +186,7 @@
     return b"%b %b HTTP/1.1\r\n%bX-Expires-In-Ms: %d\r\nContent-Length: %d\r\n\r\n%b" % (
         head.method,
         head.target,
-        head.forward,
+        head.forwarded_headers,
         time_left,
         len(head.body),
         head.body,
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -74,7 +74,9 @@
         while parser.queue:
             item = parser.queue.popleft()
             assert isinstance(item, Head)
-            out.append((item.method, item.target, dict(item.headers), item.forward, item.body, item.keep))
+            out.append(
+                (item.method, item.target, dict(item.headers), item.forwarded_headers, item.body, item.keep)
+            )
         if refusal is not None:
             out.append((refusal.status,))
             break
