--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -231,7 +231,7 @@
                 self.progress.last_received = time.monotonic()  # the client is expected to send from now on
             if self.upload is not None:
                 self._upload_received(self.upload)
-            elif core.head is not None and core.head.long and not self.busy:
+            elif core.head is not None and core.head.streams_body and not self.busy:
                 self._begin_upload(core.head)
             self._serve_queue()
         transport = self.transport
--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -162,7 +162,7 @@
         if self.head.upload is not None:
             self.head.upload.end()  # its call began with the first bytes of the body
         else:
-            self.head.long = False  # received whole before streaming began
+            self.head.streams_body = False  # received whole before streaming began
             self.queue.append(self.head)
         self.head = None
         self.expects_continue = False
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -85,10 +85,10 @@
         "forwarded_headers",
         "headers",
         "keep",
-        "long",
         "method",
         "pool",
         "refused",
+        "streams_body",
         "target",
         "upload",
         "version",
@@ -103,7 +103,7 @@
         self.body = b""
         self.body_received = 0  # bytes of the body so far
         self.declared_length = -1  # Content-Length, 0 where there is none; -1 if chunked
-        self.long = False  # too long to be held whole: the body is to be streamed
+        self.streams_body = False  # too long to be held whole: the body is to be streamed
         self.upload: Upload | None = None  # receives the body once it is streamed
         self.keep = False
         self.version = ""
@@ -137,7 +137,7 @@
             raise BadRequest(413, "the body is too large")
         if coding is None:
             self.declared_length = int(length)
-            self.long = self.declared_length > STREAM_THRESHOLD
+            self.streams_body = self.declared_length > STREAM_THRESHOLD
 
     @property
     def trace_id(self) -> str:
@@ -151,7 +151,7 @@
         if self.upload is not None:
             self.upload.append(body)
             return
-        self.long = self.long or self.body_received > STREAM_THRESHOLD
+        self.streams_body = self.streams_body or self.body_received > STREAM_THRESHOLD
         if self.pool is not None and self.refused is None:
             self.pool.hold(len(body))
             self.body += body
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -139,7 +139,7 @@
         busy = self.refusal_if_full()
         if busy is not None:
             return busy
-        if head.long and self.upstream.streams.full():
+        if head.streams_body and self.upstream.streams.full():
             return self._refusal()
         call = self.call_factory.make_call(head, answer)
         call.timeout = self.share.grant_timeout(call.timeout)
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -55,7 +55,7 @@
             # Without the key, no endpoint could recognise a repeat.
             raise BadRequest(400, "Idempotency-Key is missing")
         timeout = min(parse_timeout(values.get(b"x-expires-in-ms", b"")), cls.deadline)
-        if not head.long:  # otherwise the timeout counts from the last byte, which is yet to arrive
+        if not head.streams_body:  # otherwise the timeout counts from the last byte, which is yet to arrive
             waited = (time.monotonic() - head.ended) * 1000
             if timeout <= waited:
                 shown = trace_id.decode("ascii", "backslashreplace")
