--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -267,7 +267,7 @@
 
     def _begin_upload(self, head: Head) -> None:
         """Begin the call of a request whose body is too long to be held whole, while the body arrives."""
-        self.keep_alive = head.keep
+        self.keep_alive = head.keep_alive
         try:
             result = self.server.front.read(head, self._answer)
         except BadRequest as bad:
@@ -464,7 +464,7 @@
             if isinstance(item, BadRequest):
                 self._refuse_and_close(item)
                 break
-            self.keep_alive = item.keep
+            self.keep_alive = item.keep_alive
             try:
                 result = self.server.front.read(item, self._answer)
             except BadRequest as bad:
--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -106,7 +106,7 @@
             # An offered protocol upgrade is ignored; the parser reads nothing after such a request.
             for item in self.queue:
                 if isinstance(item, Head):
-                    item.keep = False
+                    item.keep_alive = False
         except httptools.HttpParserError as error:
             cause = error.__context__ if isinstance(error, httptools.HttpParserCallbackError) else None
             return cause if isinstance(cause, BadRequest) else BadRequest(400, "malformed HTTP")
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -84,7 +84,7 @@
         "ended",
         "forwarded_headers",
         "headers",
-        "keep",
+        "keep_alive",
         "method",
         "pool",
         "refused",
@@ -105,7 +105,7 @@
         self.declared_length = -1  # Content-Length, 0 where there is none; -1 if chunked
         self.streams_body = False  # too long to be held whole: the body is to be streamed
         self.upload: Upload | None = None  # receives the body once it is streamed
-        self.keep = False
+        self.keep_alive = False
         self.version = ""
         self.ended = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
         self.pool: RequestPool | None = None
@@ -123,7 +123,7 @@
 
     def complete(self, method: bytes, version: str, keep: bool) -> None:
         """Check length and framing once the headers are complete; BadRequest if they are unacceptable."""
-        self.method, self.version, self.keep = method, version, keep
+        self.method, self.version, self.keep_alive = method, version, keep
         if len(self.target) + len(self.forwarded_headers) > MAX_HEAD:
             raise BadRequest(431, "the headers are too large")
         coding, length = self.headers.get(b"transfer-encoding"), self.headers.get(b"content-length", b"0")
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -75,7 +75,14 @@
             item = parser.queue.popleft()
             assert isinstance(item, Head)
             out.append(
-                (item.method, item.target, dict(item.headers), item.forwarded_headers, item.body, item.keep)
+                (
+                    item.method,
+                    item.target,
+                    dict(item.headers),
+                    item.forwarded_headers,
+                    item.body,
+                    item.keep_alive,
+                )
             )
         if refusal is not None:
             out.append((refusal.status,))
