--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -158,7 +158,7 @@
 
     def on_message_complete(self) -> None:
         assert self.head is not None
-        self.head.ended = self.arrived
+        self.head.received_at = self.arrived
         if self.head.upload is not None:
             self.head.upload.end()  # its call began with the first bytes of the body
         else:
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -81,12 +81,12 @@
         "body",
         "body_received",
         "declared_length",
-        "ended",
         "forwarded_headers",
         "headers",
         "keep_alive",
         "method",
         "pool",
+        "received_at",
         "refused",
         "streams_body",
         "target",
@@ -107,7 +107,7 @@
         self.upload: Upload | None = None  # receives the body once it is streamed
         self.keep_alive = False
         self.version = ""
-        self.ended = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
+        self.received_at = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
         self.pool: RequestPool | None = None
         self.wrong: BadRequest | None = None
         self.refused: Answer | None = None
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -56,7 +56,7 @@
             raise BadRequest(400, "Idempotency-Key is missing")
         timeout = min(parse_timeout(values.get(b"x-expires-in-ms", b"")), cls.deadline)
         if not head.streams_body:  # otherwise the timeout counts from the last byte, which is yet to arrive
-            waited = (time.monotonic() - head.ended) * 1000
+            waited = (time.monotonic() - head.received_at) * 1000
             if timeout <= waited:
                 shown = trace_id.decode("ascii", "backslashreplace")
                 log_event("no-time-left", call=shown, told_ms=timeout, waited_ms=round(waited, 1))
