--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -24,9 +24,9 @@
             head.pool = self.pool
             head.refused = Answer(REFUSED) if self.lifecycle.refuses_new else self.pool.refusal_if_full()
         elif path != b"/ready":
-            head.wrong = BadRequest(404, "no such path")
+            head.bad_request = BadRequest(404, "no such path")
         elif head.method != b"GET":
-            head.wrong = BadRequest(405, "only GET asks whether the sidecar is ready")
+            head.bad_request = BadRequest(405, "only GET asks whether the sidecar is ready")
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
         return make_call(head, answer, self._answer_ready)
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -78,6 +78,7 @@
     """
 
     __slots__ = (
+        "bad_request",
         "body",
         "body_received",
         "declared_length",
@@ -92,7 +93,6 @@
         "target",
         "upload",
         "version",
-        "wrong",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -109,7 +109,7 @@
         self.version = ""
         self.received_at = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
         self.pool: RequestPool | None = None
-        self.wrong: BadRequest | None = None
+        self.bad_request: BadRequest | None = None
         self.refused: Answer | None = None
 
     def add(self, name: bytes, value: bytes) -> None:
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -265,8 +265,8 @@
 
 def make_call(head: Head, answer: Callable[[Answer], None], ready: Callable[[Head], Answer]) -> Call | Answer:
     """Make the call of a complete request, or its answer. A request without a pool is one for /ready."""
-    if head.wrong is not None:
-        raise head.wrong
+    if head.bad_request is not None:
+        raise head.bad_request
     if head.refused is not None:
         return head.refused
     if head.pool is None:
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -72,7 +72,7 @@
     def gate(self, head: Head) -> None:
         found = self._find_pool(head)
         if isinstance(found, BadRequest):
-            head.wrong = found
+            head.bad_request = found
         elif found is not None:
             head.pool = found
             head.refused = Answer(REFUSED) if self.registry.lifecycle.refuses_new else found.refusal_if_full()
