--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -146,9 +146,9 @@
         self.assign_pool(head)
         expect = head.headers.get(b"expect")
         if expect is not None and expect.lower() == b"100-continue":
-            if head.refused is not None:
+            if head.refusal is not None:
                 # A final answer instead of 100 Continue (RFC 9110 section 10.1.1): the body is never sent.
-                raise BadRequest(head.refused.status, "there is no room now")
+                raise BadRequest(head.refusal.status, "there is no room now")
             self.expects_continue = True
 
     def on_body(self, body: bytes) -> None:
--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -22,7 +22,7 @@
         path = head.target.partition(b"?")[0]
         if path == b"/api":
             head.pool = self.pool
-            head.refused = Answer(REFUSED) if self.lifecycle.refuses_new else self.pool.refusal_if_full()
+            head.refusal = Answer(REFUSED) if self.lifecycle.refuses_new else self.pool.refusal_if_full()
         elif path != b"/ready":
             head.bad_request = BadRequest(404, "no such path")
         elif head.method != b"GET":
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -88,7 +88,7 @@
         "method",
         "pool",
         "received_at",
-        "refused",
+        "refusal",
         "streams_body",
         "target",
         "upload",
@@ -110,7 +110,7 @@
         self.received_at = 0.0  # s, when it was complete, on the clock of the caller of `RequestCore.feed`
         self.pool: RequestPool | None = None
         self.bad_request: BadRequest | None = None
-        self.refused: Answer | None = None
+        self.refusal: Answer | None = None
 
     def add(self, name: bytes, value: bytes) -> None:
         lower = name.lower()
@@ -152,7 +152,7 @@
             self.upload.append(body)
             return
         self.streams_body = self.streams_body or self.body_received > STREAM_THRESHOLD
-        if self.pool is not None and self.refused is None:
+        if self.pool is not None and self.refusal is None:
             self.pool.hold(len(body))
             self.body += body
 
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -267,8 +267,8 @@
     """Make the call of a complete request, or its answer. A request without a pool is one for /ready."""
     if head.bad_request is not None:
         raise head.bad_request
-    if head.refused is not None:
-        return head.refused
+    if head.refusal is not None:
+        return head.refusal
     if head.pool is None:
         return ready(head)
     assert isinstance(head.pool, Pool)
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -75,7 +75,7 @@
             head.bad_request = found
         elif found is not None:
             head.pool = found
-            head.refused = Answer(REFUSED) if self.registry.lifecycle.refuses_new else found.refusal_if_full()
+            head.refusal = Answer(REFUSED) if self.registry.lifecycle.refuses_new else found.refusal_if_full()
 
     def _find_pool(self, head: Head) -> Pool | BadRequest | None:
         """The pool of a request, or the error to refuse it with; None for /ready, which is of no service."""
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -57,7 +57,7 @@
 
 def core(pool: Bodies | None = None, refused: Answer | None = None) -> RequestCore:
     def gate(head: Head) -> None:
-        head.pool, head.refused = pool or Bodies(), refused
+        head.pool, head.refusal = pool or Bodies(), refused
 
     return RequestCore(gate)
 
@@ -146,7 +146,7 @@
     assert parser.feed(head + b"\r\n12345", 0.0) is None and pool.held == 0
     assert parser.feed(b"6789", 0.0) is None and pool.held == 0
     (item,) = parser.queue
-    assert isinstance(item, Head) and item.refused is not None and item.body == b""
+    assert isinstance(item, Head) and item.refusal is not None and item.body == b""
     refusal = core(pool, Answer(REFUSED)).feed(head + b"Expect: 100-continue\r\n\r\n", 0.0)
     assert refusal is not None and refusal.status == REFUSED
     accepting = core(pool)
