--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -179,7 +179,7 @@
     )
 
 
-def word(head: Head, time_left: int) -> bytes:
+def encode_request(head: Head, time_left: int) -> bytes:
     """Encode the request for an attempt, with the time left (ms) and without hop-by-hop headers."""
     if head.upload is not None:
         return encode_request_head(head, time_left)
--- a/millgw/pool/terms.py
+++ b/millgw/pool/terms.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from millgw.http.message import Answer
-from millgw.http.request import BadRequest, Head, word
+from millgw.http.request import BadRequest, Head, encode_request
 from millgw.interface import Repeat, Settings
 from millgw.log.events import log_event
 from millgw.pool.call import Call, Owner
@@ -62,4 +62,6 @@
                 log_event("no-time-left", call=shown, told_ms=timeout, waited_ms=round(waited, 1))
             timeout -= waited
         tenant = self.tenants.get(values.get(b"x-customer", b""), len(self.tenants))
-        return Call(index, tenant, timeout, partial(word, head), on_answer, trace_id, cls.repeat, self.owner)
+        return Call(
+            index, tenant, timeout, partial(encode_request, head), on_answer, trace_id, cls.repeat, self.owner
+        )
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -24,7 +24,7 @@
 )
 from millgw.endpoints.upstream import choose_idle
 from millgw.http.message import REFUSED, Answer, Content
-from millgw.http.request import BadRequest, Head, word
+from millgw.http.request import BadRequest, Head, encode_request
 from millgw.interface import Outcome, Repeat
 from millgw.platform.config import Address
 from millgw.pool.deadlines import TimerEntry, TimerQueue
@@ -179,7 +179,7 @@
                 b"Content-Length: 2\r\n\r\nhi", 0.0)  # fmt: skip
     (head,) = parser.queue
     assert isinstance(head, Head)
-    assert word(head, 7) == (
+    assert encode_request(head, 7) == (
         b"POST /api?k=1 HTTP/1.1\r\nHost: a\r\nA: b\r\nX-Expires-In-Ms: 7\r\nContent-Length: 2\r\n\r\nhi"
     )
     answer = encode_answer(Answer(503, Content(b"X: y\r\n", b"no"), 1500.0), close=True)
