--- a/millgw/intents/log.py
+++ b/millgw/intents/log.py
@@ -20,7 +20,7 @@
 from millgw.store.writer import Sync, Writer
 
 REOPEN_DELAY = 0.05  # s between attempts to open a store that another process of this sidecar has locked
-MEMORY_PART = 1 / 4  # share of the sidecar's memory limit for marks
+MEMORY_SHARE = 1 / 4  # share of the sidecar's memory limit for marks
 MARK_BYTES = 450  # bytes of memory for one mark, as measured (docs/design/store.md)
 DESCRIPTORS = 16  # open files of a store with two mirrors at most, including those of a compaction
 CONFLICT = 409
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -345,7 +345,7 @@
         endpoint = ScriptedEndpoint("e")
         await endpoint.start()
         # Three marks fit, and each expires after some seconds.
-        monkeypatch.setattr(store_log, "MARK_BYTES", store_log.MEMORY_PART * 32 * 2**20 / 3)
+        monkeypatch.setattr(store_log, "MARK_BYTES", store_log.MEMORY_SHARE * 32 * 2**20 / 3)
         async with services(tmp_path, operator_toml(endpoint, tmp_path, "keep_h = 0.0005")) as node:
             got = [(await ask_once_listening(node, f"aa0{i}"))[0] for i in range(5)]
             assert got == [200, 200, 200, 503, 503], "refused before they ran, so they may be repeated"
