--- a/millgw/intents/log.py
+++ b/millgw/intents/log.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class IntentSettings:
     """Settings of the store: its directories (two are mirrors), how it syncs, how long a mark is kept (ms),
     the header with a client's own key (lower case, may be empty), and the maximum number of marks."""
 
@@ -81,7 +81,7 @@
 
     descriptors = DESCRIPTORS
 
-    def __init__(self, settings: Terms) -> None:
+    def __init__(self, settings: IntentSettings) -> None:
         self.settings = settings
         self.registry: IntentRegistry | None = None
         self.writer: Writer | None = None
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -158,11 +158,13 @@
     if table is None:
         return None
     # Imported here: without a store these modules must not be loaded.
-    from millgw.intents.log import MARK_BYTES, MEMORY_SHARE, Intents, Terms
+    from millgw.intents.log import MARK_BYTES, MEMORY_SHARE, Intents, IntentSettings
     from millgw.store.writer import Sync
 
     keep, most = table.keep_h * 3_600_000.0, int(MEMORY_SHARE * memory / MARK_BYTES)
-    return Intents(Terms(table.directories, Sync(table.sync), keep, table.key.lower().encode(), most))
+    return Intents(
+        IntentSettings(table.directories, Sync(table.sync), keep, table.key.lower().encode(), most)
+    )
 
 
 def locality(operator: Operator, config: Config, seed: int) -> Locality | None:
