--- a/millgw/intents/book.py
+++ b/millgw/intents/book.py
@@ -70,7 +70,7 @@
         self.ended = False
 
     @property
-    def doubtful(self) -> bool:
+    def may_have_been_sent(self) -> bool:
         """Whether another process may have sent the call, so that no refusal may promise it never ran."""
         return self.registry is None
 
