--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -51,7 +51,7 @@
 from tests.rig import SETTINGS, request, run, services, sidecar, until
 
 NO_LINGER = struct.pack("ii", 1, 0)
-RETRIED = 0.6  # s; longer than the longest delay between two attempts in these tests (0.25 s)
+RETRY_WAIT = 0.6  # s; longer than the longest delay between two attempts in these tests (0.25 s)
 
 
 def raw(address: Address) -> socket.socket:
@@ -398,7 +398,7 @@
             client = raw(rig.listen)
             client.sendall(request("pay") + behind)
             await until(lambda: bool(endpoint.got or other.got))
-            await asyncio.sleep(RETRIED)
+            await asyncio.sleep(RETRY_WAIT)
             assert len(endpoint.got) + len(other.got) == 1
             client.close()
 
@@ -424,7 +424,7 @@
             client = raw(rig.listen)
             client.sendall(request("pay") + request("pay"))
             await until(lambda: bool(endpoint.got or other.got))
-            await asyncio.sleep(RETRIED)
+            await asyncio.sleep(RETRY_WAIT)
             assert len(endpoint.got) + len(other.got) == 1
 
     run(test)
@@ -966,7 +966,7 @@
                 watch.append((await rig.discovery.calls.get())[1])
                 asked = asyncio.create_task(rig.ask(request("write", b"body")))
                 await until(lambda: bool(first.got))
-                await asyncio.sleep(RETRIED)  # the first SYN is lost by now, and sent again after a second
+                await asyncio.sleep(RETRY_WAIT)  # the first SYN is lost by now, and sent again after a second
                 late.heal()
                 read = await late.read(await late.accept())
                 assert read == b"", "its window was over"
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -39,7 +39,7 @@
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
 from tests.rig import PATIENCE, SETTINGS, Rig, request, run, sidecar, until
-from tests.test_crossings import RETRIED, SlowMark, leave, lossy, pool_of, raw
+from tests.test_crossings import RETRY_WAIT, SlowMark, leave, lossy, pool_of, raw
 from tests.test_sidecar_process import GOOD, start, write_config
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told that discovery had and could have been asked for
@@ -295,7 +295,7 @@
             client = raw(rig.listen)
             client.sendall(request("pay") + request("pay"))
             await until(lambda: endpoint.connections + other.connections == 1)
-            await asyncio.sleep(RETRIED)
+            await asyncio.sleep(RETRY_WAIT)
             assert endpoint.connections + other.connections == 1 and not endpoint.got and not other.got
             client.close()
 
@@ -318,7 +318,7 @@
             leave(client, how)
             if length > MOST_HELD_WHOLE:
                 await until(lambda: endpoint.lost_connections == 1)  # the attempt that has begun is given up
-            await asyncio.sleep(RETRIED)
+            await asyncio.sleep(RETRY_WAIT)
             assert not [m for m in endpoint.got if LEFT in m.first] and endpoint.connections == begun
             client.close()
 
