--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -54,7 +54,7 @@
 RETRY_WAIT = 0.6  # s; longer than the longest delay between two attempts in these tests (0.25 s)
 
 
-def raw(address: Address) -> socket.socket:
+def connect_blocking(address: Address) -> socket.socket:
     """A caller's connection as a blocking socket, whose writes and close take effect at once."""
     return socket.create_connection((address.host, address.port), 10.0)
 
@@ -395,7 +395,7 @@
 
         endpoint, other = ScriptedEndpoint("e1", turn_away), ScriptedEndpoint("e2", turn_away)
         async with sidecar(endpoint, other) as rig:
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.sendall(request("pay") + behind)
             await until(lambda: bool(endpoint.got or other.got))
             await asyncio.sleep(RETRY_WAIT)
@@ -421,7 +421,7 @@
             for each in (endpoint, other)
         )
         async with services(tmp_path, f'[services.s]\n{listed}[[routes]]\nto = "s"\n') as rig:
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("pay"))
             await until(lambda: bool(endpoint.got or other.got))
             await asyncio.sleep(RETRY_WAIT)
@@ -436,7 +436,7 @@
         go = asyncio.Event()
         endpoint = ScriptedEndpoint("e1", answering(ok(), after=go))
         async with sidecar(endpoint) as rig:
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("read"))
             await until(lambda: len(endpoint.got) == 1)
             leave(client, how)
@@ -455,7 +455,7 @@
         endpoint = ScriptedEndpoint("e1", silent)
         async with sidecar(endpoint) as rig:
             for number in range(1, 4):
-                client = raw(rig.listen)
+                client = connect_blocking(rig.listen)
                 client.sendall(request("pay") + request("pay"))
                 await until(lambda number=number: len(endpoint.got) == number)  # type: ignore[misc]
                 client.close()
@@ -479,7 +479,7 @@
                 return True
 
             endpoint.bytes_came = stop_reading  # type: ignore[method-assign]
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.setblocking(False)
             client.send(request("pay", Content_Length="30000000", X_Trace_Id="aa"))
             await first.wait()
@@ -531,7 +531,7 @@
         front, lanes, address = RecordingFront(), ManualLanes(), free_address()
         server = Server(address, Descriptors(64), front, Lifecycle(), lanes)
         server.start()
-        client = raw(address)
+        client = connect_blocking(address)
         client.sendall(request("pay"))
         await until(lambda: bool(lanes.waiting))
         (connection,) = lanes.waiting
@@ -556,7 +556,7 @@
         front, address = RecordingFront(), free_address()
         server = Server(address, Descriptors(64), front, Lifecycle())
         server.start()
-        client = raw(address)
+        client = connect_blocking(address)
         if why == "idle":
             client.sendall(request())
             await until(lambda: bool(front.heads))
@@ -606,9 +606,9 @@
         run_at_shutdown_end(monkeypatch, act)
         monkeypatch.setattr(Lifecycle, "closes_idle", lambda *_: False)
         async with sidecar(endpoint) as rig:
-            clients.append(raw(rig.listen))
+            clients.append(connect_blocking(rig.listen))
             clients[0].sendall(whole[:-1])
-            clients.append(raw(rig.listen))
+            clients.append(connect_blocking(rig.listen))
             await asyncio.sleep(0.05)
             os.kill(os.getpid(), signal.SIGTERM)
             await rig.task
@@ -653,7 +653,7 @@
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint) as rig:
             monkeypatch.setattr(Descriptors, "full_of_callers", lambda _: True)
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.setblocking(False)
             client.send(request("pay"))
             os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -39,7 +39,7 @@
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
 from tests.rig import PATIENCE, SETTINGS, Rig, request, run, sidecar, until
-from tests.test_crossings import RETRY_WAIT, SlowMark, leave, lossy, pool_of, raw
+from tests.test_crossings import RETRY_WAIT, SlowMark, connect_blocking, leave, lossy, pool_of
 from tests.test_sidecar_process import GOOD, start, write_config
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told that discovery had and could have been asked for
@@ -192,7 +192,7 @@
         async with sidecar(endpoint) as rig:
             await all_read(rig)
             full = True
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.sendall(asks(cls))
             await asyncio.sleep(0.05)
             leave(client, how)
@@ -210,7 +210,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint) as rig:
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             await all_read(rig)  # it has been accepted by now
             client.sendall(asks(cls))
             leave(client, how)
@@ -234,7 +234,7 @@
             endpoint = ScriptedEndpoint("e1", address=late.address)
             known = {"index": 1, "snapshot": True, "endpoints": [endpoint.entry()]}
             async with sidecar(known=known) as rig:
-                client = raw(rig.listen)
+                client = connect_blocking(rig.listen)
                 client.sendall(request("pay") + behind)
                 await asyncio.sleep(0.1)  # its handshake is lost by now
                 late.heal()
@@ -292,7 +292,7 @@
         async with sidecar(endpoint, other) as rig:
             for each in (endpoint, other):
                 each.bytes_came = leave_and_break  # type: ignore[method-assign]
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("pay"))
             await until(lambda: endpoint.connections + other.connections == 1)
             await asyncio.sleep(RETRY_WAIT)
@@ -308,7 +308,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint) as rig:
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.sendall(
                 request("pay", target=LEFT, Content_Length=str(length))
                 + bytes(length // 2 if length < 9999 else 70_000)
@@ -345,7 +345,7 @@
         async with sidecar(endpoint) as rig:
             await all_read(rig)
             full = True
-            client = raw(rig.listen)
+            client = connect_blocking(rig.listen)
             client.sendall(request("read", patience=5000, target=LEFT))
             await asyncio.sleep(WAITED)
             full = False
