--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -113,7 +113,7 @@
             one.setblocking(False)
             one.connect_ex(self.socket.getsockname())
 
-    def heal(self) -> None:
+    def accept_handshakes(self) -> None:
         """Empty the backlog, so that new handshakes succeed."""
         for one in self.backlog_fillers:
             one.close()
@@ -852,7 +852,7 @@
             upstream, ended, attempt = upstream_to_lossy(late)
             (first,) = attempt.connect_tasks
             await asyncio.sleep(0.1)  # the first handshake is lost by now
-            late.heal()
+            late.accept_handshakes()
             connection = await late.accept()
             assert first in attempt.connect_tasks and len(attempt.connect_tasks) <= 2 and not first.done()
             second = asyncio.create_task(late.accept())  # of the retransmitted SYN; kept
@@ -871,7 +871,7 @@
 def test_an_attempt_that_waits_for_a_connection_takes_one_that_is_given_back() -> None:
     async def test() -> None:
         with lossy() as late:
-            late.heal()
+            late.accept_handshakes()
             upstream, ended, _ = upstream_to_lossy(late)
             busy = await late.accept()
             await late.read(busy, 1)
@@ -905,7 +905,7 @@
             assert ended == ([] if what == "given up" else [Outcome.CONNECT_FAILED])
             assert not attempt.connect_tasks and not host.connecting and upstream.open == 0
             assert {dial.cancelled() for dial in dials} == {what != "nothing comes up"}
-            late.heal()
+            late.accept_handshakes()
             await asyncio.sleep(0.05)
             assert upstream.open == 0
             upstream.stop()
@@ -967,7 +967,7 @@
                 asked = asyncio.create_task(rig.ask(request("write", b"body")))
                 await until(lambda: bool(first.got))
                 await asyncio.sleep(RETRY_WAIT)  # the first SYN is lost by now, and sent again after a second
-                late.heal()
+                late.accept_handshakes()
                 read = await late.read(await late.accept())
                 assert read == b"", "its window was over"
                 assert (await asked).status == 502
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -237,7 +237,7 @@
                 client = connect_blocking(rig.listen)
                 client.sendall(request("pay") + behind)
                 await asyncio.sleep(0.1)  # its handshake is lost by now
-                late.heal()
+                late.accept_handshakes()
                 leave(client, how)
                 began: list[bytes] = []
                 with suppress(TimeoutError):  # where the attempt was given up none may come up
