--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -142,7 +142,7 @@
 
 
 @contextmanager
-def lossy() -> Iterator[LossyListener]:
+def lossy_listener() -> Iterator[LossyListener]:
     made = LossyListener()
     try:
         yield made
@@ -848,7 +848,7 @@
 
 def test_an_attempt_goes_on_a_second_connection_where_the_first_is_late() -> None:
     async def test() -> None:
-        with lossy() as late:
+        with lossy_listener() as late:
             upstream, ended, attempt = upstream_to_lossy(late)
             (first,) = attempt.connect_tasks
             await asyncio.sleep(0.1)  # the first handshake is lost by now
@@ -870,7 +870,7 @@
 
 def test_an_attempt_that_waits_for_a_connection_takes_one_that_is_given_back() -> None:
     async def test() -> None:
-        with lossy() as late:
+        with lossy_listener() as late:
             late.accept_handshakes()
             upstream, ended, _ = upstream_to_lossy(late)
             busy = await late.accept()
@@ -892,7 +892,7 @@
 @pytest.mark.parametrize("what", ["drains", "given up", "nothing comes up"])
 def test_both_connections_of_an_attempt_end_with_it(what: str) -> None:
     async def test() -> None:
-        with lossy() as late:
+        with lossy_listener() as late:
             upstream, ended, attempt = upstream_to_lossy(late, SHORT_CONNECT)
             await until(lambda: len(attempt.connect_tasks) == 2)
             host, dials = upstream.hosts[1], attempt.connect_tasks
@@ -954,7 +954,7 @@
 
     async def test() -> None:
         watch: list[asyncio.StreamWriter] = []
-        with lossy() as late:
+        with lossy_listener() as late:
             moved = ScriptedEndpoint("e2", address=late.address)
 
             async def reset(_: Message, endpoint: ScriptedEndpoint) -> None:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -39,7 +39,7 @@
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
 from tests.rig import PATIENCE, SETTINGS, Rig, request, run, sidecar, until
-from tests.test_crossings import RETRY_WAIT, SlowMark, connect_blocking, leave, lossy, pool_of
+from tests.test_crossings import RETRY_WAIT, SlowMark, connect_blocking, leave, lossy_listener, pool_of
 from tests.test_sidecar_process import GOOD, start, write_config
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told that discovery had and could have been asked for
@@ -230,7 +230,7 @@
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL", 60.0)  # no look for its end comes to help
 
     async def test() -> None:
-        with lossy() as late:
+        with lossy_listener() as late:
             endpoint = ScriptedEndpoint("e1", address=late.address)
             known = {"index": 1, "snapshot": True, "endpoints": [endpoint.entry()]}
             async with sidecar(known=known) as rig:
