--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -370,7 +370,7 @@
 # Callers that disconnect
 
 
-def leave(client: socket.socket, how: str) -> None:
+def disconnect(client: socket.socket, how: str) -> None:
     if how == "half":
         client.shutdown(socket.SHUT_WR)
         return
@@ -390,7 +390,7 @@
         client: socket.socket
 
         async def turn_away(_: Message, __: ScriptedEndpoint) -> bytes:
-            leave(client, how)
+            disconnect(client, how)
             return status(503, NEVER_RAN)
 
         endpoint, other = ScriptedEndpoint("e1", turn_away), ScriptedEndpoint("e2", turn_away)
@@ -439,7 +439,7 @@
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("read"))
             await until(lambda: len(endpoint.got) == 1)
-            leave(client, how)
+            disconnect(client, how)
             go.set()
             assert (await rig.ask(request("read"))).status == 200
             assert len(endpoint.got) == 2, "only the first request and the other caller's"
@@ -493,7 +493,7 @@
                 await asyncio.sleep(0.01)
             again = request("read", X_Trace_Id="aa", patience=200)
             assert (await rig.ask(again)).status == 409, "its call must still be open"
-            leave(client, "reset")
+            disconnect(client, "reset")
             while (await rig.ask(again)).status == 409:
                 pass
             assert not [m for m in endpoint.got if m.first.startswith("POST")]
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -39,7 +39,7 @@
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
 from tests.rig import PATIENCE, SETTINGS, Rig, request, run, sidecar, until
-from tests.test_crossings import RETRY_WAIT, SlowMark, connect_blocking, leave, lossy_listener, pool_of
+from tests.test_crossings import RETRY_WAIT, SlowMark, connect_blocking, disconnect, lossy_listener, pool_of
 from tests.test_sidecar_process import GOOD, start, write_config
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told that discovery had and could have been asked for
@@ -195,7 +195,7 @@
             client = connect_blocking(rig.listen)
             client.sendall(asks(cls))
             await asyncio.sleep(0.05)
-            leave(client, how)
+            disconnect(client, how)
             await asyncio.sleep(CALLER_GONE)
             full = False
             await nothing_begins(rig, endpoint)
@@ -213,7 +213,7 @@
             client = connect_blocking(rig.listen)
             await all_read(rig)  # it has been accepted by now
             client.sendall(asks(cls))
-            leave(client, how)
+            disconnect(client, how)
             time.sleep(CALLER_GONE)
             await nothing_begins(rig, endpoint)
             client.close()
@@ -238,7 +238,7 @@
                 client.sendall(request("pay") + behind)
                 await asyncio.sleep(0.1)  # its handshake is lost by now
                 late.accept_handshakes()
-                leave(client, how)
+                disconnect(client, how)
                 began: list[bytes] = []
                 with suppress(TimeoutError):  # where the attempt was given up none may come up
                     async with asyncio.timeout(2.5):
@@ -283,7 +283,7 @@
         client: socket.socket
 
         def leave_and_break(connection: ServerConnection) -> bool:
-            leave(client, how)
+            disconnect(client, how)
             time.sleep(CALLER_GONE)  # nothing in this process runs on: its end is seen no sooner
             connection.reset()
             return False
@@ -315,7 +315,7 @@
             )
             await all_read(rig)
             begun = endpoint.connections
-            leave(client, how)
+            disconnect(client, how)
             if length > MOST_HELD_WHOLE:
                 await until(lambda: endpoint.lost_connections == 1)  # the attempt that has begun is given up
             await asyncio.sleep(RETRY_WAIT)
