--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -677,7 +677,9 @@
         return False
 
 
-def pool_of(endpoint: ScriptedEndpoint) -> tuple[Upstream, list[Outcome], Callable[[Outcome, Content], None]]:
+def upstream_to(
+    endpoint: ScriptedEndpoint,
+) -> tuple[Upstream, list[Outcome], Callable[[Outcome, Content], None]]:
     """An upstream with one endpoint, the list of outcomes of its attempts, and the callback that fills it."""
     upstream = Upstream(UnlimitedDescriptors(), 5000.0, 60_000.0, 2.0**26)
     upstream.set_address(1, endpoint.address)
@@ -722,7 +724,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        upstream, ended, end = pool_of(endpoint)
+        upstream, ended, end = upstream_to(endpoint)
         upstream.send(1, Attempt(lambda: request("read"), end, Repeat.SAFE))
         await until(lambda: bool(ended))
         assert upstream.stray_bytes_until == 0.0
@@ -807,7 +809,7 @@
     async def test() -> None:
         endpoint, mark = ScriptedEndpoint("e1"), SlowMark()
         await endpoint.start()
-        upstream, ended, end = pool_of(endpoint)
+        upstream, ended, end = upstream_to(endpoint)
         attempt = Attempt(lambda: request("pay"), end, Repeat.UNSAFE, intent=mark)
         upstream.send(1, attempt)
         await until(lambda: mark.then is not None)
@@ -921,7 +923,7 @@
     async def test() -> None:
         endpoint, mark = ScriptedEndpoint("e1"), SlowMark()
         await endpoint.start()
-        upstream, ended, end = pool_of(endpoint)
+        upstream, ended, end = upstream_to(endpoint)
         intent = mark if when == "its mark is written" else None
 
         def payload() -> bytes:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -39,7 +39,14 @@
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
 from tests.rig import PATIENCE, SETTINGS, Rig, request, run, sidecar, until
-from tests.test_crossings import RETRY_WAIT, SlowMark, connect_blocking, disconnect, lossy_listener, pool_of
+from tests.test_crossings import (
+    RETRY_WAIT,
+    SlowMark,
+    connect_blocking,
+    disconnect,
+    lossy_listener,
+    upstream_to,
+)
 from tests.test_sidecar_process import GOOD, start, write_config
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told that discovery had and could have been asked for
@@ -256,7 +263,7 @@
     async def test() -> None:
         endpoint, mark = ScriptedEndpoint("e1"), SlowMark()
         await endpoint.start()
-        upstream, ended, end = pool_of(endpoint)
+        upstream, ended, end = upstream_to(endpoint)
         left = False
         attempt = Attempt(lambda: request("pay"), end, Repeat.UNSAFE, intent=mark)
         attempt.caller_disconnected = lambda: left
