--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -781,7 +781,7 @@
     run(test)
 
 
-class SlowMark:
+class ManualIntent:
     """An intent whose mark becomes durable when the test says so."""
 
     def __init__(self) -> None:
@@ -807,7 +807,7 @@
     """Either the endpoint drains, or the caller disconnects."""
 
     async def test() -> None:
-        endpoint, mark = ScriptedEndpoint("e1"), SlowMark()
+        endpoint, mark = ScriptedEndpoint("e1"), ManualIntent()
         await endpoint.start()
         upstream, ended, end = upstream_to(endpoint)
         attempt = Attempt(lambda: request("pay"), end, Repeat.UNSAFE, intent=mark)
@@ -921,7 +921,7 @@
 @pytest.mark.parametrize("when", ["connecting", "held back", "its mark is written"])
 def test_a_repeat_whose_window_ends_before_its_last_byte_leaves_is_not_sent(when: str) -> None:
     async def test() -> None:
-        endpoint, mark = ScriptedEndpoint("e1"), SlowMark()
+        endpoint, mark = ScriptedEndpoint("e1"), ManualIntent()
         await endpoint.start()
         upstream, ended, end = upstream_to(endpoint)
         intent = mark if when == "its mark is written" else None
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -41,7 +41,7 @@
 from tests.rig import PATIENCE, SETTINGS, Rig, request, run, sidecar, until
 from tests.test_crossings import (
     RETRY_WAIT,
-    SlowMark,
+    ManualIntent,
     connect_blocking,
     disconnect,
     lossy_listener,
@@ -261,7 +261,7 @@
     """Its last byte waits for the mark; the connection of its caller is not read, and nobody looks."""
 
     async def test() -> None:
-        endpoint, mark = ScriptedEndpoint("e1"), SlowMark()
+        endpoint, mark = ScriptedEndpoint("e1"), ManualIntent()
         await endpoint.start()
         upstream, ended, end = upstream_to(endpoint)
         left = False
