--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -48,7 +48,7 @@
     def __init__(self, server: ListeningServer, unread_since: float = math.inf) -> None:
         self.server = server
         self.unread_since = unread_since  # s, since when bytes may have waited unread in the socket
-        self.core = RequestCore(server.front.gate)
+        self.core = RequestCore(server.front.assign_pool)
         self.transport: asyncio.Transport | None = None
         self.poll: select.poll | None = None
         self.last_used = time.monotonic()
--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -17,7 +17,7 @@
 class Front(Protocol):
     """Assigns requests to pools and turns them into calls."""
 
-    def gate(self, head: Head) -> None:
+    def assign_pool(self, head: Head) -> None:
         """Once the headers are read, set the request's pool, or why it has none (`wrong`) or is refused."""
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
