--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -18,7 +18,7 @@
         self.pool = pool
         self.lifecycle = life
 
-    def gate(self, head: Head) -> None:
+    def assign_pool(self, head: Head) -> None:
         path = head.target.partition(b"?")[0]
         if path == b"/api":
             head.pool = self.pool
