--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -69,7 +69,7 @@
         self.table = table
         self.only_service = only_service
 
-    def gate(self, head: Head) -> None:
+    def assign_pool(self, head: Head) -> None:
         found = self._find_pool(head)
         if isinstance(found, BadRequest):
             head.bad_request = found
