--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -517,7 +517,7 @@
     def __init__(self) -> None:
         self.heads: list[Head] = []
 
-    def gate(self, head: Head) -> None:
+    def assign_pool(self, head: Head) -> None:
         pass
 
     def read(self, head: Head, answer: Callable[[Answer], None]) -> Answer:
