--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -269,7 +269,7 @@
         """Begin the call of a request whose body is too long to be held whole, while the body arrives."""
         self.keep_alive = head.keep_alive
         try:
-            result = self.server.front.read(head, self._answer)
+            result = self.server.front.make_call(head, self._answer)
         except BadRequest as bad:
             self._report_status(head, bad.status)
             head.release()
@@ -466,7 +466,7 @@
                 break
             self.keep_alive = item.keep_alive
             try:
-                result = self.server.front.read(item, self._answer)
+                result = self.server.front.make_call(item, self._answer)
             except BadRequest as bad:
                 bad.trace_id = item.trace_id
                 self._report_status(item, bad.status)
--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -20,7 +20,7 @@
     def assign_pool(self, head: Head) -> None:
         """Once the headers are read, set the request's pool, or why it has none (`wrong`) or is refused."""
 
-    def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
+    def make_call(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
         """The call made from a request, or the answer to one that needs no endpoint.
 
         Raises BadRequest for a request that is unacceptable.
