--- a/millgw/callers/plain.py
+++ b/millgw/callers/plain.py
@@ -28,7 +28,7 @@
         elif head.method != b"GET":
             head.bad_request = BadRequest(405, "only GET asks whether the sidecar is ready")
 
-    def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
+    def make_call(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
         return make_call(head, answer, self._answer_ready)
 
     def _answer_ready(self, head: Head) -> Answer:
