--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -100,7 +100,7 @@
         assert isinstance(found, Route)
         return self.registry.pools[found.service]
 
-    def read(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
+    def make_call(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
         return make_call(head, answer, self._answer_ready)
 
     def _answer_ready(self, head: Head) -> Answer:
