--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -520,7 +520,7 @@
     def assign_pool(self, head: Head) -> None:
         pass
 
-    def read(self, head: Head, answer: Callable[[Answer], None]) -> Answer:
+    def make_call(self, head: Head, answer: Callable[[Answer], None]) -> Answer:
         self.heads.append(head)
         return Answer(REFUSED)
 
