--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -29,7 +29,7 @@
     """The intent of a whole call: a record that the call may be sent, kept so that it is not sent twice."""
 
     @property
-    def doubtful(self) -> bool:
+    def may_have_been_sent(self) -> bool:
         """Whether another process may have sent this call: a refusal would wrongly promise it never ran."""
 
     def over(self, token: object, never_ran: bool) -> None:
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -483,7 +483,7 @@
 
     def _answer(self, request: int, answer: Answer) -> None:
         call = self.calls[request]
-        if answer.status == REFUSED and call.intent is not None and call.intent.doubtful:
+        if answer.status == REFUSED and call.intent is not None and call.intent.may_have_been_sent:
             answer = Answer(FAILED)  # another process may have sent it, unknown to the module
         self._close_call(call)
         call.on_answer(answer)
