--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -27,7 +27,7 @@
         """
 
 
-class Lanes(Protocol):
+class LaneScheduler(Protocol):
     """Schedules the connections of several pools that share one CPU core, one lane for each pool."""
 
     def wait(self, lane: str, connection: CallerConnection) -> None:
@@ -39,7 +39,7 @@
 
     loop: asyncio.AbstractEventLoop
     front: Front
-    lanes: Lanes | None
+    lanes: LaneScheduler | None
     buffer: bytearray
     connections: set[CallerConnection]
     newly_connected: dict[CallerConnection, None]
--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -23,7 +23,7 @@
     client_address,
     log_closed,
 )
-from millgw.callers.interface import Front, Lanes
+from millgw.callers.interface import Front, LaneScheduler
 from millgw.callers.lifecycle import Lifecycle
 from millgw.http.message import REFUSED
 from millgw.http.request import BadRequest
@@ -67,7 +67,7 @@
         descriptors: Descriptors,
         front: Front,
         life: Lifecycle,
-        lanes: Lanes | None = None,
+        lanes: LaneScheduler | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.descriptors = descriptors
