--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -23,7 +23,7 @@
     from millgw.sidecar.operators import ControlInterface
 
 LONGEST = 3.0  # s, cap on the deadline waited for: with ANSWER_WITHIN it ends shortly before SIGKILL
-ANSWER_WITHIN = 0.3  # s after that deadline by which every call is answered
+ANSWER_MARGIN = 0.3  # s after that deadline by which every call is answered
 SERVE_PART = 0.6  # share of the time after SIGTERM in which requests are accepted; the rest is for answering
 FLUSH_TIME = 0.2  # s for callers to read the last answers before the process exits
 FLUSH_POLL_INTERVAL = 0.02  # s between checks for idle connections during that time
@@ -101,7 +101,7 @@
     if parts.peers is not None:
         parts.peers.stop()
     longest = max(c.deadline for pool in parts.pools() for c in pool.settings.classes) / 1000
-    remaining = min(longest, LONGEST) + ANSWER_WITHIN
+    remaining = min(longest, LONGEST) + ANSWER_MARGIN
     lifecycle, servers = parts.lifecycle, parts.servers()
     has_successor = control is not None and await control.has_successor()
     lifecycle.shut_down(time.monotonic(), has_successor)
