--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -24,7 +24,9 @@
 
 LONGEST = 3.0  # s, cap on the deadline waited for: with ANSWER_WITHIN it ends shortly before SIGKILL
 ANSWER_MARGIN = 0.3  # s after that deadline by which every call is answered
-SERVE_PART = 0.6  # share of the time after SIGTERM in which requests are accepted; the rest is for answering
+SERVE_FRACTION = (
+    0.6  # share of the time after SIGTERM in which requests are accepted; the rest is for answering
+)
 FLUSH_TIME = 0.2  # s for callers to read the last answers before the process exits
 FLUSH_POLL_INTERVAL = 0.02  # s between checks for idle connections during that time
 READINESS_POLL_INTERVAL = 0.02  # s between checks whether calls can be served
@@ -106,9 +108,9 @@
     has_successor = control is not None and await control.has_successor()
     lifecycle.shut_down(time.monotonic(), has_successor)
     if not lifecycle.ending:
-        await asyncio.sleep(SERVE_PART * remaining)
+        await asyncio.sleep(SERVE_FRACTION * remaining)
         lifecycle.stop_serving(time.monotonic())
-        remaining -= SERVE_PART * remaining
+        remaining -= SERVE_FRACTION * remaining
     if not has_successor or control is None or not control.steered:
         for server in servers:
             server.stop()
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -682,7 +682,7 @@
             for client in clients:
                 client.writer.write(request("read"))
             os.kill(os.getpid(), signal.SIGTERM)
-            serves_on = main_module.SERVE_PART * (main_module.LONGEST + main_module.ANSWER_MARGIN)
+            serves_on = main_module.SERVE_FRACTION * (main_module.LONGEST + main_module.ANSWER_MARGIN)
             await asyncio.sleep(serves_on + 0.1)
             failing = False
             for client in clients:
