--- a/millgw/scale/hollow.py
+++ b/millgw/scale/hollow.py
@@ -100,7 +100,7 @@
         parts.begin(None)
         if parts.peers is not None:
             await parts.peers.begin()
-        self.watching = asyncio.create_task(daemon.watch(parts))
+        self.watching = asyncio.create_task(daemon.update_readiness(parts))
 
     def stop(self, leaving: bool) -> None:
         """End; `leaving` says so to the peers, as a process that is told to end does."""
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -69,7 +69,7 @@
             server.start()
         if control is not None:
             await control.announce()
-        readiness_task = asyncio.create_task(watch(parts))
+        readiness_task = asyncio.create_task(update_readiness(parts))
         log_event("serving", name=config.name, listen=config.listen, modules=compiled.describe())
         await stop.wait()
         await shut_down(parts, control)
@@ -86,7 +86,7 @@
             control.stop()
 
 
-async def watch(parts: Parts) -> None:
+async def update_readiness(parts: Parts) -> None:
     """Keep `Lifecycle.can_serve` up to date: whether any pool has an endpoint ready."""
     while True:
         parts.lifecycle.can_serve = any(pool.driver.ready for pool in parts.pools())
