--- a/millgw/cli/own.py
+++ b/millgw/cli/own.py
@@ -16,7 +16,7 @@
 from millgw.cli.report import Out, Reporting, Serving
 from millgw.log.table import EVENTS
 from millgw.log.wording import KINDS
-from millgw.sidecar.commands import describe
+from millgw.sidecar.commands import describe_version
 from millgw.sidecar.commands import serve as serve_now
 
 
@@ -31,7 +31,7 @@
 @click.command(cls=Reporting, examples=["version", "version --json"])
 def version(out: Out) -> int:
     """Which version this is, and whether compiled modules serve."""
-    return out.end(HELD, {"version": VERSION, "modules": compiled.describe()}, [describe()])
+    return out.end(HELD, {"version": VERSION, "modules": compiled.describe()}, [describe_version()])
 
 
 @click.command(cls=Reporting, examples=["build --if-possible"])
--- a/millgw/sidecar/commands.py
+++ b/millgw/sidecar/commands.py
@@ -12,7 +12,7 @@
     Anything else (`serve --help`, a misspelt option) is left to the full command line parser.
     """
     if list(arguments) == ["version"]:
-        print(describe())
+        print(describe_version())
         return 0
     if arguments[:1] != ["serve"]:
         return None
@@ -26,7 +26,7 @@
     return serve(options.get("--operator"), options.get("--log"))
 
 
-def describe() -> str:
+def describe_version() -> str:
     """The version, and whether compiled modules are in use."""
     from millgw import VERSION, compiled
 
