--- a/millgw/scale/hollow.py
+++ b/millgw/scale/hollow.py
@@ -37,7 +37,7 @@
 from millgw.scale.spread import Topic
 from millgw.scale.worker import OwnFigures, allow_descriptors, ignore_event, orders, say
 from millgw.sidecar import __main__ as daemon
-from millgw.sidecar.parts import Parts, several
+from millgw.sidecar.parts import Parts, assemble_from_operator_file
 
 LOOK_EVERY = 0.05  # s between two looks at what each sidecar knows
 PEERS_EVERY = 20  # looks between two at the peers' lists, which are long
@@ -96,7 +96,7 @@
         self.observed = Observed(self.spec.name)
         environ = environment(self.spec, self.setup, self.starts)
         config = read_config(environ)
-        self.parts = parts = await several(config, environ, Lifecycle())
+        self.parts = parts = await assemble_from_operator_file(config, environ, Lifecycle())
         parts.begin(None)
         if parts.peers is not None:
             await parts.peers.begin()
--- a/millgw/scale/real.py
+++ b/millgw/scale/real.py
@@ -19,7 +19,7 @@
 from millgw.scale.settings import environment
 from millgw.scale.worker import OwnFigures, allow_descriptors, orders, say
 from millgw.sidecar import __main__ as daemon
-from millgw.sidecar.parts import Parts, several
+from millgw.sidecar.parts import Parts, assemble_from_operator_file
 
 
 class RealSidecar:
@@ -35,13 +35,13 @@
 
     async def put_together(self, config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
         """The daemon's own parts, kept in view."""
-        self.parts = await several(config, environ, life)
+        self.parts = await assemble_from_operator_file(config, environ, life)
         return self.parts
 
     async def serve(self) -> None:
         """Be the daemon until it is told to end."""
         METER.set(self.meter)
-        daemon.several = self.put_together  # type: ignore[attr-defined]
+        daemon.assemble_from_operator_file = self.put_together  # type: ignore[attr-defined]
         await daemon.serve(self.config, self.environ)
 
     async def watch(self) -> None:
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -17,7 +17,7 @@
 from millgw.log.events import log_event
 from millgw.log.start import start as start_log
 from millgw.platform.config import Config, ConfigError, read_config
-from millgw.sidecar.parts import OPERATOR_VARIABLE, Parts, assemble_single_pool, several
+from millgw.sidecar.parts import OPERATOR_VARIABLE, Parts, assemble_from_operator_file, assemble_single_pool
 
 if TYPE_CHECKING:
     from millgw.sidecar.operators import ControlInterface
@@ -43,7 +43,7 @@
     loop.add_signal_handler(signal.SIGINT, stop.set)
     lifecycle = Lifecycle()
     parts = (
-        await several(config, environ, lifecycle)
+        await assemble_from_operator_file(config, environ, lifecycle)
         if environ.get(OPERATOR_VARIABLE)
         else assemble_single_pool(config, environ, lifecycle)
     )
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -106,7 +106,7 @@
         log_event("handover-unusable", cause=error)
 
 
-async def several(config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
+async def assemble_from_operator_file(config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
     # Imported here so that a sidecar without an operator file does not load it.
     try:
         from millgw.services.node import Node
