--- a/millgw/scale/hollow.py
+++ b/millgw/scale/hollow.py
@@ -37,7 +37,7 @@
 from millgw.scale.spread import Topic
 from millgw.scale.worker import OwnFigures, allow_descriptors, ignore_event, orders, say
 from millgw.sidecar import __main__ as daemon
-from millgw.sidecar.parts import Parts, assemble_from_operator_file
+from millgw.sidecar.parts import SidecarParts, assemble_from_operator_file
 
 LOOK_EVERY = 0.05  # s between two looks at what each sidecar knows
 PEERS_EVERY = 20  # looks between two at the peers' lists, which are long
@@ -57,7 +57,7 @@
         return [Sighting(topic, self.name, known[topic], now) for topic in changed]
 
 
-def known_to(parts: Parts, peers_too: bool) -> dict[Topic, int]:
+def known_to(parts: SidecarParts, peers_too: bool) -> dict[Topic, int]:
     """The indexes that a sidecar has: its list's, its configuration's, how many peers it holds alive."""
     known: dict[Topic, int] = {}
     source = parts.pools()[0].source
@@ -78,7 +78,7 @@
         self.setup = setup
         self.meter = Meter(spec.region)
         self.observed = Observed(spec.name)
-        self.parts: Parts | None = None
+        self.parts: SidecarParts | None = None
         self.starting: asyncio.Task[None] | None = None
         self.watching: asyncio.Task[None] | None = None
         self.starts = 0
--- a/millgw/scale/real.py
+++ b/millgw/scale/real.py
@@ -19,7 +19,7 @@
 from millgw.scale.settings import environment
 from millgw.scale.worker import OwnFigures, allow_descriptors, orders, say
 from millgw.sidecar import __main__ as daemon
-from millgw.sidecar.parts import Parts, assemble_from_operator_file
+from millgw.sidecar.parts import SidecarParts, assemble_from_operator_file
 
 
 class RealSidecar:
@@ -31,9 +31,9 @@
         self.config = read_config(self.environ)
         self.meter = Meter(self.spec.region)
         self.observed = Observed(self.spec.name)
-        self.parts: Parts | None = None
+        self.parts: SidecarParts | None = None
 
-    async def put_together(self, config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
+    async def put_together(self, config: Config, environ: Mapping[str, str], life: Lifecycle) -> SidecarParts:
         """The daemon's own parts, kept in view."""
         self.parts = await assemble_from_operator_file(config, environ, life)
         return self.parts
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -17,7 +17,12 @@
 from millgw.log.events import log_event
 from millgw.log.start import start as start_log
 from millgw.platform.config import Config, ConfigError, read_config
-from millgw.sidecar.parts import OPERATOR_VARIABLE, Parts, assemble_from_operator_file, assemble_single_pool
+from millgw.sidecar.parts import (
+    OPERATOR_VARIABLE,
+    SidecarParts,
+    assemble_from_operator_file,
+    assemble_single_pool,
+)
 
 if TYPE_CHECKING:
     from millgw.sidecar.operators import ControlInterface
@@ -86,14 +91,14 @@
             control.stop()
 
 
-async def update_readiness(parts: Parts) -> None:
+async def update_readiness(parts: SidecarParts) -> None:
     """Keep `Lifecycle.can_serve` up to date: whether any pool has an endpoint ready."""
     while True:
         parts.lifecycle.can_serve = any(pool.driver.ready for pool in parts.pools())
         await asyncio.sleep(READINESS_POLL_INTERVAL)
 
 
-async def shut_down(parts: Parts, control: ControlInterface | None) -> None:
+async def shut_down(parts: SidecarParts, control: ControlInterface | None) -> None:
     """Keep serving for a while, answer every accepted request, and exit before SIGKILL.
 
     In a rolling restart the next sidecar may leave before the previous one is back, and clients that hold a
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -18,7 +18,7 @@
 from millgw.platform.config import Address, Config
 from millgw.platform.discovery import Discovery, Listed
 from millgw.pool.metrics import metrics_json, out_of_rotation_json
-from millgw.sidecar.parts import Parts, class_names
+from millgw.sidecar.parts import SidecarParts, class_names
 
 JSON_HEADER = b"Content-Type: application/json\r\n"
 TAKEOVER_POLL_INTERVAL = 0.02  # s between checks whether this process can take over
@@ -29,7 +29,9 @@
 class ControlInterface:
     """The control server of one process, and its links to the predecessor and the successor process."""
 
-    def __init__(self, config: Config, control: Address, environ: Mapping[str, str], parts: Parts) -> None:
+    def __init__(
+        self, config: Config, control: Address, environ: Mapping[str, str], parts: SidecarParts
+    ) -> None:
         self.config = config
         self.control = control
         self.parts = parts
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Parts:
+class SidecarParts:
     """The assembled components: a server for each listener, the pools, and the SIGHUP handler.
 
     `begin` is called once before the servers listen, with the state of the predecessor process, if any.
@@ -53,7 +53,7 @@
     lifecycle: Lifecycle,
     configure_pool: Callable[[Pool], object] | None = None,
     locality: Locality | None = None,
-) -> Parts:
+) -> SidecarParts:
     descriptors = Descriptors(config.sockets)
     process_limits = WholeShare(
         {
@@ -75,7 +75,7 @@
     descriptors.callers, descriptors.close_caller = server.descriptors_in_use, server.evict_one
     begin = partial(_start_pool, config, pool)
     reload = Reload(environ, config, pool.source)
-    return Parts(lambda: (server,), lambda: (pool,), reload, lifecycle, descriptors, begin)
+    return SidecarParts(lambda: (server,), lambda: (pool,), reload, lifecycle, descriptors, begin)
 
 
 def class_names(settings: Settings) -> list[str]:
@@ -106,7 +106,9 @@
         log_event("handover-unusable", cause=error)
 
 
-async def assemble_from_operator_file(config: Config, environ: Mapping[str, str], life: Lifecycle) -> Parts:
+async def assemble_from_operator_file(
+    config: Config, environ: Mapping[str, str], life: Lifecycle
+) -> SidecarParts:
     # Imported here so that a sidecar without an operator file does not load it.
     try:
         from millgw.services.node import Node
@@ -121,14 +123,14 @@
     return _with_peers_and_intents(node, config, _assemble_services(node, life))
 
 
-def _assemble_services(node: Node, lifecycle: Lifecycle) -> Parts:
+def _assemble_services(node: Node, lifecycle: Lifecycle) -> SidecarParts:
     # The learned state of services' pools is not handed over yet: they start without it.
-    return Parts(*node.open(), lifecycle, node.shared, lambda _: None)
+    return SidecarParts(*node.open(), lifecycle, node.shared, lambda _: None)
 
 
 async def _assemble_with_configuration(
     node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
-) -> Parts:
+) -> SidecarParts:
     """Assemble with the distributed configuration, which has to be read before the pools are built."""
     from millgw.configuration.single import SinglePool
     from millgw.services.parts import configuration
@@ -154,7 +156,7 @@
     return replace(_with_peers_and_intents(node, config, parts), configuration=client)
 
 
-def _with_peers_and_intents(node: Node, config: Config, parts: Parts) -> Parts:
+def _with_peers_and_intents(node: Node, config: Config, parts: SidecarParts) -> SidecarParts:
     """Add the peer exchange and the intent log of the operator file, and reserve their descriptors."""
     from millgw.services.parts import peers
 
@@ -167,7 +169,7 @@
 
 def _assemble_node_pool(
     node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
-) -> Parts:
+) -> SidecarParts:
     """One pool for all requests, with the options of the operator file."""
     from millgw.services.parts import locality
 
