--- a/millgw/scale/hollow.py
+++ b/millgw/scale/hollow.py
@@ -97,7 +97,7 @@
         environ = environment(self.spec, self.setup, self.starts)
         config = read_config(environ)
         self.parts = parts = await assemble_from_operator_file(config, environ, Lifecycle())
-        parts.begin(None)
+        parts.start_pools(None)
         if parts.peers is not None:
             await parts.peers.begin()
         self.watching = asyncio.create_task(daemon.update_readiness(parts))
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -63,7 +63,7 @@
     readiness_task = None
     try:
         if control is None:
-            parts.begin(None)
+            parts.start_pools(None)
         else:
             await control.start_pools(stop)
         if parts.intents is not None:
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -74,14 +74,14 @@
     async def start_pools(self, stop: asyncio.Event) -> None:
         """Start the pools; if a predecessor serves, return only when this process can take over."""
         if self.old_process is None:
-            self.parts.begin(None)
+            self.parts.start_pools(None)
             return
         started_at = time.monotonic()
         state = await asyncio.to_thread(self.old_process.fetch_state, self.config.name)
         total = self.parts.descriptors.total
         held_by_old = total // 2 if state is None else state.held
         self._apply_share(limits.split_descriptors(total, held_by_old)[1], paired=True)
-        self.parts.begin(state)
+        self.parts.start_pools(state)
         if state is not None and state.drained:
             self.parts.lifecycle.drain(time.monotonic())
         while not stop.is_set():
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -41,7 +41,7 @@
     reload: Callable[[], None]
     lifecycle: Lifecycle
     descriptors: Descriptors
-    begin: Callable[[State | None], None]
+    start_pools: Callable[[State | None], None]
     intents: Intents | None = None  # records unsafe calls before they are sent, if enabled
     peers: Peers | None = None  # exchange with other sidecars, if enabled
     configuration: Client | None = None  # distributed configuration, if enabled
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -116,7 +116,7 @@
         parts = assemble_single_pool(config([], Address("127.0.0.1", 9)), {}, Lifecycle())
         (pool,) = parts.pools()
         learned = export_learned(make_drive(1).balancer) | {"classes": classes, "tokens": 77.0}
-        parts.begin(replace(STATE, learned=json.loads(json.dumps(learned))))
+        parts.start_pools(replace(STATE, learned=json.loads(json.dumps(learned))))
         assert isinstance(pool.source, Discovery)
         assert pool.source.index == (41 if taken else 1), "the configuration's own list is of version 1"
         assert (pool.driver.balancer.budget.tokens == 77.0) == taken
