--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -285,7 +285,7 @@
 
 def _check_peers(table: Peers) -> None:
     _check_address("peers.listen", table.listen)
-    if read_address(table.listen).anywhere:
+    if read_address(table.listen).is_wildcard:
         raise ValueError("peers.listen: is no address at which others find this sidecar")
     for i, peer in enumerate(table.join):
         _check_address(f"peers.join[{i}]", peer)
@@ -298,7 +298,7 @@
     for key, instances in lists.items():
         for i, instance in enumerate(instances):
             _check_address(f"configuration.{key}[{i}]", instance)
-            if read_address(instance).anywhere:
+            if read_address(instance).is_wildcard:
                 raise ValueError(f"configuration.{key}[{i}]: is no address to connect to")
 
 
--- a/millgw/platform/config.py
+++ b/millgw/platform/config.py
@@ -27,7 +27,7 @@
     port: int
 
     @property
-    def anywhere(self) -> bool:
+    def is_wildcard(self) -> bool:
         """Whether it means all addresses of the machine (0.0.0.0 or ::): valid for listening only."""
         return ipaddress.ip_address(self.host).is_unspecified
 
