--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -8,7 +8,7 @@
 from millgw.decide import UNREACHABLE_AFTER
 from millgw.interface import Endpoint, Settings
 from millgw.platform.config import Config
-from millgw.platform.descriptors import CALLERS_PART
+from millgw.platform.descriptors import CALLERS_FRACTION
 from millgw.pool.pool import Pool
 from millgw.pool.share import CONNECTIONS, WholeShare
 
@@ -37,7 +37,7 @@
     def descriptor_budget(self) -> int:
         most = self.pool.limit(CONNECTIONS)
         # A single pool may use all descriptors, but those for callers must not go to idle connections.
-        return most - int(CALLERS_PART * most) if isinstance(self.pool.share, WholeShare) else most
+        return most - int(CALLERS_FRACTION * most) if isinstance(self.pool.share, WholeShare) else most
 
     def replace_list(self, endpoints: tuple[Endpoint, ...]) -> None:
         self.pool.driver.replace_list(endpoints)
--- a/millgw/platform/descriptors.py
+++ b/millgw/platform/descriptors.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 RESERVED = 32  # for the process itself: log, event loop, listener, discovery, and sockets that are closing
-CALLERS_PART = 2 / 3  # share of the rest for caller connections; the remainder is kept for endpoints
+CALLERS_FRACTION = 2 / 3  # share of the rest for caller connections; the remainder is kept for endpoints
 CALLS_FRACTION = 1 / 2  # share of the rest for open calls: each may need another one, to its endpoint
 
 
@@ -27,7 +27,7 @@
     def set_limit(self, limit: int) -> None:
         """Set the limit from now on: two processes of one sidecar split the total."""
         self.most = limit
-        self.most_callers = int(CALLERS_PART * limit)
+        self.most_callers = int(CALLERS_FRACTION * limit)
         self.most_calls = int(CALLS_FRACTION * limit)
 
     def in_use(self) -> int:
