--- a/millgw/platform/descriptors.py
+++ b/millgw/platform/descriptors.py
@@ -26,7 +26,7 @@
 
     def set_limit(self, limit: int) -> None:
         """Set the limit from now on: two processes of one sidecar split the total."""
-        self.most = limit
+        self.limit = limit
         self.most_callers = int(CALLERS_FRACTION * limit)
         self.most_calls = int(CALLS_FRACTION * limit)
 
@@ -34,7 +34,7 @@
         return self.callers() + self.endpoints()
 
     def full(self) -> bool:
-        return self.in_use() >= self.most
+        return self.in_use() >= self.limit
 
     def make(self) -> bool:
         """Close an idle caller connection to free its descriptor; returns whether there was one."""
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -143,7 +143,7 @@
         """The limits of each resource; raises ConfigError for guarantees that can't be met."""
         totals = {
             CALLS: self.shared.most_calls,
-            CONNECTIONS: self.shared.most - self.shared.most_callers,
+            CONNECTIONS: self.shared.limit - self.shared.most_callers,
             BODIES: int(BODIES_MEMORY_SHARE * self.config.memory),
             ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * self.config.memory),
         }
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -58,7 +58,7 @@
     process_limits = WholeShare(
         {
             CALLS: descriptors.most_calls,
-            CONNECTIONS: descriptors.most,
+            CONNECTIONS: descriptors.limit,
             BODIES: int(BODIES_MEMORY_SHARE * config.memory),
             ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * config.memory),
         }
