--- a/millgw/platform/descriptors.py
+++ b/millgw/platform/descriptors.py
@@ -27,7 +27,7 @@
     def set_limit(self, limit: int) -> None:
         """Set the limit from now on: two processes of one sidecar split the total."""
         self.limit = limit
-        self.most_callers = int(CALLERS_FRACTION * limit)
+        self.max_callers = int(CALLERS_FRACTION * limit)
         self.most_calls = int(CALLS_FRACTION * limit)
 
     def in_use(self) -> int:
@@ -41,4 +41,4 @@
         return self.close_caller()
 
     def full_of_callers(self) -> bool:
-        return self.callers() >= self.most_callers or self.full()
+        return self.callers() >= self.max_callers or self.full()
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -112,7 +112,7 @@
         rest = (1.0 - given) / max(1, sum(share is None for share in shares.values()))
         for server in self._servers():
             server.lane_shares = {
-                name: self.shared.most_callers * (rest if share is None else share)
+                name: self.shared.max_callers * (rest if share is None else share)
                 for name, share in shares.items()
             }
 
@@ -143,7 +143,7 @@
         """The limits of each resource; raises ConfigError for guarantees that can't be met."""
         totals = {
             CALLS: self.shared.most_calls,
-            CONNECTIONS: self.shared.limit - self.shared.most_callers,
+            CONNECTIONS: self.shared.limit - self.shared.max_callers,
             BODIES: int(BODIES_MEMORY_SHARE * self.config.memory),
             ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * self.config.memory),
         }
