--- a/millgw/platform/descriptors.py
+++ b/millgw/platform/descriptors.py
@@ -28,7 +28,7 @@
         """Set the limit from now on: two processes of one sidecar split the total."""
         self.limit = limit
         self.max_callers = int(CALLERS_FRACTION * limit)
-        self.most_calls = int(CALLS_FRACTION * limit)
+        self.max_calls = int(CALLS_FRACTION * limit)
 
     def in_use(self) -> int:
         return self.callers() + self.endpoints()
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -142,7 +142,7 @@
     def _make_allotments(self, operator: Operator) -> dict[str, Allotment]:
         """The limits of each resource; raises ConfigError for guarantees that can't be met."""
         totals = {
-            CALLS: self.shared.most_calls,
+            CALLS: self.shared.max_calls,
             CONNECTIONS: self.shared.limit - self.shared.max_callers,
             BODIES: int(BODIES_MEMORY_SHARE * self.config.memory),
             ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * self.config.memory),
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -57,7 +57,7 @@
     descriptors = Descriptors(config.sockets)
     process_limits = WholeShare(
         {
-            CALLS: descriptors.most_calls,
+            CALLS: descriptors.max_calls,
             CONNECTIONS: descriptors.limit,
             BODIES: int(BODIES_MEMORY_SHARE * config.memory),
             ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * config.memory),
