--- a/millgw/platform/descriptors.py
+++ b/millgw/platform/descriptors.py
@@ -17,7 +17,7 @@
         self.set_limit(self.total)
         self.endpoints: Callable[[], int] = int
         self.callers: Callable[[], int] = int
-        self.close_caller: Callable[[], bool] = bool
+        self.close_idle_caller: Callable[[], bool] = bool
 
     def reserve(self, count: int) -> None:
         """Reserve `count` more descriptors for the process itself."""
@@ -38,7 +38,7 @@
 
     def make(self) -> bool:
         """Close an idle caller connection to free its descriptor; returns whether there was one."""
-        return self.close_caller()
+        return self.close_idle_caller()
 
     def full_of_callers(self) -> bool:
         return self.callers() >= self.max_callers or self.full()
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -87,7 +87,7 @@
         self.closing: list[Server] = []
         self._share_callers(self.operator)
         self.shared.callers = lambda: sum(s.descriptors_in_use() for s in self._servers())
-        self.shared.close_caller = lambda: any(s.evict_one() for s in self._servers())
+        self.shared.close_idle_caller = lambda: any(s.evict_one() for s in self._servers())
         self._log_pools()
         return self._servers, self._all_pools, self.reload
 
--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -75,7 +75,9 @@
 
     def make(self) -> bool:
         """Free a descriptor by closing an idle connection elsewhere, unless the pool's share is used up."""
-        return not self._share_used_up() and (self._close_idle_of_others() or self.descriptors.close_caller())
+        return not self._share_used_up() and (
+            self._close_idle_of_others() or self.descriptors.close_idle_caller()
+        )
 
     def _close_idle_of_others(self) -> bool:
         """Close an idle connection of the pool that is furthest above its guarantee."""
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -72,7 +72,7 @@
     assert isinstance(pool.source, Discovery)
     front = SinglePoolFront(pool, lifecycle)
     server = Server(config.listen, descriptors, front, lifecycle)
-    descriptors.callers, descriptors.close_caller = server.descriptors_in_use, server.evict_one
+    descriptors.callers, descriptors.close_idle_caller = server.descriptors_in_use, server.evict_one
     begin = partial(_start_pool, config, pool)
     reload = Reload(environ, config, pool.source)
     return SidecarParts(lambda: (server,), lambda: (pool,), reload, lifecycle, descriptors, begin)
