--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -118,7 +118,7 @@
         With `last` the bound on connections is ignored: those left in the backlog would be reset.
         """
         for _ in range(most):
-            if not last and self.descriptors.full_of_callers() and not self.evict_one():
+            if not last and self.descriptors.callers_full() and not self.evict_one():
                 # Further connections stay in the backlog: the process would run out of descriptors.
                 self._end_slow()
                 self._pause_accepting()
--- a/millgw/platform/descriptors.py
+++ b/millgw/platform/descriptors.py
@@ -40,5 +40,5 @@
         """Close an idle caller connection to free its descriptor; returns whether there was one."""
         return self.close_idle_caller()
 
-    def full_of_callers(self) -> bool:
+    def callers_full(self) -> bool:
         return self.callers() >= self.max_callers or self.full()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -652,7 +652,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint) as rig:
-            monkeypatch.setattr(Descriptors, "full_of_callers", lambda _: True)
+            monkeypatch.setattr(Descriptors, "callers_full", lambda _: True)
             client = connect_blocking(rig.listen)
             client.setblocking(False)
             client.send(request("pay"))
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -191,7 +191,7 @@
 ) -> None:
     """The sidecar is at its bound: request and end are both there when the connection is accepted."""
     full = False
-    monkeypatch.setattr(Descriptors, "full_of_callers", lambda _: full)
+    monkeypatch.setattr(Descriptors, "callers_full", lambda _: full)
 
     async def test() -> None:
         nonlocal full
@@ -344,7 +344,7 @@
 
 def test_a_request_that_waited_to_be_accepted_tells_what_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
     full = False
-    monkeypatch.setattr(Descriptors, "full_of_callers", lambda _: full)
+    monkeypatch.setattr(Descriptors, "callers_full", lambda _: full)
 
     async def test() -> None:
         nonlocal full
@@ -369,7 +369,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     full = False
-    monkeypatch.setattr(Descriptors, "full_of_callers", lambda _: full)
+    monkeypatch.setattr(Descriptors, "callers_full", lambda _: full)
 
     async def test() -> None:
         nonlocal full
