--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -22,7 +22,7 @@
 from millgw.settings import read_number
 
 SILENCE = 2.6  # s without a line after which a watch has failed; heartbeats come every 2 s
-FIRST_LINE = 3.4  # s until the first line: discovery queues calls and rejects them after 2 to 3 s
+FIRST_LINE_TIMEOUT = 3.4  # s until the first line: discovery queues calls and rejects them after 2 to 3 s
 AGENT_FIRST_LINE_TIMEOUT = 0.2  # s for the same with a local agent, which answers at once
 ABANDONED_WATCH_TIME = 6.0  # s that a watch is still read after a move: drains on it count as told until then
 MOST_LEFT = 4  # watches still read after moves; the oldest is closed first
@@ -128,7 +128,11 @@
     """The last known list and the current watch, if any. The balancer decides when to subscribe."""
 
     def __init__(
-        self, address: Address, zones: tuple[str, ...], on_update: Heard, first_line: float = FIRST_LINE
+        self,
+        address: Address,
+        zones: tuple[str, ...],
+        on_update: Heard,
+        first_line: float = FIRST_LINE_TIMEOUT,
     ) -> None:
         self.address = address
         self.first_line = first_line
@@ -291,7 +295,7 @@
 
 def of_platform(config: Config, on_update: Heard) -> Discovery:
     """The platform's discovery: a service shared by all sidecars, or a local agent where lists are pushed."""
-    first_line = FIRST_LINE if config.settings.ask_discovery else AGENT_FIRST_LINE_TIMEOUT
+    first_line = FIRST_LINE_TIMEOUT if config.settings.ask_discovery else AGENT_FIRST_LINE_TIMEOUT
     return Discovery(config.discovery, config.zones, on_update, first_line)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -351,7 +351,7 @@
     async def test() -> None:
         one = ScriptedEndpoint("e1")
         async with sidecar(one, settings=pushed) as rig:
-            async with asyncio.timeout(discovery_module.FIRST_LINE):
+            async with asyncio.timeout(discovery_module.FIRST_LINE_TIMEOUT):
                 for _ in range(4):  # each of them silent
                     _, writer = await rig.discovery.calls.get()
             writer.write(STREAM + chunk(line(1, [one.entry()])))
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -390,7 +390,7 @@
 
 
 def test_a_watch_without_a_first_line_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery_module, "FIRST_LINE", 0.05)
+    monkeypatch.setattr(discovery_module, "FIRST_LINE_TIMEOUT", 0.05)
 
     async def test() -> None:
         ask_late = to_settings(SETTINGS | {"rules": SETTINGS["rules"] | {"askWithin": 4000.0}})
