--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -25,7 +25,7 @@
 FIRST_LINE_TIMEOUT = 3.4  # s until the first line: discovery queues calls and rejects them after 2 to 3 s
 AGENT_FIRST_LINE_TIMEOUT = 0.2  # s for the same with a local agent, which answers at once
 ABANDONED_WATCH_TIME = 6.0  # s that a watch is still read after a move: drains on it count as told until then
-MOST_LEFT = 4  # watches still read after moves; the oldest is closed first
+MAX_ABANDONED_WATCHES = 4  # watches still read after moves; the oldest is closed first
 MAX_LINE_SIZE = 8 * 1024 * 1024  # bytes of one line, far above the list of any fleet
 VERSION_PATTERN = re.compile(rb'"index"\s*:\s*(\d{1,18})\s*[,}]')
 CONDITIONS = {
@@ -203,7 +203,7 @@
         self.watch = None
         self.left.append(watch)
         watch.set_silence_timeout(ABANDONED_WATCH_TIME)
-        while len(self.left) > MOST_LEFT:
+        while len(self.left) > MAX_ABANDONED_WATCHES:
             self.left.pop(0).leave()
 
     def figures(self) -> dict[str, object]:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -300,7 +300,7 @@
             for server in [*servers[1:], servers[0]]:
                 await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
                 made.discovery.move(server.address)
-            assert len(made.discovery.left) == discovery_module.MOST_LEFT
+            assert len(made.discovery.left) == discovery_module.MAX_ABANDONED_WATCHES
 
     run(test)
 
