--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -34,7 +34,7 @@
 from millgw.membership.servers import read_connect
 from millgw.membership.source import Directory, Where
 from millgw.platform.config import Address
-from millgw.platform.discovery import Listed
+from millgw.platform.discovery import ListedEndpoint
 from millgw.standins.address import free_address
 from millgw.standins.caller import ready
 from millgw.standins.coordinator.ensemble import Ensemble
@@ -183,7 +183,7 @@
         self.known = 0
         self.directory = Directory(Where(servers, PATH, 10_000.0, Terms()), (), 1, self, self.changed)
 
-    def changed(self, ready: dict[int, Listed], drains: dict[int, Listed]) -> None:
+    def changed(self, ready: dict[int, ListedEndpoint], drains: dict[int, ListedEndpoint]) -> None:
         self.known = len(ready)
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
--- a/millgw/hot_restart/state.py
+++ b/millgw/hot_restart/state.py
@@ -17,7 +17,7 @@
 
 from millgw.interface import Endpoint
 from millgw.platform.config import read_address
-from millgw.platform.discovery import Listed
+from millgw.platform.discovery import ListedEndpoint
 
 VERSION = 1
 MAX_STATE_SIZE = 8 * 1024 * 1024  # bytes, far above the state of any fleet
@@ -36,7 +36,7 @@
     at: float
     name: str
     index: int | None
-    endpoints: tuple[Listed, ...]
+    endpoints: tuple[ListedEndpoint, ...]
     drained: bool
     held: int  # open descriptors
     learned: Any
@@ -96,12 +96,12 @@
     return state
 
 
-def _read_entry(row: Any) -> Listed:
+def _read_entry(row: Any) -> ListedEndpoint:
     id, size, cell, zone, started_at, address = row
     endpoint = Endpoint(
         int(id), size=_read_number(size), cell=int(cell), zone=int(zone), started_at=_read_number(started_at)
     )
-    return Listed(endpoint, read_address(address))
+    return ListedEndpoint(endpoint, read_address(address))
 
 
 def _read_number(value: Any) -> float:
--- a/millgw/membership/judge.py
+++ b/millgw/membership/judge.py
@@ -30,7 +30,7 @@
 from enum import Enum
 
 from millgw.membership.nodes import Held
-from millgw.platform.discovery import Listed
+from millgw.platform.discovery import ListedEndpoint
 
 FLAPS = 3  # returns within FLAP_WINDOW from which a node has to wait before it is believed
 FLAP_WINDOW = 30_000.0
@@ -154,7 +154,7 @@
         self.witness = witness
         self.members: dict[str, Member] = {}
         self.ended: dict[str, Ended] = {}
-        self.draining: dict[str, Listed] = {}  # told to drain, and still there
+        self.draining: dict[str, ListedEndpoint] = {}  # told to drain, and still there
         self.departures: deque[tuple[float, str]] = deque()  # within the window, of those not back
         self.returns: dict[str, list[float]] = {}
         self.counts = Counts()
@@ -370,7 +370,7 @@
 
     # What comes of it
 
-    def offered(self) -> dict[str, Listed]:
+    def offered(self) -> dict[str, ListedEndpoint]:
         """The endpoints that may be sent to, by name."""
         return {
             name: replace(entry := m.found.held.listed, endpoint=replace(entry.endpoint, started_at=m.since))
--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -18,7 +18,7 @@
 
 from millgw.interface import Condition
 from millgw.platform.config import Address
-from millgw.platform.discovery import Listed, listed_as
+from millgw.platform.discovery import ListedEndpoint, listed_as
 
 
 class Mode(Enum):
@@ -37,8 +37,8 @@
 class Side:
     """One source's last word. `spoke`: it has said anything; `well`: it could say more if there were any."""
 
-    ready: dict[int, Listed] = field(default_factory=dict)
-    drains: dict[int, Listed] = field(default_factory=dict)
+    ready: dict[int, ListedEndpoint] = field(default_factory=dict)
+    drains: dict[int, ListedEndpoint] = field(default_factory=dict)
     ended: dict[int, float] = field(default_factory=dict)  # listed once and no more: its start by then
     spoke: bool = False
     well: bool = False
@@ -51,7 +51,9 @@
         self.mode = mode
         self.sides = (Side(), Side())
 
-    def tell(self, side: int, ready: Mapping[int, Listed], drains: Mapping[int, Listed]) -> None:
+    def tell(
+        self, side: int, ready: Mapping[int, ListedEndpoint], drains: Mapping[int, ListedEndpoint]
+    ) -> None:
         """A source's whole list as it is now."""
         one, other = self.sides[side], self.sides[1 - side]
         at = {entry.address: entry for entry in other.ready.values()}
@@ -69,14 +71,14 @@
         """A source can't be reached: its last word stands, and counts less where the other is preferred."""
         self.sides[side].well = False
 
-    def result(self) -> dict[int, Listed]:
+    def result(self) -> dict[int, ListedEndpoint]:
         """What is told to the module: endpoints that are ready, and those that drain."""
         first, second = self.sides
         names = _same(first, second)
         theirs = {names.get(id, id): entry for id, entry in second.ready.items()}
         drains = dict(first.drains) | {names.get(id, id): e for id, e in second.drains.items()}
         ended = (first.ended, {names.get(id, id): since for id, since in second.ended.items()})
-        chosen: dict[int, Listed] = {}
+        chosen: dict[int, ListedEndpoint] = {}
         for id in {**first.ready, **theirs}:
             mine, other = first.ready.get(id), theirs.get(id)
             entry = self._choose(mine, other)
@@ -96,7 +98,7 @@
             chosen[id] = replace(entry, endpoint=replace(entry.endpoint, id=id), address=None)
         return chosen
 
-    def _choose(self, mine: Listed | None, other: Listed | None) -> Listed | None:
+    def _choose(self, mine: ListedEndpoint | None, other: ListedEndpoint | None) -> ListedEndpoint | None:
         first, second = self.sides
         either = mine or other
         if not (first.spoke and second.spoke):
@@ -125,7 +127,10 @@
 
 
 def _out(
-    id: int, mine: Listed | None, other: Listed | None, ended: tuple[Mapping[int, float], Mapping[int, float]]
+    id: int,
+    mine: ListedEndpoint | None,
+    other: ListedEndpoint | None,
+    ended: tuple[Mapping[int, float], Mapping[int, float]],
 ) -> bool:
     """Whether one source has told its end, and the other knows of no later start."""
     for told, still in ((ended[0], other), (ended[1], mine)):
@@ -134,7 +139,9 @@
     return False
 
 
-def changes(before: Mapping[int, Listed], after: Mapping[int, Listed]) -> tuple[Listed, ...]:
+def changes(
+    before: Mapping[int, ListedEndpoint], after: Mapping[int, ListedEndpoint]
+) -> tuple[ListedEndpoint, ...]:
     """What has to be told to one who knows `before`."""
     told = [entry for id, entry in after.items() if before.get(id) != entry]
     gone = [entry for id, entry in before.items() if id not in after]
--- a/millgw/membership/nodes.py
+++ b/millgw/membership/nodes.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from millgw.interface import Condition
-from millgw.platform.discovery import Listed, read_entry
+from millgw.platform.discovery import ListedEndpoint, read_entry
 
 STATUS = {
     "ALIVE": "in_service", "WARNING": "in_service", "STOPPING": "terminating", "STOPPED": "terminating",
@@ -31,7 +31,7 @@
     """What a node says: the entry, its name, a token of the process that wrote it ('': none)."""
 
     name: str
-    listed: Listed
+    listed: ListedEndpoint
     instance: str = ""
 
     @property
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -24,7 +24,7 @@
 from millgw.membership.protocol import Ask, Code, Fired, Reply
 from millgw.membership.servers import Waits
 from millgw.platform.config import Address
-from millgw.platform.discovery import Discovery, Heard, Listed, endpoint_id, listed_as
+from millgw.platform.discovery import Discovery, Heard, ListedEndpoint, endpoint_id, listed_as
 from millgw.pool.pool import EndpointObserver
 
 LOOK = 0.05  # s between two looks while a departure is weighed
@@ -45,7 +45,7 @@
     port: str = ""
 
 
-Changed = Callable[[dict[int, Listed], dict[int, Listed]], None]
+Changed = Callable[[dict[int, ListedEndpoint], dict[int, ListedEndpoint]], None]
 """Takes the whole of what is ready and of what drains, by id."""
 
 
@@ -69,7 +69,7 @@
         self.down_since = -math.inf
         self.known = False
         self.looking: asyncio.TimerHandle | None = None
-        self.last: tuple[dict[int, Listed], dict[int, Listed]] = {}, {}
+        self.last: tuple[dict[int, ListedEndpoint], dict[int, ListedEndpoint]] = {}, {}
 
     def now(self) -> float:
         """Unix ms that never go back: nodes' times are Unix time."""
@@ -208,10 +208,10 @@
 
     def __init__(self, heard: Heard) -> None:
         self.heard = heard
-        self.told: dict[int, Listed] = {}
+        self.told: dict[int, ListedEndpoint] = {}
         self.due = False
 
-    def notify(self, wanted: dict[int, Listed]) -> None:
+    def notify(self, wanted: dict[int, ListedEndpoint]) -> None:
         if self.due:
             self.due = False
             self.heard(ListKind.FULL, tuple(wanted.values()))
@@ -243,7 +243,7 @@
         elif self.directory.known:
             asyncio.get_running_loop().call_soon(self._tell)
 
-    def _changed(self, ready: dict[int, Listed], drains: dict[int, Listed]) -> None:
+    def _changed(self, ready: dict[int, ListedEndpoint], drains: dict[int, ListedEndpoint]) -> None:
         self._tell()
 
     def _tell(self) -> None:
@@ -280,8 +280,8 @@
         rng = random.Random(f"both {seed}")
         self.waits = Waits(ASK_FIRST * ask_within, ASK_MOST * ask_within, rng)
         self.asking: asyncio.TimerHandle | None = None
-        self.ready: dict[int, Listed] = {}
-        self.drains: dict[int, Listed] = {}
+        self.ready: dict[int, ListedEndpoint] = {}
+        self.drains: dict[int, ListedEndpoint] = {}
         self.notifier = ChangeNotifier(heard)
         self.begun = False
         self.watching: asyncio.TimerHandle | None = None
@@ -311,11 +311,11 @@
             self._tell()
         self.watching = asyncio.get_running_loop().call_later(IDLE_LOOK, self._watch)
 
-    def _coordinator(self, ready: dict[int, Listed], drains: dict[int, Listed]) -> None:
+    def _coordinator(self, ready: dict[int, ListedEndpoint], drains: dict[int, ListedEndpoint]) -> None:
         self.merger.tell(COORDINATOR, ready, drains)
         self._tell()
 
-    def _discovery(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
+    def _discovery(self, kind: ListKind, entries: tuple[ListedEndpoint, ...]) -> None:
         if kind is ListKind.MOVED or (kind is ListKind.DELTA and not entries):
             return  # another watch is asked for already, or a heartbeat: nothing that the merger weighs
         if kind.watch_ended:
--- a/millgw/peers/peer_discovery.py
+++ b/millgw/peers/peer_discovery.py
@@ -12,7 +12,7 @@
 
 from millgw.membership.registrar import Entry, Registrar
 from millgw.membership.source import Directory, Where
-from millgw.platform.discovery import Listed
+from millgw.platform.discovery import ListedEndpoint
 
 OnFound = Callable[[list[str]], None]
 
@@ -50,11 +50,11 @@
         self.directory.stop()
         await self.registrar.withdraw()
 
-    def _changed(self, ready: dict[int, Listed], draining: dict[int, Listed]) -> None:
+    def _changed(self, ready: dict[int, ListedEndpoint], draining: dict[int, ListedEndpoint]) -> None:
         self.directory_read.set()
         names = self._names(ready.values())
         if names:
             self.on_found(names)
 
-    def _names(self, listed: Iterable[Listed]) -> list[str]:
+    def _names(self, listed: Iterable[ListedEndpoint]) -> list[str]:
         return [name for e in listed if e.address is not None and (name := str(e.address)) != self.name]
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class ListedEndpoint:
     """A list entry: the endpoint for the balancer, and its address; None if it drains or is gone."""
 
     endpoint: Endpoint
@@ -49,10 +49,10 @@
 
     index: int
     complete: bool
-    entries: tuple[Listed, ...]
+    entries: tuple[ListedEndpoint, ...]
 
 
-Heard = Callable[[ListKind, tuple[Listed, ...]], None]
+Heard = Callable[[ListKind, tuple[ListedEndpoint, ...]], None]
 
 
 def endpoint_id(name: str) -> int:
@@ -64,7 +64,7 @@
     """Parse a list from its JSON value; unreadable entries are skipped and logged."""
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), list):
         raise ValueError("not a list of endpoints")
-    entries: list[Listed] = []
+    entries: list[ListedEndpoint] = []
     for raw in data["endpoints"]:
         try:
             entries.append(read_entry(raw, zones))
@@ -73,14 +73,14 @@
     return EndpointUpdate(int(read_number(data, "index", "")), data.get("snapshot") is True, tuple(entries))
 
 
-def read_entry(raw: Any, zones: tuple[str, ...]) -> Listed:
+def read_entry(raw: Any, zones: tuple[str, ...]) -> ListedEndpoint:
     """Parse a list entry; raises ValueError, TypeError, LookupError or AttributeError if it is invalid."""
     name, condition = raw["name"], CONDITIONS.get(raw.get("status"))
     if not isinstance(name, str) or condition is None:
         raise ValueError(f"{name!r} has no known status")
     if condition is not Condition.READY:
         # The other fields are not read: an invalid one must not hide a drain, which does not need it.
-        return Listed(Endpoint(endpoint_id(name), condition), None)
+        return ListedEndpoint(Endpoint(endpoint_id(name), condition), None)
     zone = raw.get("zone")
     endpoint = Endpoint(
         id=endpoint_id(name),
@@ -90,17 +90,17 @@
         zone=zones.index(zone) if zone in zones else len(zones),
         started_at=read_number(raw, "since_ms", f"{name}: ", 0.0),
     )
-    return Listed(endpoint, read_address(raw.get("address")))
+    return ListedEndpoint(endpoint, read_address(raw.get("address")))
 
 
-def salvage_drains(fragment: bytes) -> tuple[Listed, ...]:
+def salvage_drains(fragment: bytes) -> tuple[ListedEndpoint, ...]:
     """The drains and removals readable in a line that was cut off or is not valid as a whole.
 
     Only these are taken, as they err on the safe side; the rest of the line is sent again with its version.
     """
     text = fragment.decode("utf-8", "replace")
     decoder = json.JSONDecoder()
-    found: list[Listed] = []
+    found: list[ListedEndpoint] = []
     position = text.find("[") + 1
     while position > 0 and (position := text.find("{", position)) >= 0:
         try:
@@ -119,9 +119,9 @@
     return 0 if found is None else int(found[1])
 
 
-def listed_as(listed: Listed, condition: Condition) -> Listed:
+def listed_as(listed: ListedEndpoint, condition: Condition) -> ListedEndpoint:
     """A copy of an entry with another condition (drains or is gone), without an address."""
-    return Listed(replace(listed.endpoint, condition=condition), None)
+    return ListedEndpoint(replace(listed.endpoint, condition=condition), None)
 
 
 class Discovery:
@@ -158,7 +158,7 @@
         self.index = update.index
         self._notify(ListKind.CACHED, update.entries)
 
-    def adopt(self, index: int | None, entries: tuple[Listed, ...]) -> None:
+    def adopt(self, index: int | None, entries: tuple[ListedEndpoint, ...]) -> None:
         """Start from the list of the predecessor process; called in place of `start`."""
         self.index = index
         self._notify(ListKind.CACHED, entries)
@@ -234,7 +234,7 @@
             log_event("drains-in-part", discovery=self.address, drains=len(drains))
             self._notify(ListKind.PARTIAL, drains)
 
-    def _unlisted_endpoints(self, fragment: bytes) -> tuple[Listed, ...]:
+    def _unlisted_endpoints(self, fragment: bytes) -> tuple[ListedEndpoint, ...]:
         """Removals implied by a complete list, not older than the known version, that omits endpoints."""
         try:
             update = read_listing(json.loads(fragment), self.zones)
@@ -243,7 +243,7 @@
         if not update.complete or update.index < (self.index or 0):
             return ()
         ready = {e.endpoint.id for e in update.entries if e.address is not None}
-        return tuple(Listed(Endpoint(id, Condition.GONE), None) for id in self.ready_ids - ready)
+        return tuple(ListedEndpoint(Endpoint(id, Condition.GONE), None) for id in self.ready_ids - ready)
 
     def take_line(self, line: bytes, advance: bool) -> None:
         """Process one line of the watch; raises ValueError if it can't be read."""
@@ -269,7 +269,7 @@
         """The watch is alive and nothing has changed."""
         self._notify(ListKind.DELTA, ())
 
-    def _notify(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
+    def _notify(self, kind: ListKind, entries: tuple[ListedEndpoint, ...]) -> None:
         if kind.complete:
             self.ready_ids.clear()
         for entry in entries:
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -46,7 +46,7 @@
     Settings,
     TimerFired,
 )
-from millgw.platform.discovery import Listed
+from millgw.platform.discovery import ListedEndpoint
 from millgw.pool.call import Call, OpenAttempt
 from millgw.pool.deadlines import TimerQueue
 from millgw.pool.health_probe import PROBE_TIMEOUT_MS, HealthProbe
@@ -150,7 +150,7 @@
             self._handle_event(RequestAborted(call.id))
             self._give_up_attempts(call, concluded=True)
 
-    def handle_list(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
+    def handle_list(self, kind: ListKind, entries: tuple[ListedEndpoint, ...]) -> None:
         """Apply an endpoint list of discovery.
 
         Addresses are set before the balancer can send to them; connections are closed after it was informed.
@@ -243,7 +243,7 @@
         """Replace the module's whole list. Does not count as news from discovery, which may be down."""
         self._handle_event(EndpointList(ListKind.CACHED, endpoints))
 
-    def _superseded(self, entries: tuple[Listed, ...]) -> set[int]:
+    def _superseded(self, entries: tuple[ListedEndpoint, ...]) -> set[int]:
         """The endpoints whose address is now used by another endpoint that started later.
 
         A machine may vanish without being removed from the list. All its calls would then go to the new, cold
@@ -276,11 +276,13 @@
         host = self.upstream.hosts.get(endpoint)
         return "" if host is None else str(host.address)
 
-    def ready_entries(self) -> tuple[Listed, ...]:
+    def ready_entries(self) -> tuple[ListedEndpoint, ...]:
         """The ready endpoints, for the process that takes over."""
         servers, hosts = self.balancer.servers, self.upstream.hosts
         known = [id for id in self.ready if id in servers and id in hosts]
-        return tuple(Listed(self._with_reported_start(servers[id].info), hosts[id].address) for id in known)
+        return tuple(
+            ListedEndpoint(self._with_reported_start(servers[id].info), hosts[id].address) for id in known
+        )
 
     def misses(self, endpoint: int) -> int:
         """The number of consecutive attempts that got no connection to an endpoint."""
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -17,7 +17,7 @@
 from millgw.interface import ListKind, Locality, Repeat
 from millgw.log.events import log_event
 from millgw.platform.config import Config
-from millgw.platform.discovery import Heard, Listed
+from millgw.platform.discovery import Heard, ListedEndpoint
 from millgw.pool.call import Call, Intent
 from millgw.pool.driver import Driver
 from millgw.pool.metrics import AnswerCounts
@@ -100,7 +100,7 @@
         """The number of consecutive attempts that got no connection to an endpoint."""
         return self.driver.misses(endpoint)
 
-    def _list_received(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
+    def _list_received(self, kind: ListKind, entries: tuple[ListedEndpoint, ...]) -> None:
         if not self.retired:
             self.driver.handle_list(kind, entries)
 
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -12,7 +12,7 @@
 from millgw.membership.servers import read_connect
 from millgw.operator.file import Coordinator, Directory, Operator, Service
 from millgw.platform.config import Config, ConfigError, read_address, with_settings
-from millgw.platform.discovery import Discovery, Heard, Listed, of_platform, read_listing
+from millgw.platform.discovery import Discovery, Heard, ListedEndpoint, of_platform, read_listing
 from millgw.pool.pool import EndpointObserver, EndpointSource, Pool
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 class StaticList:
     """A fixed list of endpoints from the operator's file, sent each time the module asks."""
 
-    def __init__(self, entries: tuple[Listed, ...], on_list: Heard) -> None:
+    def __init__(self, entries: tuple[ListedEndpoint, ...], on_list: Heard) -> None:
         self.entries = entries
         self.on_list = on_list
 
@@ -200,7 +200,7 @@
     return Client(name, instances, last_good, pool_seed(config.seed, f"configuration {name}"), target)
 
 
-def static_entries(service: Service, config: Config) -> tuple[Listed, ...]:
+def static_entries(service: Service, config: Config) -> tuple[ListedEndpoint, ...]:
     """The endpoints that the operator's file lists for a service."""
     entries = [
         {
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -16,7 +16,7 @@
 from millgw.http.message import Answer, Content
 from millgw.log.events import log_event
 from millgw.platform.config import Address, Config
-from millgw.platform.discovery import Discovery, Listed
+from millgw.platform.discovery import Discovery, ListedEndpoint
 from millgw.pool.metrics import metrics_json, out_of_rotation_json
 from millgw.sidecar.parts import SidecarParts, class_names
 
@@ -158,7 +158,7 @@
 
     def _snapshot(self) -> bytes:
         index: int | None = None
-        endpoints: tuple[Listed, ...] = ()
+        endpoints: tuple[ListedEndpoint, ...] = ()
         learned: dict[str, object] = {}
         pools = self.parts.pools()
         source, driver = pools[0].source, pools[0].driver
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,7 +33,7 @@
 from millgw.platform import discovery as discovery_module
 from millgw.platform.config import Address
 from millgw.platform.descriptors import Descriptors
-from millgw.platform.discovery import Discovery, Listed, endpoint_id
+from millgw.platform.discovery import Discovery, ListedEndpoint, endpoint_id
 from millgw.policy import freshness
 from millgw.settings import to_settings
 from millgw.sidecar import __main__ as main_module
@@ -68,7 +68,7 @@
     """A watch on a discovery server that records the lists it receives."""
 
     def __init__(self, discovery_server: ScriptedDiscoveryServer) -> None:
-        self.received: list[tuple[ListKind, tuple[Listed, ...]]] = []
+        self.received: list[tuple[ListKind, tuple[ListedEndpoint, ...]]] = []
         self.discovery = Discovery(
             discovery_server.address, ("a",), lambda *heard: self.received.append(heard)
         )
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -29,7 +29,7 @@
 from millgw.hot_restart.state import MAX_STATE_AGE, State, StateError, decode, encode
 from millgw.interface import Endpoint, Outcome
 from millgw.platform.config import Address
-from millgw.platform.discovery import Discovery, Listed
+from millgw.platform.discovery import Discovery, ListedEndpoint
 from millgw.sidecar.parts import assemble_single_pool
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
@@ -48,7 +48,7 @@
 
 # The state
 
-LISTED = Listed(Endpoint(7, size=2.0, cell=1, zone=0, started_at=5.0), Address("127.0.0.1", 80))
+LISTED = ListedEndpoint(Endpoint(7, size=2.0, cell=1, zone=0, started_at=5.0), Address("127.0.0.1", 80))
 STATE = State(1000.0, "n1", 41, (LISTED,), True, 12, {"tokens": 3.5})
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
 from millgw.membership.source import Directory, Where
 from millgw.operator.file import OperatorError, parse
 from millgw.platform.config import Address
-from millgw.platform.discovery import Listed, endpoint_id
+from millgw.platform.discovery import ListedEndpoint, endpoint_id
 from millgw.standins.address import free_address
 from millgw.standins.coordinator.ensemble import Ensemble
 from millgw.standins.coordinator.tree import Told
@@ -69,7 +69,7 @@
     def knows(self, *names: str) -> None:
         self.names |= {endpoint_id(name): name for name in names}
 
-    def changed(self, ready: dict[int, Listed], drains: dict[int, Listed]) -> None:
+    def changed(self, ready: dict[int, ListedEndpoint], drains: dict[int, ListedEndpoint]) -> None:
         self.told += 1
         self.ready = {self.names[id] for id in ready}
         self.drains = {self.names[id] for id in drains}
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -27,7 +27,7 @@
 from millgw.membership.registration import State as Node
 from millgw.membership.servers import BACKWARD_ROUNDS, SPREAD, Rota, read_connect
 from millgw.platform.config import Address
-from millgw.platform.discovery import Listed, endpoint_id, listed_as
+from millgw.platform.discovery import ListedEndpoint, endpoint_id, listed_as
 from millgw.standins.coordinator.tree import Failed, Told, Tree
 from tests.kinds import skip_if_pure
 
@@ -451,7 +451,7 @@
         self.zxid += 1
         condition = Condition.READY if status else Condition.DRAINING
         endpoint = Endpoint(endpoint_id(name), condition, started_at=since)
-        listed = Listed(endpoint, Address("10.0.0.1", 1000 + int(name[1:])) if status else None)
+        listed = ListedEndpoint(endpoint, Address("10.0.0.1", 1000 + int(name[1:])) if status else None)
         self.nodes[name] = Found(self.zxid, self.zxid, int(self.now), 1, Held(name, listed, instance))
 
     def write(self, name: str, status: bool) -> None:
@@ -745,15 +745,15 @@
 # Both sources
 
 
-def entries(*names: str, **common: float) -> dict[int, Listed]:
+def entries(*names: str, **common: float) -> dict[int, ListedEndpoint]:
     made = {}
     for name in names:
         endpoint = Endpoint(endpoint_id(name), started_at=common.get("since", 0.0))
-        made[endpoint.id] = Listed(endpoint, Address("10.0.0.1", 1 + int(name[1:])))
+        made[endpoint.id] = ListedEndpoint(endpoint, Address("10.0.0.1", 1 + int(name[1:])))
     return made
 
 
-def draining(*names: str) -> dict[int, Listed]:
+def draining(*names: str) -> dict[int, ListedEndpoint]:
     return {id: listed_as(e, Condition.DRAINING) for id, e in entries(*names).items()}
 
 
@@ -805,7 +805,7 @@
 def test_merged_lists_know_each_address_once_and_heed_each_drain(
     mode: Mode, words: list[tuple[int, set[str], set[str]]]
 ) -> None:
-    merger, told = Merger(mode), dict[int, Listed]()
+    merger, told = Merger(mode), dict[int, ListedEndpoint]()
     for side, ready, drains in words:
         mine = {i: e for n in ready - drains for i, e in entries(n).items()}
         merger.tell(side, mine, draining(*drains))
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -9,7 +9,7 @@
 
 from millgw.interface import Endpoint, ListKind
 from millgw.platform.config import Address
-from millgw.platform.discovery import Listed
+from millgw.platform.discovery import ListedEndpoint
 from millgw.pool.driver import Driver
 from millgw.pool.start_times import MAX_LISTING_DELAY_MS, MAX_REMEMBERED, StartTimes
 from millgw.standins.scripted import ScriptedEndpoint
@@ -104,7 +104,7 @@
             (driver,) = drivers
             now = driver.clock()
             driver.handle_list(ListKind.DELTA, ())
-            entry = Listed(Endpoint(77, started_at=now - ahead), Address("127.0.0.1", 9))
+            entry = ListedEndpoint(Endpoint(77, started_at=now - ahead), Address("127.0.0.1", 9))
             driver.handle_list(ListKind.DELTA, (entry,))
             assert now <= driver.balancer.servers[77].info.started_at <= driver.clock()
             (passed_on,) = (e.endpoint for e in driver.ready_entries() if e.endpoint.id == 77)
