--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -24,7 +24,7 @@
 from millgw.membership.protocol import Ask, Code, Fired, Reply
 from millgw.membership.servers import Waits
 from millgw.platform.config import Address
-from millgw.platform.discovery import Discovery, Heard, ListedEndpoint, endpoint_id, listed_as
+from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, endpoint_id, listed_as
 from millgw.pool.pool import EndpointObserver
 
 LOOK = 0.05  # s between two looks while a departure is weighed
@@ -206,7 +206,7 @@
 class ChangeNotifier:
     """Tells the module a list as it comes to be: whole once it has asked (`due`), then what changes."""
 
-    def __init__(self, heard: Heard) -> None:
+    def __init__(self, heard: UpdateCallback) -> None:
         self.heard = heard
         self.told: dict[int, ListedEndpoint] = {}
         self.due = False
@@ -224,7 +224,12 @@
     """A pool's source: a coordinator alone."""
 
     def __init__(
-        self, where: Where, zones: tuple[str, ...], seed: int, witness: EndpointObserver, heard: Heard
+        self,
+        where: Where,
+        zones: tuple[str, ...],
+        seed: int,
+        witness: EndpointObserver,
+        heard: UpdateCallback,
     ) -> None:
         self.heard = heard
         self.directory = Directory(where, zones, seed, witness, self._changed)
@@ -270,7 +275,7 @@
         zones: tuple[str, ...],
         seed: int,
         witness: EndpointObserver,
-        heard: Heard,
+        heard: UpdateCallback,
     ) -> None:
         self.heard = heard
         self.own = own
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -52,7 +52,7 @@
     entries: tuple[ListedEndpoint, ...]
 
 
-Heard = Callable[[ListKind, tuple[ListedEndpoint, ...]], None]
+UpdateCallback = Callable[[ListKind, tuple[ListedEndpoint, ...]], None]
 
 
 def endpoint_id(name: str) -> int:
@@ -131,7 +131,7 @@
         self,
         address: Address,
         zones: tuple[str, ...],
-        on_update: Heard,
+        on_update: UpdateCallback,
         first_line: float = FIRST_LINE_TIMEOUT,
     ) -> None:
         self.address = address
@@ -293,7 +293,7 @@
         self._notify(kind, ())
 
 
-def of_platform(config: Config, on_update: Heard) -> Discovery:
+def of_platform(config: Config, on_update: UpdateCallback) -> Discovery:
     """The platform's discovery: a service shared by all sidecars, or a local agent where lists are pushed."""
     first_line = FIRST_LINE_TIMEOUT if config.settings.ask_discovery else AGENT_FIRST_LINE_TIMEOUT
     return Discovery(config.discovery, config.zones, on_update, first_line)
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -17,7 +17,7 @@
 from millgw.interface import ListKind, Locality, Repeat
 from millgw.log.events import log_event
 from millgw.platform.config import Config
-from millgw.platform.discovery import Heard, ListedEndpoint
+from millgw.platform.discovery import ListedEndpoint, UpdateCallback
 from millgw.pool.call import Call, Intent
 from millgw.pool.driver import Driver
 from millgw.pool.metrics import AnswerCounts
@@ -73,7 +73,7 @@
         seed: int,
         room: DescriptorLimiter,
         share: Share,
-        source: Callable[[Heard, EndpointObserver], EndpointSource],
+        source: Callable[[UpdateCallback, EndpointObserver], EndpointSource],
         lanes: Lanes | None = None,
         locality: Locality | None = None,
     ) -> None:
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -12,7 +12,7 @@
 from millgw.membership.servers import read_connect
 from millgw.operator.file import Coordinator, Directory, Operator, Service
 from millgw.platform.config import Config, ConfigError, read_address, with_settings
-from millgw.platform.discovery import Discovery, Heard, ListedEndpoint, of_platform, read_listing
+from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, of_platform, read_listing
 from millgw.pool.pool import EndpointObserver, EndpointSource, Pool
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 class StaticList:
     """A fixed list of endpoints from the operator's file, sent each time the module asks."""
 
-    def __init__(self, entries: tuple[ListedEndpoint, ...], on_list: Heard) -> None:
+    def __init__(self, entries: tuple[ListedEndpoint, ...], on_list: UpdateCallback) -> None:
         self.entries = entries
         self.on_list = on_list
 
@@ -74,7 +74,7 @@
 
 def list_source(
     name: str, service: Service, config: Config
-) -> Callable[[Heard, EndpointObserver], EndpointSource]:
+) -> Callable[[UpdateCallback, EndpointObserver], EndpointSource]:
     """A factory for the source of a service's endpoint list."""
     if service.endpoints:
         entries = static_entries(service, config)
@@ -89,7 +89,7 @@
 
 def _coordinator_source(
     service: Service, coordinator: Coordinator, config: Config, seed: int
-) -> Callable[[Heard, EndpointObserver], EndpointSource]:
+) -> Callable[[UpdateCallback, EndpointObserver], EndpointSource]:
     # Imported here: without a coordinator these modules must not be loaded.
     from millgw.membership.judge import Terms
     from millgw.membership.merge import Merger, Mode
