--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -40,7 +40,7 @@
     Send,
     Settings,
 )
-from millgw.platform.discovery import endpoint_id, read_listing
+from millgw.platform.discovery import endpoint_id, read_update
 
 CLASSES = (RequestClass("read", deadline=3000.0, repeat=Repeat.SAFE, aim=1000.0),)
 IN_FLIGHT = (0, 10, 100)  # other calls that are out while one arrives
@@ -157,7 +157,7 @@
     balancer = make_balancer(1, siblings)
     started = time.perf_counter()
     for _ in range(WHOLE_LISTS):
-        listing = read_listing(json.loads(line), zones)
+        listing = read_update(json.loads(line), zones)
         balancer.handle(1.0, EndpointList(ListKind.FULL, tuple(e.endpoint for e in listing.entries)))
     return (time.perf_counter() - started) / WHOLE_LISTS * 1e6
 
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -60,7 +60,7 @@
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
-def read_listing(data: Any, zones: tuple[str, ...]) -> EndpointUpdate:
+def read_update(data: Any, zones: tuple[str, ...]) -> EndpointUpdate:
     """Parse a list from its JSON value; unreadable entries are skipped and logged."""
     if not isinstance(data, dict) or not isinstance(data.get("endpoints"), list):
         raise ValueError("not a list of endpoints")
@@ -148,7 +148,7 @@
     def start(self, known: Any) -> None:
         """Start from the list given in the configuration, if there is one and it can be read."""
         try:
-            update = EndpointUpdate(0, False, ()) if known is None else read_listing(known, self.zones)
+            update = EndpointUpdate(0, False, ()) if known is None else read_update(known, self.zones)
         except ValueError as error:
             log_event("known-unusable", cause=error)
             known, update = None, EndpointUpdate(0, False, ())
@@ -237,7 +237,7 @@
     def _unlisted_endpoints(self, fragment: bytes) -> tuple[ListedEndpoint, ...]:
         """Removals implied by a complete list, not older than the known version, that omits endpoints."""
         try:
-            update = read_listing(json.loads(fragment), self.zones)
+            update = read_update(json.loads(fragment), self.zones)
         except ValueError:
             return ()
         if not update.complete or update.index < (self.index or 0):
@@ -247,7 +247,7 @@
 
     def take_line(self, line: bytes, advance: bool) -> None:
         """Process one line of the watch; raises ValueError if it can't be read."""
-        update = read_listing(json.loads(line), self.zones)
+        update = read_update(json.loads(line), self.zones)
         if advance:
             self.index = update.index
         log_event(
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -12,7 +12,7 @@
 from millgw.membership.servers import read_connect
 from millgw.operator.file import Coordinator, Directory, Operator, Service
 from millgw.platform.config import Config, ConfigError, read_address, with_settings
-from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, of_platform, read_listing
+from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, of_platform, read_update
 from millgw.pool.pool import EndpointObserver, EndpointSource, Pool
 
 if TYPE_CHECKING:
@@ -209,7 +209,7 @@
         }
         for e in service.endpoints
     ]  # fmt: skip
-    return read_listing({"index": 0, "snapshot": True, "endpoints": entries}, config.zones).entries
+    return read_update({"index": 0, "snapshot": True, "endpoints": entries}, config.zones).entries
 
 
 def pool_config(name: str, service: Service, config: Config, raw: Mapping[str, Any]) -> Config:
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -16,7 +16,7 @@
 
 from millgw.platform import discovery as discovery_module
 from millgw.platform.config import Address, ConfigError, read_address, read_config
-from millgw.platform.discovery import endpoint_id, read_listing
+from millgw.platform.discovery import endpoint_id, read_update
 from millgw.settings import to_settings
 from millgw.sidecar import __main__ as main_module
 from millgw.standins.address import free_address
@@ -168,7 +168,7 @@
         good | {"since_ms": "now"},
         good | {"weight": -1},
     ]
-    listing = read_listing({"index": 3, "snapshot": True, "endpoints": [*bad, good]}, ("a",))
+    listing = read_update({"index": 3, "snapshot": True, "endpoints": [*bad, good]}, ("a",))
     assert [e.endpoint.id for e in listing.entries] == [endpoint_id("good")]
     assert listing.complete and listing.index == 3
 
