--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -18,7 +18,7 @@
 
 from millgw.interface import Condition
 from millgw.platform.config import Address
-from millgw.platform.discovery import ListedEndpoint, listed_as
+from millgw.platform.discovery import ListedEndpoint, with_condition
 
 
 class Mode(Enum):
@@ -145,4 +145,4 @@
     """What has to be told to one who knows `before`."""
     told = [entry for id, entry in after.items() if before.get(id) != entry]
     gone = [entry for id, entry in before.items() if id not in after]
-    return (*told, *(listed_as(e, Condition.GONE) for e in gone))
+    return (*told, *(with_condition(e, Condition.GONE) for e in gone))
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -24,7 +24,7 @@
 from millgw.membership.protocol import Ask, Code, Fired, Reply
 from millgw.membership.servers import Waits
 from millgw.platform.config import Address
-from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, endpoint_id, listed_as
+from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, endpoint_id, with_condition
 from millgw.pool.pool import EndpointObserver
 
 LOOK = 0.05  # s between two looks while a departure is weighed
@@ -173,7 +173,7 @@
 
     def _tell(self, first: bool) -> None:
         ready = {e.endpoint.id: e for e in self.judge.offered().values()}
-        drains = {e.endpoint.id: listed_as(e, Condition.DRAINING) for e in self.judge.draining.values()}
+        drains = {e.endpoint.id: with_condition(e, Condition.DRAINING) for e in self.judge.draining.values()}
         if first or (ready, drains) != self.last:
             self.last = ready, drains
             self.changed(ready, drains)
--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -119,7 +119,7 @@
     return 0 if found is None else int(found[1])
 
 
-def listed_as(listed: ListedEndpoint, condition: Condition) -> ListedEndpoint:
+def with_condition(listed: ListedEndpoint, condition: Condition) -> ListedEndpoint:
     """A copy of an entry with another condition (drains or is gone), without an address."""
     return ListedEndpoint(replace(listed.endpoint, condition=condition), None)
 
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -27,7 +27,7 @@
 from millgw.membership.registration import State as Node
 from millgw.membership.servers import BACKWARD_ROUNDS, SPREAD, Rota, read_connect
 from millgw.platform.config import Address
-from millgw.platform.discovery import ListedEndpoint, endpoint_id, listed_as
+from millgw.platform.discovery import ListedEndpoint, endpoint_id, with_condition
 from millgw.standins.coordinator.tree import Failed, Told, Tree
 from tests.kinds import skip_if_pure
 
@@ -754,7 +754,7 @@
 
 
 def draining(*names: str) -> dict[int, ListedEndpoint]:
-    return {id: listed_as(e, Condition.DRAINING) for id, e in entries(*names).items()}
+    return {id: with_condition(e, Condition.DRAINING) for id, e in entries(*names).items()}
 
 
 def names(merger: Merger, condition: Condition = Condition.READY) -> set[str]:
