--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -293,7 +293,7 @@
         self._notify(kind, ())
 
 
-def of_platform(config: Config, on_update: UpdateCallback) -> Discovery:
+def platform_discovery(config: Config, on_update: UpdateCallback) -> Discovery:
     """The platform's discovery: a service shared by all sidecars, or a local agent where lists are pushed."""
     first_line = FIRST_LINE_TIMEOUT if config.settings.ask_discovery else AGENT_FIRST_LINE_TIMEOUT
     return Discovery(config.discovery, config.zones, on_update, first_line)
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -12,7 +12,13 @@
 from millgw.membership.servers import read_connect
 from millgw.operator.file import Coordinator, Directory, Operator, Service
 from millgw.platform.config import Config, ConfigError, read_address, with_settings
-from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, of_platform, read_update
+from millgw.platform.discovery import (
+    Discovery,
+    ListedEndpoint,
+    UpdateCallback,
+    platform_discovery,
+    read_update,
+)
 from millgw.pool.pool import EndpointObserver, EndpointSource, Pool
 
 if TYPE_CHECKING:
@@ -82,7 +88,7 @@
     if service.coordinator is not None:
         return _coordinator_source(service, service.coordinator, config, pool_seed(config.seed, name))
     if service.discovery is None:
-        return lambda on_list, _: of_platform(config, on_list)
+        return lambda on_list, _: platform_discovery(config, on_list)
     address = read_address(service.discovery)
     return lambda on_list, _: OwnDiscovery(Discovery(address, config.zones, on_list))
 
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -15,7 +15,7 @@
 from millgw.log.events import log_event
 from millgw.platform.config import Config, ConfigError, read_config
 from millgw.platform.descriptors import Descriptors
-from millgw.platform.discovery import Discovery, of_platform
+from millgw.platform.discovery import Discovery, platform_discovery
 from millgw.pool.pool import Pool
 from millgw.pool.share import ANSWERS, BODIES, BODIES_MEMORY_SHARE, CALLS, CONNECTIONS, WholeShare
 
@@ -65,7 +65,7 @@
     )
     pool = Pool(
         "", config, config.seed, descriptors, process_limits,
-        lambda on_update, _: of_platform(config, on_update), locality=locality,
+        lambda on_update, _: platform_discovery(config, on_update), locality=locality,
     )  # fmt: skip
     if configure_pool is not None:
         configure_pool(pool)
