--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -140,7 +140,9 @@
         self.on_update = on_update
         self.index: int | None = None
         self.watch: Watch | None = None
-        self.left: list[Watch] = []  # watches from before moves, oldest first: their drains are still taken
+        self.abandoned: list[
+            Watch
+        ] = []  # watches from before moves, oldest first: their drains are still taken
         self.ready_ids: set[int] = set()  # ids that the list has as ready
         self.drain_memory = DrainMemory()
         self.connecting: asyncio.Task[None] | None = None
@@ -179,11 +181,11 @@
         """Close all watches."""
         if self.connecting is not None:
             self.connecting.cancel()
-        for watch in (self.watch, *self.left):
+        for watch in (self.watch, *self.abandoned):
             if watch is not None:
                 watch.stop()
         self.watch = None
-        self.left.clear()
+        self.abandoned.clear()
 
     def move(self, address: Address) -> None:
         """Switch to another address, from the known version; the list and the learned state are kept."""
@@ -201,10 +203,10 @@
         Drains that discovery writes there count as told, and the new server may learn of them later.
         """
         self.watch = None
-        self.left.append(watch)
+        self.abandoned.append(watch)
         watch.set_silence_timeout(ABANDONED_WATCH_TIME)
-        while len(self.left) > MAX_ABANDONED_WATCHES:
-            self.left.pop(0).leave()
+        while len(self.abandoned) > MAX_ABANDONED_WATCHES:
+            self.abandoned.pop(0).leave()
 
     def figures(self) -> dict[str, object]:
         """Additional figures for the pool's log line: none."""
@@ -281,8 +283,8 @@
 
     def watch_failed(self, watch: Watch, why: str, kind: ListKind = ListKind.FAILED) -> None:
         """Handle the end or silence of a watch; notify the balancer once, and only of the current watch."""
-        if watch in self.left:
-            self.left.remove(watch)
+        if watch in self.abandoned:
+            self.abandoned.remove(watch)
             watch.leave()
             return
         if watch is not self.watch:
@@ -385,7 +387,7 @@
     def _take_line(self, line: bytes) -> None:
         if self.stopped:
             return
-        if self in self.discovery.left:
+        if self in self.discovery.abandoned:
             self.discovery.take_fragment(line)
             return
         self.set_silence_timeout(SILENCE)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -175,7 +175,7 @@
             write_now(writer, written)
             if then == "moved":
                 made.discovery.move(other.address)
-                made.discovery.left[0].leave()  # as when the old watch is abandoned for good
+                made.discovery.abandoned[0].leave()  # as when the old watch is abandoned for good
             else:
                 await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
                 made.discovery.subscribe()
@@ -206,7 +206,7 @@
             await until(lambda: len(made.drained()) == 2)
             later.write(STREAM + chunk(line(4, [E1.entry()])))
             await until(lambda: made.discovery.index == 4)
-            assert not made.discovery.left
+            assert not made.discovery.abandoned
             assert ListKind.FAILED not in [kind for kind, _ in made.received], "it was left, not lost"
 
     run(test)
@@ -300,7 +300,7 @@
             for server in [*servers[1:], servers[0]]:
                 await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
                 made.discovery.move(server.address)
-            assert len(made.discovery.left) == discovery_module.MAX_ABANDONED_WATCHES
+            assert len(made.discovery.abandoned) == discovery_module.MAX_ABANDONED_WATCHES
 
     run(test)
 
