--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -171,7 +171,7 @@
             self.connecting.cancel()
         if self.watch is not None:
             before, self.watch = self.watch, None
-            before.leave()
+            before.salvage_and_stop()
         self.watch = Watch(self)
         log_event("discovery-asked", discovery=self.address, index=self.index)
         self.watch.set_silence_timeout(self.first_line)
@@ -206,7 +206,7 @@
         self.abandoned.append(watch)
         watch.set_silence_timeout(ABANDONED_WATCH_TIME)
         while len(self.abandoned) > MAX_ABANDONED_WATCHES:
-            self.abandoned.pop(0).leave()
+            self.abandoned.pop(0).salvage_and_stop()
 
     def figures(self) -> dict[str, object]:
         """Additional figures for the pool's log line: none."""
@@ -285,12 +285,12 @@
         """Handle the end or silence of a watch; notify the balancer once, and only of the current watch."""
         if watch in self.abandoned:
             self.abandoned.remove(watch)
-            watch.leave()
+            watch.salvage_and_stop()
             return
         if watch is not self.watch:
             return
         self.watch = None
-        watch.leave()
+        watch.salvage_and_stop()
         watch.log_end(why)
         self._notify(kind, ())
 
@@ -325,7 +325,7 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def leave(self) -> None:
+    def salvage_and_stop(self) -> None:
         """Close the watch, and take the drains of a partial line and of unread data in the socket.
 
         All of that was written to this sidecar, so it counts as told.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -175,7 +175,7 @@
             write_now(writer, written)
             if then == "moved":
                 made.discovery.move(other.address)
-                made.discovery.abandoned[0].leave()  # as when the old watch is abandoned for good
+                made.discovery.abandoned[0].salvage_and_stop()  # as when the old watch is abandoned for good
             else:
                 await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
                 made.discovery.subscribe()
