--- a/tests/rig.py
+++ b/tests/rig.py
@@ -23,9 +23,9 @@
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedDiscoveryServer, ScriptedEndpoint, chunk, read_message
 
-LIMIT = 30.0  # s, limit for a whole test: far above what one takes on a busy machine
+TEST_TIMEOUT = 30.0  # s, limit for a whole test: far above what one takes on a busy machine
 BLOCKED_LOOP_TIMEOUT = (
-    3 * LIMIT
+    3 * TEST_TIMEOUT
 )  # s after which a test that blocks the event loop aborts the run with a traceback
 PATIENCE = 20_000  # ms, deadline of requests whose timing is not tested
 STALL_POLL_INTERVAL = 0.005  # s between checks of the event loop for stalls
@@ -47,10 +47,10 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]], waits: float = 0.0) -> None:
-    """Run a test on the event loop type that the sidecar uses, limited to `LIMIT` + `waits` seconds."""
+    """Run a test on the event loop type that the sidecar uses, limited to `TEST_TIMEOUT` + `waits` seconds."""
 
     async def limited() -> None:
-        async with asyncio.timeout(LIMIT + waits):
+        async with asyncio.timeout(TEST_TIMEOUT + waits):
             await test()
 
     faulthandler.dump_traceback_later(BLOCKED_LOOP_TIMEOUT + waits, exit=True)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -27,7 +27,7 @@
 from millgw.standins.address import free_address
 from tests.kinds import pure_run_only
 from tests.outside import loaded
-from tests.rig import LIMIT
+from tests.rig import TEST_TIMEOUT
 
 pytestmark = pure_run_only
 
@@ -61,7 +61,11 @@
 
 def millgw_(*words: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "millgw", *words], capture_output=True, text=True, timeout=LIMIT, cwd=ROOT
+        [sys.executable, "-m", "millgw", *words],
+        capture_output=True,
+        text=True,
+        timeout=TEST_TIMEOUT,
+        cwd=ROOT,
     )
 
 
@@ -178,7 +182,7 @@
         "import sys\nfrom millgw.__main__ import main\nassert main(['--help']) == 0\n"
         "print([m for m in sys.modules if m.startswith(('millgw.load', 'millgw.rehearsal', 'rich'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=LIMIT)
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=TEST_TIMEOUT)
     assert done.stdout.splitlines()[-1] == "[]"
 
 
@@ -196,7 +200,7 @@
         f"import sys\nsys.modules[{missing!r}] = None\nfrom millgw.__main__ import main\n"
         f"sys.exit(main({words!r}))"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=LIMIT)
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=TEST_TIMEOUT)
     assert done.returncode == 2 and done.stderr == f"millgw: {missing} is missing: pip install -r {brings}\n"
 
 
@@ -205,7 +209,7 @@
         "import os, sys\nsys.modules['click'] = None\nfrom millgw.__main__ import main\n"
         "assert main(['version']) == 0\nsys.exit(main(['serve', '--operator=x', '--log', 'xml']))"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=LIMIT)
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=TEST_TIMEOUT)
     assert done.stdout.startswith("otterslip ")
     assert done.returncode == 2 and done.stderr == "millgw: BALANCER_LOG: 'xml' is not one of text, json\n"
 
@@ -282,12 +286,12 @@
 ) -> None:
     """Until the command does what it is for: it has connected, printed, or made its folder."""
     if words[0] in ("load", "top"):
-        server.settimeout(LIMIT)
+        server.settimeout(TEST_TIMEOUT)
         server.accept()[0].close()
     elif words[0] == "coordinator":
         assert process.stdout is not None and b"connect" in process.stdout.readline()
     else:
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TEST_TIMEOUT
         while not any(folder.iterdir()):
             assert time.monotonic() < end
             time.sleep(0.01)
@@ -315,14 +319,14 @@
         )  # fmt: skip
         _until_at_work(words, process, server, tmp_path)
         os.killpg(process.pid, signal.SIGINT)
-        _, err = process.communicate(timeout=LIMIT)
+        _, err = process.communicate(timeout=TEST_TIMEOUT)
     assert process.returncode in (exits.HELD, exits.INTERRUPTED), err
     assert b"Traceback" not in err
     left = {p.name for p in tmp_path.iterdir()}
     assert not any(".part" in name for name in left) and left <= {"r.json", "r.html"}
     for name in left:
         assert (tmp_path / name).stat().st_size > 0
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TEST_TIMEOUT
     while running := group(process.pid):
         assert time.monotonic() < end, running
         time.sleep(0.02)
@@ -333,32 +337,38 @@
 
 def test_a_reader_who_leaves_changes_no_verdict(tmp_path: Path) -> None:
     code = f"{shlex.quote(sys.executable)} -m millgw events | true; echo ${{PIPESTATUS[0]}}"
-    done = subprocess.run(["bash", "-c", code], capture_output=True, text=True, timeout=LIMIT, cwd=ROOT)
+    done = subprocess.run(
+        ["bash", "-c", code], capture_output=True, text=True, timeout=TEST_TIMEOUT, cwd=ROOT
+    )
     assert done.stdout == "0\n" and not done.stderr
     (tmp_path / "o.toml").write_text("")
     words = f"route {tmp_path}/o.toml --host a.example"
     code = f"{shlex.quote(sys.executable)} -m millgw {words} | true; echo ${{PIPESTATUS[0]}}"
-    done = subprocess.run(["bash", "-c", code], capture_output=True, text=True, timeout=LIMIT, cwd=ROOT)
+    done = subprocess.run(
+        ["bash", "-c", code], capture_output=True, text=True, timeout=TEST_TIMEOUT, cwd=ROOT
+    )
     assert done.stdout == "1\n" and not done.stderr
 
 
 def test_endless_output_ends_when_its_reader_does() -> None:
     plan = "load plan --rate 100000 --seconds 86400"
     code = f"{shlex.quote(sys.executable)} -m millgw {plan} | head -1 | wc -l"
-    done = subprocess.run(["bash", "-c", code], capture_output=True, text=True, timeout=LIMIT, cwd=ROOT)
+    done = subprocess.run(
+        ["bash", "-c", code], capture_output=True, text=True, timeout=TEST_TIMEOUT, cwd=ROOT
+    )
     assert done.stdout == "1\n" and not done.stderr
 
 
 def test_bytes_that_are_no_text_are_named_and_not_obeyed() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "millgw", "check", b"no\xff\x1b[31m\nsuch"],
-        capture_output=True, timeout=LIMIT, cwd=ROOT,
+        capture_output=True, timeout=TEST_TIMEOUT, cwd=ROOT,
     )  # fmt: skip
     assert done.returncode == 2 and done.stderr.count(b"\n") == 1
     assert b"\xff" not in done.stderr and b"\x1b" not in done.stderr
     done = subprocess.run(
         [sys.executable, "-m", "millgw", "route", "deploy/operator.toml", "--host", b"\xff\xfe"],
-        capture_output=True, timeout=LIMIT, cwd=ROOT,
+        capture_output=True, timeout=TEST_TIMEOUT, cwd=ROOT,
     )  # fmt: skip
     assert done.returncode in (1, 2) and b"Traceback" not in done.stderr
 
@@ -382,7 +392,7 @@
     except OSError:
         pass  # the terminal's other end is closed
     os.close(ours)
-    assert process.wait(LIMIT) == exits.INCONCLUSIVE
+    assert process.wait(TEST_TIMEOUT) == exits.INCONCLUSIVE
     assert (b"\x1b[31m" in said) == colour
     plain = said.decode().replace("\r", "")
     for sequence in ("\x1b[31m", "\x1b[0m", "\x1b[1m"):
@@ -412,7 +422,7 @@
         "_MILLGW_COMPLETE": "bash_complete", "COMP_WORDS": words, "COMP_CWORD": str(words.count(" ")),
         "PATH": f"{ROOT / 'scripts'}:{os.environ['PATH']}",
     }  # fmt: skip
-    done = subprocess.run(["millgw"], capture_output=True, text=True, timeout=LIMIT, env=env)
+    done = subprocess.run(["millgw"], capture_output=True, text=True, timeout=TEST_TIMEOUT, env=env)
     found = {line.split(",")[1] for line in done.stdout.splitlines()}
     assert there <= found and not not_there & found, done.stderr
 
--- a/tests/test_configuration_command.py
+++ b/tests/test_configuration_command.py
@@ -34,7 +34,7 @@
 from millgw.standins.address import free_address
 from tests.configuration_rig import call
 from tests.kinds import pure_run_only
-from tests.rig import LIMIT
+from tests.rig import TEST_TIMEOUT
 
 pytestmark = pure_run_only
 
@@ -43,7 +43,7 @@
 
 def eventually(holds: Callable[[], bool]) -> None:
     """Wait for something that no event tells of."""
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TEST_TIMEOUT
     while not holds():
         assert time.monotonic() < end, "it did not come to hold"
         time.sleep(0.05)
@@ -181,7 +181,7 @@
 
         first = fleet.running["c1"]
         first.send_signal(signal.SIGTERM)
-        assert first.wait(LIMIT) == exits.HELD
+        assert first.wait(TEST_TIMEOUT) == exits.HELD
 
 
 def test_a_relay_serves_as_a_process_and_proposals_to_it_reach_the_leader(
@@ -194,7 +194,7 @@
         relay = subprocess.Popen([sys.executable, "-m", "millgw", *words], cwd=ROOT)
         try:
             at = ["--at", str(address)]
-            code, told = report(capsys, "set", *at, 'a={"n":1}', "--within", f"{LIMIT}s")
+            code, told = report(capsys, "set", *at, 'a={"n":1}', "--within", f"{TEST_TIMEOUT}s")
             assert (code, told["outcome"]) == (exits.HELD, "committed")
             eventually(lambda: report(capsys, "get", *at)[1].get("entries") == {"a": {"n": 1}})
             # The voter knows it as it knows a sidecar.
@@ -202,7 +202,7 @@
             code, told = report(capsys, *wait)
             assert (code, told["in_force"]["applied"]) == (exits.HELD, 1)
             relay.send_signal(signal.SIGTERM)
-            assert relay.wait(LIMIT) == exits.HELD
+            assert relay.wait(TEST_TIMEOUT) == exits.HELD
         finally:
             relay.kill()
             relay.wait()
@@ -218,7 +218,7 @@
         while not stop.is_set():
             number += 1
             changes = [Change(f"e{number}", {"n": number})]
-            result = asyncio.run(propose(fleet.addresses, changes, "a", "", None, LIMIT))
+            result = asyncio.run(propose(fleet.addresses, changes, "a", "", None, TEST_TIMEOUT))
             if result.outcome is Outcome.COMMITTED:
                 assert result.index is not None
                 acknowledged[number] = result.index
@@ -274,7 +274,11 @@
 
 def run_once(words: list[str]) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "millgw", *words], capture_output=True, text=True, timeout=LIMIT, cwd=ROOT
+        [sys.executable, "-m", "millgw", *words],
+        capture_output=True,
+        text=True,
+        timeout=TEST_TIMEOUT,
+        cwd=ROOT,
     )
 
 
@@ -390,7 +394,7 @@
     instance = Scripted(
         (503, {"cause": "no quorum"}), (421, {"leader": None}), (200, {"index": 7, "epoch": 2})
     )
-    result = outcome(instance, within=LIMIT)
+    result = outcome(instance, within=TEST_TIMEOUT)
     assert (result.outcome, result.index, result.epoch) == (Outcome.COMMITTED, 7, 2)
     instance = Scripted((503, {"cause": "no quorum"}))
     assert outcome(instance, within=0.5).outcome is Outcome.NO_QUORUM
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -32,7 +32,7 @@
 from millgw.log.wording import MAX_FIELD_LENGTH, keep_known_fields, limit_values, render_json, render_text
 from millgw.log.writer import Writer
 from millgw.standins.scripted import ScriptedEndpoint, answering
-from tests.rig import LIMIT, request, run, sidecar
+from tests.rig import TEST_TIMEOUT, request, run, sidecar
 
 ROOT = Path(millgw.__file__).parent.parent
 AT = "at=1970-01-01T00:00:05.000Z"  # the wall clock of `PipeLog`, 5 s, as a text line shows it
@@ -262,7 +262,7 @@
 
     reader = threading.Thread(target=read)
     reader.start()
-    reader.join(LIMIT)
+    reader.join(TEST_TIMEOUT)
     assert not reader.is_alive() and lost > 2000
     assert numbers == sorted(numbers) and numbers[0] == 0
     pipe.log.close()
@@ -273,7 +273,7 @@
     pipe = PipeLog("text")
     os.close(pipe.out)
     pipe.log("serving", {"name": "s"})
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TEST_TIMEOUT
     while not pipe.writer.closed:
         assert time.monotonic() < end
         time.sleep(0.01)
@@ -295,7 +295,7 @@
     process = subprocess.Popen([sys.executable, "-c", code], stdout=subprocess.PIPE, stderr=into, text=True)
     os.close(into)
     try:
-        assert process.communicate(timeout=LIMIT)[0] == "logged\n" and process.returncode == 0
+        assert process.communicate(timeout=TEST_TIMEOUT)[0] == "logged\n" and process.returncode == 0
     finally:
         process.kill()
         os.close(out)
@@ -304,7 +304,7 @@
 def test_an_unknown_log_format_exits_with_2_and_one_line() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "millgw.sidecar"], env=os.environ | {"BALANCER_LOG": "xml"},
-        capture_output=True, text=True, timeout=LIMIT,
+        capture_output=True, text=True, timeout=TEST_TIMEOUT,
     )  # fmt: skip
     assert done.returncode == 2 and done.stderr == "millgw: BALANCER_LOG: 'xml' is not one of text, json\n"
 
--- a/tests/test_rehearsal_command.py
+++ b/tests/test_rehearsal_command.py
@@ -22,7 +22,7 @@
 from millgw.rehearsal.scenario_files import parse, shipped
 from millgw.rehearsal.testbed import Testbed
 from tests.kinds import pure_run_only
-from tests.rig import LIMIT
+from tests.rig import TEST_TIMEOUT
 
 pytestmark = pure_run_only
 
@@ -72,7 +72,7 @@
 
 def wait_until(holds: object, what: str) -> None:
     assert callable(holds)
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TEST_TIMEOUT
     while not holds():
         assert time.monotonic() < end, what
         time.sleep(0.02)
@@ -182,7 +182,7 @@
         os.killpg(rig.pid, end)
     else:
         rig.send_signal(end)
-    code = rig.wait(LIMIT)
+    code = rig.wait(TEST_TIMEOUT)
     assert code == {signal.SIGINT: INTERRUPTED, signal.SIGTERM: INTERRUPTED}.get(end, -end)
     wait_until(lambda: not processes(tmp_path), "processes are left")
     wait_until(lambda: not list(tmp_path.iterdir()), "files are left")
@@ -192,9 +192,9 @@
     demo = rehearse("demo", "--once", "--port", "17070", "--json", str(tmp_path / "demo.json"))
     assert demo.stdout is not None
     line = next(line for line in demo.stdout if line.startswith("curl "))
-    answer = subprocess.run(["/bin/sh", "-c", line], capture_output=True, text=True, timeout=LIMIT)
-    again = subprocess.run(["/bin/sh", "-c", line], capture_output=True, text=True, timeout=LIMIT)
-    rest, _ = demo.communicate(timeout=LIMIT)
+    answer = subprocess.run(["/bin/sh", "-c", line], capture_output=True, text=True, timeout=TEST_TIMEOUT)
+    again = subprocess.run(["/bin/sh", "-c", line], capture_output=True, text=True, timeout=TEST_TIMEOUT)
+    rest, _ = demo.communicate(timeout=TEST_TIMEOUT)
     assert re.match(r"HTTP/1.1 (200|503)", answer.stdout) and re.match(r"HTTP/1.1 (200|503)", again.stdout)
     assert "silence" in rest and "demo" in rest
     assert demo.returncode in (0, 3)
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -36,7 +36,7 @@
 from millgw.standins.ledger import Ledger, Sample, SidecarLife
 from tests.alone import alone
 from tests.kinds import pure_run_only
-from tests.rig import LIMIT
+from tests.rig import TEST_TIMEOUT
 from tests.test_rehearsal_command import ROOT, processes, wait_until
 
 pytestmark = pure_run_only
@@ -335,6 +335,6 @@
     )  # fmt: skip
     wait_until(lambda: len(processes(scratch)) >= 6, "the control instances never came up")
     rig.send_signal(end)
-    assert rig.wait(LIMIT) == (-end if end is signal.SIGKILL else INTERRUPTED)
+    assert rig.wait(TEST_TIMEOUT) == (-end if end is signal.SIGKILL else INTERRUPTED)
     wait_until(lambda: not processes(scratch), "processes are left")
     wait_until(lambda: not list(scratch.iterdir()), "files are left")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -27,12 +27,12 @@
 from millgw.standins.address import free_address
 from tests.alone import alone
 from tests.kinds import pure_run_only
-from tests.rig import LIMIT
+from tests.rig import TEST_TIMEOUT
 
 pytestmark = pure_run_only
 ROOT = Path(millgw.__file__).parent.parent
 AT_ONCE = 4  # runs beside each other: what takes time is mostly waiting
-RUN_TIME = 3 * LIMIT
+RUN_TIME = 3 * TEST_TIMEOUT
 ABOUT_THE_MACHINE = ("added to a call", "processor time", "bytes for control")
 FLEET = ("--sidecars", "62", "--real", "2", "--seconds", "3")
 SPENT_ALWAYS = {
@@ -231,7 +231,7 @@
 
         async def within() -> None:
             METER.set(meter)
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 await test(loop, meter)
 
         runner.run(within())
@@ -359,16 +359,16 @@
     )
     assert started.stderr is not None
     assert started.stderr.readline() == "starting\n"
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TEST_TIMEOUT
     while len(descendants(str(tmp_path))) < 6 and time.monotonic() < end:
         time.sleep(0.05)
     started.send_signal(number)
-    code = started.wait(LIMIT)
+    code = started.wait(TEST_TIMEOUT)
     if number is not signal.SIGKILL:
         assert code == INTERRUPTED
         assert "all that was started has ended" in started.stderr.read()
     started.stderr.close()
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TEST_TIMEOUT
     while descendants(str(tmp_path)) or any(tmp_path.iterdir()):
         assert time.monotonic() < end, descendants(str(tmp_path))
         time.sleep(0.05)
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -44,7 +44,7 @@
     silent,
 )
 from tests.kinds import skip_if_compiled
-from tests.rig import LIMIT, PATIENCE, SETTINGS, Client, request, run, sidecar, until
+from tests.rig import PATIENCE, SETTINGS, TEST_TIMEOUT, Client, request, run, sidecar, until
 
 
 def test_a_call_goes_on_unchanged_and_its_answer_comes_back() -> None:
@@ -264,7 +264,7 @@
 def test_an_answer_is_not_kept_and_all_that_are_held_together_are_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(connection_module, "ANSWER_DATA_TIMEOUT", 2 * LIMIT)
+    monkeypatch.setattr(connection_module, "ANSWER_DATA_TIMEOUT", 2 * TEST_TIMEOUT)
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", answering(ok(b"x" * 30_000)))
@@ -278,7 +278,7 @@
             asked = [await rig.connect() for _ in range(5)]
             for client in asked:
                 client.writer.write(request("pay"))
-            assert (await asyncio.wait_for(first_answer(asked), LIMIT)).status == 502
+            assert (await asyncio.wait_for(first_answer(asked), TEST_TIMEOUT)).status == 502
             for client in asked:
                 client.writer.close()
             await until(lambda: kept.owner.answer_bytes == 0)
