--- a/tests/rig.py
+++ b/tests/rig.py
@@ -27,7 +27,7 @@
 BLOCKED_LOOP_TIMEOUT = (
     3 * TEST_TIMEOUT
 )  # s after which a test that blocks the event loop aborts the run with a traceback
-PATIENCE = 20_000  # ms, deadline of requests whose timing is not tested
+EXPIRES_IN = 20_000  # ms, deadline of requests whose timing is not tested
 STALL_POLL_INTERVAL = 0.005  # s between checks of the event loop for stalls
 HEARTBEAT_INTERVAL = 0.5  # s between empty lines of a watch
 trace_ids = itertools.count(1)
@@ -97,7 +97,7 @@
 def request(
     request_class: str = "read",
     body: bytes = b"",
-    patience: object = PATIENCE,
+    patience: object = EXPIRES_IN,
     target: str = "/api?k=7",
     **headers: str,
 ) -> bytes:
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -24,7 +24,7 @@
 from millgw.store.store import Item, Options, Standing, Store
 from millgw.store.writer import Sync, Writer
 from tests.outside import loaded, refused
-from tests.rig import PATIENCE, Services, request, run, services
+from tests.rig import EXPIRES_IN, Services, request, run, services
 
 # The registry
 
@@ -325,7 +325,7 @@
         async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             with monkeypatch.context() as patch:
                 patch.setattr(Store, "append", fails)
-                assert (await ask_once_listening(node, "aa01", patience=PATIENCE))[0] in (502, 503)
+                assert (await ask_once_listening(node, "aa01", patience=EXPIRES_IN))[0] in (502, 503)
             assert (await ask_once_listening(node, "aa02", "read"))[0] == 200
         (segment, *_) = sorted((tmp_path / "store").glob("seg-*"))
         segment.write_bytes(b"no store" + segment.read_bytes())
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -44,7 +44,7 @@
     silent,
 )
 from tests.kinds import skip_if_compiled
-from tests.rig import PATIENCE, SETTINGS, TEST_TIMEOUT, Client, request, run, sidecar, until
+from tests.rig import EXPIRES_IN, SETTINGS, TEST_TIMEOUT, Client, request, run, sidecar, until
 
 
 def test_a_call_goes_on_unchanged_and_its_answer_comes_back() -> None:
@@ -254,7 +254,7 @@
 
         endpoint = ScriptedEndpoint("e1", spoilt_once)
         async with sidecar(endpoint) as rig:
-            assert (await rig.ask(request("pay", patience=10 * PATIENCE))).status == 502
+            assert (await rig.ask(request("pay", patience=10 * EXPIRES_IN))).status == 502
             await until(lambda: endpoint.lost_connections == 1)
             assert (await rig.ask(request("pay"))).status == 200 and endpoint.connections == 2
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -38,7 +38,7 @@
     line,
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
-from tests.rig import PATIENCE, SETTINGS, Rig, request, run, sidecar, until
+from tests.rig import EXPIRES_IN, SETTINGS, Rig, request, run, sidecar, until
 from tests.test_crossings import (
     RETRY_WAIT,
     ManualIntent,
@@ -360,7 +360,7 @@
             assert told(endpoint.got[1]) <= 5000 - 1000 * WAITED + TOLD_MORE
             client.close()
             await all_read(rig)
-            assert told(endpoint.got[2]) > PATIENCE - 1000 * WAITED, "it did not wait itself"
+            assert told(endpoint.got[2]) > EXPIRES_IN - 1000 * WAITED, "it did not wait itself"
 
     run(test)
 
