--- a/tests/rig.py
+++ b/tests/rig.py
@@ -97,7 +97,7 @@
 def request(
     request_class: str = "read",
     body: bytes = b"",
-    patience: object = EXPIRES_IN,
+    expires_in: object = EXPIRES_IN,
     target: str = "/api?k=7",
     **headers: str,
 ) -> bytes:
@@ -107,7 +107,7 @@
         "X-Trace-Id": f"{next(trace_ids):016x}",
         "X-Qos": request_class,
         "X-Customer": "acme",
-        "X-Expires-In-Ms": str(patience),
+        "X-Expires-In-Ms": str(expires_in),
         "Idempotency-Key": "key-1" if request_class == "write" else "",
         "Content-Length": str(len(body)),
     } | {name.replace("_", "-"): value for name, value in headers.items()}
--- a/tests/sidecar_process.py
+++ b/tests/sidecar_process.py
@@ -54,7 +54,7 @@
         """Send one call; returns the status of its answer."""
         reader, writer = await asyncio.open_connection(self.listen.host, self.listen.port)
         try:
-            writer.write(request("read", patience=3000))
+            writer.write(request("read", expires_in=3000))
             return (await read_message(reader)).status
         finally:
             writer.close()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -111,7 +111,7 @@
             (old,) = endpoint.served
             old.forget()
             await asyncio.sleep(0.15)
-            assert (await rig.ask(request(cls, patience=3000))).status == 200
+            assert (await rig.ask(request(cls, expires_in=3000))).status == 200
             seen = await counts(rig)
         assert len(set(traces(endpoint))) == len(endpoint.got) == 2
         assert [n for n in seen if n.startswith("moved")] and endpoint.served[0] is old
@@ -128,7 +128,7 @@
         async with services(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
             endpoint.served[0].forget()
-            assert (await rig.ask(request("pay", patience=600))).status == 502
+            assert (await rig.ask(request("pay", expires_in=600))).status == 502
 
     run(test)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -243,7 +243,7 @@
                 for n in range(100):
                     cls = ("read", "write", "pay")[(n + offset) % 3]
                     patience = "x" if n % 40 == 17 else 20_000
-                    code = (await mine.ask(request(cls, patience=patience))).status
+                    code = (await mine.ask(request(cls, expires_in=patience))).status
                     kind = {200: "fulfilled", 503: "throttled", 429: "throttled"}.get(code, "faulted")
                     seen[kind, cls] += 1
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -461,7 +461,7 @@
                 client.close()
                 await until(lambda number=number: endpoint.lost_connections == number)  # type: ignore[misc]
             endpoint.script = answering(ok())
-            assert (await rig.ask(request("pay", patience=1500))).status == 200
+            assert (await rig.ask(request("pay", expires_in=1500))).status == 200
 
     run(test)
 
@@ -491,7 +491,7 @@
                 except BlockingIOError:
                     idle += 1
                 await asyncio.sleep(0.01)
-            again = request("read", X_Trace_Id="aa", patience=200)
+            again = request("read", X_Trace_Id="aa", expires_in=200)
             assert (await rig.ask(again)).status == 409, "its call must still be open"
             disconnect(client, "reset")
             while (await rig.ask(again)).status == 409:
@@ -770,7 +770,7 @@
         endpoint = ScriptedEndpoint("e1", drip)
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
-            client.writer.write(request("pay", patience=1500))
+            client.writer.write(request("pay", expires_in=1500))
             got = await client.reader.read()  # until the connection ends
             assert got.startswith(b"HTTP/1.1 200") and not got.endswith(b"0\r\n\r\n"), (
                 "the client must see it is cut"
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -36,7 +36,7 @@
             _, watch = await sidecar.discovery.calls.get()
             watch.write(STREAM + chunk(line(1, [endpoint.entry()], snapshot=True)))
             reader, writer = await asyncio.open_connection(sidecar.listen.host, sidecar.listen.port)
-            writer.write(request("read", patience=int(DEADLINE * 1000)))
+            writer.write(request("read", expires_in=int(DEADLINE * 1000)))
             sent = time.monotonic()
             await asyncio.sleep(DEADLINE - STOP_BEFORE_DEADLINE)
             os.kill(sidecar.pid, signal.SIGSTOP)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -494,7 +494,7 @@
             for endpoint in fleet.endpoints:
                 endpoint.script = slow
             reader, writer = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
-            writer.write(request("pay", patience=3000))
+            writer.write(request("pay", expires_in=3000))
             await until(lambda: sum(len(endpoint.got) for endpoint in fleet.endpoints) == 1)
             assert (await call(control, "PUT", "/-/drain"))[0] == 200
             _, second = await fleet.start()
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -360,9 +360,9 @@
             assert not any(e.got for e in c), "another region is not sent to"
             for endpoint in a:
                 endpoint.script = silent
-            waiting = [asyncio.create_task(node.ask(request("read", patience=8000))) for _ in range(12)]
+            waiting = [asyncio.create_task(node.ask(request("read", expires_in=8000))) for _ in range(12)]
             await asyncio.sleep(0.6)
-            served = [await node.ask(request("read", patience=3000)) for _ in range(40)]
+            served = [await node.ask(request("read", expires_in=3000)) for _ in range(40)]
             assert [m.status for m in served] == [200] * 40
             figures = (await door.look(control)).figures.locality["app"]
             assert figures.zones["a"].standing == "lost" and figures.zones["a"].distance == "near"
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -370,7 +370,7 @@
         down = f'[services.campaign]\ndiscovery = "{free_address()}"\n'
         async with services(tmp_path, static("login", login) + down + ROUTES) as node:
             assert (await node.ask(request("pay", Host="login.example.org"))).status == 200
-            assert (await node.ask(request("pay", patience=300, Host="x.campanha.example.org"))).status in (
+            assert (await node.ask(request("pay", expires_in=300, Host="x.campanha.example.org"))).status in (
                 502,
                 503,
             )
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -118,7 +118,7 @@
 
         async with sidecar(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script)) as rig:
             short = 1000 if answer and answer.endswith(b"half") else 20_000
-            reply = await rig.ask(request("pay", patience=short))
+            reply = await rig.ask(request("pay", expires_in=short))
         assert len(got) == attempts
         assert reply.status == (200 if attempts == 2 else 502)
 
@@ -254,7 +254,7 @@
 
         endpoint = ScriptedEndpoint("e1", spoilt_once)
         async with sidecar(endpoint) as rig:
-            assert (await rig.ask(request("pay", patience=10 * EXPIRES_IN))).status == 502
+            assert (await rig.ask(request("pay", expires_in=10 * EXPIRES_IN))).status == 502
             await until(lambda: endpoint.lost_connections == 1)
             assert (await rig.ask(request("pay"))).status == 200 and endpoint.connections == 2
 
@@ -316,7 +316,7 @@
         endpoint = ScriptedEndpoint("e1", silent)
         async with sidecar(endpoint) as rig:
             begun = time.monotonic()
-            assert (await rig.ask(request("pay", patience=5000))).status == 502
+            assert (await rig.ask(request("pay", expires_in=5000))).status == 502
             assert 0.4 < time.monotonic() - begun < 5.0
             await until(lambda: endpoint.lost_connections == 1)
             endpoint.script = always_ok
@@ -336,7 +336,7 @@
             got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(2)))
             assert {reply.status for reply in got} == {200} and endpoint.connections == 2
             endpoint.script = silent
-            assert (await rig.ask(request("pay", patience=300))).status == 502
+            assert (await rig.ask(request("pay", expires_in=300))).status == 502
             await until(lambda: endpoint.lost_connections == 2)
             endpoint.script = always_ok
             assert (await rig.ask(request("pay"))).status == 200 and endpoint.connections == 3
@@ -440,7 +440,7 @@
             begun = time.monotonic()
             for _ in range(5):
                 assert (await client.ask(request(X_Expires_In_Ms="0"))).status == 503
-                assert (await client.ask(request("pay", patience=200))).status == 200
+                assert (await client.ask(request("pay", expires_in=200))).status == 200
             assert time.monotonic() - begun < caller_module.BAD_REQUEST_PAUSE
             assert len(endpoint.got) == 5, "a call with no time left was sent"
 
@@ -456,7 +456,7 @@
             for _ in range(caller_module.MAX_BAD_REQUESTS + 1):
                 assert (await client.ask(request(X_Qos="unheard-of"))).status == 400
                 at = time.monotonic()
-                assert (await client.ask(request("pay", patience=200))).status == 200
+                assert (await client.ask(request("pay", expires_in=200))).status == 200
                 assert time.monotonic() - at < caller_module.BAD_REQUEST_PAUSE
             assert time.monotonic() - begun > caller_module.BAD_REQUEST_PAUSE, "bad requests were not delayed"
 
@@ -561,7 +561,7 @@
 
     async def test() -> None:
         async with sidecar(ScriptedEndpoint("e1", silent), settings=to_settings(raw)) as rig:
-            assert (await rig.ask(request("pay", patience=999_999_999))).status == 502
+            assert (await rig.ask(request("pay", expires_in=999_999_999))).status == 502
 
     run(test)
 
@@ -739,7 +739,7 @@
         async with sidecar(ScriptedEndpoint("e1", silent)) as rig:
             with pytest.MonkeyPatch.context() as patch:
                 patch.setattr("millgw.decide.Balancer._attempt_ended", lambda *_: None)
-                assert (await rig.ask(request("read", patience=200))).status == 502
+                assert (await rig.ask(request("read", expires_in=200))).status == 502
 
     run(test)
 
@@ -753,7 +753,7 @@
         known = {"index": 1, "snapshot": True, "endpoints": [cold]}
         raw = SETTINGS | {"rules": SETTINGS["rules"] | {"cold": 1e9, "coldShare": 0.01}}
         async with sidecar(endpoint, known=known, settings=to_settings(raw)) as rig:
-            sent = [asyncio.create_task(rig.ask(request("pay", patience=1500))) for _ in range(20)]
+            sent = [asyncio.create_task(rig.ask(request("pay", expires_in=1500))) for _ in range(20)]
             got = [(await task).status for task in sent]
         assert got.count(200) == len(endpoint.got) <= 3 and set(got) == {200, 503}
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -353,7 +353,7 @@
             await all_read(rig)
             full = True
             client = connect_blocking(rig.listen)
-            client.sendall(request("read", patience=5000, target=LEFT))
+            client.sendall(request("read", expires_in=5000, target=LEFT))
             await asyncio.sleep(WAITED)
             full = False
             await until(lambda: len(endpoint.got) == 2)
@@ -377,7 +377,7 @@
         async with sidecar(endpoint) as rig:
             await all_read(rig)
             full = True
-            asked = asyncio.create_task(rig.ask(request("read", patience=300, target=LEFT)))
+            asked = asyncio.create_task(rig.ask(request("read", expires_in=300, target=LEFT)))
             await asyncio.sleep(WAITED)
             full = False
             assert (await asked).status == 503
@@ -394,7 +394,7 @@
             client = await rig.connect()
             client.writer.write(request("read") + request("read"))
             await until(lambda: len(endpoint.got) == 1)
-            client.writer.write(request("read", patience=5000, target=LEFT))
+            client.writer.write(request("read", expires_in=5000, target=LEFT))
             await asyncio.sleep(WAITED)
             go.set()
             await until(lambda: len(endpoint.got) == 3)
