--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -18,7 +18,7 @@
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from millgw.top.door import ask
-from tests.rig import until
+from tests.rig import wait_until
 
 HEARTBEAT, LEASE, ELECTION = 60.0, 400.0, (500.0, 1000.0)  # ms: short, and far over a turn of the loop
 ANSWER_TIME = 15.0  # s for a call to be answered, far over what it takes
@@ -126,13 +126,13 @@
             ]
             return len(found) == 1
 
-        await until(elected)
+        await wait_until(elected)
         return found[0]
 
     async def committed(self, index: int, among: Iterable[str] = ()) -> None:
         """Wait until a version is committed at all instances, or at some."""
         names = set(among) or set(self.running)
-        await until(lambda: all(self.running[name].service.history.index >= index for name in names))
+        await wait_until(lambda: all(self.running[name].service.history.index >= index for name in names))
 
 
 def address_of(instance: Instance) -> Address:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -60,7 +60,7 @@
         faulthandler.cancel_dump_traceback_later()
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(holds: Callable[[], bool]) -> None:
     """Poll until a condition holds that no event announces."""
     while not holds():
         await asyncio.sleep(0.005)
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -59,7 +59,7 @@
 from tests import rig
 from tests.control_instance import ControlInstance
 from tests.outside import loaded, refused
-from tests.rig import request, run, until
+from tests.rig import request, run, wait_until
 from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, endpoints, make_drive
 from tests.test_control import call, figures
 from tests.test_properties import step, time_out_overdue
@@ -583,7 +583,7 @@
                 "services.login": {"classes": [dict(c, slo=444.0) for c in CLASSES]},
                 "services.campaign.limits": {"calls": 0.75},
             })  # fmt: skip
-            await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
+            await wait_until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
             assert control.reports[-1]["status"] == "applied"
             assert {pool.name: pool for pool in pools()} == before, "no pool has begun anew"
             settings = {name: pool.settings for name, pool in before.items()}
@@ -606,7 +606,7 @@
             )
             assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
             control.commit({"services.campaign.limits": None, "services.login": None, "settings": None})
-            await until(lambda: control.reports[-1]["index"] == 2)
+            await wait_until(lambda: control.reports[-1]["index"] == 2)
             assert (
                 before["login"].settings.max_attempts == 3
                 and before["login"].settings.classes[0].aim == 500.0
@@ -624,12 +624,12 @@
             control.commit(
                 {"services.login": {"limits": {"tryLimit": 7}}, "services.campaign": {"classes": []}}
             )
-            await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
+            await wait_until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
             assert control.reports[-1]["status"] == "refused"
             assert control.reports[-1]["cause"].startswith("services.campaign.settings: settings: classes")
             assert {pool.name: pool.settings for pool in pools()} == before, "nor the half that was good"
             control.commit({"services.campaign": {"limits": {"tryLimit": 9}}})
-            await until(lambda: control.reports[-1]["index"] == 2)
+            await wait_until(lambda: control.reports[-1]["index"] == 2)
             assert {pool.name: pool.settings.max_attempts for pool in pools()} == {"login": 7, "campaign": 9}
 
     run(test)
@@ -645,16 +645,16 @@
             client = await connected(node)
             bulk = dict(CLASSES[2], name="bulk")
             control.commit({"settings": {"classes": [*CLASSES, bulk]}, "services.login.connections": {}})
-            await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
+            await wait_until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
             assert control.reports[-1]["cause"] == "takes a restart: services.login.connections"
             control.commit({"services.login.connections": None})
-            await until(lambda: control.reports[-1]["index"] == 2)
+            await wait_until(lambda: control.reports[-1]["index"] == 2)
             assert control.reports[-1]["cause"] == "takes a restart: services.login.settings.classes"
             assert (await client.ask(request("bulk", Host="login.example.org"))).status == 400
             assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
             if kept:
                 stored = LastGood(tmp_path / "state", "n1")
-                await until(lambda: [document.index for document in stored.read()] == [2])
+                await wait_until(lambda: [document.index for document in stored.read()] == [2])
         if kept:
             control.stop()
         async with rig.services(tmp_path, text) as node:
@@ -674,7 +674,7 @@
         text = await configured(control, await two(login, campaign))
         async with rig.services(tmp_path, text) as node:
             control.commit({"services.login": {"limits": {"tryLimit": 7}}})
-            await until(lambda: bool(control.reports))
+            await wait_until(lambda: bool(control.reports))
             before = {pool.name: pool for pool in pools()}
             await node.reload(text)
             assert {pool.name: pool for pool in pools()} == before
@@ -684,7 +684,7 @@
             assert after["login"] is before["login"] and after["campaign"] is not before["campaign"]
             assert (after["login"].settings.max_attempts, after["campaign"].settings.max_attempts) == (7, 4)
             control.commit({"services.login.limits": {"calls": 0.4}})
-            await until(lambda: control.reports[-1]["index"] == 2)
+            await wait_until(lambda: control.reports[-1]["index"] == 2)
             caplog.clear()
             await node.reload(text + "\n[services.campaign.limits]\ncalls = 0.8\n")
             assert (
@@ -706,10 +706,10 @@
             _, writer = await discovery.calls.get()
             writer.write(STREAM + chunk(line(1, [endpoint.entry()], snapshot=True)))
             (pool,) = pools()
-            await until(lambda: bool(pool.driver.ready))
+            await wait_until(lambda: bool(pool.driver.ready))
             assert (await node.ask(request())).status == 200
             control.commit({"settings": {"rules": {"cold": 9000.0}}, "connections": {"keep_least": 2}})
-            await until(lambda: bool(control.reports))
+            await wait_until(lambda: bool(control.reports))
             assert control.reports[-1]["status"] == "applied"
             assert pool.settings.cold_time == 9000.0
             tended = pool.upstream.manager
@@ -723,7 +723,7 @@
             assert (pool.settings.fall_window, pool.settings.cold_time) == (77.0, 9000.0)
             assert pools() == [pool] and (await node.ask(request())).status == 200
             control.commit({"settings": None})
-            await until(lambda: control.reports[-1]["index"] == 2)
+            await wait_until(lambda: control.reports[-1]["index"] == 2)
             assert pool.settings.cold_time == 1.0, "as the file says since the reload"
 
     run(test)
@@ -839,7 +839,7 @@
             callers = [asyncio.create_task(calls()) for _ in range(4)]
             reader, writer = await asyncio.open_connection(listen.host, listen.port)
             writer.write(request(Host="stuck.example.org"))
-            await until(lambda: len(stuck.got) == 1)
+            await wait_until(lambda: len(stuck.got) == 1)
             classes = [dict(c, deadline=25_000.0) for c in CLASSES]
             for change in (
                 {"classes": classes},
@@ -856,7 +856,7 @@
             assert (await read_message(reader)).status == 200
             await in_force(control.commit({"settings": {"limits": {"tryLimit": 1}}}))
             bad = control.commit({"settings": {"limits": {"tryLimit": 0}}})
-            await until(lambda: control.reports[-1]["index"] == bad)
+            await wait_until(lambda: control.reports[-1]["index"] == bad)
             assert control.reports[-1]["cause"] == "settings: limits.tryLimit must be 1 or more"
             found = await standing()
             assert found["index"] == bad - 1 and found["refused"]["index"] == bad
@@ -865,7 +865,7 @@
             before = len(statuses)
             while (await standing())["instance"]:
                 await asyncio.sleep(0.01)
-            await until(lambda: len(statuses) > before + 50)
+            await wait_until(lambda: len(statuses) > before + 50)
             code, _ = await call(door, "GET", "/-/ready")
             assert code == 200, "it serves on without control"
             stop.set()
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -21,7 +21,7 @@
 from millgw.standins.http import status
 from millgw.standins.scripted import STREAM, chunk
 from tests.control_instance import TAKEN, ControlInstance, whole
-from tests.rig import run, until
+from tests.rig import run, wait_until
 
 
 class Settings:
@@ -80,15 +80,15 @@
             writer.write(data[at : at + 1])
             await asyncio.sleep(0)
         await beginning
-        await until(lambda: target.ticks == [4])
+        await wait_until(lambda: target.ticks == [4])
         writer.write(chunk(delta(VERSIONS[5])))
-        await until(lambda: target.ticks == [4, 5])
+        await wait_until(lambda: target.ticks == [4, 5])
         assert control.asked == ["/v1/configuration?watch=1&name=n%203%2F%C3%A9"]
-        await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 5)
+        await wait_until(lambda: bool(control.reports) and control.reports[-1]["index"] == 5)
         assert control.reports[-1] == {
             "name": "n 3/é", "index": 5, "digest": VERSIONS[5].digest(), "status": "applied",
         }  # fmt: skip
-        await until(lambda: client.traffic.reports == len(control.reports))
+        await wait_until(lambda: client.traffic.reports == len(control.reports))
         figures = client.figures()
         assert figures["index"] == 5 and figures["digest"] == VERSIONS[5].digest()
         assert figures["bytes_in"] == len(data) + len(chunk(delta(VERSIONS[5]))) + len(TAKEN) * len(
@@ -124,7 +124,7 @@
         writer.write(STREAM + chunk(whole(VERSIONS[6])))
         await beginning
         writer.write(chunk(whole(VERSIONS[2])) + chunk(delta(VERSIONS[5])) + chunk(delta(VERSIONS[7])))
-        await until(lambda: target.ticks == [6, 7])
+        await wait_until(lambda: target.ticks == [6, 7])
         assert client.follower.contradictions == 0 and len(control.asked) == 1
         client.stop()
 
@@ -141,16 +141,16 @@
         await client.begin()
         assert target.ticks == [5]
         good.stop()
-        await until(lambda: bool(old.asked) and client.follower.contradictions > 0)
+        await wait_until(lambda: bool(old.asked) and client.follower.contradictions > 0)
         assert target.ticks == [5], "an older epoch's versions are no newer ones"
-        await until(lambda: bool(old.reports))
+        await wait_until(lambda: bool(old.reports))
         found = next(r for r in old.reports if r["status"] == "refused")
         assert found["index"] == 5 and found["cause"].startswith("epoch: version 8 ")
         good.address = old.address  # the old leader is replaced by the good one at its address
         old.stop()
         await good.start()
         good.commit({"settings": {"tick": 6}})
-        await until(lambda: target.ticks == [5, 6])
+        await wait_until(lambda: target.ticks == [5, 6])
         client.stop()
 
     run(test)
@@ -167,7 +167,7 @@
         spoilt = whole(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
         writer.write(STREAM + chunk(spoilt))
         await beginning
-        await until(lambda: target.ticks == [4])
+        await wait_until(lambda: target.ticks == [4])
         client.stop()
 
     run(test)
@@ -188,7 +188,7 @@
         _, writer = await control.watches.get()
         assert "from=" not in control.asked[-1]
         writer.write(STREAM + chunk(whole(missed)))
-        await until(lambda: target.ticks == [4, 5])
+        await wait_until(lambda: target.ticks == [4, 5])
         client.stop()
 
     run(test)
@@ -229,7 +229,7 @@
         else:
             writer.write(end)
         await beginning
-        await until(lambda: target.ticks == [3])
+        await wait_until(lambda: target.ticks == [3])
         assert len(bad.asked) == 1 and client.follower.instance == str(good.address)
         client.stop()
 
@@ -243,14 +243,14 @@
         client, target = following(control)
         await client.begin()
         control.commit({"settings": {"tick": -1}})
-        await until(lambda: any(r["status"] == "refused" for r in control.reports))
+        await wait_until(lambda: any(r["status"] == "refused" for r in control.reports))
         found = control.reports[-1]
         assert found["index"] == 3 and found["cause"] == "settings.tick: must not be negative"
         figures = client.figures()
         assert figures["index"] == 2
         assert figures["refused"] == {"index": 3, "cause": "settings.tick: must not be negative"}
         control.commit({"settings": {"tick": 9}})
-        await until(lambda: target.ticks == [2, 9])
+        await wait_until(lambda: target.ticks == [2, 9])
         assert client.figures()["refused"] == {}
         client.stop()
 
@@ -264,11 +264,11 @@
         await control.start()
         client, _ = following(control)
         await client.begin()
-        await until(lambda: len(control.reports) == 1)
+        await wait_until(lambda: len(control.reports) == 1)
         control.report_answer = ControlInstance().report_answer
-        await until(lambda: len(control.reports) == 2)
+        await wait_until(lambda: len(control.reports) == 2)
         assert control.reports[0] == control.reports[1]
-        await until(lambda: client.traffic.reports == 1)
+        await wait_until(lambda: client.traffic.reports == 1)
         assert client.traffic.reports_failed == 1
         client.stop()
 
@@ -294,7 +294,7 @@
         def newest() -> dict[str, dict[str, Any]]:
             return {report["name"]: report for report in control.reports if report["index"] == index}
 
-        await until(lambda: len(newest()) == 10)
+        await wait_until(lambda: len(newest()) == 10)
         refused = [name for name, report in newest().items() if report["status"] == "refused"]
         assert refused == ["n4"] and newest()["n4"]["cause"] == "takes a restart: settings.classes"
         assert [target.ticks[-1] for _, target in fleet] == [50] * 4 + [2] + [50] * 5
@@ -315,7 +315,7 @@
         await client.begin()
         assert asyncio.get_running_loop().time() - begun < 0.9 and target.taken == []
         await control.start()
-        await until(lambda: target.ticks == [3])
+        await wait_until(lambda: target.ticks == [3])
         client.stop()
 
     run(test)
@@ -335,7 +335,7 @@
 
 
 async def kept(last_good: LastGood, index: int) -> None:
-    await until(lambda: [document.index for document in last_good.read()] == [index])
+    await wait_until(lambda: [document.index for document in last_good.read()] == [index])
 
 
 def test_a_restart_with_no_control_begins_with_the_last_good_version(tmp_path: Path) -> None:
@@ -346,7 +346,7 @@
         client, target = following(control, last_good=last_good)
         await client.begin()
         control.commit({"settings": {"tick": -4}})
-        await until(lambda: client.follower.refused == 4)
+        await wait_until(lambda: client.follower.refused == 4)
         await kept(last_good, 3)
         client.stop()
         control.stop()
@@ -357,7 +357,7 @@
         _, writer = await control.watches.get()
         assert "from=3&" in control.asked[-1]
         writer.write(STREAM + chunk(delta(VERSIONS[5])))
-        await until(lambda: target.ticks == [3, 5])
+        await wait_until(lambda: target.ticks == [3, 5])
         await kept(last_good, 5)
         assert sorted(os.listdir(tmp_path / "state")) == [last_good.path.name], "nothing half written is left"
         again.stop()
@@ -379,9 +379,9 @@
 
         target.reconfigure = refuse  # type: ignore[method-assign]
         control.commit({"settings": {"tick": 40}})
-        await until(lambda: client.follower.refused == 4)
+        await wait_until(lambda: client.follower.refused == 4)
         assert client.follower.cause == "takes a restart: settings.classes"
-        await until(lambda: [document.index for document in last_good.read()] == [4, 3])
+        await wait_until(lambda: [document.index for document in last_good.read()] == [4, 3])
         client.stop()
         control.stop()
         again, _ = following(control, last_good=last_good)
@@ -451,7 +451,7 @@
         await control.start()
         client, target = following(control, last_good=LastGood(tmp_path / "taken", "n3"))
         await client.begin()
-        await until(lambda: "last-good-unwritten" in caplog.text)
+        await wait_until(lambda: "last-good-unwritten" in caplog.text)
         assert target.ticks == [3]
         client.stop()
 
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -13,7 +13,7 @@
 from millgw.configuration.document import Change
 from tests.configuration_rig import Cluster, Watcher
 from tests.kinds import pure_run_only
-from tests.rig import run, until
+from tests.rig import run, wait_until
 
 pytestmark = pure_run_only
 
@@ -108,7 +108,7 @@
                 proposer.stopped = True
             await asyncio.gather(*proposing)
             last = await _settled(cluster)
-            await until(lambda: all(watcher.index == last for watcher in watchers))
+            await wait_until(lambda: all(watcher.index == last for watcher in watchers))
             watching.cancel()
 
             committed = {number: index for p in proposers for number, index in p.committed.items()}
@@ -137,5 +137,5 @@
         ends = {history.index for history in histories} | {log.last_index for log in logs}
         return len(ends) == 1
 
-    await until(same)
+    await wait_until(same)
     return leader.service.history.index
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -33,7 +33,7 @@
     propose,
 )
 from tests.kinds import pure_run_only
-from tests.rig import run, until
+from tests.rig import run, wait_until
 
 pytestmark = pure_run_only
 
@@ -88,14 +88,14 @@
             value = {"retry": {"maxAttempts": 2}}
             done = await propose(address_of(leader), "services.login", value)
             assert (done.status, done.fields["index"]) == (200, 1)
-            await until(lambda: all(watcher.index == 1 for watcher in watchers))
+            await wait_until(lambda: all(watcher.index == 1 for watcher in watchers))
             assert all(watcher.document.entries == {"services.login": value} for watcher in watchers)
             await cluster.committed(1)
             whole = await call(cluster.voters["c1"], "GET", "/v1/configuration")
             assert whole.fields["entries"] == [{"name": "services.login", "value": value}]
             removed = await propose(address_of(leader), "services.login", None, if_index=1)
             assert removed.fields["index"] == 2
-            await until(lambda: all(not watcher.document.entries for watcher in watchers))
+            await wait_until(lambda: all(not watcher.document.entries for watcher in watchers))
 
     run(test)
 
@@ -106,7 +106,7 @@
             leader = await cluster.leader()
             await propose_until_committed(cluster, "a", {}, [])
             others = [instance for instance in cluster.running.values() if instance is not leader]
-            await until(lambda: all(other.standing().leader for other in others))
+            await wait_until(lambda: all(other.standing().leader for other in others))
             for other in others:
                 answer = await propose(address_of(other), "b", {})
                 assert answer == Answer(421, {"leader": str(address_of(leader))})
@@ -124,16 +124,16 @@
             for number in range(4):
                 await propose_until_committed(cluster, f"e{number}", {"n": "x" * 300}, [])
             fresh = await Watcher("fresh").open(cluster.voters["c1"])
-            await until(lambda: fresh.index == 4)
+            await wait_until(lambda: fresh.index == 4)
             back = Watcher("back", 3, fresh.document.copy())
             back.document.index = 3
             await back.open(cluster.voters["c1"])
-            await until(lambda: back.index == 4)
+            await wait_until(lambda: back.index == 4)
             assert (fresh.lines[0].snapshot, back.lines[0].snapshot) == (True, False)
             new = await Watcher("new", 4).open(cluster.voters["c1"])
-            await until(lambda: new.heartbeats > 0)
+            await wait_until(lambda: new.heartbeats > 0)
             ahead = await Watcher("ahead", 9).open(cluster.voters["c1"])
-            await until(lambda: ahead.heartbeats > 0)
+            await wait_until(lambda: ahead.heartbeats > 0)
             assert not ahead.lines
 
     run(test)
@@ -159,7 +159,7 @@
             assert index == 2, "what no majority had is not there"
             await cluster.restart(killed)
             await cluster.committed(2)
-            await until(lambda: all(watcher.index == 2 for watcher in watchers))
+            await wait_until(lambda: all(watcher.index == 2 for watcher in watchers))
             assert len(documents(cluster)) == 1
             assert [line.index for line in watchers[0].lines] == [1, 2]
             entries = cluster.running[killed].service.history.document.entries
@@ -193,7 +193,7 @@
             await cluster.committed(0)
             out = asyncio.create_task(propose(address_of(leader), "out", {"n": 1}))
             held = [cluster.running[other].replica.log for other in rest]
-            await until(lambda: any(log.last_index == 1 for log in held))
+            await wait_until(lambda: any(log.last_index == 1 for log in held))
             cluster.stop(name)
             with suppress(Exception):
                 assert (await out).status in (200, 504)
@@ -215,19 +215,19 @@
             await propose_until_committed(cluster, "a", {"n": 1}, [])
             await cluster.committed(1)
             (watcher,) = await open_watchers([address_of(old)], 1)
-            await until(lambda: watcher.index == 1)
+            await wait_until(lambda: watcher.index == 1)
             cluster.network.part([name], rest)
-            await until(lambda: not old.standing().quorum)
+            await wait_until(lambda: not old.standing().quorum)
             refused = await propose(address_of(old), "lost", {"n": 2})
             assert refused == Answer(503, {"cause": "no quorum"})
             assert await propose_until_committed(cluster, "b", {"n": 3}, rest) == 2
             refused = await propose(address_of(old), "lost", {"n": 2})
             assert refused == Answer(503, {"cause": "no quorum"})
             heard = watcher.heartbeats
-            await until(lambda: watcher.heartbeats > heard)
+            await wait_until(lambda: watcher.heartbeats > heard)
             assert watcher.index == 1 and not (await status_of(old))["quorum"]
             cluster.network.join()
-            await until(lambda: watcher.index == 2)
+            await wait_until(lambda: watcher.index == 2)
             assert watcher.document.entries == {"a": {"n": 1}, "b": {"n": 3}}
 
     run(test)
@@ -242,16 +242,16 @@
             cluster.stop("c2")
             cluster.stop("c3")
             alone = cluster.running["c1"]
-            await until(lambda: not alone.standing().quorum)
+            await wait_until(lambda: not alone.standing().quorum)
             assert await propose(address_of(alone), "b", {}) == Answer(503, {"cause": "no quorum"})
             (fresh,) = await open_watchers([address_of(alone)], 1)
             heard = before.heartbeats
-            await until(lambda: fresh.index == 1 and before.heartbeats > heard)
+            await wait_until(lambda: fresh.index == 1 and before.heartbeats > heard)
             status = await status_of(alone)
             assert (status["quorum"], status["committed"], status["watchers"]) == (False, 1, 2)
             await cluster.restart("c2")
             assert await propose_until_committed(cluster, "b", {"n": 2}, []) == 2
-            await until(lambda: before.index == fresh.index == 2)
+            await wait_until(lambda: before.index == fresh.index == 2)
 
     run(test)
 
@@ -267,7 +267,7 @@
             others = [other for other in cluster.voters if other != name]
             small, large = [name, others[0]], others[1:]
             out = [asyncio.create_task(propose(address_of(leader), "out", {"n": n})) for n in range(3)]
-            await until(lambda: leader.replica.log.last_index > 1)
+            await wait_until(lambda: leader.replica.log.last_index > 1)
             cluster.network.part(small, large)
             committed = [await propose_until_committed(cluster, f"e{n}", {"n": n}, large) for n in (1, 2)]
             answers = await asyncio.gather(*out)
@@ -278,7 +278,7 @@
             assert all(watcher.index <= most for watcher in lone)
             cluster.network.join()
             await cluster.committed(committed[-1])
-            await until(lambda: all(watcher.index == committed[-1] for watcher in watchers))
+            await wait_until(lambda: all(watcher.index == committed[-1] for watcher in watchers))
             assert len(documents(cluster)) == 1
             indexes = [line.index for line in watchers[0].lines]
             assert indexes == sorted(set(indexes))
@@ -303,7 +303,7 @@
             await propose_until_committed(cluster, "e", {"n": -1}, [])
             await cluster.committed(1)
             (watcher,) = await open_watchers([cluster.voters[name]], 1)
-            await until(lambda: watcher.index == 1)
+            await wait_until(lambda: watcher.index == 1)
             cluster.stop(name)
             for number in range(40):
                 await propose_until_committed(cluster, f"e{number % 3}", {"n": number}, [])
@@ -311,7 +311,7 @@
             await cluster.committed(41)
             assert back.replica.log.snapshot.position > 8, "it was sent a snapshot"
             again = await Watcher("n0", document=watcher.document).open(cluster.voters[name])
-            await until(lambda: again.index == 41)
+            await wait_until(lambda: again.index == 41)
             assert again.lines[0].snapshot
             assert len(documents(cluster)) == 1
 
@@ -337,7 +337,7 @@
             )
             assert await propose_until_committed(cluster, "e", {"n": 3}, []) == 4
             await cluster.committed(4)
-            await until(lambda: bool(watcher.lines))
+            await wait_until(lambda: bool(watcher.lines))
             assert watcher.lines[0].index == 4
             assert len(documents(cluster)) == 1
             assert back.replica.role.value != "leader"
@@ -410,7 +410,7 @@
             addresses = list(cluster.voters.values())
             begun = time.monotonic()
             watchers = await open_watchers(addresses, FLEET)
-            await until(lambda: all(watcher.index == 20 for watcher in watchers))
+            await wait_until(lambda: all(watcher.index == 20 for watcher in watchers))
             took = time.monotonic() - begun
             assert took < STORM_TIME
             print(f"{FLEET} watchers served in {took:.2f} s")
@@ -420,7 +420,7 @@
             begun = time.monotonic()
             await asyncio.gather(*(w.open(addresses[(number + 1) % 3]) for number, w in enumerate(again)))
             await propose_until_committed(cluster, "after", {"n": 1}, [])
-            await until(lambda: all(watcher.index == 21 for watcher in again))
+            await wait_until(lambda: all(watcher.index == 21 for watcher in again))
             print(f"{FLEET} watchers back, and sent a new version, in {time.monotonic() - begun:.2f} s")
             counts = [len(i.service.watchers.slow) + i.service.watchers.cut for i in cluster.running.values()]
             assert counts == [0, 0, 0]
@@ -435,7 +435,7 @@
             await cluster.committed(1)
             addresses = list(cluster.voters.values())
             watchers = await open_watchers(addresses, 60)
-            await until(lambda: all(watcher.index == 1 for watcher in watchers))
+            await wait_until(lambda: all(watcher.index == 1 for watcher in watchers))
 
             async def report(number: int, refuses: bool) -> None:
                 body = {"name": f"n{number}", "index": 1, "digest": watchers[number].lines[-1].digest}
@@ -485,9 +485,9 @@
                 client.serving = True
                 await client.begin()
             assert await propose_until_committed(cluster, "settings", {"n": 2}, []) == 2
-            await until(lambda: clients[0].follower.refused == clients[10].follower.refused == 2)
-            await until(lambda: sum(target.entries["settings"]["n"] == 2 for target in targets) == 18)
-            await until(lambda: all(client.follower.pending is None for client in clients))
+            await wait_until(lambda: clients[0].follower.refused == clients[10].follower.refused == 2)
+            await wait_until(lambda: sum(target.entries["settings"]["n"] == 2 for target in targets) == 18)
+            await wait_until(lambda: all(client.follower.pending is None for client in clients))
 
             async def counts() -> tuple[int, int, int]:
                 fleet = await fetch_status(list(cluster.voters.values()), ANSWER_TIME)
@@ -498,7 +498,7 @@
                 await asyncio.sleep(0.05)
             cluster.stop((await cluster.leader()).options.name)
             assert await propose_until_committed(cluster, "settings", {"n": 3}, list(cluster.running)) == 3
-            await until(lambda: all(target.entries["settings"]["n"] == 3 for target in targets))
+            await wait_until(lambda: all(target.entries["settings"]["n"] == 3 for target in targets))
             while await counts() != (20, 0, 0):
                 await asyncio.sleep(0.05)
             for client in clients:
@@ -526,7 +526,7 @@
                 assert all(c.unsent() < 2 * MAX_CHANGES for c in instance.server.connections)
                 await asyncio.sleep(0.01)
             assert (watchers.cut, watchers.count) == (1, 1)
-            await until(lambda: reads.index == number)
+            await wait_until(lambda: reads.index == number)
             stuck.close()
 
     run(test)
@@ -564,7 +564,7 @@
             answer = await exchange(cluster.voters["c1"], data)
             assert answer.startswith(b"HTTP/1.1 %d " % status)
             assert b"Connection: close\r\n" in answer
-            await until(lambda: not cluster.running["c1"].server.connections)
+            await wait_until(lambda: not cluster.running["c1"].server.connections)
 
     run(test)
 
@@ -662,11 +662,11 @@
             instance = await cluster.leader()
             instance.server.max_connections = 2
             held = await open_watchers([address_of(instance)], 2)
-            await until(lambda: all(watcher.heartbeats for watcher in held))
+            await wait_until(lambda: all(watcher.heartbeats for watcher in held))
             answer = await exchange(address_of(instance), b"GET /v1/configuration HTTP/1.1\r\n\r\n")
             assert answer.startswith(b"HTTP/1.1 503 ")
             held[0].close()
-            await until(lambda: len(instance.server.connections) == 1)
+            await wait_until(lambda: len(instance.server.connections) == 1)
             assert (await status_of(instance))["watchers"] == 1
 
     run(test)
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -17,7 +17,7 @@
 from millgw.standins.address import free_address
 from tests.configuration_rig import Answer, Cluster, Watcher, address_of, call, propose
 from tests.kinds import pure_run_only
-from tests.rig import run, until
+from tests.rig import run, wait_until
 
 pytestmark = pure_run_only
 
@@ -65,9 +65,9 @@
             await changed(cluster, "a", {"n": 1})
             relay = await started(address, cluster, tmp_path)
             watcher = await Watcher("n1").open(address)
-            await until(lambda: watcher.index == 1)
+            await wait_until(lambda: watcher.index == 1)
             assert await changed(cluster, "b", {"n": 2}) == 2
-            await until(lambda: watcher.index == 2)
+            await wait_until(lambda: watcher.index == 2)
             assert not watcher.lines[-1].snapshot, "one version goes on as its changes"
             assert watcher.document.entries == {"a": {"n": 1}, "b": {"n": 2}}
             report = {"name": "n1", "index": 2, "digest": watcher.lines[-1].digest, "status": "applied"}
@@ -92,20 +92,22 @@
             await cluster.committed(1)
             relay = await started(address, cluster, tmp_path)
             watcher = await Watcher("n1").open(address)
-            await until(lambda: watcher.index == 1)
+            await wait_until(lambda: watcher.index == 1)
             followed = relay.client.follower.instance
             cluster.stop(next(name for name, at in cluster.voters.items() if str(at) == followed))
             assert await changed(cluster, "a", {"n": 2}) == 2
-            await until(lambda: watcher.index == 2)
+            await wait_until(lambda: watcher.index == 2)
             for name in list(cluster.running):
                 cluster.stop(name)
-            await until(lambda: not relay.standing().quorum)
+            await wait_until(lambda: not relay.standing().quorum)
             assert await propose(address, "c", {}) == Answer(421, {"leader": None})
-            await until(lambda: relay.client.last_good is not None and relay.client.last_good.writing is None)
+            await wait_until(
+                lambda: relay.client.last_good is not None and relay.client.last_good.writing is None
+            )
             relay.stop()
             again = await started(address, cluster, tmp_path)
             late = await Watcher("n2").open(address)
-            await until(lambda: late.index == 2)
+            await wait_until(lambda: late.index == 2)
             assert late.document.entries == {"a": {"n": 2}}
             again.stop()
 
@@ -119,12 +121,12 @@
             await changed(cluster, "a", {"n": 1})
             relay = await started(address, cluster, tmp_path)
             ahead = await Watcher("n1", document=Document(2, 1, {"a": {"n": 2}})).open(address)
-            await until(lambda: ahead.heartbeats > 1)
+            await wait_until(lambda: ahead.heartbeats > 1)
             assert not ahead.lines
             await changed(cluster, "a", {"n": 2})
-            await until(lambda: relay.service.history.index == 2)
+            await wait_until(lambda: relay.service.history.index == 2)
             assert await changed(cluster, "a", {"n": 3}) == 3
-            await until(lambda: ahead.index == 3)
+            await wait_until(lambda: ahead.index == 3)
             assert [line.index for line in ahead.lines] == [3]
             relay.stop()
 
@@ -150,11 +152,11 @@
             client.serving = True
             await client.begin()
             await changed(cluster, "settings", {"n": 1})
-            await until(lambda: target.entries == {"settings": {"n": 1}})
+            await wait_until(lambda: target.entries == {"settings": {"n": 1}})
             sidecars = relay.service.reports.sidecars
-            await until(lambda: "n1" in sidecars and sidecars["n1"].applied == 1)
+            await wait_until(lambda: "n1" in sidecars and sidecars["n1"].applied == 1)
             upstream = [i.service.reports.sidecars for i in cluster.running.values()]
-            await until(lambda: any("r1" in known and known["r1"].applied == 1 for known in upstream))
+            await wait_until(lambda: any("r1" in known and known["r1"].applied == 1 for known in upstream))
             client.stop()
             relay.stop()
             await asyncio.sleep(0)
--- a/tests/test_configuration_transport.py
+++ b/tests/test_configuration_transport.py
@@ -13,7 +13,7 @@
 from millgw.standins.http import Clock, Listener, ServerConnection, listener, ok, status
 from millgw.standins.http import Message as HttpMessage
 from tests.kinds import pure_run_only
-from tests.rig import run, until
+from tests.rig import run, wait_until
 
 pytestmark = pure_run_only
 
@@ -79,7 +79,7 @@
         link = PeerLink("a", "b", peer.address, received)
         for epoch in (1, 2, 3):
             link.send(request(epoch))
-        await until(lambda: len(received.messages) == 3)
+        await wait_until(lambda: len(received.messages) == 3)
         assert received.messages[0] == ("b", reply(1))
         assert peer.epochs == [1, 2, 3] and peer.paths == {"POST /v1/replica?from=a HTTP/1.1"}
         link.stop()
@@ -100,7 +100,7 @@
         peer.listener.open()
         link = PeerLink("a", "b", peer.address, received)
         link.send(request(1))
-        await until(lambda: peer.epochs == [1])
+        await wait_until(lambda: peer.epochs == [1])
         while not received.messages:
             link.send(request(2))
             await asyncio.sleep(0.05)
@@ -119,7 +119,7 @@
         peer.listener.open()
         link = PeerLink("a", "b", peer.address, received)
         link.send(request(1))
-        await until(lambda: peer.epochs == [1])
+        await wait_until(lambda: peer.epochs == [1])
         for _ in range(10 * MAX_QUEUED):
             link.send(request(1))
         assert len(link._queue) == MAX_QUEUED, "what waits is bounded"
@@ -163,12 +163,12 @@
         closed.clear()
         closed.add(("b", "a"))
         link.send(request(2))
-        await until(lambda: peer.epochs == [2])
+        await wait_until(lambda: peer.epochs == [2])
         link.send(request(3))
-        await until(lambda: peer.epochs == [2, 3])
+        await wait_until(lambda: peer.epochs == [2, 3])
         closed.clear()
         link.send(request(4))
-        await until(lambda: 4 in received.epochs)
+        await wait_until(lambda: 4 in received.epochs)
         assert 1 not in received.epochs and 2 not in received.epochs
         link.stop()
         peer.listener.close()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,7 +21,7 @@
     line,
 )
 from tests.outside import loaded
-from tests.rig import Reachable, request, run, services, stalls, until
+from tests.rig import Reachable, request, run, services, stalls, wait_until
 
 
 def operator_file(connections: str, *endpoints: ScriptedEndpoint, service: str = "") -> str:
@@ -210,7 +210,7 @@
             await endpoint.start()
         text = operator_file("keep_least = 40\nat_once = 40", *some)
         async with services(tmp_path, text) as rig:  # 256 descriptors
-            await until(lambda: sum(e.connections for e in some) >= 50)
+            await wait_until(lambda: sum(e.connections for e in some) >= 50)
             for _ in range(20):
                 got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(10)))
                 assert {m.status for m in got} == {200}
@@ -225,7 +225,7 @@
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
         async with services(tmp_path, operator_file("keep_least = 3", endpoint)) as rig:
-            await until(lambda: endpoint.connections == 3)
+            await wait_until(lambda: endpoint.connections == 3)
             await asyncio.sleep(0.05)
             got = await asyncio.gather(*(rig.ask(request("read")) for _ in range(3)))
             assert {m.status for m in got} == {200}
@@ -255,7 +255,7 @@
         text = '[connections]\nkeep_least = 2\n[services.all]\n[[routes]]\nto = "all"'
         async with services(tmp_path, text, str(discovery_server.address)) as rig:
             writer = await answer_watch(discovery_server, stays.entry(), leaves.entry())
-            await until(lambda: stays.connections == 2)
+            await wait_until(lambda: stays.connections == 2)
             writer.write(chunk(line(3, [leaves.entry("terminating")])))
             await asyncio.sleep(0.05)
             leaves.listener.open()
@@ -313,7 +313,7 @@
         async with services(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
             await rig.reload(operator_file("keep_least = 4", endpoint))
-            await until(lambda: endpoint.connections == 4)
+            await wait_until(lambda: endpoint.connections == 4)
             seen = await counts(rig)
             assert seen["opened"] == 1 and seen["opened-ahead"] == 3  # the pool kept its connection
 
@@ -327,7 +327,7 @@
         await endpoint.start()
         async with services(tmp_path, "[connections]\nkeep_least = 2", str(discovery_server.address)) as rig:
             await answer_watch(discovery_server, endpoint.entry())
-            await until(lambda: endpoint.connections == 2)
+            await wait_until(lambda: endpoint.connections == 2)
             assert (await rig.ask(request("pay"))).status == 200
         assert endpoint.connections == 2
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -25,7 +25,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok, status
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line, read_message, silent
-from tests.rig import SETTINGS, Rig, request, run, sidecar, until
+from tests.rig import SETTINGS, Rig, request, run, sidecar, wait_until
 
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
 
@@ -267,7 +267,7 @@
             clients = [await rig.connect() for _ in range(3)]
             for client in clients:
                 client.writer.write(request())
-            await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 3)
+            await wait_until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 3)
             metrics = await figures(control)
             assert (metrics["open_requests"], metrics["registry_entries"], metrics["out_of_rotation"]) == (
                 3,
@@ -362,7 +362,7 @@
             callers = [await rig.connect() for _ in range(30)]
             for client in callers:
                 client.writer.write(request("pay"))
-            await until(lambda: sum(len(endpoint.got) for endpoint in endpoints) >= 4)
+            await wait_until(lambda: sum(len(endpoint.got) for endpoint in endpoints) >= 4)
             assert (await figures(control))["open_requests"] >= 4
             assert (await call(control, "PUT", "/-/drain"))[0] == 200
             for client in callers:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -48,7 +48,7 @@
     line,
     silent,
 )
-from tests.rig import SETTINGS, request, run, services, sidecar, until
+from tests.rig import SETTINGS, request, run, services, sidecar, wait_until
 
 NO_LINGER = struct.pack("ii", 1, 0)
 RETRY_WAIT = 0.6  # s; longer than the longest delay between two attempts in these tests (0.25 s)
@@ -171,13 +171,15 @@
             _, writer = await discovery_server.calls.get()
             write_now(writer, STREAM + chunk(line(1, [E1.entry()])) if then == "moved" else STREAM)
             if then == "moved":
-                await until(lambda: bool(made.received))
+                await wait_until(lambda: bool(made.received))
             write_now(writer, written)
             if then == "moved":
                 made.discovery.move(other.address)
                 made.discovery.abandoned[0].salvage_and_stop()  # as when the old watch is abandoned for good
             else:
-                await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
+                await wait_until(
+                    lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport)
+                )
                 made.discovery.subscribe()
             assert made.drained() == {endpoint_id("e1")}
             assert [kind for kind, entries in made.received if entries][-1] is ListKind.PARTIAL
@@ -193,19 +195,19 @@
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(line(1, [E1.entry(), E2.entry()])))
-            await until(lambda: bool(made.received))
+            await wait_until(lambda: bool(made.received))
             made.discovery.move(other.address)
             call, later = await other.calls.get()
             assert call.first.split()[1].endswith("from=1")
             writer.write(chunk(DRAIN))
-            await until(lambda: bool(made.drained()))
+            await wait_until(lambda: bool(made.drained()))
             assert made.discovery.index == 1, "updates of the new server would be skipped"
             writer.write(chunk(line(3, [E2.entry("terminated")])[:-3]))
             await writer.drain()
             writer.transport.close()
-            await until(lambda: len(made.drained()) == 2)
+            await wait_until(lambda: len(made.drained()) == 2)
             later.write(STREAM + chunk(line(4, [E1.entry()])))
-            await until(lambda: made.discovery.index == 4)
+            await wait_until(lambda: made.discovery.index == 4)
             assert not made.discovery.abandoned
             assert ListKind.FAILED not in [kind for kind, _ in made.received], "it was left, not lost"
 
@@ -229,14 +231,16 @@
             _, writer = await discovery_server.calls.get()
             if spoken:
                 writer.write(STREAM + chunk(line(1, [])))
-                await until(lambda: len(made.received) > 1)
+                await wait_until(lambda: len(made.received) > 1)
             whole = chunk(line(index, [E2.entry()], snapshot=True))
             writer.write(whole[:40] if spoken else STREAM + whole[:40])
-            await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
+            await wait_until(
+                lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport)
+            )
             made.discovery.move(other.address)
             assert made.received[-1] == (ListKind.MOVED, ())
             writer.write(whole[40:])
-            await until(lambda: made.drained() == {endpoint_id("e1")})
+            await wait_until(lambda: made.drained() == {endpoint_id("e1")})
             assert [kind for kind, _ in made.received][-1] is ListKind.PARTIAL, "no sign of a working watch"
             assert made.discovery.index == 1
 
@@ -253,10 +257,10 @@
             made.discovery.move(other.address)
             _, later = await other.calls.get()
             later.write(STREAM + chunk(line(5, [E1.entry(), E2.entry()], snapshot=True)))
-            await until(lambda: made.discovery.index == 5)
+            await wait_until(lambda: made.discovery.index == 5)
             writer.write(STREAM + chunk(line(4, [E2.entry()], snapshot=True)) + chunk(b"\n"))
             writer.write(chunk(line(4, [E2.entry("terminating")])))
-            await until(lambda: bool(made.drained()))
+            await wait_until(lambda: bool(made.drained()))
             assert made.drained() == {endpoint_id("e2")}, "only an explicit drain counts"
 
     run(test)
@@ -273,19 +277,19 @@
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(line(2, [E1.entry(), E2.entry()])))
-            await until(lambda: bool(made.received))
+            await wait_until(lambda: bool(made.received))
             made.discovery.move(other.address)
             _, later = await other.calls.get()
             drain = line(3, [E1.entry("terminating")])
             writer.write(chunk(drain[:-3] if torn else drain))
             if torn:
                 writer.transport.close()
-            await until(lambda: made.drained() == {endpoint_id("e1")})
+            await wait_until(lambda: made.drained() == {endpoint_id("e1")})
             later.write(STREAM + chunk(line(2, [E1.entry(), E2.entry()], snapshot=True)))
-            await until(lambda: made.received[-1][0] is ListKind.FULL)
+            await wait_until(lambda: made.received[-1][0] is ListKind.FULL)
             assert [e.endpoint.id for e in made.received[-1][1]] == [endpoint_id("e2")]
             later.write(chunk(line(4, [E1.entry()])))
-            await until(lambda: made.received[-1][0] is ListKind.DELTA and bool(made.received[-1][1]))
+            await wait_until(lambda: made.received[-1][0] is ListKind.DELTA and bool(made.received[-1][1]))
             assert [e.endpoint.id for e in made.received[-1][1]] == [endpoint_id("e1")], "a newer list counts"
 
     run(test)
@@ -298,7 +302,9 @@
             await server.start()
         with recording_watch(servers[0]) as made:
             for server in [*servers[1:], servers[0]]:
-                await until(lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport))
+                await wait_until(
+                    lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport)
+                )
                 made.discovery.move(server.address)
             assert len(made.discovery.abandoned) == discovery_module.MAX_ABANDONED_WATCHES
 
@@ -314,7 +320,7 @@
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(b"\n") + chunk(line(1, [E1.entry()])) + chunk(b"\n"))
-            await until(lambda: len(made.received) == 2)
+            await wait_until(lambda: len(made.received) == 2)
             assert made.received[1] == (ListKind.DELTA, ())
 
     run(test)
@@ -332,14 +338,16 @@
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(STREAM + chunk(line(1, [E1.entry()])))
-            await until(lambda: bool(made.received))
+            await wait_until(lambda: bool(made.received))
             write_now(writer, chunk(DRAIN))
             time.sleep(0.3)
-            await until(lambda: len(made.received) > 1)
+            await wait_until(lambda: len(made.received) > 1)
             assert made.received[1][0] is ListKind.DELTA and made.drained()
             write_now(writer, chunk(b"half a line"))
             time.sleep(0.3)
-            await until(lambda: made.received[-1][0] is ListKind.SILENT)  # an incomplete line does not count
+            await wait_until(
+                lambda: made.received[-1][0] is ListKind.SILENT
+            )  # an incomplete line does not count
 
     run(test)
 
@@ -397,7 +405,7 @@
         async with sidecar(endpoint, other) as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + behind)
-            await until(lambda: bool(endpoint.got or other.got))
+            await wait_until(lambda: bool(endpoint.got or other.got))
             await asyncio.sleep(RETRY_WAIT)
             assert len(endpoint.got) + len(other.got) == 1
             client.close()
@@ -423,7 +431,7 @@
         async with services(tmp_path, f'[services.s]\n{listed}[[routes]]\nto = "s"\n') as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("pay"))
-            await until(lambda: bool(endpoint.got or other.got))
+            await wait_until(lambda: bool(endpoint.got or other.got))
             await asyncio.sleep(RETRY_WAIT)
             assert len(endpoint.got) + len(other.got) == 1
 
@@ -438,7 +446,7 @@
         async with sidecar(endpoint) as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("read"))
-            await until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.got) == 1)
             disconnect(client, how)
             go.set()
             assert (await rig.ask(request("read"))).status == 200
@@ -457,9 +465,9 @@
             for number in range(1, 4):
                 client = connect_blocking(rig.listen)
                 client.sendall(request("pay") + request("pay"))
-                await until(lambda number=number: len(endpoint.got) == number)  # type: ignore[misc]
+                await wait_until(lambda number=number: len(endpoint.got) == number)  # type: ignore[misc]
                 client.close()
-                await until(lambda number=number: endpoint.lost_connections == number)  # type: ignore[misc]
+                await wait_until(lambda number=number: endpoint.lost_connections == number)  # type: ignore[misc]
             endpoint.script = answering(ok())
             assert (await rig.ask(request("pay", expires_in=1500))).status == 200
 
@@ -533,13 +541,13 @@
         server.start()
         client = connect_blocking(address)
         client.sendall(request("pay"))
-        await until(lambda: bool(lanes.waiting))
+        await wait_until(lambda: bool(lanes.waiting))
         (connection,) = lanes.waiting
         if how != "stays":
             if how == "reset":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             client.close()
-            await until(lambda: not server.connections)
+            await wait_until(lambda: not server.connections)
         connection.turn()
         assert len(front.heads) == (1 if how == "stays" else 0)
         client.close()
@@ -559,8 +567,8 @@
         client = connect_blocking(address)
         if why == "idle":
             client.sendall(request())
-            await until(lambda: bool(front.heads))
-        await until(lambda: bool(server.between_requests if why == "idle" else server.newly_connected))
+            await wait_until(lambda: bool(front.heads))
+        await wait_until(lambda: bool(server.between_requests if why == "idle" else server.newly_connected))
         await asyncio.sleep(max(CONNECT_GRACE, MIN_IDLE) + 0.01)
         if why == "gives-way":
             assert server.evict_one()
@@ -726,10 +734,10 @@
         await endpoint.start()
         upstream, ended, end = upstream_to(endpoint)
         upstream.send(1, Attempt(lambda: request("read"), end, Repeat.SAFE))
-        await until(lambda: bool(ended))
+        await wait_until(lambda: bool(ended))
         assert upstream.stray_bytes_until == 0.0
         endpoint.served[0].write(ok(b"stray"))
-        await until(lambda: endpoint.lost_connections == 1)
+        await wait_until(lambda: endpoint.lost_connections == 1)
         assert upstream.stray_bytes_until > time.monotonic() * 1000
         upstream.stop()
 
@@ -775,7 +783,7 @@
             assert got.startswith(b"HTTP/1.1 200") and not got.endswith(b"0\r\n\r\n"), (
                 "the client must see it is cut"
             )
-            await until(lambda: endpoint.lost_connections == 1)
+            await wait_until(lambda: endpoint.lost_connections == 1)
         dripping[0].cancel()
 
     run(test)
@@ -812,7 +820,7 @@
         upstream, ended, end = upstream_to(endpoint)
         attempt = Attempt(lambda: request("pay"), end, Repeat.UNSAFE, intent=mark)
         upstream.send(1, attempt)
-        await until(lambda: mark.then is not None)
+        await wait_until(lambda: mark.then is not None)
         if what == "left":
             assert not attempt.give_up(), "it has not run"
         else:
@@ -823,7 +831,7 @@
         assert mark.then is not None
         mark.then()
         assert ended == ([] if what == "left" else [Outcome.CONNECT_FAILED]) and not mark.left
-        await until(lambda: endpoint.lost_connections == 1)
+        await wait_until(lambda: endpoint.lost_connections == 1)
         assert not endpoint.got
         upstream.stop()
 
@@ -860,10 +868,10 @@
             second = asyncio.create_task(late.accept())  # of the retransmitted SYN; kept
             await late.read(connection, 1)
             await second
-            await until(lambda: bool(upstream.hosts[1].idle) and not attempt.connect_tasks)
+            await wait_until(lambda: bool(upstream.hosts[1].idle) and not attempt.connect_tasks)
             assert upstream.open == 2 and not ended
             await asyncio.get_running_loop().sock_sendall(connection, ok())
-            await until(lambda: bool(ended))
+            await wait_until(lambda: bool(ended))
             assert ended == [Outcome.OK] and len(upstream.hosts[1].idle) == 2
             upstream.stop()
 
@@ -884,7 +892,7 @@
             assert waiting.connect_tasks and waiting in upstream.hosts[1].connecting
             await asyncio.get_running_loop().sock_sendall(busy, ok())
             await late.serve(busy)
-            await until(lambda: len(ended) == 2)
+            await wait_until(lambda: len(ended) == 2)
             assert ended == [Outcome.OK] * 2
             upstream.stop()
 
@@ -896,14 +904,14 @@
     async def test() -> None:
         with lossy_listener() as late:
             upstream, ended, attempt = upstream_to_lossy(late, SHORT_CONNECT)
-            await until(lambda: len(attempt.connect_tasks) == 2)
+            await wait_until(lambda: len(attempt.connect_tasks) == 2)
             host, dials = upstream.hosts[1], attempt.connect_tasks
             if what == "drains":
                 upstream.remove(1)
                 upstream.close(host)
             elif what == "given up":
                 assert not attempt.give_up(), "it has not run"
-            await until(lambda: not upstream.connect_tasks)
+            await wait_until(lambda: not upstream.connect_tasks)
             assert ended == ([] if what == "given up" else [Outcome.CONNECT_FAILED])
             assert not attempt.connect_tasks and not host.connecting and upstream.open == 0
             assert {dial.cancelled() for dial in dials} == {what != "nothing comes up"}
@@ -936,14 +944,14 @@
         if when == "connecting":
             attempt.send_deadline = 0.0
         if intent is not None:
-            await until(lambda: mark.then is not None)
+            await wait_until(lambda: mark.then is not None)
             attempt.send_deadline = 0.0
             mark.known = True
             assert mark.then is not None
             mark.then()
-        await until(lambda: bool(ended))
+        await wait_until(lambda: bool(ended))
         assert ended == [Outcome.NOT_SENT] and not mark.left
-        await until(lambda: endpoint.lost_connections == 1)
+        await wait_until(lambda: endpoint.lost_connections == 1)
         assert not endpoint.got
         upstream.stop()
 
@@ -967,7 +975,7 @@
             async with sidecar(first, settings=to_settings(SETTINGS | {"classes": classes})) as rig:
                 watch.append((await rig.discovery.calls.get())[1])
                 asked = asyncio.create_task(rig.ask(request("write", b"body")))
-                await until(lambda: bool(first.got))
+                await wait_until(lambda: bool(first.got))
                 await asyncio.sleep(RETRY_WAIT)  # the first SYN is lost by now, and sent again after a second
                 late.accept_handshakes()
                 read = await late.read(await late.accept())
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -42,7 +42,7 @@
     line,
     read_message,
 )
-from tests.rig import SETTINGS, config, request, run, until
+from tests.rig import SETTINGS, config, request, run, wait_until
 from tests.support import make_drive
 from tests.test_control import call
 
@@ -335,7 +335,7 @@
     seen = Counter({"503": 1})
     while seen["503"]:
         crowd.seen.clear()
-        await until(lambda: crowd.seen["200"] >= WARM_UP_CALLS)
+        await wait_until(lambda: crowd.seen["200"] >= WARM_UP_CALLS)
         seen = Counter(crowd.seen)
         assert set(seen) <= {"200", "503"}, seen
     crowd.seen.clear()
@@ -373,11 +373,11 @@
             process, _ = await fleet.start()
             crowd = repeating_clients(fleet)
             clients = [asyncio.create_task(crowd.client(0.0, kept=False)) for _ in range(30)]
-            await until(lambda: crowd.sent > 100)
+            await wait_until(lambda: crowd.sent > 100)
             after, _ = await fleet.start()
             before = crowd.sent
             assert await fleet.terminate(process) < 3.5
-            await until(lambda: crowd.sent > before + 300)
+            await wait_until(lambda: crowd.sent > before + 300)
             assert after.poll() is None
             for each in clients:
                 each.cancel()
@@ -405,7 +405,7 @@
             assert b" 200 " in head
             got = await reader.readexactly(100_000)
             process.send_signal(signal.SIGHUP)
-            await until(lambda: "reloaded" in (tmp_path / "log").read_text())
+            await wait_until(lambda: "reloaded" in (tmp_path / "log").read_text())
             got += await reader.readexactly(len(body) - len(got))
             assert got == body
             writer.close()
@@ -422,8 +422,8 @@
             new.kill()
             new.wait()
             log = tmp_path / "log"
-            await until(lambda: "successor-gone" in log.read_text())
-            await until(
+            await wait_until(lambda: "successor-gone" in log.read_text())
+            await wait_until(
                 lambda: (
                     json.loads((tmp_path / HANDOVER_FILE).read_text())["pid"] == json.loads(handover)["pid"]
                 )
@@ -495,7 +495,7 @@
                 endpoint.script = slow
             reader, writer = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
             writer.write(request("pay", expires_in=3000))
-            await until(lambda: sum(len(endpoint.got) for endpoint in fleet.endpoints) == 1)
+            await wait_until(lambda: sum(len(endpoint.got) for endpoint in fleet.endpoints) == 1)
             assert (await call(control, "PUT", "/-/drain"))[0] == 200
             _, second = await fleet.start()
             asked, writing = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -32,7 +32,7 @@
 from millgw.standins.coordinator.ensemble import Ensemble
 from millgw.standins.coordinator.tree import Told
 from millgw.standins.scripted import STREAM, ScriptedDiscoveryServer, ScriptedEndpoint, chunk, line
-from tests.rig import Reachable, request, run, services, until
+from tests.rig import Reachable, request, run, services, wait_until
 from tests.test_coordinator import running
 
 PATH = "/services/login"
@@ -92,7 +92,7 @@
     for i, name in enumerate(names):
         sessions[name] = made.own(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
     rig.directory.start()
-    await until(lambda: rig.ready == set(names))
+    await wait_until(lambda: rig.ready == set(names))
     try:
         yield rig, sessions
     finally:
@@ -225,11 +225,11 @@
             assert rig.ready == set("abcdef"), "nothing is decided while nothing is heard"
             for face in zk.faces:
                 face.ills.refusing = False
-            await until(lambda: rig.ready == set("cdef") and rig.drains == {"a"})
+            await wait_until(lambda: rig.ready == set("cdef") and rig.drains == {"a"})
             zk.put(f"{PATH}/draining/c")
-            await until(lambda: rig.drains == {"a", "c"})
+            await wait_until(lambda: rig.drains == {"a", "c"})
             zk.remove(f"{PATH}/draining/c")
-            await until(lambda: rig.ready == set("cdef"))
+            await wait_until(lambda: rig.ready == set("cdef"))
 
     run(test)
 
@@ -239,11 +239,11 @@
         async with ensemble() as zk, watching(zk, "abcdef") as (rig, _):
             zk.faces[0].ills.read_only = True
             zk.faces[0].drop()
-            await until(lambda: rig.directory.doubt_until > 0)
+            await wait_until(lambda: rig.directory.doubt_until > 0)
             zk.remove(f"{PATH}/a")
             zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
-            await until(lambda: rig.drains == {"b"})
-            await until(lambda: rig.directory.judge.counts.held == 1)
+            await wait_until(lambda: rig.drains == {"b"})
+            await wait_until(lambda: rig.directory.judge.counts.held == 1)
             assert rig.ready == set("acdef")
 
     run(test)
@@ -259,9 +259,9 @@
                 zk.remove(f"{PATH}/a")
                 zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
                 zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
-                await until(lambda: rig.ready == set("acdef"))
+                await wait_until(lambda: rig.ready == set("acdef"))
                 zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001)))
-                await until(lambda: rig.ready == set("abcdef"))
+                await wait_until(lambda: rig.ready == set("abcdef"))
             assert rig.directory.client.core.session == session
 
     run(test)
@@ -275,7 +275,7 @@
             zk.remove(f"{PATH}/a")
             data = json.dumps({"name": "a", "address": "127.0.0.1:1000", "status": "in_service"}).encode()
             zk.own(f"{PATH}/a", data)
-            await until(lambda: rig.directory.judge.members["a"].since > before)
+            await wait_until(lambda: rig.directory.judge.members["a"].since > before)
             assert rig.ready == set("abcdef")
 
     run(test)
@@ -290,18 +290,18 @@
             serving = next(f for f in zk.faces if f.connections)
             if serving is behind:
                 behind.drop()
-            await until(lambda: rig.ready == set("bcdef"))
+            await wait_until(lambda: rig.ready == set("bcdef"))
             ahead.ills.refusing = True
             ahead.drop()
-            await until(lambda: behind.count.connections > 1)
+            await wait_until(lambda: behind.count.connections > 1)
             assert rig.ready == set("bcdef"), "an older list does not bring back who was told to be gone"
             ahead.ills.refusing = False
             zk.restart_empty()
-            await until(lambda: rig.directory.judge.counts.held == 5)
+            await wait_until(lambda: rig.directory.judge.counts.held == 5)
             assert rig.ready == set("bcdef") and rig.directory.follower.picture.missing
             for i, name in enumerate("abcdef"):
                 zk.own(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
-            await until(lambda: rig.ready == set("abcdef"))
+            await wait_until(lambda: rig.ready == set("abcdef"))
             assert rig.directory.judge.states()["held"] == 0
 
     run(test)
@@ -314,12 +314,12 @@
         async with ensemble() as zk, watching(zk, "abc") as (rig, _):
             zk.put(f"{PATH}/odd", b"{")
             zk.put(f"{PATH}/x", entry("x", Address("127.0.0.1", 2000)))
-            await until(lambda: rig.ready == set("abcx"))
+            await wait_until(lambda: rig.ready == set("abcx"))
             assert f"node={PATH}/odd" in caplog.text
             for i in range(100_000):
                 zk.tree.create(f"{PATH}/{i}", b"", 0, 0, 0.0)
             zk.put(f"{PATH}/y", entry("y", Address("127.0.0.1", 2001)))
-            await until(lambda: rig.directory.follower.too_many > MOST_NODES)
+            await wait_until(lambda: rig.directory.follower.too_many > MOST_NODES)
             assert rig.ready == set("abcx")
 
     run(test)
@@ -350,7 +350,7 @@
             zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
             rig.directory.client = Client((*liars, zk.faces[0].address), 4000.0, Late(), rig.directory)
             rig.directory.start()
-            await until(lambda: rig.ready == {"a"})
+            await wait_until(lambda: rig.ready == {"a"})
             assert len(met) == len(words)
             rig.directory.stop()
             for server in servers:
@@ -370,11 +370,11 @@
         async with ensemble(2) as zk, watching(zk, "abcdef", timeout=600.0) as (rig, _):
             frozen = next(f for f in zk.faces if f.connections)
             frozen.freeze(True)
-            await until(lambda: bool(next(f for f in zk.faces if f is not frozen).connections))
-            await until(lambda: rig.directory.client.serves)
+            await wait_until(lambda: bool(next(f for f in zk.faces if f is not frozen).connections))
+            await wait_until(lambda: rig.directory.client.serves)
             assert rig.ready == set("abcdef")
             zk.remove(f"{PATH}/a")
-            await until(lambda: rig.ready == set("bcdef"))
+            await wait_until(lambda: rig.ready == set("bcdef"))
 
     run(test)
 
@@ -397,23 +397,23 @@
                         face.drop()
                     if turn == 2:  # the client starts over while its old session and node linger
                         registrar.client.core.forget()
-                await until(lambda: not registrar.registered.is_set())
+                await wait_until(lambda: not registrar.registered.is_set())
                 await registrar.registered.wait()
                 owner = zk.tree.nodes[f"{PATH}/a"].owner
                 assert owner == registrar.client.core.session
             other = Registrar(servers, PATH, Entry("a", "127.0.0.1:2000"), 4000.0, random.Random(2))
             other.start()
-            await until(lambda: other.taken)
+            await wait_until(lambda: other.taken)
             assert json.loads(zk.tree.nodes[f"{PATH}/a"].data)["address"] == "127.0.0.1:1000"
             assert await registrar.leave(0.05)
             await other.registered.wait()
             assert json.loads(zk.tree.nodes[f"{PATH}/a"].data)["address"] == "127.0.0.1:2000"
             zk.faces[0].ills.read_only = zk.faces[1].ills.read_only = True
             leaving = asyncio.create_task(other.leave(0.0))
-            await until(lambda: bool(other.registration.problem))
+            await wait_until(lambda: bool(other.registration.problem))
             for face in zk.faces:
                 face.drop()
-            await until(lambda: not other.client.serves)
+            await wait_until(lambda: not other.client.serves)
             zk.faces[0].ills.read_only = zk.faces[1].ills.read_only = False
             assert await leaving and f"{PATH}/a" not in zk.tree.nodes
 
@@ -452,7 +452,7 @@
                 sys.executable, "-m", "millgw", "register", *words, "--address", str(address), "--", *child,
                 stderr=subprocess.DEVNULL,
             )  # fmt: skip
-            await until(lambda: f"{PATH}/a" in zk.tree.nodes)
+            await wait_until(lambda: f"{PATH}/a" in zk.tree.nodes)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
             mine = [(change, at) for change, path, at in log if path == f"{PATH}/a"]
@@ -464,7 +464,7 @@
                 "--", sys.executable, "-c", "import time; time.sleep(1); raise SystemExit(7)",
                 stderr=subprocess.DEVNULL,
             )  # fmt: skip
-            await until(lambda: f"{PATH}/a" in zk.tree.nodes)
+            await wait_until(lambda: f"{PATH}/a" in zk.tree.nodes)
             assert await dies.wait() == 1 and f"{PATH}/a" not in zk.tree.nodes
 
     run(test)
@@ -588,7 +588,7 @@
             listener = Quiet()
             listener.client = Client((zk.faces[0].address,), 4000.0, random.Random(1), listener)
             listener.client.start()
-            await until(lambda: listener.replies == 1)
+            await wait_until(lambda: listener.replies == 1)
             assert len(zk.tree.sessions) == 1
             await listener.client.close()
             assert not zk.tree.sessions
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -38,7 +38,7 @@
 from millgw.standins.address import free_address
 from tests.kinds import skip_if_pure
 from tests.outside import loaded, refused
-from tests.rig import run, until
+from tests.rig import run, wait_until
 from tests.test_membership import ensemble
 
 pytestmark = skip_if_pure
@@ -98,7 +98,7 @@
         peers, pool = self.make(*join, **more)
         await peers.begin()
         if "listen" not in more:
-            await until(lambda: peers.transport is not None)
+            await wait_until(lambda: peers.transport is not None)
         return peers, pool
 
 
@@ -132,8 +132,8 @@
                 2
             ].reachable_again_at = pool.clock()  # an observed restart that discovery did not report
             pool.draining = {3}
-            await until(lambda: bool(first.gossip.own_observations.get("")))
-            await until(
+            await wait_until(lambda: bool(first.gossip.own_observations.get("")))
+            await wait_until(
                 lambda: (first.gossip.own_observations[""][f"{2:016x}"].uptime or 0.0) < SETTINGS.cold_time
             )
             fresh, fresh_pool = await fleet_of_peers.start(first.settings.listen)
@@ -145,10 +145,10 @@
             listed = EndpointList(ListKind.DELTA, (Endpoint(5, Condition.DRAINING),))
             pool.balancer.handle(pool.clock(), listed)
             pool.draining = {3, 5}
-            await until(lambda: fresh_pool.balancer.servers[5].drain_reported_until > fresh_pool.clock())
+            await wait_until(lambda: fresh_pool.balancer.servers[5].drain_reported_until > fresh_pool.clock())
             third, _ = await fleet_of_peers.start(fresh.settings.listen)
-            await until(lambda: all(len(p.swim.alive()) == 2 for p in (first, fresh, third)))
-            await until(lambda: bool(pool.heard) and pool.heard[-1].siblings == 3)
+            await wait_until(lambda: all(len(p.swim.alive()) == 2 for p in (first, fresh, third)))
+            await wait_until(lambda: bool(pool.heard) and pool.heard[-1].siblings == 3)
 
     run(test)
 
@@ -161,7 +161,7 @@
             _, third = await fleet_of_peers.start(first.settings.listen)
             pool.balancer.servers[4].connect_failures = 2  # unreachable according to its own calls
             for peer in (other, third):
-                await until(lambda at=peer: len(at.balancer.out_of_rotation(at.clock())) == 1)  # type: ignore[misc]
+                await wait_until(lambda at=peer: len(at.balancer.out_of_rotation(at.clock())) == 1)  # type: ignore[misc]
                 assert peer.balancer.servers[4].ejected_by_report
 
     run(test)
@@ -205,11 +205,11 @@
                 valid + b"x" * 2000,
             ):
                 transport.sendto(bad)
-            await until(lambda: peers.refused == 4)
+            await wait_until(lambda: peers.refused == 4)
             assert not peers.gossip.pools[""].by_endpoint
             transport.sendto(valid)
             transport.sendto(valid)  # replayed
-            await until(lambda: peers.refused == 5)
+            await wait_until(lambda: peers.refused == 5)
             assert len(peers.gossip.pools[""].by_endpoint) == 1
             transport.close()
 
@@ -250,7 +250,7 @@
                     "the connection is still open, and the start did not wait for it"
                 )
             assert not pool.cold(1)
-            await until(lambda: not peers.peer_transport.outbound)  # closed by the time limit
+            await wait_until(lambda: not peers.peer_transport.outbound)  # closed by the time limit
             assert not peers.snapshots
         server.close()
 
@@ -274,12 +274,12 @@
         async with fleet(tmp_path) as fleet_of_peers:
             first, _ = await fleet_of_peers.start()
             fleet_of_peers.keys.write_bytes(b"short")
-            await until(lambda: first.key_files.versions == first.key_files._current_versions())
+            await wait_until(lambda: first.key_files.versions == first.key_files._current_versions())
             assert first.verifier.keys[0][1] == KEY
             fleet_of_peers.keys.unlink()
             await asyncio.sleep(0.6)
             fleet_of_peers.keys.write_bytes(OTHER)
-            await until(lambda: first.verifier.keys[0][1] == OTHER)
+            await wait_until(lambda: first.verifier.keys[0][1] == OTHER)
             fresh, _ = await fleet_of_peers.start(first.settings.listen)
             assert fresh.snapshots == 1
 
@@ -292,13 +292,13 @@
         async with fleet(tmp_path) as fleet_of_peers:
             old, _ = await fleet_of_peers.start()
             other, _ = await fleet_of_peers.start(old.settings.listen)
-            await until(lambda: other.swim.alive() == [old.name])
+            await wait_until(lambda: other.swim.alive() == [old.name])
             fresh, _ = await fleet_of_peers.start(other.settings.listen, listen=old.settings.listen)
             assert fresh.snapshots == 1 and fresh.transport is None
             old.stop()
-            await until(lambda: fresh.transport is not None)
+            await wait_until(lambda: fresh.transport is not None)
             at = other.swim.members[old.name]
-            await until(lambda: at.news.incarnation >= fresh.swim.own.incarnation)
+            await wait_until(lambda: at.news.incarnation >= fresh.swim.own.incarnation)
             assert at.news.status is Status.ALIVE
 
     run(test)
@@ -310,10 +310,10 @@
             first, _ = await fleet_of_peers.start()
             second, _ = await fleet_of_peers.start(first.settings.listen)
             third, _ = await fleet_of_peers.start(first.settings.listen)
-            await until(lambda: all(len(p.swim.alive()) == 2 for p in (first, second, third)))
+            await wait_until(lambda: all(len(p.swim.alive()) == 2 for p in (first, second, third)))
             third.stop()
-            await until(lambda: first.swim.status(third.name) is Status.DEAD)
-            await until(lambda: second.swim.status(third.name) is Status.DEAD)
+            await wait_until(lambda: first.swim.status(third.name) is Status.DEAD)
+            await wait_until(lambda: second.swim.status(third.name) is Status.DEAD)
 
     run(test)
 
@@ -324,7 +324,7 @@
             first, _ = await fleet_of_peers.start()
             at = first.settings.listen
             held = [await asyncio.open_connection(at.host, at.port) for _ in range(3 * MAX_INBOUND)]
-            await until(lambda: len(first.peer_transport.inbound) == MAX_INBOUND)
+            await wait_until(lambda: len(first.peer_transport.inbound) == MAX_INBOUND)
             fresh, _ = await fleet_of_peers.start(at)
             assert fresh.snapshots == 1
             for _, writer in held:
@@ -350,7 +350,7 @@
             await first.peer_discovery.registrar.registered.wait()
             second, _ = await fleet_of_peers.start(coordinator=directory)
             assert second.snapshots == 1
-            await until(lambda: first.swim.alive() == [second.name])
+            await wait_until(lambda: first.swim.alive() == [second.name])
             assert second.peer_discovery is not None
             await second.peer_discovery.registrar.registered.wait()
             second.stop()
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -33,7 +33,7 @@
     silent,
 )
 from tests.outside import loaded
-from tests.rig import Client, Services, request, run, services, until
+from tests.rig import Client, Services, request, run, services, wait_until
 
 # The operator's file
 
@@ -249,7 +249,7 @@
             flood = [await node.connect() for _ in range(90)]
             for client in flood:
                 client.writer.write(request("write", b"x" * 8000, Host="a.campanha.example.org"))
-            await until(lambda: len(campaign.got) > 3)
+            await wait_until(lambda: len(campaign.got) > 3)
             calm = await node.connect()
             for _ in range(60):
                 answer = await calm.ask(request("pay", Host="login.example.org"))
@@ -284,7 +284,7 @@
             async def ask(wanted: tuple[int, int, int], *hosts: str) -> None:
                 for host in hosts:
                     asked.append(asyncio.create_task(node.ask(request("pay", Host=host))))
-                await until(lambda: tuple(len(endpoint.got) for endpoint in endpoints) == wanted)
+                await wait_until(lambda: tuple(len(endpoint.got) for endpoint in endpoints) == wanted)
 
             await ask((2, 0, 0), "x.org", "two.org")
             await node.reload(three)
@@ -392,7 +392,7 @@
             waiting = [await node.connect() for _ in range(3)]
             for client in waiting:
                 client.writer.write(request("write", Host="a.campanha.example.org"))
-            await until(lambda: len(campaign.got) == 3)
+            await wait_until(lambda: len(campaign.got) == 3)
             await node.reload("[services.login\n")
             assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
             only = static("login", login) + '[[routes]]\nto = "login"\nhost = "login.example.org"\n'
@@ -407,7 +407,7 @@
             for _ in range(3):
                 assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
             assert login.connections == 1, "the reload closed a connection of an unchanged service"
-            await until(lambda: campaign.lost_connections == campaign.connections)
+            await wait_until(lambda: campaign.lost_connections == campaign.connections)
             await node.reload(text)
             campaign.script = answering(ok(b"again"))
             assert (await node.ask(request("write", Host="a.campanha.example.org"))).body == b"again"
@@ -490,7 +490,7 @@
                 gc.collect()
                 return sum(isinstance(o, Pool) for o in gc.get_objects())
 
-            await until(lambda: pools() == 2)
+            await wait_until(lambda: pools() == 2)
             assert (await node.ask(request("pay", Host="login.example.org"))).status == 200
 
     run(test)
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -24,7 +24,7 @@
 from millgw.settings import to_settings
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line, read_message, silent
-from tests.rig import SETTINGS, request, run, sidecar, until
+from tests.rig import SETTINGS, request, run, sidecar, wait_until
 
 T = TypeVar("T")
 RELEASED_TYPES = (Call, Head, CallerConnection, Attempt, Connection, Request, Sent)
@@ -69,7 +69,7 @@
                 leaving = await rig.connect()
                 leaving.writer.write(request("pay")[:-9] if turn % 2 else request("pay"))
                 leaving.writer.close()
-            await until(lambda: not server.connections)
+            await wait_until(lambda: not server.connections)
             assert (
                 not server.newly_connected
                 and not server.between_requests
@@ -83,7 +83,7 @@
             kept = driver.upstream.open
             assert kept == sum(len(p.idle) for p in driver.upstream.hosts.values())
             await asyncio.sleep(1)
-            await until(lambda: len(live_objects(Connection)) == kept)
+            await wait_until(lambda: len(live_objects(Connection)) == kept)
             assert not [k for k in RELEASED_TYPES if k is not Connection and live_objects(k)]
             assert len(live_objects(Host)) == 4
 
@@ -103,12 +103,12 @@
             before = len(driver.balancer.timers)
             client = await rig.connect()
             client.writer.write(request("pay"))  # held, as there is no endpoint
-            await until(lambda: len(driver.balancer.timers) == before + 1)
+            await wait_until(lambda: len(driver.balancer.timers) == before + 1)
             (call,) = driver.calls.values()
             timers = list(call.timers)
             assert len(timers) == 2 and loop.is_running()
             client.writer.close()
-            await until(lambda: not driver.calls)
+            await wait_until(lambda: not driver.calls)
             assert len(driver.balancer.timers) == before and all(t.cancelled() for t in timers)
 
     run(test)
@@ -125,7 +125,7 @@
             (old,) = driver.balancer.servers.values()
             endpoint.name = "new"
             writer.write(STREAM + chunk(line(2, [endpoint.entry(since_ms=int(time.time() * 1000))])))
-            await until(lambda: endpoint.lost_connections == 1)  # its idle connection is closed
+            await wait_until(lambda: endpoint.lost_connections == 1)  # its idle connection is closed
             (new,) = driver.balancer.servers.values()
             assert new.info.id != old.info.id and not new.served_calls and driver.balancer.ring == [new]
             endpoint.name = "old"  # a late list entry, from before the new endpoint
@@ -161,7 +161,7 @@
             _, writer = await rig.discovery.calls.get()
             waiting = await rig.connect()
             waiting.writer.write(request("pay"))
-            await until(lambda: len(old.got) == 1)
+            await wait_until(lambda: len(old.got) == 1)
             writer.write(STREAM + chunk(line(2, [new.entry()], snapshot=True)))
             while (await rig.ask(request("pay"))).status != 200 or not new.got:
                 pass
@@ -186,9 +186,9 @@
             for _ in range(3):
                 client = await rig.connect()
                 client.writer.write(request("pay"))
-                await until(lambda: bool(driver.calls))
+                await wait_until(lambda: bool(driver.calls))
                 client.writer.close()
-                await until(lambda: not driver.calls)
+                await wait_until(lambda: not driver.calls)
             (server,) = driver.balancer.servers.values()
             assert not server.connect_failures and not server.in_flight
             assert (await rig.ask(request("pay"))).status == 200
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -44,7 +44,7 @@
     silent,
 )
 from tests.kinds import skip_if_compiled
-from tests.rig import EXPIRES_IN, SETTINGS, TEST_TIMEOUT, Client, request, run, sidecar, until
+from tests.rig import EXPIRES_IN, SETTINGS, TEST_TIMEOUT, Client, request, run, sidecar, wait_until
 
 
 def test_a_call_goes_on_unchanged_and_its_answer_comes_back() -> None:
@@ -176,7 +176,7 @@
             assert (await rig.ask(request("pay"))).status == 200
             client = await rig.connect()
             client.writer.write(request("pay"))
-            await until(lambda: endpoint.served[0].message is not None)
+            await wait_until(lambda: endpoint.served[0].message is not None)
             endpoint.served[0].write(ok(b"stale"))
             reply = await read_message(client.reader)
             assert (reply.status, reply.body) == (200, b"done") and endpoint.connections == 2
@@ -203,10 +203,10 @@
         (kept,) = upstream.hosts[1].idle
         kept.transport.pause_reading()  # type: ignore[union-attr]
         endpoint.served[0].write(ok(b"stale"))
-        await until(lambda: has_unread(kept.transport))  # type: ignore[arg-type]
+        await wait_until(lambda: has_unread(kept.transport))  # type: ignore[arg-type]
         send()
         assert (await ended.get())[1].body == b"done" and endpoint.connections == 2
-        await until(lambda: kept.core is None)
+        await wait_until(lambda: kept.core is None)
         assert not kept.usable()
 
     run(test)
@@ -255,7 +255,7 @@
         endpoint = ScriptedEndpoint("e1", spoilt_once)
         async with sidecar(endpoint) as rig:
             assert (await rig.ask(request("pay", expires_in=10 * EXPIRES_IN))).status == 502
-            await until(lambda: endpoint.lost_connections == 1)
+            await wait_until(lambda: endpoint.lost_connections == 1)
             assert (await rig.ask(request("pay"))).status == 200 and endpoint.connections == 2
 
     run(test)
@@ -281,7 +281,7 @@
             assert (await asyncio.wait_for(first_answer(asked), TEST_TIMEOUT)).status == 502
             for client in asked:
                 client.writer.close()
-            await until(lambda: kept.owner.answer_bytes == 0)
+            await wait_until(lambda: kept.owner.answer_bytes == 0)
 
     run(test)
 
@@ -318,7 +318,7 @@
             begun = time.monotonic()
             assert (await rig.ask(request("pay", expires_in=5000))).status == 502
             assert 0.4 < time.monotonic() - begun < 5.0
-            await until(lambda: endpoint.lost_connections == 1)
+            await wait_until(lambda: endpoint.lost_connections == 1)
             endpoint.script = always_ok
             assert (await rig.ask(request("pay"))).status == 200, "an abandoned connection was used"
 
@@ -328,7 +328,7 @@
 def test_kept_connections_are_not_trusted_after_silence_or_a_restart() -> None:
     async def test() -> None:
         async def slow(message: Message, endpoint: ScriptedEndpoint) -> bytes:
-            await until(lambda: len(endpoint.got) >= 2)
+            await wait_until(lambda: len(endpoint.got) >= 2)
             return ok()
 
         endpoint = ScriptedEndpoint("e1", slow)
@@ -337,12 +337,12 @@
             assert {reply.status for reply in got} == {200} and endpoint.connections == 2
             endpoint.script = silent
             assert (await rig.ask(request("pay", expires_in=300))).status == 502
-            await until(lambda: endpoint.lost_connections == 2)
+            await wait_until(lambda: endpoint.lost_connections == 2)
             endpoint.script = always_ok
             assert (await rig.ask(request("pay"))).status == 200 and endpoint.connections == 3
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM + chunk(line(2, [endpoint.entry(since_ms=1)])))
-            await until(lambda: endpoint.lost_connections == 3)
+            await wait_until(lambda: endpoint.lost_connections == 3)
 
     run(test)
 
@@ -353,9 +353,9 @@
         async with sidecar(endpoint, other) as rig:
             client = await rig.connect()
             client.writer.write(request("read"))
-            await until(lambda: len(endpoint.got) + len(other.got) == 1)
+            await wait_until(lambda: len(endpoint.got) + len(other.got) == 1)
             client.writer.close()
-            await until(lambda: endpoint.lost_connections + other.lost_connections == 1)
+            await wait_until(lambda: endpoint.lost_connections + other.lost_connections == 1)
             endpoint.script = other.script = always_ok
             assert (await rig.ask(request("read"))).status == 200
         assert len(endpoint.got) + len(other.got) == 2
@@ -482,7 +482,7 @@
         async with sidecar(endpoint) as rig:
             first = await rig.connect()
             first.writer.write(request("pay", X_Trace_Id="same"))
-            await until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.got) == 1)
             for _ in range(3):
                 assert (await rig.ask(request("pay", X_Trace_Id="same"))).status == 409
             go.set()
@@ -512,7 +512,7 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             client.writer.write(b"".join(request("pay") for _ in range(300)))
-            await until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.got) == 1)
             assert (await rig.ask(b"GET /ready HTTP/1.1\r\n\r\n")).status == 200
             assert sum(isinstance(thing, Head) for thing in gc.get_objects()) < 20
             go.set()
@@ -597,7 +597,7 @@
             busy = [await rig.connect() for _ in range(6)]
             for i, client in enumerate(busy):
                 client.writer.write(request("read"))
-                await until(lambda i=i: sum(len(e.got) for e in endpoints) == i + 1)  # type: ignore[misc]
+                await wait_until(lambda i=i: sum(len(e.got) for e in endpoints) == i + 1)  # type: ignore[misc]
             assert (await rig.ask(request("read"))).status == 503, "no descriptor is left for its attempt"
             for _ in range(30):
                 await rig.connect()
@@ -607,7 +607,7 @@
                 endpoint.script = always_ok
             for client in busy:
                 client.writer.close()
-            await until(lambda: sum(e.lost_connections for e in endpoints) == 6)
+            await wait_until(lambda: sum(e.lost_connections for e in endpoints) == 6)
             assert (await rig.ask(request("read"))).status == 200
 
     run(test)
@@ -723,7 +723,7 @@
         monkeypatch.setattr(upstream, "loop", FailingLoop(upstream.loop, create_connection))
         ended: list[Outcome] = []
         upstream.send(1, Attempt(lambda: b"", lambda outcome, _: ended.append(outcome)))
-        await until(lambda: bool(ended))
+        await wait_until(lambda: bool(ended))
         assert ended == [Outcome.NOT_SENT]
         assert upstream.hosts[1].last_connect_failure == upstream.hosts[1].last_broken == -math.inf
         upstream.stop()
@@ -781,7 +781,7 @@
         assert forgotten is host
         upstream.close(host)
         assert ended == [Outcome.CONNECT_FAILED]
-        await until(lambda: not upstream.connect_tasks)
+        await wait_until(lambda: not upstream.connect_tasks)
         assert ended == [Outcome.CONNECT_FAILED] and attempt.given_up
 
     run(test)
@@ -796,8 +796,8 @@
         made = cast(asyncio.Protocol, Connection(upstream, host, attempt, 1000))
         address = endpoint.address
         await asyncio.get_running_loop().create_connection(lambda: made, address.host, address.port)
-        await until(lambda: endpoint.lost_connections == 1)
-        await until(lambda: upstream.open == 0)
+        await wait_until(lambda: endpoint.lost_connections == 1)
+        await wait_until(lambda: upstream.open == 0)
         assert not endpoint.got and not ended
 
     run(test)
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -31,7 +31,7 @@
     read_message,
     silent,
 )
-from tests.rig import SETTINGS, Rig, request, run, sidecar, until
+from tests.rig import SETTINGS, Rig, request, run, sidecar, wait_until
 
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
 
@@ -127,7 +127,7 @@
             assert (await rig.ask(request())).status == 200
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM + chunk(line(2, [new.entry()])))
-            await until(lambda: old.lost_connections == 1)
+            await wait_until(lambda: old.lost_connections == 1)
             assert (await rig.ask(request())).status == 200
         assert len(old.got) == len(new.got) == 1
 
@@ -279,7 +279,7 @@
         async with sidecar(endpoint) as rig:
             idle, before, late = [await rig.connect() for _ in range(3)]
             before.writer.write(request("pay"))
-            await until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.got) == 1)
             os.kill(os.getpid(), signal.SIGTERM)
             while (await rig.ask(READY)).status != 503:
                 pass
@@ -291,7 +291,7 @@
             late.writer.write(request("pay"))
             after = await rig.connect()
             after.writer.write(request("pay"))
-            await until(lambda: len(endpoint.got) == 3)
+            await wait_until(lambda: len(endpoint.got) == 3)
             assert await idle.reader.read() == b"", "closed between requests"
             go.set()
             for client in (before, late, after):
@@ -309,7 +309,7 @@
         process, listen = await start_serving_sidecar(endpoint, tmp_path)
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
         writer.write(request("pay"))
-        await until(lambda: len(endpoint.got) == 1)
+        await wait_until(lambda: len(endpoint.got) == 1)
         process.send_signal(signal.SIGTERM)
         assert (await reader.readline()).startswith(b"HTTP/1.1 502")
         assert await asyncio.to_thread(process.wait) == 0
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -38,7 +38,7 @@
     line,
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
-from tests.rig import EXPIRES_IN, SETTINGS, Rig, request, run, sidecar, until
+from tests.rig import EXPIRES_IN, SETTINGS, Rig, request, run, sidecar, wait_until
 from tests.test_crossings import (
     RETRY_WAIT,
     ManualIntent,
@@ -268,14 +268,14 @@
         attempt = Attempt(lambda: request("pay"), end, Repeat.UNSAFE, intent=mark)
         attempt.caller_disconnected = lambda: left
         upstream.send(1, attempt)
-        await until(lambda: mark.then is not None)
+        await wait_until(lambda: mark.then is not None)
         left = True
         await asyncio.sleep(attempt_module.CALLER_CHECK_INTERVAL_MS / 1000)
         mark.known = True
         assert mark.then is not None
         mark.then()
         assert ended == [Outcome.NOT_SENT] and not mark.left
-        await until(lambda: endpoint.lost_connections == 1)
+        await wait_until(lambda: endpoint.lost_connections == 1)
         assert not endpoint.got
         upstream.stop()
 
@@ -301,7 +301,7 @@
                 each.bytes_came = leave_and_break  # type: ignore[method-assign]
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("pay"))
-            await until(lambda: endpoint.connections + other.connections == 1)
+            await wait_until(lambda: endpoint.connections + other.connections == 1)
             await asyncio.sleep(RETRY_WAIT)
             assert endpoint.connections + other.connections == 1 and not endpoint.got and not other.got
             client.close()
@@ -324,7 +324,9 @@
             begun = endpoint.connections
             disconnect(client, how)
             if length > MOST_HELD_WHOLE:
-                await until(lambda: endpoint.lost_connections == 1)  # the attempt that has begun is given up
+                await wait_until(
+                    lambda: endpoint.lost_connections == 1
+                )  # the attempt that has begun is given up
             await asyncio.sleep(RETRY_WAIT)
             assert not [m for m in endpoint.got if LEFT in m.first] and endpoint.connections == begun
             client.close()
@@ -356,7 +358,7 @@
             client.sendall(request("read", expires_in=5000, target=LEFT))
             await asyncio.sleep(WAITED)
             full = False
-            await until(lambda: len(endpoint.got) == 2)
+            await wait_until(lambda: len(endpoint.got) == 2)
             assert told(endpoint.got[1]) <= 5000 - 1000 * WAITED + TOLD_MORE
             client.close()
             await all_read(rig)
@@ -393,11 +395,11 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             client.writer.write(request("read") + request("read"))
-            await until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.got) == 1)
             client.writer.write(request("read", expires_in=5000, target=LEFT))
             await asyncio.sleep(WAITED)
             go.set()
-            await until(lambda: len(endpoint.got) == 3)
+            await wait_until(lambda: len(endpoint.got) == 3)
             assert told(endpoint.got[2]) <= 5000 - 1000 * WAITED + TOLD_MORE
 
     run(test)
@@ -478,7 +480,7 @@
         try:
             await served_within(listen, READY_WITHIN)
             crowd = Crowd(listen)
-            await until(lambda: crowd.shut > CROWD // 4)  # it holds what it can, and shuts others
+            await wait_until(lambda: crowd.shut > CROWD // 4)  # it holds what it can, and shuts others
             await served_within(listen, 5.0)
             await discovery.start()
             async with asyncio.timeout(10.0):
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -28,7 +28,7 @@
 from millgw.standins.request_check import answer_token
 from millgw.standins.scripted import ScriptedEndpoint, answering, read_message, silent
 from tests.kinds import skip_if_pure
-from tests.rig import run, until
+from tests.rig import run, wait_until
 
 pytestmark = skip_if_pure
 
@@ -101,7 +101,7 @@
         if why in ("full", "crowded"):
             busy.append(await bench.connect())
             busy[0][1].write(bench.word("slow"))
-            await until(lambda: any(a.began for a in bench.ledger.attempts))
+            await wait_until(lambda: any(a.began for a in bench.ledger.attempts))
         answer = await bench.ask(bench.word(left=0 if why == "over" else 4000))
         assert answer.status in (503, 504) and answer.headers["x-never-ran"] == "1"
         assert bench.ledger.attempts[-1].told is Told.NEVER_RAN and bench.ledger.attempts[-1].began is None
@@ -115,11 +115,11 @@
         bench.endpoint.start(cold=False)
         first, left, last = [await bench.connect() for _ in range(3)]
         first[1].write(bench.word("slow", trace="first"))
-        await until(lambda: len(bench.ledger.attempts) == 1)
+        await wait_until(lambda: len(bench.ledger.attempts) == 1)
         left[1].write(bench.word(trace="left"))
-        await until(lambda: len(bench.ledger.attempts) == 2)
+        await wait_until(lambda: len(bench.ledger.attempts) == 2)
         left[1].close()
-        await until(lambda: not bench.endpoint.room.waiting)
+        await wait_until(lambda: not bench.endpoint.room.waiting)
         last[1].write(bench.word(trace="last"))
         assert (await read_message(last[0])).status == 200
         began = {a.trace: a.began for a in bench.ledger.attempts}
@@ -181,7 +181,7 @@
         bench.endpoint.start(cold=False)
         reader, writer = await bench.connect()
         writer.write(bench.word("slow"))
-        await until(lambda: any(a.began for a in bench.ledger.attempts))
+        await wait_until(lambda: any(a.began for a in bench.ledger.attempts))
         bench.endpoint.stop()
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
@@ -203,7 +203,7 @@
                 _, writer = await bench.connect()
                 writer.write(bench.word())
                 await asyncio.sleep(0.001)
-        await until(lambda: bool(fallen))
+        await wait_until(lambda: bool(fallen))
         with pytest.raises(ConnectionRefusedError):
             await bench.connect()
         assert bench.ledger.lives[0].fell is not None
@@ -221,7 +221,7 @@
             with suppress(TimeoutError, asyncio.IncompleteReadError, ConnectionError, ValueError):
                 async with asyncio.timeout(0.2):
                     await bench.ask(bench.word())
-        await until(lambda: all(a.told is not Told.NOTHING for a in bench.ledger.attempts))
+        await wait_until(lambda: all(a.told is not Told.NOTHING for a in bench.ledger.attempts))
         told = {a.told for a in bench.ledger.attempts}
         expected = {"failing": {Told.ERROR}, "resetting": {Told.RESET}, "spoiling": {Told.SPOILT, Told.OK}}[
             ill
@@ -273,7 +273,7 @@
         writer.write(bench.word())
         assert (await read_message(reader)).status == 200
         assert not has_unacknowledged(writer.transport)  # type: ignore[arg-type]
-        await until(lambda: all(c.forgotten for c in bench.endpoint.connections))
+        await wait_until(lambda: all(c.forgotten for c in bench.endpoint.connections))
         writer.write(bench.word(trace="vanishes"))
         await asyncio.sleep(0.1)
         assert has_unacknowledged(writer.transport)  # type: ignore[arg-type]
@@ -293,7 +293,7 @@
         writer.write(word[:-1])
         await asyncio.sleep(0.05)
         writer.close()
-        await until(lambda: bool(bench.ledger.attempts))
+        await wait_until(lambda: bool(bench.ledger.attempts))
         (attempt,) = bench.ledger.attempts
         assert attempt.trace == "cut" and attempt.last is None and not attempt.why
 
@@ -433,7 +433,7 @@
         for stale in (entry("a", "terminated", life=1), entry("a", life=2)):
             made.notice(stale, (0.0, 0.0))
         made.notice(entry("a", "terminating", life=2), (5.0, 5.0))
-        await until(lambda: len(made.ledger.changes) == 2)
+        await wait_until(lambda: len(made.ledger.changes) == 2)
         assert [c.status for c in made.ledger.changes] == ["in_service", "terminating"]
 
     run(test)
@@ -488,7 +488,7 @@
         made.cls = "report"
         bench.ledger.book(made)
         asking = asyncio.create_task(desk.ask(made))
-        await until(lambda: any(line.any_bytes for line in desk.lines))
+        await wait_until(lambda: any(line.any_bytes for line in desk.lines))
         bench.endpoint.stop()
         await asking
         assert made.end is End.BROKEN and made.begun is not None
@@ -512,7 +512,7 @@
         self.asking = asyncio.create_task(self.desk.ask(self.call))
 
     async def _out_of_patience(self, made: Call, _: asyncio.Future[None]) -> None:
-        await until(lambda: made.begun is not None)
+        await wait_until(lambda: made.begun is not None)
         self.waits_on.set()
         raise TimeoutError
 
@@ -529,7 +529,7 @@
         long.desk.close()
         with pytest.raises(asyncio.CancelledError):
             await long.asking
-        await until(lambda: not long.desk.lines)
+        await wait_until(lambda: not long.desk.lines)
         assert long.call.end is End.LEFT
 
     run(test)
@@ -563,7 +563,7 @@
         endpoint.script = answering(ok(b"x") + ok(b"x"))
         twice = call()
         await desk.ask(twice)
-        await until(lambda: twice.extra > 0)
+        await wait_until(lambda: twice.extra > 0)
         endpoint.script = silent
         lost = call(50.0)
         await desk.ask(lost)
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -14,7 +14,7 @@
 from millgw.pool.start_times import MAX_LISTING_DELAY_MS, MAX_REMEMBERED, StartTimes
 from millgw.standins.scripted import ScriptedEndpoint
 from tests.kinds import skip_if_compiled
-from tests.rig import run, sidecar, until
+from tests.rig import run, sidecar, wait_until
 
 HOUR = 3_600_000.0
 NOW = 1_800_000_000_000.0
@@ -100,7 +100,7 @@
 
     async def test() -> None:
         async with sidecar(ScriptedEndpoint("e1")):
-            await until(lambda: bool(drivers) and bool(drivers[0].ready))
+            await wait_until(lambda: bool(drivers) and bool(drivers[0].ready))
             (driver,) = drivers
             now = driver.clock()
             driver.handle_list(ListKind.DELTA, ())
