--- a/tests/rig.py
+++ b/tests/rig.py
@@ -138,7 +138,7 @@
         return await read_message(self.reader)
 
 
-class Reachable:
+class SidecarClient:
     """A sidecar that callers reach at `listen`."""
 
     listen: Address
@@ -154,7 +154,7 @@
             client.writer.close()
 
 
-class Rig(Reachable):
+class Rig(SidecarClient):
     def __init__(self, config: Config, discovery: ScriptedDiscoveryServer, task: asyncio.Task[None]) -> None:
         self.config = config
         self.listen = config.listen
@@ -180,7 +180,7 @@
             await task
 
 
-class Services(Reachable):
+class Services(SidecarClient):
     """A running sidecar with an operator file."""
 
     def __init__(self, folder: Path, text: str, discovery: str, control: Address | None = None) -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,7 +21,7 @@
     line,
 )
 from tests.outside import loaded
-from tests.rig import Reachable, request, run, services, stalls, wait_until
+from tests.rig import SidecarClient, request, run, services, stalls, wait_until
 
 
 def operator_file(connections: str, *endpoints: ScriptedEndpoint, service: str = "") -> str:
@@ -33,7 +33,7 @@
     return "\n".join([*lines, "[[routes]]", 'to = "all"'])
 
 
-async def counts(rig: Reachable) -> dict[str, int]:
+async def counts(rig: SidecarClient) -> dict[str, int]:
     """The connection counters in the answer to /ready."""
     text = (await rig.ask(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")).body.decode()
     return {name: int(number) for name, number in re.findall(r", ([a-z_-]+) (\d+)(?=,|$)", text.strip())}
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -32,7 +32,7 @@
 from millgw.standins.coordinator.ensemble import Ensemble
 from millgw.standins.coordinator.tree import Told
 from millgw.standins.scripted import STREAM, ScriptedDiscoveryServer, ScriptedEndpoint, chunk, line
-from tests.rig import Reachable, request, run, services, wait_until
+from tests.rig import SidecarClient, request, run, services, wait_until
 from tests.test_coordinator import running
 
 PATH = "/services/login"
@@ -173,12 +173,12 @@
 """
 
 
-async def count(node: Reachable) -> int:
+async def count(node: SidecarClient) -> int:
     ready = await node.ask(b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n")
     return int(ready.body.decode().partition(" endpoints")[0].rpartition(" ")[2])
 
 
-async def has(node: Reachable, endpoints: int) -> None:
+async def has(node: SidecarClient, endpoints: int) -> None:
     while await count(node) != endpoints:
         await asyncio.sleep(0.01)
 
