--- a/tests/rig.py
+++ b/tests/rig.py
@@ -154,7 +154,7 @@
             client.writer.close()
 
 
-class Rig(SidecarClient):
+class RunningSidecar(SidecarClient):
     def __init__(self, config: Config, discovery: ScriptedDiscoveryServer, task: asyncio.Task[None]) -> None:
         self.config = config
         self.listen = config.listen
@@ -163,7 +163,7 @@
 
 
 @asynccontextmanager
-async def sidecar(*endpoints: ScriptedEndpoint, **changes: Any) -> AsyncIterator[Rig]:
+async def sidecar(*endpoints: ScriptedEndpoint, **changes: Any) -> AsyncIterator[RunningSidecar]:
     """A running sidecar that starts with these endpoints."""
     discovery = ScriptedDiscoveryServer()
     await discovery.start()
@@ -173,7 +173,7 @@
     task = asyncio.create_task(serve(made))
     await asyncio.sleep(0)  # the sidecar listens before it first yields to the event loop
     try:
-        yield Rig(made, discovery, task)
+        yield RunningSidecar(made, discovery, task)
     finally:
         task.cancel()
         with suppress(asyncio.CancelledError):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -25,7 +25,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok, status
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line, read_message, silent
-from tests.rig import SETTINGS, Rig, request, run, sidecar, wait_until
+from tests.rig import SETTINGS, RunningSidecar, request, run, sidecar, wait_until
 
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
 
@@ -48,7 +48,7 @@
     return found
 
 
-def door_of(rig: Rig) -> Address:
+def door_of(rig: RunningSidecar) -> Address:
     assert rig.config.control is not None
     return rig.config.control
 
@@ -346,7 +346,7 @@
     run(test)
 
 
-async def answer_discovery_calls(rig: Rig, endpoints: list[ScriptedEndpoint]) -> None:
+async def answer_discovery_calls(rig: RunningSidecar, endpoints: list[ScriptedEndpoint]) -> None:
     """Answer each discovery call: without an answer, all requests are refused from 6 s after the start."""
     while True:
         _, watch = await rig.discovery.calls.get()
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -31,12 +31,12 @@
     read_message,
     silent,
 )
-from tests.rig import SETTINGS, Rig, request, run, sidecar, wait_until
+from tests.rig import SETTINGS, RunningSidecar, request, run, sidecar, wait_until
 
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
 
 
-async def wait_for_ready_status(rig: Rig, code: int) -> None:
+async def wait_for_ready_status(rig: RunningSidecar, code: int) -> None:
     while (await rig.ask(READY)).status != code:
         await asyncio.sleep(0.005)
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -38,7 +38,7 @@
     line,
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
-from tests.rig import EXPIRES_IN, SETTINGS, Rig, request, run, sidecar, wait_until
+from tests.rig import EXPIRES_IN, SETTINGS, RunningSidecar, request, run, sidecar, wait_until
 from tests.test_crossings import (
     RETRY_WAIT,
     ManualIntent,
@@ -91,7 +91,7 @@
     return ok()
 
 
-async def ask_at_once(rig: Rig) -> list[TimedAnswer]:
+async def ask_at_once(rig: RunningSidecar) -> list[TimedAnswer]:
     async def ask() -> TimedAnswer:
         code = (await rig.ask(request())).status
         return TimedAnswer(time.monotonic(), code)
@@ -107,7 +107,7 @@
     return sum(" /api" in message.first for message in endpoint.got)
 
 
-async def last_served_by(rig: Rig, last: ScriptedEndpoint, before: ScriptedEndpoint) -> None:
+async def last_served_by(rig: RunningSidecar, last: ScriptedEndpoint, before: ScriptedEndpoint) -> None:
     """Both have served, and one of them the last call."""
     while not calls_of(before):
         assert statuses(await ask_at_once(rig)) == {200}
@@ -171,12 +171,12 @@
     return request(cls, target=LEFT)
 
 
-async def all_read(rig: Rig) -> None:
+async def all_read(rig: RunningSidecar) -> None:
     """What has come to the sidecar by now has been read: a later caller is answered."""
     assert (await rig.ask(request("read"))).status == 200
 
 
-async def nothing_begins(rig: Rig, endpoint: ScriptedEndpoint) -> None:
+async def nothing_begins(rig: RunningSidecar, endpoint: ScriptedEndpoint) -> None:
     """No first byte comes to an endpoint that has a kept connection, but those of a later caller."""
     await all_read(rig)
     await asyncio.sleep(CALLER_GONE)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -22,7 +22,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line
-from tests.rig import Client, Rig, heartbeats, request, run, sidecar, stalls
+from tests.rig import Client, RunningSidecar, heartbeats, request, run, sidecar, stalls
 from tests.test_control import call, figures
 
 ANSWER_WITHIN = 3.0  # s after its last byte within which a stopped client gets its error or a close
@@ -96,7 +96,7 @@
 }
 
 
-async def send_and_stop(rig: Rig, data: bytes, answers: int) -> Outcome:
+async def send_and_stop(rig: RunningSidecar, data: bytes, answers: int) -> Outcome:
     client = await rig.connect()
     client.writer.transport.set_write_buffer_limits(high=0)  # `drain` returns once the last byte is written
     client.writer.write(data)
@@ -110,12 +110,12 @@
 
 
 @asynccontextmanager
-async def running_sidecar(*endpoints: ScriptedEndpoint) -> AsyncIterator[Rig]:
+async def running_sidecar(*endpoints: ScriptedEndpoint) -> AsyncIterator[RunningSidecar]:
     async with sidecar(*endpoints, control=free_address()) as rig:
         yield rig
 
 
-async def wait_for_no_open_requests(rig: Rig) -> None:
+async def wait_for_no_open_requests(rig: RunningSidecar) -> None:
     assert rig.config.control is not None
     while (await figures(rig.config.control))["open_requests"]:
         await asyncio.sleep(0.02)
@@ -205,7 +205,7 @@
 def test_a_slow_client_that_goes_on_is_served() -> None:
     """A minimum rate used to apply: a client sending a byte each half second was answered 408 after 4.8 s."""
 
-    async def one_by_one(rig: Rig, head: bytes, pieces: list[bytes], pause: float) -> int:
+    async def one_by_one(rig: RunningSidecar, head: bytes, pieces: list[bytes], pause: float) -> int:
         client = await rig.connect()
         client.writer.write(head)
         for piece in pieces:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,7 +19,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.scripted import ScriptedEndpoint
 from millgw.streams.room import MAX_WINDOW, MIN_WINDOW, READ_SIZE, StreamLimiter
-from tests.rig import Rig, request, run, sidecar
+from tests.rig import RunningSidecar, request, run, sidecar
 from tests.test_control import call, door_of, figures
 
 LONG = 300_000  # bytes; more than is buffered whole
@@ -56,7 +56,7 @@
 
 
 @asynccontextmanager
-async def serving(serve: Serve, **changes: object) -> AsyncIterator[Rig]:
+async def serving(serve: Serve, **changes: object) -> AsyncIterator[RunningSidecar]:
     """A sidecar with one endpoint, which calls `serve` for each connection."""
 
     async def guarded(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -78,7 +78,7 @@
     listener.close()
 
 
-async def final_figures(rig: Rig) -> dict[str, object]:
+async def final_figures(rig: RunningSidecar) -> dict[str, object]:
     """The sidecar's figures once no request is open."""
     assert rig.config.control is not None
     while (counts := await figures(rig.config.control))["open_requests"]:
@@ -460,7 +460,7 @@
     run(test)
 
 
-def control_of(rig: Rig) -> Address:
+def control_of(rig: RunningSidecar) -> Address:
     assert rig.config.control is not None
     return rig.config.control
 
