--- a/tests/rig.py
+++ b/tests/rig.py
@@ -180,7 +180,7 @@
             await task
 
 
-class Services(SidecarClient):
+class OperatorSidecar(SidecarClient):
     """A running sidecar with an operator file."""
 
     def __init__(self, folder: Path, text: str, discovery: str, control: Address | None = None) -> None:
@@ -213,8 +213,8 @@
 @asynccontextmanager
 async def services(
     folder: Path, text: str, discovery: str = "127.0.0.1:9", control: Address | None = None
-) -> AsyncIterator[Services]:
-    made = Services(folder, text, discovery, control)
+) -> AsyncIterator[OperatorSidecar]:
+    made = OperatorSidecar(folder, text, discovery, control)
     task = asyncio.create_task(serve(read_config(made.environ), made.environ))
     await asyncio.sleep(0.02)
     if task.done():
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -550,7 +550,7 @@
     return "\n".join((*services, f'[configuration]\ninstances = ["{control.address}"]\n{more}'))
 
 
-async def connected(node: rig.Services) -> rig.Client:
+async def connected(node: rig.OperatorSidecar) -> rig.Client:
     """A caller's connection as soon as the sidecar listens: it waits for its first version before."""
     while True:
         with suppress(ConnectionRefusedError):
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -24,7 +24,7 @@
 from millgw.store.store import Item, Options, Standing, Store
 from millgw.store.writer import Sync, Writer
 from tests.outside import loaded, refused
-from tests.rig import EXPIRES_IN, Services, request, run, services
+from tests.rig import EXPIRES_IN, OperatorSidecar, request, run, services
 
 # The registry
 
@@ -208,7 +208,7 @@
 
 
 async def ask_once_listening(
-    node: Services, trace: str, cls: str = "pay", **headers: Any
+    node: OperatorSidecar, trace: str, cls: str = "pay", **headers: Any
 ) -> tuple[int, bytes]:
     while True:
         with suppress(ConnectionRefusedError):  # the store is read before it listens
@@ -378,7 +378,9 @@
 
 def test_one_pool_marks_too(tmp_path: Path) -> None:
     """Without services there is one pool, from the configured discovery."""
-    node = Services(tmp_path, f'[store]\ndirectories = ["{tmp_path / "store"}"]\n', str(free_address()))
+    node = OperatorSidecar(
+        tmp_path, f'[store]\ndirectories = ["{tmp_path / "store"}"]\n', str(free_address())
+    )
     done = subprocess.run(
         [sys.executable, "-c", ONE_POOL], env={**node.environ, "PYTHONPATH": "."},
         capture_output=True, text=True, timeout=60, check=False,
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -33,7 +33,7 @@
     silent,
 )
 from tests.outside import loaded
-from tests.rig import Client, Services, request, run, services, wait_until
+from tests.rig import Client, OperatorSidecar, request, run, services, wait_until
 
 # The operator's file
 
@@ -555,7 +555,7 @@
 
 
 def test_an_invalid_operator_file_exits_the_daemon_with_2_and_one_line(tmp_path: Path) -> None:
-    made = Services(tmp_path, GOOD.replace("calls = 0.5", "calls = 7"), "127.0.0.1:9")
+    made = OperatorSidecar(tmp_path, GOOD.replace("calls = 0.5", "calls = 7"), "127.0.0.1:9")
     done = subprocess.run(
         [sys.executable, "-m", "millgw", "serve", "--operator", str(made.file)],
         env=os.environ | {"BALANCER_CONFIG": str(made.config)},
