--- a/tests/rig.py
+++ b/tests/rig.py
@@ -211,7 +211,7 @@
 
 
 @asynccontextmanager
-async def services(
+async def operator_sidecar(
     folder: Path, text: str, discovery: str = "127.0.0.1:9", control: Address | None = None
 ) -> AsyncIterator[OperatorSidecar]:
     made = OperatorSidecar(folder, text, discovery, control)
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -565,7 +565,7 @@
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
         text = await configured(control, await two(login, campaign))
-        async with rig.services(tmp_path, text) as node:
+        async with rig.operator_sidecar(tmp_path, text) as node:
             client = await connected(node)
             for _ in range(20):
                 assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
@@ -619,7 +619,7 @@
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
         text = await configured(control, await two(login, campaign))
-        async with rig.services(tmp_path, text):
+        async with rig.operator_sidecar(tmp_path, text):
             before = {pool.name: pool.settings for pool in pools()}
             control.commit(
                 {"services.login": {"limits": {"tryLimit": 7}}, "services.campaign": {"classes": []}}
@@ -641,7 +641,7 @@
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
         more = f'directory = "{tmp_path}/state"' if kept else ""
         text = await configured(control, await two(login, campaign), more=more)
-        async with rig.services(tmp_path, text) as node:
+        async with rig.operator_sidecar(tmp_path, text) as node:
             client = await connected(node)
             bulk = dict(CLASSES[2], name="bulk")
             control.commit({"settings": {"classes": [*CLASSES, bulk]}, "services.login.connections": {}})
@@ -657,7 +657,7 @@
                 await wait_until(lambda: [document.index for document in stored.read()] == [2])
         if kept:
             control.stop()
-        async with rig.services(tmp_path, text) as node:
+        async with rig.operator_sidecar(tmp_path, text) as node:
             client = await connected(node)
             assert (await client.ask(request("bulk", Host="login.example.org"))).status == 200
 
@@ -672,7 +672,7 @@
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
         text = await configured(control, await two(login, campaign))
-        async with rig.services(tmp_path, text) as node:
+        async with rig.operator_sidecar(tmp_path, text) as node:
             control.commit({"services.login": {"limits": {"tryLimit": 7}}})
             await wait_until(lambda: bool(control.reports))
             before = {pool.name: pool for pool in pools()}
@@ -702,7 +702,7 @@
         await endpoint.start()
         await discovery.start()
         text = await configured(control, more="[connections]\nkeep_least = 1\n")
-        async with rig.services(tmp_path, text, str(discovery.address)) as node:
+        async with rig.operator_sidecar(tmp_path, text, str(discovery.address)) as node:
             _, writer = await discovery.calls.get()
             writer.write(STREAM + chunk(line(1, [endpoint.entry()], snapshot=True)))
             (pool,) = pools()
@@ -739,7 +739,7 @@
         if answers is None:
             control.stop()
         begun = asyncio.get_running_loop().time()
-        async with rig.services(tmp_path, text) as node:
+        async with rig.operator_sidecar(tmp_path, text) as node:
             if answers is not None:
                 _, writer = await control.watches.get()
                 writer.write(answers)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,7 +21,7 @@
     line,
 )
 from tests.outside import loaded
-from tests.rig import SidecarClient, request, run, services, stalls, wait_until
+from tests.rig import SidecarClient, operator_sidecar, request, run, stalls, wait_until
 
 
 def operator_file(connections: str, *endpoints: ScriptedEndpoint, service: str = "") -> str:
@@ -58,7 +58,7 @@
                         connection.close()
 
         closing = asyncio.create_task(close_idle())
-        async with services(tmp_path, operator_file("", endpoint)) as rig:
+        async with operator_sidecar(tmp_path, operator_file("", endpoint)) as rig:
             for i in range(25):
                 assert (await rig.ask(request("pay"))).status == 200
                 await asyncio.sleep(0.02 * (i % 9))
@@ -77,7 +77,7 @@
         endpoint = ScriptedEndpoint("e1", cut=lambda requests: requests >= 4)
         await endpoint.start()
         async with (
-            services(tmp_path, operator_file("", endpoint)) as rig,
+            operator_sidecar(tmp_path, operator_file("", endpoint)) as rig,
             stalls(over=AFTER_ANSWER_MS / 1000) as stood_still,
         ):
             client = await rig.connect()
@@ -106,7 +106,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator_file(FORGOTTEN, endpoint)) as rig:
+        async with operator_sidecar(tmp_path, operator_file(FORGOTTEN, endpoint)) as rig:
             assert (await rig.ask(request(cls))).status == 200
             (old,) = endpoint.served
             old.forget()
@@ -125,7 +125,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator_file("", endpoint)) as rig:
+        async with operator_sidecar(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
             endpoint.served[0].forget()
             assert (await rig.ask(request("pay", expires_in=600))).status == 502
@@ -145,7 +145,7 @@
 
         endpoint = ScriptedEndpoint("e1", cut=cut)
         await endpoint.start()
-        async with services(tmp_path, operator_file("", endpoint)) as rig:
+        async with operator_sidecar(tmp_path, operator_file("", endpoint)) as rig:
             for _ in range(3):
                 assert (await rig.ask(request("pay"))).status == 200
             assert (await counts(rig))["moved-unsafe"] == 1
@@ -160,7 +160,9 @@
         await endpoint.start()
         endpoint.listener.silence()
         settings = "[services.all.settings.limits]\ntryLimit = 1"
-        async with services(tmp_path, operator_file("wait_ms = 30", endpoint, service=settings)) as rig:
+        async with operator_sidecar(
+            tmp_path, operator_file("wait_ms = 30", endpoint, service=settings)
+        ) as rig:
             before = time.monotonic()
             got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(12)))
             # All calls but the one that connects fail after their wait, before the connect timeout of 5 s.
@@ -191,7 +193,7 @@
         bad, good = ClosingEndpoint("bad"), [ScriptedEndpoint(f"good{i}") for i in range(2)]
         for endpoint in (bad, *good):
             await endpoint.start()
-        async with services(tmp_path, operator_file("keep_least = 2", bad, *good)) as rig:
+        async with operator_sidecar(tmp_path, operator_file("keep_least = 2", bad, *good)) as rig:
             got = []
             for _ in range(20):
                 got.append((await rig.ask(request("pay"))).status)
@@ -209,7 +211,7 @@
         for endpoint in some:
             await endpoint.start()
         text = operator_file("keep_least = 40\nat_once = 40", *some)
-        async with services(tmp_path, text) as rig:  # 256 descriptors
+        async with operator_sidecar(tmp_path, text) as rig:  # 256 descriptors
             await wait_until(lambda: sum(e.connections for e in some) >= 50)
             for _ in range(20):
                 got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(10)))
@@ -224,7 +226,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator_file("keep_least = 3", endpoint)) as rig:
+        async with operator_sidecar(tmp_path, operator_file("keep_least = 3", endpoint)) as rig:
             await wait_until(lambda: endpoint.connections == 3)
             await asyncio.sleep(0.05)
             got = await asyncio.gather(*(rig.ask(request("read")) for _ in range(3)))
@@ -253,7 +255,7 @@
             await endpoint.start()
         leaves.listener.silence()  # its handshakes do not complete until it accepts again
         text = '[connections]\nkeep_least = 2\n[services.all]\n[[routes]]\nto = "all"'
-        async with services(tmp_path, text, str(discovery_server.address)) as rig:
+        async with operator_sidecar(tmp_path, text, str(discovery_server.address)) as rig:
             writer = await answer_watch(discovery_server, stays.entry(), leaves.entry())
             await wait_until(lambda: stays.connections == 2)
             writer.write(chunk(line(3, [leaves.entry("terminating")])))
@@ -291,7 +293,7 @@
 [[routes]]
 to = "all"
 """
-        async with services(tmp_path, text, str(discovery_server.address)) as rig:
+        async with operator_sidecar(tmp_path, text, str(discovery_server.address)) as rig:
             _, writer = await discovery_server.calls.get()
             since = int(time.time() * 1000)  # set as late as possible: a turn expires 0.1 s after it is due
             entries = [*(e.entry() for e in warm), cold.entry(since_ms=since)]
@@ -310,7 +312,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator_file("", endpoint)) as rig:
+        async with operator_sidecar(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
             await rig.reload(operator_file("keep_least = 4", endpoint))
             await wait_until(lambda: endpoint.connections == 4)
@@ -325,7 +327,9 @@
         discovery_server, endpoint = ScriptedDiscoveryServer(), ScriptedEndpoint("e1")
         await discovery_server.start()
         await endpoint.start()
-        async with services(tmp_path, "[connections]\nkeep_least = 2", str(discovery_server.address)) as rig:
+        async with operator_sidecar(
+            tmp_path, "[connections]\nkeep_least = 2", str(discovery_server.address)
+        ) as rig:
             await answer_watch(discovery_server, endpoint.entry())
             await wait_until(lambda: endpoint.connections == 2)
             assert (await rig.ask(request("pay"))).status == 200
@@ -366,7 +370,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         await endpoint.start()
-        async with services(tmp_path, operator_file("at_once = 1\nahead = false", endpoint)) as rig:
+        async with operator_sidecar(tmp_path, operator_file("at_once = 1\nahead = false", endpoint)) as rig:
             for wait in (0.0, 0.0, 0.001, 0.002):
                 clients = [await rig.connect() for _ in range(5)]
                 for client in clients:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -48,7 +48,7 @@
     line,
     silent,
 )
-from tests.rig import SETTINGS, request, run, services, sidecar, wait_until
+from tests.rig import SETTINGS, operator_sidecar, request, run, sidecar, wait_until
 
 NO_LINGER = struct.pack("ii", 1, 0)
 RETRY_WAIT = 0.6  # s; longer than the longest delay between two attempts in these tests (0.25 s)
@@ -428,7 +428,7 @@
             f'[[services.s.endpoints]]\nname = "{each.name}"\naddress = "{each.address}"\n'
             for each in (endpoint, other)
         )
-        async with services(tmp_path, f'[services.s]\n{listed}[[routes]]\nto = "s"\n') as rig:
+        async with operator_sidecar(tmp_path, f'[services.s]\n{listed}[[routes]]\nto = "s"\n') as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("pay"))
             await wait_until(lambda: bool(endpoint.got or other.got))
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -24,7 +24,7 @@
 from millgw.store.store import Item, Options, Standing, Store
 from millgw.store.writer import Sync, Writer
 from tests.outside import loaded, refused
-from tests.rig import EXPIRES_IN, OperatorSidecar, request, run, services
+from tests.rig import EXPIRES_IN, OperatorSidecar, operator_sidecar, request, run
 
 # The registry
 
@@ -230,13 +230,13 @@
         endpoint = ScriptedEndpoint("e", script)
         await endpoint.start()
         for _ in range(2):
-            async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+            async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
                 first = await ask_once_listening(node, "aa01")
                 second = await ask_once_listening(node, "aa01")
                 assert second[0] == 502 and b"sent before" in second[1]
         assert first[0] == 502, "the second process must know of the call"
         assert [m.headers["x-trace-id"] for m in endpoint.got] == ["aa01"] and seen == [True]
-        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+        async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             assert (await ask_once_listening(node, "bb02", "read"))[0] == 200
             assert (await ask_once_listening(node, "bb02", "read"))[0] == 200, "safe calls are not marked"
         assert b"bb02" not in on_disk(tmp_path)
@@ -254,7 +254,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e", script)
         await endpoint.start()
-        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+        async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             assert (await ask_once_listening(node, "aa01"))[0] == 502
             assert b"sent before" in (await ask_once_listening(node, "aa01"))[1]
             assert (await ask_once_listening(node, "bb02"))[0] == 503, "turned away"
@@ -275,7 +275,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e", script)
         await endpoint.start()
-        async with services(tmp_path, operator_toml(endpoint, tmp_path, 'key = "X-Order"')) as node:
+        async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path, 'key = "X-Order"')) as node:
             first = asyncio.create_task(ask_once_listening(node, "aa01", X_Order="7"))
             while not endpoint.got:
                 await asyncio.sleep(0.005)
@@ -296,7 +296,7 @@
         folder = tmp_path / "store"
         folder.mkdir()
         other = Store([RealFiles(folder)], Options(), lambda: 1e12, lambda: 0.0)
-        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+        async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             assert (await ask_once_listening(node, "aa01", "read"))[0] == 200
             status, _ = await ask_once_listening(node, "aa02", patience=400)
             assert status == 502, "a 503 would promise that no process ever sent it"
@@ -322,14 +322,14 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e")
         await endpoint.start()
-        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+        async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             with monkeypatch.context() as patch:
                 patch.setattr(Store, "append", fails)
                 assert (await ask_once_listening(node, "aa01", patience=EXPIRES_IN))[0] in (502, 503)
             assert (await ask_once_listening(node, "aa02", "read"))[0] == 200
         (segment, *_) = sorted((tmp_path / "store").glob("seg-*"))
         segment.write_bytes(b"no store" + segment.read_bytes())
-        async with services(tmp_path, operator_toml(endpoint, tmp_path)) as node:
+        async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             status, body = await ask_once_listening(node, "aa03")
             assert status == 502 and b"can't be proven" in body
             assert (await ask_once_listening(node, "aa04", "read"))[0] == 200
@@ -346,7 +346,7 @@
         await endpoint.start()
         # Three marks fit, and each expires after some seconds.
         monkeypatch.setattr(store_log, "MARK_BYTES", store_log.MEMORY_SHARE * 32 * 2**20 / 3)
-        async with services(tmp_path, operator_toml(endpoint, tmp_path, "keep_h = 0.0005")) as node:
+        async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path, "keep_h = 0.0005")) as node:
             got = [(await ask_once_listening(node, f"aa0{i}"))[0] for i in range(5)]
             assert got == [200, 200, 200, 503, 503], "refused before they ran, so they may be repeated"
             while (await ask_once_listening(node, "aa07"))[0] != 200:
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -37,7 +37,7 @@
 from tests.kinds import skip_if_pure
 from tests.outside import loaded, refused
 from tests.rig import SETTINGS as WORDED
-from tests.rig import request, run, services
+from tests.rig import operator_sidecar, request, run
 from tests.support import KEYED, SAFE, SETTINGS, UNSAFE, Drive
 
 REGIONS = (0, 0, 1)  # zones 0 and 1 are one region, zone 2 another
@@ -303,7 +303,7 @@
 def test_a_zone_that_the_settings_do_not_have_ends_a_start(tmp_path: Path) -> None:
     async def test() -> None:
         with pytest.raises(ValueError, match=r"places\.zone: the settings' localities have no 'z'"):
-            async with services(tmp_path, '[places]\nzone = "z"\n'):
+            async with operator_sidecar(tmp_path, '[places]\nzone = "z"\n'):
                 pass
 
     run(test)
@@ -347,7 +347,7 @@
         a, b, c = await fleet("a", 3), await fleet("b", 3), await fleet("c", 2)
         text = ONE_SERVICE + static("a", *a) + static("b", *b) + static("c", *c) + PLACED
         control = free_address()
-        async with services(tmp_path, text, control=control) as node:
+        async with operator_sidecar(tmp_path, text, control=control) as node:
             deadline = asyncio.get_running_loop().time() + 25.0
             near = 0
             while near < 45:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -32,7 +32,7 @@
 from millgw.standins.coordinator.ensemble import Ensemble
 from millgw.standins.coordinator.tree import Told
 from millgw.standins.scripted import STREAM, ScriptedDiscoveryServer, ScriptedEndpoint, chunk, line
-from tests.rig import SidecarClient, request, run, services, wait_until
+from tests.rig import SidecarClient, operator_sidecar, request, run, wait_until
 from tests.test_coordinator import running
 
 PATH = "/services/login"
@@ -109,7 +109,7 @@
             for e in made:
                 await e.start()
                 zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
-            async with services(tmp_path, service(zk)) as node:
+            async with operator_sidecar(tmp_path, service(zk)) as node:
                 await has(node, 3)
                 # At once: calls one by one are free to stay with endpoints that answered quickly.
                 for _ in range(2):
@@ -137,7 +137,7 @@
             for e in made:
                 await e.start()
                 zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
-            async with services(tmp_path, service(zk)) as node:
+            async with operator_sidecar(tmp_path, service(zk)) as node:
                 await has(node, 6)
                 for _ in range(40):
                     assert (await node.ask(request("read"))).status == 200
@@ -194,7 +194,7 @@
             zk.own(f"{PATH}/a", entry("a", a.address))
             zk.own(f"{PATH}/b", entry("b", b.address))
             text = service(zk, 'membership = "union"')
-            async with services(tmp_path, text, str(discovery_server.address)) as node:
+            async with operator_sidecar(tmp_path, text, str(discovery_server.address)) as node:
                 _, writer = await discovery_server.calls.get()
                 writer.write(STREAM + chunk(line(1, [b.entry(), c.entry()], snapshot=True)))
                 await has(node, 3)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -33,7 +33,7 @@
     silent,
 )
 from tests.outside import loaded
-from tests.rig import Client, OperatorSidecar, request, run, services, wait_until
+from tests.rig import Client, OperatorSidecar, operator_sidecar, request, run, wait_until
 
 # The operator's file
 
@@ -217,7 +217,7 @@
 def test_each_request_goes_to_the_service_of_its_route_and_to_no_other(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
-        async with services(tmp_path, await two(login, campaign)) as node:
+        async with operator_sidecar(tmp_path, await two(login, campaign)) as node:
             client = await node.connect()
             for _ in range(5):  # one connection that alternates
                 assert (await client.ask(request("pay", Host="Login.Example.ORG:80"))).status == 200
@@ -245,7 +245,7 @@
 
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c", silent)
-        async with services(tmp_path, await two(login, campaign)) as node:
+        async with operator_sidecar(tmp_path, await two(login, campaign)) as node:
             flood = [await node.connect() for _ in range(90)]
             for client in flood:
                 client.writer.write(request("write", b"x" * 8000, Host="a.campanha.example.org"))
@@ -278,7 +278,7 @@
         three = one + static("two", endpoints[1]) + static("three", endpoints[2])
         for name in ("two", "three"):
             three += f'[[routes]]\nto = "{name}"\nhost = "{name}.org"\n'
-        async with services(tmp_path, one) as node:
+        async with operator_sidecar(tmp_path, one) as node:
             asked: list[asyncio.Task[Message]] = []
 
             async def ask(wanted: tuple[int, int, int], *hosts: str) -> None:
@@ -310,7 +310,7 @@
         )
         await unresponsive.start()
         text = await two(login, campaign) + static("status", unresponsive) + '[[routes]]\nto = "status"\n'
-        async with services(tmp_path, text) as node:
+        async with operator_sidecar(tmp_path, text) as node:
             waiting = [await node.connect() for _ in range(30)]
             for client in waiting:
                 client.writer.write(request("read", Host="status.org"))
@@ -346,7 +346,7 @@
 
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
-        async with services(tmp_path, await two(login, campaign)) as node:
+        async with operator_sidecar(tmp_path, await two(login, campaign)) as node:
             calm, flood = await node.connect(), [await node.connect() for _ in range(80)]
             for client in flood:
                 await client.ask(request("write", Host="a.campanha.example.org"))
@@ -368,7 +368,7 @@
         login = ScriptedEndpoint("l")
         await login.start()
         down = f'[services.campaign]\ndiscovery = "{free_address()}"\n'
-        async with services(tmp_path, static("login", login) + down + ROUTES) as node:
+        async with operator_sidecar(tmp_path, static("login", login) + down + ROUTES) as node:
             assert (await node.ask(request("pay", Host="login.example.org"))).status == 200
             assert (await node.ask(request("pay", expires_in=300, Host="x.campanha.example.org"))).status in (
                 502,
@@ -385,7 +385,7 @@
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
         go = asyncio.Event()
         text = await two(login, campaign)
-        async with services(tmp_path, text) as node:
+        async with operator_sidecar(tmp_path, text) as node:
             kept = await node.connect()
             assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
             campaign.script = answering(ok(b"late"), after=go)
@@ -420,7 +420,9 @@
         login = ScriptedEndpoint("l")
         await login.start()
         only = '[[routes]]\nto = "login"\n'
-        async with services(tmp_path, static("login", login, more='classes = ["pay"]') + only) as node:
+        async with operator_sidecar(
+            tmp_path, static("login", login, more='classes = ["pay"]') + only
+        ) as node:
             assert (await node.ask(request("pay"))).status == 200
             assert (await node.ask(request("write"))).status == 400
         for more, says in (
@@ -428,7 +430,7 @@
             ("settings = { rules = { coldShare = 7 } }", r"services\.login\.settings"),
         ):
             with pytest.raises(ValueError, match=says):
-                async with services(tmp_path, static("login", login, more=more) + only):
+                async with operator_sidecar(tmp_path, static("login", login, more=more) + only):
                     pass
 
     run(test)
@@ -440,7 +442,7 @@
         await discovery_server.start()
         await other.start()
         text = f'[services.login]\n[services.campaign]\ndiscovery = "{other.address}"\n' + ROUTES
-        async with services(tmp_path, text, str(discovery_server.address)):
+        async with operator_sidecar(tmp_path, text, str(discovery_server.address)):
             for asked in (discovery_server, other):
                 call, _ = await asked.calls.get()
                 assert call.first.startswith("GET /v1/endpoints?watch=1")
@@ -453,7 +455,7 @@
         login, campaign, own = ScriptedEndpoint("l"), ScriptedEndpoint("c"), free_address()
         text = await two(login, campaign)
         listening = text.replace("[services.login]", f'[services.login]\nlisten = "{own}"', 1)
-        async with services(tmp_path, listening) as node:
+        async with operator_sidecar(tmp_path, listening) as node:
             direct = Client(*await asyncio.open_connection(own.host, own.port))
             for _ in range(2):
                 assert (await direct.ask(request("pay", Host="any.host"))).status == 200
@@ -480,7 +482,7 @@
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
         text = await two(login, campaign)
         only = static("login", login) + '[[routes]]\nto = "login"\n'
-        async with services(tmp_path, text) as node:
+        async with operator_sidecar(tmp_path, text) as node:
             for _ in range(5):
                 await node.reload(only)
                 await node.reload(text)
@@ -500,7 +502,7 @@
     async def test() -> None:
         discovery_server = ScriptedDiscoveryServer()
         await discovery_server.start()
-        async with services(tmp_path, "# nothing\n", str(discovery_server.address)) as node:
+        async with operator_sidecar(tmp_path, "# nothing\n", str(discovery_server.address)) as node:
             await discovery_server.calls.get()
             assert (await node.ask(request("pay", Host="anything"))).status == 503
 
