--- a/tests/rig.py
+++ b/tests/rig.py
@@ -67,7 +67,7 @@
 
 
 @asynccontextmanager
-async def stalls(over: float) -> AsyncIterator[list[float]]:
+async def loop_stalls(over: float) -> AsyncIterator[list[float]]:
     """Collect the stalls (s) of the event loop that last `over` seconds or more."""
     loop = asyncio.get_running_loop()
     seen: list[float] = []
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -22,7 +22,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line
-from tests.rig import Client, RunningSidecar, heartbeats, request, run, sidecar, stalls
+from tests.rig import Client, RunningSidecar, heartbeats, loop_stalls, request, run, sidecar
 from tests.test_control import call, figures
 
 ANSWER_WITHIN = 3.0  # s after its last byte within which a stopped client gets its error or a close
@@ -102,7 +102,7 @@
     client.writer.write(data)
     await client.writer.drain()
     try:
-        async with stalls(over=LOOP_BLOCK) as stood_still:
+        async with loop_stalls(over=LOOP_BLOCK) as stood_still:
             outcome = await listen(client, time.monotonic(), answers)
         return Outcome(outcome.statuses, outcome.after - sum(stood_still))
     finally:
