--- a/tests/rig.py
+++ b/tests/rig.py
@@ -46,14 +46,14 @@
 }
 
 
-def run(test: Callable[[], Coroutine[Any, Any, None]], waits: float = 0.0) -> None:
+def run(test: Callable[[], Coroutine[Any, Any, None]], extra_time: float = 0.0) -> None:
     """Run a test on the event loop type that the sidecar uses, limited to `TEST_TIMEOUT` + `waits` seconds."""
 
     async def limited() -> None:
-        async with asyncio.timeout(TEST_TIMEOUT + waits):
+        async with asyncio.timeout(TEST_TIMEOUT + extra_time):
             await test()
 
-    faulthandler.dump_traceback_later(BLOCKED_LOOP_TIMEOUT + waits, exit=True)
+    faulthandler.dump_traceback_later(BLOCKED_LOOP_TIMEOUT + extra_time, exit=True)
     try:
         uvloop.run(limited())
     finally:
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -382,4 +382,4 @@
             for task in waiting:
                 task.cancel()
 
-    run(test, waits=40.0)
+    run(test, extra_time=40.0)
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -158,7 +158,7 @@
         ways = ("turned away", "reset", "ends at once", "unreadable", "silent", "refused")
         await asyncio.gather(*(nothing_is_sent_after_a_drain(how, probing) for how in ways))
 
-    run(test, waits=TOLD_WITHIN + TOLD_SLACK)
+    run(test, extra_time=TOLD_WITHIN + TOLD_SLACK)
 
 
 # A caller that closes its connection or cancels its request has gone
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -145,7 +145,7 @@
             await wait_for_no_open_requests(rig)
             assert not [message for message in endpoint.got if message.first.startswith("POST")]
 
-    run(test, waits=LISTEN_TIME)
+    run(test, extra_time=LISTEN_TIME)
 
 
 @pytest.mark.parametrize("how", ["drained", "told to end"])
@@ -167,7 +167,7 @@
             if how == "told to end":
                 await rig.task
 
-    run(test, waits=LISTEN_TIME)
+    run(test, extra_time=LISTEN_TIME)
 
 
 def test_a_client_that_stopped_behind_a_call_in_flight_gets_that_answer_and_then_its_error() -> None:
@@ -179,7 +179,7 @@
                 assert outcome.statuses == [200, 408], outcome
                 assert outcome.after <= SLOW_ANSWER + 0.5, "the error must follow the answer before it"
 
-    run(test, waits=3 * LISTEN_TIME)
+    run(test, extra_time=3 * LISTEN_TIME)
 
 
 async def read_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -199,7 +199,7 @@
             assert outcome.after <= ANSWER_WITHIN and outcome.statuses in ([], [408])
         server.close()
 
-    run(test, waits=LISTEN_TIME)
+    run(test, extra_time=LISTEN_TIME)
 
 
 def test_a_slow_client_that_goes_on_is_served() -> None:
@@ -229,7 +229,7 @@
             assert await asyncio.gather(*slow) == [200, 200, 200]
             beating.cancel()
 
-    run(test, waits=2 * LISTEN_TIME)
+    run(test, extra_time=2 * LISTEN_TIME)
 
 
 def test_a_client_that_reads_none_of_its_answers_and_stays_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
