--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -61,7 +61,7 @@
 from tests.outside import loaded, refused
 from tests.rig import request, run, wait_until
 from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, endpoints, make_drive
-from tests.test_control import call, figures
+from tests.test_control import call_control, figures
 from tests.test_properties import step, time_out_overdue
 from tests.test_services import static, two
 from tests.test_sidecar_process import start
@@ -866,7 +866,7 @@
             while (await standing())["instance"]:
                 await asyncio.sleep(0.01)
             await wait_until(lambda: len(statuses) > before + 50)
-            code, _ = await call(door, "GET", "/-/ready")
+            code, _ = await call_control(door, "GET", "/-/ready")
             assert code == 200, "it serves on without control"
             stop.set()
             await asyncio.gather(*callers)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -30,7 +30,7 @@
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
 
 
-async def call(control: Address, method: str, path: str) -> tuple[int, bytes]:
+async def call_control(control: Address, method: str, path: str) -> tuple[int, bytes]:
     reader, writer = await asyncio.open_connection(control.host, control.port)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n".encode())
     answer = await reader.read()
@@ -41,7 +41,7 @@
 
 
 async def figures(control: Address) -> dict[str, Any]:
-    code, body = await call(control, "GET", "/-/metrics")
+    code, body = await call_control(control, "GET", "/-/metrics")
     assert code == 200
     found = json.loads(body)
     assert isinstance(found, dict)
@@ -299,23 +299,23 @@
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint, control=free_address()) as rig:
             control = door_of(rig)
-            while (await call(control, "GET", "/-/ready"))[0] != 200:
+            while (await call_control(control, "GET", "/-/ready"))[0] != 200:
                 pass
             idle, used, silent_one = [await rig.connect() for _ in range(3)]
             for client in (idle, used):
                 assert "connection" not in (await client.ask(request())).headers
-            assert (await call(control, "PUT", "/-/drain"))[0] == 200
+            assert (await call_control(control, "PUT", "/-/drain"))[0] == 200
             begun = time.monotonic()
             assert (await rig.ask(READY)).status == 503
-            assert (await call(control, "GET", "/-/ready"))[0] == 200, "draining is not unready"
+            assert (await call_control(control, "GET", "/-/ready"))[0] == 200, "draining is not unready"
             answer = await used.ask(request())
             assert answer.status == 200 and answer.headers["connection"] == "close"
             assert await used.reader.read() == b""
-            assert (await call(control, "PUT", "/-/drain"))[0] == 200, "a second drain call"
+            assert (await call_control(control, "PUT", "/-/drain"))[0] == 200, "a second drain call"
             for client in (idle, silent_one):
                 assert await client.reader.read() == b"", "closed between requests"
             assert DRAIN_IDLE_AFTER - 0.1 < time.monotonic() - begun < 4.0
-            assert (await call(control, "PUT", "/-/resume"))[0] == 200
+            assert (await call_control(control, "PUT", "/-/resume"))[0] == 200
             assert (await rig.ask(READY)).status == 200
             client = await rig.connect()
             assert "connection" not in (await client.ask(request())).headers
@@ -337,7 +337,7 @@
             client.writer.write(request())
             while (await figures(door_of(rig)))["open_requests"] != 1:
                 pass
-            await call(door_of(rig), "PUT", "/-/drain")
+            await call_control(door_of(rig), "PUT", "/-/drain")
             await asyncio.sleep(DRAIN_IDLE_AFTER + 0.5)
             release.set()
             assert (await read_message(client.reader)).status == 200
@@ -364,7 +364,7 @@
                 client.writer.write(request("pay"))
             await wait_until(lambda: sum(len(endpoint.got) for endpoint in endpoints) >= 4)
             assert (await figures(control))["open_requests"] >= 4
-            assert (await call(control, "PUT", "/-/drain"))[0] == 200
+            assert (await call_control(control, "PUT", "/-/drain"))[0] == 200
             for client in callers:
                 client.writer.close()
             while (await figures(control))["open_requests"]:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -44,7 +44,7 @@
 )
 from tests.rig import SETTINGS, config, request, run, wait_until
 from tests.support import make_drive
-from tests.test_control import call
+from tests.test_control import call_control
 
 # The state
 
@@ -269,7 +269,7 @@
         while True:
             assert process.poll() is None, (self.folder / "log").read_text()
             try:
-                if (await call(control, "GET", "/-/ready"))[0] == 200:
+                if (await call_control(control, "GET", "/-/ready"))[0] == 200:
                     return process, control
             except OSError:
                 pass
@@ -440,7 +440,7 @@
             for reader, writer in held[:1] + held[-1:]:
                 writer.write(request("pay"))
                 assert (await read_message(reader)).status == 200
-            assert (await call(control, "GET", "/-/ready"))[0] == 200
+            assert (await call_control(control, "GET", "/-/ready"))[0] == 200
             for _, writer in held:
                 writer.close()
             third, _ = await fleet.start()
@@ -496,7 +496,7 @@
             reader, writer = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
             writer.write(request("pay", expires_in=3000))
             await wait_until(lambda: sum(len(endpoint.got) for endpoint in fleet.endpoints) == 1)
-            assert (await call(control, "PUT", "/-/drain"))[0] == 200
+            assert (await call_control(control, "PUT", "/-/drain"))[0] == 200
             _, second = await fleet.start()
             asked, writing = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
             writing.write(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -504,11 +504,13 @@
             old.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
             for path in ("/-/drain", "/-/resume"):
-                assert (await call(control, "PUT", path))[0] == 503, "the old process is shutting down"
+                assert (await call_control(control, "PUT", path))[0] == 503, (
+                    "the old process is shutting down"
+                )
             go.set()
             assert (await read_message(reader)).status == 200, "accepted by the old process but not answered"
             assert await asyncio.to_thread(old.wait) == 0
-            assert (await call(second, "PUT", "/-/resume"))[0] == 200
+            assert (await call_control(second, "PUT", "/-/resume"))[0] == 200
             asked, writing = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
             writing.write(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await read_message(asked)).status == 200
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -23,7 +23,7 @@
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line
 from tests.rig import Client, RunningSidecar, heartbeats, loop_stalls, request, run, sidecar
-from tests.test_control import call, figures
+from tests.test_control import call_control, figures
 
 ANSWER_WITHIN = 3.0  # s after its last byte within which a stopped client gets its error or a close
 LOOP_BLOCK = 0.1  # s; longer blocks of the event loop (busy machine) are subtracted
@@ -158,7 +158,7 @@
             stopping = [asyncio.create_task(send_and_stop(rig, data, n)) for n, data in STOP_POINTS.values()]
             await asyncio.sleep(0.3)
             if how == "drained":
-                await call(rig.config.control, "PUT", "/-/drain")
+                await call_control(rig.config.control, "PUT", "/-/drain")
             else:
                 os.kill(os.getpid(), signal.SIGTERM)
             outcomes = await asyncio.gather(*stopping)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -20,7 +20,7 @@
 from millgw.standins.scripted import ScriptedEndpoint
 from millgw.streams.room import MAX_WINDOW, MIN_WINDOW, READ_SIZE, StreamLimiter
 from tests.rig import RunningSidecar, request, run, sidecar
-from tests.test_control import call, door_of, figures
+from tests.test_control import call_control, door_of, figures
 
 LONG = 300_000  # bytes; more than is buffered whole
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -399,7 +399,7 @@
             assert rig.config.control is not None
             connection = await rig.connect()
             _, headers = await ask(connection.reader, connection.writer)
-            assert (await call(rig.config.control, "PUT", "/-/drain"))[0] == 200
+            assert (await call_control(rig.config.control, "PUT", "/-/drain"))[0] == 200
             await asyncio.sleep(1.5)
             rest.set()
             assert len(await read_body(connection.reader, headers)) == LONG
