--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -61,7 +61,7 @@
 from tests.outside import loaded, refused
 from tests.rig import request, run, wait_until
 from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, endpoints, make_drive
-from tests.test_control import call_control, figures
+from tests.test_control import call_control, read_metrics
 from tests.test_properties import step, time_out_overdue
 from tests.test_services import static, two
 from tests.test_sidecar_process import start
@@ -828,7 +828,7 @@
                 writer.close()
 
             async def standing() -> dict[str, Any]:
-                found = (await figures(door))["configuration"]
+                found = (await read_metrics(door))["configuration"]
                 assert isinstance(found, dict)
                 return found
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -40,7 +40,7 @@
     return int(head.split()[1]), body
 
 
-async def figures(control: Address) -> dict[str, Any]:
+async def read_metrics(control: Address) -> dict[str, Any]:
     code, body = await call_control(control, "GET", "/-/metrics")
     assert code == 200
     found = json.loads(body)
@@ -250,7 +250,7 @@
             logging.getLogger("millgw").setLevel("ERROR")
             await asyncio.gather(*(client(i) for i in range(12)))
             logging.getLogger("millgw").setLevel("INFO")
-            metrics = await figures(control)
+            metrics = await read_metrics(control)
         for kind in ("fulfilled", "throttled", "faulted"):
             assert metrics[kind] == {cls: seen[kind, cls] for cls in ("read", "write", "pay")}
         assert seen["faulted", "pay"] and metrics["open_requests"] == 0
@@ -268,7 +268,7 @@
             for client in clients:
                 client.writer.write(request())
             await wait_until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 3)
-            metrics = await figures(control)
+            metrics = await read_metrics(control)
             assert (metrics["open_requests"], metrics["registry_entries"], metrics["out_of_rotation"]) == (
                 3,
                 4,
@@ -276,16 +276,16 @@
             )
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM + chunk(line(2, [endpoints[0].entry("terminating")])))
-            while (metrics := await figures(control))["out_of_rotation"] != 1:
+            while (metrics := await read_metrics(control))["out_of_rotation"] != 1:
                 pass
             assert metrics["registry_entries"] == 4, "a draining endpoint stays in the list"
             writer.write(chunk(line(3, [endpoints[0].entry("terminated")])))
-            while (metrics := await figures(control))["out_of_rotation"] != 0:
+            while (metrics := await read_metrics(control))["out_of_rotation"] != 0:
                 pass
             assert metrics["registry_entries"] == 3
             for client in clients:
                 client.writer.close()
-            while (metrics := await figures(control))["open_requests"]:
+            while (metrics := await read_metrics(control))["open_requests"]:
                 pass
 
     run(test)
@@ -335,7 +335,7 @@
         async with sidecar(ScriptedEndpoint("e1", slow), control=free_address()) as rig:
             client = await rig.connect()
             client.writer.write(request())
-            while (await figures(door_of(rig)))["open_requests"] != 1:
+            while (await read_metrics(door_of(rig)))["open_requests"] != 1:
                 pass
             await call_control(door_of(rig), "PUT", "/-/drain")
             await asyncio.sleep(DRAIN_IDLE_AFTER + 0.5)
@@ -363,11 +363,11 @@
             for client in callers:
                 client.writer.write(request("pay"))
             await wait_until(lambda: sum(len(endpoint.got) for endpoint in endpoints) >= 4)
-            assert (await figures(control))["open_requests"] >= 4
+            assert (await read_metrics(control))["open_requests"] >= 4
             assert (await call_control(control, "PUT", "/-/drain"))[0] == 200
             for client in callers:
                 client.writer.close()
-            while (await figures(control))["open_requests"]:
+            while (await read_metrics(control))["open_requests"]:
                 await asyncio.sleep(0.01)
             while (await rig.ask(READY)).status != 503:
                 pass
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -23,7 +23,7 @@
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line
 from tests.rig import Client, RunningSidecar, heartbeats, loop_stalls, request, run, sidecar
-from tests.test_control import call_control, figures
+from tests.test_control import call_control, read_metrics
 
 ANSWER_WITHIN = 3.0  # s after its last byte within which a stopped client gets its error or a close
 LOOP_BLOCK = 0.1  # s; longer blocks of the event loop (busy machine) are subtracted
@@ -117,7 +117,7 @@
 
 async def wait_for_no_open_requests(rig: RunningSidecar) -> None:
     assert rig.config.control is not None
-    while (await figures(rig.config.control))["open_requests"]:
+    while (await read_metrics(rig.config.control))["open_requests"]:
         await asyncio.sleep(0.02)
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -20,7 +20,7 @@
 from millgw.standins.scripted import ScriptedEndpoint
 from millgw.streams.room import MAX_WINDOW, MIN_WINDOW, READ_SIZE, StreamLimiter
 from tests.rig import RunningSidecar, request, run, sidecar
-from tests.test_control import call_control, door_of, figures
+from tests.test_control import call_control, door_of, read_metrics
 
 LONG = 300_000  # bytes; more than is buffered whole
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -81,7 +81,7 @@
 async def final_figures(rig: RunningSidecar) -> dict[str, object]:
     """The sidecar's figures once no request is open."""
     assert rig.config.control is not None
-    while (counts := await figures(rig.config.control))["open_requests"]:
+    while (counts := await read_metrics(rig.config.control))["open_requests"]:
         await asyncio.sleep(0.01)
     return counts
 
@@ -120,7 +120,7 @@
             second.writer.write(request("pay", bytes(LONG))[:-1])
             line, _ = await read_head(second.reader)
             assert line.startswith("HTTP/1.1 503")
-            counts = await figures(door_of(rig))
+            counts = await read_metrics(door_of(rig))
             assert counts["throttled"] == {"read": 0, "write": 0, "pay": 1}
             first.writer.close()
 
@@ -446,7 +446,7 @@
                     data = chunked(body, 997)
                 connection.writer.write(head + data[:100_000])
                 await begun.wait()  # it is streamed before it is complete
-                counts = await figures(control_of(rig))
+                counts = await read_metrics(control_of(rig))
                 assert counts["open_requests"] == 0, "an incomplete request does not count as open"
                 connection.writer.write(data[100_000:])
                 first, headers = await read_head(connection.reader)
@@ -612,7 +612,7 @@
         async with serving(serve) as rig:
             connection = await rig.connect()
             connection.writer.write(request("pay", Content_Length=str(LONG)) + random_bytes(100_000))
-            while not (await figures(control_of(rig)))["registry_entries"]:
+            while not (await read_metrics(control_of(rig)))["registry_entries"]:
                 pass
             await asyncio.sleep(0.1)
             connection.writer.transport.abort()
