--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -48,7 +48,7 @@
     return found
 
 
-def door_of(rig: RunningSidecar) -> Address:
+def control_address(rig: RunningSidecar) -> Address:
     assert rig.config.control is not None
     return rig.config.control
 
@@ -157,7 +157,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint, control=free_address()) as rig:
-            control = door_of(rig)
+            control = control_address(rig)
             stuck = [
                 socket.create_connection((control.host, control.port)) for _ in range(3 * MAX_CONNECTIONS)
             ]
@@ -236,7 +236,7 @@
         endpoints = [ScriptedEndpoint(f"e{i}", mixed) for i in range(3)]
         seen: Counter[tuple[str, str]] = Counter()
         async with sidecar(*endpoints, control=free_address()) as rig:
-            control = door_of(rig)
+            control = control_address(rig)
 
             async def client(offset: int) -> None:
                 mine = await rig.connect()
@@ -263,7 +263,7 @@
     async def test() -> None:
         endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
         async with sidecar(*endpoints, control=free_address()) as rig:
-            control = door_of(rig)
+            control = control_address(rig)
             clients = [await rig.connect() for _ in range(3)]
             for client in clients:
                 client.writer.write(request())
@@ -298,7 +298,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint, control=free_address()) as rig:
-            control = door_of(rig)
+            control = control_address(rig)
             while (await call_control(control, "GET", "/-/ready"))[0] != 200:
                 pass
             idle, used, silent_one = [await rig.connect() for _ in range(3)]
@@ -335,9 +335,9 @@
         async with sidecar(ScriptedEndpoint("e1", slow), control=free_address()) as rig:
             client = await rig.connect()
             client.writer.write(request())
-            while (await read_metrics(door_of(rig)))["open_requests"] != 1:
+            while (await read_metrics(control_address(rig)))["open_requests"] != 1:
                 pass
-            await call_control(door_of(rig), "PUT", "/-/drain")
+            await call_control(control_address(rig), "PUT", "/-/drain")
             await asyncio.sleep(DRAIN_IDLE_AFTER + 0.5)
             release.set()
             assert (await read_message(client.reader)).status == 200
@@ -357,7 +357,7 @@
     async def test() -> None:
         endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
         async with sidecar(*endpoints, sockets=32 + 13, control=free_address()) as rig:  # 8 callers, 6 calls
-            control = door_of(rig)
+            control = control_address(rig)
             answering = asyncio.create_task(answer_discovery_calls(rig, endpoints))
             callers = [await rig.connect() for _ in range(30)]
             for client in callers:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -20,7 +20,7 @@
 from millgw.standins.scripted import ScriptedEndpoint
 from millgw.streams.room import MAX_WINDOW, MIN_WINDOW, READ_SIZE, StreamLimiter
 from tests.rig import RunningSidecar, request, run, sidecar
-from tests.test_control import call_control, door_of, read_metrics
+from tests.test_control import call_control, control_address, read_metrics
 
 LONG = 300_000  # bytes; more than is buffered whole
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -120,7 +120,7 @@
             second.writer.write(request("pay", bytes(LONG))[:-1])
             line, _ = await read_head(second.reader)
             assert line.startswith("HTTP/1.1 503")
-            counts = await read_metrics(door_of(rig))
+            counts = await read_metrics(control_address(rig))
             assert counts["throttled"] == {"read": 0, "write": 0, "pay": 1}
             first.writer.close()
 
