--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -64,7 +64,7 @@
 from tests.test_control import call_control, read_metrics
 from tests.test_properties import step, time_out_overdue
 from tests.test_services import static, two
-from tests.test_sidecar_process import start
+from tests.test_sidecar_process import start_sidecar
 
 STEADY = hypothesis_settings(
     derandomize=True, deadline=None, max_examples=120, suppress_health_check=[HealthCheck.too_slow]
@@ -803,7 +803,7 @@
             "BALANCER_CONFIG": str(tmp_path / "config.json"),
             "BALANCER_OPERATOR": str(tmp_path / "operator.toml"),
         }
-        process = start(environ)
+        process = start_sidecar(environ)
         stderr = process.stderr
         assert stderr is not None
         seen: list[str] = []
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -240,7 +240,7 @@
     assert read_config(environ, moved).discovery.port == 8500
 
 
-def start(environ: dict[str, str]) -> subprocess.Popen[str]:
+def start_sidecar(environ: dict[str, str]) -> subprocess.Popen[str]:
     return subprocess.Popen(
         [sys.executable, "-B", "-m", "millgw.sidecar"],
         env=os.environ | environ,
@@ -258,13 +258,13 @@
     listen = free_address()
     known = {"index": 1, "snapshot": True, "endpoints": [endpoint.entry()]}
     data = GOOD | {"listen": str(listen), "known": known} | changes
-    process = start(write_config(folder, data))
+    process = start_sidecar(write_config(folder, data))
     assert process.stderr is not None and "serving name=" in await asyncio.to_thread(process.stderr.readline)
     return process, listen
 
 
 def test_a_bad_config_ends_with_one_line_and_code_2() -> None:
-    process = start({"BALANCER_CONFIG": ""})
+    process = start_sidecar({"BALANCER_CONFIG": ""})
     _, said = process.communicate()
     assert process.returncode == 2 and said.count("\n") == 1 and "BALANCER_CONFIG" in said
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -47,7 +47,7 @@
     lossy_listener,
     upstream_to,
 )
-from tests.test_sidecar_process import GOOD, start, write_config
+from tests.test_sidecar_process import GOOD, start_sidecar, write_config
 
 TOLD_WITHIN = 6.0  # s after which a change counts as told that discovery had and could have been asked for
 TOLD_SLACK = 0.2  # s more, from when on nothing may be sent to an endpoint that drained
@@ -537,7 +537,7 @@
             data = GOOD | {"known": known, "discovery": str(server.address), "listen": str(listen)}
             folder = tmp_path / str(listen.port)
             folder.mkdir()
-            started.append((listen, start(write_config(folder, data))))
+            started.append((listen, start_sidecar(write_config(folder, data))))
         in_time += sum(await asyncio.gather(*(ready_within(at, READY_WITHIN) for at, _ in started)))
         for _, process in started:
             process.kill()
