--- a/tests/rig.py
+++ b/tests/rig.py
@@ -67,7 +67,7 @@
 
 
 @asynccontextmanager
-async def loop_stalls(over: float) -> AsyncIterator[list[float]]:
+async def loop_stalls(threshold: float) -> AsyncIterator[list[float]]:
     """Collect the stalls (s) of the event loop that last `over` seconds or more."""
     loop = asyncio.get_running_loop()
     seen: list[float] = []
@@ -76,7 +76,7 @@
         while True:
             due = loop.time() + STALL_POLL_INTERVAL
             await asyncio.sleep(STALL_POLL_INTERVAL)
-            if loop.time() >= due + over - STALL_POLL_INTERVAL:
+            if loop.time() >= due + threshold - STALL_POLL_INTERVAL:
                 seen.append(loop.time() - due)
 
     looking = asyncio.create_task(look())
