--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -27,7 +27,9 @@
 if TYPE_CHECKING:
     from millgw.sidecar.operators import ControlInterface
 
-LONGEST = 3.0  # s, cap on the deadline waited for: with ANSWER_WITHIN it ends shortly before SIGKILL
+MAX_DEADLINE_WAIT = (
+    3.0  # s, cap on the deadline waited for: with ANSWER_WITHIN it ends shortly before SIGKILL
+)
 ANSWER_MARGIN = 0.3  # s after that deadline by which every call is answered
 SERVE_FRACTION = (
     0.6  # share of the time after SIGTERM in which requests are accepted; the rest is for answering
@@ -108,7 +110,7 @@
     if parts.peers is not None:
         parts.peers.stop()
     longest = max(c.deadline for pool in parts.pools() for c in pool.settings.classes) / 1000
-    remaining = min(longest, LONGEST) + ANSWER_MARGIN
+    remaining = min(longest, MAX_DEADLINE_WAIT) + ANSWER_MARGIN
     lifecycle, servers = parts.lifecycle, parts.servers()
     has_successor = control is not None and await control.has_successor()
     lifecycle.shut_down(time.monotonic(), has_successor)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -588,7 +588,7 @@
 
 def run_at_shutdown_end(monkeypatch: pytest.MonkeyPatch, act: Callable[[], None]) -> None:
     """Call `act` when the shutdown's time is over; nothing is read then until all calls are answered."""
-    monkeypatch.setattr(main_module, "LONGEST", 0.1)
+    monkeypatch.setattr(main_module, "MAX_DEADLINE_WAIT", 0.1)
     log_event = events.log_event
 
     def and_act(event: str, **fields: object) -> None:
@@ -655,7 +655,7 @@
 def test_a_connection_that_waits_at_the_bound_when_it_stops_listening_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(main_module, "LONGEST", 2.0)
+    monkeypatch.setattr(main_module, "MAX_DEADLINE_WAIT", 2.0)
 
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1")
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -668,7 +668,7 @@
     """Otherwise closing the listener would reset connections in its backlog, whose requests get no answer."""
 
     async def test() -> None:
-        monkeypatch.setattr(main_module, "LONGEST", 2.0)
+        monkeypatch.setattr(main_module, "MAX_DEADLINE_WAIT", 2.0)
         async with sidecar(ScriptedEndpoint("e1")) as rig:
             real, failing = server_module.accept, True
 
@@ -682,7 +682,9 @@
             for client in clients:
                 client.writer.write(request("read"))
             os.kill(os.getpid(), signal.SIGTERM)
-            serves_on = main_module.SERVE_FRACTION * (main_module.LONGEST + main_module.ANSWER_MARGIN)
+            serves_on = main_module.SERVE_FRACTION * (
+                main_module.MAX_DEADLINE_WAIT + main_module.ANSWER_MARGIN
+            )
             await asyncio.sleep(serves_on + 0.1)
             failing = False
             for client in clients:
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -270,7 +270,7 @@
 
 
 def test_after_sigterm_it_answers_accepted_and_new_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(main_module, "LONGEST", 20.0)
+    monkeypatch.setattr(main_module, "MAX_DEADLINE_WAIT", 20.0)
     monkeypatch.setattr(main_module, "SERVE_FRACTION", 0.1)  # 2 s: enough on a busy machine
 
     async def test() -> None:
