--- a/millgw/platform/discovery.py
+++ b/millgw/platform/discovery.py
@@ -21,7 +21,7 @@
 from millgw.platform.drain_memory import DrainMemory
 from millgw.settings import read_number
 
-SILENCE = 2.6  # s without a line after which a watch has failed; heartbeats come every 2 s
+SILENCE_TIMEOUT = 2.6  # s without a line after which a watch has failed; heartbeats come every 2 s
 FIRST_LINE_TIMEOUT = 3.4  # s until the first line: discovery queues calls and rejects them after 2 to 3 s
 AGENT_FIRST_LINE_TIMEOUT = 0.2  # s for the same with a local agent, which answers at once
 ABANDONED_WATCH_TIME = 6.0  # s that a watch is still read after a move: drains on it count as told until then
@@ -390,7 +390,7 @@
         if self in self.discovery.abandoned:
             self.discovery.take_fragment(line)
             return
-        self.set_silence_timeout(SILENCE)
+        self.set_silence_timeout(SILENCE_TIMEOUT)
         if not line.strip():
             if self.has_list and not self.has_gap:
                 self.discovery.take_heartbeat()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -330,7 +330,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A silence timer is due while bytes wait in the socket; the event loop reads before it runs timers."""
-    monkeypatch.setattr(discovery_module, "SILENCE", 0.2)
+    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 0.2)
 
     async def test() -> None:
         discovery_server = ScriptedDiscoveryServer()
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -76,7 +76,7 @@
 def test_after_each_end_of_a_watch_the_next_starts_from_the_known_version(
     end: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery_module, "SILENCE", 0.05)
+    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 0.05)
 
     async def test() -> None:
         endpoint, other = ScriptedEndpoint("e1"), ScriptedEndpoint("e2")
@@ -362,7 +362,7 @@
 @pytest.mark.parametrize("cut", ["lost", "silent", "unreadable"])
 def test_a_drain_in_a_line_that_is_cut_off_is_applied(cut: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain counts as told once discovery has begun to send it, and the next answer may take seconds."""
-    monkeypatch.setattr(discovery_module, "SILENCE", 0.2)
+    monkeypatch.setattr(discovery_module, "SILENCE_TIMEOUT", 0.2)
 
     async def test() -> None:
         old, new = ScriptedEndpoint("e1"), ScriptedEndpoint("e2")
