--- a/millgw/cli/log.py
+++ b/millgw/cli/log.py
@@ -22,7 +22,7 @@
     log = Log(kind, writer, clock, wall)
 
     def sparing(_: Any, __: str, told: Told) -> Told:
-        kept = log.sparing(told)
+        kept = log.limit_repeats(told)
         if kept is None:
             raise structlog.DropEvent
         return kept
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -38,13 +38,13 @@
         self.wall_clock = wall_clock
 
     def __call__(self, event: str, fields: dict[str, Any]) -> None:
-        record = self.sparing({"event": event, **fields})
+        record = self.limit_repeats({"event": event, **fields})
         if record is not None:
             for step in self.processors:
                 record = step(None, "", record)
             self.write(self.render(None, "", record))
 
-    def sparing(self, record: Told) -> Told | None:
+    def limit_repeats(self, record: Told) -> Told | None:
         """Apply the rate limit: the event, with `more` if some were suppressed before it, or None."""
         lines = EVENTS[record["event"]].lines_per_second
         suppressed = self.repeat_limiter.admit(
