--- a/millgw/cli/log.py
+++ b/millgw/cli/log.py
@@ -18,7 +18,7 @@
     kind: str, fd: int = STDERR, clock: Clock = time.monotonic, wall: Clock = time.time
 ) -> structlog.typing.FilteringBoundLogger:
     """Have events go to a descriptor; the logger to bind fields to. A ValueError for an unknown kind."""
-    writer = Writer(fd, Backlog(), lambda lines: log.word("lines-lost", lines=lines))
+    writer = Writer(fd, Backlog(), lambda lines: log.render_own("lines-lost", lines=lines))
     log = Log(kind, writer, clock, wall)
 
     def sparing(_: Any, __: str, told: Told) -> Told:
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -63,7 +63,7 @@
         """Queue a rendered line for writing."""
         self.writer.put(line.encode(errors="backslashreplace") + b"\n")
 
-    def word(self, event: str, **fields: Any) -> bytes:
+    def render_own(self, event: str, **fields: Any) -> bytes:
         """Render one of the log's own events, bypassing the rate limit."""
         record: Told = {"event": event, **fields}
         for step in self.processors:
@@ -73,7 +73,7 @@
     def close(self) -> None:
         """Log the counts of suppressed events, then wait briefly for the writer."""
         for kind, suppressed in self.repeat_limiter.take_suppressed().items():
-            self.writer.put(self.word("left-out", of=kind.rstrip(), more=suppressed))
+            self.writer.put(self.render_own("left-out", of=kind.rstrip(), more=suppressed))
         self.writer.close()
 
 
@@ -93,7 +93,7 @@
 
 def start(kind: str, fd: int = STDERR) -> Log:
     """Start logging to a descriptor in one of `wording.KINDS`; raises ValueError for any other kind."""
-    writer = Writer(fd, Backlog(), lambda lines: log.word("lines-lost", lines=lines))
+    writer = Writer(fd, Backlog(), lambda lines: log.render_own("lines-lost", lines=lines))
     log = Log(kind, writer)
     take(log)
     return log
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -54,7 +54,9 @@
         self.out, into = os.pipe()
         self.now = 100.0
         self.wall = 5.0
-        self.writer = Writer(into, Backlog(max_bytes), lambda lines: self.log.word("lines-lost", lines=lines))
+        self.writer = Writer(
+            into, Backlog(max_bytes), lambda lines: self.log.render_own("lines-lost", lines=lines)
+        )
         self.log = Log(kind, self.writer, lambda: self.now, lambda: self.wall)
 
     def read(self) -> list[str]:
@@ -327,7 +329,7 @@
                 assert {k.arg for k in node.keywords} == FAILURE_FIELDS
             if not isinstance(first, ast.Constant):
                 continue
-            if name in ("log_event", "word", "_tell"):
+            if name in ("log_event", "render_own", "_tell"):
                 yield str(path), str(first.value), {k.arg for k in node.keywords if k.arg}
             elif name == "log_failure":
                 yield str(path), str(first.value), FAILURE_FIELDS
