--- a/millgw/cli/log.py
+++ b/millgw/cli/log.py
@@ -9,7 +9,7 @@
 from structlog.contextvars import merge_contextvars
 
 from millgw.log.backlog import Backlog
-from millgw.log.start import STDERR, Clock, Log, take
+from millgw.log.start import STDERR, Clock, Log, install
 from millgw.log.wording import Told
 from millgw.log.writer import Writer
 
@@ -36,7 +36,7 @@
         cache_logger_on_first_use=False,
     )  # fmt: skip
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger()
-    take(log, lambda event, fields: logger.msg(event, **fields))
+    install(log, lambda event, fields: logger.msg(event, **fields))
     return logger
 
 
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -95,11 +95,11 @@
     """Start logging to a descriptor in one of `wording.KINDS`; raises ValueError for any other kind."""
     writer = Writer(fd, Backlog(), lambda lines: log.render_own("lines-lost", lines=lines))
     log = Log(kind, writer)
-    take(log)
+    install(log)
     return log
 
 
-def take(log: Log, to: Callable[[str, dict[str, Any]], None] | None = None) -> None:
+def install(log: Log, to: Callable[[str, dict[str, Any]], None] | None = None) -> None:
     """Send events and other libraries' records to a log (through `to`), and close it at process exit."""
     events.set_handler(to or log)
     logging.basicConfig(level=logging.INFO, handlers=[LibraryLogHandler(to or log)], force=True)
