--- a/millgw/cli/log.py
+++ b/millgw/cli/log.py
@@ -10,7 +10,7 @@
 
 from millgw.log.backlog import Backlog
 from millgw.log.start import STDERR, Clock, Log, install
-from millgw.log.wording import Told
+from millgw.log.wording import EventFields
 from millgw.log.writer import Writer
 
 
@@ -21,7 +21,7 @@
     writer = Writer(fd, Backlog(), lambda lines: log.render_own("lines-lost", lines=lines))
     log = Log(kind, writer, clock, wall)
 
-    def sparing(_: Any, __: str, told: Told) -> Told:
+    def sparing(_: Any, __: str, told: EventFields) -> EventFields:
         kept = log.limit_repeats(told)
         if kept is None:
             raise structlog.DropEvent
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -13,7 +13,14 @@
 from millgw.log.backlog import Backlog
 from millgw.log.repeats import RepeatLimiter
 from millgw.log.table import EVENTS
-from millgw.log.wording import Processor, Renderer, Told, find_renderer, keep_known_fields, limit_values
+from millgw.log.wording import (
+    EventFields,
+    Processor,
+    Renderer,
+    find_renderer,
+    keep_known_fields,
+    limit_values,
+)
 from millgw.log.writer import Writer
 
 STDERR = 2
@@ -44,7 +51,7 @@
                 record = step(None, "", record)
             self.write(self.render(None, "", record))
 
-    def limit_repeats(self, record: Told) -> Told | None:
+    def limit_repeats(self, record: EventFields) -> EventFields | None:
         """Apply the rate limit: the event, with `more` if some were suppressed before it, or None."""
         lines = EVENTS[record["event"]].lines_per_second
         suppressed = self.repeat_limiter.admit(
@@ -54,7 +61,7 @@
             return None
         return {**record, "more": suppressed} if suppressed else record
 
-    def add_time(self, _: Any, __: str, record: Told) -> Told:
+    def add_time(self, _: Any, __: str, record: EventFields) -> EventFields:
         """Processor that adds the time, `at` (Unix s)."""
         record["at"] = self.wall_clock()
         return record
@@ -65,7 +72,7 @@
 
     def render_own(self, event: str, **fields: Any) -> bytes:
         """Render one of the log's own events, bypassing the rate limit."""
-        record: Told = {"event": event, **fields}
+        record: EventFields = {"event": event, **fields}
         for step in self.processors:
             record = step(None, "", record)
         return self.render(None, "", record).encode() + b"\n"
--- a/millgw/log/wording.py
+++ b/millgw/log/wording.py
@@ -13,19 +13,19 @@
 
 from millgw.log.table import COMMON_FIELDS, EVENTS
 
-Told = MutableMapping[str, Any]
+EventFields = MutableMapping[str, Any]
 """One log event: `event` (its name), its fields, and `at` (Unix s) and `level` once they are set."""
-Processor = Callable[[Any, str, Told], Told]
-Renderer = Callable[[Any, str, Told], str]
+Processor = Callable[[Any, str, EventFields], EventFields]
+Renderer = Callable[[Any, str, EventFields], str]
 
 MAX_FIELD_LENGTH = 1000  # characters of one field: text from outside must not fill the log
 KINDS = ("text", "json")
 
 
-def keep_known_fields(_: Any, __: str, record: Told) -> Told:
+def keep_known_fields(_: Any, __: str, record: EventFields) -> EventFields:
     """Keep only the fields that the event's table entry lists, and set the level."""
     kind = EVENTS[record["event"]]
-    kept: Told = {"event": record["event"], "level": record.get("level", kind.level)}
+    kept: EventFields = {"event": record["event"], "level": record.get("level", kind.level)}
     for name, value in record.items():
         if name in kept:
             continue
@@ -38,7 +38,7 @@
     return kept
 
 
-def limit_values(_: Any, __: str, record: Told) -> Told:
+def limit_values(_: Any, __: str, record: EventFields) -> EventFields:
     """Convert all values but numbers to text of bounded length."""
     for name, value in record.items():
         if isinstance(value, int | float):
@@ -50,7 +50,7 @@
     return record
 
 
-def render_text(_: Any, __: str, record: Told) -> str:
+def render_text(_: Any, __: str, record: EventFields) -> str:
     """Render a line of text; an exception's traceback follows on lines of its own."""
     parts = [getLevelName(record["level"]), record["event"]]
     parts += [f"{k}={_quote(v)}" for k, v in record.items() if k not in ("event", "level", "at", "traceback")]
@@ -60,7 +60,7 @@
     return f"{line}\n{record['traceback']}" if "traceback" in record else line
 
 
-def render_json(_: Any, __: str, record: Told) -> str:
+def render_json(_: Any, __: str, record: EventFields) -> str:
     """Render one JSON object: `at`, `level`, `event`, the event's fields."""
     out: dict[str, Any] = {"at": round(record["at"], 3), "level": getLevelName(record["level"]).lower()}
     return json.dumps(out | {k: v for k, v in record.items() if k not in ("at", "level")})
