--- a/benchmarks/command_line.py
+++ b/benchmarks/command_line.py
@@ -23,7 +23,7 @@
 from millgw.cli.tree import run
 from millgw.log.backlog import Backlog
 from millgw.log.start import Log
-from millgw.log.wording import KINDS
+from millgw.log.wording import FORMATS
 from millgw.log.writer import Writer
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
@@ -124,7 +124,7 @@
         print(f"| daemon, to its first connection | {spread(took, 'ms')} |")
         print(f"| daemon, memory then | {spread(memory, 'MB')} |", flush=True)
     if not what or "event" in what:
-        for kind in KINDS:
+        for kind in FORMATS:
             for by_structlog in (False, True):
                 cost = [event(kind, by_structlog) for _ in range(runs)]
                 name = "structlog" if by_structlog else "the daemon"
--- a/millgw/cli/own.py
+++ b/millgw/cli/own.py
@@ -15,14 +15,14 @@
 from millgw.cli.exits import HELD, NOT_HELD, BadInput
 from millgw.cli.report import Out, Reporting, Serving
 from millgw.log.table import EVENTS
-from millgw.log.wording import KINDS
+from millgw.log.wording import FORMATS
 from millgw.sidecar.commands import describe_version
 from millgw.sidecar.commands import serve as serve_now
 
 
 @click.command(cls=Serving, examples=["serve --operator deploy/operator.toml --log json"])
 @click.option("--operator", metavar="FILE", help="The operator's file (BALANCER_OPERATOR).")
-@click.option("--log", type=click.Choice(KINDS), help="How events are told (BALANCER_LOG).")
+@click.option("--log", type=click.Choice(FORMATS), help="How events are told (BALANCER_LOG).")
 def serve(operator: str | None, log: str | None) -> int:
     """One sidecar, configured by BALANCER_CONFIG and its like."""
     return serve_now(operator, log)
--- a/millgw/configuration/command.py
+++ b/millgw/configuration/command.py
@@ -36,7 +36,7 @@
 from millgw.configuration.replica import Options
 from millgw.configuration.reports import Summary
 from millgw.log.events import log_event
-from millgw.log.wording import KINDS
+from millgw.log.wording import FORMATS
 from millgw.platform.config import Address, read_address
 
 POLL_INTERVAL = 0.5  # s between two looks of `wait`
@@ -125,7 +125,7 @@
     help="Its directory; twice for mirrors.",
 )
 @click.option("--create", is_flag=True, help="Make the state of a voter that never ran.")
-@click.option("--log", type=click.Choice(KINDS), default="text", show_default=True)
+@click.option("--log", type=click.Choice(FORMATS), default="text", show_default=True)
 def serve(
     name: str,
     voters: dict[str, Address] | None,
--- a/millgw/log/wording.py
+++ b/millgw/log/wording.py
@@ -19,7 +19,7 @@
 Renderer = Callable[[Any, str, EventFields], str]
 
 MAX_FIELD_LENGTH = 1000  # characters of one field: text from outside must not fill the log
-KINDS = ("text", "json")
+FORMATS = ("text", "json")
 
 
 def keep_known_fields(_: Any, __: str, record: EventFields) -> EventFields:
@@ -67,9 +67,9 @@
 
 
 def find_renderer(kind: str) -> Renderer:
-    """The renderer for one of `KINDS`; raises ValueError for any other kind."""
-    if kind not in KINDS:
-        raise ValueError(f"{kind!r} is not one of {', '.join(KINDS)}")
+    """The renderer for one of `FORMATS`; raises ValueError for any other kind."""
+    if kind not in FORMATS:
+        raise ValueError(f"{kind!r} is not one of {', '.join(FORMATS)}")
     return render_json if kind == "json" else render_text
 
 
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -18,7 +18,7 @@
 from millgw.cli.kinds import ADDRESS, Duration, Number
 from millgw.cli.log import start as start_log
 from millgw.cli.report import Out, Reporting, Serving
-from millgw.log.wording import KINDS
+from millgw.log.wording import FORMATS
 from millgw.membership.client import Client
 from millgw.membership.follower import DRAINING, Follower
 from millgw.membership.nodes import read_node
@@ -71,7 +71,7 @@
     "--stop-s", type=Duration(), default=10.0, show_default=True, help="For COMMAND to end before SIGKILL."
 )
 @click.option("--at-once", is_flag=True, help="Don't wait until the address answers.")
-@click.option("--log", type=click.Choice(KINDS), default="text")
+@click.option("--log", type=click.Choice(FORMATS), default="text")
 @click.argument("command", nargs=-1, type=click.UNPROCESSED, metavar="[-- COMMAND]")
 def register(connect: str, path: str, log: str, **given: Any) -> int:
     """Keep a server's ephemeral node at a coordinator while it serves.
