--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -24,7 +24,7 @@
 from millgw.services.front import PoolRegistry, RoutedFront, TurnScheduler
 from millgw.services.limits import Allotment
 from millgw.services.parts import attach, list_source, locality, make_intents, pool_config, pool_seed
-from millgw.services.shares import ConnectionBudget, LentShare, PoolLimits
+from millgw.services.shares import BorrowingShare, ConnectionBudget, PoolLimits
 
 if TYPE_CHECKING:
     from millgw.connections.tended import ConnectionManager
@@ -130,7 +130,7 @@
         operator, config = overlaid.operator, overlaid.config
         service = operator.services[name]
         own = pool_config(name, service, config, overlaid.settings)
-        share = LentShare(name, self.limits)
+        share = BorrowingShare(name, self.limits)
         room = ConnectionBudget(name, self.shared, self.limits, share)
         seed = pool_seed(config.seed, name)
         zones = locality(operator, own, seed)
--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -29,7 +29,7 @@
         return sum(pool.in_use(kind) for pool in self.retired)
 
 
-class LentShare:
+class BorrowingShare:
     """One service's share: its guarantee, and what it may borrow from the idle part of others.
 
     A removed pool has no share and accepts nothing new; its limit is the total, so that its calls can finish.
@@ -60,7 +60,9 @@
 class ConnectionBudget:
     """Limits a pool's connections to endpoints: the process's descriptor budget and the pool's share."""
 
-    def __init__(self, name: str, descriptors: Descriptors, limits: PoolLimits, share: LentShare) -> None:
+    def __init__(
+        self, name: str, descriptors: Descriptors, limits: PoolLimits, share: BorrowingShare
+    ) -> None:
         self.name = name
         self.descriptors = descriptors
         self.limits = limits
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -44,7 +44,7 @@
 from millgw.pool.pool import Pool
 from millgw.pool.share import CALLS
 from millgw.services.parts import pool_config
-from millgw.services.shares import LentShare
+from millgw.services.shares import BorrowingShare
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
 from millgw.standins.scripted import (
@@ -599,7 +599,7 @@
             )
             assert before["login"].driver.balancer is balancer and kept == learned
             share = before["campaign"].share
-            assert isinstance(share, LentShare)
+            assert isinstance(share, BorrowingShare)
             assert (
                 share.bounds.allotments[CALLS].guaranteed["campaign"]
                 > 2 * share.bounds.allotments[CALLS].guaranteed["login"]
