--- a/millgw/services/shares.py
+++ b/millgw/services/shares.py
@@ -37,23 +37,23 @@
 
     def __init__(self, name: str, limits: PoolLimits) -> None:
         self.name = name
-        self.bounds = limits
+        self.limits = limits
         self.retired = False
 
     def limit(self, kind: str) -> int:
-        allotment = self.bounds.allotments[kind]
+        allotment = self.limits.allotments[kind]
         if self.retired or self.name not in allotment.guaranteed:
             return allotment.total
         return allotment.limit(
-            self.name, self.bounds.used(kind), self.bounds.clock(), self.bounds.held_by_retired(kind)
+            self.name, self.limits.used(kind), self.limits.clock(), self.limits.held_by_retired(kind)
         )
 
     def end(self) -> None:
         self.retired = True
 
     def grant_timeout(self, timeout: float) -> float:
-        calls = self.bounds.allotments[CALLS]
-        borrowing = calls.would_borrow(self.name, self.bounds.used(CALLS))
+        calls = self.limits.allotments[CALLS]
+        borrowing = calls.would_borrow(self.name, self.limits.used(CALLS))
         return min(timeout, calls.lend_ms) if borrowing else timeout
 
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -601,8 +601,8 @@
             share = before["campaign"].share
             assert isinstance(share, BorrowingShare)
             assert (
-                share.bounds.allotments[CALLS].guaranteed["campaign"]
-                > 2 * share.bounds.allotments[CALLS].guaranteed["login"]
+                share.limits.allotments[CALLS].guaranteed["campaign"]
+                > 2 * share.limits.allotments[CALLS].guaranteed["login"]
             )
             assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
             control.commit({"services.campaign.limits": None, "services.login": None, "settings": None})
