--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -51,7 +51,7 @@
     front: RoutedFront
 
 
-class Node:
+class ServicesSidecar:
     """All parts of a sidecar with services that a reload may change."""
 
     def __init__(self, config: Config, environ: Mapping[str, str], path: str, lifecycle: Lifecycle) -> None:
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -24,7 +24,7 @@
     from millgw.hot_restart.state import State
     from millgw.intents.log import Intents
     from millgw.peers.node import Peers
-    from millgw.services.node import Node
+    from millgw.services.node import ServicesSidecar
 
 OPERATOR_VARIABLE = "BALANCER_OPERATOR"  # path of the operator file
 
@@ -111,11 +111,11 @@
 ) -> SidecarParts:
     # Imported here so that a sidecar without an operator file does not load it.
     try:
-        from millgw.services.node import Node
+        from millgw.services.node import ServicesSidecar
     except ModuleNotFoundError as missing:
         raise ConfigError(f"{OPERATOR_VARIABLE}: needs {missing.name}: requirements-operator.txt") from None
 
-    node = Node(config, environ, environ[OPERATOR_VARIABLE], life)
+    node = ServicesSidecar(config, environ, environ[OPERATOR_VARIABLE], life)
     if node.operator.configuration is not None:
         return await _assemble_with_configuration(node, config, environ, life)
     if not node.operator.services:
@@ -123,13 +123,13 @@
     return _with_peers_and_intents(node, config, _assemble_services(node, life))
 
 
-def _assemble_services(node: Node, lifecycle: Lifecycle) -> SidecarParts:
+def _assemble_services(node: ServicesSidecar, lifecycle: Lifecycle) -> SidecarParts:
     # The learned state of services' pools is not handed over yet: they start without it.
     return SidecarParts(*node.open(), lifecycle, node.shared, lambda _: None)
 
 
 async def _assemble_with_configuration(
-    node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
+    node: ServicesSidecar, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
 ) -> SidecarParts:
     """Assemble with the distributed configuration, which has to be read before the pools are built."""
     from millgw.configuration.single import SinglePool
@@ -156,7 +156,7 @@
     return replace(_with_peers_and_intents(node, config, parts), configuration=client)
 
 
-def _with_peers_and_intents(node: Node, config: Config, parts: SidecarParts) -> SidecarParts:
+def _with_peers_and_intents(node: ServicesSidecar, config: Config, parts: SidecarParts) -> SidecarParts:
     """Add the peer exchange and the intent log of the operator file, and reserve their descriptors."""
     from millgw.services.parts import peers
 
@@ -168,7 +168,7 @@
 
 
 def _assemble_node_pool(
-    node: Node, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
+    node: ServicesSidecar, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
 ) -> SidecarParts:
     """One pool for all requests, with the options of the operator file."""
     from millgw.services.parts import locality
@@ -179,7 +179,7 @@
     )
 
 
-def _apply_operator_options(node: Node, config: Config, pool: Pool) -> None:
+def _apply_operator_options(node: ServicesSidecar, config: Config, pool: Pool) -> None:
     """Apply the operator file's connection and intent options to the single pool."""
     from millgw.services.parts import attach
 
