--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -60,7 +60,7 @@
         self.environ = environ
         self.path = path
         self.operator = _load(path)
-        self.filed = Files(config, read_settings_table(environ), self.operator)  # as they are on disk
+        self.files = Files(config, read_settings_table(environ), self.operator)  # as they are on disk
         # Entries of the distributed document, overlaid on the files.
         self.entries: Mapping[str, Mapping[str, Any]] = {}
         self.shared = Descriptors(config.sockets)
@@ -69,14 +69,14 @@
 
     def open(self) -> tuple[Callable[[], Sequence[Server]], Callable[[], Sequence[Pool]], Callable[[], None]]:
         """Make the pools and listeners; raises ConfigError for what can't be used."""
-        overlaid = self._overlay(self.filed)
+        overlaid = self._overlay(self.files)
         self.limits = PoolLimits(self._make_allotments(self.operator), Clock())
         self.registry = PoolRegistry(self.lifecycle)
         self.running: dict[str, RunningService] = {}
         self.scheduler = TurnScheduler()
         self.shared.endpoints = lambda: sum(p.upstream.descriptors_in_use() for p in self._all_pools())
         for name in self.operator.services:
-            self.running[name] = self._make_pool(self.filed, overlaid, name)
+            self.running[name] = self._make_pool(self.files, overlaid, name)
         self._publish()
         for served in self.running.values():
             served.pool.start(self.config.known)
@@ -162,7 +162,7 @@
     def start_with(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
         """Start with entries of the distributed document overlaid on the files; called before `open`."""
         self.entries = entries
-        overlaid = self._overlay(self.filed)
+        overlaid = self._overlay(self.files)
         self.config, self.operator = overlaid.config, overlaid.operator
 
     def check(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
@@ -173,7 +173,7 @@
         # Imported here: without distributed configuration these modules must not be loaded.
         from millgw.configuration import apply
 
-        overlaid = apply.overlay(self.filed, entries)
+        overlaid = apply.overlay(self.files, entries)
         for name in overlaid.operator.services:
             apply.service_config(overlaid, name)
         try:
@@ -271,7 +271,7 @@
             listener.server.start()
         for listener in self.listeners.values():
             listener.front.table = compile_routes(operator)
-        self.config, self.operator, self.filed = config, operator, files
+        self.config, self.operator, self.files = config, operator, files
         self._share_callers(operator)
         for served in new_services:
             served.pool.start(config.known)
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -135,7 +135,7 @@
     from millgw.configuration.single import SinglePool
     from millgw.services.parts import configuration
 
-    single = None if node.operator.services else SinglePool(node.filed, environ, node.path)
+    single = None if node.operator.services else SinglePool(node.files, environ, node.path)
     client = configuration(node.operator, config, single or node)
     assert client is not None, "the operator file has a [configuration] table"
     try:
