--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -63,7 +63,7 @@
         self.files = Files(config, read_settings_table(environ), self.operator)  # as they are on disk
         # Entries of the distributed document, overlaid on the files.
         self.entries: Mapping[str, Mapping[str, Any]] = {}
-        self.shared = Descriptors(config.sockets)
+        self.descriptors = Descriptors(config.sockets)
         self.tended: ConnectionManager | None = None  # without services: that of the single pool
         self.intents = make_intents(self.operator, config.memory)
 
@@ -74,7 +74,7 @@
         self.registry = PoolRegistry(self.lifecycle)
         self.running: dict[str, RunningService] = {}
         self.scheduler = TurnScheduler()
-        self.shared.endpoints = lambda: sum(p.upstream.descriptors_in_use() for p in self._all_pools())
+        self.descriptors.endpoints = lambda: sum(p.upstream.descriptors_in_use() for p in self._all_pools())
         for name in self.operator.services:
             self.running[name] = self._make_pool(self.files, overlaid, name)
         self._publish()
@@ -86,8 +86,8 @@
                 self.listeners[name] = self._open_listener(self.operator, name)
         self.closing: list[Server] = []
         self._share_callers(self.operator)
-        self.shared.callers = lambda: sum(s.descriptors_in_use() for s in self._servers())
-        self.shared.close_idle_caller = lambda: any(s.evict_one() for s in self._servers())
+        self.descriptors.callers = lambda: sum(s.descriptors_in_use() for s in self._servers())
+        self.descriptors.close_idle_caller = lambda: any(s.evict_one() for s in self._servers())
         self._log_pools()
         return self._servers, self._all_pools, self.reload
 
@@ -103,7 +103,7 @@
         """Open the listener that routes, or one service's; raises OSError if the address can't be bound."""
         listen = read_address(operator.services[name].listen) if name else self.config.listen
         front = RoutedFront(self.registry, compile_routes(operator), name)
-        return Listener(Server(listen, self.shared, front, self.lifecycle, self.scheduler), front)
+        return Listener(Server(listen, self.descriptors, front, self.lifecycle, self.scheduler), front)
 
     def _share_callers(self, operator: Operator) -> None:
         """Set each service's share of the callers' connections; above it, its idle ones are closed first."""
@@ -112,7 +112,7 @@
         rest = (1.0 - given) / max(1, sum(share is None for share in shares.values()))
         for server in self._servers():
             server.lane_shares = {
-                name: self.shared.max_callers * (rest if share is None else share)
+                name: self.descriptors.max_callers * (rest if share is None else share)
                 for name, share in shares.items()
             }
 
@@ -131,7 +131,7 @@
         service = operator.services[name]
         own = pool_config(name, service, config, overlaid.settings)
         share = BorrowingShare(name, self.limits)
-        room = ConnectionBudget(name, self.shared, self.limits, share)
+        room = ConnectionBudget(name, self.descriptors, self.limits, share)
         seed = pool_seed(config.seed, name)
         zones = locality(operator, own, seed)
         pool = Pool(name, own, seed, room, share, list_source(name, service, config), self.scheduler, zones)
@@ -142,8 +142,8 @@
     def _make_allotments(self, operator: Operator) -> dict[str, Allotment]:
         """The limits of each resource; raises ConfigError for guarantees that can't be met."""
         totals = {
-            CALLS: self.shared.max_calls,
-            CONNECTIONS: self.shared.limit - self.shared.max_callers,
+            CALLS: self.descriptors.max_calls,
+            CONNECTIONS: self.descriptors.limit - self.descriptors.max_callers,
             BODIES: int(BODIES_MEMORY_SHARE * self.config.memory),
             ANSWERS: int(ALL_ANSWERS_MEMORY_SHARE * self.config.memory),
         }
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -125,7 +125,7 @@
 
 def _assemble_services(node: ServicesSidecar, lifecycle: Lifecycle) -> SidecarParts:
     # The learned state of services' pools is not handed over yet: they start without it.
-    return SidecarParts(*node.open(), lifecycle, node.shared, lambda _: None)
+    return SidecarParts(*node.open(), lifecycle, node.descriptors, lambda _: None)
 
 
 async def _assemble_with_configuration(
