--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -21,7 +21,7 @@
 from millgw.operator.file import Connections, Limits, Operator, Service, check
 from millgw.operator.files import Files
 from millgw.platform.config import Config, with_settings
-from millgw.services.parts import merged, pool_config
+from millgw.services.parts import deep_merge, pool_config
 from millgw.settings import REPEATS, SCOPES, read_list, read_table
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
     settings = dict(files.settings)
     if SETTINGS in entries:
         check_words(SETTINGS, entries[SETTINGS], files.settings)
-        settings = merged(settings, entries[SETTINGS])
+        settings = deep_merge(settings, entries[SETTINGS])
     try:
         config = with_settings(files.config, settings)
     except (ValueError, TypeError) as error:
@@ -93,8 +93,8 @@
 def _service(service: Service, settings: Mapping[str, Any], entries: Entries, path: str) -> Service:
     own = service.settings
     if path in entries:
-        check_words(path, entries[path], merged(settings, own))
-        own = merged(own, entries[path])
+        check_words(path, entries[path], deep_merge(settings, own))
+        own = deep_merge(own, entries[path])
     limits = service.limits
     limits_path = f"{path}.{LIMITS_PART}"
     if limits_path in entries:
@@ -115,7 +115,7 @@
 def _converted(path: str, before: T, over: Mapping[str, Any], kind: type[T]) -> T:
     """A table of the operator's file with words over it, by the file's own checks."""
     try:
-        return msgspec.convert(merged(msgspec.to_builtins(before), over), kind)
+        return msgspec.convert(deep_merge(msgspec.to_builtins(before), over), kind)
     except msgspec.ValidationError as error:
         what, _, where = str(error).partition(" - at `$")
         raise RefusedVersionError(one_line(f"{path}{where.rstrip('`')}: {what}")) from None
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -68,13 +68,13 @@
         self.discovery.start(None)
 
 
-def merged(base: Mapping[str, Any], over: Mapping[str, Any]) -> dict[str, Any]:
+def deep_merge(base: Mapping[str, Any], over: Mapping[str, Any]) -> dict[str, Any]:
     """Deep merge of two settings tables; values of `over` win."""
     out = dict(base)
     for key, value in over.items():
         before = out.get(key)
         both = isinstance(before, dict) and isinstance(value, dict)
-        out[key] = merged(before, value) if both else value  # type: ignore[arg-type]
+        out[key] = deep_merge(before, value) if both else value  # type: ignore[arg-type]
     return out
 
 
@@ -220,7 +220,7 @@
 
 def pool_config(name: str, service: Service, config: Config, raw: Mapping[str, Any]) -> Config:
     """The configuration of a service's pool: the shared one with the service's own classes and settings."""
-    settings = merged(raw, service.settings)
+    settings = deep_merge(raw, service.settings)
     if service.classes:
         named = {c.get("name"): c for c in settings.get("classes", ()) if isinstance(c, dict)}
         for i, cls in enumerate(service.classes):
