--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -23,7 +23,14 @@
 from millgw.pool.share import ANSWERS, BODIES, BODIES_MEMORY_SHARE, CALLS, CONNECTIONS
 from millgw.services.front import PoolRegistry, RoutedFront, TurnScheduler
 from millgw.services.limits import Allotment
-from millgw.services.parts import attach, list_source, locality, make_intents, pool_config, pool_seed
+from millgw.services.parts import (
+    attach_connection_manager,
+    list_source,
+    locality,
+    make_intents,
+    pool_config,
+    pool_seed,
+)
 from millgw.services.shares import BorrowingShare, ConnectionBudget, PoolLimits
 
 if TYPE_CHECKING:
@@ -136,7 +143,7 @@
         zones = locality(operator, own, seed)
         pool = Pool(name, own, seed, room, share, list_source(name, service, config), self.scheduler, zones)
         pool.intents = self.intents
-        tended = attach(pool, operator.tends(name), own, seed)
+        tended = attach_connection_manager(pool, operator.tends(name), own, seed)
         return RunningService(pool, files.operator.services[name], files.settings, tended)
 
     def _make_allotments(self, operator: Operator) -> dict[str, Allotment]:
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -125,7 +125,7 @@
     return Where(servers, root + directory.path, directory.session_s * 1000, terms, port)
 
 
-def attach(
+def attach_connection_manager(
     pool: Pool, terms: ConnectionSettings | None, config: Config, seed: int
 ) -> ConnectionManager | None:
     """Attach a connection manager to a pool, where the operator's file has settings for one."""
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -181,9 +181,9 @@
 
 def _apply_operator_options(node: ServicesSidecar, config: Config, pool: Pool) -> None:
     """Apply the operator file's connection and intent options to the single pool."""
-    from millgw.services.parts import attach
+    from millgw.services.parts import attach_connection_manager
 
-    node.tended = attach(pool, node.operator.tends(), config, config.seed)
+    node.tended = attach_connection_manager(pool, node.operator.tends(), config, config.seed)
     pool.intents = node.intents
 
 
