--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -137,7 +137,7 @@
     return manage_connections(pool, terms, config, seed)
 
 
-def peers(operator: Operator, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
+def make_peers(operator: Operator, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
     """The node that exchanges state with peers, where the operator's file has a table for it."""
     table = operator.peers
     if table is None:
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -158,9 +158,9 @@
 
 def _with_peers_and_intents(node: ServicesSidecar, config: Config, parts: SidecarParts) -> SidecarParts:
     """Add the peer exchange and the intent log of the operator file, and reserve their descriptors."""
-    from millgw.services.parts import peers
+    from millgw.services.parts import make_peers
 
-    parts = replace(parts, peers=peers(node.operator, config, parts.pools), intents=node.intents)
+    parts = replace(parts, peers=make_peers(node.operator, config, parts.pools), intents=node.intents)
     for more in (parts.peers, parts.intents):
         if more is not None:
             parts.descriptors.reserve(more.descriptors)
