--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -26,8 +26,8 @@
 from millgw.services.parts import (
     attach_connection_manager,
     list_source,
-    locality,
     make_intents,
+    make_locality,
     pool_config,
     pool_seed,
 )
@@ -140,7 +140,7 @@
         share = BorrowingShare(name, self.limits)
         room = ConnectionBudget(name, self.descriptors, self.limits, share)
         seed = pool_seed(config.seed, name)
-        zones = locality(operator, own, seed)
+        zones = make_locality(operator, own, seed)
         pool = Pool(name, own, seed, room, share, list_source(name, service, config), self.scheduler, zones)
         pool.intents = self.intents
         tended = attach_connection_manager(pool, operator.tends(name), own, seed)
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -173,7 +173,7 @@
     )
 
 
-def locality(operator: Operator, config: Config, seed: int) -> Locality | None:
+def make_locality(operator: Operator, config: Config, seed: int) -> Locality | None:
     """The zone selection of a pool, where the operator's file has a `places` table.
 
     Raises ConfigError, naming a zone or class that the configuration does not have.
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -171,9 +171,9 @@
     node: ServicesSidecar, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
 ) -> SidecarParts:
     """One pool for all requests, with the options of the operator file."""
-    from millgw.services.parts import locality
+    from millgw.services.parts import make_locality
 
-    chosen_locality = locality(node.operator, config, config.seed)
+    chosen_locality = make_locality(node.operator, config, config.seed)
     return assemble_single_pool(
         config, environ, lifecycle, partial(_apply_operator_options, node, config), chosen_locality
     )
