--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -190,7 +190,7 @@
         raise ConfigError(f"places.{error}") from None
 
 
-def configuration(operator: Operator, config: Config, target: Target) -> Client | None:
+def make_configuration_client(operator: Operator, config: Config, target: Target) -> Client | None:
     """The client of the fleet's distributed configuration, where the operator's file names its instances."""
     table = operator.configuration
     if table is None:
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -133,10 +133,10 @@
 ) -> SidecarParts:
     """Assemble with the distributed configuration, which has to be read before the pools are built."""
     from millgw.configuration.single import SinglePool
-    from millgw.services.parts import configuration
+    from millgw.services.parts import make_configuration_client
 
     single = None if node.operator.services else SinglePool(node.files, environ, node.path)
-    client = configuration(node.operator, config, single or node)
+    client = make_configuration_client(node.operator, config, single or node)
     assert client is not None, "the operator file has a [configuration] table"
     try:
         entries = await client.begin()
