--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -9,7 +9,7 @@
 import statistics
 import time
 
-from millgw.routing.table import Asked, Route, Table
+from millgw.routing.table import Route, RouteRequest, Table
 from millgw.routing.target import Target, read_target
 
 LOOKUPS = 20_000
@@ -32,17 +32,17 @@
     return made
 
 
-def requests(count: int, rng: random.Random) -> list[Asked]:
+def requests(count: int, rng: random.Random) -> list[RouteRequest]:
     some = []
     for _ in range(LOOKUPS):
         i = rng.randrange(max(1, count - 1))
         host = (f"h{i}.example.org", f"a.t{i}.example.org", "shared.example.org", "shared.example.org")[i % 4]
         path = ("/api", f"/api/v{i % 7}/q", f"/api/p{i}/x", "/api")[i % 4]
-        some.append(Asked(Target(host, path), "POST", "codigo-acesso", {"x-customer": f"c{i}"}))
+        some.append(RouteRequest(Target(host, path), "POST", "codigo-acesso", {"x-customer": f"c{i}"}))
     return some
 
 
-def cost(table: Table, some: list[Asked]) -> float:
+def cost(table: Table, some: list[RouteRequest]) -> float:
     find = table.find
     begun = time.perf_counter_ns()
     for asked in some:
--- a/millgw/operator/command.py
+++ b/millgw/operator/command.py
@@ -12,7 +12,7 @@
 from millgw.cli.report import Out, Reporting
 from millgw.operator.file import LIMIT_KINDS, Operator, OperatorError, compile_routes, load
 from millgw.operator.guarantees import guaranteed_units
-from millgw.routing.table import Asked, NoRoute
+from millgw.routing.table import NoRoute, RouteRequest
 from millgw.routing.target import BadTarget, read_target
 
 NO_EFFECT = "the daemon behaves as without this file"
@@ -126,7 +126,7 @@
         target = read_target(os.fsencode(path), (os.fsencode(host),))
     except BadTarget as error:
         return _print_result(out, None, error.status, str(error))
-    found = compile_routes(operator).find(Asked(target, method.upper(), cls, headers))
+    found = compile_routes(operator).find(RouteRequest(target, method.upper(), cls, headers))
     if isinstance(found, NoRoute):
         return _print_result(out, None, found.status, found.reason)
     return _print_result(out, found.service, 0, f"the most specific route that matches: {found}")
--- a/millgw/routing/table.py
+++ b/millgw/routing/table.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
+class RouteRequest:
     """The parts of a request that routes are matched against."""
 
     target: Target
@@ -129,7 +129,7 @@
         sets.append((names, {values: route}))
         sets.sort(key=lambda item: (-len(item[0]), item[0]))
 
-    def find(self, request: Asked) -> Route | NoRoute:
+    def find(self, request: RouteRequest) -> Route | NoRoute:
         """The route of a request, or the status to refuse it with."""
         host, host_known = request.target.host, bool(self.any_host)
         prefixes = tuple(_prefixes(request.target.path))
@@ -166,7 +166,7 @@
     yield ""
 
 
-def _match(leaf: Leaf, request: Asked) -> Route | None:
+def _match(leaf: Leaf, request: RouteRequest) -> Route | None:
     for key in ((request.method, request.cls), (request.method, ""), ("", request.cls), ("", "")):
         for names, by_values in leaf.get(key, ()):
             values = tuple(request.headers.get(name, "") for name in names)
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -18,7 +18,7 @@
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
 from millgw.pool.pool import Pool, make_call
-from millgw.routing.table import Asked, NoRoute, Route, Table
+from millgw.routing.table import NoRoute, Route, RouteRequest, Table
 from millgw.routing.target import BadTarget, read_target
 from millgw.services.turns import FairQueue
 
@@ -94,7 +94,7 @@
             return self.registry.pools[self.only_service]
         headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in values.items()}
         cls = headers.get("x-qos", "")
-        found = self.table.find(Asked(target, head.method.decode("latin-1"), cls, headers))
+        found = self.table.find(RouteRequest(target, head.method.decode("latin-1"), cls, headers))
         if isinstance(found, NoRoute):
             return BadRequest(found.status, found.reason)
         assert isinstance(found, Route)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millgw.routing.table import Asked, NoRoute, Route, RouteError, Table
+from millgw.routing.table import NoRoute, Route, RouteError, RouteRequest, Table
 from millgw.routing.target import BadTarget, Target, read_host, read_path, read_target
 
 HOSTS = ("", "a.example", "b.a.example", "*.a.example", "*.example", "c.example")
@@ -26,7 +26,7 @@
     st.sampled_from(HEADERS),
 )
 asked = st.builds(
-    Asked,
+    RouteRequest,
     st.builds(
         Target,
         st.sampled_from(["a.example", "b.a.example", "d.b.a.example", "example", "c.example", "other"]),
@@ -38,7 +38,7 @@
 )
 
 
-def matches(route: Route, request: Asked) -> bool:
+def matches(route: Route, request: RouteRequest) -> bool:
     """Whether a route matches, by a direct reading of the documented rules."""
     host, path = request.target.host, request.target.path.rstrip("/")
     if route.host.startswith("*.") and not host.endswith(route.host[1:]):
@@ -72,7 +72,7 @@
 @given(st.lists(routes, max_size=25), asked, st.integers(0, 1000))
 @settings(max_examples=500, deadline=None)
 def test_the_table_finds_the_documented_route_whatever_the_order(
-    given: list[Route], request: Asked, seed: int
+    given: list[Route], request: RouteRequest, seed: int
 ) -> None:
     some = distinct(given)
     found = Table(some).find(request)
@@ -121,7 +121,7 @@
 def test_sets_of_header_names_are_bounded_and_values_are_not() -> None:
     many = [Route("s", headers=(("x-tenant", str(i)),)) for i in range(1000)]
     table = Table(many)
-    assert table.find(Asked(Target("h", "/"), headers={"x-tenant": "77"})) == many[77]
+    assert table.find(RouteRequest(Target("h", "/"), headers={"x-tenant": "77"})) == many[77]
     with pytest.raises(RouteError, match="sets of names"):
         Table([Route("s", headers=((f"x-{i}", "1"),)) for i in range(9)])
 
