--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from millgw.interface import Settings, Tenant
-from millgw.operator.file import Connections, Limits, Operator, Service, check
+from millgw.operator.file import Connections, Limits, OperatorFile, Service, check
 from millgw.operator.files import Files
 from millgw.platform.config import Config, with_settings
 from millgw.services.parts import deep_merge, pool_config
@@ -76,7 +76,7 @@
     return Files(config, settings, _operator(files, settings, entries))
 
 
-def _operator(files: Files, settings: Mapping[str, Any], entries: Entries) -> Operator:
+def _operator(files: Files, settings: Mapping[str, Any], entries: Entries) -> OperatorFile:
     operator = files.operator
     connections = _connections(operator.connections, entries, CONNECTIONS)
     services = {
--- a/millgw/operator/command.py
+++ b/millgw/operator/command.py
@@ -10,7 +10,7 @@
 from millgw.cli.exits import HELD, NOT_HELD, BadInput
 from millgw.cli.kinds import FILE
 from millgw.cli.report import Out, Reporting
-from millgw.operator.file import LIMIT_KINDS, Operator, OperatorError, compile_routes, load
+from millgw.operator.file import LIMIT_KINDS, OperatorError, OperatorFile, compile_routes, load
 from millgw.operator.guarantees import guaranteed_units
 from millgw.routing.table import NoRoute, RouteRequest
 from millgw.routing.target import BadTarget, read_target
@@ -19,7 +19,7 @@
 MANAGED = "connections to endpoints are managed (table `connections`)"
 
 
-def _load(path: str) -> Operator:
+def _load(path: str) -> OperatorFile:
     try:
         return load(path)
     except OperatorError as error:
@@ -41,7 +41,7 @@
     return out.end(HELD, result, _describe(operator, services))
 
 
-def _describe(operator: Operator, services: dict[str, ServiceSummary]) -> list[str]:
+def _describe(operator: OperatorFile, services: dict[str, ServiceSummary]) -> list[str]:
     lines = []
     if not services:
         tended = operator.tends() is not None
@@ -79,7 +79,7 @@
     tended: bool
 
 
-def _summarise(operator: Operator, name: str) -> ServiceSummary:
+def _summarise(operator: OperatorFile, name: str) -> ServiceSummary:
     service = operator.services[name]
     source = "the configuration's discovery"
     if service.endpoints:
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -202,7 +202,7 @@
     headers: dict[str, str] = field(default_factory=dict)
 
 
-class Operator(Table, frozen=True, kw_only=True):
+class OperatorFile(Table, frozen=True, kw_only=True):
     """The whole file."""
 
     services: dict[ServiceName, Service] = field(default_factory=dict)
@@ -223,7 +223,7 @@
 LIMIT_KINDS = ("calls", "connections", "bodies", "answers")
 
 
-def check(operator: Operator) -> Operator:
+def check(operator: OperatorFile) -> OperatorFile:
     """Check conditions that span several fields; raises ValueError with the text `path: what`."""
     _check_connections("connections", operator.connections)
     if operator.peers is not None:
@@ -345,7 +345,7 @@
         raise ValueError(f"{path}: {error}") from None
 
 
-def compile_routes(operator: Operator) -> RouteTable:
+def compile_routes(operator: OperatorFile) -> RouteTable:
     """Compile the file's routes."""
     return RouteTable(
         [
@@ -355,12 +355,12 @@
     )
 
 
-def parse(text: str, name: str) -> Operator:
+def parse(text: str, name: str) -> OperatorFile:
     """Parse an operator's file from its text."""
-    return read(text, name, Operator, check, OperatorError)
+    return read(text, name, OperatorFile, check, OperatorError)
 
 
-def load(path: str) -> Operator:
+def load(path: str) -> OperatorFile:
     """Read and parse the operator's file at a path."""
     try:
         text = Path(path).read_text(encoding="utf-8")
--- a/millgw/operator/files.py
+++ b/millgw/operator/files.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from millgw.operator.file import Operator
+from millgw.operator.file import OperatorFile
 from millgw.platform.config import Config
 
 
@@ -16,4 +16,4 @@
 
     config: Config
     settings: Mapping[str, Any]
-    operator: Operator
+    operator: OperatorFile
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -13,7 +13,15 @@
 from millgw.callers.server import Server
 from millgw.endpoints.upstream import ALL_ANSWERS_MEMORY_SHARE
 from millgw.log.events import log_event
-from millgw.operator.file import LIMIT_KINDS, Limits, Operator, OperatorError, Service, compile_routes, load
+from millgw.operator.file import (
+    LIMIT_KINDS,
+    Limits,
+    OperatorError,
+    OperatorFile,
+    Service,
+    compile_routes,
+    load,
+)
 from millgw.operator.files import Files
 from millgw.operator.guarantees import guaranteed_units
 from millgw.platform.config import Config, ConfigError, read_address, read_config, read_settings_table
@@ -106,13 +114,13 @@
     def _servers(self) -> list[Server]:
         return [*(listener.server for listener in self.listeners.values()), *self.closing]
 
-    def _open_listener(self, operator: Operator, name: str) -> Listener:
+    def _open_listener(self, operator: OperatorFile, name: str) -> Listener:
         """Open the listener that routes, or one service's; raises OSError if the address can't be bound."""
         listen = read_address(operator.services[name].listen) if name else self.config.listen
         front = RoutedFront(self.registry, compile_routes(operator), name)
         return Listener(Server(listen, self.descriptors, front, self.lifecycle, self.scheduler), front)
 
-    def _share_callers(self, operator: Operator) -> None:
+    def _share_callers(self, operator: OperatorFile) -> None:
         """Set each service's share of the callers' connections; above it, its idle ones are closed first."""
         shares = {name: s.limits.callers for name, s in operator.services.items()}
         given = sum(share for share in shares.values() if share is not None)
@@ -146,7 +154,7 @@
         tended = attach_connection_manager(pool, operator.tends(name), own, seed)
         return RunningService(pool, files.operator.services[name], files.settings, tended)
 
-    def _make_allotments(self, operator: Operator) -> dict[str, Allotment]:
+    def _make_allotments(self, operator: OperatorFile) -> dict[str, Allotment]:
         """The limits of each resource; raises ConfigError for guarantees that can't be met."""
         totals = {
             CALLS: self.descriptors.max_calls,
@@ -316,12 +324,12 @@
         return same_entry and not discovery_moved and same_management and served.raw_settings == raw_settings
 
 
-def _load(path: str) -> Operator:
+def _load(path: str) -> OperatorFile:
     try:
         return load(path)
     except OperatorError as error:
         raise ConfigError(str(error)) from None
 
 
-def _limits_by_service(operator: Operator) -> dict[str, Limits]:
+def _limits_by_service(operator: OperatorFile) -> dict[str, Limits]:
     return {name: service.limits for name, service in operator.services.items()}
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -10,7 +10,7 @@
 
 from millgw.interface import ListKind, Locality
 from millgw.membership.servers import read_connect
-from millgw.operator.file import Coordinator, Directory, Operator, Service
+from millgw.operator.file import Coordinator, Directory, OperatorFile, Service
 from millgw.platform.config import Config, ConfigError, read_address, with_settings
 from millgw.platform.discovery import (
     Discovery,
@@ -137,7 +137,7 @@
     return manage_connections(pool, terms, config, seed)
 
 
-def make_peers(operator: Operator, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
+def make_peers(operator: OperatorFile, config: Config, pools: Callable[[], Sequence[Pool]]) -> Peers | None:
     """The node that exchanges state with peers, where the operator's file has a table for it."""
     table = operator.peers
     if table is None:
@@ -158,7 +158,7 @@
         raise ConfigError(f"peers.keys: {error}") from None
 
 
-def make_intents(operator: Operator, memory: float) -> Intents | None:
+def make_intents(operator: OperatorFile, memory: float) -> Intents | None:
     """The log of marks for unsafe calls, where the operator's file has a store."""
     table = operator.store
     if table is None:
@@ -173,7 +173,7 @@
     )
 
 
-def make_locality(operator: Operator, config: Config, seed: int) -> Locality | None:
+def make_locality(operator: OperatorFile, config: Config, seed: int) -> Locality | None:
     """The zone selection of a pool, where the operator's file has a `places` table.
 
     Raises ConfigError, naming a zone or class that the configuration does not have.
@@ -190,7 +190,7 @@
         raise ConfigError(f"places.{error}") from None
 
 
-def make_configuration_client(operator: Operator, config: Config, target: Target) -> Client | None:
+def make_configuration_client(operator: OperatorFile, config: Config, target: Target) -> Client | None:
     """The client of the fleet's distributed configuration, where the operator's file names its instances."""
     table = operator.configuration
     if table is None:
