--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -250,4 +250,4 @@
     if two_sources and config.settings.ask_within != pool.config.settings.ask_within:
         # The waits between tries at the two sources are worked out once.
         raise RestartNeededError(f"{SERVICES}{name}.settings.rules.askWithin")
-    return plan(f"{SERVICES}{name}.", pool, tended, config, files.operator.tends(name))
+    return plan(f"{SERVICES}{name}.", pool, tended, config, files.operator.connection_terms(name))
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -49,7 +49,7 @@
 
     def _plan(self, filed: Files, entries: Entries) -> PoolChange:
         after = overlay(filed, entries)
-        return plan("", self.pool, self.tended, after.config, after.operator.tends())
+        return plan("", self.pool, self.tended, after.config, after.operator.connection_terms())
 
     def reload(self) -> None:
         """Read the files again, and have the entries go over them; what can't be used changes nothing."""
--- a/millgw/operator/command.py
+++ b/millgw/operator/command.py
@@ -44,7 +44,7 @@
 def _describe(operator: OperatorFile, services: dict[str, ServiceSummary]) -> list[str]:
     lines = []
     if not services:
-        tended = operator.tends() is not None
+        tended = operator.connection_terms() is not None
         nothing_else = operator.peers is None and operator.store is None and operator.places is None
         lines.append(
             "no services: "
@@ -99,7 +99,7 @@
         routes.append(f"all that comes to {service.listen}")
     return {
         "source": source, "classes": list(service.classes), "guaranteed": guaranteed, "routes": routes,
-        "tended": operator.tends(name) is not None,
+        "tended": operator.connection_terms(name) is not None,
     }  # fmt: skip
 
 
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -213,7 +213,7 @@
     configuration: Configuration | None = None
     places: Places | None = None
 
-    def tends(self, name: str = "") -> ConnectionSettings | None:
+    def connection_terms(self, name: str = "") -> ConnectionSettings | None:
         """The connection settings of a service, or of the single pool; None if they are not managed."""
         own = self.services[name].connections if name else None
         connections = self.connections if own is None else own
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -151,7 +151,7 @@
         zones = make_locality(operator, own, seed)
         pool = Pool(name, own, seed, room, share, list_source(name, service, config), self.scheduler, zones)
         pool.intents = self.intents
-        tended = attach_connection_manager(pool, operator.tends(name), own, seed)
+        tended = attach_connection_manager(pool, operator.connection_terms(name), own, seed)
         return RunningService(pool, files.operator.services[name], files.settings, tended)
 
     def _make_allotments(self, operator: OperatorFile) -> dict[str, Allotment]:
@@ -275,7 +275,7 @@
         self.running = services
         for name, served in services.items():
             served.entry = files.operator.services[name]
-            terms = operator.tends(name)
+            terms = operator.connection_terms(name)
             if served.tended is not None and terms is not None:
                 served.tended.change(terms)
         self._publish()
@@ -320,7 +320,7 @@
             and (service.coordinator is None or service.membership is not None)
             and config.discovery != self.config.discovery
         )
-        same_management = (served.tended is None) == (operator.tends(name) is None)
+        same_management = (served.tended is None) == (operator.connection_terms(name) is None)
         return same_entry and not discovery_moved and same_management and served.raw_settings == raw_settings
 
 
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -183,7 +183,7 @@
     """Apply the operator file's connection and intent options to the single pool."""
     from millgw.services.parts import attach_connection_manager
 
-    node.tended = attach_connection_manager(pool, node.operator.tends(), config, config.seed)
+    node.tended = attach_connection_manager(pool, node.operator.connection_terms(), config, config.seed)
     pool.intents = node.intents
 
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -529,7 +529,7 @@
     text = shipped.read_text().split("(docs/services.md):\n#\n")[1]
     uncommented = "\n".join(line.removeprefix("#").removeprefix(" ") for line in text.splitlines())
     told = parse(uncommented, "shipped")
-    assert set(told.services) == {"login", "campanha"} and told.tends("login") is not None
+    assert set(told.services) == {"login", "campanha"} and told.connection_terms("login") is not None
 
 
 @pytest.mark.parametrize(
