--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -19,7 +19,7 @@
 
 from millgw.interface import Settings, Tenant
 from millgw.operator.file import Connections, Limits, OperatorFile, Service, check
-from millgw.operator.files import Files
+from millgw.operator.files import LoadedFiles
 from millgw.platform.config import Config, with_settings
 from millgw.services.parts import deep_merge, pool_config
 from millgw.settings import REPEATS, SCOPES, read_list, read_table
@@ -63,7 +63,7 @@
         super().__init__(f"takes a restart: {field}")
 
 
-def overlay(files: Files, entries: Entries) -> Files:
+def overlay(files: LoadedFiles, entries: Entries) -> LoadedFiles:
     """The files with a document's entries over them; a RefusedVersionError names what can't be used."""
     settings = dict(files.settings)
     if SETTINGS in entries:
@@ -73,10 +73,10 @@
         config = with_settings(files.config, settings)
     except (ValueError, TypeError) as error:
         raise RefusedVersionError(in_words(error)) from None
-    return Files(config, settings, _operator(files, settings, entries))
+    return LoadedFiles(config, settings, _operator(files, settings, entries))
 
 
-def _operator(files: Files, settings: Mapping[str, Any], entries: Entries) -> OperatorFile:
+def _operator(files: LoadedFiles, settings: Mapping[str, Any], entries: Entries) -> OperatorFile:
     operator = files.operator
     connections = _connections(operator.connections, entries, CONNECTIONS)
     services = {
@@ -235,7 +235,7 @@
     return replace(after, classes=ordered, tenants=tuple(tenants))
 
 
-def service_config(files: Files, name: str) -> Config:
+def service_config(files: LoadedFiles, name: str) -> Config:
     """The configuration of one service's pool; a RefusedVersionError names what can't be used."""
     try:
         return pool_config(name, files.operator.services[name], files.config, files.settings)
@@ -243,7 +243,7 @@
         raise RefusedVersionError(in_words(error)) from None
 
 
-def plan_service(files: Files, name: str, pool: Pool, tended: ConnectionManager | None) -> PoolChange:
+def plan_service(files: LoadedFiles, name: str, pool: Pool, tended: ConnectionManager | None) -> PoolChange:
     """The change of one service's pool to what the files say, with entries over them."""
     service, config = files.operator.services[name], service_config(files, name)
     two_sources = service.coordinator is not None and service.membership is not None
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -8,7 +8,7 @@
 from millgw.configuration.apply import Entries, PoolChange, RefusedVersionError, overlay, plan
 from millgw.log.events import log_event
 from millgw.operator.file import OperatorError, load
-from millgw.operator.files import Files
+from millgw.operator.files import LoadedFiles
 from millgw.platform.config import Config, ConfigError, read_config, read_settings_table
 from millgw.pool.pool import Pool
 
@@ -19,7 +19,7 @@
 class SinglePool:
     """One pool's files with a document's entries over them."""
 
-    def __init__(self, filed: Files, environ: Mapping[str, str], path: str) -> None:
+    def __init__(self, filed: LoadedFiles, environ: Mapping[str, str], path: str) -> None:
         self.filed = filed
         self.environ = environ
         self.path = path
@@ -47,7 +47,7 @@
         self._plan(self.filed, entries).carry_out()
         self.entries = entries
 
-    def _plan(self, filed: Files, entries: Entries) -> PoolChange:
+    def _plan(self, filed: LoadedFiles, entries: Entries) -> PoolChange:
         after = overlay(filed, entries)
         return plan("", self.pool, self.tended, after.config, after.operator.connection_terms())
 
@@ -55,7 +55,7 @@
         """Read the files again, and have the entries go over them; what can't be used changes nothing."""
         try:
             config = read_config(self.environ, self.filed.config)
-            filed = Files(config, read_settings_table(self.environ), load(self.path))
+            filed = LoadedFiles(config, read_settings_table(self.environ), load(self.path))
             change = self._plan(filed, self.entries)
         except (ConfigError, OperatorError, RefusedVersionError) as error:
             log_event("reload-refused", cause=str(error))
--- a/millgw/operator/files.py
+++ b/millgw/operator/files.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Files:
+class LoadedFiles:
     """The configuration, its settings as written (not yet checked), and the operator's file."""
 
     config: Config
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -22,7 +22,7 @@
     compile_routes,
     load,
 )
-from millgw.operator.files import Files
+from millgw.operator.files import LoadedFiles
 from millgw.operator.guarantees import guaranteed_units
 from millgw.platform.config import Config, ConfigError, read_address, read_config, read_settings_table
 from millgw.platform.descriptors import Descriptors
@@ -75,7 +75,7 @@
         self.environ = environ
         self.path = path
         self.operator = _load(path)
-        self.files = Files(config, read_settings_table(environ), self.operator)  # as they are on disk
+        self.files = LoadedFiles(config, read_settings_table(environ), self.operator)  # as they are on disk
         # Entries of the distributed document, overlaid on the files.
         self.entries: Mapping[str, Mapping[str, Any]] = {}
         self.descriptors = Descriptors(config.sockets)
@@ -140,7 +140,7 @@
     def _all_pools(self) -> list[Pool]:
         return [*self.limits.pools.values(), *self.limits.retired]
 
-    def _make_pool(self, files: Files, overlaid: Files, name: str) -> RunningService:
+    def _make_pool(self, files: LoadedFiles, overlaid: LoadedFiles, name: str) -> RunningService:
         """Make a service's pool from the files with the distributed entries overlaid."""
         operator, config = overlaid.operator, overlaid.config
         service = operator.services[name]
@@ -184,7 +184,7 @@
         """Check that a start could use these entries; raises RefusedVersionError naming what can't be."""
         self._prepare(entries)
 
-    def _prepare(self, entries: Mapping[str, Mapping[str, Any]]) -> tuple[Files, dict[str, Allotment]]:
+    def _prepare(self, entries: Mapping[str, Mapping[str, Any]]) -> tuple[LoadedFiles, dict[str, Allotment]]:
         # Imported here: without distributed configuration these modules must not be loaded.
         from millgw.configuration import apply
 
@@ -218,7 +218,7 @@
             allotment.inherit(self.limits.allotments[kind])
         self.limits.allotments = allotments
 
-    def _overlay(self, files: Files) -> Files:
+    def _overlay(self, files: LoadedFiles) -> LoadedFiles:
         """The files with the distributed entries overlaid; raises ConfigError if they don't fit together."""
         if not self.entries:
             return files
@@ -237,7 +237,7 @@
         new_services: list[RunningService] = []
         new_listeners: dict[str, Listener] = {}
         try:
-            files = Files(
+            files = LoadedFiles(
                 read_config(self.environ, self.config), read_settings_table(self.environ), _load(self.path)
             )
             overlaid = self._overlay(files)
@@ -308,7 +308,7 @@
         else:
             self.closing.remove(server)
 
-    def _is_unchanged(self, served: RunningService, files: Files, name: str) -> bool:
+    def _is_unchanged(self, served: RunningService, files: LoadedFiles, name: str) -> bool:
         """Whether a pool matches the files, apart from what can change at run time: limits, connections."""
         operator, config, raw_settings = files.operator, files.config, files.settings
         service = operator.services[name]
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -39,7 +39,7 @@
     TimerFired,
 )
 from millgw.operator.file import Connections, Limits, parse
-from millgw.operator.files import Files
+from millgw.operator.files import LoadedFiles
 from millgw.platform.config import Address, read_address
 from millgw.pool.pool import Pool
 from millgw.pool.share import CALLS
@@ -383,10 +383,10 @@
 """
 
 
-def files(operator: str = OPERATOR) -> Files:
+def files(operator: str = OPERATOR) -> LoadedFiles:
     address = Address("127.0.0.1", 9)
     made = rig.config([], address, known=None)
-    return Files(made, rig.SETTINGS, parse(operator, "o.toml"))
+    return LoadedFiles(made, rig.SETTINGS, parse(operator, "o.toml"))
 
 
 def test_entries_go_over_the_files_table_by_table() -> None:
