--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -63,7 +63,7 @@
 from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, endpoints, make_drive
 from tests.test_control import call_control, read_metrics
 from tests.test_properties import step, time_out_overdue
-from tests.test_services import static, two
+from tests.test_services import static_service, two
 from tests.test_sidecar_process import start_sidecar
 
 STEADY = hypothesis_settings(
@@ -795,7 +795,9 @@
         (tmp_path / "config.json").write_text(json.dumps(data))
         for endpoint in (*endpoints, stuck):
             await endpoint.start()
-        text = static("main", *endpoints) + static("stuck", stuck) + '[[routes]]\nto = "main"\n'
+        text = (
+            static_service("main", *endpoints) + static_service("stuck", stuck) + '[[routes]]\nto = "main"\n'
+        )
         text += '[[routes]]\nto = "stuck"\nhost = "stuck.example.org"\n'
         text += f'[configuration]\ninstances = ["{control.address}"]\ndirectory = "{tmp_path}"\n'
         (tmp_path / "operator.toml").write_text(text)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -190,7 +190,7 @@
 # Whole sidecars
 
 
-def static(name: str, *endpoints: ScriptedEndpoint, more: str = "") -> str:
+def static_service(name: str, *endpoints: ScriptedEndpoint, more: str = "") -> str:
     lines = [f"[services.{name}]", more]
     for e in endpoints:
         lines += [f"[[services.{name}.endpoints]]", f'name = "{e.name}"', f'address = "{e.address}"']
@@ -211,7 +211,7 @@
 async def two(login: ScriptedEndpoint, campaign: ScriptedEndpoint) -> str:
     await login.start()
     await campaign.start()
-    return static("login", login) + static("campaign", campaign) + ROUTES
+    return static_service("login", login) + static_service("campaign", campaign) + ROUTES
 
 
 def test_each_request_goes_to_the_service_of_its_route_and_to_no_other(tmp_path: Path) -> None:
@@ -274,8 +274,8 @@
         endpoints = [ScriptedEndpoint(name, answering(ok(), gate)) for name in "abc"]
         for endpoint in endpoints:
             await endpoint.start()
-        one = static("all", endpoints[0]) + '[[routes]]\nto = "all"\n'
-        three = one + static("two", endpoints[1]) + static("three", endpoints[2])
+        one = static_service("all", endpoints[0]) + '[[routes]]\nto = "all"\n'
+        three = one + static_service("two", endpoints[1]) + static_service("three", endpoints[2])
         for name in ("two", "three"):
             three += f'[[routes]]\nto = "{name}"\nhost = "{name}.org"\n'
         async with operator_sidecar(tmp_path, one) as node:
@@ -309,7 +309,11 @@
             ScriptedEndpoint("m", silent),
         )
         await unresponsive.start()
-        text = await two(login, campaign) + static("status", unresponsive) + '[[routes]]\nto = "status"\n'
+        text = (
+            await two(login, campaign)
+            + static_service("status", unresponsive)
+            + '[[routes]]\nto = "status"\n'
+        )
         async with operator_sidecar(tmp_path, text) as node:
             waiting = [await node.connect() for _ in range(30)]
             for client in waiting:
@@ -368,7 +372,7 @@
         login = ScriptedEndpoint("l")
         await login.start()
         down = f'[services.campaign]\ndiscovery = "{free_address()}"\n'
-        async with operator_sidecar(tmp_path, static("login", login) + down + ROUTES) as node:
+        async with operator_sidecar(tmp_path, static_service("login", login) + down + ROUTES) as node:
             assert (await node.ask(request("pay", Host="login.example.org"))).status == 200
             assert (await node.ask(request("pay", expires_in=300, Host="x.campanha.example.org"))).status in (
                 502,
@@ -395,7 +399,7 @@
             await wait_until(lambda: len(campaign.got) == 3)
             await node.reload("[services.login\n")
             assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
-            only = static("login", login) + '[[routes]]\nto = "login"\nhost = "login.example.org"\n'
+            only = static_service("login", login) + '[[routes]]\nto = "login"\nhost = "login.example.org"\n'
             await node.reload(only)
             gone = await node.ask(request("write", Host="a.campanha.example.org"))
             assert gone.status == 421
@@ -421,7 +425,7 @@
         await login.start()
         only = '[[routes]]\nto = "login"\n'
         async with operator_sidecar(
-            tmp_path, static("login", login, more='classes = ["pay"]') + only
+            tmp_path, static_service("login", login, more='classes = ["pay"]') + only
         ) as node:
             assert (await node.ask(request("pay"))).status == 200
             assert (await node.ask(request("write"))).status == 400
@@ -430,7 +434,7 @@
             ("settings = { rules = { coldShare = 7 } }", r"services\.login\.settings"),
         ):
             with pytest.raises(ValueError, match=says):
-                async with operator_sidecar(tmp_path, static("login", login, more=more) + only):
+                async with operator_sidecar(tmp_path, static_service("login", login, more=more) + only):
                     pass
 
     run(test)
@@ -481,7 +485,7 @@
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
         text = await two(login, campaign)
-        only = static("login", login) + '[[routes]]\nto = "login"\n'
+        only = static_service("login", login) + '[[routes]]\nto = "login"\n'
         async with operator_sidecar(tmp_path, text) as node:
             for _ in range(5):
                 await node.reload(only)
