--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -63,7 +63,7 @@
 from tests.support import KEYED, SAFE, SETTINGS, TENANTS, UNSAFE, Drive, endpoints, make_drive
 from tests.test_control import call_control, read_metrics
 from tests.test_properties import step, time_out_overdue
-from tests.test_services import static_service, two
+from tests.test_services import static_service, two_services
 from tests.test_sidecar_process import start_sidecar
 
 STEADY = hypothesis_settings(
@@ -564,7 +564,7 @@
 def test_versions_are_in_force_in_each_service_with_its_pool_and_what_it_learned(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
-        text = await configured(control, await two(login, campaign))
+        text = await configured(control, await two_services(login, campaign))
         async with rig.operator_sidecar(tmp_path, text) as node:
             client = await connected(node)
             for _ in range(20):
@@ -618,7 +618,7 @@
 def test_a_refused_version_changes_no_service_and_the_next_one_does(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
-        text = await configured(control, await two(login, campaign))
+        text = await configured(control, await two_services(login, campaign))
         async with rig.operator_sidecar(tmp_path, text):
             before = {pool.name: pool.settings for pool in pools()}
             control.commit(
@@ -640,7 +640,7 @@
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
         more = f'directory = "{tmp_path}/state"' if kept else ""
-        text = await configured(control, await two(login, campaign), more=more)
+        text = await configured(control, await two_services(login, campaign), more=more)
         async with rig.operator_sidecar(tmp_path, text) as node:
             client = await connected(node)
             bulk = dict(CLASSES[2], name="bulk")
@@ -671,7 +671,7 @@
 
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
-        text = await configured(control, await two(login, campaign))
+        text = await configured(control, await two_services(login, campaign))
         async with rig.operator_sidecar(tmp_path, text) as node:
             control.commit({"services.login": {"limits": {"tryLimit": 7}}})
             await wait_until(lambda: bool(control.reports))
@@ -735,7 +735,7 @@
 
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance(by_hand=True)
-        text = await configured(control, await two(login, campaign))
+        text = await configured(control, await two_services(login, campaign))
         if answers is None:
             control.stop()
         begun = asyncio.get_running_loop().time()
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -208,7 +208,7 @@
 """
 
 
-async def two(login: ScriptedEndpoint, campaign: ScriptedEndpoint) -> str:
+async def two_services(login: ScriptedEndpoint, campaign: ScriptedEndpoint) -> str:
     await login.start()
     await campaign.start()
     return static_service("login", login) + static_service("campaign", campaign) + ROUTES
@@ -217,7 +217,7 @@
 def test_each_request_goes_to_the_service_of_its_route_and_to_no_other(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
-        async with operator_sidecar(tmp_path, await two(login, campaign)) as node:
+        async with operator_sidecar(tmp_path, await two_services(login, campaign)) as node:
             client = await node.connect()
             for _ in range(5):  # one connection that alternates
                 assert (await client.ask(request("pay", Host="Login.Example.ORG:80"))).status == 200
@@ -245,7 +245,7 @@
 
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c", silent)
-        async with operator_sidecar(tmp_path, await two(login, campaign)) as node:
+        async with operator_sidecar(tmp_path, await two_services(login, campaign)) as node:
             flood = [await node.connect() for _ in range(90)]
             for client in flood:
                 client.writer.write(request("write", b"x" * 8000, Host="a.campanha.example.org"))
@@ -310,7 +310,7 @@
         )
         await unresponsive.start()
         text = (
-            await two(login, campaign)
+            await two_services(login, campaign)
             + static_service("status", unresponsive)
             + '[[routes]]\nto = "status"\n'
         )
@@ -350,7 +350,7 @@
 
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
-        async with operator_sidecar(tmp_path, await two(login, campaign)) as node:
+        async with operator_sidecar(tmp_path, await two_services(login, campaign)) as node:
             calm, flood = await node.connect(), [await node.connect() for _ in range(80)]
             for client in flood:
                 await client.ask(request("write", Host="a.campanha.example.org"))
@@ -388,7 +388,7 @@
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
         go = asyncio.Event()
-        text = await two(login, campaign)
+        text = await two_services(login, campaign)
         async with operator_sidecar(tmp_path, text) as node:
             kept = await node.connect()
             assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
@@ -457,7 +457,7 @@
 def test_a_service_may_have_a_listener_of_its_own_and_lose_it_by_a_reload(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign, own = ScriptedEndpoint("l"), ScriptedEndpoint("c"), free_address()
-        text = await two(login, campaign)
+        text = await two_services(login, campaign)
         listening = text.replace("[services.login]", f'[services.login]\nlisten = "{own}"', 1)
         async with operator_sidecar(tmp_path, listening) as node:
             direct = Client(*await asyncio.open_connection(own.host, own.port))
@@ -484,7 +484,7 @@
 def test_reloads_leak_no_pool(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c")
-        text = await two(login, campaign)
+        text = await two_services(login, campaign)
         only = static_service("login", login) + '[[routes]]\nto = "login"\n'
         async with operator_sidecar(tmp_path, text) as node:
             for _ in range(5):
