--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -110,7 +110,7 @@
         made.handle(now, EndpointList(ListKind.FULL, listed))
         if self.peers and who in self.joins:
             known = self._snapshot(now, who)
-            priors = known.priors(now, "", endpoint_evidence.listed(listed), COLD_MS)
+            priors = known.priors(now, "", endpoint_evidence.start_times_by_key(listed), COLD_MS)
             made.handle(now, endpoint_evidence.hearsay(now, priors, COLD_MS, self.sidecars))
 
     def _snapshot(self, now: float, who: int) -> Gossip:
@@ -120,7 +120,7 @@
         teller.serve("")
         for other in running:
             balancer = self.modules[other]
-            since = endpoint_evidence.listed(s.info for s in balancer.ring)
+            since = endpoint_evidence.start_times_by_key(s.info for s in balancer.ring)
             told = endpoint_evidence.observations(now, balancer.evidence(now), since, ())
             notable = [o for o in told if mark(o, COLD_MS) is not Mark.WELL]
             teller.hear(now, [("", replace(o, origin=f"n{other}")) for o in notable])
--- a/millgw/peers/endpoint_evidence.py
+++ b/millgw/peers/endpoint_evidence.py
@@ -19,7 +19,7 @@
     return f"{id:016x}"
 
 
-def listed(endpoints: Iterable[Endpoint]) -> dict[str, float]:
+def start_times_by_key(endpoints: Iterable[Endpoint]) -> dict[str, float]:
     """The start time from discovery (Unix ms) by endpoint key."""
     return {endpoint_key(e.id): float(round(e.started_at)) for e in endpoints}
 
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -225,7 +225,7 @@
         previous_ring, previous = self.start_times.get(pool.name, (None, {}))
         if previous_ring is ring:
             return previous
-        start_times = endpoint_evidence.listed(s.info for s in ring)
+        start_times = endpoint_evidence.start_times_by_key(s.info for s in ring)
         # The balancer has removed draining endpoints; their start times distinguish them from successors.
         start_times |= {
             key: previous[key] for key in map(endpoint_evidence.endpoint_key, draining) if key in previous
@@ -240,7 +240,9 @@
             settings = driver.balancer.settings
             servers = driver.balancer.servers
             reported = (servers.get(int(name, 16)) for name in self.gossip.known_endpoints(pool.name))
-            known = endpoint_evidence.listed(server.info for server in reported if server is not None)
+            known = endpoint_evidence.start_times_by_key(
+                server.info for server in reported if server is not None
+            )
             priors = self.gossip.priors(_now_ms(), pool.name, known, settings.cold_time, len(servers))
             limits = self.learned_limits.pop(pool.name, [])
             event = endpoint_evidence.hearsay(driver.clock(), priors, settings.cold_time, siblings, limits)
