--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -111,7 +111,7 @@
         if self.peers and who in self.joins:
             known = self._snapshot(now, who)
             priors = known.priors(now, "", endpoint_evidence.start_times_by_key(listed), COLD_MS)
-            made.handle(now, endpoint_evidence.hearsay(now, priors, COLD_MS, self.sidecars))
+            made.handle(now, endpoint_evidence.peer_reports(now, priors, COLD_MS, self.sidecars))
 
     def _snapshot(self, now: float, who: int) -> Gossip:
         """What a new sidecar knows of a running one's snapshot, which has heard of what the others saw."""
--- a/millgw/peers/endpoint_evidence.py
+++ b/millgw/peers/endpoint_evidence.py
@@ -47,7 +47,7 @@
     return [o for o in observed if o.endpoint not in names] + drains
 
 
-def hearsay(
+def peer_reports(
     now: float, priors: Mapping[str, Prior], cold_time: float, siblings: int, limits: Sequence[float] = ()
 ) -> PeerReports:
     """The peer reports for the balancer; endpoints without anything unusual are left out."""
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -245,7 +245,9 @@
             )
             priors = self.gossip.priors(_now_ms(), pool.name, known, settings.cold_time, len(servers))
             limits = self.learned_limits.pop(pool.name, [])
-            event = endpoint_evidence.hearsay(driver.clock(), priors, settings.cold_time, siblings, limits)
+            event = endpoint_evidence.peer_reports(
+                driver.clock(), priors, settings.cold_time, siblings, limits
+            )
             if event.endpoints or limits or siblings > settings.siblings:
                 driver.handle_peer_reports(event)
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -14,7 +14,7 @@
 
 from millgw.peers import wire
 from millgw.peers.beliefs import FORGET_AFTER_MS, Observation
-from millgw.peers.endpoint_evidence import combined_limit, hearsay, observations
+from millgw.peers.endpoint_evidence import combined_limit, observations, peer_reports
 from millgw.peers.gossip import Digest, Gossip, GossipMessage, GossipSettings
 from millgw.peers.sealed import MessageRefused, Signer, Verifier
 from millgw.peers.state_transfer import StateTransfer
@@ -326,7 +326,7 @@
     ordinary = Observation(f"{1:016x}", "a", 0.0, 1, calls=50, uptime=1e9)
     gossip.hear(0.0, [("p", ordinary), ("p", replace(ordinary, endpoint=f"{2:016x}", uptime=400.0))])
     priors = gossip.priors(0.0, "p", {f"{i:016x}": 0.0 for i in range(9)}, COLD_TIME)
-    reports = hearsay(5000.0, priors, COLD_TIME, 4)
+    reports = peer_reports(5000.0, priors, COLD_TIME, 4)
     assert [(t.id, t.started_at) for t in reports.endpoints] == [(2, 4600.0)] and reports.siblings == 4
     assert combined_limit([9.0, 3.0]) == 3.0 and combined_limit([9.0, 3.0, 8.0]) == 8.0
     assert combined_limit([0.0, float("nan")]) == float("inf")
