--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -32,7 +32,7 @@
 SEQUENCES_PER_MS = 1024
 
 
-class Mark(Enum):
+class EndpointState(Enum):
     """The state of an endpoint according to an observation."""
 
     WELL = "well"
@@ -41,13 +41,13 @@
     DRAINING = "drains"
 
 
-def mark(o: Observation, cold_time: float) -> Mark:
+def mark(o: Observation, cold_time: float) -> EndpointState:
     """The state that an observation reports; `cold_time` is the ms for which a started endpoint is cold."""
     if o.draining:
-        return Mark.DRAINING
+        return EndpointState.DRAINING
     if o.failure_rate >= FAILURE_RATE_THRESHOLD or o.latency_ratio >= LATENCY_RATIO_THRESHOLD:
-        return Mark.UNHEALTHY
-    return Mark.COLD if o.uptime is not None and o.uptime < cold_time else Mark.WELL
+        return EndpointState.UNHEALTHY
+    return EndpointState.COLD if o.uptime is not None and o.uptime < cold_time else EndpointState.WELL
 
 
 @dataclass(slots=True, frozen=True)
@@ -86,7 +86,7 @@
         self.sequence = start * SEQUENCES_PER_MS
         self.pools: dict[str, ObservationStore] = {}
         # By pool and endpoint: when the state may be repeated, and the state.
-        self.announced: dict[tuple[str, str], tuple[float, Mark]] = {}
+        self.announced: dict[tuple[str, str], tuple[float, EndpointState]] = {}
         self.own_observations: dict[str, dict[str, Observation]] = {}
         self.transmissions: dict[tuple[str, str, str], int] = {}  # times sent, by pool, endpoint, origin
         self.next_tick = -math.inf
@@ -116,9 +116,9 @@
         self, now: float, pool: str, cold_time: float, o: Observation, store: ObservationStore
     ) -> bool:
         state = mark(o, cold_time)
-        if state is Mark.WELL and o.endpoint not in store.by_endpoint:
+        if state is EndpointState.WELL and o.endpoint not in store.by_endpoint:
             return False  # the usual case
-        repeat_at, previous = self.announced.get((pool, o.endpoint), (-math.inf, Mark.WELL))
+        repeat_at, previous = self.announced.get((pool, o.endpoint), (-math.inf, EndpointState.WELL))
         if state is not previous:
             return True
         if now < repeat_at:
@@ -130,8 +130,8 @@
         ]  # fmt: skip
         if others.count(state) >= MIN_ORIGINS_FOR_MEDIAN:
             return False  # otherwise every node of the fleet would announce the same
-        if state is Mark.WELL:
-            return o.calls >= MIN_CALLS_FOR_HEALTHY and Mark.UNHEALTHY in others
+        if state is EndpointState.WELL:
+            return o.calls >= MIN_CALLS_FOR_HEALTHY and EndpointState.UNHEALTHY in others
         return True
 
     def _announce(self, now: float, pool: str, observation: Observation) -> None:
