--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -122,7 +122,7 @@
             balancer = self.modules[other]
             since = endpoint_evidence.start_times_by_key(s.info for s in balancer.ring)
             told = endpoint_evidence.observations(now, balancer.evidence(now), since, ())
-            notable = [o for o in told if mark(o, COLD_MS) is not EndpointState.WELL]
+            notable = [o for o in told if mark(o, COLD_MS) is not EndpointState.HEALTHY]
             teller.hear(now, [("", replace(o, origin=f"n{other}")) for o in notable])
         fresh.serve("")
         fresh.learn(now, teller.snapshot(now))
--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -35,7 +35,7 @@
 class EndpointState(Enum):
     """The state of an endpoint according to an observation."""
 
-    WELL = "well"
+    HEALTHY = "well"
     UNHEALTHY = "ill"
     COLD = "cold"
     DRAINING = "drains"
@@ -47,7 +47,7 @@
         return EndpointState.DRAINING
     if o.failure_rate >= FAILURE_RATE_THRESHOLD or o.latency_ratio >= LATENCY_RATIO_THRESHOLD:
         return EndpointState.UNHEALTHY
-    return EndpointState.COLD if o.uptime is not None and o.uptime < cold_time else EndpointState.WELL
+    return EndpointState.COLD if o.uptime is not None and o.uptime < cold_time else EndpointState.HEALTHY
 
 
 @dataclass(slots=True, frozen=True)
@@ -116,9 +116,9 @@
         self, now: float, pool: str, cold_time: float, o: Observation, store: ObservationStore
     ) -> bool:
         state = mark(o, cold_time)
-        if state is EndpointState.WELL and o.endpoint not in store.by_endpoint:
+        if state is EndpointState.HEALTHY and o.endpoint not in store.by_endpoint:
             return False  # the usual case
-        repeat_at, previous = self.announced.get((pool, o.endpoint), (-math.inf, EndpointState.WELL))
+        repeat_at, previous = self.announced.get((pool, o.endpoint), (-math.inf, EndpointState.HEALTHY))
         if state is not previous:
             return True
         if now < repeat_at:
@@ -130,7 +130,7 @@
         ]  # fmt: skip
         if others.count(state) >= MIN_ORIGINS_FOR_MEDIAN:
             return False  # otherwise every node of the fleet would announce the same
-        if state is EndpointState.WELL:
+        if state is EndpointState.HEALTHY:
             return o.calls >= MIN_CALLS_FOR_HEALTHY and EndpointState.UNHEALTHY in others
         return True
 
