--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -48,7 +48,7 @@
     TimerFired,
 )
 from millgw.peers import endpoint_evidence
-from millgw.peers.gossip import EndpointState, Gossip, mark
+from millgw.peers.gossip import EndpointState, Gossip, classify
 
 START = 1_000_000.0  # ms; a clock that is far from 0, as Unix time is
 DOWN, BACK = -4000.0, -500.0  # ms before the first joins at which the endpoint goes and comes back
@@ -122,7 +122,7 @@
             balancer = self.modules[other]
             since = endpoint_evidence.start_times_by_key(s.info for s in balancer.ring)
             told = endpoint_evidence.observations(now, balancer.evidence(now), since, ())
-            notable = [o for o in told if mark(o, COLD_MS) is not EndpointState.HEALTHY]
+            notable = [o for o in told if classify(o, COLD_MS) is not EndpointState.HEALTHY]
             teller.hear(now, [("", replace(o, origin=f"n{other}")) for o in notable])
         fresh.serve("")
         fresh.learn(now, teller.snapshot(now))
--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -41,7 +41,7 @@
     DRAINING = "drains"
 
 
-def mark(o: Observation, cold_time: float) -> EndpointState:
+def classify(o: Observation, cold_time: float) -> EndpointState:
     """The state that an observation reports; `cold_time` is the ms for which a started endpoint is cold."""
     if o.draining:
         return EndpointState.DRAINING
@@ -107,7 +107,7 @@
             if self._should_announce(now, pool, cold_time, observation, store):
                 # Random, as nodes that observed a change together would otherwise all repeat it together.
                 repeat_at = now + self.settings.repeat_interval * (1.0 + self.rng.random())
-                self.announced[pool, endpoint] = (repeat_at, mark(observation, cold_time))
+                self.announced[pool, endpoint] = (repeat_at, classify(observation, cold_time))
                 self._announce(now, pool, observation)
         for key in [k for k in self.announced if k[0] == pool and k[1] not in own]:
             del self.announced[key]
@@ -115,7 +115,7 @@
     def _should_announce(
         self, now: float, pool: str, cold_time: float, o: Observation, store: ObservationStore
     ) -> bool:
-        state = mark(o, cold_time)
+        state = classify(o, cold_time)
         if state is EndpointState.HEALTHY and o.endpoint not in store.by_endpoint:
             return False  # the usual case
         repeat_at, previous = self.announced.get((pool, o.endpoint), (-math.inf, EndpointState.HEALTHY))
@@ -124,7 +124,7 @@
         if now < repeat_at:
             return False
         others = [
-            mark(stored, cold_time)
+            classify(stored, cold_time)
             for stored in store.recent(now, o.endpoint, o.started_at, self.settings.repeat_interval)
             if stored.origin != self.name
         ]  # fmt: skip
