--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -123,7 +123,7 @@
             since = endpoint_evidence.start_times_by_key(s.info for s in balancer.ring)
             told = endpoint_evidence.observations(now, balancer.evidence(now), since, ())
             notable = [o for o in told if classify(o, COLD_MS) is not EndpointState.HEALTHY]
-            teller.hear(now, [("", replace(o, origin=f"n{other}")) for o in notable])
+            teller.receive_rumours(now, [("", replace(o, origin=f"n{other}")) for o in notable])
         fresh.serve("")
         fresh.learn(now, teller.snapshot(now))
         return fresh
--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -141,7 +141,7 @@
 
     # Reports of peers
 
-    def hear(self, now: float, rumours: Iterable[Rumour]) -> None:
+    def receive_rumours(self, now: float, rumours: Iterable[Rumour]) -> None:
         for pool, observation in rumours:
             if observation.origin != self.name and pool in self.pools:
                 self._queue(pool, self.pools[pool].merge(now, [observation]))
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -303,7 +303,7 @@
 
     def _handle_datagram(self, now: float, sender: str, body: wire.Body) -> None:
         if isinstance(body, wire.Rumours):
-            self.gossip.hear(now, [(r.pool, wire.observation(r.row)) for r in body.rumours])
+            self.gossip.receive_rumours(now, [(r.pool, wire.observation(r.row)) for r in body.rumours])
         elif isinstance(body, wire.GossipDigest):
             for name, answer in self.gossip.answer_digest(now, sender, Digest(body.digest, body.differs)):
                 self._send_gossip(name, answer)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -50,7 +50,7 @@
     def receive(self, now: float, sender: str, said: GossipMessage) -> list[tuple[str, GossipMessage]]:
         if isinstance(said, Digest):
             return self.gossip.answer_digest(now, sender, said)
-        self.gossip.hear(now, said)
+        self.gossip.receive_rumours(now, said)
         return []
 
 
@@ -185,10 +185,10 @@
 def test_reports_about_unknown_pools_are_ignored_and_a_removed_pool_leaves_nothing() -> None:
     gossip = Gossip("me", 1, 1)
     told = Observation("e", "a", 0.0, 1, failure_rate=1.0, calls=9)
-    gossip.hear(0.0, [("other", told)])
+    gossip.receive_rumours(0.0, [("other", told)])
     assert not gossip.pools
     gossip.serve("p")
-    gossip.hear(0.0, [("p", told)])
+    gossip.receive_rumours(0.0, [("p", told)])
     gossip.update_own(0.0, "p", COLD_TIME, [replace(told, origin="")])
     gossip.remove_pool("p")
     assert not gossip.pools and not gossip.own_observations and not gossip.announced
@@ -213,7 +213,7 @@
         now += passed
         key = (o.endpoint, o.origin, o.sequence)
         first[key] = min(first.get(key, now), now - o.age)
-        gossip.hear(now, [("p", o)])
+        gossip.receive_rumours(now, [("p", o)])
         for _, said in gossip.tick(now, ["a", "b", "c", "d"]):
             for _, out in said if not isinstance(said, Digest) else ():
                 seen_at = first[out.endpoint, out.origin, out.sequence]
@@ -324,7 +324,9 @@
     gossip = Gossip("me", 1, 1)
     gossip.serve("p")
     ordinary = Observation(f"{1:016x}", "a", 0.0, 1, calls=50, uptime=1e9)
-    gossip.hear(0.0, [("p", ordinary), ("p", replace(ordinary, endpoint=f"{2:016x}", uptime=400.0))])
+    gossip.receive_rumours(
+        0.0, [("p", ordinary), ("p", replace(ordinary, endpoint=f"{2:016x}", uptime=400.0))]
+    )
     priors = gossip.priors(0.0, "p", {f"{i:016x}": 0.0 for i in range(9)}, COLD_TIME)
     reports = peer_reports(5000.0, priors, COLD_TIME, 4)
     assert [(t.id, t.started_at) for t in reports.endpoints] == [(2, 4600.0)] and reports.siblings == 4
@@ -340,5 +342,5 @@
     origins = [f"o{i}" for i in range(40)]
     for i in range(data.draw(st.integers(0, 100))):
         o = Observation("e", data.draw(st.sampled_from(origins)), 0.0, i)
-        gossip.hear(float(i), [(data.draw(st.sampled_from(["p", "q"])), o)])
+        gossip.receive_rumours(float(i), [(data.draw(st.sampled_from(["p", "q"])), o)])
     assert len(gossip.pools["p"].by_endpoint.get("e", {})) <= 16 and set(gossip.pools) == {"p"}
