--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -125,7 +125,7 @@
             notable = [o for o in told if classify(o, COLD_MS) is not EndpointState.HEALTHY]
             teller.receive_rumours(now, [("", replace(o, origin=f"n{other}")) for o in notable])
         fresh.serve("")
-        fresh.learn(now, teller.snapshot(now))
+        fresh.merge_snapshot(now, teller.snapshot(now))
         return fresh
 
     def _handle(self, now: float, who: int, event: Event) -> None:
--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -146,7 +146,7 @@
             if observation.origin != self.name and pool in self.pools:
                 self._queue(pool, self.pools[pool].merge(now, [observation]))
 
-    def learn(self, now: float, pools: Mapping[str, Iterable[Observation]]) -> None:
+    def merge_snapshot(self, now: float, pools: Mapping[str, Iterable[Observation]]) -> None:
         """Store a peer's snapshot without relaying it: its observations were relayed when they were new."""
         for pool, observations in pools.items():
             if pool in self.pools:
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -265,7 +265,7 @@
             return [wire.snapshot(self.gossip.snapshot(_now_ms()), self._own_limits())]
         if isinstance(body, wire.Snapshot):
             by_pool = {pool: map(wire.observation, rows) for pool, rows in body.pools.items()}
-            self.gossip.learn(_now_ms(), by_pool)
+            self.gossip.merge_snapshot(_now_ms(), by_pool)
             for pool, limit in body.limits.items():
                 self.learned_limits.setdefault(pool, []).append(limit)
             self.snapshots += 1
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -177,7 +177,7 @@
     for i in range(60):
         fresh = Gossip(f"new{i}", 2, i)
         fresh.serve("p")
-        fresh.learn(0.0, fleet.nodes[f"n{5 + i % 5}"].gossip.snapshot(now))  # on its own clock
+        fresh.merge_snapshot(0.0, fleet.nodes[f"n{5 + i % 5}"].gossip.snapshot(now))  # on its own clock
         priors = fresh.priors(0.0, "p", {f"e{k}": 0.0 for k in range(10)}, COLD_TIME)
         assert priors["e4"].failure_rate >= 0.4 and priors["e1"].failure_rate == 0.0
 
