--- a/benchmarks/joining.py
+++ b/benchmarks/joining.py
@@ -117,14 +117,14 @@
         """What a new sidecar knows of a running one's snapshot, which has heard of what the others saw."""
         running = range(int(RUNNING * self.sidecars))
         teller, fresh = Gossip("teller", 1, who), Gossip(f"n{who}", 1, who)
-        teller.serve("")
+        teller.add_pool("")
         for other in running:
             balancer = self.modules[other]
             since = endpoint_evidence.start_times_by_key(s.info for s in balancer.ring)
             told = endpoint_evidence.observations(now, balancer.evidence(now), since, ())
             notable = [o for o in told if classify(o, COLD_MS) is not EndpointState.HEALTHY]
             teller.receive_rumours(now, [("", replace(o, origin=f"n{other}")) for o in notable])
-        fresh.serve("")
+        fresh.add_pool("")
         fresh.merge_snapshot(now, teller.snapshot(now))
         return fresh
 
--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -102,7 +102,7 @@
         They must include all endpoints in `known_endpoints` and all in an unusual state.
         """
         self.own_observations[pool] = own = {o.endpoint: o for o in observations}
-        store = self.serve(pool)
+        store = self.add_pool(pool)
         for endpoint, observation in own.items():
             if self._should_announce(now, pool, cold_time, observation, store):
                 # Random, as nodes that observed a change together would otherwise all repeat it together.
@@ -152,7 +152,7 @@
             if pool in self.pools:
                 self.pools[pool].merge(now, [o for o in observations if o.origin != self.name])
 
-    def serve(self, pool: str) -> ObservationStore:
+    def add_pool(self, pool: str) -> ObservationStore:
         """Register a pool and return its store; reports about pools that are not registered are ignored."""
         return self.pools.setdefault(pool, ObservationStore())
 
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -99,7 +99,7 @@
     async def begin(self) -> None:
         """Get snapshots from peers within `start_timeout` ms, report to the balancers and start listening."""
         for pool in self.pools():
-            self.gossip.serve(pool.name)
+            self.gossip.add_pool(pool.name)
         until = _now_ms() + self.settings.start_timeout
         if self.peer_discovery is not None:
             self.peer_discovery.start()
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -78,7 +78,7 @@
     def start(self, name: str, start: int = 1) -> GossipNode:
         others = [n for n in self.names if n != name]
         made = GossipNode(Gossip(name, start, self.rng.getrandbits(32)), others, lambda _: self.observe(name))
-        made.gossip.serve("p")
+        made.gossip.add_pool("p")
         self.network.add(made, self.network.now + self.rng.uniform(0.0, 250.0))
         return made
 
@@ -176,7 +176,7 @@
     now = fleet.network.now
     for i in range(60):
         fresh = Gossip(f"new{i}", 2, i)
-        fresh.serve("p")
+        fresh.add_pool("p")
         fresh.merge_snapshot(0.0, fleet.nodes[f"n{5 + i % 5}"].gossip.snapshot(now))  # on its own clock
         priors = fresh.priors(0.0, "p", {f"e{k}": 0.0 for k in range(10)}, COLD_TIME)
         assert priors["e4"].failure_rate >= 0.4 and priors["e1"].failure_rate == 0.0
@@ -187,7 +187,7 @@
     told = Observation("e", "a", 0.0, 1, failure_rate=1.0, calls=9)
     gossip.receive_rumours(0.0, [("other", told)])
     assert not gossip.pools
-    gossip.serve("p")
+    gossip.add_pool("p")
     gossip.receive_rumours(0.0, [("p", told)])
     gossip.update_own(0.0, "p", COLD_TIME, [replace(told, origin="")])
     gossip.remove_pool("p")
@@ -207,7 +207,7 @@
     told: list[tuple[float, Observation]],
 ) -> None:
     gossip, now = Gossip("me", 1, 1), 0.0
-    gossip.serve("p")
+    gossip.add_pool("p")
     first: dict[tuple[str, str, int], float] = {}  # earliest time of observation reported
     for passed, o in told:
         now += passed
@@ -322,7 +322,7 @@
     seen = observations(5000.0, [], {}, [7])
     assert seen[0].draining and seen[0].endpoint == f"{7:016x}"
     gossip = Gossip("me", 1, 1)
-    gossip.serve("p")
+    gossip.add_pool("p")
     ordinary = Observation(f"{1:016x}", "a", 0.0, 1, calls=50, uptime=1e9)
     gossip.receive_rumours(
         0.0, [("p", ordinary), ("p", replace(ordinary, endpoint=f"{2:016x}", uptime=400.0))]
@@ -338,7 +338,7 @@
 @settings(max_examples=50, deadline=None)
 def test_memory_is_bounded_for_any_rumours(data: st.DataObject) -> None:
     gossip = Gossip("me", 1, 1)
-    gossip.serve("p")
+    gossip.add_pool("p")
     origins = [f"o{i}" for i in range(40)]
     for i in range(data.draw(st.integers(0, 100))):
         o = Observation("e", data.draw(st.sampled_from(origins)), 0.0, i)
