--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class PeerSettings:
     """`listen` is the address for peers and the name of this peer; `keys` are paths of key files.
 
     `start_timeout` is how many ms the start waits for snapshots. The initial peers are `join` and, with a
@@ -56,7 +56,7 @@
 
     descriptors = MAX_DESCRIPTORS
 
-    def __init__(self, settings: Terms, pools: Callable[[], Sequence[Pool]], seed: int) -> None:
+    def __init__(self, settings: PeerSettings, pools: Callable[[], Sequence[Pool]], seed: int) -> None:
         self.settings = settings
         self.pools = pools
         self.name = str(settings.listen)
--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from millgw.interface import Endpoint as Listing
-from millgw.peers.node import Peers, Terms
+from millgw.peers.node import Peers, PeerSettings
 from millgw.platform.discovery import endpoint_id
 from millgw.rehearsal.operator_files import OperatorFiles
 from millgw.rehearsal.scenario import Scenario
@@ -37,7 +37,7 @@
         front = len(self.files.peers[0])
         for number in range(peers.byzantine):
             made = to_settings(settings(self.scenario, 0, 0, front))
-            terms = Terms(free_address(), self.files.joined(0), (str(self.files.key),), 0.0)
+            terms = PeerSettings(free_address(), self.files.joined(0), (str(self.files.key),), 0.0)
             self.running.append(byzantine_peer(terms, made, self._first_tier, self.scenario.seed + number))
             await self.running[-1].begin()
 
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -143,7 +143,7 @@
     if table is None:
         return None
     # Imported here: without peers these modules must not be loaded.
-    from millgw.peers.node import Peers, Terms
+    from millgw.peers.node import Peers, PeerSettings
 
     meeting = None
     if table.coordinator is not None:
@@ -151,7 +151,7 @@
 
         meeting = _coordinator_directory(table.coordinator, judge.Terms())
     join = tuple(map(read_address, table.join))
-    terms = Terms(read_address(table.listen), join, table.keys, table.within_ms, meeting)
+    terms = PeerSettings(read_address(table.listen), join, table.keys, table.within_ms, meeting)
     try:
         return Peers(terms, pools, pool_seed(config.seed, "peers"))
     except (OSError, ValueError) as error:
--- a/millgw/standins/byzantine_peer.py
+++ b/millgw/standins/byzantine_peer.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from millgw.interface import Endpoint, EndpointEvidence, PeerReports, Settings
-from millgw.peers.node import Peers, Terms
+from millgw.peers.node import Peers, PeerSettings
 from millgw.pool.pool import Pool
 
 CALLS = 1e6  # on which it claims to know
@@ -57,7 +57,10 @@
 
 
 def byzantine_peer(
-    terms: Terms, settings: Settings, endpoints: Callable[[], Iterable[tuple[Endpoint, bool]]], seed: int
+    terms: PeerSettings,
+    settings: Settings,
+    endpoints: Callable[[], Iterable[tuple[Endpoint, bool]]],
+    seed: int,
 ) -> Peers:
     """A peer with false reports, to be begun and stopped as any."""
     face = cast(Pool, ByzantinePool(settings, endpoints))
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -28,7 +28,7 @@
 from millgw.membership.source import Where
 from millgw.peers import node, peer_transport, wire
 from millgw.peers.beliefs import Observation
-from millgw.peers.node import Peers, Terms
+from millgw.peers.node import Peers, PeerSettings
 from millgw.peers.peer_transport import MAX_INBOUND
 from millgw.peers.sealed import Signer, Verifier
 from millgw.peers.state_transfer import NONCE_BYTES, StateTransfer
@@ -89,7 +89,7 @@
         coordinator: Where | None = None,
     ) -> tuple[Peers, FakePool]:
         pool = FakePool()
-        terms = Terms(listen or free_address(), join, (str(self.keys),), within, coordinator)
+        terms = PeerSettings(listen or free_address(), join, (str(self.keys),), within, coordinator)
         peers = Peers(terms, lambda: [cast(Pool, pool)], 7)
         self.running.append(peers)
         return peers, pool
@@ -337,7 +337,7 @@
     for paths in ((str(tmp_path / "none"),), (str(tmp_path / "short"),)):
         (tmp_path / "short").write_bytes(b"short")
         with pytest.raises((OSError, ValueError)):
-            Peers(Terms(free_address(), (), paths, 0.0), lambda: [], 1)
+            Peers(PeerSettings(free_address(), (), paths, 0.0), lambda: [], 1)
 
 
 def test_peers_that_know_only_a_coordinator_find_each_other_and_leave_no_node(tmp_path: Path) -> None:
