--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -96,7 +96,7 @@
 
     # Start and stop
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Get snapshots from peers within `start_timeout` ms, report to the balancers and start listening."""
         for pool in self.pools():
             self.gossip.add_pool(pool.name)
--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -39,7 +39,7 @@
             made = to_settings(settings(self.scenario, 0, 0, front))
             terms = PeerSettings(free_address(), self.files.joined(0), (str(self.files.key),), 0.0)
             self.running.append(byzantine_peer(terms, made, self._first_tier, self.scenario.seed + number))
-            await self.running[-1].begin()
+            await self.running[-1].start()
 
     def stop(self) -> None:
         for peer in self.running:
--- a/millgw/scale/hollow.py
+++ b/millgw/scale/hollow.py
@@ -99,7 +99,7 @@
         self.parts = parts = await assemble_from_operator_file(config, environ, Lifecycle())
         parts.start_pools(None)
         if parts.peers is not None:
-            await parts.peers.begin()
+            await parts.peers.start()
         self.watching = asyncio.create_task(daemon.update_readiness(parts))
 
     def stop(self, leaving: bool) -> None:
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -71,7 +71,7 @@
         if parts.intents is not None:
             await parts.intents.begin()
         if parts.peers is not None:
-            await parts.peers.begin()
+            await parts.peers.start()
         for server in parts.servers():
             server.start()
         if control is not None:
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -96,7 +96,7 @@
 
     async def start(self, *join: Address, **more: Any) -> tuple[Peers, FakePool]:
         peers, pool = self.make(*join, **more)
-        await peers.begin()
+        await peers.start()
         if "listen" not in more:
             await wait_until(lambda: peers.transport is not None)
         return peers, pool
@@ -244,7 +244,7 @@
         host, port = server.sockets[0].getsockname()
         async with fleet(tmp_path) as fleet_of_peers:
             peers, pool = fleet_of_peers.make(Address(host, port), within=50.0)
-            await peers.begin()
+            await peers.start()
             if how != "vanishes":
                 assert peers.peer_transport.outbound, (
                     "the connection is still open, and the start did not wait for it"
@@ -263,7 +263,7 @@
         async with fleet(tmp_path) as fleet_of_peers:
             # The start must not wait for this timeout, as the connections are refused at once.
             peers, _ = fleet_of_peers.make(free_address(), free_address(), within=60_000.0)
-            await peers.begin()
+            await peers.start()
             assert peers.snapshots == 0
 
     run(test)
@@ -364,7 +364,7 @@
         async with fleet(tmp_path) as fleet_of_peers:
             directory = Where((free_address(),), "/sidecars", 4000.0, judge.Terms())
             peers, _ = fleet_of_peers.make(within=50.0, coordinator=directory)
-            await peers.begin()
+            await peers.start()
             assert peers.snapshots == 0
 
     run(test)
