--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -24,7 +24,7 @@
 
 from benchmarks.flags import words
 from millgw.cli.tree import run as carry_out
-from millgw.peers.sealed import HEAD
+from millgw.peers.sealed import HEADER_BYTES
 from millgw.peers.swim import Message, Status, Swim, Terms, agree
 from millgw.standins.network import Network
 
@@ -33,7 +33,7 @@
 
 
 def size(message: Message) -> int:
-    return HEAD + AROUND + len(msgspec.msgpack.encode(message))
+    return HEADER_BYTES + AROUND + len(msgspec.msgpack.encode(message))
 
 
 @dataclass(slots=True, frozen=True)
--- a/millgw/peers/sealed.py
+++ b/millgw/peers/sealed.py
@@ -15,7 +15,7 @@
 
 VERSION = 1
 DIGEST_BYTES = 32
-HEAD = 2 + DIGEST_BYTES  # bytes: version, key number and digest
+HEADER_BYTES = 2 + DIGEST_BYTES  # bytes: version, key number and digest
 MIN_KEY_BYTES = 16
 MAX_KEYS = 2
 REPLAY_WINDOW = 256  # message numbers below the highest one that are still accepted, each once
@@ -87,12 +87,13 @@
     def _verify(self, data: bytes) -> _Envelope:
         if len(data) > self.max_bytes:
             raise MessageRefused("message is too long")
-        if len(data) < HEAD or data[0] != VERSION:
+        if len(data) < HEADER_BYTES or data[0] != VERSION:
             raise MessageRefused("not a message of this protocol version")
-        header, encoded_envelope = data[:2], data[HEAD:]
+        header, encoded_envelope = data[:2], data[HEADER_BYTES:]
         # Try every key with this number: it is one byte of a digest, so two keys may have the same.
         if not any(
-            key[0] == data[1] and hmac.compare_digest(_hmac(key, header, encoded_envelope), data[2:HEAD])
+            key[0] == data[1]
+            and hmac.compare_digest(_hmac(key, header, encoded_envelope), data[2:HEADER_BYTES])
             for key in self.keys
         ):
             raise MessageRefused("not signed with a known key")
