--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -25,7 +25,7 @@
 from benchmarks.flags import words
 from millgw.cli.tree import run as carry_out
 from millgw.peers.sealed import HEADER_BYTES
-from millgw.peers.swim import Message, Status, Swim, Terms, agree
+from millgw.peers.swim import Message, Status, Swim, SwimSettings, agree
 from millgw.standins.network import Network
 
 AROUND = 40  # bytes of a sealed message's sender, start and number
@@ -42,13 +42,13 @@
 
     network: Network[Message]
     nodes: list[Swim]
-    terms: Terms
+    terms: SwimSettings
 
     @classmethod
     def start(cls, count: int, loss: float, seed: int, suspicion: float) -> Fleet:
         """`loss` is the share of datagrams that never come, `suspicion` times log2 of the nodes."""
         rng = random.Random(seed)
-        terms = Terms(suspicion=suspicion)
+        terms = SwimSettings(suspicion=suspicion)
         network: Network[Message] = Network(seed, loss=loss, size=size)
         nodes = [Swim(f"n{i}", 1, rng.getrandbits(32), terms) for i in range(count)]
         for node in nodes:
@@ -103,7 +103,7 @@
 @click.option("--loss", default="0,0.05,0.2", show_default=True)
 @click.option("--seeds", type=int, default=3, show_default=True)
 @click.option("--rest", type=int, default=60, show_default=True)
-@click.option("--suspicion", type=float, default=Terms().suspicion, help="times log2 of the nodes")
+@click.option("--suspicion", type=float, default=SwimSettings().suspicion, help="times log2 of the nodes")
 def main(**given: Any) -> int:
     args = SimpleNamespace(**given)
     print("| nodes | loss | all known s | bytes/s | suspicions | false deaths | first s | all s | played |")
--- a/benchmarks/peers_parted.py
+++ b/benchmarks/peers_parted.py
@@ -23,7 +23,7 @@
 from benchmarks.peers import Fleet
 from benchmarks.tables import head, row, spans
 from millgw.cli.tree import run as carry_out
-from millgw.peers.swim import Status, Swim, Terms
+from millgw.peers.swim import Status, Swim, SwimSettings
 
 REST = 30.0  # s in which the bytes at rest are counted
 COLUMNS = ("held dead", "own dead", "joined s", "played s")
@@ -59,7 +59,7 @@
 def run(count: int, seconds: float, loss: float, seed: int) -> Parted:
     """One cut of the network and its end."""
     begun = time.perf_counter()
-    fleet = Fleet.start(count, loss, seed, Terms().suspicion)
+    fleet = Fleet.start(count, loss, seed, SwimSettings().suspicion)
     fleet.periods(fleet.all_known)
     rest = bytes_a_node(fleet, REST)
     first, second = fleet.nodes[: count // 2], fleet.nodes[count // 2 :]
--- a/millgw/peers/swim.py
+++ b/millgw/peers/swim.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class SwimSettings:
     """Times in ms. `helpers` members are asked to probe a member indirectly.
 
     An update is sent `retransmit_factor` times log2 of the fleet size; a suspect has `suspicion` times log2
@@ -142,9 +142,9 @@
 class Swim:
     """One node's membership list. `start` must increase with each process of a name, as Unix time does."""
 
-    def __init__(self, name: str, start: int, seed: int, settings: Terms | None = None) -> None:
+    def __init__(self, name: str, start: int, seed: int, settings: SwimSettings | None = None) -> None:
         self.name = name
-        self.settings = settings or Terms()
+        self.settings = settings or SwimSettings()
         self.rng = random.Random(seed)
         self.own = MemberUpdate(name, start, Status.ALIVE)
         self.members: dict[str, _Member] = {}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,13 +17,13 @@
     weight,
 )
 from millgw.peers.sealed import REPLAY_WINDOW, MessageRefused, Signer, Verifier
-from millgw.peers.swim import MemberUpdate, Message, MessageKind, Status, Swim, Terms, agree
+from millgw.peers.swim import MemberUpdate, Message, MessageKind, Status, Swim, SwimSettings, agree
 from millgw.standins.network import Network
 from tests.kinds import skip_if_pure
 
 pytestmark = skip_if_pure
 
-PERIOD = Terms().period
+PERIOD = SwimSettings().period
 
 
 class Fleet:
