--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -48,7 +48,7 @@
     def start(cls, count: int, loss: float, seed: int, suspicion: float) -> Fleet:
         """`loss` is the share of datagrams that never come, `suspicion` times log2 of the nodes."""
         rng = random.Random(seed)
-        terms = SwimSettings(suspicion=suspicion)
+        terms = SwimSettings(suspicion_factor=suspicion)
         network: Network[Message] = Network(seed, loss=loss, size=size)
         nodes = [Swim(f"n{i}", 1, rng.getrandbits(32), terms) for i in range(count)]
         for node in nodes:
@@ -103,7 +103,9 @@
 @click.option("--loss", default="0,0.05,0.2", show_default=True)
 @click.option("--seeds", type=int, default=3, show_default=True)
 @click.option("--rest", type=int, default=60, show_default=True)
-@click.option("--suspicion", type=float, default=SwimSettings().suspicion, help="times log2 of the nodes")
+@click.option(
+    "--suspicion", type=float, default=SwimSettings().suspicion_factor, help="times log2 of the nodes"
+)
 def main(**given: Any) -> int:
     args = SimpleNamespace(**given)
     print("| nodes | loss | all known s | bytes/s | suspicions | false deaths | first s | all s | played |")
--- a/benchmarks/peers_parted.py
+++ b/benchmarks/peers_parted.py
@@ -59,7 +59,7 @@
 def run(count: int, seconds: float, loss: float, seed: int) -> Parted:
     """One cut of the network and its end."""
     begun = time.perf_counter()
-    fleet = Fleet.start(count, loss, seed, SwimSettings().suspicion)
+    fleet = Fleet.start(count, loss, seed, SwimSettings().suspicion_factor)
     fleet.periods(fleet.all_known)
     rest = bytes_a_node(fleet, REST)
     first, second = fleet.nodes[: count // 2], fleet.nodes[count // 2 :]
--- a/millgw/peers/swim.py
+++ b/millgw/peers/swim.py
@@ -81,7 +81,7 @@
     ack_timeout: float = 300.0  # for a direct probe
     helpers: int = 3
     retransmit_factor: float = 3.0
-    suspicion: float = 1.0
+    suspicion_factor: float = 1.0
     dead_probe_periods: int = 8  # periods between two probes of a member that is considered dead
     sync_periods: int = 20  # periods between two list comparisons: updates may miss a node or precede it
     forget_after: float = 600_000.0  # after which dead members are removed
@@ -311,7 +311,7 @@
             known = self.members.get(probe.target)
             if known is not None and known.news.status is Status.ALIVE:
                 self._apply_update(now, MemberUpdate(probe.target, known.news.incarnation, Status.SUSPECT))
-        suspicion_time = self.settings.suspicion * self._fleet_log2() * self.settings.period
+        suspicion_time = self.settings.suspicion_factor * self._fleet_log2() * self.settings.period
         for name, member in list(self.members.items()):
             if member.news.status is Status.SUSPECT and now >= member.status_since + suspicion_time:
                 self._apply_update(now, MemberUpdate(name, member.news.incarnation, Status.DEAD))
