--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -80,10 +80,10 @@
     for _ in range(rest):
         network.run(network.now + terms.period)
         now: set[tuple[str, str, Status]] = {
-            (node.name, name, m.news.status)
+            (node.name, name, m.update.status)
             for node in nodes
             for name, m in node.members.items()
-            if m.news.status is not Status.ALIVE
+            if m.update.status is not Status.ALIVE
         }
         for *_, status in now - held:
             wrong[status] += 1
--- a/millgw/peers/swim.py
+++ b/millgw/peers/swim.py
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class _Member:
-    news: MemberUpdate
+    update: MemberUpdate
     status_since: float
 
 
@@ -165,11 +165,11 @@
 
     def alive(self) -> list[str]:
         """Names of all other members that are not considered dead, including suspects."""
-        return [name for name, m in self.members.items() if m.news.status is not Status.DEAD]
+        return [name for name, m in self.members.items() if m.update.status is not Status.DEAD]
 
     def status(self, name: str) -> Status | None:
         member = self.members.get(name)
-        return None if member is None else member.news.status
+        return None if member is None else member.update.status
 
     # Events
 
@@ -200,7 +200,7 @@
         if paused:
             self.probe = None
             for member in self.members.values():
-                if member.news.status is Status.SUSPECT:
+                if member.update.status is Status.SUSPECT:
                     member.status_since = now
         sent: list[Outgoing] = []
         if now >= self.ack_deadline:
@@ -222,7 +222,7 @@
         for update in message.news[:MAX_UPDATES_PER_MESSAGE]:
             self._apply_update(now, update)
         if message.kind is MessageKind.PING:
-            if known is not None and known.news.status is not Status.ALIVE:
+            if known is not None and known.update.status is not Status.ALIVE:
                 self._queue_update(sender)  # so that the sender learns its status here and can refute it
             return [(sender, self._build_message(MessageKind.ACK, message.number, to=sender))]
         if message.kind is MessageKind.PING_REQUEST:
@@ -254,7 +254,7 @@
         )
 
     def _all_updates(self) -> tuple[MemberUpdate, ...]:
-        return (self.own, *(m.news for m in self.members.values()))
+        return (self.own, *(m.update for m in self.members.values()))
 
     def _digest(self) -> int:
         updates = sorted((n.name, n.incarnation, n.status) for n in self._all_updates())
@@ -297,7 +297,7 @@
 
     def _prompt_refutation(self, status: Status) -> list[Outgoing]:
         """Ping one member with this status and include the status, so that the member can refute it."""
-        candidates = [name for name, m in self.members.items() if m.news.status is status]
+        candidates = [name for name, m in self.members.items() if m.update.status is status]
         if not candidates:
             return []
         name = self.rng.choice(candidates)
@@ -309,14 +309,15 @@
         probe, self.probe = self.probe, None
         if probe is not None and not probe.answered:
             known = self.members.get(probe.target)
-            if known is not None and known.news.status is Status.ALIVE:
-                self._apply_update(now, MemberUpdate(probe.target, known.news.incarnation, Status.SUSPECT))
+            if known is not None and known.update.status is Status.ALIVE:
+                self._apply_update(now, MemberUpdate(probe.target, known.update.incarnation, Status.SUSPECT))
         suspicion_time = self.settings.suspicion_factor * self._fleet_log2() * self.settings.period
         for name, member in list(self.members.items()):
-            if member.news.status is Status.SUSPECT and now >= member.status_since + suspicion_time:
-                self._apply_update(now, MemberUpdate(name, member.news.incarnation, Status.DEAD))
+            if member.update.status is Status.SUSPECT and now >= member.status_since + suspicion_time:
+                self._apply_update(now, MemberUpdate(name, member.update.incarnation, Status.DEAD))
             elif (
-                member.news.status is Status.DEAD and now >= member.status_since + self.settings.forget_after
+                member.update.status is Status.DEAD
+                and now >= member.status_since + self.settings.forget_after
             ):
                 del self.members[name]
                 self.update_queue.drop(name)
@@ -358,10 +359,10 @@
             self.members[update.name] = _Member(update, now)
             # At a random position, so that nodes do not probe in the same order.
             self.probe_order.insert(self.rng.randrange(len(self.probe_order) + 1), update.name)
-        elif update.overrides(known.news):
-            if update.status is not known.news.status:
+        elif update.overrides(known.update):
+            if update.status is not known.update.status:
                 known.status_since = now
-            known.news = update
+            known.update = update
         else:
             return
         self._queue_update(update.name)
@@ -375,7 +376,7 @@
     def _build_message(self, kind: MessageKind, number: int, about: str = "", to: str = "") -> Message:
         """A message with the updates about recipient and sender, then the ones sent least often."""
         names = self.update_queue.take(MAX_UPDATES_PER_MESSAGE, (to, self.name))
-        updates = (self.own if name == self.name else self.members[name].news for name in names)
+        updates = (self.own if name == self.name else self.members[name].update for name in names)
         return Message(kind, number, about, tuple(updates))
 
     def _next_number(self) -> int:
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -298,8 +298,8 @@
             old.stop()
             await wait_until(lambda: fresh.transport is not None)
             at = other.swim.members[old.name]
-            await wait_until(lambda: at.news.incarnation >= fresh.swim.own.incarnation)
-            assert at.news.status is Status.ALIVE
+            await wait_until(lambda: at.update.incarnation >= fresh.swim.own.incarnation)
+            assert at.update.status is Status.ALIVE
 
     run(test)
 
