--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -66,7 +66,8 @@
     """
 
     __slots__ = (
-        "arrived", "assign_pool", "body_bytes", "expects_continue", "framing_bytes", "head", "in_body", "parser",
+        "arrived", "assign_pool", "body_bytes", "expects_continue", "framing_bytes", "head", "in_body",
+        "parser",
         "queue", "requests_begun",
     )  # fmt: skip
 
--- a/millgw/hot_restart/learned.py
+++ b/millgw/hot_restart/learned.py
@@ -7,13 +7,15 @@
 from millgw.decide import BUDGET_CAPACITY, MAX_SHED_LEVEL, PAIR_SHARE, Balancer
 
 SERVER_FIELDS = (
-    "failure_rate", "own_slowness", "slowness_at", "ejected_until", "served_calls", "served_at", "cold_allowance", "cold_allowance_at", "reachable_again_at",
+    "failure_rate", "own_slowness", "slowness_at", "ejected_until", "served_calls", "served_at",
+    "cold_allowance", "cold_allowance_at", "reachable_again_at",
 )  # fmt: skip
 """Exported per endpoint, followed by when discovery was last heard from, and by `missed`, a count."""
 SERVER_ROW_LENGTH = len(SERVER_FIELDS) + 2
 
 LIMIT_FIELDS = (
-    "per_endpoint", "usual_in_flight", "median_latency", "slow_median", "response_weight", "base_latency", "next_cut_at", "last_response_at", "responses",
+    "per_endpoint", "usual_in_flight", "median_latency", "slow_median", "response_weight", "base_latency",
+    "next_cut_at", "last_response_at", "responses",
 )  # fmt: skip
 """Exported state of the limit on calls in flight; the last field is a count."""
 
--- a/millgw/simulation/models/freshness.py
+++ b/millgw/simulation/models/freshness.py
@@ -149,8 +149,10 @@
         machine = state.machine
         down = (None, None) if state.outage is None else (state.outage.since, state.outage.until)
         return (
-            machine.disconnected(), machine.call_answered, machine.moved, machine.refused, machine.failed_in_time,
-            age(machine.watch_lost_at), age(machine.heard_at), age(machine.called_at), age(machine.outage_shown_at),
+            machine.disconnected(), machine.call_answered, machine.moved, machine.refused,
+            machine.failed_in_time,
+            age(machine.watch_lost_at), age(machine.heard_at), age(machine.called_at),
+            age(machine.outage_shown_at),
             age(machine.seems_down_at), age(machine.recovered_at), machine.watch_ended,
             state.on, age(state.spoke), state.answered, state.calls, age(state.fell), age(state.failed_at),
             tuple((age(silence.since), age(silence.until)) for silence in state.missed),
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -47,7 +47,9 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]], extra_time: float = 0.0) -> None:
-    """Run a test on the event loop type that the sidecar uses, limited to `TEST_TIMEOUT` + `waits` seconds."""
+    """Run a test on the event loop type that the sidecar uses, limited to `TEST_TIMEOUT` + `waits`
+    seconds.
+    """
 
     async def limited() -> None:
         async with asyncio.timeout(TEST_TIMEOUT + extra_time):
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -216,7 +216,8 @@
     """A new balancer of other settings that takes over all that another one holds and has learned."""
     made = Balancer(settings, 99)
     for name in (
-        "rng", "budget", "backoff", "retry_after_backoff", "caution_rng", "servers", "requests", "in_flight", "uploading",
+        "rng", "budget", "backoff", "retry_after_backoff", "caution_rng", "servers", "requests", "in_flight",
+        "uploading",
         "admission", "shedding", "responses", "held", "reported_siblings", "timers", "next_timer", "started",
     ):  # fmt: skip
         setattr(made, name, getattr(held, name))
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -78,7 +78,7 @@
         await endpoint.start()
         async with (
             operator_sidecar(tmp_path, operator_file("", endpoint)) as rig,
-            loop_stalls(over=AFTER_ANSWER_MS / 1000) as stood_still,
+            loop_stalls(threshold=AFTER_ANSWER_MS / 1000) as stood_still,
         ):
             client = await rig.connect()
             for _ in range(60):
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -102,7 +102,7 @@
     client.writer.write(data)
     await client.writer.drain()
     try:
-        async with loop_stalls(over=LOOP_BLOCK) as stood_still:
+        async with loop_stalls(threshold=LOOP_BLOCK) as stood_still:
             outcome = await listen(client, time.monotonic(), answers)
         return Outcome(outcome.statuses, outcome.after - sum(stood_still))
     finally:
