--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -46,7 +46,7 @@
     "endpoints.connection",
     "endpoints.upstream",
     "pool.call",
-    "pool.deadlines",
+    "pool.timer_queue",
     "pool.health_probe",
     "pool.start_times",
     "pool.driver",
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -9,7 +9,7 @@
 from millgw.endpoints.attempt import Intent as Sent
 from millgw.http.message import Answer
 from millgw.interface import Repeat, SetTimer
-from millgw.pool.deadlines import TimerEntry
+from millgw.pool.timer_queue import TimerEntry
 from millgw.streams.flow import Flow
 from millgw.streams.upload import Upload
 
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -48,9 +48,9 @@
 )
 from millgw.platform.discovery import ListedEndpoint
 from millgw.pool.call import Call, OpenAttempt
-from millgw.pool.deadlines import TimerQueue
 from millgw.pool.health_probe import PROBE_TIMEOUT_MS, HealthProbe
 from millgw.pool.start_times import StartTimes
+from millgw.pool.timer_queue import TimerQueue
 from millgw.streams.flow import Flow
 
 MAX_UPLOAD_MS = 3_600_000.0  # ms that a request body may take to arrive; far more than needed at 64 kB/s
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -27,7 +27,7 @@
 from millgw.http.request import BadRequest, Head, encode_request
 from millgw.interface import Outcome, Repeat
 from millgw.platform.config import Address
-from millgw.pool.deadlines import TimerEntry, TimerQueue
+from millgw.pool.timer_queue import TimerEntry, TimerQueue
 from millgw.streams.room import STREAM_THRESHOLD
 
 
