--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -50,7 +50,7 @@
     "pool.health_probe",
     "pool.start_times",
     "pool.driver",
-    "pool.terms",
+    "pool.call_factory",
     "pool.share",
     "pool.pool",
     "callers.core",
--- a/millgw/pool/pool.py
+++ b/millgw/pool/pool.py
@@ -19,10 +19,10 @@
 from millgw.platform.config import Config
 from millgw.platform.discovery import ListedEndpoint, UpdateCallback
 from millgw.pool.call import Call, Intent
+from millgw.pool.call_factory import CallFactory
 from millgw.pool.driver import Driver
 from millgw.pool.metrics import AnswerCounts
 from millgw.pool.share import ANSWERS, BODIES, CALLS, CONNECTIONS, Share
-from millgw.pool.terms import CallFactory
 
 RETRY_AFTER_MS = 500.0  # when a client that was refused at a resource limit may retry
 RETIRE_POLL_S = 0.1  # interval of the check whether a retired pool has open calls left
