--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -25,7 +25,7 @@
 from millgw.settings import REPEATS, SCOPES, read_list, read_table
 
 if TYPE_CHECKING:
-    from millgw.connections.tended import ConnectionManager
+    from millgw.connections.manager import ConnectionManager
     from millgw.connections.terms import ConnectionSettings
     from millgw.pool.pool import Pool
 
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -13,7 +13,7 @@
 from millgw.pool.pool import Pool
 
 if TYPE_CHECKING:
-    from millgw.connections.tended import ConnectionManager
+    from millgw.connections.manager import ConnectionManager
 
 
 class SinglePool:
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -50,7 +50,7 @@
 
 
 class ConnectionManager(Protocol):
-    """Configurable connection management, which replaces the default: see `millgw.connections.tended`.
+    """Configurable connection management, which replaces the default: see `millgw.connections.manager`.
 
     If it is set, it chooses which connections are reused, kept, opened and closed.
     """
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -42,7 +42,7 @@
 from millgw.services.shares import BorrowingShare, ConnectionBudget, PoolLimits
 
 if TYPE_CHECKING:
-    from millgw.connections.tended import ConnectionManager
+    from millgw.connections.manager import ConnectionManager
 
 STATUS_INTERVAL = 60.0  # s between log lines on each pool
 LEND_MS = 2000.0  # ms within which borrowed capacity returns
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -19,7 +19,7 @@
 from millgw.configuration.apply import RefusedVersionError, in_service, one_line, overlay
 from millgw.configuration.client import START_WITHIN
 from millgw.configuration.last_good import LastGood
-from millgw.connections.tended import ConnectionManager
+from millgw.connections.manager import ConnectionManager
 from millgw.decide import Balancer
 from millgw.hot_restart.learned import export_learned
 from millgw.interface import (
