--- a/millgw/connections/counts.py
+++ b/millgw/connections/counts.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from millgw.connections.keeper import GiveUp
+from millgw.connections.endpoint_policy import GiveUp
 from millgw.interface import Repeat
 
 
--- a/millgw/connections/manager.py
+++ b/millgw/connections/manager.py
@@ -17,8 +17,8 @@
 from typing import Protocol
 
 from millgw.connections.counts import ConnectionCounts
+from millgw.connections.endpoint_policy import ConnectionRecord, EndpointPolicy, GiveUp, Opening
 from millgw.connections.introduction import ColdEndpointFilter
-from millgw.connections.keeper import ConnectionRecord, EndpointPolicy, GiveUp, Opening
 from millgw.connections.opening import InstancePosition
 from millgw.connections.standing import DOWN, panic_mode
 from millgw.connections.terms import ConnectionSettings, Proving
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -11,8 +11,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from millgw.connections.endpoint_policy import (
+    UNSAFE_IDLE_SHARE,
+    ConnectionRecord,
+    EndpointPolicy,
+    GiveUp,
+    Opening,
+)
 from millgw.connections.introduction import MAX_HIDDEN_SHARE, ColdEndpointFilter
-from millgw.connections.keeper import UNSAFE_IDLE_SHARE, ConnectionRecord, EndpointPolicy, GiveUp, Opening
 from millgw.connections.lifetime import (
     AFTER_ANSWER_MS,
     CONFIRMATIONS,
