--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from millgw.connections.manager import ConnectionManager
-    from millgw.connections.terms import ConnectionSettings
+    from millgw.connections.settings import ConnectionSettings
     from millgw.pool.pool import Pool
 
 Entries = Mapping[str, Mapping[str, Any]]
--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -4,7 +4,7 @@
 
 from millgw.connections.manager import ConnectionManager
 from millgw.connections.opening import InstancePosition
-from millgw.connections.terms import ConnectionSettings
+from millgw.connections.settings import ConnectionSettings
 from millgw.decide import UNREACHABLE_AFTER
 from millgw.interface import Endpoint, Settings
 from millgw.platform.config import Config
--- a/millgw/operator/file.py
+++ b/millgw/operator/file.py
@@ -11,7 +11,7 @@
 
 from msgspec import Meta, field
 
-from millgw.connections.terms import ConnectionSettings, Order, Proving
+from millgw.connections.settings import ConnectionSettings, Order, Proving
 from millgw.membership.servers import check_path, read_connect
 from millgw.operator.toml_schema import FileError, Table, read
 from millgw.platform.config import read_address
--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from millgw.configuration.client import Client, Target
     from millgw.connections.manager import ConnectionManager
-    from millgw.connections.terms import ConnectionSettings
+    from millgw.connections.settings import ConnectionSettings
     from millgw.intents.log import Intents
     from millgw.membership.judge import Terms as JudgeTerms
     from millgw.membership.source import Where
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -31,8 +31,8 @@
 )
 from millgw.connections.need import ConnectionDemand
 from millgw.connections.opening import HandshakeTurns, InstancePosition, retry_turns
+from millgw.connections.settings import ConnectionSettings, Order
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
-from millgw.connections.terms import ConnectionSettings, Order
 from millgw.interface import Condition, Endpoint, ListKind
 from tests.kinds import pure_run_only
 
