--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -38,7 +38,7 @@
 from benchmarks.flags import words
 from benchmarks.rehearsal import play
 from millgw.cli.tree import run
-from millgw.connections.opening import HandshakeTurns, InstancePosition
+from millgw.connections.handshake_turns import HandshakeTurns, InstancePosition
 from millgw.platform.config import Address
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.rehearsal.scenario_files import load, to_toml
--- a/millgw/connections/attach.py
+++ b/millgw/connections/attach.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from millgw.connections.handshake_turns import InstancePosition
 from millgw.connections.manager import ConnectionManager
-from millgw.connections.opening import InstancePosition
 from millgw.connections.settings import ConnectionSettings
 from millgw.decide import UNREACHABLE_AFTER
 from millgw.interface import Endpoint, Settings
--- a/millgw/connections/endpoint_policy.py
+++ b/millgw/connections/endpoint_policy.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from millgw.connections.handshake_turns import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.lifetime import AFTER_ANSWER_MS, IdleLimit, UseLimit
 from millgw.connections.need import ConnectionDemand
-from millgw.connections.opening import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.settings import ConnectionSettings, Order
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
 
--- a/millgw/connections/manager.py
+++ b/millgw/connections/manager.py
@@ -18,8 +18,8 @@
 
 from millgw.connections.counts import ConnectionCounts
 from millgw.connections.endpoint_policy import ConnectionRecord, EndpointPolicy, GiveUp, Opening
+from millgw.connections.handshake_turns import InstancePosition
 from millgw.connections.introduction import ColdEndpointFilter
-from millgw.connections.opening import InstancePosition
 from millgw.connections.settings import ConnectionSettings, Proving
 from millgw.connections.standing import DOWN, panic_mode
 from millgw.endpoints.attempt import WRITTEN, Attempt
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -18,6 +18,7 @@
     GiveUp,
     Opening,
 )
+from millgw.connections.handshake_turns import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.introduction import MAX_HIDDEN_SHARE, ColdEndpointFilter
 from millgw.connections.lifetime import (
     AFTER_ANSWER_MS,
@@ -30,7 +31,6 @@
     UseLimit,
 )
 from millgw.connections.need import ConnectionDemand
-from millgw.connections.opening import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.settings import ConnectionSettings, Order
 from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.interface import Condition, Endpoint, ListKind
