--- a/millgw/connections/endpoint_policy.py
+++ b/millgw/connections/endpoint_policy.py
@@ -16,8 +16,8 @@
 from millgw.connections.handshake_turns import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.lifetime import AFTER_ANSWER_MS, IdleLimit, UseLimit
 from millgw.connections.need import ConnectionDemand
+from millgw.connections.reachability import DOWN, UNPROVEN, UP, Reachability
 from millgw.connections.settings import ConnectionSettings, Order
-from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability
 
 UNSAFE_IDLE_SHARE = 0.5  # of the idle limit: an unsafe call needs a connection that was idle for less
 # Delay before another connection is opened ahead of need; doubles with each one in a row that ended unused.
--- a/millgw/connections/manager.py
+++ b/millgw/connections/manager.py
@@ -20,8 +20,8 @@
 from millgw.connections.endpoint_policy import ConnectionRecord, EndpointPolicy, GiveUp, Opening
 from millgw.connections.handshake_turns import InstancePosition
 from millgw.connections.introduction import ColdEndpointFilter
+from millgw.connections.reachability import DOWN, panic_mode
 from millgw.connections.settings import ConnectionSettings, Proving
-from millgw.connections.standing import DOWN, panic_mode
 from millgw.endpoints.attempt import WRITTEN, Attempt
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.host import Host
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -31,8 +31,8 @@
     UseLimit,
 )
 from millgw.connections.need import ConnectionDemand
+from millgw.connections.reachability import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.connections.settings import ConnectionSettings, Order
-from millgw.connections.standing import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.interface import Condition, Endpoint, ListKind
 from tests.kinds import pure_run_only
 
