--- a/millgw/connections/endpoint_policy.py
+++ b/millgw/connections/endpoint_policy.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from millgw.connections.demand import ConnectionDemand
 from millgw.connections.handshake_turns import HandshakeTurns, InstancePosition, retry_turns
 from millgw.connections.lifetime import AFTER_ANSWER_MS, IdleLimit, UseLimit
-from millgw.connections.need import ConnectionDemand
 from millgw.connections.reachability import DOWN, UNPROVEN, UP, Reachability
 from millgw.connections.settings import ConnectionSettings, Order
 
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -11,6 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from millgw.connections.demand import ConnectionDemand
 from millgw.connections.endpoint_policy import (
     UNSAFE_IDLE_SHARE,
     ConnectionRecord,
@@ -30,7 +31,6 @@
     IdleLimit,
     UseLimit,
 )
-from millgw.connections.need import ConnectionDemand
 from millgw.connections.reachability import DOWN, UNPROVEN, UP, Reachability, panic_mode
 from millgw.connections.settings import ConnectionSettings, Order
 from millgw.interface import Condition, Endpoint, ListKind
