--- a/millgw/connections/manager.py
+++ b/millgw/connections/manager.py
@@ -16,10 +16,10 @@
 from dataclasses import replace
 from typing import Protocol
 
+from millgw.connections.cold_filter import ColdEndpointFilter
 from millgw.connections.counts import ConnectionCounts
 from millgw.connections.endpoint_policy import ConnectionRecord, EndpointPolicy, GiveUp, Opening
 from millgw.connections.handshake_turns import InstancePosition
-from millgw.connections.introduction import ColdEndpointFilter
 from millgw.connections.reachability import DOWN, panic_mode
 from millgw.connections.settings import ConnectionSettings, Proving
 from millgw.endpoints.attempt import WRITTEN, Attempt
--- a/millgw/pool/driver.py
+++ b/millgw/pool/driver.py
@@ -75,7 +75,7 @@
 
 
 class ListFilter(Protocol):
-    """Filters endpoint lists before the module gets them (see `millgw.connections.introduction`)."""
+    """Filters endpoint lists before the module gets them (see `millgw.connections.cold_filter`)."""
 
     def filter_list(self, kind: ListKind, entries: Sequence[Endpoint]) -> tuple[Endpoint, ...]:
         """The entries of a list to pass to the module."""
--- a/tests/test_connections_pure.py
+++ b/tests/test_connections_pure.py
@@ -11,6 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from millgw.connections.cold_filter import MAX_HIDDEN_SHARE, ColdEndpointFilter
 from millgw.connections.demand import ConnectionDemand
 from millgw.connections.endpoint_policy import (
     UNSAFE_IDLE_SHARE,
@@ -20,7 +21,6 @@
     Opening,
 )
 from millgw.connections.handshake_turns import HandshakeTurns, InstancePosition, retry_turns
-from millgw.connections.introduction import MAX_HIDDEN_SHARE, ColdEndpointFilter
 from millgw.connections.lifetime import (
     AFTER_ANSWER_MS,
     CONFIRMATIONS,
