--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -38,7 +38,7 @@
     "http.message",
     "http.request",
     "endpoints.attempt",
-    "endpoints.proof",
+    "endpoints.hold_policy",
     "endpoints.core",
     "endpoints.host",
     "endpoints.request_body",
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -15,8 +15,8 @@
 
 from millgw.endpoints.attempt import CONNECTING, LAST_BYTE_HELD, WRITING, WRITTEN, Attempt, Intent
 from millgw.endpoints.core import COMPLETE, INVALID, AnswerCore
+from millgw.endpoints.hold_policy import LAST_BYTE_HOLD_TIME
 from millgw.endpoints.host import Host
-from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
 from millgw.endpoints.request_body import RequestBody
 from millgw.endpoints.streamed_answer import StreamedAnswer
 from millgw.http.message import EMPTY_CONTENT, has_unacknowledged, has_unread, make_poll
@@ -115,7 +115,7 @@
     # The attempt
 
     def send(self, attempt: Attempt, now: float, prove: float = 0.0) -> None:
-        """Write a request, and its last byte only once the connection is trusted (`millgw.endpoints.proof`).
+        """Write a request, and its last byte only once the connection is trusted (`millgw.endpoints.hold_policy`).
 
         With `prove` the last byte also waits, at most for so long (ms), until TCP has acknowledged all bytes
         before it. Without that acknowledgement it is not sent.
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from millgw.endpoints.attempt import Attempt
-from millgw.endpoints.proof import HoldPolicy
+from millgw.endpoints.hold_policy import HoldPolicy
 from millgw.platform.config import Address
 
 if TYPE_CHECKING:
--- a/millgw/endpoints/request_body.py
+++ b/millgw/endpoints/request_body.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from millgw.endpoints.attempt import LAST_BYTE_HELD, WRITING, Attempt
-from millgw.endpoints.proof import LAST_BYTE_HOLD_TIME
+from millgw.endpoints.hold_policy import LAST_BYTE_HOLD_TIME
 from millgw.interface import Outcome
 from millgw.streams.upload import Upload
 
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -12,8 +12,8 @@
 
 from millgw.endpoints.attempt import CONNECTING, Attempt
 from millgw.endpoints.connection import Connection, Lanes
+from millgw.endpoints.hold_policy import DISTRUST_TIME, SETTLE_TIME
 from millgw.endpoints.host import Host
-from millgw.endpoints.proof import DISTRUST_TIME, SETTLE_TIME
 from millgw.http.message import EMPTY_CONTENT
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -14,14 +14,14 @@
 from millgw.callers.core import RequestCore, encode_answer
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.core import COMPLETE, INCOMPLETE, INVALID, AnswerCore
-from millgw.endpoints.host import Host
-from millgw.endpoints.proof import (
+from millgw.endpoints.hold_policy import (
     DISTRUST_TIME,
     LAST_BYTE_HOLD_TIME,
     SAFE_REUSE_TIME,
     SETTLE_TIME,
     HoldPolicy,
 )
+from millgw.endpoints.host import Host
 from millgw.endpoints.upstream import choose_idle
 from millgw.http.message import REFUSED, Answer, Content
 from millgw.http.request import BadRequest, Head, encode_request
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -13,7 +13,7 @@
 from millgw.callers.server import Server
 from millgw.decide import Attempt as Sent
 from millgw.decide import Request
-from millgw.endpoints import proof as proof_module
+from millgw.endpoints import hold_policy as proof_module
 from millgw.endpoints.attempt import Attempt
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.host import Host
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -18,7 +18,7 @@
 from millgw.callers import progress as progress_module
 from millgw.callers import server as server_module
 from millgw.endpoints import connection as connection_module
-from millgw.endpoints import proof as proof_module
+from millgw.endpoints import hold_policy as proof_module
 from millgw.endpoints.attempt import Attempt
 from millgw.endpoints.connection import Connection
 from millgw.endpoints.host import Host
