--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -32,7 +32,7 @@
     "policy.freshness",
     "decide",
     "log.events",
-    "streams.room",
+    "streams.limiter",
     "streams.flow",
     "streams.upload",
     "http.message",
--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -22,7 +22,7 @@
 from millgw.http.message import EMPTY_CONTENT, has_unacknowledged, has_unread, make_poll
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
-from millgw.streams.room import StreamLimiter
+from millgw.streams.limiter import StreamLimiter
 
 # s without data after which an incomplete answer counts as stalled; the request is then tried elsewhere.
 ANSWER_DATA_TIMEOUT = 1.0
--- a/millgw/endpoints/core.py
+++ b/millgw/endpoints/core.py
@@ -17,7 +17,7 @@
 
 from millgw.http.message import HOP_BY_HOP_HEADERS, MAX_FRAMING_RATIO, MAX_HEAD, Content
 from millgw.interface import Outcome
-from millgw.streams.room import STREAM_THRESHOLD
+from millgw.streams.limiter import STREAM_THRESHOLD
 
 # Results of `AnswerCore.feed`
 INCOMPLETE: Final = 0  # the answer is incomplete
--- a/millgw/endpoints/upstream.py
+++ b/millgw/endpoints/upstream.py
@@ -18,7 +18,7 @@
 from millgw.interface import Outcome
 from millgw.log.events import BoundLogger
 from millgw.platform.config import Address
-from millgw.streams.room import READ_SIZE, StreamLimiter
+from millgw.streams.limiter import READ_SIZE, StreamLimiter
 
 ANSWER_MEMORY_SHARE = 1 / 32  # of the memory, for one answer's body: answers of up to 400 kB were observed
 ALL_ANSWERS_MEMORY_SHARE = 1 / 8  # of the memory, for all incomplete answers
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -10,7 +10,7 @@
 from typing import Final, Protocol
 
 from millgw.http.message import HOP_BY_HOP_HEADERS, MAX_BODY, MAX_HEAD, Answer, text_answer
-from millgw.streams.room import STREAM_THRESHOLD
+from millgw.streams.limiter import STREAM_THRESHOLD
 from millgw.streams.upload import Upload
 
 SINGLE_HEADERS: Final = frozenset(
--- a/millgw/streams/flow.py
+++ b/millgw/streams/flow.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from millgw.streams.room import STREAM_THRESHOLD
+from millgw.streams.limiter import STREAM_THRESHOLD
 
 
 class Source(Protocol):
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -28,7 +28,7 @@
 from millgw.interface import Outcome, Repeat
 from millgw.platform.config import Address
 from millgw.pool.timer_queue import TimerEntry, TimerQueue
-from millgw.streams.room import STREAM_THRESHOLD
+from millgw.streams.limiter import STREAM_THRESHOLD
 
 
 class Bodies:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -18,7 +18,7 @@
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from millgw.standins.scripted import ScriptedEndpoint
-from millgw.streams.room import MAX_WINDOW, MIN_WINDOW, READ_SIZE, StreamLimiter
+from millgw.streams.limiter import MAX_WINDOW, MIN_WINDOW, READ_SIZE, StreamLimiter
 from tests.rig import RunningSidecar, request, run, sidecar
 from tests.test_control import call_control, control_address, read_metrics
 
