--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Mapping
 
-from millgw.callers.steering import select_listener
+from millgw.callers.reuseport import select_listener
 from millgw.control.calls import CallTable, yes_no_answer
 from millgw.control.door import ControlServer
 from millgw.hot_restart import limits, old_process
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -21,8 +21,8 @@
 from hypothesis import strategies as st
 
 from millgw.callers.lifecycle import Lifecycle
+from millgw.callers.reuseport import select_listener
 from millgw.callers.server import share_address
-from millgw.callers.steering import select_listener
 from millgw.hot_restart import limits
 from millgw.hot_restart.learned import adopt_learned, export_learned
 from millgw.hot_restart.old_process import HANDOVER_FILE, find_old_process, publish_handover
