--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -10,14 +10,14 @@
 import select
 import time
 
-from millgw.callers.core import RequestCore, encode_answer
-from millgw.callers.endings import (
+from millgw.callers.connection_log import (
     CAUSE_DISCONNECTED,
     client_address,
     log_closed,
     log_refused,
     log_unanswered,
 )
+from millgw.callers.core import RequestCore, encode_answer
 from millgw.callers.interface import ListeningServer
 from millgw.callers.progress import ReceiveProgress
 from millgw.callers.stall import WriteStall
--- a/millgw/callers/server.py
+++ b/millgw/callers/server.py
@@ -14,7 +14,7 @@
 from typing import cast
 
 from millgw.callers.connection import CallerConnection
-from millgw.callers.endings import (
+from millgw.callers.connection_log import (
     CAUSE_DRAINING,
     CAUSE_EVICTED,
     CAUSE_IDLE,
--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -54,7 +54,7 @@
     "pool.share",
     "pool.pool",
     "callers.core",
-    "callers.endings",
+    "callers.connection_log",
     "callers.interface",
     "callers.progress",
     "callers.stall",
