--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -60,7 +60,7 @@
     "callers.stall",
     "callers.streamed_answer",
     "callers.connection",
-    "callers.plain",
+    "callers.single_pool",
     "routing.target",
     "routing.table",
     "services.limits",
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from millgw.callers.lifecycle import Lifecycle
-from millgw.callers.plain import SinglePoolFront
 from millgw.callers.server import Server
+from millgw.callers.single_pool import SinglePoolFront
 from millgw.endpoints.upstream import ALL_ANSWERS_MEMORY_SHARE
 from millgw.interface import Locality, Settings
 from millgw.log.events import log_event
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -339,7 +339,7 @@
 
 
 def test_the_connections_package_is_not_loaded_when_off() -> None:
-    assert loaded("millgw.sidecar.__main__, millgw.callers.plain", "millgw.connections") == []
+    assert loaded("millgw.sidecar.__main__, millgw.callers.single_pool", "millgw.connections") == []
 
 
 @pytest.mark.parametrize(
