--- a/millgw/callers/connection.py
+++ b/millgw/callers/connection.py
@@ -20,8 +20,8 @@
 from millgw.callers.core import RequestCore, encode_answer
 from millgw.callers.interface import ListeningServer
 from millgw.callers.progress import ReceiveProgress
-from millgw.callers.stall import WriteStall
 from millgw.callers.streamed_answer import StreamedAnswer
+from millgw.callers.write_stall import WriteStall
 from millgw.http.message import Answer, has_unread, make_poll, peer_closed, seconds_since_received, send_fin
 from millgw.http.request import BadRequest, Head
 from millgw.pool.call import Call
--- a/millgw/callers/streamed_answer.py
+++ b/millgw/callers/streamed_answer.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from millgw.callers.core import encode_answer_head
-from millgw.callers.stall import WriteStall
+from millgw.callers.write_stall import WriteStall
 from millgw.http.message import FAILED, SERVED, Answer
 from millgw.streams.flow import Flow
 
--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -57,7 +57,7 @@
     "callers.connection_log",
     "callers.interface",
     "callers.progress",
-    "callers.stall",
+    "callers.write_stall",
     "callers.streamed_answer",
     "callers.connection",
     "callers.single_pool",
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from millgw.callers import stall
+from millgw.callers import write_stall
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line
