--- a/millgw/intents/log.py
+++ b/millgw/intents/log.py
@@ -12,7 +12,7 @@
 
 from millgw.http.message import FAILED, Answer, text_answer
 from millgw.http.request import Head
-from millgw.intents.book import Intent, IntentRegistry, Refusal, WriteCallback
+from millgw.intents.registry import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.log.events import log_event
 from millgw.store.files import Locked, RealFiles, boot_id
 from millgw.store.record import FormatError
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from millgw.intents import log as store_log
-from millgw.intents.book import Intent, IntentRegistry, Refusal, WriteCallback
+from millgw.intents.registry import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.standins.address import free_address
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedEndpoint
