--- a/millgw/services/parts.py
+++ b/millgw/services/parts.py
@@ -25,7 +25,7 @@
     from millgw.configuration.client import Client, Target
     from millgw.connections.manager import ConnectionManager
     from millgw.connections.settings import ConnectionSettings
-    from millgw.intents.log import Intents
+    from millgw.intents.store_log import Intents
     from millgw.membership.judge import Terms as JudgeTerms
     from millgw.membership.source import Where
     from millgw.peers.node import Peers
@@ -164,7 +164,7 @@
     if table is None:
         return None
     # Imported here: without a store these modules must not be loaded.
-    from millgw.intents.log import MARK_BYTES, MEMORY_SHARE, Intents, IntentSettings
+    from millgw.intents.store_log import MARK_BYTES, MEMORY_SHARE, Intents, IntentSettings
     from millgw.store.writer import Sync
 
     keep, most = table.keep_h * 3_600_000.0, int(MEMORY_SHARE * memory / MARK_BYTES)
--- a/millgw/sidecar/parts.py
+++ b/millgw/sidecar/parts.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from millgw.configuration.client import Client
     from millgw.hot_restart.state import State
-    from millgw.intents.log import Intents
+    from millgw.intents.store_log import Intents
     from millgw.peers.node import Peers
     from millgw.services.node import ServicesSidecar
 
