--- a/millgw/control/calls.py
+++ b/millgw/control/calls.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from millgw.control.core import ControlRequest
+from millgw.control.parser import ControlRequest
 from millgw.http.message import Answer, text_answer
 
 OK, UNAVAILABLE = 200, 503
--- a/millgw/control/door.py
+++ b/millgw/control/door.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from millgw.callers.core import encode_answer
-from millgw.control.core import ControlRequest, ControlRequestParser
+from millgw.control.parser import ControlRequest, ControlRequestParser
 from millgw.http.message import Answer
 from millgw.http.request import BadRequest
 from millgw.log.events import log_event
--- a/millgw/hot_restart/new_process.py
+++ b/millgw/hot_restart/new_process.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from millgw.control.calls import CallTable, yes_no_answer
-from millgw.control.core import ControlRequest
+from millgw.control.parser import ControlRequest
 from millgw.hot_restart.old_process import (
     ADDRESS_HEADER,
     STATE_PATH,
