--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -8,7 +8,7 @@
 
 from millgw.callers.reuseport import select_listener
 from millgw.control.calls import CallTable, yes_no_answer
-from millgw.control.door import ControlServer
+from millgw.control.server import ControlServer
 from millgw.hot_restart import limits, old_process
 from millgw.hot_restart.learned import export_learned
 from millgw.hot_restart.new_process import NewProcess
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,8 +18,8 @@
 
 from millgw.callers.lifecycle import DRAIN_IDLE_AFTER, Lifecycle
 from millgw.control.calls import CallTable, yes_no_answer
-from millgw.control.door import MAX_CONNECTIONS, ControlServer
 from millgw.control.parser import ControlRequest, ControlRequestParser
+from millgw.control.server import MAX_CONNECTIONS, ControlServer
 from millgw.http.request import BadRequest
 from millgw.platform.config import Address, ConfigError, read_config
 from millgw.standins.address import free_address
