--- a/millgw/hot_restart/new_process.py
+++ b/millgw/hot_restart/new_process.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-from millgw.control.calls import CallTable, yes_no_answer
+from millgw.control.call_table import CallTable, yes_no_answer
 from millgw.control.parser import ControlRequest
 from millgw.hot_restart.old_process import (
     ADDRESS_HEADER,
--- a/millgw/sidecar/operators.py
+++ b/millgw/sidecar/operators.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 
 from millgw.callers.reuseport import select_listener
-from millgw.control.calls import CallTable, yes_no_answer
+from millgw.control.call_table import CallTable, yes_no_answer
 from millgw.control.server import ControlServer
 from millgw.hot_restart import limits, old_process
 from millgw.hot_restart.learned import export_learned
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,7 +17,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from millgw.callers.lifecycle import DRAIN_IDLE_AFTER, Lifecycle
-from millgw.control.calls import CallTable, yes_no_answer
+from millgw.control.call_table import CallTable, yes_no_answer
 from millgw.control.parser import ControlRequest, ControlRequestParser
 from millgw.control.server import MAX_CONNECTIONS, ControlServer
 from millgw.http.request import BadRequest
