--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -25,7 +25,7 @@
 )
 
 if TYPE_CHECKING:
-    from millgw.sidecar.operators import ControlInterface
+    from millgw.sidecar.control_interface import ControlInterface
 
 MAX_DEADLINE_WAIT = (
     3.0  # s, cap on the deadline waited for: with ANSWER_WITHIN it ends shortly before SIGKILL
@@ -57,7 +57,7 @@
     control: ControlInterface | None = None
     if config.control is not None:
         # Imported here so that a sidecar without a control address does not load it.
-        from millgw.sidecar.operators import ControlInterface
+        from millgw.sidecar.control_interface import ControlInterface
 
         control = ControlInterface(config, config.control, environ, parts)
     loop.add_signal_handler(signal.SIGHUP, parts.reload)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -173,7 +173,10 @@
 def test_the_daemon_loads_nothing_of_the_command_line_and_needs_no_library_of_it() -> None:
     unwanted = ("click", "structlog", "rich", "argparse", "millgw.cli", "millgw.top")
     assert (
-        loaded("millgw.sidecar.commands, millgw.sidecar.__main__, millgw.sidecar.operators", *unwanted) == []
+        loaded(
+            "millgw.sidecar.commands, millgw.sidecar.__main__, millgw.sidecar.control_interface", *unwanted
+        )
+        == []
     )
 
 
