--- a/millgw/scale/hollow.py
+++ b/millgw/scale/hollow.py
@@ -1,7 +1,7 @@
 """A process of hollow sidecars: the daemon's own parts for control, put together as the daemon does it.
 
 Only its callers' listeners are never opened, so no call comes. Lists, peers, configuration and the decision
-module are those of `millgw.sidecar.parts`; what is handed in is the event loop, which counts bytes and parts
+module are those of `millgw.sidecar.assembly`; what is handed in is the event loop, which counts bytes and parts
 regions.
 """
 
@@ -37,7 +37,7 @@
 from millgw.scale.spread import Topic
 from millgw.scale.worker import OwnFigures, allow_descriptors, ignore_event, orders, say
 from millgw.sidecar import __main__ as daemon
-from millgw.sidecar.parts import SidecarParts, assemble_from_operator_file
+from millgw.sidecar.assembly import SidecarParts, assemble_from_operator_file
 
 LOOK_EVERY = 0.05  # s between two looks at what each sidecar knows
 PEERS_EVERY = 20  # looks between two at the peers' lists, which are long
--- a/millgw/scale/real.py
+++ b/millgw/scale/real.py
@@ -19,7 +19,7 @@
 from millgw.scale.settings import environment
 from millgw.scale.worker import OwnFigures, allow_descriptors, orders, say
 from millgw.sidecar import __main__ as daemon
-from millgw.sidecar.parts import SidecarParts, assemble_from_operator_file
+from millgw.sidecar.assembly import SidecarParts, assemble_from_operator_file
 
 
 class RealSidecar:
--- a/millgw/sidecar/__main__.py
+++ b/millgw/sidecar/__main__.py
@@ -17,7 +17,7 @@
 from millgw.log.events import log_event
 from millgw.log.start import start as start_log
 from millgw.platform.config import Config, ConfigError, read_config
-from millgw.sidecar.parts import (
+from millgw.sidecar.assembly import (
     OPERATOR_VARIABLE,
     SidecarParts,
     assemble_from_operator_file,
--- a/millgw/sidecar/commands.py
+++ b/millgw/sidecar/commands.py
@@ -36,7 +36,7 @@
 def serve(operator: str | None, log: str | None) -> int:
     """Run one sidecar until it is stopped; returns the exit code. None keeps the environment's value."""
     from millgw.sidecar.__main__ import LOG_VARIABLE, main
-    from millgw.sidecar.parts import OPERATOR_VARIABLE
+    from millgw.sidecar.assembly import OPERATOR_VARIABLE
 
     if operator is not None:
         os.environ[OPERATOR_VARIABLE] = operator
--- a/millgw/sidecar/control_interface.py
+++ b/millgw/sidecar/control_interface.py
@@ -18,7 +18,7 @@
 from millgw.platform.config import Address, Config
 from millgw.platform.discovery import Discovery, ListedEndpoint
 from millgw.pool.metrics import metrics_json, out_of_rotation_json
-from millgw.sidecar.parts import SidecarParts, class_names
+from millgw.sidecar.assembly import SidecarParts, class_names
 
 JSON_HEADER = b"Content-Type: application/json\r\n"
 TAKEOVER_POLL_INTERVAL = 0.02  # s between checks whether this process can take over
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -30,7 +30,7 @@
 from millgw.interface import Endpoint, Outcome
 from millgw.platform.config import Address
 from millgw.platform.discovery import Discovery, ListedEndpoint
-from millgw.sidecar.parts import assemble_single_pool
+from millgw.sidecar.assembly import assemble_single_pool
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
 from millgw.standins.repeating_clients import RepeatingClients
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -392,7 +392,7 @@
 import asyncio, os
 from millgw.callers.lifecycle import Lifecycle
 from millgw.platform.config import read_config
-from millgw.sidecar.parts import several
+from millgw.sidecar.assembly import several
 
 async def look():
     parts = await several(read_config(os.environ), os.environ, Lifecycle())
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -311,7 +311,7 @@
 
 @skip_if_pure
 def test_the_daemon_loads_nothing_of_zones_without_places() -> None:
-    assert loaded("millgw.sidecar.__main__, millgw.sidecar.parts", "millgw.locality") == []
+    assert loaded("millgw.sidecar.__main__, millgw.sidecar.assembly", "millgw.locality") == []
 
 
 # The daemon
