--- a/benchmarks/command_line.py
+++ b/benchmarks/command_line.py
@@ -22,8 +22,8 @@
 from benchmarks.flags import words
 from millgw.cli.tree import run
 from millgw.log.backlog import Backlog
+from millgw.log.rendering import FORMATS
 from millgw.log.start import Log
-from millgw.log.wording import FORMATS
 from millgw.log.writer import Writer
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
--- a/millgw/cli/log.py
+++ b/millgw/cli/log.py
@@ -9,8 +9,8 @@
 from structlog.contextvars import merge_contextvars
 
 from millgw.log.backlog import Backlog
+from millgw.log.rendering import EventFields
 from millgw.log.start import STDERR, Clock, Log, install
-from millgw.log.wording import EventFields
 from millgw.log.writer import Writer
 
 
--- a/millgw/cli/own.py
+++ b/millgw/cli/own.py
@@ -14,8 +14,8 @@
 from millgw.build import build as make
 from millgw.cli.exits import HELD, NOT_HELD, BadInput
 from millgw.cli.report import Out, Reporting, Serving
+from millgw.log.rendering import FORMATS
 from millgw.log.table import EVENTS
-from millgw.log.wording import FORMATS
 from millgw.sidecar.commands import describe_version
 from millgw.sidecar.commands import serve as serve_now
 
--- a/millgw/configuration/command.py
+++ b/millgw/configuration/command.py
@@ -36,7 +36,7 @@
 from millgw.configuration.replica import Options
 from millgw.configuration.reports import Summary
 from millgw.log.events import log_event
-from millgw.log.wording import FORMATS
+from millgw.log.rendering import FORMATS
 from millgw.platform.config import Address, read_address
 
 POLL_INTERVAL = 0.5  # s between two looks of `wait`
--- a/millgw/log/events.py
+++ b/millgw/log/events.py
@@ -9,8 +9,8 @@
 import logging
 from collections.abc import Callable
 
+from millgw.log.rendering import keep_known_fields, limit_values, render_text
 from millgw.log.table import EVENTS
-from millgw.log.wording import keep_known_fields, limit_values, render_text
 
 EventHandler = Callable[[str, dict[str, object]], None]
 
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -11,9 +11,7 @@
 
 from millgw.log import events
 from millgw.log.backlog import Backlog
-from millgw.log.repeats import RepeatLimiter
-from millgw.log.table import EVENTS
-from millgw.log.wording import (
+from millgw.log.rendering import (
     EventFields,
     Processor,
     Renderer,
@@ -21,6 +19,8 @@
     keep_known_fields,
     limit_values,
 )
+from millgw.log.repeats import RepeatLimiter
+from millgw.log.table import EVENTS
 from millgw.log.writer import Writer
 
 STDERR = 2
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -18,7 +18,7 @@
 from millgw.cli.kinds import ADDRESS, Duration, Number
 from millgw.cli.log import start as start_log
 from millgw.cli.report import Out, Reporting, Serving
-from millgw.log.wording import FORMATS
+from millgw.log.rendering import FORMATS
 from millgw.membership.client import Client
 from millgw.membership.follower import DRAINING, Follower
 from millgw.membership.nodes import read_node
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -26,10 +26,10 @@
 from millgw.log import events
 from millgw.log import start as log_start
 from millgw.log.backlog import Backlog
+from millgw.log.rendering import MAX_FIELD_LENGTH, keep_known_fields, limit_values, render_json, render_text
 from millgw.log.repeats import RepeatLimiter
 from millgw.log.start import LibraryLogHandler, Log
 from millgw.log.table import COMMON_FIELDS, DETAIL_LINES_PER_SECOND, EVENTS
-from millgw.log.wording import MAX_FIELD_LENGTH, keep_known_fields, limit_values, render_json, render_text
 from millgw.log.writer import Writer
 from millgw.standins.scripted import ScriptedEndpoint, answering
 from tests.rig import TEST_TIMEOUT, request, run, sidecar
