--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -19,7 +19,7 @@
     keep_known_fields,
     limit_values,
 )
-from millgw.log.repeats import RepeatLimiter
+from millgw.log.repeat_limiter import RepeatLimiter
 from millgw.log.table import EVENTS
 from millgw.log.writer import Writer
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -27,7 +27,7 @@
 from millgw.log import start as log_start
 from millgw.log.backlog import Backlog
 from millgw.log.rendering import MAX_FIELD_LENGTH, keep_known_fields, limit_values, render_json, render_text
-from millgw.log.repeats import RepeatLimiter
+from millgw.log.repeat_limiter import RepeatLimiter
 from millgw.log.start import LibraryLogHandler, Log
 from millgw.log.table import COMMON_FIELDS, DETAIL_LINES_PER_SECOND, EVENTS
 from millgw.log.writer import Writer
