--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -21,7 +21,7 @@
 from millgw.operator.file import Connections, Limits, OperatorFile, Service, check
 from millgw.operator.files import LoadedFiles
 from millgw.platform.config import Config, with_settings
-from millgw.services.parts import deep_merge, pool_config
+from millgw.services.builders import deep_merge, pool_config
 from millgw.settings import REPEATS, SCOPES, read_list, read_table
 
 if TYPE_CHECKING:
--- a/millgw/services/node.py
+++ b/millgw/services/node.py
@@ -29,9 +29,7 @@
 from millgw.pool.driver import Clock
 from millgw.pool.pool import Pool
 from millgw.pool.share import ANSWERS, BODIES, BODIES_MEMORY_SHARE, CALLS, CONNECTIONS
-from millgw.services.front import PoolRegistry, RoutedFront, TurnScheduler
-from millgw.services.limits import Allotment
-from millgw.services.parts import (
+from millgw.services.builders import (
     attach_connection_manager,
     list_source,
     make_intents,
@@ -39,6 +37,8 @@
     pool_config,
     pool_seed,
 )
+from millgw.services.front import PoolRegistry, RoutedFront, TurnScheduler
+from millgw.services.limits import Allotment
 from millgw.services.shares import BorrowingShare, ConnectionBudget, PoolLimits
 
 if TYPE_CHECKING:
--- a/millgw/sidecar/assembly.py
+++ b/millgw/sidecar/assembly.py
@@ -133,7 +133,7 @@
 ) -> SidecarParts:
     """Assemble with the distributed configuration, which has to be read before the pools are built."""
     from millgw.configuration.single import SinglePool
-    from millgw.services.parts import make_configuration_client
+    from millgw.services.builders import make_configuration_client
 
     single = None if node.operator.services else SinglePool(node.files, environ, node.path)
     client = make_configuration_client(node.operator, config, single or node)
@@ -158,7 +158,7 @@
 
 def _with_peers_and_intents(node: ServicesSidecar, config: Config, parts: SidecarParts) -> SidecarParts:
     """Add the peer exchange and the intent log of the operator file, and reserve their descriptors."""
-    from millgw.services.parts import make_peers
+    from millgw.services.builders import make_peers
 
     parts = replace(parts, peers=make_peers(node.operator, config, parts.pools), intents=node.intents)
     for more in (parts.peers, parts.intents):
@@ -171,7 +171,7 @@
     node: ServicesSidecar, config: Config, environ: Mapping[str, str], lifecycle: Lifecycle
 ) -> SidecarParts:
     """One pool for all requests, with the options of the operator file."""
-    from millgw.services.parts import make_locality
+    from millgw.services.builders import make_locality
 
     chosen_locality = make_locality(node.operator, config, config.seed)
     return assemble_single_pool(
@@ -181,7 +181,7 @@
 
 def _apply_operator_options(node: ServicesSidecar, config: Config, pool: Pool) -> None:
     """Apply the operator file's connection and intent options to the single pool."""
-    from millgw.services.parts import attach_connection_manager
+    from millgw.services.builders import attach_connection_manager
 
     node.tended = attach_connection_manager(pool, node.operator.connection_terms(), config, config.seed)
     pool.intents = node.intents
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -43,7 +43,7 @@
 from millgw.platform.config import Address, read_address
 from millgw.pool.pool import Pool
 from millgw.pool.share import CALLS
-from millgw.services.parts import pool_config
+from millgw.services.builders import pool_config
 from millgw.services.shares import BorrowingShare
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
