--- a/millgw/sidecar/assembly.py
+++ b/millgw/sidecar/assembly.py
@@ -24,7 +24,7 @@
     from millgw.hot_restart.state import State
     from millgw.intents.store_log import Intents
     from millgw.peers.node import Peers
-    from millgw.services.node import ServicesSidecar
+    from millgw.services.sidecar import ServicesSidecar
 
 OPERATOR_VARIABLE = "BALANCER_OPERATOR"  # path of the operator file
 
@@ -111,7 +111,7 @@
 ) -> SidecarParts:
     # Imported here so that a sidecar without an operator file does not load it.
     try:
-        from millgw.services.node import ServicesSidecar
+        from millgw.services.sidecar import ServicesSidecar
     except ModuleNotFoundError as missing:
         raise ConfigError(f"{OPERATOR_VARIABLE}: needs {missing.name}: requirements-operator.txt") from None
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -753,7 +753,7 @@
 
 
 def test_without_the_table_nothing_of_it_is_loaded() -> None:
-    assert loaded("millgw.sidecar.__main__, millgw.services.node", "millgw.configuration") == []
+    assert loaded("millgw.sidecar.__main__, millgw.services.sidecar", "millgw.configuration") == []
 
 
 @pytest.mark.parametrize(
