--- a/millgw/compiled.py
+++ b/millgw/compiled.py
@@ -64,7 +64,7 @@
     "routing.target",
     "routing.table",
     "services.limits",
-    "services.turns",
+    "services.fair_queue",
     "services.shares",
     "services.front",
 )
--- a/millgw/services/front.py
+++ b/millgw/services/front.py
@@ -20,7 +20,7 @@
 from millgw.pool.pool import Pool, make_call
 from millgw.routing.table import NoRoute, Route, RouteRequest, Table
 from millgw.routing.target import BadTarget, read_target
-from millgw.services.turns import FairQueue
+from millgw.services.fair_queue import FairQueue
 
 TIME_SLICE = 0.0002  # s per loop iteration for requests and responses, before connections are read again
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -21,8 +21,8 @@
 from millgw.pool.call import Call
 from millgw.pool.driver import Driver
 from millgw.pool.pool import Pool
+from millgw.services.fair_queue import QUANTUM, FairQueue
 from millgw.services.limits import Allotment
-from millgw.services.turns import QUANTUM, FairQueue
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import (
