--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -19,7 +19,7 @@
 
 from millgw.interface import Settings, Tenant
 from millgw.operator.file import Connections, Limits, OperatorFile, Service, check
-from millgw.operator.files import LoadedFiles
+from millgw.operator.loaded_files import LoadedFiles
 from millgw.platform.config import Config, with_settings
 from millgw.services.builders import deep_merge, pool_config
 from millgw.settings import REPEATS, SCOPES, read_list, read_table
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -8,7 +8,7 @@
 from millgw.configuration.apply import Entries, PoolChange, RefusedVersionError, overlay, plan
 from millgw.log.events import log_event
 from millgw.operator.file import OperatorError, load
-from millgw.operator.files import LoadedFiles
+from millgw.operator.loaded_files import LoadedFiles
 from millgw.platform.config import Config, ConfigError, read_config, read_settings_table
 from millgw.pool.pool import Pool
 
--- a/millgw/services/sidecar.py
+++ b/millgw/services/sidecar.py
@@ -22,8 +22,8 @@
     compile_routes,
     load,
 )
-from millgw.operator.files import LoadedFiles
 from millgw.operator.guarantees import guaranteed_units
+from millgw.operator.loaded_files import LoadedFiles
 from millgw.platform.config import Config, ConfigError, read_address, read_config, read_settings_table
 from millgw.platform.descriptors import Descriptors
 from millgw.pool.driver import Clock
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -39,7 +39,7 @@
     TimerFired,
 )
 from millgw.operator.file import Connections, Limits, parse
-from millgw.operator.files import LoadedFiles
+from millgw.operator.loaded_files import LoadedFiles
 from millgw.platform.config import Address, read_address
 from millgw.pool.pool import Pool
 from millgw.pool.share import CALLS
