--- a/millgw/peers/endpoint_evidence.py
+++ b/millgw/peers/endpoint_evidence.py
@@ -9,7 +9,7 @@
 from statistics import median
 
 from millgw.interface import Endpoint, EndpointEvidence, PeerReports
-from millgw.peers.beliefs import MIN_ORIGINS_FOR_MEDIAN, Observation, Prior
+from millgw.peers.observations import MIN_ORIGINS_FOR_MEDIAN, Observation, Prior
 
 DRAIN_VALID_FOR_MS = 2000.0  # validity of a reported drain; it is reported again as long as the prior says so
 MAX_REPORTED_CALLS = 1_000_000  # upper limit of `calls` in an observation
--- a/millgw/peers/gossip.py
+++ b/millgw/peers/gossip.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from millgw.peers.beliefs import (
+from millgw.peers.observations import (
     FAILURE_RATE_THRESHOLD,
     MIN_ORIGINS_FOR_MEDIAN,
     Observation,
--- a/millgw/peers/wire.py
+++ b/millgw/peers/wire.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from millgw.peers.beliefs import Observation
+from millgw.peers.observations import Observation
 from millgw.peers.sealed import MessageRefused
 from millgw.peers.swim import MAX_MEMBERS, MemberUpdate, Message, MessageKind, Status
 
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -27,8 +27,8 @@
 from millgw.membership.servers import read_connect
 from millgw.membership.source import Where
 from millgw.peers import node, peer_transport, wire
-from millgw.peers.beliefs import Observation
 from millgw.peers.node import Peers, PeerSettings
+from millgw.peers.observations import Observation
 from millgw.peers.peer_transport import MAX_INBOUND
 from millgw.peers.sealed import Signer, Verifier
 from millgw.peers.state_transfer import NONCE_BYTES, StateTransfer
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millgw.peers.beliefs import (
+from millgw.peers.observations import (
     FAILURE_RATE_THRESHOLD,
     FORGET_AFTER_MS,
     Observation,
