--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -24,7 +24,7 @@
 
 from benchmarks.flags import words
 from millgw.cli.tree import run as carry_out
-from millgw.peers.sealed import HEADER_BYTES
+from millgw.peers.message_auth import HEADER_BYTES
 from millgw.peers.swim import Message, Status, Swim, SwimSettings, agree
 from millgw.standins.network import Network
 
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -13,8 +13,8 @@
 from millgw.peers import endpoint_evidence, gossip, wire
 from millgw.peers.gossip import Digest, Gossip
 from millgw.peers.keys import KeyFiles
+from millgw.peers.message_auth import MessageRefused, Signer, Verifier
 from millgw.peers.peer_transport import MAX_INBOUND, PeerTransport
-from millgw.peers.sealed import MessageRefused, Signer, Verifier
 from millgw.peers.state_transfer import StateTransfer
 from millgw.peers.swim import Message, MessageKind, Swim
 from millgw.platform.config import Address, read_address
--- a/millgw/peers/peer_transport.py
+++ b/millgw/peers/peer_transport.py
@@ -7,7 +7,7 @@
 from typing import cast
 
 from millgw.log.events import log_event
-from millgw.peers.sealed import MessageRefused
+from millgw.peers.message_auth import MessageRefused
 from millgw.peers.state_transfer import StateTransfer
 from millgw.peers.wire import Body, encode
 from millgw.platform.config import Address
--- a/millgw/peers/state_transfer.py
+++ b/millgw/peers/state_transfer.py
@@ -10,7 +10,7 @@
 
 import secrets
 
-from millgw.peers.sealed import MessageRefused, Signer, Verifier
+from millgw.peers.message_auth import MessageRefused, Signer, Verifier
 from millgw.peers.wire import MAX_FRAME_BYTES, Body, decode, encode
 
 NONCE_BYTES = 16
--- a/millgw/peers/wire.py
+++ b/millgw/peers/wire.py
@@ -16,8 +16,8 @@
 import msgspec
 from msgspec import Meta
 
+from millgw.peers.message_auth import MessageRefused
 from millgw.peers.observations import Observation
-from millgw.peers.sealed import MessageRefused
 from millgw.peers.swim import MAX_MEMBERS, MemberUpdate, Message, MessageKind, Status
 
 MAX_DATAGRAM_BYTES = 1400  # with signature; fits into an Ethernet frame
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -15,8 +15,8 @@
 from millgw.peers import wire
 from millgw.peers.endpoint_evidence import combined_limit, observations, peer_reports
 from millgw.peers.gossip import Digest, Gossip, GossipMessage, GossipSettings
+from millgw.peers.message_auth import MessageRefused, Signer, Verifier
 from millgw.peers.observations import FORGET_AFTER_MS, Observation
-from millgw.peers.sealed import MessageRefused, Signer, Verifier
 from millgw.peers.state_transfer import StateTransfer
 from millgw.standins.network import Network
 from tests.kinds import skip_if_pure
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -27,10 +27,10 @@
 from millgw.membership.servers import read_connect
 from millgw.membership.source import Where
 from millgw.peers import node, peer_transport, wire
+from millgw.peers.message_auth import Signer, Verifier
 from millgw.peers.node import Peers, PeerSettings
 from millgw.peers.observations import Observation
 from millgw.peers.peer_transport import MAX_INBOUND
-from millgw.peers.sealed import Signer, Verifier
 from millgw.peers.state_transfer import NONCE_BYTES, StateTransfer
 from millgw.peers.swim import Status
 from millgw.platform.config import Address
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,6 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from millgw.peers.message_auth import REPLAY_WINDOW, MessageRefused, Signer, Verifier
 from millgw.peers.observations import (
     FAILURE_RATE_THRESHOLD,
     FORGET_AFTER_MS,
@@ -16,7 +17,6 @@
     ObservationStore,
     weight,
 )
-from millgw.peers.sealed import REPLAY_WINDOW, MessageRefused, Signer, Verifier
 from millgw.peers.swim import MemberUpdate, Message, MessageKind, Status, Swim, SwimSettings, agree
 from millgw.standins.network import Network
 from tests.kinds import skip_if_pure
