--- a/millgw/endpoints/connection.py
+++ b/millgw/endpoints/connection.py
@@ -115,7 +115,8 @@
     # The attempt
 
     def send(self, attempt: Attempt, now: float, prove: float = 0.0) -> None:
-        """Write a request, and its last byte only once the connection is trusted (`millgw.endpoints.hold_policy`).
+        """Write a request, and its last byte only once the connection is trusted
+        (`millgw.endpoints.hold_policy`).
 
         With `prove` the last byte also waits, at most for so long (ms), until TCP has acknowledged all bytes
         before it. Without that acknowledgement it is not sent.
--- a/millgw/scale/hollow.py
+++ b/millgw/scale/hollow.py
@@ -1,8 +1,8 @@
 """A process of hollow sidecars: the daemon's own parts for control, put together as the daemon does it.
 
 Only its callers' listeners are never opened, so no call comes. Lists, peers, configuration and the decision
-module are those of `millgw.sidecar.assembly`; what is handed in is the event loop, which counts bytes and parts
-regions.
+module are those of `millgw.sidecar.assembly`; what is handed in is the event loop, which counts bytes and
+parts regions.
 """
 
 from __future__ import annotations
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from millgw.intents import store_log as store_log
+from millgw.intents import store_log
 from millgw.intents.registry import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.standins.address import free_address
 from millgw.standins.http import Message
@@ -88,9 +88,9 @@
         intent.begin()
     seen: list[bool | None] = []
     intent.wait(lambda: seen.append(intent.durable()))
-    store_log.complete_next()
+    log.complete_next()
     intent.leaves("1")
-    assert seen == [True] and not store_log.pending, "one mark for all attempts"
+    assert seen == [True] and not log.pending, "one mark for all attempts"
 
 
 def test_what_can_t_be_proven_and_what_is_open_is_not_taken() -> None:
@@ -98,7 +98,7 @@
     book = IntentRegistry(log)
     assert isinstance(book.take((b"a", b"k")), Intent)
     assert book.take((b"b", b"k")) is Refusal.OPEN
-    store_log.unproven = True
+    log.unproven = True
     assert book.take((b"c",)) is Refusal.UNPROVEN
 
 
@@ -173,18 +173,18 @@
     first = book.take((b"a",))
     assert isinstance(first, Intent)
     first.begin()
-    store_log.complete_next()
+    log.complete_next()
     first.leaves("1")
     first.over("1", True)
     first.end()
-    assert b"a" in store_log.durable, "the removal of its mark is still pending"
+    assert b"a" in log.durable, "the removal of its mark is still pending"
     again = book.take((b"a",))
     assert isinstance(again, Intent)
     again.begin()
-    store_log.complete_next()  # the removal of the first call's mark
-    assert again.durable() is None and b"a" not in store_log.durable
-    store_log.complete_next()
-    assert again.durable() and b"a" in store_log.durable and not book.pending_removals
+    log.complete_next()  # the removal of the first call's mark
+    assert again.durable() is None and b"a" not in log.durable
+    log.complete_next()
+    assert again.durable() and b"a" in log.durable and not book.pending_removals
 
 
 # In the sidecar
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -234,7 +234,7 @@
 
 def test_a_client_that_reads_none_of_its_answers_and_stays_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
     """A connection with complete but unread answers used to be kept open for ever."""
-    monkeypatch.setattr(stall, "ANSWER_STALL", 0.5)
+    monkeypatch.setattr(write_stall, "ANSWER_STALL", 0.5)
 
     async def test() -> None:
         async def large(_: Message, __: ScriptedEndpoint) -> bytes:
