--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -392,10 +392,10 @@
 import asyncio, os
 from millgw.callers.lifecycle import Lifecycle
 from millgw.platform.config import read_config
-from millgw.sidecar.assembly import several
+from millgw.sidecar.assembly import assemble_from_operator_file
 
 async def look():
-    parts = await several(read_config(os.environ), os.environ, Lifecycle())
+    parts = await assemble_from_operator_file(read_config(os.environ), os.environ, Lifecycle())
     print(parts.intents is not None and all(pool.intents is parts.intents for pool in parts.pools()))
 
 asyncio.run(look())
