--- a/millgw/locality/__init__.py
+++ b/millgw/locality/__init__.py
@@ -1,1 +1,1 @@
-"""Choosing zones: near first, spilled by load, failure domains told apart. Pure, seeded, off by default."""
+"""Locality-aware routing: nearest zones first, spill-over by load, failure domains. Off by default."""
--- a/millgw/locality/domains.py
+++ b/millgw/locality/domains.py
@@ -1,13 +1,13 @@
-"""Zones and regions as failure domains: which are lost, and whether it is this sidecar that is cut off. Pure.
+"""Failure detection for zones and regions, and for the isolation of this sidecar. Does no I/O.
 
-A zone is lost when several of its endpoints leave attempts without an answer and nothing at all has come
-from the zone since these were sent. An attempt counts before its deadline, once it has waited for several
-times the usual; one answer of any kind, also an error, is proof that the zone is there. So a zone that fails
-or loses some of its calls is not lost (`millgw.locality.health` leans away from it), and one that has become
-slow all at once is back with its next answer.
+A zone is lost when several of its endpoints leave attempts unanswered and no answer at all has come from the
+zone since those were sent. An attempt counts as unanswered before its deadline, once it has waited for a
+multiple of the usual latency. One answer of any kind, even an error, proves that the zone is reachable. So a
+zone that fails or drops only some calls is not lost (`millgw.locality.health` sends it fewer calls), and a
+zone that suddenly became slow is serving again with its next answer.
 
-When nothing has come from any other zone since the first one fell silent, it is this sidecar that is cut off:
-the others are not held to have restarted, and all count again with the first answer from each.
+When no other zone has answered since the first one fell silent, this sidecar itself is isolated: the other
+zones are not assumed to have restarted, and each serves again with its first answer.
 """
 
 from __future__ import annotations
@@ -20,215 +20,221 @@
 from millgw.interface import Outcome
 from millgw.locality.places import Places
 
-STALL_MULTIPLE = 4.0  # times the usual answer, after which an attempt counts as stalled
-STALL_LEAST = 200.0  # ms, the least of that: a busy loop or a resent segment is no loss
-LOST_ENDPOINTS = 3  # endpoints that must be silent, or all where a zone has fewer
-LOST_ATTEMPTS = 3  # attempts that must be silent, on however many endpoints
-KNOWN_FOR = 30_000.0  # ms for which an answer counts as knowledge of a zone
-PROBE = 2000.0  # ms between two tries of a zone that is lost, jittered; one at a time
-PROBE_MOST = 16_000.0  # ms, the most of that: it doubles with each loss of a zone that flaps
-STEADY_AFTER = 60_000.0  # ms of serving after which earlier losses are forgotten
-SUSPECT_FOR = 5000.0  # ms for which a zone is avoided after an attempt there was not answered
-PROBE_BY_ANY = 3.0  # intervals after which a call that may not be repeated is a probe too
+STALL_MULTIPLE = 4.0  # times the usual latency, after which an attempt counts as stalled
+MIN_STALL_TIME = 200.0  # ms, at least: a busy event loop or a TCP retransmission is not a loss
+MIN_SILENT_ENDPOINTS = 3  # endpoints that must be silent, or all of a zone that has fewer
+MIN_SILENT_ATTEMPTS = 3  # attempts that must be unanswered, on any number of endpoints
+EVIDENCE_LIFETIME = 30_000.0  # ms for which an answer counts as evidence on a zone
+PROBE_INTERVAL = 2000.0  # ms between two probes of a lost zone, with jitter; one probe at a time
+MAX_PROBE_INTERVAL = 16_000.0  # ms, the upper bound: the interval doubles with each loss of a flapping zone
+LOSSES_FORGOTTEN_AFTER = 60_000.0  # ms of serving after which earlier losses no longer count
+SUSPECT_TIME = 5000.0  # ms for which a zone is avoided after an unanswered attempt
+UNREPEATABLE_PROBE_DELAY = 3.0  # probe intervals, after which a call that may not be repeated is a probe too
 
 ANSWERED = frozenset({Outcome.OK, Outcome.ERROR, Outcome.REJECTED})
-UNREACHED = frozenset({Outcome.TIMEOUT, Outcome.CONNECT_FAILED})
+UNANSWERED = frozenset({Outcome.TIMEOUT, Outcome.CONNECT_FAILED})
 
 AttemptKey = tuple[int, int]
-"""A request and the number of its attempt."""
+"""The id of a request and the number of its attempt."""
 
 
-class Standing(Enum):
-    """What a zone is held to be."""
+class ZoneState(Enum):
+    """The detected state of a zone."""
 
     SERVING = "serving"
     LOST = "lost"  # its endpoints are gone, and count as cold once they answer again
-    CUT_OFF = "cut off"  # this sidecar can't reach it, and no other zone either
+    CUT_OFF = "cut off"  # this sidecar can reach neither it nor any other zone
 
 
 @dataclass(slots=True, frozen=True)
-class Waiting:
-    """An attempt without an answer yet."""
+class PendingAttempt:
+    """An attempt that has no answer yet. Times are in ms."""
 
-    sent: float
+    sent_at: float
     endpoint: int
     stalls_at: float
 
 
-class Domain:
-    """One zone's evidence and standing."""
+class FailureDomain:
+    """The evidence on one zone, and the state that follows from it."""
 
     __slots__ = (
-        "endpoints", "failures", "heard_at", "losses", "probe_at", "since", "standing", "suspect_until",
-        "unreached", "waiting",
+        "endpoint_count", "last_answer_at", "pending_attempts", "probe_at", "recent_losses",
+        "silent_endpoints", "state", "state_since", "suspect_until", "unanswered_attempts",
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.endpoints = 0  # in the list
-        self.waiting: dict[AttemptKey, Waiting] = {}
-        self.unreached: set[int] = set()  # endpoints that have left attempts unanswered since `heard_at`
-        self.failures = 0  # these attempts
-        self.heard_at = -math.inf
+        self.endpoint_count = 0  # in the current list
+        self.pending_attempts: dict[AttemptKey, PendingAttempt] = {}
+        self.silent_endpoints: set[int] = set()  # with unanswered attempts since `last_answer_at`
+        self.unanswered_attempts = 0  # since `last_answer_at`
+        self.last_answer_at = -math.inf
         self.suspect_until = -math.inf
-        self.standing = Standing.SERVING
-        self.since = -math.inf  # of the standing
-        self.losses = 0
+        self.state = ZoneState.SERVING
+        self.state_since = -math.inf
+        self.recent_losses = 0
         self.probe_at = math.inf
 
-    def silent(self, now: float) -> bool:
-        """Whether so many endpoints are silent, with nothing from the zone since, that it must be gone.
+    def is_silent(self, now: float) -> bool:
+        """Whether enough endpoints are silent, with no answer from the zone since, to call it lost.
 
-        Fewer make it suspect.
+        Fewer silent endpoints make the zone suspect.
         """
-        stalled = [w for w in self.waiting.values() if w.sent >= self.heard_at and now >= w.stalls_at]
+        stalled = [
+            w
+            for w in self.pending_attempts.values()
+            if w.sent_at >= self.last_answer_at and now >= w.stalls_at
+        ]
         if stalled:
-            self.suspect_until = max(self.suspect_until, stalled[-1].stalls_at + SUSPECT_FOR)
-        if self.failures + len(stalled) < LOST_ATTEMPTS:
+            self.suspect_until = max(self.suspect_until, stalled[-1].stalls_at + SUSPECT_TIME)
+        if self.unanswered_attempts + len(stalled) < MIN_SILENT_ATTEMPTS:
             return False
-        endpoints = self.unreached.union(w.endpoint for w in stalled)
-        return len(endpoints) >= min(LOST_ENDPOINTS, max(1, self.endpoints))
+        endpoints = self.silent_endpoints.union(w.endpoint for w in stalled)
+        return len(endpoints) >= min(MIN_SILENT_ENDPOINTS, max(1, self.endpoint_count))
 
-    def tried(self) -> bool:
-        """Whether an attempt that was sent since its last change of standing waits for its answer."""
-        return any(w.sent >= self.since for w in self.waiting.values())
+    def has_pending_probe(self) -> bool:
+        """Whether an attempt that was sent since the last change of state is still unanswered."""
+        return any(w.sent_at >= self.state_since for w in self.pending_attempts.values())
 
-    def known(self, now: float) -> bool:
-        """Whether there is evidence of it, for or against."""
-        return self.standing is not Standing.SERVING or now < self.heard_at + KNOWN_FOR
+    def has_evidence(self, now: float) -> bool:
+        """Whether there is evidence on the zone, of any kind."""
+        return self.state is not ZoneState.SERVING or now < self.last_answer_at + EVIDENCE_LIFETIME
 
 
-class Domains:
-    """All zones that are listed."""
+class FailureDomains:
+    """The failure domains of all listed zones."""
 
     def __init__(self, places: Places, seed: int) -> None:
         self.places = places
         self.rng = random.Random(seed)
-        self.zones: dict[int, Domain] = {}
-        self.untold: list[int] = []  # zones that were lost since this was last asked
+        self.zones: dict[int, FailureDomain] = {}
+        self.unreported_losses: list[int] = []  # lost since the last call of `newly_lost`
 
-    def listed(self, counts: dict[int, int]) -> None:
-        """The endpoints of each zone; a zone that is not named is forgotten."""
+    def update_zones(self, counts: dict[int, int]) -> None:
+        """Set the number of endpoints of each zone; drop zones that are not in `counts`."""
         for zone in [z for z in self.zones if z not in counts]:
             del self.zones[zone]
         for zone, count in counts.items():
-            self.zones.setdefault(zone, Domain()).endpoints = count
+            self.zones.setdefault(zone, FailureDomain()).endpoint_count = count
 
-    def standing(self, zone: int) -> Standing:
-        """What a zone is held to be."""
+    def state(self, zone: int) -> ZoneState:
+        """The detected state of a zone; `SERVING` for one that is not listed."""
         domain = self.zones.get(zone)
-        return Standing.SERVING if domain is None else domain.standing
+        return ZoneState.SERVING if domain is None else domain.state
 
-    def suspect(self, now: float, zone: int) -> bool:
-        """Whether an attempt there was not answered of late, and nothing has come since."""
+    def is_suspect(self, now: float, zone: int) -> bool:
+        """Whether an attempt to the zone was recently unanswered, with no answer since."""
         domain = self.zones.get(zone)
         return domain is not None and now < domain.suspect_until
 
-    def sent(self, now: float, key: AttemptKey, zone: int, endpoint: int, usual: float) -> None:
-        """An attempt has been sent; `usual` is the ms that such a call takes."""
+    def attempt_sent(
+        self, now: float, key: AttemptKey, zone: int, endpoint: int, usual_latency: float
+    ) -> None:
+        """Record a sent attempt; `usual_latency` (ms) is that of such a call."""
         domain = self.zones.get(zone)
         if domain is not None:
-            stalls_at = now + max(STALL_LEAST, STALL_MULTIPLE * usual)
-            domain.waiting[key] = Waiting(now, endpoint, stalls_at)
+            stalls_at = now + max(MIN_STALL_TIME, STALL_MULTIPLE * usual_latency)
+            domain.pending_attempts[key] = PendingAttempt(now, endpoint, stalls_at)
 
-    def ended(self, now: float, key: AttemptKey, zone: int, outcome: Outcome) -> bool:
-        """An attempt has ended; tells whether a zone that was lost has come back with it."""
+    def attempt_ended(self, now: float, key: AttemptKey, zone: int, outcome: Outcome) -> bool:
+        """Record the end of an attempt; returns whether it brought a lost zone back."""
         domain = self.zones.get(zone)
-        waiting = None if domain is None else domain.waiting.pop(key, None)
-        if domain is None or waiting is None:
+        attempt = None if domain is None else domain.pending_attempts.pop(key, None)
+        if domain is None or attempt is None:
             return False
         if outcome in ANSWERED:
-            return self._heard(now, domain, waiting.sent)
-        # A caller that leaves tells nothing of the endpoint, unless the attempt was overdue by then.
-        overdue = outcome is Outcome.CANCELLED and now >= waiting.stalls_at
-        if (overdue or outcome in UNREACHED) and waiting.sent >= domain.heard_at:
-            domain.unreached.add(waiting.endpoint)
-            domain.failures += 1
-            domain.suspect_until = now + SUSPECT_FOR
+            return self._answer_received(now, domain, attempt.sent_at)
+        # A cancelled call says nothing about the endpoint, unless the attempt was already overdue.
+        overdue = outcome is Outcome.CANCELLED and now >= attempt.stalls_at
+        if (overdue or outcome in UNANSWERED) and attempt.sent_at >= domain.last_answer_at:
+            domain.silent_endpoints.add(attempt.endpoint)
+            domain.unanswered_attempts += 1
+            domain.suspect_until = now + SUSPECT_TIME
         return False
 
-    def _heard(self, now: float, domain: Domain, sent: float) -> bool:
-        domain.heard_at = now
+    def _answer_received(self, now: float, domain: FailureDomain, sent_at: float) -> bool:
+        domain.last_answer_at = now
         domain.suspect_until = -math.inf
-        domain.unreached.clear()
-        domain.failures = 0
-        before, since = domain.standing, domain.since
-        if before is Standing.SERVING:
+        domain.silent_endpoints.clear()
+        domain.unanswered_attempts = 0
+        before, since = domain.state, domain.state_since
+        if before is ZoneState.SERVING:
             return False
-        domain.standing, domain.since, domain.probe_at = Standing.SERVING, now, math.inf
-        if before is Standing.CUT_OFF:
+        domain.state, domain.state_since, domain.probe_at = ZoneState.SERVING, now, math.inf
+        if before is ZoneState.CUT_OFF:
             for other in self.zones.values():
-                if other.standing is Standing.CUT_OFF:
+                if other.state is ZoneState.CUT_OFF:
                     other.probe_at = now
             return False
-        # The answer to an attempt from before the loss shows that the zone was slow, and never gone.
-        return sent >= since
+        # The answer to an attempt from before the loss shows that the zone was only slow.
+        return sent_at >= since
 
-    def check(self, now: float) -> bool:
-        """Pass judgement by what has come or not come by now; tells whether a zone's standing has changed."""
-        lost = [d for d in self.zones.values() if d.standing is Standing.SERVING and d.silent(now)]
+    def detect_losses(self, now: float) -> bool:
+        """Detect zones that are lost by now; returns whether the state of any zone has changed."""
+        lost = [d for d in self.zones.values() if d.state is ZoneState.SERVING and d.is_silent(now)]
         if not lost:
             return False
-        serving = [z for z, d in self.zones.items() if d.standing is Standing.SERVING]
+        serving = [z for z, d in self.zones.items() if d.state is ZoneState.SERVING]
         for domain in lost:
-            self._lose(now, domain)
-        self._lose_regions(now)
-        self._cut_off(now)
-        self.untold += [z for z in serving if self.zones[z].standing is not Standing.SERVING]
+            self._mark_lost(now, domain)
+        self._mark_regions_lost(now)
+        self._detect_isolation(now)
+        self.unreported_losses += [z for z in serving if self.zones[z].state is not ZoneState.SERVING]
         return True
 
     def newly_lost(self) -> list[int]:
-        """The zones that were lost since this was last asked."""
-        untold, self.untold = self.untold, []
+        """The zones that were lost since the last call."""
+        untold, self.unreported_losses = self.unreported_losses, []
         return untold
 
-    def _lose(self, now: float, domain: Domain) -> None:
-        if now >= domain.since + STEADY_AFTER:
-            domain.losses = 0
-        domain.losses += 1
-        domain.standing, domain.since = Standing.LOST, now
+    def _mark_lost(self, now: float, domain: FailureDomain) -> None:
+        if now >= domain.state_since + LOSSES_FORGOTTEN_AFTER:
+            domain.recent_losses = 0
+        domain.recent_losses += 1
+        domain.state, domain.state_since = ZoneState.LOST, now
         domain.probe_at = now + self._probe_wait(domain)
 
-    def _lose_regions(self, now: float) -> None:
-        """Of a region all of whose known zones are lost, two at the least, the others are lost as well."""
+    def _mark_regions_lost(self, now: float) -> None:
+        """Mark zones without evidence lost where all others of their region, at least two, are lost."""
         own = self.places.region(self.places.zone)
-        regions: dict[int, list[Domain]] = {}
+        regions: dict[int, list[FailureDomain]] = {}
         for zone, domain in self.zones.items():
             regions.setdefault(self.places.region(zone), []).append(domain)
         for region, domains in regions.items():
-            lost = [d for d in domains if d.standing is Standing.LOST]
-            unknown = [d for d in domains if not d.known(now)]
+            lost = [d for d in domains if d.state is ZoneState.LOST]
+            unknown = [d for d in domains if not d.has_evidence(now)]
             if region != own and len(lost) >= 2 and len(lost) + len(unknown) == len(domains):
                 for domain in unknown:
-                    self._lose(now, domain)
+                    self._mark_lost(now, domain)
 
-    def _cut_off(self, now: float) -> None:
-        """Tell this sidecar's own isolation from the loss of all others.
+    def _detect_isolation(self, now: float) -> None:
+        """Distinguish the isolation of this sidecar from the loss of all other zones.
 
-        Two zones or more are not reached, none of the others that are known is, and none has answered since
-        the first of them fell silent.
+        The sidecar is isolated when all other zones with evidence are lost, at least two, and none of them
+        has answered since the first was lost.
         """
-        others = [d for zone, d in self.zones.items() if zone != self.places.zone and d.known(now)]
-        lost = [d for d in others if d.standing is Standing.LOST]
+        others = [d for zone, d in self.zones.items() if zone != self.places.zone and d.has_evidence(now)]
+        lost = [d for d in others if d.state is ZoneState.LOST]
         if len(lost) < 2 or len(lost) < len(others):
             return
-        first = min(d.since for d in lost)
-        if any(d.heard_at > first for d in lost):
+        first = min(d.state_since for d in lost)
+        if any(d.last_answer_at > first for d in lost):
             return
         for domain in self.zones.values():
-            if domain.standing is Standing.LOST:
-                domain.standing = Standing.CUT_OFF
+            if domain.state is ZoneState.LOST:
+                domain.state = ZoneState.CUT_OFF
 
-    def probes(self, now: float, repeatable: bool) -> int | None:
-        """A zone that is not reached and is to be tried again now, by a call that may be repeated at best."""
+    def due_probe(self, now: float, repeatable: bool) -> int | None:
+        """An unreachable zone whose next probe is due. Repeatable calls are preferred as probes."""
         for zone, domain in self.zones.items():
-            if domain.standing is Standing.SERVING or domain.tried():
+            if domain.state is ZoneState.SERVING or domain.has_pending_probe():
                 continue
-            late = 0.0 if repeatable else PROBE_BY_ANY * PROBE
-            if now >= domain.probe_at + late:
+            delay = 0.0 if repeatable else UNREPEATABLE_PROBE_DELAY * PROBE_INTERVAL
+            if now >= domain.probe_at + delay:
                 domain.probe_at = now + self._probe_wait(domain)
                 return zone
         return None
 
-    def _probe_wait(self, domain: Domain) -> float:
-        wait = min(PROBE_MOST, PROBE * 2.0 ** (domain.losses - 1))
+    def _probe_wait(self, domain: FailureDomain) -> float:
+        wait = min(MAX_PROBE_INTERVAL, PROBE_INTERVAL * 2.0 ** (domain.recent_losses - 1))
         return wait * (0.5 + self.rng.random())
--- a/millgw/locality/health.py
+++ b/millgw/locality/health.py
@@ -1,13 +1,14 @@
-"""How well zones answer, and how far to lean away from one that is slow, full or fails in part. Pure.
+"""Health of zones: reduces the traffic to a zone that is slow, overloaded or partly failing. Does no I/O.
 
-A zone's cost is how slowly its calls are answered, against the usual of their classes, and how many fail or
-are turned away. It is held against the median zone of the same region, as distance costs time, too. Where
-half of a region's zones have slowed down together, the median has as well: then no zone is at fault, and all
-keep their shares.
+A zone's cost combines its latency, relative to the usual latency of the classes of its calls, and the share
+of calls that fail or are rejected. It is compared with the median zone of the same region only, since
+distance adds latency too. Where half of a region's zones have slowed down together, so has the median: then
+no single zone is at fault, and all keep their shares.
 
-A zone that costs more than its peers loses part of its room each second, and gets it back in small steps: the
-room settles where the zone can do what it is sent, whatever callers were taken to ask for. The sidecar's own
-zone begins with little room, so that callers who start together do not meet there.
+A zone's room is the part of its capacity that is counted on. A zone that costs more than its peers loses part
+of its room each second and regains it in small steps, so the room settles where the zone can handle what it
+is sent, however far the configured demand is off. The sidecar's own zone starts with little room, so that
+sidecars that start together do not overload it.
 """
 
 from __future__ import annotations
@@ -16,99 +17,103 @@
 from collections.abc import Callable, Sequence
 from statistics import median_low
 
-MEMORY = 5000.0  # ms over which outcomes are averaged
-LEAST_WEIGHT = 0.02  # of one outcome: the last fifty decide where there are many
-DOUBT = 10.0  # outcomes of the usual kind that a zone is credited with, so that a few bad ones are chance
-SLOW_MOST = 10.0  # times the usual: what waits for its deadline must not decide alone
-FAILING_WEIGHT = 5.0  # a twentieth failing or turned away is as bad as a quarter slower
-LEAN_FROM = 1.3  # times the median cost, within which all are alike: less is chance
-CUT_MOST = 0.6  # of its room that a zone keeps for each second, however bad it is
-GROWTH, GROWTH_PART = 0.04, 0.1  # a second: of the whole, and of the room that there is
-ROOM_START = 0.1  # of the whole, that the near zone begins with
-ROOM_LEAST = 0.05  # of the whole, that a zone keeps: else it is not seen when it is well again
-STEP_MOST = 1000.0  # ms that one step counts for at the most
+AVERAGING_TIME = 5000.0  # ms, the time constant of the averages
+MIN_OUTCOME_WEIGHT = 0.02  # of one outcome: about the last fifty count where there are many
+PRIOR_OUTCOMES = 10.0  # average outcomes added to each zone's, so that a few bad ones have little effect
+MAX_SLOWNESS = 10.0  # times the usual latency: one call that waits for its deadline must not dominate
+FAILURE_WEIGHT = 5.0  # 5% of calls failing or rejected cost as much as 25% more latency
+COST_TOLERANCE = 1.3  # times the median cost: smaller differences are noise
+MIN_KEPT_PART = 0.6  # of its room that a zone keeps in a second at least, however high its cost
+GROWTH, RELATIVE_GROWTH = 0.04, 0.1  # a second: of full capacity, and of the current room
+INITIAL_NEAR_ROOM = 0.1  # of full capacity, that the sidecar's own zone starts with
+MIN_ROOM = 0.05  # of full capacity, that a zone always keeps: without calls its recovery would go unnoticed
+MAX_STEP = 1000.0  # ms, the longest time that one adjustment accounts for
 
 
 class ZoneHealth:
-    """What the recent outcomes of one zone's calls tell, and the room that it is left with."""
+    """Averages over the recent outcomes of one zone's calls, and the zone's room (0 to 1)."""
 
-    __slots__ = ("at", "calls", "failing", "room", "slow")
+    __slots__ = ("failure_share", "mean_slowness", "outcome_count", "room", "updated_at")
 
     def __init__(self, room: float) -> None:
-        self.calls = 0.0
-        self.failing = 0.0
-        self.slow = 1.0
-        self.at = -math.inf
+        self.outcome_count = 0.0
+        self.failure_share = 0.0
+        self.mean_slowness = 1.0
+        self.updated_at = -math.inf
         self.room = room
 
-    def note(self, now: float, failed: bool, slowness: float) -> None:
-        """Take one outcome; `slowness` is its time against the usual of its class."""
-        self.calls = self.recent(now) + 1.0
-        self.at = now
-        weight = max(LEAST_WEIGHT, 1.0 / self.calls)
-        self.failing += weight * (failed - self.failing)
-        self.slow += weight * (min(SLOW_MOST, slowness) - self.slow)
-
-    def recent(self, now: float) -> float:
-        """How many outcomes it rests on."""
-        return self.calls * math.exp((self.at - now) / MEMORY) if self.calls else 0.0
+    def record_outcome(self, now: float, failed: bool, slowness: float) -> None:
+        """Record one outcome; `slowness` is its latency relative to the usual one of its class."""
+        self.outcome_count = self.recent_outcomes(now) + 1.0
+        self.updated_at = now
+        weight = max(MIN_OUTCOME_WEIGHT, 1.0 / self.outcome_count)
+        self.failure_share += weight * (failed - self.failure_share)
+        self.mean_slowness += weight * (min(MAX_SLOWNESS, slowness) - self.mean_slowness)
+
+    def recent_outcomes(self, now: float) -> float:
+        """The number of outcomes, with older ones decayed."""
+        return (
+            self.outcome_count * math.exp((self.updated_at - now) / AVERAGING_TIME)
+            if self.outcome_count
+            else 0.0
+        )
 
     def slowness(self, now: float) -> float:
-        """How slowly calls are answered here, in times the usual; what rests on little is near 1."""
-        recent = self.recent(now)
-        return (recent * self.slow + DOUBT) / (recent + DOUBT)
+        """Mean latency in multiples of the usual; close to 1 where there are few outcomes."""
+        recent = self.recent_outcomes(now)
+        return (recent * self.mean_slowness + PRIOR_OUTCOMES) / (recent + PRIOR_OUTCOMES)
 
     def cost(self, now: float) -> float:
-        """What a call costs here, in times the usual."""
-        recent = self.recent(now)
-        failing = recent * self.failing / (recent + DOUBT)
-        return self.slowness(now) * (1.0 + FAILING_WEIGHT * failing)
+        """The cost of a call, in multiples of the usual."""
+        recent = self.recent_outcomes(now)
+        failing = recent * self.failure_share / (recent + PRIOR_OUTCOMES)
+        return self.slowness(now) * (1.0 + FAILURE_WEIGHT * failing)
 
 
-class Leaning:
-    """The room of all zones, adjusted in steps; `near` is the sidecar's own."""
+class ZoneRooms:
+    """The room of all zones, adjusted in steps."""
 
-    def __init__(self, near: int) -> None:
-        self.near = near
+    def __init__(self, own_zone: int) -> None:
+        self.own_zone = own_zone
         self.zones: dict[int, ZoneHealth] = {}
-        self.at = -math.inf
+        self.adjusted_at = -math.inf
 
-    def note(self, now: float, zone: int, failed: bool, slowness: float) -> None:
-        """Take one outcome of a zone's."""
+    def record_outcome(self, now: float, zone: int, failed: bool, slowness: float) -> None:
+        """Record one outcome of a call to a zone."""
         if zone not in self.zones:
-            self.zones[zone] = ZoneHealth(self._first_room(zone))
-        self.zones[zone].note(now, failed, slowness)
+            self.zones[zone] = ZoneHealth(self._initial_room(zone))
+        self.zones[zone].record_outcome(now, failed, slowness)
 
     def room(self, zone: int) -> float:
-        """The part of its capacity that a zone may be counted on for."""
+        """The part of a zone's capacity that may be counted on."""
         health = self.zones.get(zone)
-        return self._first_room(zone) if health is None else health.room
+        return self._initial_room(zone) if health is None else health.room
 
-    def _first_room(self, zone: int) -> float:
-        return ROOM_START if zone == self.near else 1.0
+    def _initial_room(self, zone: int) -> float:
+        return INITIAL_NEAR_ROOM if zone == self.own_zone else 1.0
 
     def forget(self, zone: int) -> None:
-        """Begin anew with a zone, which was away."""
+        """Drop what is known of a zone that was away; it starts afresh."""
         self.zones.pop(zone, None)
 
     def adjust(self, now: float, region: Callable[[int], int]) -> None:
-        """Cut the room of zones that cost more than their peers, and let that of the others grow."""
-        passed = min(STEP_MOST, now - self.at) / 1000.0
-        self.at = now
+        """Reduce the room of zones that cost more than their peers; increase that of the others."""
+        seconds = min(MAX_STEP, now - self.adjusted_at) / 1000.0
+        self.adjusted_at = now
         peers: dict[int, list[ZoneHealth]] = {}
         for zone, health in self.zones.items():
             peers.setdefault(region(zone), []).append(health)
-        usual = {where: _usual(now, healths) for where, healths in peers.items()}
+        reference_costs = {where: _reference_cost(now, healths) for where, healths in peers.items()}
         for zone, health in self.zones.items():
-            excess = health.cost(now) / (LEAN_FROM * usual[region(zone)])
+            excess = health.cost(now) / (COST_TOLERANCE * reference_costs[region(zone)])
             if excess > 1.0:
-                health.room = max(ROOM_LEAST, health.room * max(CUT_MOST, 1.0 / excess) ** passed)
+                health.room = max(MIN_ROOM, health.room * max(MIN_KEPT_PART, 1.0 / excess) ** seconds)
             else:
-                health.room = min(1.0, health.room + passed * (GROWTH + GROWTH_PART * health.room))
+                health.room = min(1.0, health.room + seconds * (GROWTH + RELATIVE_GROWTH * health.room))
 
 
-def _usual(now: float, healths: Sequence[ZoneHealth]) -> float:
-    """The cost that a region's zones are held against; of one alone, as if all its calls were answered."""
+def _reference_cost(now: float, healths: Sequence[ZoneHealth]) -> float:
+    """The cost that a region's zones are compared with; for a single zone, its own without failures."""
     if len(healths) == 1:
         return healths[0].slowness(now)
     return median_low(health.cost(now) for health in healths)
--- a/millgw/locality/names.py
+++ b/millgw/locality/names.py
@@ -1,4 +1,4 @@
-"""A router from the operator's names of zones, regions and classes. Pure."""
+"""Builds a zone router from the zone, region and class names of the operator's file. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class PlaceError(ValueError):
-    """A name that the configuration does not have; the text begins with its field."""
+    """A name that the configuration does not define; the message begins with the field."""
 
 
 class NamedPlaces(Protocol):
-    """What the operator's file says of places (`millgw.operator.file.Places`)."""
+    """The section `places` of the operator's file (`millgw.operator.file.Places`)."""
 
     @property
     def zone(self) -> str: ...
@@ -32,30 +32,34 @@
     def keep_in_region(self) -> Sequence[str]: ...
 
 
-def make_router(told: NamedPlaces, zones: Sequence[str], classes: Sequence[str], seed: int) -> ZoneRouter:
-    """The router of one pool; a PlaceError names a zone that `zones` does not have, or a class.
+def make_router(
+    named_places: NamedPlaces, zones: Sequence[str], classes: Sequence[str], seed: int
+) -> ZoneRouter:
+    """The router of one pool; raises PlaceError for a zone that is not in `zones`.
 
-    A service may lack classes that others have: those are kept in the region where they are.
+    A name in `keep_in_region` that is not among `classes` is ignored: not every service has every class.
     """
-    places = Places(_number("zone", told.zone, zones), _regions(told.regions, zones))
-    callers = {_number("callers", name, zones): part for name, part in told.callers.items()}
-    kept = frozenset(i for i, name in enumerate(classes) if name in told.keep_in_region)
-    return ZoneRouter(places, LocalityOptions(told.fill, callers, kept), seed, zones)
+    places = Places(
+        _zone_number("zone", named_places.zone, zones), _region_numbers(named_places.regions, zones)
+    )
+    callers = {_zone_number("callers", name, zones): part for name, part in named_places.callers.items()}
+    kept = frozenset(i for i, name in enumerate(classes) if name in named_places.keep_in_region)
+    return ZoneRouter(places, LocalityOptions(named_places.fill, callers, kept), seed, zones)
 
 
-def _number(field: str, name: str, zones: Sequence[str]) -> int:
+def _zone_number(field: str, name: str, zones: Sequence[str]) -> int:
     if name not in zones:
         known = ", ".join(zones) or "none"
         raise PlaceError(f"{field}: the settings' localities have no {name!r} (they have {known})")
     return zones.index(name)
 
 
-def _regions(regions: Mapping[str, Sequence[str]], zones: Sequence[str]) -> tuple[int, ...]:
-    """The region of each zone: one for all where none are named, else its own for a zone in none."""
+def _region_numbers(regions: Mapping[str, Sequence[str]], zones: Sequence[str]) -> tuple[int, ...]:
+    """The region number of each zone: one for all without regions; a zone outside all regions has its own."""
     if not regions:
         return (0,) * len(zones)
     numbers = [len(regions) + i for i in range(len(zones))]
     for region, (name, members) in enumerate(regions.items()):
         for member in members:
-            numbers[_number(f"regions.{name}", member, zones)] = region
+            numbers[_zone_number(f"regions.{name}", member, zones)] = region
     return tuple(numbers)
--- a/millgw/locality/places.py
+++ b/millgw/locality/places.py
@@ -1,4 +1,4 @@
-"""Where a sidecar and its endpoints are: zones by number, and the regions that they belong to. Pure."""
+"""Topology: the zone of the sidecar, the regions of all zones, and distances. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 class Distance(IntEnum):
-    """How far a zone is from the sidecar, nearest first."""
+    """The distance from the sidecar to a zone, nearest first."""
 
     NEAR = 0  # its own zone
     REGION = 1  # another zone of its region
-    REMOTE = 2  # another region, or a zone that no region names
+    REMOTE = 2  # another region, or a zone outside all regions
 
 
 @dataclass(slots=True, frozen=True)
 class Places:
-    """The zone of a sidecar and the region of each zone, both by their numbers.
+    """The zone of the sidecar and the region of each zone, both as numbers.
 
-    Zones are numbered as in the settings; a number past `regions` is a zone that nobody knows. A zone outside
-    all regions is a region of its own: nothing is known of what it shares with others.
+    Zones are numbered as in the settings; a number past the end of `regions` is an unknown zone. A zone
+    outside all regions is a region of its own, as it is not known which failures it shares with others.
     """
 
     zone: int
@@ -30,11 +30,11 @@
             raise ValueError("Places.zone is none of the zones")
 
     def region(self, zone: int) -> int:
-        """The region of a zone; a negative number of its own for a zone that nobody knows."""
+        """The region of a zone; a separate negative number for each unknown zone."""
         return self.regions[zone] if 0 <= zone < len(self.regions) else -1 - abs(zone)
 
     def distance(self, zone: int) -> Distance:
-        """How far a zone is from the sidecar."""
+        """The distance from the sidecar to a zone."""
         if zone == self.zone:
             return Distance.NEAR
         return Distance.REGION if self.region(zone) == self.region(self.zone) else Distance.REMOTE
--- a/millgw/locality/shares.py
+++ b/millgw/locality/shares.py
@@ -1,9 +1,9 @@
-"""Which part of a zone's calls goes to which zone, by demand and supply: near first, then the region. Pure.
+"""Splits each zone's calls among zones by demand and supply: nearest first, then the region. Does no I/O.
 
-Distances make a tree (zone, region, all), so filling the nearest level first and passing on only what is
-left keeps as much near as any plan could: `benchmarks.locality` holds it against a linear program. Shares
-follow from minima and sums of the figures, so they change no faster than these do, and there is no threshold
-at which a whole zone's calls go elsewhere. Sidecars that know the same list make plans that fit together.
+Distances form a tree (zone, region, all), so a greedy fill from the nearest level outwards keeps as many
+calls near as any plan could; `benchmarks.locality` compares it with a linear program. Shares are built from
+minima and sums of demand and supply, so they change continuously with them: there is no threshold at which
+all calls of a zone go elsewhere. Sidecars with the same list arrive at compatible plans.
 """
 
 from __future__ import annotations
@@ -13,40 +13,42 @@
 Amounts = Mapping[int, float]
 """Demand or supply by zone, in units of one endpoint of size 1."""
 
-NOTHING = 1e-9  # units that are taken for none
+NEGLIGIBLE = 1e-9  # units, treated as zero
 
 
 def zone_shares(
     zone: int, demand: Amounts, supply: Amounts, region: Callable[[int], int]
 ) -> dict[int, float]:
-    """The share of the calls of `zone` for each zone that has supply; they sum to 1, or there are none.
+    """The share of the calls of `zone` that goes to each zone; they sum to 1, or are empty without supply.
 
-    `demand` and `supply` are by zone and not negative. What is asked for beyond all supply is shared out by
-    supply over all zones.
+    Negative demand or supply counts as 0. Demand beyond the total supply is split among all zones in
+    proportion to their supply.
     """
     zones = sorted({zone, *demand, *supply})
     asked = {z: max(0.0, demand.get(z, 0.0)) for z in zones}
     spare = {z: max(0.0, supply.get(z, 0.0)) for z in zones}
-    if sum(spare.values()) <= NOTHING:
+    if sum(spare.values()) <= NEGLIGIBLE:
         return {}
-    own = asked[zone] = max(asked[zone], NOTHING)
+    own = asked[zone] = max(asked[zone], NEGLIGIBLE)
     shares = dict.fromkeys(zones, 0.0)
-    near = _take(zones, asked, spare)
-    shares[zone] += near[zone]
-    for of_region in _regions(zones, region):
-        _move(of_region, asked, spare, shares, zone)
-    _move(zones, asked, spare, shares, zone)
-    _crowd(zones, supply, asked[zone], shares)
+    served = _serve_in_zone(zones, asked, spare)
+    shares[zone] += served[zone]
+    for members in _regions(zones, region):
+        _serve_among(members, asked, spare, shares, zone)
+    _serve_among(zones, asked, spare, shares, zone)
+    _spread_excess(zones, supply, asked[zone], shares)
     return {z: amount / own for z, amount in shares.items() if amount > 0.0}
 
 
-def _take(zones: Iterable[int], asked: dict[int, float], spare: dict[int, float]) -> dict[int, float]:
-    """Serve each zone's demand by its own supply, and say how much."""
-    taken = {z: min(asked[z], spare[z]) for z in zones}
-    for z, amount in taken.items():
+def _serve_in_zone(
+    zones: Iterable[int], asked: dict[int, float], spare: dict[int, float]
+) -> dict[int, float]:
+    """Serve each zone's demand from its own supply; returns the amounts served."""
+    served = {z: min(asked[z], spare[z]) for z in zones}
+    for z, amount in served.items():
         asked[z] -= amount
         spare[z] -= amount
-    return taken
+    return served
 
 
 def _regions(zones: Iterable[int], region: Callable[[int], int]) -> list[list[int]]:
@@ -56,24 +58,24 @@
     return list(grouped.values())
 
 
-def _move(
+def _serve_among(
     zones: list[int], asked: dict[int, float], spare: dict[int, float], shares: dict[int, float], zone: int
 ) -> None:
-    """Serve what these zones still ask for by what they have to spare, all alike; note what `zone` got."""
-    wanted, there = sum(asked[z] for z in zones), sum(spare[z] for z in zones)
-    moved = min(wanted, there)
-    if moved <= 0.0:
+    """Serve the remaining demand of `zones` from their spare supply, in proportion; credit that of `zone`."""
+    total_asked, total_spare = sum(asked[z] for z in zones), sum(spare[z] for z in zones)
+    amount = min(total_asked, total_spare)
+    if amount <= 0.0:
         return
-    served, used = moved / wanted, moved / there
-    got = asked[zone] * served if zone in zones else 0.0
+    served_part, used_part = amount / total_asked, amount / total_spare
+    own_amount = asked[zone] * served_part if zone in zones else 0.0
     for z in zones:
-        shares[z] += got * spare[z] / there
-        asked[z] *= 1.0 - served
-        spare[z] *= 1.0 - used
+        shares[z] += own_amount * spare[z] / total_spare
+        asked[z] *= 1.0 - served_part
+        spare[z] *= 1.0 - used_part
 
 
-def _crowd(zones: list[int], supply: Amounts, left: float, shares: dict[int, float]) -> None:
-    """Share out what exceeds all supply, so that no zone is crowded more than another."""
-    there = sum(supply.get(z, 0.0) for z in zones)
+def _spread_excess(zones: list[int], supply: Amounts, excess: float, shares: dict[int, float]) -> None:
+    """Split demand beyond the total supply, so that all zones are overloaded to the same degree."""
+    total = sum(supply.get(z, 0.0) for z in zones)
     for z in zones:
-        shares[z] += left * supply.get(z, 0.0) / there
+        shares[z] += excess * supply.get(z, 0.0) / total
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -24,7 +24,7 @@
     Send,
     Settings,
 )
-from millgw.locality.domains import STALL_LEAST, Standing
+from millgw.locality.domains import MIN_STALL_TIME, ZoneState
 from millgw.locality.places import Places
 from millgw.locality.router import LocalityOptions, ZoneRouter
 from millgw.operator.file import OperatorError, parse
@@ -91,7 +91,7 @@
             calls.append(call)
         else:
             made.outcome(call, 0, Outcome.OK)
-    made.advance(made.now + 2 * STALL_LEAST)
+    made.advance(made.now + 2 * MIN_STALL_TIME)
     serve(made)
     return calls
 
@@ -122,7 +122,7 @@
 def test_a_lost_zone_is_left_at_once_and_its_connections_are_distrusted() -> None:
     made = near()
     calls = silence(made, 0)
-    assert router_of(made).domains.standing(0) is Standing.LOST
+    assert router_of(made).domains.state(0) is ZoneState.LOST
     distrusted = [a for _, a in made.log if isinstance(a, CloseConnections)]
     assert [set(a.endpoints) for a in distrusted] == [{e.id for e in listed() if e.zone == 0}]
     assert {serve(made) for _ in range(50)} == {1}
@@ -172,7 +172,7 @@
 
 
 def test_a_class_that_is_kept_fails_rather_than_leave_its_region() -> None:
-    made = near(kept=frozenset({SAFE}))
+    made = near(classes_kept_in_region=frozenset({SAFE}))
     made.show(*(replace(e, condition=Condition.GONE) for e in listed() if e.zone < 2), kind=ListKind.DELTA)
     call = made.arrive(SAFE, patience=500.0)
     assert made.sent_to(call) == []
--- a/tests/test_locality_pure.py
+++ b/tests/test_locality_pure.py
@@ -12,19 +12,33 @@
 
 from millgw.interface import Outcome
 from millgw.locality.domains import (
-    LOST_ENDPOINTS,
-    PROBE,
-    PROBE_BY_ANY,
-    PROBE_MOST,
-    STALL_LEAST,
+    LOSSES_FORGOTTEN_AFTER,
+    MAX_PROBE_INTERVAL,
+    MIN_SILENT_ENDPOINTS,
+    MIN_STALL_TIME,
+    PROBE_INTERVAL,
     STALL_MULTIPLE,
-    STEADY_AFTER,
-    Domains,
-    Standing,
+    UNREPEATABLE_PROBE_DELAY,
+    FailureDomains,
+    ZoneState,
+)
+from millgw.locality.health import (
+    COST_TOLERANCE,
+    GROWTH,
+    INITIAL_NEAR_ROOM,
+    MIN_ROOM,
+    RELATIVE_GROWTH,
+    ZoneRooms,
 )
-from millgw.locality.health import GROWTH, GROWTH_PART, LEAN_FROM, ROOM_LEAST, ROOM_START, Leaning
 from millgw.locality.places import Distance, Places
-from millgw.locality.router import EXPLORE, HANDICAPS, HEADROOM, LocalityOptions, Why, ZoneRouter
+from millgw.locality.router import (
+    EXPLORING_SHARE,
+    HEADROOM,
+    LOAD_HANDICAPS,
+    AwayReason,
+    LocalityOptions,
+    ZoneRouter,
+)
 from millgw.locality.shares import zone_shares
 
 REGIONS = (0, 0, 0, 0, 1, 1, 1)
@@ -136,44 +150,44 @@
 # Standings
 
 
-def domains(counts: dict[int, int] | None = None, zone: int = 0) -> Domains:
-    made = Domains(Places(zone, REGIONS), 1)
-    made.listed(counts or dict.fromkeys(range(7), 5))
+def domains(counts: dict[int, int] | None = None, zone: int = 0) -> FailureDomains:
+    made = FailureDomains(Places(zone, REGIONS), 1)
+    made.update_zones(counts or dict.fromkeys(range(7), 5))
     return made
 
 
 class Traffic:
     """Attempts at domains, numbered."""
 
-    def __init__(self, made: Domains) -> None:
+    def __init__(self, made: FailureDomains) -> None:
         self.made = made
         self.number = 0
 
     def send(self, now: float, zone: int, endpoint: int) -> tuple[int, int]:
         self.number += 1
-        self.made.sent(now, (self.number, 0), zone, endpoint, USUAL)
+        self.made.attempt_sent(now, (self.number, 0), zone, endpoint, USUAL)
         return self.number, 0
 
     def answer(self, now: float, zone: int, endpoint: int = 1, outcome: Outcome = Outcome.OK) -> bool:
         key = self.send(now - 1.0, zone, endpoint)
-        return self.made.ended(now, key, zone, outcome)
+        return self.made.attempt_ended(now, key, zone, outcome)
 
-    def silence(self, now: float, zone: int, endpoints: int = LOST_ENDPOINTS) -> None:
+    def silence(self, now: float, zone: int, endpoints: int = MIN_SILENT_ENDPOINTS) -> None:
         """Attempts at several endpoints that nobody answers, and judgement once they have stalled."""
         for endpoint in range(endpoints):
             self.send(now, zone, 100 * zone + endpoint)
-        self.made.check(now + STALL_LEAST)
+        self.made.detect_losses(now + MIN_STALL_TIME)
 
 
 def test_a_zone_is_lost_once_several_endpoints_have_stalled_and_nothing_came() -> None:
     made = domains()
     traffic = Traffic(made)
     traffic.answer(0.0, 1)
-    for endpoint in range(LOST_ENDPOINTS):
+    for endpoint in range(MIN_SILENT_ENDPOINTS):
         traffic.send(10.0 + endpoint, 1, endpoint)
-    limit = max(STALL_LEAST, STALL_MULTIPLE * USUAL)
-    assert not made.check(10.0 + limit)
-    assert made.check(12.0 + limit) and made.standing(1) is Standing.LOST
+    limit = max(MIN_STALL_TIME, STALL_MULTIPLE * USUAL)
+    assert not made.detect_losses(10.0 + limit)
+    assert made.detect_losses(12.0 + limit) and made.state(1) is ZoneState.LOST
     assert made.newly_lost() == [1] and made.newly_lost() == []
 
 
@@ -184,7 +198,7 @@
     for endpoint in range(4):
         traffic.send(0.0, 1, endpoint)
     traffic.answer(100.0, 1, 9, outcome)
-    assert not made.check(10 * SECOND) and made.standing(1) is Standing.SERVING
+    assert not made.detect_losses(10 * SECOND) and made.state(1) is ZoneState.SERVING
 
 
 def test_one_endpoint_that_hangs_is_no_zone() -> None:
@@ -192,7 +206,7 @@
     traffic = Traffic(made)
     for i in range(20):
         traffic.send(float(i), 1, 7)
-    assert not made.check(10 * SECOND)
+    assert not made.detect_losses(10 * SECOND)
 
 
 def test_a_zone_of_one_endpoint_is_lost_by_several_attempts() -> None:
@@ -200,19 +214,19 @@
     traffic = Traffic(made)
     for i in range(2):
         traffic.send(float(i), 1, 7)
-    assert not made.check(SECOND)
+    assert not made.detect_losses(SECOND)
     traffic.send(2.0, 1, 7)
-    assert made.check(SECOND)
+    assert made.detect_losses(SECOND)
 
 
 def test_callers_that_leave_early_tell_nothing_and_those_that_waited_do() -> None:
     made = domains()
     for round, wait in ((0, 50.0), (1, 500.0)):
-        for endpoint in range(LOST_ENDPOINTS):
+        for endpoint in range(MIN_SILENT_ENDPOINTS):
             key, at = (round, endpoint), round * SECOND
-            made.sent(at, key, 1, endpoint, USUAL)
-            made.ended(at + wait, key, 1, Outcome.CANCELLED)
-        assert made.check(5 * SECOND) is (round == 1)
+            made.attempt_sent(at, key, 1, endpoint, USUAL)
+            made.attempt_ended(at + wait, key, 1, Outcome.CANCELLED)
+        assert made.detect_losses(5 * SECOND) is (round == 1)
 
 
 def test_a_zone_that_comes_back_has_cold_endpoints_and_one_that_was_slow_has_not() -> None:
@@ -220,27 +234,32 @@
     traffic = Traffic(made)
     traffic.silence(0.0, 1)
     late = (1, 0)
-    assert made.ended(SECOND, late, 1, Outcome.OK) is False
-    assert made.standing(1) is Standing.SERVING
+    assert made.attempt_ended(SECOND, late, 1, Outcome.OK) is False
+    assert made.state(1) is ZoneState.SERVING
     traffic.silence(2 * SECOND, 1)
-    assert made.standing(1) is Standing.LOST
+    assert made.state(1) is ZoneState.LOST
     assert traffic.answer(9 * SECOND, 1) is True
-    assert made.standing(1) is Standing.SERVING
+    assert made.state(1) is ZoneState.SERVING
 
 
 def test_a_lost_zone_is_tried_by_one_call_at_a_time() -> None:
     made = domains()
     traffic = Traffic(made)
     traffic.silence(0.0, 1)
-    assert made.probes(STALL_LEAST + 0.4 * PROBE, True) is None
-    at = STALL_LEAST + 1.6 * PROBE
-    assert made.probes(at, False) is None, "a call that may be repeated is awaited first"
-    assert made.probes(at, True) == 1
+    assert made.due_probe(MIN_STALL_TIME + 0.4 * PROBE_INTERVAL, True) is None
+    at = MIN_STALL_TIME + 1.6 * PROBE_INTERVAL
+    assert made.due_probe(at, False) is None, "a call that may be repeated is awaited first"
+    assert made.due_probe(at, True) == 1
     key = traffic.send(at, 1, 1)
-    assert made.probes(at + 10 * PROBE, True) is None
-    made.ended(at + 10 * PROBE, key, 1, Outcome.TIMEOUT)
-    assert made.probes(at + 10 * PROBE, True) == 1
-    assert made.probes(at + 10 * PROBE + 1.6 * PROBE + PROBE_BY_ANY * PROBE, False) == 1
+    assert made.due_probe(at + 10 * PROBE_INTERVAL, True) is None
+    made.attempt_ended(at + 10 * PROBE_INTERVAL, key, 1, Outcome.TIMEOUT)
+    assert made.due_probe(at + 10 * PROBE_INTERVAL, True) == 1
+    assert (
+        made.due_probe(
+            at + 10 * PROBE_INTERVAL + 1.6 * PROBE_INTERVAL + UNREPEATABLE_PROBE_DELAY * PROBE_INTERVAL, False
+        )
+        == 1
+    )
 
 
 def test_a_zone_that_flaps_is_tried_less_and_less() -> None:
@@ -249,13 +268,13 @@
     now, waits = 0.0, []
     for _ in range(6):
         traffic.silence(now, 1)
-        waits.append(made.zones[1].probe_at - made.zones[1].since)
+        waits.append(made.zones[1].probe_at - made.zones[1].state_since)
         traffic.answer(now + 5 * SECOND, 1)
         now += 10 * SECOND
-    assert all(wait >= 0.5 * min(PROBE_MOST, PROBE * 2**i) for i, wait in enumerate(waits))
-    assert max(waits) <= 1.5 * PROBE_MOST
-    traffic.silence(now + STEADY_AFTER, 1)
-    assert made.zones[1].losses == 1
+    assert all(wait >= 0.5 * min(MAX_PROBE_INTERVAL, PROBE_INTERVAL * 2**i) for i, wait in enumerate(waits))
+    assert max(waits) <= 1.5 * MAX_PROBE_INTERVAL
+    traffic.silence(now + LOSSES_FORGOTTEN_AFTER, 1)
+    assert made.zones[1].recent_losses == 1
 
 
 def test_a_sidecar_that_is_cut_off_does_not_call_the_others_dead() -> None:
@@ -266,9 +285,9 @@
     for i, zone in enumerate(range(1, 7)):
         traffic.silence(SECOND + i, zone)
     traffic.answer(2 * SECOND, 0)
-    assert {made.standing(z) for z in range(1, 7)} == {Standing.CUT_OFF}
+    assert {made.state(z) for z in range(1, 7)} == {ZoneState.CUT_OFF}
     assert traffic.answer(30 * SECOND, 3) is False, "nothing has restarted"
-    assert made.probes(30 * SECOND, True) in (1, 2, 4, 5, 6), "the others are tried at once"
+    assert made.due_probe(30 * SECOND, True) in (1, 2, 4, 5, 6), "the others are tried at once"
 
 
 def test_zones_lost_one_by_one_are_no_isolation() -> None:
@@ -279,7 +298,7 @@
     traffic.silence(SECOND, 1)
     traffic.answer(5 * SECOND, 2)
     traffic.silence(6 * SECOND, 2)
-    assert made.standing(1) is made.standing(2) is Standing.LOST
+    assert made.state(1) is made.state(2) is ZoneState.LOST
 
 
 def test_a_region_whose_known_zones_are_lost_is_lost_as_a_whole() -> None:
@@ -288,10 +307,10 @@
     for zone in (0, 1, 4, 5):
         traffic.answer(0.0, zone)
     traffic.silence(SECOND, 4)
-    assert made.standing(6) is Standing.SERVING
+    assert made.state(6) is ZoneState.SERVING
     traffic.silence(2 * SECOND, 5)
-    assert made.standing(6) is Standing.LOST, "of which nothing is known"
-    assert made.standing(1) is Standing.SERVING
+    assert made.state(6) is ZoneState.LOST, "of which nothing is known"
+    assert made.state(1) is ZoneState.SERVING
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -305,33 +324,33 @@
         now += rng.expovariate(1 / 20.0)
         for at, key in [d for d in due if d[0] <= now]:
             due.remove((at, key))
-            made.ended(at, key, 1, Outcome.OK)
+            made.attempt_ended(at, key, 1, Outcome.OK)
         number += 1
-        made.sent(now, (number, 0), 1, rng.randrange(5), USUAL)
+        made.attempt_sent(now, (number, 0), 1, rng.randrange(5), USUAL)
         if rng.random() >= share:
             due.append((now + rng.expovariate(1 / USUAL), (number, 0)))
-        lost += made.check(now)
+        lost += made.detect_losses(now)
     assert lost == 0
 
 
 # Leaning
 
 
-def lean(costs: dict[int, float], seconds: int, made: Leaning | None = None) -> Leaning:
+def lean(costs: dict[int, float], seconds: int, made: ZoneRooms | None = None) -> ZoneRooms:
     """A second at a time, twenty answers from each zone at its cost."""
-    made = made or Leaning(0)
-    start = max(0.0, made.at)
+    made = made or ZoneRooms(0)
+    start = max(0.0, made.adjusted_at)
     for second in range(seconds):
         now = start + (second + 1) * SECOND
         for zone, cost in costs.items():
             for _ in range(20):
-                made.note(now, zone, False, cost)
+                made.record_outcome(now, zone, False, cost)
         made.adjust(now, PLACES.region)
     return made
 
 
 def test_room_grows_from_little_to_all_in_a_quarter_of_a_minute() -> None:
-    assert Leaning(0).room(0) == ROOM_START and Leaning(0).room(1) == 1.0
+    assert ZoneRooms(0).room(0) == INITIAL_NEAR_ROOM and ZoneRooms(0).room(1) == 1.0
     assert lean({0: 1.0, 1: 1.0}, 5).room(0) < 0.5
     assert lean({0: 1.0, 1: 1.0}, 18).room(0) == 1.0
 
@@ -345,7 +364,7 @@
         rooms.append(made.room(2))
     assert rooms == sorted(rooms, reverse=True) and rooms[0] > 0.5
     lean(costs | {2: 3.0}, 20, made)
-    assert made.room(2) <= ROOM_LEAST + GROWTH + GROWTH_PART
+    assert made.room(2) <= MIN_ROOM + GROWTH + RELATIVE_GROWTH
     assert made.room(0) == made.room(1) == made.room(3) == 1.0
     lean(costs, 40, made)
     assert made.room(2) == 1.0
@@ -363,16 +382,16 @@
 
 
 def test_a_zone_that_turns_calls_away_is_full_though_nobody_else_is_known() -> None:
-    made = Leaning(0)
+    made = ZoneRooms(0)
     for second in range(1, 30):
         for i in range(20):
-            made.note(second * SECOND, 0, i % 2 == 0, 1.0)
+            made.record_outcome(second * SECOND, 0, i % 2 == 0, 1.0)
         made.adjust(second * SECOND, PLACES.region)
     assert made.room(0) < 0.2
 
 
 def test_little_more_than_the_usual_is_chance() -> None:
-    made = lean({0: 1.0, 1: 0.95 * LEAN_FROM, 2: 1.0}, 40)
+    made = lean({0: 1.0, 1: 0.95 * COST_TOLERANCE, 2: 1.0}, 40)
     assert made.room(1) == 1.0
 
 
@@ -384,7 +403,7 @@
     made.update_endpoints(dict.fromkeys(range(7), 5.0), dict.fromkeys(range(7), 5))
     for zone in range(7):
         for _ in range(20):
-            made.leaning.note(0.0, zone, False, 1.0)
+            made.rooms.record_outcome(0.0, zone, False, 1.0)
     for second in range(30):
         made.update_capacity(second * SECOND, dict.fromkeys(range(7), 5.0))
     return made
@@ -397,7 +416,7 @@
     made = router()
     firsts = [made.zone_order(NOW, 0, [], 1000.0, True)[0] for _ in range(5000)]
     near = sum(zone == 0 for zone in firsts) / len(firsts)
-    assert near == pytest.approx(1.0 - EXPLORE, abs=0.01)
+    assert near == pytest.approx(1.0 - EXPLORING_SHARE, abs=0.01)
     assert set(firsts) == {0, 1, 2, 3}, "the region's, not other regions'"
 
 
@@ -428,12 +447,12 @@
 
 def test_another_zone_is_preferred_only_to_the_near_one_and_the_further_the_less() -> None:
     made = router()
-    assert made.handicap(0, 1) == HANDICAPS[Distance.REGION] < made.handicap(0, 4)
+    assert made.handicap(0, 1) == LOAD_HANDICAPS[Distance.REGION] < made.handicap(0, 4)
     assert made.handicap(1, 0) == math.inf, "what was sent away is not taken back"
 
 
 def test_classes_that_are_kept_never_leave_the_region() -> None:
-    made = router(kept=frozenset({1}))
+    made = router(classes_kept_in_region=frozenset({1}))
     made.update_capacity(NOW, {4: 5.0, 5: 5.0})
     assert made.zone_order(NOW, 1, [], 1000.0, True) == []
     assert not made.allows(1, 4) and made.allows(0, 4)
@@ -458,7 +477,7 @@
                 made.attempt_sent(second * SECOND, (i, zone), zone, 1, 0.2)
                 made.attempt_ended(second * SECOND, (i, zone), zone, 0, Outcome.OK, took, 0.2)
         made.update_capacity(second * SECOND, dict.fromkeys(range(7), 5.0))
-    assert made.shares[0] == pytest.approx(1.0 - EXPLORE)
+    assert made.shares[0] == pytest.approx(1.0 - EXPLORING_SHARE)
 
 
 def test_a_small_pool_stays_whole() -> None:
@@ -468,7 +487,7 @@
 
 
 def test_callers_shares_are_the_operators_where_they_are_told() -> None:
-    made = router(callers={0: 4.0, 1: 1.0, 2: 1.0, 3: 1.0}, fill=0.5)
+    made = router(caller_shares={0: 4.0, 1: 1.0, 2: 1.0, 3: 1.0}, fill=0.5)
     # 17.5 units are asked for, 10 of them by the callers of this zone, of whose 5 nine tenths are filled.
     near = sum(made.zone_order(NOW, 0, [], 1000.0, True)[0] == 0 for _ in range(4000)) / 4000
     assert near == pytest.approx(HEADROOM * 0.5, abs=0.03)
@@ -480,7 +499,7 @@
         made.attempt_sent(NOW, (i, 0), 1, i, USUAL)
     probes = 0
     for step in range(1, 40):
-        now = NOW + STALL_LEAST + 100.0 * step
+        now = NOW + MIN_STALL_TIME + 100.0 * step
         zones = made.zone_order(now, 0, [], 1000.0, True)
         if zones[0] == 1:
             probes += 1
@@ -491,7 +510,7 @@
     assert 1 <= probes <= 4
     figures = made.figures()
     assert figures["zones"]["b"]["standing"] == "lost"  # type: ignore[index]
-    assert made.by_reason[Why.PROBE] == probes
+    assert made.away_by_reason[AwayReason.PROBE] == probes
 
 
 def test_where_all_zones_are_gone_the_pool_is_drawn_from_as_before() -> None:
