--- a/millgw/store/__init__.py
+++ b/millgw/store/__init__.py
@@ -1,6 +1,6 @@
-"""An embedded store for what must survive a crash: a log, an index in memory, compaction and recovery.
+"""An embedded, crash-safe key-value store: an append-only log, an in-memory index, compaction and recovery.
 
-`record`, `segment` and `mark` are formats, `recovery` says what a set of files amounts to; these do no I/O.
-`store` writes through the seam `files`; `faulty` stands in for a disk that loses what was not synced.
-`writer` gathers the records of many callers for one sync, in a thread of its own.
+`record`, `mark` and `clock` are file formats, and `recovery` evaluates a set of files; these do no I/O.
+`store` accesses the disk through the interface in `files`, which `faulty` implements for tests as a disk that
+loses unsynced data. `writer` batches the records of many callers into one sync (group commit), in a thread.
 """
--- a/millgw/store/clock.py
+++ b/millgw/store/clock.py
@@ -1,7 +1,8 @@
-"""The store's time across restarts of its process, whatever is done to the wall clock meanwhile. Pure.
+"""Keeps the store's time steady across process restarts, independent of wall clock steps. Does no I/O.
 
-While the machine has not been booted anew its monotonic clock runs on, and the store's time is that and an
-offset, which is kept in a file. Only after a boot does the wall clock tell how long nothing ran.
+Until the machine reboots, its monotonic clock keeps running, and the store's time is that clock plus an
+offset from a file. Only after a reboot is the wall clock used, as nothing else tells how long the machine was
+down.
 """
 
 from __future__ import annotations
@@ -11,28 +12,28 @@
 
 from crc32c import crc32c
 
-NAME, MAKING = "clock", "clock.new"
+FILE_NAME, TEMPORARY_NAME = "clock", "clock.new"
 BODY = struct.Struct("<8s16sd")
 CRC = struct.Struct("<I")
 MAGIC = b"otterclk"
 
 
 @dataclass(slots=True, frozen=True)
-class Clock:
-    """On the machine's run `boot` (16 bytes) the store's Unix ms are the monotonic clock's plus `offset`."""
+class ClockOffset:
+    """Within the boot `boot_id` (16 bytes), the store's Unix ms are the monotonic clock plus `offset`."""
 
-    boot: bytes
+    boot_id: bytes
     offset: float
 
 
-def word(clock: Clock) -> bytes:
-    body = BODY.pack(MAGIC, clock.boot, clock.offset)
+def encode(clock: ClockOffset) -> bytes:
+    body = BODY.pack(MAGIC, clock.boot_id, clock.offset)
     return CRC.pack(crc32c(body)) + body
 
 
-def read(data: bytes) -> Clock | None:
-    """A clock; None where there is no whole and right one."""
+def decode(data: bytes) -> ClockOffset | None:
+    """Decode a clock file; None if it is incomplete or its checksum is wrong."""
     if len(data) != CRC.size + BODY.size or CRC.unpack_from(data)[0] != crc32c(data[CRC.size :]):
         return None
     magic, boot, offset = BODY.unpack_from(data, CRC.size)
-    return Clock(boot, offset) if magic == MAGIC else None
+    return ClockOffset(boot, offset) if magic == MAGIC else None
--- a/millgw/store/command.py
+++ b/millgw/store/command.py
@@ -1,4 +1,4 @@
-"""The command `store`: checks, shows, compacts, repairs and measures a store's directory."""
+"""The command `store`: check, show, compact, repair and benchmark a store's directories."""
 
 from __future__ import annotations
 
@@ -16,17 +16,21 @@
 from millgw.cli.report import Out, Reporting, Serving
 from millgw.store.files import Files, RealFiles, boot_id
 from millgw.store.record import FormatError
-from millgw.store.recovery import Found, look
+from millgw.store.recovery import DirectoryState, inspect_directory
 from millgw.store.store import Item, Options, Store, StoreDamaged, StoreError
 
 DIRECTORIES = click.argument("directories", nargs=-1, required=True, type=DIRECTORY, metavar="DIR...")
-WINDOW = click.option(
-    "--window-h", type=Number(), default=24.0, show_default=True, help="The longest time an entry is kept."
+WINDOW_OPTION = click.option(
+    "--window-h",
+    type=Number(),
+    default=24.0,
+    show_default=True,
+    help="The longest lifetime of an entry, in hours.",
 )
 
 
-class Telling(click.Group):
-    """Tells what is wrong with a store as its exit code and one line."""
+class StoreErrorGroup(click.Group):
+    """Reports errors of the store as one line and an exit code."""
 
     def invoke(self, ctx: click.Context) -> Any:
         try:
@@ -38,9 +42,9 @@
             raise BadInput(str(error)) from None
 
 
-@click.group(cls=Telling)
+@click.group(cls=StoreErrorGroup)
 def store() -> None:
-    """Check, show, compact, repair and measure a store's directory; two directories for mirrors.
+    """Check, show, compact, repair and benchmark a store; give both directories of a mirrored one.
 
     Exit: 0 held, 1 records are lost or damaged, 2 bad input.
     """
@@ -49,48 +53,50 @@
 @store.command(cls=Reporting, examples=["store check /var/lib/millgw"])
 @DIRECTORIES
 def check(out: Out, directories: Sequence[str]) -> int:
-    """Read all of it, change nothing, say what is whole, torn, lost or damaged."""
+    """Read all of a store without changes; report what is torn, lost or damaged."""
     rows, lines, bad = [], [], False
     for directory in directories:
-        found = _look(directory)
-        bad = bad or bool(found.lost or found.damaged)
+        state = _inspect(directory)
+        bad = bad or bool(state.lost or state.damaged)
         rows.append(
             {
-                "directory": directory, "segments": len(found.headers), "records": len(found.records),
-                "last": found.last, "acknowledged": found.mark.acked if found.mark else None,
-                "torn": found.torn, "lost": found.lost, "damaged": found.damaged, "unused": found.extra,
+                "directory": directory, "segments": len(state.headers), "records": len(state.records),
+                "last": state.last_seq, "acknowledged": state.mark.acked if state.mark else None,
+                "torn": state.torn, "lost": state.lost, "damaged": state.damaged,
+                "unused": state.unused_files,
             }
         )  # fmt: skip
         lines.append(
-            f"{directory}: {len(found.records)} records in {len(found.headers)} segments, last {found.last}"
+            f"{directory}: {len(state.records)} records in {len(state.headers)} segments,"
+            f" last {state.last_seq}"
         )
-        lines += [f"    lost: {place}" for place in found.lost]
-        lines += [f"    damaged: {place}" for place in found.damaged]
-        if found.torn:
-            lines.append("    torn: bytes behind the last record, that nobody was told of")
+        lines += [f"    lost: {place}" for place in state.lost]
+        lines += [f"    damaged: {place}" for place in state.damaged]
+        if state.torn:
+            lines.append("    torn: bytes behind the last record, never acknowledged")
     return out.end(NOT_HELD if bad else HELD, {"stores": rows}, lines)
 
 
-def _look(directory: str) -> Found:
+def _inspect(directory: str) -> DirectoryState:
     files = RealFiles(Path(directory), read_only=True)
-    found = look({name: files.read(name) for name in files.names()})
-    if found.empty and not found.records:
-        raise StoreError(f"{directory}: holds no store")
-    return found
+    state = inspect_directory({name: files.read(name) for name in files.names()})
+    if state.empty and not state.records:
+        raise StoreError(f"{directory}: contains no store")
+    return state
 
 
 @store.command(cls=Serving, examples=["store dump /var/lib/millgw"])
 @click.argument("directory", type=DIRECTORY)
 def dump(directory: str) -> int:
-    """Print what stands, a JSON object a line."""
-    found = _look(directory)
-    for record in found.records:
-        told = {
+    """Print the records, one JSON object per line."""
+    state = _inspect(directory)
+    for record in state.records:
+        row = {
             "seq": record.seq, "kind": "put" if record.kind == 1 else "delete",
             "key": record.key.hex(), "value": record.value.hex(), "expires": record.expires,
         }  # fmt: skip
-        click.echo(json.dumps(told))
-    return NOT_HELD if found.lost or found.damaged else HELD
+        click.echo(json.dumps(row))
+    return NOT_HELD if state.lost or state.damaged else HELD
 
 
 def _open(directories: Sequence[str], options: Options, repair: bool = False) -> Store:
@@ -100,65 +106,69 @@
     )
 
 
-def _opened(directories: Sequence[str], window_h: float, repair: bool = False) -> Store:
+def _open_existing(directories: Sequence[str], window_h: float, repair: bool = False) -> Store:
     for directory in directories:
         if not Path(directory).is_dir():
-            raise StoreError(f"{directory}: is no directory")
+            raise StoreError(f"{directory}: is not a directory")
     return _open(directories, Options(window=window_h * 3_600_000), repair)
 
 
-def _told(out: Out, store: Store, code: int) -> int:
-    told = {"keys": len(store.index), "last": store.last, "notes": store.notes}
-    lines = [f"{len(store.index)} keys stand, last {store.last}", *(f"    {note}" for note in store.notes)]
-    return out.end(code, told, lines)
+def _report_contents(out: Out, store: Store, code: int) -> int:
+    contents = {"keys": len(store.index), "last": store.last_seq, "notes": store.notes}
+    lines = [
+        f"{len(store.index)} keys, last sequence number {store.last_seq}",
+        *(f"    {note}" for note in store.notes),
+    ]
+    return out.end(code, contents, lines)
 
 
 @store.command(cls=Reporting, examples=["store compact /var/lib/millgw"])
 @DIRECTORIES
-@WINDOW
+@WINDOW_OPTION
 def compact(out: Out, directories: Sequence[str], window_h: float) -> int:
-    """Write what stands into one segment."""
-    opened = _opened(directories, window_h)
+    """Merge all segments into one, without dead records."""
+    opened = _open_existing(directories, window_h)
     try:
         while not opened.compact():
             pass
     finally:
         opened.close()
-    return _told(out, opened, HELD)
+    return _report_contents(out, opened, HELD)
 
 
 @store.command(cls=Reporting, examples=["store repair /var/lib/millgw"])
 @DIRECTORIES
-@WINDOW
+@WINDOW_OPTION
 def repair(out: Out, directories: Sequence[str], window_h: float) -> int:
-    """Salvage what can be read of a damaged store; what may be lost counts as sent for a window."""
-    opened = _opened(directories, window_h, repair=True)
+    """Salvage the readable records of a damaged store; unknown keys then count as sent for one window."""
+    opened = _open_existing(directories, window_h, repair=True)
     opened.close()
-    return _told(out, opened, NOT_HELD if opened.notes else HELD)
+    return _report_contents(out, opened, NOT_HELD if opened.notes else HELD)
 
 
 @store.command(cls=Reporting, examples=["store bench"])
 @click.argument("directories", nargs=-1, type=DIRECTORY, metavar="[DIR...]")
 def bench(out: Out, directories: Sequence[str]) -> int:
-    """Appends a second, synced one by one, by tens and by hundreds; in a temporary place by itself."""
+    """Measure appends per second in groups of 1, 10 and 100; in a temporary directory by default."""
     rows: list[dict[str, float]] = []
     with tempfile.TemporaryDirectory() as folder:
         for group in (1, 10, 100):
-            where = [str(Path(d) / f"g{group}") for d in directories or [folder]]
-            opened = _open(where, Options())
-            took, number, end = [], 0, time.monotonic() + 2.0
+            targets = [str(Path(d) / f"g{group}") for d in directories or [folder]]
+            opened = _open(targets, Options())
+            durations, written, end = [], 0, time.monotonic() + 2.0
             while time.monotonic() < end:
-                items = [Item(b"%016x" % (number + i), b"v" * 16) for i in range(group)]
+                items = [Item(b"%016x" % (written + i), b"v" * 16) for i in range(group)]
                 begun = time.monotonic()
                 opened.append(items)
-                took.append((time.monotonic() - begun) * 1000)
-                number += group
+                durations.append((time.monotonic() - begun) * 1000)
+                written += group
             opened.close()
-            took.sort()
+            durations.sort()
             rows.append(
                 {
-                    "group": group, "records_per_s": round(number / 2.0), "p50_ms": took[len(took) // 2],
-                    "p99_ms": took[int(0.99 * len(took))],
+                    "group": group, "records_per_s": round(written / 2.0),
+                    "p50_ms": durations[len(durations) // 2],
+                    "p99_ms": durations[int(0.99 * len(durations))],
                 }
             )  # fmt: skip
     lines = [
--- a/millgw/store/faulty.py
+++ b/millgw/store/faulty.py
@@ -1,9 +1,9 @@
-"""A disk that does what disks do to programs which trust them: for the store's tests, by seed.
+"""A simulated disk with seeded faults and power cuts, for the store's tests.
 
-Data that was not synced may be lost in any pages and any order, a file may end anywhere between what was
-synced and what was written, lost pages in its middle read as zeros. Names are lost from the last one on, as
-file systems journal them. After a sync that failed the pages count as clean and are gone: the next sync says
-all is well (PostgreSQL's 'fsyncgate').
+After a power cut, unsynced data may be lost in any pages and any order, a file may end anywhere between its
+synced and its written length, and lost pages within it read as zeros. Changes of names are lost from the
+latest backwards, as file systems journal them. After a failed sync the dirty pages count as clean and are
+lost, and the next sync succeeds (PostgreSQL's 'fsyncgate').
 """
 
 from __future__ import annotations
@@ -13,51 +13,53 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-PAGE = 512
+PAGE_BYTES = 512
 
 
 class Crash(Exception):
-    """The power is cut."""
+    """A simulated power cut."""
 
 
 @dataclass(eq=False)
 class Inode:
-    """A file's bytes: as they would read now, as they are on the disk, and what is not there yet."""
+    """The bytes of a file: as reads see them, as they are on the disk, and the pages not yet on the disk."""
 
     now: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
-    dirty: set[int] = field(default_factory=set)  # pages
+    dirty_pages: set[int] = field(default_factory=set)  # page numbers
 
     def write(self, at: int, data: bytes) -> None:
         if len(self.now) < at + len(data):
             self.now.extend(bytes(at + len(data) - len(self.now)))
         self.now[at : at + len(data)] = data
-        self.dirty |= set(range(at // PAGE, (at + max(1, len(data)) - 1) // PAGE + 1))
+        self.dirty_pages |= set(range(at // PAGE_BYTES, (at + max(1, len(data)) - 1) // PAGE_BYTES + 1))
 
     def sync(self) -> None:
         self.durable = bytes(self.now)
-        self.dirty.clear()
+        self.dirty_pages.clear()
 
-    def lose(self) -> None:
-        """A sync has failed: what was dirty counts as clean, and is not on the disk."""
-        self.dirty.clear()
+    def drop_dirty_pages(self) -> None:
+        """A sync has failed: the dirty pages count as clean, but are not on the disk."""
+        self.dirty_pages.clear()
 
-    def survivor(self, rng: random.Random) -> Inode:
+    def after_power_cut(self, rng: random.Random) -> Inode:
         """The file as it is found after a power cut."""
         low, high = sorted((len(self.durable), len(self.now)))
         out = bytearray(self.durable)
         size = (
-            rng.randint(low, high) if len(self.now) > len(self.durable) and self.dirty else len(self.durable)
+            rng.randint(low, high)
+            if len(self.now) > len(self.durable) and self.dirty_pages
+            else len(self.durable)
         )
         out.extend(bytes(max(0, size - len(out))))
-        for page in self.dirty:
+        for page in self.dirty_pages:
             if rng.random() < 0.5:
-                part = self.now[page * PAGE : (page + 1) * PAGE]
-                end = min(page * PAGE + len(part), len(out))
-                out[page * PAGE : end] = part[: max(0, end - page * PAGE)]
-        made = Inode(bytearray(out))
-        made.sync()
-        return made
+                part = self.now[page * PAGE_BYTES : (page + 1) * PAGE_BYTES]
+                end = min(page * PAGE_BYTES + len(part), len(out))
+                out[page * PAGE_BYTES : end] = part[: max(0, end - page * PAGE_BYTES)]
+        found = Inode(bytearray(out))
+        found.sync()
+        return found
 
 
 class FaultyHandle:
@@ -73,7 +75,7 @@
             raise fault
         self.inode.write(len(self.inode.now), data)
 
-    def put(self, data: bytes) -> None:
+    def overwrite(self, data: bytes) -> None:
         fault = self.disk.step("write")
         if fault is not None:
             self.inode.write(0, data[: self.disk.rng.randrange(len(data) + 1)])
@@ -84,7 +86,7 @@
         fault = self.disk.step("sync")
         if fault is not None:
             if isinstance(fault, OSError):
-                self.inode.lose()
+                self.inode.drop_dirty_pages()
             raise fault
         self.inode.sync()
 
@@ -93,51 +95,51 @@
 
 
 class FaultyFiles:
-    """One directory. `fault` is asked before each step, by kind and number, and may give what to raise."""
+    """One directory. `fault` gets the kind and number of each step before it, and may return an exception."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.now: dict[str, Inode] = {}
         self.durable: dict[str, Inode] = {}
-        self.pending: list[Callable[[dict[str, Inode]], object]] = []
+        self.pending_changes: list[Callable[[dict[str, Inode]], object]] = []
         self.steps = 0
         self.fault: Callable[[str, int], BaseException | None] = lambda _, __: None
-        self.dead = False
+        self.powered_off = False
 
     def step(self, kind: str) -> BaseException | None:
-        if self.dead:
+        if self.powered_off:
             raise Crash
         self.steps += 1
         fault = self.fault(kind, self.steps)
         if isinstance(fault, Crash):
-            self.dead = True
+            self.powered_off = True
         return fault
 
-    def _do(self, change: Callable[[dict[str, Inode]], object]) -> None:
+    def _change_names(self, change: Callable[[dict[str, Inode]], object]) -> None:
         fault = self.step("names")
         if fault is not None:
             raise fault
         change(self.now)
-        self.pending.append(change)
+        self.pending_changes.append(change)
 
     def crash(self) -> FaultyFiles:
-        """The disk as it is found when the power is back."""
+        """The disk as it is found once the power is back."""
         out = FaultyFiles(self.rng)
         names = dict(self.durable)
-        for change in self.pending[: self.rng.randint(0, len(self.pending))]:
+        for change in self.pending_changes[: self.rng.randint(0, len(self.pending_changes))]:
             change(names)
         survivors: dict[int, Inode] = {}
         for name, inode in names.items():
             if id(inode) not in survivors:
-                survivors[id(inode)] = inode.survivor(self.rng)
+                survivors[id(inode)] = inode.after_power_cut(self.rng)
             out.now[name] = survivors[id(inode)]
         out.durable = dict(out.now)
         return out
 
-    # Files
+    # The interface `Files`
 
     def lock(self) -> None:
-        """There is one process only."""
+        """Does nothing: the simulation has one process only."""
 
     def names(self) -> list[str]:
         return sorted(self.now)
@@ -152,7 +154,7 @@
 
     def create(self, name: str) -> FaultyHandle:
         inode = Inode()
-        self._do(lambda names: names.__setitem__(name, inode))
+        self._change_names(lambda names: names.__setitem__(name, inode))
         return FaultyHandle(self, inode)
 
     def open(self, name: str) -> FaultyHandle:
@@ -161,23 +163,23 @@
         return FaultyHandle(self, self.now[name])
 
     def rename(self, old: str, new: str) -> None:
-        self._do(lambda names: names.__setitem__(new, names.pop(old)) if old in names else None)
+        self._change_names(lambda names: names.__setitem__(new, names.pop(old)) if old in names else None)
 
     def remove(self, name: str) -> None:
-        self._do(lambda names: names.pop(name, None))
+        self._change_names(lambda names: names.pop(name, None))
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         fault = self.step("sync")
         if fault is not None:
             raise fault
         self.durable = dict(self.now)
-        self.pending.clear()
+        self.pending_changes.clear()
 
     def close(self) -> None:
         pass
 
 
-def mirrored(seed: int, count: int) -> list[FaultyFiles]:
-    """Disks that fail by one seed."""
+def faulty_mirrors(seed: int, count: int) -> list[FaultyFiles]:
+    """Disks that share one seeded random generator for their faults."""
     rng = random.Random(f"disks {seed}")
     return [FaultyFiles(rng) for _ in range(count)]
--- a/millgw/store/files.py
+++ b/millgw/store/files.py
@@ -1,6 +1,6 @@
-"""The seam between the store and a disk: one directory of append-only files and small overwritten ones.
+"""The interface between the store and a disk: a directory of append-only files and small overwritten ones.
 
-What is written lives through a power cut only once it was synced; a new name only once names were.
+Written data survives a power cut only after `sync`; a new file name only after `sync_directory`.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from pathlib import Path
 from typing import Protocol
 
-LOCK = "lock"
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+LOCK_FILE = "lock"
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
 class Locked(OSError):
-    """Another process has the store."""
+    """Another process has locked the store."""
 
 
 class Handle(Protocol):
     """An open file."""
 
     def write(self, data: bytes) -> None:
-        """Add at the end; an OSError may leave a part of it there."""
+        """Append; on an OSError a part of the data may have been written."""
 
-    def put(self, data: bytes) -> None:
-        """Overwrite from the start on; what is behind stays."""
+    def overwrite(self, data: bytes) -> None:
+        """Overwrite from the start of the file; data behind it stays."""
 
     def sync(self) -> None: ...
 
@@ -34,58 +34,58 @@
 
 
 class Files(Protocol):
-    """One directory."""
+    """One directory of the store."""
 
     def lock(self) -> None:
-        """Keep others out, until `close`; `Locked` where one has it."""
+        """Lock the directory until `close`; raises `Locked` if another process holds the lock."""
 
     def names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
     def create(self, name: str) -> Handle:
-        """A new and empty file; one of that name goes."""
+        """Create an empty file; replaces one of that name."""
 
     def open(self, name: str) -> Handle:
-        """A file that is there, or a new one."""
+        """Open a file; creates it if it does not exist."""
 
     def rename(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
-    def sync_names(self) -> None: ...
+    def sync_directory(self) -> None: ...
 
     def close(self) -> None: ...
 
 
 def boot_id() -> bytes:
-    """The machine's run, as the kernel names it (16 bytes); empty where it does not."""
+    """The kernel's id of the current boot (16 bytes); empty if it can't be read."""
     try:
-        return bytes.fromhex(BOOT_ID.read_text().strip().replace("-", ""))
+        return bytes.fromhex(BOOT_ID_PATH.read_text().strip().replace("-", ""))
     except (OSError, ValueError):
         return b""
 
 
-class Directory(Mapping[str, bytes]):
-    """What a directory's files hold, by name: each is read when it is asked for, they are never all held."""
+class DirectoryContents(Mapping[str, bytes]):
+    """File contents by name, each read on access, so that they are never all in memory."""
 
     def __init__(self, files: Files) -> None:
         self.files = files
-        self.listed = files.names()
+        self.file_names = files.names()
 
     def __getitem__(self, name: str) -> bytes:
-        if name not in self.listed:
+        if name not in self.file_names:
             raise KeyError(name)
         return self.files.read(name)
 
     def __contains__(self, name: object) -> bool:
-        return name in self.listed
+        return name in self.file_names
 
     def __iter__(self) -> Iterator[str]:
-        return iter(self.listed)
+        return iter(self.file_names)
 
     def __len__(self) -> int:
-        return len(self.listed)
+        return len(self.file_names)
 
 
 class RealHandle:
@@ -97,7 +97,7 @@
         while view:
             view = view[os.write(self.fd, view) :]
 
-    def put(self, data: bytes) -> None:
+    def overwrite(self, data: bytes) -> None:
         done = 0
         while done < len(data):
             done += os.pwrite(self.fd, data[done:], done)
@@ -110,27 +110,27 @@
 
 
 class RealFiles:
-    """A directory of a real disk; made where it is not there, unless it is only to be read."""
+    """A directory on a real disk; created if it does not exist, unless it is opened read-only."""
 
     def __init__(self, path: Path, read_only: bool = False) -> None:
         self.path = path
         if not read_only:
             path.mkdir(parents=True, exist_ok=True)
         elif not path.is_dir():
-            raise FileNotFoundError(2, "is no directory", str(path))
-        self.locked: int | None = None
+            raise FileNotFoundError(2, "is not a directory", str(path))
+        self.lock_fd: int | None = None
 
     def lock(self) -> None:
-        fd = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        fd = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(fd)
-            raise Locked(11, "another process has the store", str(self.path)) from None
-        self.locked = fd
+            raise Locked(11, "another process has locked the store", str(self.path)) from None
+        self.lock_fd = fd
 
     def names(self) -> list[str]:
-        return sorted(name for name in os.listdir(self.path) if name != LOCK)
+        return sorted(name for name in os.listdir(self.path) if name != LOCK_FILE)
 
     def read(self, name: str) -> bytes:
         return (self.path / name).read_bytes()
@@ -147,7 +147,7 @@
     def remove(self, name: str) -> None:
         os.unlink(self.path / name)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -155,6 +155,6 @@
             os.close(fd)
 
     def close(self) -> None:
-        if self.locked is not None:
-            os.close(self.locked)
-            self.locked = None
+        if self.lock_fd is not None:
+            os.close(self.lock_fd)
+            self.lock_fd = None
--- a/millgw/store/mark.py
+++ b/millgw/store/mark.py
@@ -1,7 +1,8 @@
-"""The durable high-water mark, apart from the log: what was acknowledged, and which segments there are. Pure.
+"""The durable high-water mark: the last acknowledged record and the list of segments. Does no I/O.
 
-Without it a log whose tail is gone would look like a shorter log. Two files take turns, so that a torn one
-leaves the other, which is older: the log may then hold more than it says, never less.
+It is stored apart from the log, since a log that lost its tail would otherwise look like a shorter log.
+Writes alternate between two files, so that a torn write leaves the other, older mark intact: the log may then
+hold more than the mark says, never less.
 """
 
 from __future__ import annotations
@@ -12,42 +13,42 @@
 from crc32c import crc32c
 
 NAMES = ("mark-0", "mark-1")
-HEAD = struct.Struct("<8sQ16sQQQI")
+FIXED_PART = struct.Struct("<8sQ16sQQQI")
 CRC = struct.Struct("<I")
 MAGIC = b"ottermrk"
-MOST_SEGMENTS = 4096
+MAX_SEGMENTS = 4096
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
-    """`acked` is the last sequence number acknowledged, `wall` the time then, and `unproven` the time until
-    which a key that is not known can't be proven unsent; both Unix ms.
+class HighWaterMark:
+    """`acked` is the last acknowledged sequence number, `time` the time of writing, and `unproven_until` the
+    time until which an unknown key can't be proven unsent; both in Unix ms.
     """
 
     generation: int
-    store: bytes
+    store_id: bytes
     acked: int
-    wall: int
-    unproven: int = 0
+    time: int
+    unproven_until: int = 0
     segments: tuple[int, ...] = ()
 
 
-def word(mark: Mark) -> bytes:
-    body = HEAD.pack(
-        MAGIC, mark.generation, mark.store, mark.acked, mark.wall, mark.unproven, len(mark.segments)
+def encode(mark: HighWaterMark) -> bytes:
+    body = FIXED_PART.pack(
+        MAGIC, mark.generation, mark.store_id, mark.acked, mark.time, mark.unproven_until, len(mark.segments)
     ) + struct.pack(f"<{len(mark.segments)}I", *mark.segments)
     return CRC.pack(crc32c(body)) + body
 
 
-def read(data: bytes) -> Mark | None:
-    """A mark; None where there is no whole and right one."""
-    if len(data) < CRC.size + HEAD.size:
+def decode(data: bytes) -> HighWaterMark | None:
+    """Decode a mark file; None if it is incomplete or its checksum is wrong."""
+    if len(data) < CRC.size + FIXED_PART.size:
         return None
-    magic, generation, store, acked, wall, unproven, count = HEAD.unpack_from(data, CRC.size)
-    end = CRC.size + HEAD.size + 4 * count
-    if magic != MAGIC or count > MOST_SEGMENTS or end > len(data):
+    magic, generation, store_id, acked, time, unproven_until, count = FIXED_PART.unpack_from(data, CRC.size)
+    end = CRC.size + FIXED_PART.size + 4 * count
+    if magic != MAGIC or count > MAX_SEGMENTS or end > len(data):
         return None
     if CRC.unpack_from(data)[0] != crc32c(data[CRC.size : end]):
         return None
-    segments = struct.unpack_from(f"<{count}I", data, CRC.size + HEAD.size)
-    return Mark(generation, store, acked, wall, unproven, segments)
+    segments = struct.unpack_from(f"<{count}I", data, CRC.size + FIXED_PART.size)
+    return HighWaterMark(generation, store_id, acked, time, unproven_until, segments)
--- a/millgw/store/record.py
+++ b/millgw/store/record.py
@@ -1,15 +1,16 @@
-"""The format of records and segments. Pure.
+"""The format of records and segments. Does no I/O.
 
-A segment is a header and records, one behind the other. All numbers are little-endian; a checksum is CRC-32C
-(Castagnoli, RFC 3720 appendix B.4) over all that follows it in its header or record.
+A segment is a header followed by records. All numbers are little-endian; a checksum is CRC-32C (Castagnoli,
+RFC 3720 appendix B.4) over everything that follows it in its header or record.
 
-    header   crc u32, magic 8, version u16, store 16, number u32, covers u32, turn u32, first u64
+    header   crc u32, magic 8, version u16, store id 16, number u32, covers from u32,
+             compaction number u32, first seq u64
     record   crc u32, length u32 (of key and value), seq u64, expires i64 (Unix ms, 0: never), kind u8,
              key length u16, key, value
 
-`number` counts segments up; one that compaction made stands for those from `covers` to `number`, as of its
-`turn`. Sequence numbers count up by one in a segment that was appended to; in a compacted one they only
-rise.
+`number` increases with each segment. A compacted segment replaces those from `covers_from` to `number`; its
+`compaction_number` is 1 or more, and 0 in other segments. Sequence numbers are consecutive in a segment that
+was appended to, and merely increasing in a compacted one.
 """
 
 from __future__ import annotations
@@ -26,18 +27,18 @@
 CRC = struct.Struct("<I")
 HEADER_SIZE = CRC.size + HEADER.size
 RECORD_SIZE = CRC.size + RECORD.size
-MOST = 1 << 20  # bytes of a record's key and value
+MAX_PAYLOAD_BYTES = 1 << 20  # of a record's key and value together
 PUT, DELETE, END = 1, 2, 3
 KINDS = (PUT, DELETE, END)
 
 
 class FormatError(ValueError):
-    """Bytes that are no segment that this program can read; the text says why."""
+    """Data that is not in a format this program can read; the message says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """One entry. `expires` in Unix ms, 0 for never."""
+    """One record of the log. `expires` is in Unix ms, 0 for never."""
 
     seq: int
     kind: int
@@ -51,54 +52,62 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Header:
-    store: bytes
+class SegmentHeader:
+    store_id: bytes
     number: int
-    covers: int
-    turn: int
-    first: int
+    covers_from: int
+    compaction_number: int
+    first_seq: int
 
     @property
     def compacted(self) -> bool:
-        return self.turn > 0
-
-
-def word_header(header: Header) -> bytes:
-    body = HEADER.pack(MAGIC, VERSION, header.store, header.number, header.covers, header.turn, header.first)
+        return self.compaction_number > 0
+
+
+def encode_header(header: SegmentHeader) -> bytes:
+    body = HEADER.pack(
+        MAGIC,
+        VERSION,
+        header.store_id,
+        header.number,
+        header.covers_from,
+        header.compaction_number,
+        header.first_seq,
+    )
     return CRC.pack(crc32c(body)) + body
 
 
-def word(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     size = len(record.key) + len(record.value)
-    if size > MOST:
-        raise FormatError(f"a record of {size} bytes is over {MOST}")
+    if size > MAX_PAYLOAD_BYTES:
+        raise FormatError(f"a record of {size} bytes exceeds the limit of {MAX_PAYLOAD_BYTES}")
     head = RECORD.pack(size, record.seq, record.expires, record.kind, len(record.key))
     body = head + record.key + record.value
     return CRC.pack(crc32c(body)) + body
 
 
-def read_header(data: bytes) -> Header | None:
-    """A segment's header; None where it is not whole or right. A FormatError names a format of the future."""
+def decode_header(data: bytes) -> SegmentHeader | None:
+    """Decode a segment's header; None if it is incomplete or wrong. Raises FormatError for a newer format."""
     if len(data) < HEADER_SIZE:
         return None
     body = data[CRC.size : HEADER_SIZE]
     if CRC.unpack_from(data)[0] != crc32c(body):
         return None
-    magic, version, store, number, covers, turn, first = HEADER.unpack(body)
+    magic, version, store_id, number, covers_from, compaction_number, first_seq = HEADER.unpack(body)
     if magic != MAGIC:
         return None
     if version > VERSION:
-        raise FormatError(f"its format is {version}; this program knows formats up to {VERSION}")
-    return Header(store, number, covers, turn, first)
+        raise FormatError(f"its format is {version}; this program supports formats up to {VERSION}")
+    return SegmentHeader(store_id, number, covers_from, compaction_number, first_seq)
 
 
-def read_record(data: bytes, at: int) -> tuple[Record, int] | None:
-    """The record at an offset and where the next one begins; None where there is no whole and right one."""
+def decode_record(data: bytes, at: int) -> tuple[Record, int] | None:
+    """The record at an offset and the offset after it; None if it is incomplete or its checksum is wrong."""
     if at + RECORD_SIZE > len(data):
         return None
     size, seq, expires, kind, key_size = RECORD.unpack_from(data, at + CRC.size)
     end = at + RECORD_SIZE + size
-    if size > MOST or key_size > size or kind not in KINDS or end > len(data):
+    if size > MAX_PAYLOAD_BYTES or key_size > size or kind not in KINDS or end > len(data):
         return None
     if CRC.unpack_from(data, at)[0] != crc32c(data[at + CRC.size : end]):
         return None
@@ -107,54 +116,57 @@
 
 
 @dataclass
-class Scan:
-    """What a segment's bytes hold. `good` is where the readable part ends, `size` where the bytes do.
+class SegmentScan:
+    """The contents of a segment. `readable_end` is the end of the readable part, `size` that of the data.
 
-    `after` are records found behind the first place that can't be read: with them it is no torn tail, but
-    damage.
+    `records_after_damage` were found behind the first unreadable place. Where there are any, that place is
+    damage and not a torn tail.
     """
 
-    header: Header | None
+    header: SegmentHeader | None
     records: list[Record] = field(default_factory=list)
-    good: int = 0
+    readable_end: int = 0
     size: int = 0
-    ended: bool = False  # it has the last record that compaction writes
-    last: int = 0  # the last sequence number, that of the last record of a compaction among them
-    after: list[Record] = field(default_factory=list)
+    has_end_record: bool = False  # it holds the END record, which compaction writes last
+    last_seq: int = 0  # the last sequence number, including that of the END record
+    records_after_damage: list[Record] = field(default_factory=list)
 
-    cut: bool = False  # the bytes end within a record: one that is whole and wrong is no cut
+    truncated: bool = (
+        False  # the data ends within a record; a complete record with a wrong checksum does not count
+    )
 
     @property
     def torn(self) -> bool:
-        return self.good < self.size
+        return self.readable_end < self.size
 
 
-def scan(data: bytes) -> Scan:
-    """Read a whole segment, past damage too."""
-    made = Scan(read_header(data), size=len(data))
-    if made.header is None:
-        return made
-    at = made.good = HEADER_SIZE
-    while (found := read_record(data, at)) is not None:
+def scan_segment(data: bytes) -> SegmentScan:
+    """Read a whole segment, also what follows damage."""
+    result = SegmentScan(decode_header(data), size=len(data))
+    if result.header is None:
+        return result
+    at = result.readable_end = HEADER_SIZE
+    while (found := decode_record(data, at)) is not None:
         record, at = found
-        made.good = at
-        made.last = max(made.last, record.seq)
+        result.readable_end = at
+        result.last_seq = max(result.last_seq, record.seq)
         if record.kind == END:
-            made.ended = True
+            result.has_end_record = True
         else:
-            made.records.append(record)
-    left = made.size - made.good
-    made.cut = 0 < left < RECORD_SIZE or (
-        left >= RECORD_SIZE and RECORD.unpack_from(data, made.good + CRC.size)[0] > left - RECORD_SIZE
+            result.records.append(record)
+    unread = result.size - result.readable_end
+    result.truncated = 0 < unread < RECORD_SIZE or (
+        unread >= RECORD_SIZE
+        and RECORD.unpack_from(data, result.readable_end + CRC.size)[0] > unread - RECORD_SIZE
     )
-    # Whether anything is readable behind: byte by byte, but only where a record's fixed part could be right.
-    probe = made.good + 1
+    # Look for readable records behind it, at every offset; `decode_record` rejects implausible ones early.
+    probe = result.readable_end + 1
     while probe + RECORD_SIZE <= len(data):
-        found = read_record(data, probe)
-        if found is not None and found[0].seq > made.last:
+        found = decode_record(data, probe)
+        if found is not None and found[0].seq > result.last_seq:
             if found[0].kind != END:
-                made.after.append(found[0])
+                result.records_after_damage.append(found[0])
             probe = found[1]
         else:
             probe += 1
-    return made
+    return result
--- a/millgw/store/recovery.py
+++ b/millgw/store/recovery.py
@@ -1,10 +1,10 @@
-"""What a directory's files amount to: which segments count, what is torn, lost or damaged. Pure.
+"""Evaluates the files of one directory: which segments are valid, what is torn, lost or damaged. Does no I/O.
 
-    torn     bytes behind the last record that nobody was told of: a crash as it was written; cut off lost
-    something that was acknowledged is not there: noticed by the mark, answered by `unproven` damaged
-    something can't be read, or is missing, with more behind it: refused, unless another copy is whole
+    torn     bytes behind the last record, from a write that a crash interrupted: never acknowledged, dropped
+    lost     an acknowledged record is missing: detected by the mark; unknown keys are unproven for a window
+    damaged  something is unreadable or missing, with more behind it: refused, unless another copy is intact
 
-A compacted segment counts only if its last record is there; those that it stands for go.
+A compacted segment is valid only if its END record is there; the segments that it replaces are then ignored.
 """
 
 from __future__ import annotations
@@ -15,148 +15,158 @@
 
 from millgw.store import clock as clocks
 from millgw.store import mark as marks
-from millgw.store.mark import Mark
-from millgw.store.record import HEADER_SIZE, FormatError, Header, Record, Scan, scan
+from millgw.store.mark import HighWaterMark
+from millgw.store.record import HEADER_SIZE, FormatError, Record, SegmentHeader, SegmentScan, scan_segment
 
-NAME = re.compile(r"^seg-(\d{8})-(\d{8})-(\d{8})\.log$")
+SEGMENT_NAME = re.compile(r"^seg-(\d{8})-(\d{8})-(\d{8})\.log$")
 
 
-def name_of(header: Header) -> str:
-    return f"seg-{header.number:08d}-{header.covers:08d}-{header.turn:08d}.log"
+def segment_file_name(header: SegmentHeader) -> str:
+    return f"seg-{header.number:08d}-{header.covers_from:08d}-{header.compaction_number:08d}.log"
 
 
 @dataclass
-class Found:
-    """One directory. `records` in the order of their sequence numbers, `extra` files that are of no use."""
+class DirectoryState:
+    """The state of one directory. `records` are in the order of their sequence numbers."""
 
-    store: bytes | None = None
-    mark: Mark | None = None
-    headers: list[Header] = field(default_factory=list)
+    store_id: bytes | None = None
+    mark: HighWaterMark | None = None
+    headers: list[SegmentHeader] = field(default_factory=list)
     records: list[Record] = field(default_factory=list)
-    last: int = 0  # the last sequence number
+    last_seq: int = 0  # the last sequence number
     torn: bool = False
     lost: list[str] = field(default_factory=list)
     damaged: list[str] = field(default_factory=list)
-    salvaged: list[Record] = field(default_factory=list)  # readable behind damage
-    extra: list[str] = field(default_factory=list)
-    number: int = 0  # the highest of any segment's that was seen
-    turn: int = 0
+    salvaged: list[Record] = field(default_factory=list)  # records that are readable behind damage
+    unused_files: list[str] = field(default_factory=list)  # files that hold nothing valid
+    highest_segment: int = 0  # the highest number of any segment file
+    highest_compaction: int = 0
 
     @property
     def empty(self) -> bool:
-        return self.store is None and self.mark is None and not self.lost and not self.damaged
+        return self.store_id is None and self.mark is None and not self.lost and not self.damaged
 
 
-def look(files: Mapping[str, bytes]) -> Found:
-    """What the files of one directory, by name, amount to. A FormatError names a file of the future."""
-    found = Found()
-    both = [marks.read(files[name]) for name in marks.NAMES if name in files]
-    found.mark = max((m for m in both if m is not None), key=lambda m: m.generation, default=None)
-    scans: dict[str, Scan] = {}
+def inspect_directory(files: Mapping[str, bytes]) -> DirectoryState:
+    """Evaluate the files of one directory, by name. Raises FormatError for a file of a newer format."""
+    state = DirectoryState()
+    read_marks = [marks.decode(files[name]) for name in marks.NAMES if name in files]
+    state.mark = max((m for m in read_marks if m is not None), key=lambda m: m.generation, default=None)
+    scans: dict[str, SegmentScan] = {}
     for name in sorted(files):
-        match = NAME.match(name)
+        match = SEGMENT_NAME.match(name)
         if match is None:
-            if name not in (*marks.NAMES, clocks.NAME, clocks.MAKING):
-                found.extra.append(name)
+            if name not in (*marks.NAMES, clocks.FILE_NAME, clocks.TEMPORARY_NAME):
+                state.unused_files.append(name)
             continue
-        number, _, turn = (int(n) for n in match.groups())
-        found.number, found.turn = max(found.number, number), max(found.turn, turn)
+        number, _, compaction = (int(n) for n in match.groups())
+        state.highest_segment, state.highest_compaction = (
+            max(state.highest_segment, number),
+            max(state.highest_compaction, compaction),
+        )
         try:
-            scans[name] = scan(files[name])
+            scans[name] = scan_segment(files[name])
         except FormatError as error:
             raise FormatError(f"{name}: {error}") from None
-    chosen = _choose(found, scans)
-    _chain(found, chosen, scans)
-    if found.mark is not None:
-        found.store = found.store or found.mark.store
-        if found.mark.acked > found.last:
-            found.lost.append(f"{found.mark.acked} was acknowledged, and the log ends at {found.last}")
-    elif found.headers and found.last:
-        # Both marks are gone: nothing tells where the log ended.
-        found.lost.append("both marks are gone: nothing tells what was acknowledged")
-    return found
-
-
-def _choose(found: Found, scans: dict[str, Scan]) -> list[str]:
-    """The segments that count, in their order; the others are of no use."""
+    chosen = _select_segments(state, scans)
+    _read_segments(state, chosen, scans)
+    if state.mark is not None:
+        state.store_id = state.store_id or state.mark.store_id
+        if state.mark.acked > state.last_seq:
+            state.lost.append(f"{state.mark.acked} was acknowledged, but the log ends at {state.last_seq}")
+    elif state.headers and state.last_seq:
+        # Without a mark the end of the log is unknown.
+        state.lost.append("both marks are missing: the last acknowledged record is unknown")
+    return state
+
+
+def _select_segments(state: DirectoryState, scans: dict[str, SegmentScan]) -> list[str]:
+    """The valid segments, in order; the others are added to `unused_files`."""
     ranges: dict[str, tuple[int, int, int]] = {}
     for name in scans:
-        match = NAME.match(name)
+        match = SEGMENT_NAME.match(name)
         assert match is not None
-        number, covers, turn = (int(n) for n in match.groups())
-        ranges[name] = (number, covers, turn)
-    whole = [
-        n for n, (_, _, turn) in ranges.items() if turn and scans[n].ended and scans[n].header is not None
+        number, covers_from, compaction = (int(n) for n in match.groups())
+        ranges[name] = (number, covers_from, compaction)
+    complete = [
+        n
+        for n, (_, _, turn) in ranges.items()
+        if turn and scans[n].has_end_record and scans[n].header is not None
     ]
-    gone = set()
-    for name in whole:
-        number, covers, turn = ranges[name]
+    replaced = set()
+    for name in complete:
+        number, covers_from, compaction = ranges[name]
         for other, (o_number, o_covers, o_turn) in ranges.items():
-            if other != name and covers <= o_covers and o_number <= number and o_turn < turn:
-                gone.add(other)
-    found.extra += sorted(gone)
-    chosen = sorted((n for n in scans if n not in gone), key=lambda n: ranges[n][:2])
-    # A compacted one that is not whole beside those that it stands for: its making was cut off.
+            if other != name and covers_from <= o_covers and o_number <= number and o_turn < compaction:
+                replaced.add(other)
+    state.unused_files += sorted(replaced)
+    chosen = sorted((n for n in scans if n not in replaced), key=lambda n: ranges[n][:2])
+    # An incomplete compacted segment beside those it would replace: the compaction was interrupted.
     for name in list(chosen):
-        number, covers, turn = ranges[name]
-        if turn and name not in whole:
-            under = [n for n in chosen if n != name and covers <= ranges[n][1] and ranges[n][0] <= number]
-            if under:
+        number, covers_from, compaction = ranges[name]
+        if compaction and name not in complete:
+            covered = [
+                n for n in chosen if n != name and covers_from <= ranges[n][1] and ranges[n][0] <= number
+            ]
+            if covered:
                 chosen.remove(name)
-                found.extra.append(name)
+                state.unused_files.append(name)
     return chosen
 
 
-def _chain(found: Found, chosen: list[str], scans: dict[str, Scan]) -> None:
-    """Read the segments one after the other, and see whether any is missing between."""
-    following: int | None = None
-    expected: int | None = None
+def _read_segments(state: DirectoryState, chosen: list[str], scans: dict[str, SegmentScan]) -> None:
+    """Collect the records of the segments in order, and detect gaps between them."""
+    next_number: int | None = None
+    next_seq: int | None = None
     for i, name in enumerate(chosen):
-        final, read = i == len(chosen) - 1, scans[name]
-        match = NAME.match(name)
+        final, segment = i == len(chosen) - 1, scans[name]
+        match = SEGMENT_NAME.match(name)
         assert match is not None
-        number, covers, turn = (int(n) for n in match.groups())
-        if following is not None and covers != following:
-            found.damaged.append(f"segments {following} to {covers - 1} are missing before {name}")
-        following = number + 1
-        if read.header is None:
-            if final and not turn:
-                found.torn = True  # it was being made; if it held anything acknowledged, the mark tells
-                found.extra.append(name)
-            elif read.size < HEADER_SIZE:
-                found.lost.append(f"{name}: ends at byte {read.size}, within its header")
+        number, covers_from, compaction = (int(n) for n in match.groups())
+        if next_number is not None and covers_from != next_number:
+            state.damaged.append(f"segments {next_number} to {covers_from - 1} are missing before {name}")
+        next_number = number + 1
+        if segment.header is None:
+            if final and not compaction:
+                state.torn = (
+                    True  # it was being created; the mark shows whether it held anything acknowledged
+                )
+                state.unused_files.append(name)
+            elif segment.size < HEADER_SIZE:
+                state.lost.append(f"{name}: ends at byte {segment.size}, within its header")
             else:
-                found.damaged.append(f"{name}: its header can't be read")
+                state.damaged.append(f"{name}: its header can't be read")
             continue
-        header = read.header
-        if found.store is not None and header.store != found.store:
-            found.damaged.append(f"{name}: is of another store")
+        header = segment.header
+        if state.store_id is not None and header.store_id != state.store_id:
+            state.damaged.append(f"{name}: is of another store")
             continue
-        found.store = header.store
-        found.headers.append(header)
-        if expected is not None and header.first > expected and not turn and not found.lost:
-            found.lost.append(f"{name}: begins at {header.first}, the one before ends at {expected - 1}")
-        found.records += read.records
-        found.last = max(found.last, read.last, header.first - 1)
-        expected = found.last + 1
-        if read.after:
-            found.damaged.append(
-                f"{name}: byte {read.good} can't be read, and {len(read.after)} records behind it can"
+        state.store_id = header.store_id
+        state.headers.append(header)
+        if next_seq is not None and header.first_seq > next_seq and not compaction and not state.lost:
+            state.lost.append(f"{name}: begins at {header.first_seq}, the one before ends at {next_seq - 1}")
+        state.records += segment.records
+        state.last_seq = max(state.last_seq, segment.last_seq, header.first_seq - 1)
+        next_seq = state.last_seq + 1
+        if segment.records_after_damage:
+            state.damaged.append(
+                f"{name}: byte {segment.readable_end} can't be read, and"
+                f" {len(segment.records_after_damage)} records behind it can"
             )
-            found.salvaged += read.after
-        elif read.torn or (turn and not read.ended):
-            if final and not turn:
-                found.torn = True
-            elif read.cut or not read.torn:
-                found.lost.append(f"{name}: ends at byte {read.good}, before its last record")
+            state.salvaged += segment.records_after_damage
+        elif segment.torn or (compaction and not segment.has_end_record):
+            if final and not compaction:
+                state.torn = True
+            elif segment.truncated or not segment.torn:
+                state.lost.append(f"{name}: ends at byte {segment.readable_end}, before its last record")
             else:
-                found.damaged.append(
-                    f"{name}: byte {read.good} can't be read, and there are segments behind it"
+                state.damaged.append(
+                    f"{name}: byte {segment.readable_end} can't be read, and there are segments behind it"
                 )
-    if found.mark is not None:
-        there = {h.number for h in found.headers}
-        for number in found.mark.segments:
-            if number not in there and not any(h.covers <= number <= h.number for h in found.headers):
-                found.lost.append(f"segment {number} is gone")
-    elif found.headers and found.headers[0].covers != 1:
-        found.damaged.append(f"segments before {found.headers[0].covers} are missing")
+    if state.mark is not None:
+        present = {h.number for h in state.headers}
+        for number in state.mark.segments:
+            if number not in present and not any(h.covers_from <= number <= h.number for h in state.headers):
+                state.lost.append(f"segment {number} is missing")
+    elif state.headers and state.headers[0].covers_from != 1:
+        state.damaged.append(f"segments before {state.headers[0].covers_from} are missing")
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -1,13 +1,13 @@
-"""The store: appends that are durable when they return, an index in memory, compaction in steps, recovery.
+"""The store: durable appends, an index in memory, incremental compaction, and recovery after a crash.
 
-One thread at a time uses it; `writer` lets many wait for one sync. Two directories (`mirrors`) hold two
-copies, so that the loss of any one file loses nothing. With one, a lost tail is noticed and answered safely:
-a key that can't be proven unsent is `UNPROVEN` until the window of everything that may have been lost has
-passed.
+It is not thread-safe; `writer` lets many callers share one sync. With two directories (`mirrors`) every file
+has a copy, so that the loss of any single file loses no data. With one directory, a lost tail is detected and
+handled safely: a key that can't be proven unsent is `UNPROVEN` until the windows of all records that may have
+been lost have passed.
 
-After a write or sync that failed nothing is appended: what the files then hold is not known, also where they
-read well, as pages of a failed sync count as clean. `recover` writes all that was acknowledged to new files,
-in place of these; until that has succeeded nothing more is acknowledged.
+After a failed write or sync nothing is appended to the same files: their contents are unknown even if they
+can be read, since the kernel marks the pages of a failed sync as clean. `recover` writes all acknowledged
+records to new files that replace these; until it has succeeded nothing is acknowledged.
 """
 
 from __future__ import annotations
@@ -21,60 +21,69 @@
 
 from millgw.store import clock as clocks
 from millgw.store import mark as marks
-from millgw.store.clock import Clock
-from millgw.store.files import Directory, Files, Handle
-from millgw.store.mark import Mark
-from millgw.store.record import DELETE, END, PUT, FormatError, Header, Record, word, word_header
-from millgw.store.recovery import Found, look, name_of
-
-MAKING = "compact.new"
-DEAD_MOST = 0.5  # of the log's records that may be dead before compaction is worth its while
-DEAD_LEAST = 1000  # records under which it is not
+from millgw.store.clock import ClockOffset
+from millgw.store.files import DirectoryContents, Files, Handle
+from millgw.store.mark import HighWaterMark
+from millgw.store.record import (
+    DELETE,
+    END,
+    PUT,
+    FormatError,
+    Record,
+    SegmentHeader,
+    encode_header,
+    encode_record,
+)
+from millgw.store.recovery import DirectoryState, inspect_directory, segment_file_name
+
+COMPACTION_FILE = "compact.new"
+MAX_DEAD_SHARE = 0.5  # of the log's records: a larger share of dead ones makes compaction worthwhile
+MIN_DEAD_RECORDS = 1000  # records; with fewer dead ones it is not worthwhile
 STEP = 64 * 1024  # bytes that one step of a compaction writes
-SYNCED = 1024 * 1024  # bytes of it that wait for a sync at the most: one for all would hold up an append
+MAX_UNSYNCED_BYTES = 1024 * 1024  # of a compaction: a single sync of all of it would delay an append
 
 
 class StoreError(OSError):
-    """The store can't be used, or not any more; the text says why."""
+    """The store can't be used, or no longer; the message says why."""
 
 
 class StoreDamaged(StoreError):
-    """Something can't be read and there is no other copy of it. `places` say where; `good` records can."""
+    """Data is unreadable and has no other copy. `places` name it; `readable` counts the readable records."""
 
     def __init__(self, places: Sequence[str], good: int) -> None:
         super().__init__(f"{'; '.join(places)}; {good} records can be read (store repair salvages them)")
         self.places = list(places)
-        self.good = good
+        self.readable = good
 
 
 class StoreFailed(StoreError):
-    """A write or a sync has failed: nothing more is acknowledged until the store has recovered."""
+    """A write or sync has failed: nothing is acknowledged until the store has recovered."""
 
 
 class StoreFull(StoreError):
-    """It holds as many keys as it may."""
+    """The store holds the maximum number of keys."""
 
 
 class Standing(Enum):
-    """What is known of a key."""
+    """What the store can prove about a key."""
 
     SENT = "sent"
     UNSENT = "unsent"
-    UNPROVEN = "unproven"  # records were lost that may have held it
+    UNPROVEN = "unproven"  # records that may have held the key were lost
 
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """`window` (ms) is the longest time that any entry is kept for; `most` bounds the keys held."""
+    """`window` (ms) is the longest lifetime of an entry; `most` is the maximum number of keys."""
 
     window: float = 24 * 3_600_000.0
-    segment: int = 16 * 2**20
+    segment_bytes: int = 16 * 2**20  # size at which a new segment is started
     most: int = 20_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """What stands under a key. `expires` in Unix ms, 0 for never."""
+    """The current value of a key. `expires` is in Unix ms, 0 for never."""
 
     seq: int
     value: bytes
@@ -83,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Item:
-    """What is to be written: a value under a key, or (None) that there is none any more."""
+    """A write: a value for a key, or the deletion of the key (None). `expires` is in Unix ms, 0 for never."""
 
     key: bytes
     value: bytes | None = b""
@@ -91,110 +100,110 @@
 
 
 class Store:
-    """An open store. `wall` and `tick` are Unix and monotonic time in ms; `boot` names the machine's run, on
-    which the monotonic clock is one (16 bytes, empty where that is not known).
+    """An open store. `wall_clock` and `monotonic_clock` return Unix and monotonic time in ms. The boot id (16
+    bytes, empty if unknown) identifies the machine's boot, within which monotonic times are comparable.
     """
 
     def __init__(
         self,
         mirrors: Sequence[Files],
         options: Options,
-        wall: Callable[[], float],
-        tick: Callable[[], float],
+        wall_clock: Callable[[], float],
+        monotonic_clock: Callable[[], float],
         repair: bool = False,
-        id: bytes = b"",
+        new_store_id: bytes = b"",
         boot: bytes = b"",
     ) -> None:
-        """Open it, and recover what there is; a StoreError or FormatError tells why that can't be."""
+        """Open the store and load its contents. Raises StoreError or FormatError if that is impossible."""
         self.mirrors = list(mirrors)
         self.options = options
-        self.wall = wall
-        self.tick = tick
-        self.boot = boot
+        self.wall_clock = wall_clock
+        self.monotonic_clock = monotonic_clock
+        self.boot_id = boot
         self.index: dict[bytes, Entry] = {}
         self.expiry: list[tuple[int, bytes]] = []
-        self.failed: OSError | None = None
-        self.handles: list[Handle] = []
-        self.marks: list[list[Handle]] = []
-        self.size = 0  # bytes of the segment that is appended to
-        self.records = 0  # in the log, dead ones among them
-        self.marked = 0  # the generation of the last mark that is durable
-        self.notes: list[str] = []  # what recovery found, in words
+        self.failure: OSError | None = None
+        self.segment_handles: list[Handle] = []
+        self.mark_handles: list[list[Handle]] = []
+        self.segment_size = 0  # bytes of records in the current segment
+        self.record_count = 0  # in the log, including dead ones
+        self.durable_generation = 0  # of the last durable mark
+        self.notes: list[str] = []  # what recovery found, for operators
         self.compacting: Compaction | None = None
         try:
             for files in self.mirrors:
                 files.lock()
-            self._recover(repair, id or os.urandom(16))
+            self._load(repair, new_store_id or os.urandom(16))
         except BaseException:
             self._release()
             raise
 
     # Recovery
 
-    def _recover(self, repair: bool, id: bytes) -> None:
-        found = [self._look(files) for files in self.mirrors]
-        known = [f for f in found if not f.empty]
-        if len({f.store for f in known if f.store is not None}) > 1:
-            raise StoreError("its copies are of different stores")
-        read = [f.mark for f in known if f.mark is not None]
-        acked = max((m.acked for m in read), default=0)
-        whole = [f for f in known if not f.damaged and not f.lost and f.last >= acked]
-        lost = bool(known) and not whole
+    def _load(self, repair: bool, new_store_id: bytes) -> None:
+        found = [self._inspect(files) for files in self.mirrors]
+        non_empty = [f for f in found if not f.empty]
+        if len({f.store_id for f in non_empty if f.store_id is not None}) > 1:
+            raise StoreError("its directories belong to different stores")
+        read_marks = [f.mark for f in non_empty if f.mark is not None]
+        acked = max((m.acked for m in read_marks), default=0)
+        intact = [f for f in non_empty if not f.damaged and not f.lost and f.last_seq >= acked]
+        lost = bool(non_empty) and not intact
         if lost:
-            readable = [f for f in known if not f.damaged]
-            places = [place for f in known for place in f.damaged]
+            readable = [f for f in non_empty if not f.damaged]
+            places = [place for f in non_empty for place in f.damaged]
             if not readable and not repair:
-                raise StoreDamaged(places, sum(len(f.records) + len(f.salvaged) for f in known))
-            chosen = known if repair else readable
+                raise StoreDamaged(places, sum(len(f.records) + len(f.salvaged) for f in non_empty))
+            chosen = non_empty if repair else readable
             self.notes += places + [place for f in chosen for place in f.lost]
         else:
-            chosen = whole[:1]
-            self.notes += [place for f in known for place in (*f.damaged, *f.lost)]
-        self.began = self.tick()
-        self.latest = max([self._time_since_last_open(), *(m.wall for m in read)])
-        self.unproven = max((m.unproven for m in read), default=0)
+            chosen = intact[:1]
+            self.notes += [place for f in non_empty for place in (*f.damaged, *f.lost)]
+        self.monotonic_at_open = self.monotonic_clock()
+        self.time_at_open = max([self._current_time_at_open(), *(m.time for m in read_marks)])
+        self.unproven = max((m.unproven_until for m in read_marks), default=0)
         if lost:
             self.unproven = max(self.unproven, int(self.now() + self.options.window) + 1)
-            self.notes.append("keys that are not known count as sent until their window has passed")
+            self.notes.append("unknown keys count as sent until their window has passed")
         by_seq = {r.seq: r for f in chosen for r in (*f.records, *f.salvaged)}
         for seq in sorted(by_seq):
-            self._index(by_seq[seq])
-        self.records = len(by_seq)
-        self.last = max([acked, *(f.last for f in known)], default=0)
-        self.store = next((f.store for f in known if f.store is not None), id)
-        self.generation = self.marked = max((m.generation for m in read), default=0)
-        self.number = max((f.number for f in found), default=0)
-        self.turn = max((f.turn for f in found), default=0)
-        self.segments = [h.number for f in chosen[:1] for h in f.headers]
+            self._apply(by_seq[seq])
+        self.record_count = len(by_seq)
+        self.last_seq = max([acked, *(f.last_seq for f in non_empty)], default=0)
+        self.store_id = next((f.store_id for f in non_empty if f.store_id is not None), new_store_id)
+        self.generation = self.durable_generation = max((m.generation for m in read_marks), default=0)
+        self.segment_number = max((f.highest_segment for f in found), default=0)
+        self.compaction_number = max((f.highest_compaction for f in found), default=0)
+        self.segment_numbers = [h.number for f in chosen[:1] for h in f.headers]
         self.covers = 1
-        alike = all(
-            (f.store, f.last, f.headers, f.mark is not None)
-            == (found[0].store, found[0].last, found[0].headers, True)
+        identical = all(
+            (f.store_id, f.last_seq, f.headers, f.mark is not None)
+            == (found[0].store_id, found[0].last_seq, found[0].headers, True)
             for f in found
         )
-        clean = alike and not any(f.torn or f.extra or f.lost or f.damaged for f in found)
+        clean = identical and not any(f.torn or f.unused_files or f.lost or f.damaged for f in found)
         for files in self.mirrors:
-            self.marks.append([files.open(name) for name in marks.NAMES])
+            self.mark_handles.append([files.open(name) for name in marks.NAMES])
         try:
-            if known and not clean:
+            if non_empty and not clean:
                 self._rewrite()
-            self._roll()
-            if self.boot:
-                self._keep_clock()
+            self._start_segment()
+            if self.boot_id:
+                self._save_clock()
         except OSError as error:
-            raise StoreFailed(f"it could not be written as it was opened: {error}") from error
+            raise StoreFailed(f"writing failed while it was opened: {error}") from error
 
     @staticmethod
-    def _look(files: Files) -> Found:
+    def _inspect(files: Files) -> DirectoryState:
         try:
-            return look(Directory(files))
+            return inspect_directory(DirectoryContents(files))
         except FormatError as error:
             raise StoreError(str(error)) from error
         except OSError as error:
-            return Found(damaged=[f"a file can't be read: {error}"])
+            return DirectoryState(damaged=[f"a file can't be read: {error}"])
 
-    def _index(self, record: Record) -> None:
-        # Taken out first: so the index stands in the order of the sequence numbers.
+    def _apply(self, record: Record) -> None:
+        # Removed first, so that the index stays in the order of sequence numbers.
         self.index.pop(record.key, None)
         if record.kind == DELETE or (record.expires and record.expires <= self.now()):
             return
@@ -203,9 +212,9 @@
             heapq.heappush(self.expiry, (record.expires, record.key))
 
     def _rewrite(self) -> None:
-        """All that is known into one segment, in the place of all there were."""
-        self.compacting = Compaction(self, self.number + 1)
-        self.number += 1
+        """Write the whole index to one segment that replaces all others."""
+        self.compacting = Compaction(self, self.segment_number + 1)
+        self.segment_number += 1
         while not self.compacting.step(STEP):
             pass
         self.compacting = None
@@ -213,35 +222,35 @@
     # Time
 
     def now(self) -> float:
-        """Unix ms as they were when it was first opened since the machine's boot, and what has passed since.
+        """The store's time: Unix ms at its first opening since the machine's boot, plus the time since then.
 
-        It never goes back, across restarts too: a window that was open stays open. The wall clock is asked
-        once after a boot: a step forward would end every window early.
+        It never goes back, not even across restarts, so no closed window opens again. The wall clock is read
+        only once per boot: a step forward would end every window early.
         """
-        return self.latest + self.tick() - self.began
+        return self.time_at_open + self.monotonic_clock() - self.monotonic_at_open
 
-    def _time_since_last_open(self) -> float:
-        """Unix ms now, by the monotonic clock where the machine still runs that it was open on before."""
+    def _current_time_at_open(self) -> float:
+        """Unix ms now: by the monotonic clock if it was open before in this boot, else by the wall clock."""
         offsets = []
         for files in self.mirrors:
             with suppress(OSError):
-                kept = clocks.read(files.read(clocks.NAME))
-                if kept is not None and kept.boot == self.boot:
-                    offsets.append(kept.offset)
-        return self.began + min(offsets) if offsets else self.wall()
-
-    def _keep_clock(self) -> None:
-        """Have the next process on this run of the machine go on with this one's time."""
-        made = clocks.word(Clock(self.boot, self.latest - self.began))
+                saved = clocks.decode(files.read(clocks.FILE_NAME))
+                if saved is not None and saved.boot_id == self.boot_id:
+                    offsets.append(saved.offset)
+        return self.monotonic_at_open + min(offsets) if offsets else self.wall_clock()
+
+    def _save_clock(self) -> None:
+        """Save the clock offset, so that the next process in this boot continues with the same time."""
+        encoded = clocks.encode(ClockOffset(self.boot_id, self.time_at_open - self.monotonic_at_open))
         for files in self.mirrors:
-            handle = files.create(clocks.MAKING)
+            handle = files.create(clocks.TEMPORARY_NAME)
             try:
-                handle.write(made)
+                handle.write(encoded)
                 handle.sync()
             finally:
                 handle.close()
-            files.rename(clocks.MAKING, clocks.NAME)
-            files.sync_names()
+            files.rename(clocks.TEMPORARY_NAME, clocks.FILE_NAME)
+            files.sync_directory()
 
     # Reading
 
@@ -250,14 +259,14 @@
         return None if entry is None or (entry.expires and entry.expires <= self.now()) else entry
 
     def standing(self, key: bytes) -> Standing:
-        """Whether a key was written, as far as that can be proven."""
+        """Whether a key was written, as far as can be proven."""
         if self.get(key) is not None:
             return Standing.SENT
         return Standing.UNPROVEN if self.now() < self.unproven else Standing.UNSENT
 
     def entries(self, after: int = 0) -> Iterator[tuple[bytes, Entry]]:
-        """What stands now with sequence numbers over `after`, in their order: a snapshot."""
-        # One copy, in one step: what is asked of the store meanwhile waits for no pass over all of it.
+        """A snapshot of the entries with sequence numbers above `after`, in order."""
+        # Copied in one step, so that other uses of the store need not wait for a pass over all entries.
         for key, entry in list(self.index.items()):
             if entry.seq > after:
                 yield key, entry
@@ -265,76 +274,76 @@
     # Writing
 
     def append(self, items: Sequence[Item]) -> int:
-        """Write; durable when this returns. The last sequence number."""
-        if self.failed is not None:
-            raise StoreFailed(f"it has failed: {self.failed}")
-        self._expire()
+        """Write items durably; returns the last sequence number."""
+        if self.failure is not None:
+            raise StoreFailed(f"it has failed: {self.failure}")
+        self._remove_expired()
         if len(self.index) + sum(x.value is not None for x in items) > self.options.most:
-            raise StoreFull(f"it holds {len(self.index)} keys of {self.options.most}")
-        records = self._records(items)
-        data = b"".join(word(r) for r in records)
+            raise StoreFull(f"it holds {len(self.index)} keys of at most {self.options.most}")
+        records = self._to_records(items)
+        data = b"".join(encode_record(r) for r in records)
         try:
-            for handle in self.handles:
+            for handle in self.segment_handles:
                 handle.write(data)
-            for handle in self.handles:
+            for handle in self.segment_handles:
                 handle.sync()
-            self.last += len(records)
-            self._mark()
-            self.size += len(data)
+            self.last_seq += len(records)
+            self._write_mark()
+            self.segment_size += len(data)
             for record in records:
-                self._index(record)
-            self.records += len(records)
-            if self.size >= self.options.segment:
-                self._roll()
+                self._apply(record)
+            self.record_count += len(records)
+            if self.segment_size >= self.options.segment_bytes:
+                self._start_segment()
         except OSError as error:
-            self.failed = error
+            self.failure = error
             raise StoreFailed(f"a write failed: {error}") from error
-        return self.last
+        return self.last_seq
 
-    def _records(self, items: Sequence[Item]) -> list[Record]:
-        """The items with the sequence numbers that come next."""
+    def _to_records(self, items: Sequence[Item]) -> list[Record]:
+        """Records of the items, with the next sequence numbers."""
         return [
-            Record(self.last + i, DELETE if x.value is None else PUT, x.key, x.value or b"", x.expires)
+            Record(self.last_seq + i, DELETE if x.value is None else PUT, x.key, x.value or b"", x.expires)
             for i, x in enumerate(items, 1)
         ]
 
-    def _mark(self) -> None:
-        """Make durable what is acknowledged from now on."""
+    def _write_mark(self) -> None:
+        """Write and sync a mark with the current last sequence number."""
         self.generation += 1
-        if self.generation % 2 == self.marked % 2:
-            self.generation += 1  # the last durable mark stays until this one is
-        made = marks.word(
-            Mark(
+        if self.generation % 2 == self.durable_generation % 2:
+            self.generation += 1  # never overwrite the last durable mark
+        encoded = marks.encode(
+            HighWaterMark(
                 self.generation,
-                self.store,
-                self.last,
+                self.store_id,
+                self.last_seq,
                 int(self.now()),
                 int(self.unproven),
-                tuple(self.segments),
+                tuple(self.segment_numbers),
             )
         )
-        for pair in self.marks:
-            pair[self.generation % 2].put(made)
-        for pair in self.marks:
+        for pair in self.mark_handles:
+            pair[self.generation % 2].overwrite(encoded)
+        for pair in self.mark_handles:
             pair[self.generation % 2].sync()
-        self.marked = self.generation
+        self.durable_generation = self.generation
 
-    def _roll(self) -> None:
-        """Append to a new segment from now on."""
-        self.number += 1
-        header = Header(self.store, self.number, self.number, 0, self.last + 1)
-        close_all(self.handles)  # all in them is durable
+    def _start_segment(self) -> None:
+        """Start a new segment for further appends."""
+        self.segment_number += 1
+        header = SegmentHeader(self.store_id, self.segment_number, self.segment_number, 0, self.last_seq + 1)
+        close_all(self.segment_handles)  # their contents are durable
         for files in self.mirrors:
-            handle = files.create(name_of(header))
-            self.handles.append(handle)
-            handle.write(word_header(header))
+            handle = files.create(segment_file_name(header))
+            self.segment_handles.append(handle)
+            handle.write(encode_header(header))
             handle.sync()
-            files.sync_names()
-        self.segments.append(self.number)
-        self.size = 0
-        self._mark()
+            files.sync_directory()
+        self.segment_numbers.append(self.segment_number)
+        self.segment_size = 0
+        self._write_mark()
 
-    def _expire(self) -> None:
+    def _remove_expired(self) -> None:
         now = self.now()
         while self.expiry and self.expiry[0][0] <= now:
             at, key = heapq.heappop(self.expiry)
@@ -345,23 +354,23 @@
     # Compaction
 
     def wants_compaction(self) -> bool:
-        dead = self.records - len(self.index)
-        return self.compacting is None and dead > max(DEAD_LEAST, DEAD_MOST * self.records)
+        dead = self.record_count - len(self.index)
+        return self.compacting is None and dead > max(MIN_DEAD_RECORDS, MAX_DEAD_SHARE * self.record_count)
 
-    def compact(self, budget: int = STEP) -> bool:
-        """One step of at most so many bytes (a record more); tells whether the compaction is done."""
-        if self.failed is not None:
-            raise StoreFailed(f"it has failed: {self.failed}")
+    def compact(self, max_bytes: int = STEP) -> bool:
+        """Write about `max_bytes` more of a compaction, up to a record over; returns whether it is done."""
+        if self.failure is not None:
+            raise StoreFailed(f"it has failed: {self.failure}")
         try:
             if self.compacting is None:
-                upto = self.number
-                self._expire()
-                made = Compaction(self, upto)
-                self._roll()
-                self.compacting = made
-            done = self.compacting.step(budget)
+                last_segment = self.segment_number
+                self._remove_expired()
+                compaction = Compaction(self, last_segment)
+                self._start_segment()
+                self.compacting = compaction
+            done = self.compacting.step(max_bytes)
         except OSError as error:
-            self.failed = error
+            self.failure = error
             raise StoreFailed(f"a compaction failed: {error}") from error
         if done:
             self.compacting = None
@@ -369,103 +378,103 @@
 
     # After a failure
 
-    def recover(self, owed: Sequence[Item] = ()) -> None:
-        """Write all that was acknowledged to new files, and append to these from now on.
+    def recover(self, unwritten: Sequence[Item] = ()) -> None:
+        """Write all acknowledged records to new files, and append to those from now on.
 
-        `owed` was acknowledged before it was written. Takes as long as writing the whole index. A StoreFailed
-        tells that the disks don't take it yet.
+        `unwritten` items were acknowledged before they were written. Takes as long as writing the whole
+        index. Raises StoreFailed while the disks still fail.
         """
-        if self.failed is None:
+        if self.failure is None:
             return
         try:
-            self._let_files_go()
-            for record in self._records(owed):
-                self._index(record)
-            self.last += len(owed)
+            self._close_segments()
+            for record in self._to_records(unwritten):
+                self._apply(record)
+            self.last_seq += len(unwritten)
             self._rewrite()
-            self._roll()
+            self._start_segment()
         except OSError as error:
-            self.failed = error
+            self.failure = error
             self._remove_unfinished()
             raise StoreFailed(f"a recovery failed: {error}") from error
-        self.failed = None
+        self.failure = None
 
-    def _let_files_go(self) -> None:
-        """Nothing is written any more to what stood open at a failure."""
-        close_all(self.handles)
+    def _close_segments(self) -> None:
+        """Close the current segment and abandon a compaction in progress."""
+        close_all(self.segment_handles)
         if self.compacting is not None:
             close_all(self.compacting.handles)
             self.compacting = None
 
     def _remove_unfinished(self) -> None:
-        """Give back the room that a recovery took which failed."""
+        """Free the disk space that a failed recovery has used."""
         for files in self.mirrors:
             with suppress(OSError):
-                if MAKING in files.names():
-                    files.remove(MAKING)
+                if COMPACTION_FILE in files.names():
+                    files.remove(COMPACTION_FILE)
 
     def close(self) -> None:
-        """Let it go; all that was acknowledged is durable already."""
+        """Close the files; everything acknowledged is already durable."""
         self._release()
 
     def _release(self) -> None:
-        self._let_files_go()
-        for pair in self.marks:
+        self._close_segments()
+        for pair in self.mark_handles:
             close_all(pair)
-        self.marks = []
+        self.mark_handles = []
         for files in self.mirrors:
             files.close()
 
 
 def close_all(handles: list[Handle]) -> None:
-    """Close and forget them: none may be closed twice, as its descriptor may be another's by then."""
+    """Close and drop the handles: a second close could hit a descriptor that was reused for another file."""
     while handles:
         with suppress(OSError):
             handles.pop().close()
 
 
 class Compaction:
-    """The segments up to `upto` made into one, in steps; until it has its name the old ones count."""
+    """Merges the segments up to `last_segment` into one, in steps; the old ones count until the rename."""
 
-    def __init__(self, store: Store, upto: int) -> None:
+    def __init__(self, store: Store, last_segment: int) -> None:
         self.store = store
-        self.replaced = [n for n in store.segments if n <= upto]
-        store.turn += 1
-        self.last = store.last
-        self.rest = iter([*store.index.items()])  # of this moment: what comes later is in later segments
-        self.header = Header(store.store, upto, 1, store.turn, 1)
-        self.before = store.records
-        self.count = 0
-        self.unsynced = 0
+        self.replaced = [n for n in store.segment_numbers if n <= last_segment]
+        store.compaction_number += 1
+        self.last_seq = store.last_seq
+        self.remaining = iter([*store.index.items()])  # a snapshot: later records go to later segments
+        self.header = SegmentHeader(store.store_id, last_segment, 1, store.compaction_number, 1)
+        self.records_before = store.record_count
+        self.records_written = 0
+        self.unsynced_bytes = 0
         self.handles: list[Handle] = []
         try:
             for files in store.mirrors:
-                self.handles.append(files.create(MAKING))
+                self.handles.append(files.create(COMPACTION_FILE))
             for handle in self.handles:
-                handle.write(word_header(self.header))
+                handle.write(encode_header(self.header))
         except OSError:
             close_all(self.handles)
             raise
 
-    def step(self, budget: int) -> bool:
-        """Write on; True once it stands in the place of the old ones."""
+    def step(self, max_bytes: int) -> bool:
+        """Write the next records; returns True once the new segment has replaced the old ones."""
         parts, size = [], 0
-        for key, entry in self.rest:
-            parts.append(word(Record(entry.seq, PUT, key, entry.value, entry.expires)))
+        for key, entry in self.remaining:
+            parts.append(encode_record(Record(entry.seq, PUT, key, entry.value, entry.expires)))
             size += len(parts[-1])
-            if size >= budget:
+            if size >= max_bytes:
                 break
-        self.count += len(parts)
+        self.records_written += len(parts)
         data = b"".join(parts)
-        self.unsynced += len(data)
+        self.unsynced_bytes += len(data)
         for handle in self.handles:
             if data:
                 handle.write(data)
-        if self.unsynced >= SYNCED:
+        if self.unsynced_bytes >= MAX_UNSYNCED_BYTES:
             for handle in self.handles:
                 handle.sync()
-            self.unsynced = 0
-        if size >= budget:
+            self.unsynced_bytes = 0
+        if size >= max_bytes:
             return False
         self._finish()
         return True
@@ -473,19 +482,23 @@
     def _finish(self) -> None:
         store = self.store
         for handle in self.handles:
-            handle.write(word(Record(self.last, END, b"")))
+            handle.write(encode_record(Record(self.last_seq, END, b"")))
             handle.sync()
         close_all(self.handles)
-        keep = name_of(self.header)
+        compacted_name = segment_file_name(self.header)
         for files in store.mirrors:
-            files.rename(MAKING, keep)
-            files.sync_names()
-        newer = [n for n in store.segments if n > self.header.number]
-        store.segments = [self.header.number, *newer]
-        store._mark()
+            files.rename(COMPACTION_FILE, compacted_name)
+            files.sync_directory()
+        newer = [n for n in store.segment_numbers if n > self.header.number]
+        store.segment_numbers = [self.header.number, *newer]
+        store._write_mark()
         for files in store.mirrors:
             for name in files.names():
-                if name != keep and name.startswith("seg-") and int(name[4:12]) <= self.header.number:
+                if (
+                    name != compacted_name
+                    and name.startswith("seg-")
+                    and int(name[4:12]) <= self.header.number
+                ):
                     files.remove(name)
-            files.sync_names()
-        store.records += self.count - self.before
+            files.sync_directory()
+        store.record_count += self.records_written - self.records_before
--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -1,8 +1,8 @@
-"""Many callers, one sync: appends made durable in a thread of their own; the loop waits for no disk.
+"""A writer thread that lets many callers share a sync, so that the event loop never waits for the disk.
 
-each      every record is synced by itself group     those that come while a sync is under way share the
-next one (group commit) interval  records are acknowledged at once and synced every so often: what came
-since is lost by a power cut
+each      every record is synced by itself
+group     records that arrive during a sync share the next one (group commit)
+interval  records are acknowledged at once and synced at intervals: a power cut loses those since the last
 """
 
 from __future__ import annotations
@@ -17,9 +17,12 @@
 
 from millgw.store.store import Item, Standing, Store, StoreFailed
 
-MOST = 1000  # records of one group
-IDLE_STEP = 0.005  # s between two steps of a compaction while nothing is written
-RECOVERY_LEAST, RECOVERY_MOST = 0.1, 5.0  # s between two tries to recover a store that has failed: doubled
+MAX_GROUP_RECORDS = 1000  # records written with one sync
+IDLE_COMPACTION_PAUSE = 0.005  # s between two compaction steps while nothing is written
+MIN_RECOVERY_WAIT, MAX_RECOVERY_WAIT = (
+    0.1,
+    5.0,
+)  # s between two attempts to recover a failed store; doubles
 
 
 class Sync(Enum):
@@ -29,10 +32,11 @@
 
 
 class Writer:
-    """A store in service. All methods but `close` may be called on the loop's thread; none waits.
+    """Writes to a store in its own thread. All methods but `close` may be called on the event loop's thread.
 
-    Where it takes nothing more nothing is acknowledged, and it is tried again with growing waits.
-    `recovered` is told, in the writer's thread, for how long (s) that was, and how many tries it took.
+    While the store does not accept writes nothing is acknowledged, and recovery is retried with exponential
+    backoff. After it the recovery callback is called, in the writer's thread, with the length of the outage
+    (s) and the number of attempts.
     """
 
     def __init__(
@@ -44,22 +48,22 @@
     ) -> None:
         self.store = store
         self.sync = sync
-        self.interval = interval
+        self.interval_s = interval
         self.queue: queue.SimpleQueue[tuple[Item, Future[int]] | None] = queue.SimpleQueue()
-        self.pending: set[bytes] = set()  # keys that are being written
-        self.groups = 0
-        self.owed: list[Item] = []  # acknowledged, and not written as the store has failed or is full
-        self.recovered = recovered
-        self.failed_at = 0.0  # monotonic s, where it is stuck
-        self.tries = 0  # at recovering it, since then
-        self.next_try = 0.0
+        self.pending_keys: set[bytes] = set()  # keys whose write is not durable yet
+        self.group_count = 0
+        self.unwritten: list[Item] = []  # acknowledged but not written: the store has failed or is full
+        self.on_recovered = recovered
+        self.failed_at = 0.0  # monotonic s, while it is stuck
+        self.recovery_attempts = 0  # since then
+        self.next_recovery_at = 0.0
         self.thread = threading.Thread(target=self._run, name="store", daemon=True)
         self.thread.start()
 
     def claim(self, item: Item) -> Standing | asyncio.Future[int]:
-        """Have a key written that was not before: a future that ends once that is durable, or its standing.
+        """Write a key that was not written before: a future that ends once it is durable, else its state.
 
-        Of two that claim one key at the same moment the second is told SENT.
+        Of two concurrent claims of one key, the second gets SENT.
         """
         standing = self.standing(item.key)
         if standing is not Standing.UNSENT:
@@ -67,16 +71,16 @@
         return asyncio.wrap_future(self.put(item))
 
     def standing(self, key: bytes) -> Standing:
-        """What is known of a key; one that is being written counts as sent."""
-        return Standing.SENT if key in self.pending else self.store.standing(key)
+        """What the store can prove about a key; a key that is being written counts as sent."""
+        return Standing.SENT if key in self.pending_keys else self.store.standing(key)
 
     def put(self, item: Item) -> Future[int]:
-        """Have an item written; the future holds its group's last sequence number."""
+        """Queue an item; the future yields the last sequence number of its group, or 0 with `INTERVAL`."""
         future: Future[int] = Future()
         if self.stuck:
-            future.set_exception(StoreFailed(f"it has failed: {self.store.failed or 'it is full'}"))
+            future.set_exception(StoreFailed(f"it has failed: {self.store.failure or 'it is full'}"))
             return future
-        self.pending.add(item.key)
+        self.pending_keys.add(item.key)
         if self.sync is Sync.INTERVAL:
             future.set_result(0)
             self.queue.put((item, Future()))
@@ -86,101 +90,103 @@
 
     @property
     def stuck(self) -> bool:
-        """Whether the store does not take what was to be written."""
-        return self.store.failed is not None or bool(self.owed)
+        """Whether the store does not accept writes."""
+        return self.store.failure is not None or bool(self.unwritten)
 
     def close(self) -> None:
-        """Write what was taken, and let the store go."""
+        """Write all queued items, and close the store."""
         self.queue.put(None)
         self.thread.join()
         self.store.close()
 
     def _run(self) -> None:
         while True:
-            some, ended = self._gather()
-            if some:
-                self._write(some)
-            elif not ended:
+            group, closing = self._next_group()
+            if group:
+                self._write(group)
+            elif not closing:
                 self._maintain()
-            if ended:
+            if closing:
                 return
             if self.stuck:
                 self._recover()
 
-    def _gather(self) -> tuple[list[tuple[Item, Future[int]]], bool]:
-        """Those that wait; none after a while without any."""
+    def _next_group(self) -> tuple[list[tuple[Item, Future[int]]], bool]:
+        """The items to write next, empty after an idle wait, and whether the writer is closing."""
         try:
             first = self.queue.get(timeout=self._idle_time())
         except queue.Empty:
             return [], False
         if first is None:
             return [], True
-        some = [first]
+        group = [first]
         if self.sync is Sync.EACH:
-            return some, False
+            return group, False
         if self.sync is Sync.INTERVAL:
-            time.sleep(self.interval)
-        while len(some) < MOST:
+            time.sleep(self.interval_s)
+        while len(group) < MAX_GROUP_RECORDS:
             try:
                 following = self.queue.get_nowait()
             except queue.Empty:
                 break
             if following is None:
-                return some, True
-            some.append(following)
-        return some, False
+                return group, True
+            group.append(following)
+        return group, False
 
     def _idle_time(self) -> float:
-        """How long (s) to wait for an item while there is none."""
+        """How long (s) to wait for an item."""
         if self.stuck:
-            return max(0.0, self.next_try - time.monotonic())
+            return max(0.0, self.next_recovery_at - time.monotonic())
         if self.store.compacting is not None or self.store.wants_compaction():
-            return IDLE_STEP
+            return IDLE_COMPACTION_PAUSE
         return 1.0
 
     def _recover(self) -> None:
-        """Try to have a store that is stuck write again, if it is time to."""
+        """Try to recover a stuck store, if an attempt is due."""
         now = time.monotonic()
-        if not self.tries:
+        if not self.recovery_attempts:
             self.failed_at = now
-        elif now < self.next_try:
+        elif now < self.next_recovery_at:
             return
-        self.tries += 1
+        self.recovery_attempts += 1
         try:
-            if self.store.failed is not None:
-                self.store.recover(self.owed)
+            if self.store.failure is not None:
+                self.store.recover(self.unwritten)
             else:
-                self.store.append(self.owed)
+                self.store.append(self.unwritten)
         except OSError:
-            wait = min(RECOVERY_MOST, RECOVERY_LEAST * 2.0 ** min(self.tries - 1, 30))
-            self.next_try = time.monotonic() + wait
+            wait = min(MAX_RECOVERY_WAIT, MIN_RECOVERY_WAIT * 2.0 ** min(self.recovery_attempts - 1, 30))
+            self.next_recovery_at = time.monotonic() + wait
             return
-        self.pending.difference_update(item.key for item in self.owed)
-        self.owed.clear()
-        self.recovered(time.monotonic() - self.failed_at, self.tries)
-        self.tries = 0
-
-    def _write(self, some: list[tuple[Item, Future[int]]]) -> None:
-        self.groups += 1
-        told: Callable[[Future[int]], None]
+        self.pending_keys.difference_update(item.key for item in self.unwritten)
+        self.unwritten.clear()
+        self.on_recovered(time.monotonic() - self.failed_at, self.recovery_attempts)
+        self.recovery_attempts = 0
+
+    def _write(self, group: list[tuple[Item, Future[int]]]) -> None:
+        self.group_count += 1
+        settle: Callable[[Future[int]], None]
         try:
-            last = self.store.append([item for item, _ in some])
+            last_seq = self.store.append([item for item, _ in group])
         except OSError as error:
             if self.sync is Sync.INTERVAL:
-                self.owed += [item for item, _ in some]
+                self.unwritten += [item for item, _ in group]
                 return
             failed = error
-            told = lambda future: future.set_exception(failed)  # noqa: E731
+            settle = lambda future: future.set_exception(failed)  # noqa: E731
         else:
-            told = lambda future: future.set_result(last)  # noqa: E731
-        for item, future in some:
-            self.pending.discard(item.key)
+            settle = lambda future: future.set_result(last_seq)  # noqa: E731
+        for item, future in group:
+            self.pending_keys.discard(item.key)
             if not future.cancelled():
-                told(future)
+                settle(future)
 
     def _maintain(self) -> None:
-        if self.store.failed is None and (self.store.compacting is not None or self.store.wants_compaction()):
+        if self.store.failure is None and (
+            self.store.compacting is not None or self.store.wants_compaction()
+        ):
             try:
                 self.store.compact()
             except OSError:
-                return  # the store has noted it, and tells whoever writes next
+                return  # the store keeps the failure and raises it on the next write
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,20 +20,20 @@
 
 from millgw.store import mark as marks
 from millgw.store import store as store_module
-from millgw.store.faulty import Crash, FaultyFiles, Inode, mirrored
-from millgw.store.files import Directory, Locked, RealFiles, RealHandle
+from millgw.store.faulty import Crash, FaultyFiles, Inode, faulty_mirrors
+from millgw.store.files import DirectoryContents, Locked, RealFiles, RealHandle
 from millgw.store.record import (
     HEADER_SIZE,
     PUT,
     FormatError,
-    Header,
     Record,
-    read_header,
-    scan,
-    word,
-    word_header,
+    SegmentHeader,
+    decode_header,
+    encode_header,
+    encode_record,
+    scan_segment,
 )
-from millgw.store.recovery import look
+from millgw.store.recovery import inspect_directory
 from millgw.store.store import (
     Item,
     Options,
@@ -52,7 +52,7 @@
 LIMIT = 10.0  # s
 WALL = 1_800_000_000_000.0
 WINDOW = 60_000.0
-SMALL = Options(window=WINDOW, segment=300)
+SMALL = Options(window=WINDOW, segment_bytes=300)
 
 
 class Time:
@@ -76,7 +76,7 @@
     disks: list[FaultyFiles], at: Time | None = None, options: Options = SMALL, repair: bool = False
 ) -> Store:
     at = at or Time()
-    return Store(disks, options, lambda: at.wall, lambda: at.tick, repair, id=b"0123456789abcdef")
+    return Store(disks, options, lambda: at.wall, lambda: at.tick, repair, new_store_id=b"0123456789abcdef")
 
 
 def copied(disk: FaultyFiles, name: str = "", data: bytes = b"") -> FaultyFiles:
@@ -92,7 +92,7 @@
 
 def filled(count: int, mirrors: int = 1, compact: bool = True) -> tuple[list[FaultyFiles], set[bytes]]:
     """Disks with a store of several segments, one of them compacted; the keys that stand."""
-    disks = mirrored(1, mirrors)
+    disks = faulty_mirrors(1, mirrors)
     store = opened(disks)
     for i in range(count):
         store.append([Item(b"key-%03d" % i, b"v%d" % i)])
@@ -100,7 +100,7 @@
             store.append([Item(b"key-%03d" % i, None)])
         if compact and i == count // 2:
             while not store.compact(64):
-                store.append([Item(b"meanwhile-%d" % store.last)])
+                store.append([Item(b"meanwhile-%d" % store.last_seq)])
     keys = set(store.index)
     store.close()
     return disks, keys
@@ -169,7 +169,7 @@
     """Seeded: each schedule cuts the power up to four times, also while the store is opened."""
     for seed in range(block * 150, block * 150 + 150):
         rng = random.Random(f"crash {seed} {mirrors}")
-        disks, acked = mirrored(seed, mirrors), set[bytes]()
+        disks, acked = faulty_mirrors(seed, mirrors), set[bytes]()
         for _ in range(4):
             at = rng.randint(1, 120)
             for disk in disks:
@@ -183,7 +183,7 @@
         assert all(store.standing(key) is Standing.SENT for key in acked), seed
         assert not store.notes, (seed, store.notes)
         files = disks[0].names()
-        assert sum(n.startswith("seg-") for n in files) == len(store.segments), (seed, files)
+        assert sum(n.startswith("seg-") for n in files) == len(store.segment_numbers), (seed, files)
 
 
 @pytest.mark.parametrize("code", [errno.EIO, errno.ENOSPC])
@@ -193,7 +193,7 @@
 ) -> None:
     for seed in range(60):
         rng = random.Random(f"fault {seed} {kind} {code}")
-        disks, acked = mirrored(seed, 1), set[bytes]()
+        disks, acked = faulty_mirrors(seed, 1), set[bytes]()
         at, fired = rng.randint(5, 150), [False]
 
         def once(what: str, step: int, at: int = at, fired: list[bool] = fired) -> OSError | None:
@@ -241,7 +241,7 @@
     recoveries = 0
     for seed in range(250):
         rng = random.Random(f"recovers {seed} {kind} {mirrors}")
-        disks, acked = mirrored(seed, mirrors), set[bytes]()
+        disks, acked = faulty_mirrors(seed, mirrors), set[bytes]()
         store = opened(disks)
         cut_at = rng.randint(10, 400)
         for disk in disks:
@@ -302,7 +302,7 @@
     broken = copied(disk, name, bytes(data))
     with pytest.raises(StoreDamaged) as caught:
         opened([broken])
-    assert f"{name}: byte {HEADER_SIZE}" in str(caught.value) and caught.value.good > 5
+    assert f"{name}: byte {HEADER_SIZE}" in str(caught.value) and caught.value.readable > 5
     assert {n: bytes(i.now) for n, i in broken.now.items()} == {
         n: bytes(data) if n == name else bytes(i.now) for n, i in disk.now.items()
     }  # a refusal changes nothing
@@ -320,13 +320,13 @@
     with pytest.raises(StoreDamaged) as caught:
         opened([less])
     assert "missing" in str(caught.value)
-    header = bytearray(word_header(Header(b"0" * 16, 1, 1, 0, 1)))
+    header = bytearray(encode_header(SegmentHeader(b"0" * 16, 1, 1, 0, 1)))
     from crc32c import crc32c
 
     header[12:14] = (2).to_bytes(2, "little")
     header[:4] = crc32c(bytes(header[4:])).to_bytes(4, "little")
     with pytest.raises(FormatError):
-        read_header(bytes(header))
+        decode_header(bytes(header))
     with pytest.raises(StoreError) as future:
         opened([copied(disks[0], middle, bytes(header))])
     assert "its format is 2" in str(future.value)
@@ -336,14 +336,14 @@
     disks, keys = filled(8, 2)
     store = opened([copied(disks[0]), FaultyFiles(random.Random(1))])
     assert set(store.index) == keys
-    other = mirrored(5, 1)
-    Store(other, SMALL, lambda: WALL, lambda: 0.0, id=b"another store id").close()
+    other = faulty_mirrors(5, 1)
+    Store(other, SMALL, lambda: WALL, lambda: 0.0, new_store_id=b"another store id").close()
     with pytest.raises(StoreError):
         opened([copied(disks[0]), other[0]])
 
 
 def test_a_clock_that_goes_back_over_a_restart_reopens_no_window() -> None:
-    disks, at = mirrored(1, 1), Time()
+    disks, at = faulty_mirrors(1, 1), Time()
     store = opened(disks, at)
     store.append([Item(b"a", expires=int(WALL + 1000))])
     at.pass_(5000.0)
@@ -361,14 +361,14 @@
 
 
 def opened_on(boot: bytes, disks: list[FaultyFiles], at: Time) -> Store:
-    return Store(disks, SMALL, lambda: at.wall, lambda: at.tick, id=b"0123456789abcdef", boot=boot)
+    return Store(disks, SMALL, lambda: at.wall, lambda: at.tick, new_store_id=b"0123456789abcdef", boot=boot)
 
 
 @pytest.mark.parametrize("mirrors", [1, 2])
 @pytest.mark.parametrize("step", [-HOUR, -2000.0, 2000.0, HOUR])
 def test_a_clock_that_is_stepped_before_a_restart_moves_no_window(step: float, mirrors: int) -> None:
     """Otherwise a step forward ends every window, and what was sent counts as unsent."""
-    disks, at = mirrored(1, mirrors), Time()
+    disks, at = faulty_mirrors(1, mirrors), Time()
     store = opened_on(BOOT, disks, at)
     store.append([Item(b"a", b"", int(store.now() + WINDOW))])
     store.close()
@@ -385,7 +385,7 @@
 
 @pytest.mark.parametrize("kept", ["nothing", "noise", "another boot"])
 def test_after_a_boot_or_without_a_clock_that_can_be_read_the_wall_clock_tells_the_time(kept: str) -> None:
-    disks, at = mirrored(1, 1), Time()
+    disks, at = faulty_mirrors(1, 1), Time()
     store = opened_on(ANOTHER_BOOT if kept == "another boot" else BOOT, disks, at)
     store.append([Item(b"a", b"", int(store.now() + WINDOW))])
     store.close()
@@ -402,7 +402,7 @@
 def test_a_clock_that_is_stepped_in_service_moves_no_window(step: float) -> None:
     """Otherwise a call that was marked as sent could be sent again within its window."""
     at = Time()
-    store = opened(mirrored(1, 1), at)
+    store = opened(faulty_mirrors(1, 1), at)
     store.append([Item(b"a", expires=int(store.now() + WINDOW))])
     at.wall += step
     at.pass_(WINDOW - 1)
@@ -412,7 +412,7 @@
 
 
 def test_it_is_bounded_and_gives_room_back_as_windows_pass() -> None:
-    disks, at = mirrored(1, 1), Time()
+    disks, at = faulty_mirrors(1, 1), Time()
     store = opened(disks, at, Options(window=WINDOW, most=3))
     store.append([Item(b"%d" % i, expires=int(WALL + 10 * (i + 1))) for i in range(3)])
     with pytest.raises(StoreFull):
@@ -430,7 +430,7 @@
 )
 @settings(deadline=None, max_examples=60)
 def test_it_is_a_dictionary_whose_entries_end(steps: list[tuple[str, int]]) -> None:
-    disks, at = mirrored(1, 2), Time()
+    disks, at = faulty_mirrors(1, 2), Time()
     store, model = opened(disks, at), dict[bytes, int]()
     for what, n in steps:
         key = b"%d" % n
@@ -454,26 +454,26 @@
 @pytest.mark.parametrize("mirrors", [1, 2])
 def test_what_is_written_beside_a_compaction_counts_in_when_the_next_one_is_due(mirrors: int) -> None:
     """Dead records among it too: by what stands alone the log would grow on."""
-    disks, at = mirrored(1, mirrors), Time()
+    disks, at = faulty_mirrors(1, mirrors), Time()
     store = opened(disks, at)
     for i in range(20):
         store.append([Item(b"old-%d" % i)])
     while not store.compact(40):
-        store.append([Item(b"again", b"%d" % store.last), Item(b"gone"), Item(b"gone", None)])
-    counted = store.records
+        store.append([Item(b"again", b"%d" % store.last_seq), Item(b"gone"), Item(b"gone", None)])
+    counted = store.record_count
     store.close()
-    assert counted == opened(disks, at).records > len(store.index)
+    assert counted == opened(disks, at).record_count > len(store.index)
 
 
 def test_a_compaction_never_leaves_much_to_its_last_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     """Seen: an append waited for all of it."""
-    monkeypatch.setattr(store_module, "SYNCED", 500)
-    disks = mirrored(1, 1)
+    monkeypatch.setattr(store_module, "MAX_UNSYNCED_BYTES", 500)
+    disks = faulty_mirrors(1, 1)
     store = opened(disks)
     for i in range(100):
         store.append([Item(b"key-%d" % i, bytes(100))])
     while not store.compact(100):
-        making = disks[0].now[store_module.MAKING]
+        making = disks[0].now[store_module.COMPACTION_FILE]
         assert len(making.now) - len(making.durable) < 500 + 250, "a step, and a record more"
 
 
@@ -487,23 +487,23 @@
         return whole(name)
 
     disks[0].read = once  # type: ignore[method-assign]
-    directory = Directory(disks[0])
+    directory = DirectoryContents(disks[0])
     assert not read, "nothing is read before it is asked for"
-    found = look(directory)
+    found = inspect_directory(directory)
     assert {r.key for r in found.records} >= keys and len(read) == len(set(read)) == 5
 
 
 @given(st.binary(max_size=400), st.integers(0, 400))
 def test_no_bytes_make_the_readers_fall_over(noise: bytes, at: int) -> None:
-    whole = word_header(Header(b"s" * 16, 1, 1, 0, 1)) + b"".join(
-        word(Record(i, PUT, b"k%d" % i)) for i in range(1, 6)
+    whole = encode_header(SegmentHeader(b"s" * 16, 1, 1, 0, 1)) + b"".join(
+        encode_record(Record(i, PUT, b"k%d" % i)) for i in range(1, 6)
     )
     mixed = whole[:at] + noise + whole[at:]
-    read = scan(mixed)
-    assert 0 <= read.good <= read.size == len(mixed)
+    read = scan_segment(mixed)
+    assert 0 <= read.readable_end <= read.size == len(mixed)
     known = {Record(i, PUT, b"k%d" % i) for i in range(1, 6)}
-    assert all(r in known for r in (*read.records, *read.after) if len(noise) < 20)
-    marks.read(noise)
+    assert all(r in known for r in (*read.records, *read.records_after_damage) if len(noise) < 20)
+    marks.decode(noise)
 
 
 # In service
@@ -519,7 +519,7 @@
         futures = [c for c in claims if isinstance(c, asyncio.Future)]
         assert len(futures) == 200 and claims.count(Standing.SENT) == 200
         await asyncio.gather(*futures)
-        assert writer.groups < 200 and writer.claim(Item(b"7")) is Standing.SENT
+        assert writer.group_count < 200 and writer.claim(Item(b"7")) is Standing.SENT
         writer.close()
         again = Store(
             [RealFiles(tmp_path / "a")], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000
@@ -540,13 +540,13 @@
         broken.setattr(RealHandle, "write", full)
         writer.put(Item(b"meanwhile"))
         end = time.monotonic() + LIMIT
-        while store.failed is None:
+        while store.failure is None:
             assert time.monotonic() < end
             time.sleep(0.005)
         with pytest.raises(StoreFailed):
             writer.put(Item(b"refused at once")).result(0)
         time.sleep(0.3)  # a try or two
-    while store.failed is not None:
+    while store.failure is not None:
         assert time.monotonic() < end
         time.sleep(0.005)
     writer.put(Item(b"after")).result(10)
@@ -612,7 +612,7 @@
 from pathlib import Path
 from millgw.store.files import RealFiles
 from millgw.store.store import Item, Options, Store
-options = Options(window=60000.0, segment=4000)
+options = Options(60_000.0, 4000)
 clocks = (lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
 store = Store([RealFiles(Path(sys.argv[1]))], options, *clocks)
 number = int(sys.argv[2])
