--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store through crashes: cut files, lost writes, failed syncs, damage, kill -9."""
+"""Crash safety of the store: truncated files, lost writes, failed syncs, damage, kill -9."""
 
 from __future__ import annotations
 
@@ -49,51 +49,63 @@
 
 pytestmark = aside
 SENT, UNSENT = Standing.SENT, Standing.UNSENT
-LIMIT = 10.0  # s
-WALL = 1_800_000_000_000.0
+TIMEOUT = 10.0  # s
+START_MS = 1_800_000_000_000.0
 WINDOW = 60_000.0
 SMALL = Options(window=WINDOW, segment_bytes=300)
 
 
-class Time:
-    """A wall clock and a monotonic one, moved by hand."""
+class ManualClocks:
+    """A wall clock and a monotonic clock that the test advances."""
 
     def __init__(self) -> None:
-        self.wall = WALL
-        self.tick = 0.0
+        self.wall_ms = START_MS
+        self.monotonic_ms = 0.0
 
-    def pass_(self, ms: float) -> None:
-        self.wall += ms
-        self.tick += ms
+    def advance(self, ms: float) -> None:
+        self.wall_ms += ms
+        self.monotonic_ms += ms
 
 
-def full(*_: object) -> None:
-    """A disk that takes nothing more."""
+def raise_disk_full(*_: object) -> None:
+    """Fails like a write to a full disk."""
     raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
 
-def opened(
-    disks: list[FaultyFiles], at: Time | None = None, options: Options = SMALL, repair: bool = False
+def open_store(
+    disks: list[FaultyFiles],
+    clocks: ManualClocks | None = None,
+    options: Options = SMALL,
+    repair: bool = False,
 ) -> Store:
-    at = at or Time()
-    return Store(disks, options, lambda: at.wall, lambda: at.tick, repair, new_store_id=b"0123456789abcdef")
+    clocks = clocks or ManualClocks()
+    return Store(
+        disks,
+        options,
+        lambda: clocks.wall_ms,
+        lambda: clocks.monotonic_ms,
+        repair,
+        new_store_id=b"0123456789abcdef",
+    )
 
 
-def copied(disk: FaultyFiles, name: str = "", data: bytes = b"") -> FaultyFiles:
-    """The same files as they read now, one of them with other bytes."""
-    out = FaultyFiles(random.Random(1))
+def copy_disk(disk: FaultyFiles, name: str = "", data: bytes = b"") -> FaultyFiles:
+    """A copy of the disk as it reads now, with other contents for one file."""
+    disk_copy = FaultyFiles(random.Random(1))
     for known, inode in disk.now.items():
-        made = Inode(bytearray(data if known == name else inode.now))
-        made.sync()
-        out.now[known] = made
-    out.durable = dict(out.now)
-    return out
+        copy = Inode(bytearray(data if known == name else inode.now))
+        copy.sync()
+        disk_copy.now[known] = copy
+    disk_copy.durable = dict(disk_copy.now)
+    return disk_copy
 
 
-def filled(count: int, mirrors: int = 1, compact: bool = True) -> tuple[list[FaultyFiles], set[bytes]]:
-    """Disks with a store of several segments, one of them compacted; the keys that stand."""
+def make_filled_disks(
+    count: int, mirrors: int = 1, compact: bool = True
+) -> tuple[list[FaultyFiles], set[bytes]]:
+    """Disks that hold a store of several segments, one of them compacted, and the keys of the store."""
     disks = faulty_mirrors(1, mirrors)
-    store = opened(disks)
+    store = open_store(disks)
     for i in range(count):
         store.append([Item(b"key-%03d" % i, b"v%d" % i)])
         if i % 5 == 4:
@@ -106,54 +118,54 @@
     return disks, keys
 
 
-def test_what_was_written_is_there_after_it_is_opened_again() -> None:
-    disks, keys = filled(20)
-    store = opened(disks)
+def test_written_entries_are_present_after_reopening() -> None:
+    disks, keys = make_filled_disks(20)
+    store = open_store(disks)
     assert set(store.index) == keys and not store.notes
     assert store.get(b"key-000") is not None and store.standing(b"key-004") is Standing.UNSENT
     assert [e.seq for _, e in store.entries()] == sorted(e.seq for e in store.index.values())
 
 
 @pytest.mark.parametrize("mirrors", [1, 2])
-def test_any_file_may_be_cut_at_any_byte(mirrors: int) -> None:
-    disks, keys = filled(14, mirrors)
+def test_truncating_any_file_at_any_byte_loses_no_acknowledged_key(mirrors: int) -> None:
+    disks, keys = make_filled_disks(14, mirrors)
     cuts = 0
     for number, disk in enumerate(disks):
         for name in disk.names():
             data = bytes(disk.now[name].now)
             for size in range(len(data)):
-                some = [copied(d, name, data[:size]) if d is disk else copied(d) for d in disks]
-                store = opened(some)
+                some = [copy_disk(d, name, data[:size]) if d is disk else copy_disk(d) for d in disks]
+                store = open_store(some)
                 standings = {store.standing(key) for key in keys}
                 assert Standing.UNSENT not in standings, (number, name, size, store.notes)
                 if mirrors == 2:
                     assert standings == {Standing.SENT} and store.standing(b"never") is Standing.UNSENT
-                # And what was salvaged is a whole store again, that takes more.
+                # The salvaged store accepts writes and opens again.
                 store.append([Item(b"more")])
-                again = opened([copied(d) for d in some])
+                again = open_store([copy_disk(d) for d in some])
                 assert {again.standing(k) for k in (*keys, b"more")} <= {Standing.SENT, Standing.UNPROVEN}
                 cuts += 1
     assert cuts > 900 * mirrors
 
 
 def test_a_lost_tail_is_noticed_and_unknown_keys_count_as_sent_until_their_window_has_passed() -> None:
-    disks, _ = filled(6, compact=False)
+    disks, _ = make_filled_disks(6, compact=False)
     disk = disks[0]
     name = max(n for n in disk.names() if n.startswith("seg-") and len(disk.now[n].now) > HEADER_SIZE + 20)
-    at = Time()
-    at.pass_(1000.0)
-    some = [copied(disk, name, bytes(disk.now[name].now)[:-3])]
-    store = opened(some, at)
+    at = ManualClocks()
+    at.advance(1000.0)
+    some = [copy_disk(disk, name, bytes(disk.now[name].now)[:-3])]
+    store = open_store(some, at)
     assert store.notes and store.standing(b"key-005") is Standing.UNPROVEN
-    at.pass_(WINDOW / 2)
-    store = opened([copied(some[0])], at)  # that is remembered over another restart
+    at.advance(WINDOW / 2)
+    store = open_store([copy_disk(some[0])], at)  # the mark keeps this over another restart
     assert store.standing(b"never") is Standing.UNPROVEN
-    at.pass_(WINDOW / 2 + 2)
+    at.advance(WINDOW / 2 + 2)
     assert store.standing(b"never") is Standing.UNSENT
 
 
-def act(store: Store, rng: random.Random, acked: set[bytes], steps: int) -> None:
-    """Appends and compaction by chance; what is acknowledged goes into `acked`."""
+def append_and_compact(store: Store, rng: random.Random, acked: set[bytes], steps: int) -> None:
+    """Random appends and compaction steps; acknowledged keys are added to `acked`."""
     for _ in range(steps):
         if rng.random() < 0.35:
             store.compact(rng.choice([1, 100, 1000]))
@@ -166,7 +178,7 @@
 @pytest.mark.parametrize("mirrors", [1, 2])
 @pytest.mark.parametrize("block", range(4))
 def test_a_power_cut_at_any_step_loses_nothing_that_was_acknowledged(block: int, mirrors: int) -> None:
-    """Seeded: each schedule cuts the power up to four times, also while the store is opened."""
+    """Each seed cuts the power up to four times, also while the store is being opened."""
     for seed in range(block * 150, block * 150 + 150):
         rng = random.Random(f"crash {seed} {mirrors}")
         disks, acked = faulty_mirrors(seed, mirrors), set[bytes]()
@@ -175,11 +187,11 @@
             for disk in disks:
                 disk.steps = 0
                 disk.fault = lambda _, step, at=at: Crash() if step >= at else None  # type: ignore[misc]
-            # All disks lose their power at the same moment.
+            # All disks lose power at the same moment.
             with suppress(Crash):
-                act(opened_on(BOOT, disks, Time()), rng, acked, 40)
+                append_and_compact(open_store_in_boot(BOOT, disks, ManualClocks()), rng, acked, 40)
             disks = [disk.crash() for disk in disks]
-        store = opened_on(BOOT, disks, Time())
+        store = open_store_in_boot(BOOT, disks, ManualClocks())
         assert all(store.standing(key) is Standing.SENT for key in acked), seed
         assert not store.notes, (seed, store.notes)
         files = disks[0].names()
@@ -198,28 +210,28 @@
 
         def once(what: str, step: int, at: int = at, fired: list[bool] = fired) -> OSError | None:
             if what == kind and step >= at and not fired[0]:
-                fired[0] = True  # the next sync would say that all is well
+                fired[0] = True  # the next sync would succeed, as after a real failed fsync
                 return OSError(code, os.strerror(code))
             return None
 
-        store = opened(disks)
+        store = open_store(disks)
         disks[0].fault = once
         try:
-            act(store, rng, acked, 60)
+            append_and_compact(store, rng, acked, 60)
         except StoreFailed:
             with pytest.raises(StoreFailed):
                 store.append([Item(b"more")])
             with pytest.raises(StoreFailed):
                 store.compact()
         disks[0].fault = lambda *_: None
-        again = opened([disks[0].crash()])
+        again = open_store([disks[0].crash()])
         assert all(again.standing(key) is Standing.SENT for key in acked), seed
 
 
-def failing(
+def make_random_faults(
     rng: random.Random, kind: str, code: int, cut_at: int
 ) -> Callable[[str, int], BaseException | None]:
-    """Steps of a kind fail one in six until 150 of all have been; the power is cut at one of the steps."""
+    """Steps of a kind fail with probability 1/6 up to step 150; the power is cut at step `cut_at`."""
 
     def fault(what: str, step: int) -> BaseException | None:
         if step >= cut_at:
@@ -242,21 +254,21 @@
     for seed in range(250):
         rng = random.Random(f"recovers {seed} {kind} {mirrors}")
         disks, acked = faulty_mirrors(seed, mirrors), set[bytes]()
-        store = opened(disks)
+        store = open_store(disks)
         cut_at = rng.randint(10, 400)
         for disk in disks:
             disk.steps = 0
-            disk.fault = failing(rng, kind, code, cut_at)
+            disk.fault = make_random_faults(rng, kind, code, cut_at)
         with suppress(Crash):
             for _ in range(200):
                 try:
-                    act(store, rng, acked, 5)
+                    append_and_compact(store, rng, acked, 5)
                 except StoreFailed:
                     with suppress(StoreFailed):
                         store.recover()
                         recoveries += 1
         assert {store.standing(key) for key in acked} <= {Standing.SENT}, seed
-        again = opened([disk.crash() for disk in disks])
+        again = open_store([disk.crash() for disk in disks])
         assert all(again.standing(key) is Standing.SENT for key in acked), (seed, again.notes)
         assert again.standing(b"never") is Standing.UNSENT, (seed, again.notes)
     assert recoveries > 250
@@ -264,10 +276,10 @@
 
 def test_a_recovery_is_tried_until_the_disk_takes_it_and_leaves_no_file_open(tmp_path: Path) -> None:
     files = RealFiles(tmp_path)
-    store = Store([files], SMALL, lambda: WALL, lambda: 0.0)
+    store = Store([files], SMALL, lambda: START_MS, lambda: 0.0)
     store.append([Item(b"before")])
     with pytest.MonkeyPatch.context() as broken:
-        broken.setattr(RealHandle, "sync", full)
+        broken.setattr(RealHandle, "sync", raise_disk_full)
         for _ in range(3):
             with pytest.raises(StoreFailed):
                 store.append([Item(b"meanwhile")])
@@ -278,47 +290,47 @@
             with pytest.raises(StoreFailed):
                 store.recover()
         assert len(os.listdir("/proc/self/fd")) == held
-        assert "compact.new" not in files.names(), "it would keep a full disk full"
+        assert "compact.new" not in files.names(), "the unfinished file would keep a full disk full"
     store.recover()
     store.append([Item(b"after")])
     assert [store.standing(k) for k in (b"before", b"meanwhile", b"after")] == [SENT, UNSENT, SENT]
     store.close()
 
 
-def test_a_file_that_can_not_be_read_is_made_good_from_the_other_copy() -> None:
-    disks, keys = filled(10, 2)
-    some = [copied(d) for d in disks]
+def test_an_unreadable_file_is_restored_from_the_other_copy() -> None:
+    disks, keys = make_filled_disks(10, 2)
+    some = [copy_disk(d) for d in disks]
     some[0].fault = lambda kind, _: OSError(errno.EIO, "bad sector") if kind == "read" else None
-    store = opened(some)
+    store = open_store(some)
     assert {store.standing(k) for k in keys} == {Standing.SENT} and "can't be read" in store.notes[0]
 
 
-def test_damage_in_the_middle_is_refused_with_its_place_and_salvaged_on_order_only() -> None:
-    disks, keys = filled(12, compact=False)
+def test_damage_in_the_middle_is_refused_with_its_offset_and_salvaged_only_by_repair() -> None:
+    disks, keys = make_filled_disks(12, compact=False)
     disk = disks[0]
     name = next(n for n in disk.names() if n.startswith("seg-") and len(disk.now[n].now) > 250)
     data = bytearray(disk.now[name].now)
     data[HEADER_SIZE + 30] ^= 1
-    broken = copied(disk, name, bytes(data))
+    broken = copy_disk(disk, name, bytes(data))
     with pytest.raises(StoreDamaged) as caught:
-        opened([broken])
+        open_store([broken])
     assert f"{name}: byte {HEADER_SIZE}" in str(caught.value) and caught.value.readable > 5
     assert {n: bytes(i.now) for n, i in broken.now.items()} == {
         n: bytes(data) if n == name else bytes(i.now) for n, i in disk.now.items()
-    }  # a refusal changes nothing
-    store = opened([broken], repair=True)
+    }  # a refused open changes no file
+    store = open_store([broken], repair=True)
     assert all(store.standing(k) is not Standing.UNSENT for k in keys)
     assert sum(store.standing(k) is Standing.SENT for k in keys) >= len(keys) - 3
-    assert not opened([copied(broken)]).notes
+    assert not open_store([copy_disk(broken)]).notes
 
 
-def test_a_missing_segment_is_noticed_and_one_of_the_future_refused() -> None:
-    disks, _ = filled(30, compact=False)
+def test_a_missing_segment_and_a_newer_format_are_refused() -> None:
+    disks, _ = make_filled_disks(30, compact=False)
     _, middle, _, *_ = sorted(n for n in disks[0].names() if n.startswith("seg-"))
-    less = copied(disks[0])
+    less = copy_disk(disks[0])
     del less.now[middle]
     with pytest.raises(StoreDamaged) as caught:
-        opened([less])
+        open_store([less])
     assert "missing" in str(caught.value)
     header = bytearray(encode_header(SegmentHeader(b"0" * 16, 1, 1, 0, 1)))
     from crc32c import crc32c
@@ -328,96 +340,103 @@
     with pytest.raises(FormatError):
         decode_header(bytes(header))
     with pytest.raises(StoreError) as future:
-        opened([copied(disks[0], middle, bytes(header))])
+        open_store([copy_disk(disks[0], middle, bytes(header))])
     assert "its format is 2" in str(future.value)
 
 
 def test_copies_of_different_stores_are_refused_and_an_empty_one_is_filled() -> None:
-    disks, keys = filled(8, 2)
-    store = opened([copied(disks[0]), FaultyFiles(random.Random(1))])
+    disks, keys = make_filled_disks(8, 2)
+    store = open_store([copy_disk(disks[0]), FaultyFiles(random.Random(1))])
     assert set(store.index) == keys
     other = faulty_mirrors(5, 1)
-    Store(other, SMALL, lambda: WALL, lambda: 0.0, new_store_id=b"another store id").close()
+    Store(other, SMALL, lambda: START_MS, lambda: 0.0, new_store_id=b"another store id").close()
     with pytest.raises(StoreError):
-        opened([copied(disks[0]), other[0]])
+        open_store([copy_disk(disks[0]), other[0]])
 
 
-def test_a_clock_that_goes_back_over_a_restart_reopens_no_window() -> None:
-    disks, at = faulty_mirrors(1, 1), Time()
-    store = opened(disks, at)
-    store.append([Item(b"a", expires=int(WALL + 1000))])
-    at.pass_(5000.0)
-    store.append([Item(b"b", expires=int(WALL + 6000))])
+def test_a_wall_clock_set_back_over_a_restart_reopens_no_window() -> None:
+    disks, at = faulty_mirrors(1, 1), ManualClocks()
+    store = open_store(disks, at)
+    store.append([Item(b"a", expires=int(START_MS + 1000))])
+    at.advance(5000.0)
+    store.append([Item(b"b", expires=int(START_MS + 6000))])
     assert store.standing(b"a") is Standing.UNSENT
-    at.wall -= 3_600_000.0
-    store = opened(disks, at)
-    assert store.standing(b"b") is Standing.SENT and store.now() >= WALL + 5000
-    at.pass_(1001.0)
-    assert store.standing(b"b") is Standing.UNSENT  # time goes on all the same
+    at.wall_ms -= 3_600_000.0
+    store = open_store(disks, at)
+    assert store.standing(b"b") is Standing.SENT and store.now() >= START_MS + 5000
+    at.advance(1001.0)
+    assert store.standing(b"b") is Standing.UNSENT  # the store's time still advances
 
 
 BOOT, ANOTHER_BOOT = b"b" * 16, b"c" * 16
 HOUR = 3_600_000.0  # ms
 
 
-def opened_on(boot: bytes, disks: list[FaultyFiles], at: Time) -> Store:
-    return Store(disks, SMALL, lambda: at.wall, lambda: at.tick, new_store_id=b"0123456789abcdef", boot=boot)
+def open_store_in_boot(boot_id: bytes, disks: list[FaultyFiles], clocks: ManualClocks) -> Store:
+    return Store(
+        disks,
+        SMALL,
+        lambda: clocks.wall_ms,
+        lambda: clocks.monotonic_ms,
+        new_store_id=b"0123456789abcdef",
+        boot=boot_id,
+    )
 
 
 @pytest.mark.parametrize("mirrors", [1, 2])
 @pytest.mark.parametrize("step", [-HOUR, -2000.0, 2000.0, HOUR])
 def test_a_clock_that_is_stepped_before_a_restart_moves_no_window(step: float, mirrors: int) -> None:
-    """Otherwise a step forward ends every window, and what was sent counts as unsent."""
-    disks, at = faulty_mirrors(1, mirrors), Time()
-    store = opened_on(BOOT, disks, at)
+    """Otherwise a step forward would end every window, and sent keys would count as unsent."""
+    disks, at = faulty_mirrors(1, mirrors), ManualClocks()
+    store = open_store_in_boot(BOOT, disks, at)
     store.append([Item(b"a", b"", int(store.now() + WINDOW))])
     store.close()
-    at.wall += step
+    at.wall_ms += step
     for _ in range(2):
-        at.pass_(WINDOW / 2 - 100.0)
-        store = opened_on(BOOT, disks, at)
+        at.advance(WINDOW / 2 - 100.0)
+        store = open_store_in_boot(BOOT, disks, at)
         assert store.standing(b"a") is Standing.SENT and not store.notes
         store.close()
-    at.pass_(300.0)
-    store = opened_on(BOOT, disks, at)
+    at.advance(300.0)
+    store = open_store_in_boot(BOOT, disks, at)
     assert store.standing(b"a") is Standing.UNSENT
 
 
 @pytest.mark.parametrize("kept", ["nothing", "noise", "another boot"])
 def test_after_a_boot_or_without_a_clock_that_can_be_read_the_wall_clock_tells_the_time(kept: str) -> None:
-    disks, at = faulty_mirrors(1, 1), Time()
-    store = opened_on(ANOTHER_BOOT if kept == "another boot" else BOOT, disks, at)
+    disks, at = faulty_mirrors(1, 1), ManualClocks()
+    store = open_store_in_boot(ANOTHER_BOOT if kept == "another boot" else BOOT, disks, at)
     store.append([Item(b"a", b"", int(store.now() + WINDOW))])
     store.close()
     if kept == "noise":
-        disks = [copied(disks[0], "clock", b"noise")]
+        disks = [copy_disk(disks[0], "clock", b"noise")]
     elif kept == "nothing":
         disks[0].remove("clock")
-    at.wall += WINDOW + 1.0
-    at.tick = 5.0
-    assert opened_on(BOOT, disks, at).standing(b"a") is Standing.UNSENT
+    at.wall_ms += WINDOW + 1.0
+    at.monotonic_ms = 5.0
+    assert open_store_in_boot(BOOT, disks, at).standing(b"a") is Standing.UNSENT
 
 
 @pytest.mark.parametrize("step", [3_600_000.0, -3_600_000.0])
 def test_a_clock_that_is_stepped_in_service_moves_no_window(step: float) -> None:
-    """Otherwise a call that was marked as sent could be sent again within its window."""
-    at = Time()
-    store = opened(faulty_mirrors(1, 1), at)
+    """Otherwise a call that is marked as sent could be sent again within its window."""
+    at = ManualClocks()
+    store = open_store(faulty_mirrors(1, 1), at)
     store.append([Item(b"a", expires=int(store.now() + WINDOW))])
-    at.wall += step
-    at.pass_(WINDOW - 1)
+    at.wall_ms += step
+    at.advance(WINDOW - 1)
     assert store.standing(b"a") is Standing.SENT
-    at.pass_(2.0)
+    at.advance(2.0)
     assert store.standing(b"a") is Standing.UNSENT
 
 
-def test_it_is_bounded_and_gives_room_back_as_windows_pass() -> None:
-    disks, at = faulty_mirrors(1, 1), Time()
-    store = opened(disks, at, Options(window=WINDOW, most=3))
-    store.append([Item(b"%d" % i, expires=int(WALL + 10 * (i + 1))) for i in range(3)])
+def test_the_number_of_keys_is_bounded_and_expired_entries_free_space() -> None:
+    disks, at = faulty_mirrors(1, 1), ManualClocks()
+    store = open_store(disks, at, Options(window=WINDOW, most=3))
+    store.append([Item(b"%d" % i, expires=int(START_MS + 10 * (i + 1))) for i in range(3)])
     with pytest.raises(StoreFull):
         store.append([Item(b"more")])
-    at.pass_(15.0)
+    at.advance(15.0)
     store.append([Item(b"more")])
     assert set(store.index) == {b"1", b"2", b"more"}
 
@@ -429,56 +448,58 @@
     )
 )
 @settings(deadline=None, max_examples=60)
-def test_it_is_a_dictionary_whose_entries_end(steps: list[tuple[str, int]]) -> None:
-    disks, at = faulty_mirrors(1, 2), Time()
-    store, model = opened(disks, at), dict[bytes, int]()
+def test_the_store_behaves_like_a_dictionary_with_expiring_entries(steps: list[tuple[str, int]]) -> None:
+    disks, at = faulty_mirrors(1, 2), ManualClocks()
+    store, model = open_store(disks, at), dict[bytes, int]()
     for what, n in steps:
         key = b"%d" % n
         if what == "put":
-            store.append([Item(key, b"x" * n, int(at.wall) + 500 * n)])
-            model[key] = int(at.wall) + 500 * n
+            store.append([Item(key, b"x" * n, int(at.wall_ms) + 500 * n)])
+            model[key] = int(at.wall_ms) + 500 * n
         elif what == "delete":
             store.append([Item(key, None)])
             model.pop(key, None)
         elif what == "compact":
             store.compact(1 + 40 * n)
         elif what == "reopen":
-            store = opened(disks, at)
+            store = open_store(disks, at)
         else:
-            at.pass_(300.0)
+            at.advance(300.0)
         for k in (b"%d" % i for i in range(7)):
-            alive = k in model and at.wall < model[k]
+            alive = k in model and at.wall_ms < model[k]
             assert (store.standing(k) is Standing.SENT) is alive
 
 
 @pytest.mark.parametrize("mirrors", [1, 2])
-def test_what_is_written_beside_a_compaction_counts_in_when_the_next_one_is_due(mirrors: int) -> None:
-    """Dead records among it too: by what stands alone the log would grow on."""
-    disks, at = faulty_mirrors(1, mirrors), Time()
-    store = opened(disks, at)
+def test_records_written_during_a_compaction_count_towards_the_next_one(mirrors: int) -> None:
+    """Dead records must be counted too: counting only live ones would let the log grow without bound."""
+    disks, at = faulty_mirrors(1, mirrors), ManualClocks()
+    store = open_store(disks, at)
     for i in range(20):
         store.append([Item(b"old-%d" % i)])
     while not store.compact(40):
         store.append([Item(b"again", b"%d" % store.last_seq), Item(b"gone"), Item(b"gone", None)])
     counted = store.record_count
     store.close()
-    assert counted == opened(disks, at).record_count > len(store.index)
+    assert counted == open_store(disks, at).record_count > len(store.index)
 
 
-def test_a_compaction_never_leaves_much_to_its_last_sync(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seen: an append waited for all of it."""
+def test_a_compaction_syncs_as_it_goes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With a single sync at the end, an append was observed to wait for all of the compaction's data."""
     monkeypatch.setattr(store_module, "MAX_UNSYNCED_BYTES", 500)
     disks = faulty_mirrors(1, 1)
-    store = opened(disks)
+    store = open_store(disks)
     for i in range(100):
         store.append([Item(b"key-%d" % i, bytes(100))])
     while not store.compact(100):
         making = disks[0].now[store_module.COMPACTION_FILE]
-        assert len(making.now) - len(making.durable) < 500 + 250, "a step, and a record more"
+        assert len(making.now) - len(making.durable) < 500 + 250, (
+            "at most a step and one record over the limit"
+        )
 
 
 def test_recovery_holds_one_file_at_a_time() -> None:
-    disks, keys = filled(20, compact=False)
+    disks, keys = make_filled_disks(20, compact=False)
     read: list[str] = []
     whole = disks[0].read
 
@@ -488,13 +509,13 @@
 
     disks[0].read = once  # type: ignore[method-assign]
     directory = DirectoryContents(disks[0])
-    assert not read, "nothing is read before it is asked for"
+    assert not read, "files are read only on access"
     found = inspect_directory(directory)
     assert {r.key for r in found.records} >= keys and len(read) == len(set(read)) == 5
 
 
 @given(st.binary(max_size=400), st.integers(0, 400))
-def test_no_bytes_make_the_readers_fall_over(noise: bytes, at: int) -> None:
+def test_decoders_accept_arbitrary_bytes_without_an_exception(noise: bytes, at: int) -> None:
     whole = encode_header(SegmentHeader(b"s" * 16, 1, 1, 0, 1)) + b"".join(
         encode_record(Record(i, PUT, b"k%d" % i)) for i in range(1, 6)
     )
@@ -506,7 +527,7 @@
     marks.decode(noise)
 
 
-# In service
+# Writer and command
 
 
 def test_many_callers_share_a_sync_and_one_key_is_claimed_once(tmp_path: Path) -> None:
@@ -537,15 +558,15 @@
     writer = Writer(store, sync, interval=0.01, recovered=lambda *seen: told.append(seen))
     writer.put(Item(b"before")).result(10)
     with pytest.MonkeyPatch.context() as broken:
-        broken.setattr(RealHandle, "write", full)
+        broken.setattr(RealHandle, "write", raise_disk_full)
         writer.put(Item(b"meanwhile"))
-        end = time.monotonic() + LIMIT
+        end = time.monotonic() + TIMEOUT
         while store.failure is None:
             assert time.monotonic() < end
             time.sleep(0.005)
         with pytest.raises(StoreFailed):
             writer.put(Item(b"refused at once")).result(0)
-        time.sleep(0.3)  # a try or two
+        time.sleep(0.3)  # long enough for some recovery attempts
     while store.failure is not None:
         assert time.monotonic() < end
         time.sleep(0.005)
@@ -555,7 +576,7 @@
     assert tries > 1
     again = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: 0.0)
     assert {b"before", b"after"} <= set(again.index) and b"refused at once" not in again.index
-    # What is acknowledged before it is written stays so.
+    # With INTERVAL an item is acknowledged before it is written, so it must be written after the outage.
     assert (b"meanwhile" in again.index) == (sync is Sync.INTERVAL)
     again.close()
 
@@ -563,12 +584,12 @@
 def test_a_full_store_with_an_interval_forgets_nothing_it_acknowledged_and_takes_more_once_marks_are_over(
     tmp_path: Path,
 ) -> None:
-    at = Time()
+    at = ManualClocks()
     options = Options(window=WINDOW, most=3)
-    store = Store([RealFiles(tmp_path)], options, lambda: at.wall, lambda: at.tick)
+    store = Store([RealFiles(tmp_path)], options, lambda: at.wall_ms, lambda: at.monotonic_ms)
     writer = Writer(store, Sync.INTERVAL, interval=0.01)
     acked: list[bytes] = []
-    end = time.monotonic() + LIMIT
+    end = time.monotonic() + TIMEOUT
     while not writer.stuck:
         assert time.monotonic() < end
         key = b"%d" % len(acked)
@@ -577,7 +598,7 @@
             acked.append(key)
         time.sleep(0.005)
     assert {writer.standing(key) for key in acked} == {SENT}
-    at.pass_(WINDOW + 1.0)
+    at.advance(WINDOW + 1.0)
     while writer.stuck:
         assert time.monotonic() < end
         time.sleep(0.005)
@@ -586,7 +607,7 @@
 
 
 @pytest.mark.parametrize("sync", list(Sync))
-def test_each_way_to_sync_writes_all_in_the_end(tmp_path: Path, sync: Sync) -> None:
+def test_every_sync_policy_writes_all_items(tmp_path: Path, sync: Sync) -> None:
     store = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
     writer = Writer(store, sync, interval=0.01)
     futures = [writer.put(Item(b"%d" % i)) for i in range(50)]
@@ -596,9 +617,9 @@
     assert len(store.index) == 50
 
 
-def test_a_second_process_is_kept_out(tmp_path: Path) -> None:
+def test_a_second_opener_is_locked_out(tmp_path: Path) -> None:
     def make() -> Store:
-        return Store([RealFiles(tmp_path)], SMALL, lambda: WALL, lambda: 0.0)
+        return Store([RealFiles(tmp_path)], SMALL, lambda: START_MS, lambda: 0.0)
 
     store = make()
     with pytest.raises(Locked):
@@ -607,7 +628,7 @@
     make().close()
 
 
-CHILD = """
+WRITER_PROCESS = """
 import sys, time
 from pathlib import Path
 from millgw.store.files import RealFiles
@@ -629,7 +650,7 @@
     rng, acked = random.Random(1), set[int]()
     for round_ in range(6):
         child = subprocess.Popen(
-            [sys.executable, "-c", CHILD, str(tmp_path), str(round_ * 1_000_000)],
+            [sys.executable, "-c", WRITER_PROCESS, str(tmp_path), str(round_ * 1_000_000)],
             stdout=subprocess.PIPE,
             text=True,
         )
