--- a/millgw/store/record.py
+++ b/millgw/store/record.py
@@ -131,9 +131,7 @@
     last_seq: int = 0  # the last sequence number, including that of the END record
     records_after_damage: list[Record] = field(default_factory=list)
 
-    truncated: bool = (
-        False  # the data ends within a record; a complete record with a wrong checksum does not count
-    )
+    truncated: bool = False  # the data ends within a record (a complete one with a wrong checksum: no)
 
     @property
     def torn(self) -> bool:
--- a/millgw/store/recovery.py
+++ b/millgw/store/recovery.py
@@ -90,14 +90,14 @@
         ranges[name] = (number, covers_from, compaction)
     complete = [
         n
-        for n, (_, _, turn) in ranges.items()
-        if turn and scans[n].has_end_record and scans[n].header is not None
+        for n, (_, _, compaction) in ranges.items()
+        if compaction and scans[n].has_end_record and scans[n].header is not None
     ]
     replaced = set()
     for name in complete:
         number, covers_from, compaction = ranges[name]
-        for other, (o_number, o_covers, o_turn) in ranges.items():
-            if other != name and covers_from <= o_covers and o_number <= number and o_turn < compaction:
+        for other, (o_number, o_covers, o_compaction) in ranges.items():
+            if other != name and covers_from <= o_covers and o_number <= number and o_compaction < compaction:
                 replaced.add(other)
     state.unused_files += sorted(replaced)
     chosen = sorted((n for n in scans if n not in replaced), key=lambda n: ranges[n][:2])
