--- a/millgw/membership/__init__.py
+++ b/millgw/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership by ephemeral nodes: the ZooKeeper protocol's records."""
+"""Pool membership from ephemeral nodes in a ZooKeeper-style coordinator."""
--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -1,7 +1,7 @@
-"""The protocol core on sockets: one session kept up over the servers of an ensemble.
+"""ZooKeeper client on asyncio: keeps one session alive across the servers of an ensemble.
 
-Time-outs follow the negotiated session time as the programmer's guide has it: a connection that is silent for
-two thirds of it is given up, a ping goes out after a third.
+Timeouts derive from the negotiated session timeout, as in the ZooKeeper programmer's guide: a connection that
+is silent for two thirds of it is closed, and a ping is sent after one third.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from millgw.membership.servers import Rota, Try
 from millgw.platform.config import Address
 
-READ_ONLY_FOR = 10.0  # s on a server that is cut off, until the others are tried again
-LEAST_CONNECT = 0.5  # s for a connection and its session to come up, at the least
+READ_ONLY_FOR = 10.0  # s to stay on a read-only (partitioned) server before trying the others
+LEAST_CONNECT = 0.5  # s: minimum time allowed for a connection and its session to be established
 
 
 class Listener(Protocol):
-    """What is told of a session, in order."""
+    """Callbacks for the events of a session, in order."""
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        """A session serves; `fresh`: a new one, with no watches. `doubtful`: the coordinator went back, or
-        this server of it is cut off from the others.
+        """A session is established. `fresh`: it is new and has no watches. `doubtful`: the coordinator has
+        lost changes it had committed, or this server is partitioned from the others.
         """
 
     def down(self) -> None:
-        """No connection: what was asked and not answered is lost."""
+        """The connection is lost, and with it every unanswered request."""
 
     def reply(self, reply: Reply) -> None: ...
 
@@ -40,7 +40,7 @@
 
 
 class Client:
-    """One session; `listener` is told. Nothing runs before `start`."""
+    """One session, whose events go to `listener`. Nothing runs before `start`."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
         self.over = False
-        self.timeout = timeout  # ms; the session's, as negotiated once there is one
+        self.timeout = timeout  # ms; the session's: as negotiated, or as requested before there is a session
         self.served_until = -math.inf
         self.stopped = False
 
@@ -89,10 +89,10 @@
             async with asyncio.timeout(within):
                 await loop.create_connection(lambda: wire, server.host, server.port)
         except (OSError, TimeoutError) as error:
-            wire.end(str(error) or "no connection in time")
+            wire.end(str(error) or "connection timed out")
 
     def ask(self, ask: Ask) -> None:
-        """Ask, if a session serves; otherwise it is lost, as `down` has told."""
+        """Send a request if a session is established; otherwise drop it, as `down` has already reported."""
         if self.serves and self.wire is not None:
             self.wire.write(self.core.ask(ask))
 
@@ -101,7 +101,7 @@
             self.wire.write(self.core.set_watches(data, exists, children))
 
     def ended(self, wire: Wire, why: str) -> None:
-        """A connection is over: told once for each."""
+        """Handle the end of a connection; runs once for each."""
         if wire is not self.wire:
             return
         served, self.wire = self.core.up, None
@@ -136,7 +136,7 @@
                 elif isinstance(event, Expired):
                     wire.expired = True
                     log_event("session-expired", server=wire.server)
-                    wire.end("the session has expired")
+                    wire.end("session expired")
                 elif isinstance(event, Fired):
                     self.listener.fired(event)
                 else:
@@ -145,7 +145,7 @@
             wire.end(str(error))
 
     async def close(self, within: float = 1.0) -> None:
-        """End the session in order, so that its nodes go now and not by its time-out."""
+        """Close the session, so that its nodes are deleted now and not when it times out."""
         wire = self.wire
         serves = self.serves
         self.stop(abort=not serves)
@@ -158,7 +158,7 @@
                 wire.abort()
 
     def stop(self, abort: bool = True) -> None:
-        """Tell nothing more. The session is left to its time-out."""
+        """Stop without closing the session, which then times out; no more events are reported."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
@@ -185,10 +185,12 @@
         self.gone = asyncio.Event()
 
     def expect(self, within: float) -> None:
-        """Guards against a server that is cut off: its connection stays open and says nothing."""
+        """Restart the silence timer. A partitioned server can keep its connection open and send nothing."""
         if self.waiting is not None:
             self.waiting.cancel()
-        self.waiting = asyncio.get_running_loop().call_later(within, self.end, "silent past its time")
+        self.waiting = asyncio.get_running_loop().call_later(
+            within, self.end, "no data within the silence limit"
+        )
 
     def served(self, timeout: float) -> None:
         self.silent = timeout * 2 / 3000
@@ -196,9 +198,9 @@
         self._ping()
 
     def look_on(self, after: float) -> None:
-        """Leave for another server after a while: this one is read-only."""
+        """Leave this read-only server for another after a while (s)."""
         loop = asyncio.get_running_loop()
-        self.looking = loop.call_later(after, self.end, "looks for a server that is not read-only")
+        self.looking = loop.call_later(after, self.end, "leaving a read-only server")
 
     def _ping(self) -> None:
         self.write(self.client.core.ping())
@@ -219,7 +221,7 @@
         self.abort()
         self.client.ended(self, why)
 
-    # asyncio
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -1,4 +1,4 @@
-"""The commands `register` (a server's node, kept while it serves) and `members` (what a directory means)."""
+"""The commands `register` (keeps a server's node) and `members` (lists a directory's members)."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from millgw.membership.servers import check_path, read_connect
 from millgw.platform.config import Address
 
-LOOK = 0.1  # s between two looks whether a server takes connections
+LOOK = 0.1  # s between checks whether a server accepts connections
 
 
 PATH = click.option("--path", required=True, help="The directory of the service's nodes.")
@@ -38,7 +38,7 @@
 
 
 def _read_where(connect: str, path: str) -> tuple[tuple[Address, ...], str]:
-    """Servers and the whole path."""
+    """The coordinator's servers and the full path of the directory."""
     try:
         servers, root = read_connect(connect)
     except ValueError as error:
@@ -62,31 +62,39 @@
 @SESSION
 @click.option("--name", required=True, help="The node's name.")
 @click.option("--address", required=True, type=ADDRESS, help="Where the server is reached.")
-@click.option("--layout", type=click.Choice(LAYOUTS), default="entry", help="Of the node's data (entry).")
+@click.option(
+    "--layout", type=click.Choice(LAYOUTS), default="entry", help="Format of the node's data (entry)."
+)
 @click.option("--group", type=click.IntRange(0), default=0)
 @click.option("--weight", type=Number(), default=1.0)
 @click.option("--zone", default="")
-@click.option("--drain-s", type=Duration(), default=2.0, show_default=True, help="Between drain and end.")
 @click.option(
-    "--stop-s", type=Duration(), default=10.0, show_default=True, help="For COMMAND to end before SIGKILL."
+    "--drain-s",
+    type=Duration(),
+    default=2.0,
+    show_default=True,
+    help="Between marking the node as draining and deleting it.",
+)
+@click.option(
+    "--stop-s", type=Duration(), default=10.0, show_default=True, help="For COMMAND to exit before SIGKILL."
 )
-@click.option("--at-once", is_flag=True, help="Don't wait until the address answers.")
+@click.option("--at-once", is_flag=True, help="Don't wait until the address accepts connections.")
 @click.option("--log", type=click.Choice(KINDS), default="text")
 @click.argument("command", nargs=-1, type=click.UNPROCESSED, metavar="[-- COMMAND]")
 def register(connect: str, path: str, log: str, **given: Any) -> int:
     """Keep a server's ephemeral node at a coordinator while it serves.
 
-    Registers a server once its address takes connections. SIGTERM: the node says that it drains, is taken
-    down after --drain-s, and only then COMMAND, the server, gets its SIGTERM. A COMMAND that ends by itself
-    has its node taken down at once.
+    Registers a server once its address accepts connections. On SIGTERM the node is marked as draining and
+    deleted after --drain-s; only then does COMMAND, the server, receive SIGTERM. If COMMAND exits by itself,
+    its node is deleted at once.
 
-    Exit: 0 told to end and in order, 1 the server ended by itself or the node could not be taken down, 2 bad
-    input.
+    Exit: 0 stopped by a signal in an orderly way, 1 the server exited by itself or the node could not be
+    deleted, 2 bad input.
     """
     servers, whole = _read_where(connect, path)
     args = SimpleNamespace(**given)
     if "/" in args.name or args.name == DRAINING:
-        raise BadInput(f"--name: {args.name!r} is no name of a member")
+        raise BadInput(f"--name: {args.name!r} is not a valid member name")
     try:
         check_path(f"{whole}/{args.name}")
     except ValueError as error:
@@ -127,7 +135,7 @@
     if child is None:
         return HELD if down else NOT_HELD
     if ended.done():
-        print(f"millgw: {args.command[0]} ended with {child.returncode}", file=sys.stderr)
+        print(f"millgw: {args.command[0]} exited with status {child.returncode}", file=sys.stderr)
         return NOT_HELD
     with suppress(ProcessLookupError):
         child.terminate()
@@ -166,7 +174,7 @@
         self._ask(self.follower.up(time.monotonic() * 1000, True))
 
     def down(self) -> None:
-        """It is read from the start on the next connection."""
+        """The next connection reads the directory from the start."""
 
     def reply(self, reply: Reply) -> None:
         self._ask(self.follower.reply(time.monotonic() * 1000, reply))
@@ -186,11 +194,11 @@
 @PATH
 @SESSION
 @click.option("--endpoint", default="", help="One of a serverset's additional endpoints.")
-@click.option("--within-s", type=Duration(), default=5.0, show_default=True, help="For the whole of it.")
+@click.option("--within-s", type=Duration(), default=5.0, show_default=True, help="For the whole read.")
 def members(out: Out, connect: str, path: str, **given: Any) -> int:
-    """What the nodes below a coordinator's path mean to a pool. Reads a directory once.
+    """Show what the nodes below a coordinator's path mean to a pool. Reads the directory once.
 
-    Exit: 0 all nodes can be read, 1 some can't, 2 bad input, 3 the coordinator did not tell in time.
+    Exit: 0 all nodes are readable, 1 some are not, 2 bad input, 3 the coordinator did not answer in time.
     """
     servers, whole = _read_where(connect, path)
     return run_interruptible(_read(out, SimpleNamespace(connect=connect, **given), servers, whole))
@@ -203,7 +211,7 @@
         async with asyncio.timeout(args.within_s):
             await reading.done.wait()
     except TimeoutError:
-        why = f"{args.connect}: told nothing of {path} within {args.within_s:g} s"
+        why = f"{args.connect}: no answer for {path} within {args.within_s:g} s"
         print(f"millgw: {why}", file=sys.stderr)
         return out.end(INCONCLUSIVE, {"path": path, "why": why})
     finally:
@@ -228,9 +236,7 @@
         "  ".join(str(row[k]) for k in ("node", "means", "name", "address", "why") if row.get(k))
         for row in rows
     ]
-    lines.append(
-        f"{path}: there is no such directory" if picture.missing else f"{len(rows)} nodes below {path}"
-    )
+    lines.append(f"{path}: no such directory" if picture.missing else f"{len(rows)} nodes below {path}")
     unreadable = picture.missing or any(r["means"] == "unreadable" for r in rows)
     told = {"path": path, "missing": picture.missing, "members": rows}
     return out.end(NOT_HELD if unreadable else HELD, told, lines)
--- a/millgw/membership/follower.py
+++ b/millgw/membership/follower.py
@@ -1,13 +1,13 @@
-"""Keeps a picture of a directory of nodes: what to read, when, and what it holds by now. Pure.
+"""Tracks the contents of a directory of nodes: decides what to read and when. Pure: no I/O, no clock.
 
-A watch tells once, so each read sets it again: what changes between a watch and the read is in the read,
-and what changes after the read is told by its watch. There is no gap, whatever is delayed on the way; a watch
-that tells of what is known already costs a read and changes nothing. One that tells while a read is on its
-way needs no other: replies and watches come in the order of changes, so it tells of what is older than the
-read; one that was delayed is older still.
+Watches are one-shot, so each read sets its watch again: a change between a watch event and the read is in
+the read's result, and a change after the read fires the new watch. So no change is missed, however long
+messages are delayed. A watch event for a change that is known already costs one read and changes nothing. An
+event that arrives while a read of the same node is in flight needs no further read: replies and watch events
+arrive in the order of the changes, so the read includes the event's change; a delayed event is older still.
 
-    PATH                 the directory; each child a member, its data as `nodes` reads it
-    PATH/draining        may be there; a child `NAME` of it drains the member whose node is NAME
+    PATH                 the directory; each child is a member, its data as parsed by `nodes`
+    PATH/draining        optional; a child NAME of it drains the member whose node is NAME
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from millgw.membership.protocol import Ask, Change, Code, Fired, Kind, Reply
 
 DRAINING = "draining"
-PACE = 100.0  # ms between two reads of one node at the least: its data may change a hundred times a second
-RECHECK = 10_000.0  # ms after which the lists are read again, whatever watches told: one may be lost
-SLICE = 64  # nodes read again at a recheck, in turn: also their watches may be lost
-READS = 256  # on the way at once
+PACE = 100.0  # ms: minimum interval between two reads of one node, whose data may change 100 times a second
+RECHECK = 10_000.0  # ms between re-reads of the lists regardless of watches: a watch event may be lost
+SLICE = 64  # nodes re-read at each recheck, in rotation: their watch events may be lost too
+READS = 256  # concurrent reads
 MOST_NODES = 20_000
 
 
 @dataclass(slots=True, frozen=True)
 class Node:
-    """One member's node as it was last read."""
+    """A member's node as last read."""
 
     data: bytes
     stat: Stat
@@ -36,7 +36,10 @@
 
 @dataclass(slots=True)
 class Picture:
-    """`whole`: all of it has been read since the session began. `missing`: there is no such directory."""
+    """The directory as known now.
+
+    `whole`: everything has been read since the session began. `missing`: the directory does not exist.
+    """
 
     nodes: dict[str, Node] = field(default_factory=dict)
     draining: frozenset[str] = frozenset()
@@ -45,26 +48,26 @@
 
 
 class Follower:
-    """Follows one directory. Its asks are to be made in order; replies and watches are given back to it."""
+    """Follows one directory. The caller sends the returned requests in order and passes in what arrives."""
 
     def __init__(self, path: str) -> None:
         self.path = path
         self.picture = Picture()
         self.names: frozenset[str] = frozenset()
-        self.wanted: dict[str, None] = {}  # members to read, in order
-        self.reading: dict[str, None] = {}  # on the way
+        self.wanted: dict[str, None] = {}  # names of members to read, in order
+        self.reading: dict[str, None] = {}  # names of members whose read is in flight
         self.listing: dict[str, None] = {}
         self.read_at: dict[str, float] = {}
         self.later: list[tuple[float, str]] = []
         self.rechecked = 0.0
         self.turn = 0
         self.too_many = 0
-        self.changes = 0  # of the picture, so far
+        self.changes = 0  # how often the picture has changed
 
-    # What happens
+    # Events
 
     def up(self, now: float, fresh: bool) -> list[Ask]:
-        """A session serves. On a fresh one everything is read again; on another what was on its way."""
+        """A connection is established: reads everything on a fresh session, else what was in flight."""
         lost = list(self.reading)
         lists = [self.path] if fresh else list(self.listing)
         self.reading.clear()
@@ -82,14 +85,14 @@
         return [self._list(path) for path in dict.fromkeys(lists)] + self._reads(now)
 
     def watches(self) -> tuple[list[str], list[str], list[str]]:
-        """What it watches on a session that moves: data, exists, children."""
+        """The watches to set again when a session moves to another server: data, exists, children."""
         if self.picture.missing:
             return [], [self.path], []
         lists = [self.path, *([f"{self.path}/{DRAINING}"] if DRAINING in self.names else [])]
         return [f"{self.path}/{name}" for name in self.picture.nodes], [], lists
 
     def fired(self, now: float, fired: Fired) -> list[Ask]:
-        """A watch told."""
+        """Handle a watch event."""
         if fired.path in (self.path, f"{self.path}/{DRAINING}"):
             return [self._list(fired.path)] if fired.path not in self.listing else []
         above, _, name = fired.path.rpartition("/")
@@ -105,7 +108,7 @@
         return self._reads(now)
 
     def reply(self, now: float, reply: Reply) -> list[Ask]:
-        """An answer to one of its asks."""
+        """Handle the reply to one of its requests."""
         path = reply.ask.path
         if reply.ask.kind is Kind.EXISTS:
             return [self._list(self.path)] if reply.code == Code.OK else []
@@ -120,7 +123,7 @@
         return []
 
     def tick(self, now: float) -> list[Ask]:
-        """What has come due; `due` says when."""
+        """Return the requests that are due; `due` gives the time of the next."""
         while self.later and self.later[0][0] <= now:
             name = heapq.heappop(self.later)[1]
             if name in self.names and name not in self.reading:
@@ -137,7 +140,7 @@
         return asks
 
     def due(self) -> float:
-        """When `tick` next has something to do."""
+        """When `tick` has to be called next."""
         return min(self.later[0][0] if self.later else self.rechecked + RECHECK, self.rechecked + RECHECK)
 
     # Reading
@@ -158,7 +161,7 @@
             return []
         self.too_many = len(reply.names) if len(reply.names) > MOST_NODES else 0
         if self.too_many:
-            return []  # what is known stays: such a list is no fleet's
+            return []  # keeps what is known: no real fleet has a list this long
         before, picture.missing = self.names, False
         self.names = frozenset(reply.names)
         self.changes += self.names != before
@@ -201,7 +204,8 @@
             self.changes += 1
             self.picture.nodes.pop(name, None)
             self.read_at.pop(name, None)
-            # Guards against a node that is made again before its directory is listed again: it is new then.
+            # If the node is created again before the directory is listed, the list must count it as new;
+            # otherwise it would not be read.
             self.names -= {name}
         asks = self._reads(now)
         self._settle()
--- a/millgw/membership/judge.py
+++ b/millgw/membership/judge.py
@@ -1,23 +1,24 @@
-"""What a vanished, lingering, re-created or flapping node means for its endpoint. Pure.
-
-An ephemeral node says that a session lives, not that a server does. So its going is weighed:
-
-    told        an explicit drain (status, `draining` list), a draining node's end, or the end of FEW nodes
-                or fewer within WINDOW: the endpoint is out at once, or after SETTLE, and stays out. Rule 3
-                counts from here.
-    held        more than FEW vanish within WINDOW, or the coordinator itself is in doubt (it went back in
-                time, its directory is gone): that says something of sessions, and nothing of any one server.
-                Each stays until it is there again, drains, or is seen dead, HOLD at the most if nothing is
-                heard of it, HOLD_MOST in any case; then they go FEW a WINDOW.
-    aside       the node is there and its server is not: no connection comes up for ASIDE_AFTER. It is offered
-                again after a growing time, as a cold one, and stays if it answers.
-
-FEW is a share of those that were there, one at the least. While the coordinator can't be reached nothing is
-asked of this module, so all stays. All times are ms of the caller's clock (Unix time).
-
-The start of an endpoint is what its node says (`since_ms`); else its node's creation. A node made again under
-the same name is a new and cold endpoint, unless its process is proven to be the same: by the token that its
-writer put there, or, while it is held, by a connection from before its node vanished that never broke.
+"""Decides what a vanished, lingering, re-created or flapping node means for its endpoint. Pure.
+
+An ephemeral node shows that a session is alive, not that a server is. Its disappearance has these outcomes:
+
+    told        an explicit drain (status, `draining` list), the end of a draining node, or at most FEW nodes
+                vanishing within WINDOW: the endpoint is removed at once, or after SETTLE, and stays out. The
+                rule that it gets nothing new (rule 3) applies from here.
+    held        more than FEW vanish within WINDOW, or the coordinator itself is suspect (it lost committed
+                changes, or its directory is gone): this is evidence about sessions, not about any one server.
+                Each endpoint stays until its node is back, it drains, or it is seen dead; for at most HOLD if
+                it has not answered lately, and HOLD_MOST in any case. They are then removed FEW per WINDOW.
+    aside       the node exists but its server is unreachable: no connection succeeds for ASIDE_AFTER. The
+                endpoint is offered again, as a cold one, after a growing delay, and stays if it answers.
+
+FEW is a share of the members present before, at least one. While the coordinator is unreachable this module
+is not called, so every endpoint stays. All times are ms of the caller's clock (Unix time).
+
+An endpoint's start time is the one in its node (`since_ms`), else the node's creation time. A node created
+again under the same name is a new and cold endpoint, unless its process is proven to be the same: by the
+instance token in its data or, while it is held, by a connection that was opened before the node vanished and
+never broke.
 """
 
 from __future__ import annotations
@@ -32,31 +33,34 @@
 from millgw.membership.nodes import Held
 from millgw.platform.discovery import Listed
 
-FLAPS = 3  # returns within FLAP_WINDOW from which a node has to wait before it is believed
-FLAP_WINDOW = 30_000.0
-FLAP_WAIT, FLAP_MOST = 1000.0, 8000.0  # ms: the first wait, doubled at each return more
-ASIDE_AFTER = 10_000.0  # of connections that don't come up
-ASIDE_FIRST, ASIDE_MOST = 10_000.0, 60_000.0  # ms until it is offered again: doubled each time, with jitter
-LOOK_EVERY = 1000.0  # ms between two looks at what can't be reached
-ASIDE_SHARE = 1 / 3  # of the members at the most: when more can't be reached, the trouble is this side's
-REMEMBER = 600_000.0  # ms for which the end of a node is remembered, so that older lists don't bring it back
-HEARD_WITHIN = 5000.0  # ms since its last answer for which a held endpoint counts as heard
+FLAPS = 3  # returns within FLAP_WINDOW from which on a returning node has to wait
+FLAP_WINDOW = 30_000.0  # ms
+FLAP_WAIT, FLAP_MOST = 1000.0, 8000.0  # ms: first wait, and its maximum; doubles with each further return
+ASIDE_AFTER = 10_000.0  # ms of failed connections
+ASIDE_FIRST, ASIDE_MOST = (
+    10_000.0,
+    60_000.0,
+)  # ms until offered again: first and maximum; doubles, with jitter
+LOOK_EVERY = 1000.0  # ms between checks for unreachable members
+ASIDE_SHARE = 1 / 3  # maximum share of the members: if more are unreachable, the fault is on this side
+REMEMBER = 600_000.0  # ms to remember the end of a node, so that an older list does not bring it back
+HEARD_WITHIN = 5000.0  # ms since its last answer for which a held endpoint counts as responding
 
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """The operator's figures. Times in ms."""
+    """The operator's settings. Times in ms."""
 
     share: float = 0.15
     window: float = 10_000.0
-    settle: float = 150.0  # in which it is seen whether others go with it; well within a drain's grace
+    settle: float = 150.0  # waits to see whether others vanish too; well within the drain grace period
     hold: float = 30_000.0
     hold_most: float = 300_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class Found:
-    """A member's node: who made it when, and what it says."""
+    """A member's node: its creation, its owner and its parsed data."""
 
     czxid: int
     mzxid: int
@@ -66,17 +70,17 @@
 
     @property
     def identity(self) -> tuple[int, int, int]:
-        """The same for the same node, whatever its data."""
+        """Identifies one creation of the node; unaffected by changes of its data."""
         return self.czxid, self.ctime, self.owner
 
 
 @dataclass(slots=True, frozen=True)
 class Seen:
-    """What this sidecar has seen of an endpoint itself; `-inf` for never.
+    """This sidecar's own evidence on an endpoint; `-inf` for never.
 
-    `answered`: its last answer on a connection that is kept; `opened`: when the oldest of these was made;
-    `broken`: when the other side last ended one, or one did not come up; `missed`: the latter alone;
-    `misses`: how many attempts in a row found no connection by now.
+    `answered`: its last answer on a connection that is still open; `opened`: when the oldest of these was
+    opened; `broken`: when the endpoint last closed a connection or one failed to connect; `missed`: the last
+    failure to connect alone; `misses`: how many attempts in a row have failed to connect so far.
     """
 
     answered: float = -math.inf
@@ -87,12 +91,12 @@
 
 
 class State(Enum):
-    """Where a member stands. What is PRESENT, LEAVING or HELD is offered."""
+    """A member's state. Members that are PRESENT, LEAVING or HELD are offered."""
 
     PRESENT = "present"
-    LEAVING = "leaving"  # vanished; whether others go with it is not known yet
+    LEAVING = "leaving"  # vanished; not yet known whether others vanish with it
     HELD = "held"
-    WAITING = "waiting"  # flaps: there, and not believed yet
+    WAITING = "waiting"  # flapping: its node is back, but it is not offered yet
     ASIDE = "aside"
 
 
@@ -101,15 +105,15 @@
 
 @dataclass(slots=True)
 class Member:
-    """One endpoint by its name."""
+    """The state of one endpoint."""
 
     found: Found
     since: float
     node: str
     state: State = State.PRESENT
     at: float = 0.0  # when its state began
-    until: float = math.inf  # when it ends by itself
-    misses_from: float = math.inf  # the first of the misses that no answer has followed
+    until: float = math.inf  # when it ends by timeout
+    misses_from: float = math.inf  # first failed connect since its last answer
     asides: int = 0
 
     def move(self, state: State, at: float, until: float = math.inf) -> None:
@@ -118,17 +122,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """A node that was told to be gone or draining."""
+    """A node that has ended or drains."""
 
     identity: tuple[int, int, int]
     mzxid: int
     at: float
-    marked: bool = False  # by the operator's list, which may take it back
+    marked: bool = False  # by the operator's drain list, which may revoke it
 
 
 @dataclass(slots=True)
 class Counts:
-    """What was decided so far, for the log and for tests."""
+    """How often each decision was taken, for the log and for tests."""
 
     gone: int = 0
     drained: int = 0
@@ -138,7 +142,7 @@
     released: int = 0
     aside: int = 0
     offered_again: int = 0
-    believed: int = 0  # of those that flapped
+    believed: int = 0  # flapping members that are offered again
     stale: int = 0
 
 
@@ -146,7 +150,7 @@
 
 
 class Judge:
-    """The members of one directory. `see` takes a whole list, `decide` what time and own evidence tell."""
+    """The members of one directory. `see` takes a complete list; `decide` acts on time and own evidence."""
 
     def __init__(self, terms: Terms, rng: random.Random, witness: Witness) -> None:
         self.terms = terms
@@ -154,8 +158,10 @@
         self.witness = witness
         self.members: dict[str, Member] = {}
         self.ended: dict[str, Ended] = {}
-        self.draining: dict[str, Listed] = {}  # told to drain, and still there
-        self.departures: deque[tuple[float, str]] = deque()  # within the window, of those not back
+        self.draining: dict[str, Listed] = {}  # draining, node still there
+        self.departures: deque[tuple[float, str]] = (
+            deque()
+        )  # (time, name) within the window, without those that are back
         self.returns: dict[str, list[float]] = {}
         self.counts = Counts()
         self.suspect = False
@@ -170,9 +176,9 @@
         drained: Collection[str],
         suspect: bool = False,
     ) -> None:
-        """The whole list as it is now: node names with what they hold, and the nodes that an operator drains.
+        """Take in the complete current list: all nodes, and the names of those that an operator drains.
 
-        `suspect`: the coordinator can't be taken by its word on who is gone.
+        `suspect`: the coordinator can't be trusted on which nodes are gone.
         """
         self.suspect = suspect
         newest: dict[str, tuple[Found, str]] = {}
@@ -190,7 +196,7 @@
             if name in newest:
                 continue
             if member.node in drained:
-                self._end(now, name, member.found)  # an operator's drain is heeded also while it is held
+                self._end(now, name, member.found)  # an operator's drain applies to a held member too
                 self.counts.drained += 1
             elif member.state in (State.WAITING, State.ASIDE):
                 self._end(now, name, member.found)
@@ -200,17 +206,17 @@
                 self.departures.append((now, name))
 
     def _stale(self, name: str, found: Found) -> bool:
-        """Whether this is an older word on a node that has ended: of a server that lags, or went back."""
+        """Whether this is outdated data on a node that has ended, from a server that lags or lost changes."""
         ended = self.ended.get(name)
         if ended is None or ended.identity != found.identity:
             return False
         if (ended.marked or found.mzxid > ended.mzxid) and not self.suspect:
-            return False  # the drain was taken back
+            return False  # the drain was revoked
         self.counts.stale += 1
         return True
 
     def _drain(self, now: float, name: str, found: Found, marked: bool) -> None:
-        """Told: out at once, whatever else holds."""
+        """An explicit drain removes the member at once, in any state."""
         self.draining[name] = found.held.listed
         if name in self.members:
             del self.members[name]
@@ -247,7 +253,7 @@
             self._explained(name)
 
     def _explained(self, name: str) -> None:
-        """It is back, or seen dead: its departure says nothing of the coordinator any more."""
+        """Forget a departure: the member is back or seen dead, so it no longer implicates the coordinator."""
         if any(name == gone for _, gone in self.departures):
             self.departures = deque(d for d in self.departures if d[1] != name)
 
@@ -269,7 +275,7 @@
         return seen.opened < member.at and seen.answered > member.at and seen.broken < seen.opened
 
     def _flap(self, now: float, name: str) -> float:
-        """How long a node that is back has to wait: 0 unless it comes and goes."""
+        """How long (ms) a node that is back has to wait; 0 unless it flaps."""
         times = [t for t in self.returns.get(name, []) if t > now - FLAP_WINDOW] + [now]
         self.returns[name] = times
         more = len(times) - FLAPS
@@ -278,13 +284,13 @@
     # Time and evidence
 
     def few(self) -> int:
-        """How many may vanish within a window and be taken as told."""
+        """How many members may vanish within a window and be taken as gone; more are held."""
         there = sum(m.state in OFFERED for m in self.members.values())
         gone = sum(name not in self.members for _, name in self.departures)
         return max(1, math.ceil(self.terms.share * (there + gone)))
 
     def decide(self, now: float) -> None:
-        """Carry out what has come due."""
+        """Apply the decisions that are due."""
         self._forget(now)
         mass = self.suspect or len(self.departures) > self.few()
         for name, member in list(self.members.items()):
@@ -312,13 +318,13 @@
             del self.returns[name]
 
     def _holds(self, now: float) -> None:
-        """Held ones go by evidence, or when their time is over: then few at a time."""
+        """Remove held members that are seen dead, and those whose time is over, at most `few` a window."""
         held = [(n, m) for n, m in self.members.items() if m.state is State.HELD]
         room = self.few() - sum(name not in self.members for _, name in self.departures)
         for name, member in sorted(held, key=lambda h: (h[1].at, h[0])):
             seen = self.witness(name)
             if seen.misses and seen.missed > max(member.at, seen.answered):
-                # Two signs that don't hang on each other: its session is gone, and it takes no connection.
+                # Two independent signs: its session is gone, and connecting to it fails.
                 self._end(now, name, member.found)
                 self._explained(name)
                 self.counts.dead += 1
@@ -331,14 +337,14 @@
                 self.counts.released += 1
 
     def _lingering(self, now: float) -> None:
-        """Put aside what is listed and can't be reached; offer again what has been aside for its time."""
+        """Set aside members that are listed but unreachable; offer again those whose time aside is over."""
         most = int(ASIDE_SHARE * len(self.members))
         aside = sum(m.state is State.ASIDE for m in self.members.values())
         for name, member in self.members.items():
             if member.state is State.ASIDE:
                 if now >= member.until:
                     aside -= 1
-                    member.since = max(member.since, now)  # nobody knows what happened meanwhile: cold
+                    member.since = max(member.since, now)  # it may have restarted meanwhile: treat it as cold
                     member.misses_from = math.inf
                     member.move(State.PRESENT, now)
                     self.counts.offered_again += 1
@@ -352,7 +358,7 @@
                     member.asides = 0
             else:
                 member.misses_from = min(member.misses_from, seen.missed)
-            tried = member.asides > 0 and member.misses_from < math.inf  # offered again, and not there again
+            tried = member.asides > 0 and member.misses_from < math.inf  # offered again and still unreachable
             if aside < most and (tried or seen.missed - member.misses_from >= ASIDE_AFTER):
                 aside += 1
                 wait = min(ASIDE_MOST, ASIDE_FIRST * 2.0**member.asides) * (0.5 + 0.5 * self.rng.random())
@@ -361,17 +367,17 @@
                 self.counts.aside += 1
 
     def due(self) -> float:
-        """When a state ends by itself; evidence may come before."""
+        """When the next state ends by timeout; evidence may end it earlier."""
         return min((m.until for m in self.members.values()), default=math.inf)
 
     def unsettled(self) -> bool:
-        """Whether own evidence may decide something soon."""
+        """Whether own evidence may lead to a decision soon."""
         return any(m.state in (State.LEAVING, State.HELD) for m in self.members.values())
 
-    # What comes of it
+    # Results
 
     def offered(self) -> dict[str, Listed]:
-        """The endpoints that may be sent to, by name."""
+        """The endpoints that may receive requests, by name."""
         return {
             name: replace(entry := m.found.held.listed, endpoint=replace(entry.endpoint, started_at=m.since))
             for name, m in self.members.items()
@@ -379,7 +385,7 @@
         }
 
     def states(self) -> dict[str, int]:
-        """How many members stand where."""
+        """How many members are in each state."""
         return {s.value: sum(m.state is s for m in self.members.values()) for s in State} | {
             "draining": len(self.draining)
         }
--- a/millgw/membership/jute.py
+++ b/millgw/membership/jute.py
@@ -1,7 +1,7 @@
-"""Records of the ZooKeeper protocol (its jute encoding): big-endian, lengths before what they count. Pure.
+"""Jute, the record encoding of the ZooKeeper protocol: big-endian, length-prefixed. Pure.
 
-Source: the protocol's record definitions as published (`zookeeper.jute`). A `BadRecord` tells what can't be
-read; nothing is allocated for a length before it is seen that so much is there.
+Source: the published record definitions (`zookeeper.jute`). Malformed input raises `BadRecord`; a length is
+checked against the data at hand before anything is allocated for it.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class BadRecord(ValueError):
-    """What came is no record of the protocol."""
+    """The data is not a valid record of the protocol."""
 
 
 class Reader:
-    """Reads one frame from its start to its end."""
+    """Decodes the fields of one frame in order."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -30,7 +30,7 @@
 
     def _take(self, size: int, what: str) -> bytes:
         if size < 0 or self.at + size > len(self.data):
-            raise BadRecord(f"{what}: {size} bytes wanted, {len(self.data) - self.at} there")
+            raise BadRecord(f"{what}: {size} bytes needed, {len(self.data) - self.at} left")
         part = self.data[self.at : self.at + size]
         self.at += size
         return part
@@ -47,7 +47,7 @@
         return self._take(1, "boolean") != b"\0"
 
     def buffer(self) -> bytes:
-        """Bytes; a length of -1 stands for none."""
+        """Bytes; a length of -1 stands for null, returned as empty."""
         size = self.number()
         return b"" if size == -1 else self._take(size, "buffer")
 
@@ -58,12 +58,12 @@
             raise BadRecord(f"string: {error.reason}") from None
 
     def vector(self, read: Callable[[Reader], T], least: int) -> list[T]:
-        """A counted list, each of `least` bytes or more; -1 stands for none."""
+        """A counted list of entries of at least `least` bytes each; -1 stands for null, returned as empty."""
         count = self.number()
         if count == -1:
             return []
         if count < 0 or count * least > len(self.data) - self.at:
-            raise BadRecord(f"vector: {count} entries can't be in {len(self.data) - self.at} bytes")
+            raise BadRecord(f"vector: {count} entries don't fit in {len(self.data) - self.at} bytes")
         return [read(self) for _ in range(count)]
 
     def strings(self) -> list[str]:
@@ -99,25 +99,25 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """A payload as it goes on the wire."""
+    """A payload with its length prefix, as sent on the wire."""
     return INT.pack(len(payload)) + payload
 
 
 class Frames:
-    """Cuts what comes into frames, wherever the reads fall."""
+    """Splits a byte stream into frames, however it is divided into reads."""
 
     def __init__(self, most: int = MAX_FRAME) -> None:
         self.most = most
         self.rest = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole now; a BadRecord where a length can't be one."""
+        """The frames that are complete now; raises BadRecord for an impossible length."""
         self.rest += data
         found = []
         while len(self.rest) >= 4:
             size = INT.unpack_from(self.rest)[0]
             if not 0 <= size <= self.most:
-                raise BadRecord(f"a frame of {size} bytes; the most is {self.most}")
+                raise BadRecord(f"frame of {size} bytes; the maximum is {self.most}")
             if len(self.rest) < 4 + size:
                 break
             found.append(bytes(self.rest[4 : 4 + size]))
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stat:
-    """What the coordinator knows of a node. Times are Unix ms, zxids its own order of changes."""
+    """A node's metadata. Times are Unix ms; zxids number the coordinator's changes in order."""
 
     czxid: int
     mzxid: int
--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -1,13 +1,13 @@
-"""Two sources of one pool's endpoints, made one list. Pure.
+"""Merges two sources of one pool's endpoints, the coordinator and discovery, into one list. Pure.
 
-    union          what either lists                       intersection   what both list
-    coordinator    the coordinator's list while it is well; discovery's while it is not; `discovery`: the same
-                   the other way round
+    union          endpoints that either lists             intersection   endpoints that both list
+    coordinator    the coordinator's list while it is healthy, else discovery's
+    discovery      discovery's list while it is healthy, else the coordinator's
 
-Whatever the way: a drain that either tells counts at once. So does an end: an endpoint that one source had
-listed and lists no more is out, until it is listed there again or the other tells of a later start. What one
-never listed, it says nothing of. Each endpoint is known once: entries with one name, or one address, are one,
-under the coordinator's name.
+In every mode a drain that either source reports applies at once. So does a removal: an endpoint that one
+source listed before and lists no longer is out, until that source lists it again or the other reports a later
+start. A source has no say on endpoints it never listed. Each endpoint appears once: entries with the same
+name or the same address are one endpoint, under the coordinator's name.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Mode(Enum):
-    """How two lists become one."""
+    """How the two lists are merged."""
 
     UNION = "union"
     INTERSECTION = "intersection"
@@ -35,29 +35,31 @@
 
 @dataclass(slots=True)
 class Side:
-    """One source's last word. `spoke`: it has said anything; `well`: it could say more if there were any."""
+    """One source's latest list. `spoke`: it has reported a list; `well`: it is reachable now."""
 
     ready: dict[int, Listed] = field(default_factory=dict)
     drains: dict[int, Listed] = field(default_factory=dict)
-    ended: dict[int, float] = field(default_factory=dict)  # listed once and no more: its start by then
+    ended: dict[int, float] = field(
+        default_factory=dict
+    )  # removed from this list: latest start time known at that moment (ms)
     spoke: bool = False
     well: bool = False
 
 
 class Merger:
-    """Both lists, by endpoint id."""
+    """Holds both sources' lists, by endpoint id."""
 
     def __init__(self, mode: Mode) -> None:
         self.mode = mode
         self.sides = (Side(), Side())
 
     def tell(self, side: int, ready: Mapping[int, Listed], drains: Mapping[int, Listed]) -> None:
-        """A source's whole list as it is now."""
+        """Replace a source's list by its current complete one."""
         one, other = self.sides[side], self.sides[1 - side]
         at = {entry.address: entry for entry in other.ready.values()}
         for id, entry in one.ready.items():
             if id not in ready:
-                # What the other knows by now is of the process that has ended, however late its start.
+                # What the other source lists now is the process that has ended, however late its start.
                 theirs = other.ready.get(id) or at.get(entry.address, entry)
                 one.ended[id] = max(entry.endpoint.started_at, theirs.endpoint.started_at)
         for id in ready:
@@ -66,11 +68,11 @@
         one.spoke = one.well = True
 
     def ails(self, side: int) -> None:
-        """A source can't be reached: its last word stands, and counts less where the other is preferred."""
+        """A source is unreachable: its latest list stays, but a mode may now prefer the other one."""
         self.sides[side].well = False
 
     def result(self) -> dict[int, Listed]:
-        """What is told to the module: endpoints that are ready, and those that drain."""
+        """The merged list: endpoints that are ready, and those that drain (without address)."""
         first, second = self.sides
         names = _same(first, second)
         theirs = {names.get(id, id): entry for id, entry in second.ready.items()}
@@ -88,7 +90,7 @@
         for id, entry in list(chosen.items()):
             other_id = last.setdefault(entry.address, id)
             if other_id != id:
-                # Two names at one address: the later start is the one that is there.
+                # Two names at one address: only the one that started later can be running there.
                 later = entry.endpoint.started_at > chosen[other_id].endpoint.started_at
                 del chosen[other_id if later else id]
                 last[entry.address] = id if later else other_id
@@ -100,7 +102,7 @@
         first, second = self.sides
         either = mine or other
         if not (first.spoke and second.spoke):
-            return either  # one that has yet to speak takes nothing away
+            return either  # a source that has not reported yet removes nothing
         if self.mode is Mode.UNION:
             return either
         if self.mode is Mode.INTERSECTION:
@@ -111,7 +113,7 @@
 
 
 def _same(first: Side, second: Side) -> dict[int, int]:
-    """The second's ids that go by another id at the first: an address has one endpoint."""
+    """Maps the second source's ids to the first's where both list the same address under different names."""
     at: dict[Address, int] = {}
     for id, entry in [*first.drains.items(), *first.ready.items()]:
         if entry.address is not None:
@@ -127,7 +129,7 @@
 def _out(
     id: int, mine: Listed | None, other: Listed | None, ended: tuple[Mapping[int, float], Mapping[int, float]]
 ) -> bool:
-    """Whether one source has told its end, and the other knows of no later start."""
+    """Whether one source has removed it and the other reports no later start."""
     for told, still in ((ended[0], other), (ended[1], mine)):
         if id in told and (still is None or still.endpoint.started_at <= told[id]):
             return True
@@ -135,7 +137,7 @@
 
 
 def changes(before: Mapping[int, Listed], after: Mapping[int, Listed]) -> tuple[Listed, ...]:
-    """What has to be told to one who knows `before`."""
+    """The entries to send to a receiver that has `before` to bring it to `after`."""
     told = [entry for id, entry in after.items() if before.get(id) != entry]
     gone = [entry for id, entry in before.items() if id not in after]
     return (*told, *(listed_as(e, Condition.GONE) for e in gone))
--- a/millgw/membership/nodes.py
+++ b/millgw/membership/nodes.py
@@ -1,11 +1,11 @@
-"""What a member's node holds, in the layouts that stacks write: pure.
+"""Parses the data of a member's node, in the layouts that common libraries write. Pure.
 
-    entry       discovery's own: {"name", "address": "IP:port", "status", "group", "weight", "zone",
-                "since_ms"}, and "instance", a token of the process
+    entry       discovery's own format: {"name", "address": "IP:port", "status", "group", "weight", "zone",
+                "since_ms"}, and "instance", a token that identifies the process
     serverset   Finagle's: {"serviceEndpoint": {"host", "port"}, "additionalEndpoints", "status", "shard"}
     curator     Curator's service discovery: {"id", "address", "port", "registrationTimeUTC", "enabled", ...}
 
-Each is told from the others by its fields. Hosts must be IP addresses: nothing is looked up.
+The layout is recognised by its fields. Hosts must be IP addresses: no names are resolved.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
     "ALIVE": "in_service", "WARNING": "in_service", "STOPPING": "terminating", "STOPPED": "terminating",
     "DEAD": "terminating",
 }  # fmt: skip
-"""A serverset's words; STARTING and STOPPED-like words that are not here are no members yet."""
+"""Maps a serverset's status to discovery's. STARTING is not a member yet; any other status is an error."""
 MOST_DATA = 65_536  # bytes of one node
 
 
 @dataclass(slots=True, frozen=True)
 class Held:
-    """What a node says: the entry, its name, a token of the process that wrote it ('': none)."""
+    """A node's parsed data: its name, its entry and the token of the process that wrote it ('': none)."""
 
     name: str
     listed: Listed
@@ -40,18 +40,18 @@
 
 
 def read_node(data: bytes, zones: tuple[str, ...], port: str = "") -> Held | None:
-    """A node's data; None for a server that says that it is still starting. A ValueError says what is wrong.
+    """Parse a node's data; None for a server that is still starting. Raises ValueError for malformed data.
 
     `port` names one of a serverset's additional endpoints; '' is its service endpoint.
     """
     if len(data) > MOST_DATA:
-        raise ValueError(f"{len(data)} bytes; the most are {MOST_DATA}")
+        raise ValueError(f"{len(data)} bytes; the maximum is {MOST_DATA}")
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise ValueError(f"no JSON: {error}") from None
+        raise ValueError(f"not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ValueError("no JSON object")
+        raise ValueError("not a JSON object")
     try:
         if "serviceEndpoint" in raw:
             entry, instance = _serverset(raw, port), str(raw.get("instance", ""))
@@ -69,18 +69,18 @@
 
 def _address(host: Any, port: Any) -> str:
     if not isinstance(host, str) or isinstance(port, bool) or not isinstance(port, int):
-        raise ValueError(f"{host!r} and {port!r} are no host and port")
+        raise ValueError(f"{host!r} and {port!r} are not a valid host and port")
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def _serverset(raw: Mapping[str, Any], port: str) -> dict[str, Any] | None:
-    """Its nodes are sequential, with another name at each registration: the address names the endpoint."""
+    """Its nodes are sequential and get a new name at each registration, so the address names the endpoint."""
     at = raw["additionalEndpoints"][port] if port else raw["serviceEndpoint"]
     status = raw.get("status", "ALIVE")
     if status == "STARTING":
         return None
     if status not in STATUS:
-        raise ValueError(f"status {status!r} is none of a serverset's")
+        raise ValueError(f"unknown serverset status {status!r}")
     address = _address(at["host"], at["port"])
     shard = raw.get("shard")
     return {
@@ -91,7 +91,7 @@
 
 def _curator(raw: Mapping[str, Any]) -> dict[str, Any]:
     if not isinstance(raw["id"], str) or not raw["id"]:
-        raise ValueError(f"id {raw['id']!r} is no name")
+        raise ValueError(f"id {raw['id']!r} is not a valid name")
     since = raw.get("registrationTimeUTC", 0)
     return {
         "name": raw["id"], "address": _address(raw["address"], raw["port"]),
--- a/millgw/membership/protocol.py
+++ b/millgw/membership/protocol.py
@@ -1,8 +1,8 @@
-"""A client's side of the ZooKeeper protocol: bytes in, events out; asks in, bytes out. No I/O, no clock.
+"""Client side of the ZooKeeper protocol: bytes in, events out; requests in, bytes out. No I/O, no clock.
 
 Source: the published records (`zookeeper.jute`) and the programmer's guide (sessions, one-shot watches).
-Replies come in the order of their requests. The order of changes (zxid) never goes back within what one
-`Core` has seen: a server that knows less is not believed (`BadRecord`), until `forget` starts over.
+Replies arrive in the order of their requests. The zxid (number of the last change) must never decrease for
+one `Core`: a server that is behind is rejected (`BadRecord`), until `forget` starts over.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from millgw.membership import jute
 from millgw.membership.jute import BadRecord, Frames, Reader, Stat, read_stat
 
-MOST_ANSWER = 8 << 20  # bytes of one frame from a server: a list of 100,000 names has a few million
+MOST_ANSWER = 8 << 20  # bytes of one frame from a server: a list of 100,000 names takes a few million
 MOST_PENDING = 10_000  # requests without a reply
 
-NOTHING = bytes(16)  # the password of a session that is yet to be
+NOTHING = bytes(16)  # password sent to open a new session
 XID_WATCH, XID_PING, XID_SET_WATCHES = -1, -2, -8
 CREATE, DELETE, EXISTS, GET_DATA, SET_DATA, GET_CHILDREN2 = 1, 2, 3, 4, 5, 12
 PING, SET_WATCHES, CLOSE = 11, 101, -11
@@ -27,7 +27,7 @@
 
 
 class Code(IntEnum):
-    """The protocol's error codes, as far as client and stand-in know them."""
+    """The protocol's error codes that the client and the stand-in coordinator use."""
 
     OK = 0
     MARSHALLING = -5
@@ -44,7 +44,7 @@
 
 
 class Change(IntEnum):
-    """What a watch tells of."""
+    """The event types of a watch."""
 
     CREATED = 1
     DELETED = 2
@@ -53,7 +53,7 @@
 
 
 class Kind(IntEnum):
-    """What is asked."""
+    """The operations that the client requests."""
 
     CREATE = CREATE
     DELETE = DELETE
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """One request. Reads set their watch; a created node is ephemeral unless `lasting`."""
+    """One request. Reads also set a watch; a created node is ephemeral unless `lasting`."""
 
     kind: Kind
     path: str
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Up:
-    """A session serves on this connection. `fresh`: it is a new one. `timeout` in ms, as negotiated."""
+    """A session is established on this connection. `fresh`: it is new. `timeout`: ms, as negotiated."""
 
     session: int
     timeout: float
@@ -102,12 +102,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Expired:
-    """The session is gone, and its nodes with it; the next connection opens a new one."""
+    """The session has expired and its nodes are deleted; the next connection opens a new session."""
 
 
 @dataclass(slots=True, frozen=True)
 class Fired:
-    """A watch: something changed at a path. It is set no longer."""
+    """A watch event: something changed at a path. The watch is no longer set."""
 
     change: int
     path: str
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """The answer to an `Ask`; what does not belong to its kind is empty."""
+    """The reply to an `Ask`; fields that do not apply to its kind are empty."""
 
     ask: Ask
     code: int
@@ -128,11 +128,11 @@
 
 
 class Core:
-    """One client over all its connections: its session, what it has seen, what is still to be answered."""
+    """Protocol state of one client across connections: session, last zxid, requests without a reply."""
 
     def __init__(self, timeout: float, read_only: bool = True) -> None:
         self.wanted = timeout  # ms
-        self.read_only = read_only  # whether a server that is cut off from the others will do
+        self.read_only = read_only  # whether a read-only (partitioned) server is acceptable
         self.session = 0
         self.password = NOTHING
         self.seen = 0
@@ -142,7 +142,7 @@
         self.frames = Frames(MOST_ANSWER)
 
     def connect(self) -> bytes:
-        """What to write first on a new connection; what was pending on the last one is lost."""
+        """The connect request for a new connection; requests pending on the last connection are lost."""
         self.up = False
         self.pending.clear()
         self.frames = Frames(MOST_ANSWER)
@@ -153,11 +153,11 @@
         )  # fmt: skip
 
     def forget(self) -> None:
-        """Start over: no session, nothing seen. For a coordinator that knows less than it did."""
+        """Start over without a session or a last zxid, after the coordinator has lost committed changes."""
         self.session, self.password, self.seen = 0, NOTHING, 0
 
     def ask(self, ask: Ask) -> bytes:
-        """A request; a BadRecord where far too much is unanswered."""
+        """The bytes of a request; raises BadRecord if too many requests are unanswered."""
         if len(self.pending) >= MOST_PENDING:
             raise BadRecord(f"{len(self.pending)} requests without a reply")
         self.xid = self.xid % 0x7FFFFFFF + 1
@@ -168,7 +168,7 @@
         return jute.frame(jute.write_int(XID_PING) + jute.write_int(PING))
 
     def set_watches(self, data: Sequence[str], exists: Sequence[str], children: Sequence[str]) -> bytes:
-        """Set again, on a session that moved, the watches it had: what changed since is told at once."""
+        """Set watches again after the session moved; changes missed meanwhile fire them at once."""
         self.pending.append((XID_SET_WATCHES, None))
         return jute.frame(
             jute.write_int(XID_SET_WATCHES) + jute.write_int(SET_WATCHES) + jute.write_long(self.seen)
@@ -176,13 +176,13 @@
         )  # fmt: skip
 
     def close(self) -> bytes:
-        """End the session, and its nodes with it."""
+        """The request that closes the session, which deletes its nodes."""
         self.xid = self.xid % 0x7FFFFFFF + 1
         self.pending.append((self.xid, None))
         return jute.frame(jute.write_int(self.xid) + jute.write_int(CLOSE))
 
     def receive(self, data: bytes) -> list[Event]:
-        """What came, at any split; a BadRecord ends the connection."""
+        """The events in received bytes, however they are split; a BadRecord ends the connection."""
         events: list[Event] = []
         for payload in self.frames.feed(data):
             reader = Reader(payload)
@@ -211,11 +211,11 @@
             events.append(Fired(change, reader.string()))
             return
         if xid != XID_PING and (not self.pending or self.pending[0][0] != xid):
-            # First: what is no reply must not move the order of changes, or honest servers would refuse us.
-            raise BadRecord(f"a reply to {xid}, which is not the next")
+            # Checked first: an invalid reply must not raise the zxid, or every server would reject us.
+            raise BadRecord(f"reply to request {xid}, which is not the next one pending")
         if zxid > 0:
             if zxid < self.seen:
-                raise BadRecord(f"change {zxid} after {self.seen}: the server is behind")
+                raise BadRecord(f"zxid {zxid} after {self.seen}: the server is behind")
             self.seen = zxid
         if xid == XID_PING:
             return
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -1,11 +1,11 @@
-"""Registers one server: keeps its node there while it serves, and takes it down before the server stops.
+"""Registers one server: keeps its node while it serves, and deletes it before the server stops.
 
-A library call for programs that register themselves, and what the command `register` is made of:
+For programs that register themselves; the command `register` is built on it too:
 
     registrar = Registrar(servers, "/services/login", Entry("a1", "10.0.0.7:8080"), 10_000.0)
     registrar.start()
     ...
-    await registrar.leave(drain=2.0)     # told to drain, 2 s, taken down, session closed
+    await registrar.leave(drain=2.0)     # marks it draining, waits 2 s, deletes it, closes the session
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from millgw.membership.registration import Registration, State, Wish
 from millgw.platform.config import Address, read_address
 
-RETRY = 1.0  # s until what the coordinator refused is tried again
-LEAVE_WITHIN = 3.0  # s for the coordinator to hear of the drain, and again of the end
+RETRY = 1.0  # s between retries of requests that the coordinator refused
+LEAVE_WITHIN = 3.0  # s to wait for the coordinator to confirm the drain, and again the deletion
 
 Layout = Literal["entry", "serverset", "curator"]
 LAYOUTS: tuple[Layout, ...] = ("entry", "serverset", "curator")
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """What the node says of the server; `since`: its start in Unix ms, `instance`: a token of its process."""
+    """The server's entry; `since`: its start in Unix ms, `instance`: a token that identifies its process."""
 
     name: str
     address: str
@@ -46,7 +46,7 @@
     instance: str = field(default_factory=lambda: secrets.token_hex(8))
 
     def data(self, wish: Wish) -> bytes:
-        """The node's data: serving, or draining."""
+        """The node's data, as serving or as draining."""
         serves, at = wish is Wish.SERVE, read_address(self.address)
         said: dict[str, object]
         if self.layout == "serverset":
@@ -69,7 +69,7 @@
         return json.dumps(said | {"instance": self.instance}).encode()
 
     def mine(self, data: bytes) -> bool:
-        """Whether a node's data was written by this very process."""
+        """Whether a node's data was written by this process."""
         try:
             said = json.loads(data)
         except (ValueError, RecursionError):
@@ -78,7 +78,7 @@
 
 
 class Registrar:
-    """One node. `registered` is set while it is there under the session that serves."""
+    """One registered node. `registered` is set while the node exists under the current session."""
 
     def __init__(
         self,
@@ -105,9 +105,9 @@
         self.retrying = asyncio.get_running_loop().call_later(RETRY, self._retry)
 
     async def leave(self, drain: float) -> bool:
-        """Tell that it drains, wait (s), take the node down and end the session; whether the node is down.
+        """Mark the node as draining, wait `drain` s, delete it, close the session; whether it is deleted.
 
-        The session's end takes it down too, at once or by its time-out, where the coordinator can't be asked.
+        The session's end deletes it too, at once or by its timeout, if the coordinator can't be reached.
         """
         self._ask(self.registration.want(Wish.DRAIN))
         await _within(self.drained)
@@ -117,7 +117,7 @@
         return down
 
     async def withdraw(self) -> bool:
-        """Take the node down now, and end the session."""
+        """Delete the node now and close the session; whether the node is deleted."""
         self._ask(self.registration.want(Wish.LEAVE))
         down = await _within(self.left)
         if self.retrying is not None:
@@ -139,7 +139,7 @@
             log_event("register-refused", node=self.registration.path, code=self.registration.problem
             )  # fmt: skip
 
-    # The client's listener
+    # Callbacks of the client (`Listener`)
 
     def up(self, fresh: bool, doubtful: bool) -> None:
         self._ask(self.registration.up(self.client.core.session))
--- a/millgw/membership/registration.py
+++ b/millgw/membership/registration.py
@@ -1,14 +1,14 @@
-"""Keeping one process's node: when it is made, written, taken down. Pure.
+"""State machine for one process's node: when to create, update and delete it. Pure.
 
-The node has one path, so there are never two for one process; what can go wrong is whose it is:
+The node has a fixed path, so one process never has two; the action depends on who owns the node:
 
-    nobody's            make it
-    this session's      it is the one (a reply to its making may have been lost)
-    an older session's  of this very process, by the token in its data: it would vanish when that session
-                        ends, under a server that serves. Taken down by its version, and made anew
-    another's           left alone; made when it has gone
+    nobody              create it
+    this session        it is registered (the reply to its creation may have been lost)
+    an older session    of this process, by the token in its data: the node would vanish when that session
+                        ends, while the server still serves. Deleted by its version and created again
+    another process     left alone; created once it has gone
 
-One request is out at a time. What was out when a connection ended is not known: the node is read again.
+One request is in flight at a time. If the connection ends, its outcome is unknown and the node is read again.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Wish(Enum):
-    """What the process wants of its node."""
+    """The state that the process wants its node to be in."""
 
     SERVE = "serve"
     DRAIN = "drain"
@@ -28,19 +28,19 @@
 
 
 class State(Enum):
-    """What is known of the node."""
+    """The node's known state."""
 
     UNKNOWN = "unknown"
     ABSENT = "absent"
     SERVES = "serves"
     DRAINS = "drains"
-    OLD = "old"  # of an older session of this process
+    OLD = "old"  # owned by an older session of this process
     TAKEN = "taken"
     LEFT = "left"
 
 
 class Registration:
-    """One node. `words` gives its data for a wish; `mine` tells whether data was written by this process."""
+    """One node. `words` encodes its data for a wish; `mine` tells whether this process wrote some data."""
 
     def __init__(self, path: str, words: Callable[[Wish], bytes], mine: Callable[[bytes], bool]) -> None:
         self.path = path
@@ -51,13 +51,13 @@
         self.session = 0
         self.out: Ask | None = None
         self.version = 0
-        self.made = 0  # how often the node was made
-        self.problem = 0  # the coordinator's last refusal that waits for a tick
+        self.made = 0  # how often the node was created
+        self.problem = 0  # error code of the last refusal, until the next tick; 0 for none
 
-    # What happens; each returns what to ask
+    # Events; each returns the requests to send
 
     def up(self, session: int) -> list[Ask]:
-        """A session serves on a connection."""
+        """A session is established on a connection."""
         self.session = session
         self.out = None
         if self.state is not State.LEFT:
@@ -65,26 +65,26 @@
         return self._next()
 
     def down(self) -> None:
-        """No connection: what is out is lost, and nothing can be known."""
+        """The connection is lost: the outcome of the request in flight and the node's state are unknown."""
         self.out = None
         if self.state is not State.LEFT:
             self.state = State.UNKNOWN
 
     def want(self, wish: Wish) -> list[Ask]:
-        """Drain, then leave: a wish never goes back."""
+        """Set the wish, which only moves forward: serve, drain, leave."""
         order = list(Wish)
         if order.index(wish) > order.index(self.wish):
             self.wish = wish
         return self._next() if self.session else []
 
     def fired(self, fired: Fired) -> list[Ask]:
-        """A watch told: the node changed, or whose it is."""
+        """Handle a watch event: the node or its owner changed."""
         if fired.path == self.path and self.state is not State.LEFT:
             self.state = State.UNKNOWN
         return self._next()
 
     def tick(self) -> list[Ask]:
-        """Some time has passed: what was refused is tried again."""
+        """Retry what was refused; to be called from time to time."""
         self.problem = 0
         return self._next() if self.session else []
 
@@ -132,7 +132,7 @@
             self.state = State.LEFT if self.wish is Wish.LEAVE else State.TAKEN
 
     def _above(self) -> list[Ask]:
-        """Make the directory, from its top; what is there already is refused, which does no harm."""
+        """Create the parent directories, top down; creating one that exists is refused, which is harmless."""
         parts = self.path.strip("/").split("/")[:-1]
         above = ["/" + "/".join(parts[: i + 1]) for i in range(len(parts))]
         asks = [Ask(Kind.CREATE, path, lasting=True) for path in above]
@@ -150,12 +150,12 @@
             if self.wish is Wish.SERVE:
                 ask = Ask(Kind.CREATE, self.path, self.words(Wish.SERVE))
             else:
-                # Nobody was told that it serves, or its node has gone: nothing to drain.
+                # It was never registered, or its node has gone: nothing to drain.
                 self.state = State.LEFT if self.wish is Wish.LEAVE else State.DRAINS
         elif self.wish is Wish.DRAIN and self.state is State.SERVES:
             ask = Ask(Kind.WRITE, self.path, self.words(Wish.DRAIN), self.version)
         elif self.wish is Wish.LEAVE and self.state is State.TAKEN:
-            self.state = State.LEFT  # it was never this process's
+            self.state = State.LEFT  # the node belongs to another process
         elif self.state is State.OLD or (self.wish is Wish.LEAVE and self.state is not State.LEFT):
             ask = Ask(Kind.DELETE, self.path, version=self.version)
         self.out = ask
--- a/millgw/membership/servers.py
+++ b/millgw/membership/servers.py
@@ -1,8 +1,8 @@
-"""Which server of the ensemble is tried next, and when; when a session is given up as lost. Pure, seeded.
+"""Selects the next server of the ensemble and the delay before connecting; decides when to start over. Pure.
 
-Waits are spread: hundreds of clients lose the same server at one moment, and would all be at the next one
-together. None exceeds its part of the session's time-out, so that a session outlives a coordinator that is
-back in time.
+Delays are drawn at random (seeded): hundreds of clients lose the same server at the same moment and would
+otherwise all connect to the next one together. Each delay is limited to a part of the session timeout, so
+that a session survives a coordinator that comes back in time.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 from millgw.platform.config import Address, read_address
 
-SPREAD = 1000.0  # ms over which clients that lost a server come back, at the most
-BASE, CAP = 400.0, 5000.0  # ms between whole rounds without success, at the most: decorrelated jitter
-WAIT_PART = 1 / 4  # of the session's time-out, which no wait exceeds
-BACKWARD_ROUNDS = 2  # whole rounds in which each server that could be reached took no session
+SPREAD = 1000.0  # ms: clients that lost a server reconnect spread over at most this time
+BASE, CAP = 400.0, 5000.0  # ms between full rounds without success: decorrelated jitter from BASE to CAP
+WAIT_PART = 1 / 4  # maximum of any delay, as a part of the session timeout
+BACKWARD_ROUNDS = 2  # full rounds in which every reachable server refused the session
 
 
 def read_connect(text: str) -> tuple[tuple[Address, ...], str]:
-    """Servers and root path of a connect string `IP:port,IP:port/root`; a ValueError says what is wrong."""
+    """Servers and root path of a connect string `IP:port,IP:port/root`; raises ValueError."""
     hosts, slash, root = text.partition("/")
     servers = tuple(read_address(host.strip()) for host in hosts.split(","))
     if len(set(servers)) < len(servers):
@@ -29,7 +29,7 @@
 
 
 def check_path(path: str) -> str:
-    """A path as it is; a ValueError where it is none."""
+    """Return a valid path unchanged; raises ValueError for an invalid one."""
     parts = path.split("/")
     if parts[0] or len(parts) < 2 or any(p in ("", ".", "..") for p in parts[1:]) or not path.isprintable():
         raise ValueError(f"{path!r} is no path")
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Try:
-    """Connect to `server` after `wait` ms; with `over`, as a client that has seen nothing yet."""
+    """Connect to `server` after `wait` ms; with `over`, as a new client without session or zxid."""
 
     server: Address
     wait: float
@@ -46,7 +46,7 @@
 
 
 class Waits:
-    """Decorrelated jitter between tries: each wait is drawn from the one before (ms)."""
+    """Decorrelated jitter: each delay (ms) is drawn from a range that depends on the one before."""
 
     def __init__(self, base: float, cap: float, rng: random.Random) -> None:
         self.base, self.cap, self.rng = base, cap, rng
@@ -61,7 +61,7 @@
 
 
 class Rota:
-    """The order of servers for one client: shuffled, each once a round. `timeout` is its session's, in ms."""
+    """One client's shuffled order of servers, each once a round. `timeout`: session timeout in ms."""
 
     def __init__(self, servers: Sequence[Address], rng: random.Random, timeout: float) -> None:
         self.rng = rng
@@ -70,41 +70,42 @@
         self.at = -1
         self.waits = Waits(BASE, CAP, rng)
         self.bound(timeout)
-        self.tried = 0  # since the last session was up
-        self.refused = 0  # of them, those that took the connection and refused the session without a word
-        self.reached = 0
+        self.tried = 0  # connections tried since the last session was established
+        self.refused = 0  # of them, those accepted and then closed without a session
+        self.reached = 0  # of them, those accepted
 
     def first(self) -> Try:
         self.at += 1
         return Try(self.order[0], 0.0)
 
     def bound(self, timeout: float) -> None:
-        """Keep all waits within their part of a session's time-out."""
+        """Limit all delays to their part of a session timeout (ms)."""
         most = WAIT_PART * timeout
         self.spread = min(SPREAD, most)
         self.waits.base, self.waits.cap = min(BASE, most), min(CAP, most)
 
     def up(self, timeout: float) -> None:
-        """A session is up, with this time-out: what was tried before it counts no more."""
+        """A session is established with this timeout (ms): resets the counts and the delay."""
         self.bound(timeout)
         self.tried = self.refused = self.reached = 0
         self.waits.reset()
 
     def expired(self) -> Try:
-        """After a server's word that the session is gone: it is there and answers, so it gives another.
+        """The next connection after a server reported the session as expired: the same server again.
 
-        Guards also against a server that hands out sessions of its own making: the others, asked in turn,
-        would only ever say that they don't know the last one.
+        It is reachable and can open a new session. If the next server were asked instead, a server that hands
+        out sessions unknown to the others would keep the client from ever getting a valid one: each of the
+        others would only report the last session as expired.
         """
         return Try(self.order[self.at], self.rng.random() * self.waits.base)
 
     def lost(self, served: bool, reached: bool, refused: bool, outlived: bool = False) -> Try:
-        """After a connection that ended, or never came up.
+        """The next connection after one that ended or was never established.
 
-        `served`: a session was up on it. `reached`: the server took the connection. `refused`: it then ended
-        it before a session was up, which is how a server turns away a client that has seen more than itself.
-        `outlived`: the session's time is over by now. Only then nothing is lost by starting over: a
-        coordinator that is overwhelmed ends connections as well.
+        `served`: a session was established on it. `reached`: the server accepted the connection. `refused`:
+        it then closed it before a session was established, as a server does to reject a client that has seen
+        a later zxid than its own. `outlived`: the session has timed out by now. Only then is nothing lost by
+        starting over, since an overloaded coordinator closes connections as well.
         """
         self.at = (self.at + 1) % len(self.order)
         server = self.order[self.at]
@@ -116,8 +117,8 @@
         over = False
         if self.tried % len(self.order) == 0:
             rounds = self.tried // len(self.order)
-            # One server behind the others refuses as well: only when all that could be reached do, again and
-            # again, is it the ensemble that went back.
+            # A single server that lags refuses as well: the ensemble has lost changes only if every reachable
+            # server refuses, in several rounds.
             if outlived and rounds >= BACKWARD_ROUNDS and self.reached and self.refused == self.reached:
                 over = True
                 self.tried = self.refused = self.reached = 0
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -1,7 +1,7 @@
-"""A pool's endpoints from a coordinator's ephemeral nodes, alone or beside discovery.
+"""Endpoint sources of a pool: a coordinator's ephemeral nodes, alone or merged with discovery.
 
-I/O and clock are here; what is read when is `follower`'s, what it means `judge`'s, how two lists become one
-`merge`'s to decide.
+This module does the I/O and reads the clock. `follower` decides what to read and when, `judge` what it means
+for the endpoints, and `merge` how two lists are combined.
 """
 
 from __future__ import annotations
@@ -27,16 +27,19 @@
 from millgw.platform.discovery import Discovery, Heard, Listed, endpoint_id, listed_as
 from millgw.pool.pool import Witness
 
-LOOK = 0.05  # s between two looks while a departure is weighed
-IDLE_LOOK = 1.0  # s between two looks while all is quiet
-UNWELL_AFTER = 10_000.0  # ms without a session after which a coordinator is not well
-ASK_FIRST, ASK_MOST = 0.05, 0.25  # of `ask_within`: between two tries at a discovery beside a coordinator
-WORD_LIVES = 30_000.0  # ms of a coordinator that went back, for which its word on who is gone is doubted
+LOOK = 0.05  # s between checks while the outcome of a departure is open
+IDLE_LOOK = 1.0  # s between checks otherwise
+UNWELL_AFTER = 10_000.0  # ms without a session after which a coordinator counts as unhealthy
+ASK_FIRST, ASK_MOST = (
+    0.05,
+    0.25,
+)  # parts of `ask_within`: base and cap of the delay between watches of discovery
+WORD_LIVES = 30_000.0  # ms for which a coordinator that lost changes is not trusted on which nodes are gone
 
 
 @dataclass(slots=True, frozen=True)
 class Where:
-    """Which directory of which coordinator; `timeout` is the session's (ms), `port` a serverset's."""
+    """Directory of a coordinator; `timeout`: session timeout (ms), `port`: name of a serverset's endpoint."""
 
     servers: tuple[Address, ...]
     path: str
@@ -46,11 +49,11 @@
 
 
 Changed = Callable[[dict[int, Listed], dict[int, Listed]], None]
-"""Takes the whole of what is ready and of what drains, by id."""
+"""Takes the complete lists of ready and of draining endpoints, by id."""
 
 
 class Directory:
-    """Follows one directory and judges it; `changed` is told what comes of it, once it is known at all."""
+    """Follows one directory and passes its endpoints to `changed`, from the first complete read on."""
 
     def __init__(
         self, where: Where, zones: tuple[str, ...], seed: int, witness: Witness, changed: Changed
@@ -72,7 +75,7 @@
         self.last: tuple[dict[int, Listed], dict[int, Listed]] = {}, {}
 
     def now(self) -> float:
-        """Unix ms that never go back: nodes' times are Unix time."""
+        """Unix time in ms from a monotonic clock; Unix time because the nodes' times are."""
         return self.offset + time.monotonic() * 1000
 
     def start(self) -> None:
@@ -81,13 +84,13 @@
         self._look_later(IDLE_LOOK)
 
     def stop(self) -> None:
-        """Leave: the session ends by itself, as it owns nothing."""
+        """Stop; the session is left to time out, as it owns no nodes."""
         self.client.stop()
         if self.looking is not None:
             self.looking.cancel()
 
     def well(self) -> bool:
-        """Whether its word is fresh: a session serves, or did a moment ago."""
+        """Whether the coordinator is healthy: a session is established, or was within `UNWELL_AFTER`."""
         return self.client.serves or self.now() < self.down_since + UNWELL_AFTER
 
     def _seen(self, name: str) -> Seen:
@@ -98,7 +101,7 @@
         answered, opened, broken, missed = (t + self.offset for t in times)
         return Seen(answered, opened, broken, missed, self.witness.misses(id))
 
-    # The client's listener
+    # Callbacks of the client (`Listener`)
 
     def up(self, fresh: bool, doubtful: bool) -> None:
         now = self.now()
@@ -113,7 +116,7 @@
 
     def reply(self, reply: Reply) -> None:
         if reply.code not in (Code.OK, Code.NO_NODE):
-            # What is known stays, and the recheck asks again.
+            # Keeps what is known; the next recheck reads again.
             log_event("coordinator-refused", path=reply.ask.path, code=reply.code)
         before = self.follower.changes
         self._ask(self.follower.reply(self.now(), reply))
@@ -127,7 +130,7 @@
         for ask in asks:
             self.client.ask(ask)
 
-    # Judging
+    # Decisions
 
     def _judge(self) -> None:
         picture, now = self.follower.picture, self.now()
@@ -143,7 +146,7 @@
         self._decide(now, seen=True, first=first)
 
     def _found(self, name: str) -> Found | None:
-        """What a node holds, read once for each of its states."""
+        """A node's parsed data, parsed once for each version; None if it is no member."""
         node = self.follower.picture.nodes[name]
         known = self.read.get(name)
         if known is not None and known[1] == node.stat.mzxid and known[0] == node.data:
@@ -159,7 +162,7 @@
         return found
 
     def _decide(self, now: float, seen: bool = False, first: bool = False) -> None:
-        """Let time and evidence decide, and tell what came of it; `seen`: a list has been taken in."""
+        """Apply the decisions that are due and report the result; `seen`: a new list was just taken in."""
         held, before = self.judge.counts.held, replace(self.judge.counts)
         self.judge.decide(now)
         if seen or self.judge.counts != before:
@@ -194,7 +197,7 @@
             self._look_later(LOOK)
 
     def figures(self) -> dict[str, object]:
-        """Where the members stand, for the log."""
+        """The coordinator's state and the members' unusual states, for the log."""
         states = self.judge.states()
         return {"coordinator": "up" if self.client.serves else "down"} | {
             name: states[name]
@@ -204,7 +207,7 @@
 
 
 class ChangeNotifier:
-    """Tells the module a list as it comes to be: whole once it has asked (`due`), then what changes."""
+    """Passes a list to the balancer module: in full after a subscription (`due`), then its changes."""
 
     def __init__(self, heard: Heard) -> None:
         self.heard = heard
@@ -221,7 +224,7 @@
 
 
 class CoordinatorSource:
-    """A pool's source: a coordinator alone."""
+    """Endpoint source of a pool: a coordinator alone."""
 
     def __init__(
         self, where: Where, zones: tuple[str, ...], seed: int, witness: Witness, heard: Heard
@@ -232,7 +235,7 @@
         self.begun = False
 
     def start(self, known: Any) -> None:
-        """The configuration's list is its discovery's, not this one's."""
+        """Ignores the configuration's list, which belongs to its discovery service."""
         self.heard(ListKind.CACHED, ())
 
     def subscribe(self) -> None:
@@ -258,7 +261,7 @@
 
 
 class BothSources:
-    """A pool's source: a coordinator and a discovery, merged."""
+    """Endpoint source of a pool: a coordinator and a discovery service, merged."""
 
     def __init__(
         self,
@@ -287,7 +290,7 @@
         self.watching: asyncio.TimerHandle | None = None
 
     def start(self, known: Any) -> None:
-        """The configuration's list is that of its own discovery."""
+        """Uses the configuration's list unless the pool has a discovery service of its own."""
         self.discovery.start(None if self.own else known)
 
     def subscribe(self) -> None:
@@ -302,7 +305,7 @@
             asyncio.get_running_loop().call_soon(self._tell)
 
     def _watch(self) -> None:
-        """Look whether the coordinator is still well: nobody tells when it is not."""
+        """Poll whether the coordinator is still healthy: no event reports when it no longer is."""
         well = self.directory.well()
         side = self.merger.sides[COORDINATOR]
         if side.spoke and side.well != well:
@@ -317,12 +320,12 @@
 
     def _discovery(self, kind: ListKind, entries: tuple[Listed, ...]) -> None:
         if kind is ListKind.MOVED or (kind is ListKind.DELTA and not entries):
-            return  # another watch is asked for already, or a heartbeat: nothing that the merger weighs
+            return  # the next watch is requested already, or a heartbeat: nothing to merge
         if kind.watch_ended:
             self.merger.ails(DISCOVERY)
             self._tell()
-            # Not left to the module, which hears of changes all the same: it would take them for word of a
-            # discovery that serves, and never ask this one again.
+            # Subscribes again here and not in the module: that still receives the coordinator's changes,
+            # would take them for lists of a working discovery service, and never subscribe again.
             wait = self.waits.next() / 1000
             self.asking = asyncio.get_running_loop().call_later(wait, self._again)
             return
@@ -338,7 +341,9 @@
             elif condition is Condition.DRAINING:
                 self.drains[id] = entry
         if kind is ListKind.CACHED:
-            self.heard(kind, entries)  # an old list: sent to, and no word on who is gone
+            self.heard(
+                kind, entries
+            )  # an old list: its endpoints are used, but it says nothing on who is gone
             self.notifier.told = {e.endpoint.id: e for e in entries}
             return
         self.waits.reset()
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -1,4 +1,4 @@
-"""The command `coordinator`: the stand-in by itself, told what to do by lines on its standard input."""
+"""The command `coordinator`: runs the stand-in coordinator, controlled by lines on standard input."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 HELP = """Lines on standard input, each answered by one line of JSON:
   nodes PATH                 the names below a node, with their owners
-  put PATH [TEXT]            make a node that no session owns, or give it other data
-  own PATH [TEXT]            make an ephemeral node of a session of its own; tells the session
+  put PATH [TEXT]            create a persistent node, or replace its data
+  own PATH [TEXT]            create an ephemeral node with its own session; returns the session
   remove PATH                delete a node, whoever owns it
-  sessions                   those that are open
-  expire SESSION             expire one now
-  expire-owners PATH [SHARE] expire those that own a share of the nodes below PATH (1)
-  drop FACE                  end all connections to a face; sessions live on
-  freeze FACE | thaw FACE    answer nothing, or all that has waited
-  lag FACE | catch-up FACE   serve reads from the tree as it is now, or follow again
-  refuse FACE | accept FACE  end new connections, or serve them
+  sessions                   the open sessions
+  expire SESSION             expire a session now
+  expire-owners PATH [SHARE] expire the sessions that own a share of the nodes below PATH (1)
+  drop FACE                  close all connections to a face; sessions live on
+  freeze FACE | thaw FACE    stop answering, or resume and answer what is queued
+  lag FACE | catch-up FACE   serve reads from a copy of the current tree, or follow changes again
+  refuse FACE | accept FACE  close new connections at once, or serve them
   read-only FACE | writable FACE
-  delay-watches FACE MS      tell watches late (0: at once)
-  lose-watches FACE COUNT    tell none of the next ones
+  delay-watches FACE MS      delay watch events (0: send at once)
+  lose-watches FACE COUNT    drop the next watch events
   restart-empty              all nodes and sessions are lost
-Faces are numbered from 0."""
+A face is one server of the ensemble; faces are numbered from 0."""
 
 
 @click.command(cls=Serving, examples=["coordinator --listen 127.0.0.1:2181"], epilog="\b\n" + HELP)
@@ -44,16 +44,16 @@
     multiple=True,
     type=ADDRESS,
     metavar="IP:PORT",
-    help="A face; up to three (one free one).",
+    help="A face, a server of the ensemble; up to three (default: one on a free port).",
 )
-@click.option("--seed", type=SEED, default=1, show_default=True, help="Of session ids and of what is drawn.")
+@click.option("--seed", type=SEED, default=1, show_default=True, help="Of session ids and random choices.")
 def coordinator(listen: tuple[Address, ...], seed: int) -> int:
     """A stand-in for a ZooKeeper-style coordinator, with faults on command.
 
     Serves ZooKeeper's protocol on loopback until its input ends or SIGTERM comes.
     """
     if len(listen) > MOST_FACES:
-        raise BadInput(f"--listen: {len(listen)} faces; the most are {MOST_FACES}")
+        raise BadInput(f"--listen: {len(listen)} faces; the maximum is {MOST_FACES}")
     try:
         asyncio.run(_serve(Ensemble(list(listen), seed=seed)))
     except (ValueError, OSError) as error:
@@ -86,7 +86,7 @@
 
 
 def carry_out(ensemble: Ensemble, words: list[str]) -> dict[str, object]:
-    """Carry out one line's words; what it came to, or `error`."""
+    """Execute the command in one line's words; returns its result, or `error`."""
     command, *rest = words
     try:
         if command in ON_FACES:
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -1,7 +1,7 @@
-"""The coordinator on sockets: one to three faces over one tree, and the faults that each can have.
+"""The stand-in coordinator's servers: one to three over one shared tree, each with its own injected faults.
 
-Each face is one server of an ensemble. All agree on the tree; a face that lags serves the tree as it was, one
-that is cut off answers nothing, a read-only one refuses changes. Sessions may move from face to face.
+All servers of the ensemble share the tree. A server that lags serves reads from an older copy of it, a frozen
+one answers nothing, a read-only one refuses writes. Sessions may move from server to server.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from millgw.standins.address import free_address
 from millgw.standins.coordinator.tree import Failed, Session, Told, Tree
 
-TICK = 0.05  # s between two looks for sessions that are overdue
-LEAST_TIMEOUT, MOST_TIMEOUT = 100.0, 40_000.0  # ms that a session's time-out is negotiated to
+TICK = 0.05  # s between checks for sessions that have timed out
+LEAST_TIMEOUT, MOST_TIMEOUT = 100.0, 40_000.0  # ms: bounds of the negotiated session timeout
 
 CREATE, DELETE, EXISTS, GET_DATA, SET_DATA, GET_ACL, SET_ACL, GET_CHILDREN = range(1, 9)
 SYNC, PING, GET_CHILDREN2, CHECK, MULTI, CREATE2 = 9, 11, 12, 13, 14, 15
@@ -30,29 +30,29 @@
 CHANGES = frozenset({CREATE, DELETE, SET_DATA, SET_ACL, MULTI, CREATE2})
 
 XID_WATCH, XID_PING, XID_AUTH = -1, -2, -4
-CONNECTED = 3  # the state that watch events are told in
+CONNECTED = 3  # the connection state in watch events (SyncConnected)
 ANYONE = jute.write_int(1) + jute.write_int(31) + jute.write_string("world") + jute.write_string("anyone")
 
 
 Heard = Callable[[str, str, tuple[str, ...] | None, bytes], None]
-"""What a client was told: its name, the path, and its list of names or (None) its data."""
+"""Called for each read a client is served: its name, the path, and the list of names or (None) the data."""
 
 
 @dataclass(slots=True)
 class Ills:
-    """What is wrong with a face now. Times in ms."""
+    """The faults that a server has now. Times in ms."""
 
-    frozen: bool = False  # takes what comes and answers nothing
-    refusing: bool = False  # connections end as they are made
+    frozen: bool = False  # accepts data and answers nothing
+    refusing: bool = False  # closes connections as soon as they are accepted
     read_only: bool = False
     watch_delay: float = 0.0
-    lose_watches: int = 0  # of the next ones
-    lag: Tree | None = None  # serves reads from this older tree
+    lose_watches: int = 0  # number of next watch events to drop
+    lag: Tree | None = None  # serves reads from this older copy
 
 
 @dataclass(slots=True)
 class Count:
-    """What a face has seen, for tests and measurements."""
+    """Counters of a server, for tests and measurements."""
 
     connections: int = 0
     sessions: int = 0
@@ -75,48 +75,48 @@
         await self.listen(self.address, "")
 
     async def listen(self, address: Address, client: str) -> None:
-        """Take connections at one more address; those who come there are called `client`."""
+        """Listen on one more address; whoever connects there is reported as `client`."""
         loop = asyncio.get_running_loop()
         made = await loop.create_server(lambda: Wire(self, client), address.host, address.port, backlog=1024)
         self.servers.append(made)
 
     async def stop(self) -> None:
-        """The process ends: its connections are reset, new ones refused. Sessions live on."""
+        """Stop as if the process ended: connections are reset, new ones refused. Sessions live on."""
         for server in self.servers:
             server.close()
         self.servers.clear()
         self.drop()
 
     def drop(self) -> None:
-        """End all connections; their sessions live on."""
+        """Close all connections; their sessions live on."""
         for connection in list(self.connections):
             connection.abort()
 
     def freeze(self, on: bool) -> None:
-        """Answer nothing, or answer what has waited."""
+        """Stop answering, or resume and answer what is queued."""
         self.ills.frozen = on
         if not on:
             for connection in list(self.connections):
                 connection.go_on()
 
     def lag(self, on: bool) -> None:
-        """Serve reads from the tree as it is now until it is off; changes go to the others' tree."""
+        """Serve reads from a copy of the current tree until switched off; writes go to the shared tree."""
         self.ills.lag = copy.deepcopy(self.ensemble.tree) if on else None
 
     @property
     def tree(self) -> Tree:
-        """Where reads are served from."""
+        """The tree that reads are served from."""
         return self.ills.lag or self.ensemble.tree
 
     def tell(self, told: list[Told]) -> None:
-        """Let the watches of this face's clients know."""
+        """Fire the watches of this server's clients."""
         for connection in list(self.connections):
             for change in told:
                 connection.fire(change)
 
 
 class Ensemble:
-    """All faces, the tree they agree on, and the commands that make it fail."""
+    """All servers, their shared tree, and the commands that inject faults."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
 
     @property
     def connect_string(self) -> str:
-        """As clients take it: the faces' addresses."""
+        """The servers' addresses, as clients accept them."""
         return ",".join(str(face.address) for face in self.faces)
 
     async def start(self) -> None:
@@ -142,7 +142,7 @@
         self._sweep()
 
     async def window(self, client: str) -> str:
-        """Addresses of a client's own at all faces, as a connect string: `told` then names it."""
+        """Listen on separate addresses for one client, as a connect string; `told` then reports its name."""
         addresses = [free_address() for _ in self.faces]
         for face, address in zip(self.faces, addresses, strict=True):
             await face.listen(address, client)
@@ -160,7 +160,7 @@
         self.sweeping = asyncio.get_running_loop().call_later(TICK, self._sweep)
 
     def publish(self, told: list[Told]) -> None:
-        """Let all faces tell of changes; one that lags has not heard of them."""
+        """Fire watches for changes on all servers except those that lag."""
         for face in self.faces:
             if face.ills.lag is None:
                 face.tell(told)
@@ -168,7 +168,7 @@
     # Commands
 
     def expire(self, session: int) -> None:
-        """Expire a session now, as if its client had been silent: its nodes go, its connection ends."""
+        """Expire a session now: its ephemeral nodes are deleted and its connection is closed."""
         told = self.tree.end(session)
         self.publish(told)
         for face in self.faces:
@@ -177,7 +177,7 @@
                     connection.abort()
 
     def expire_owners(self, path: str, share: float = 1.0) -> int:
-        """Expire the sessions that own a share of the ephemeral nodes below a path; tells how many."""
+        """Expire the sessions that own a share of the ephemeral nodes below a path; returns how many."""
         below = [self.tree.nodes[f"{path}/{name}"].owner for name in sorted(self.tree.nodes[path].children)]
         owners = list(dict.fromkeys(owner for owner in below if owner))
         chosen = self.tree.rng.sample(owners, round(share * len(owners)))
@@ -186,14 +186,14 @@
         return len(chosen)
 
     def restart_empty(self) -> None:
-        """All is lost: nodes, sessions, and the order of changes starts over."""
+        """Lose all nodes and sessions; zxids start over."""
         self.tree.empty()
         for face in self.faces:
             face.ills.lag = None
             face.drop()
 
     def put(self, path: str, data: bytes = b"") -> None:
-        """Make a node that no session owns, with those above it, or give it other data."""
+        """Create a persistent node and its parents, or replace its data."""
         now, made = self.clock(), ""
         for name in path.strip("/").split("/"):
             made = f"{made}/{name}"
@@ -203,7 +203,7 @@
             self.publish(self.tree.write(path, data, -1, now)[1])
 
     def own(self, path: str, data: bytes) -> int:
-        """Make an ephemeral node of a session of its own, which only a command ends; the session."""
+        """Create an ephemeral node with its own session, which only a command ends; returns its id."""
         above = path.rpartition("/")[0]
         if above and above not in self.tree.nodes:
             self.put(above)
@@ -213,7 +213,7 @@
         return session
 
     def write(self, path: str, data: bytes) -> None:
-        """Give a node other data, whoever owns it."""
+        """Replace a node's data, whoever owns it."""
         self.publish(self.tree.write(path, data, -1, self.clock())[1])
 
     def remove(self, path: str) -> None:
@@ -223,14 +223,14 @@
 
 @dataclass(slots=True)
 class Watches:
-    """The one-shot watches of one connection, by what set them."""
+    """The one-shot watches of one connection, by the kind of read that set them."""
 
     data: set[str] = field(default_factory=set)
     exists: set[str] = field(default_factory=set)
     children: set[str] = field(default_factory=set)
 
     def take(self, change: Change, path: str) -> bool:
-        """Whether a change is to be told; what is told is watched no longer."""
+        """Remove the watches that a change fires; whether there were any."""
         if change is Change.CREATED:
             sets = [self.exists]
         elif change is Change.DELETED:
@@ -246,7 +246,7 @@
 
 
 class Wire(asyncio.Protocol):
-    """One client's connection to a face."""
+    """One client's connection to a server."""
 
     def __init__(self, face: Face, client: str) -> None:
         self.face = face
@@ -258,7 +258,7 @@
         self.waiting: list[bytes] = []
         self.transport: asyncio.Transport | None = None
 
-    # asyncio
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -283,7 +283,7 @@
             self.transport.abort()
 
     def go_on(self) -> None:
-        """Answer what waits, unless the face is frozen."""
+        """Answer the queued requests, unless the server is frozen."""
         while self.waiting and not self.face.ills.frozen:
             payload = self.waiting.pop(0)
             try:
@@ -310,7 +310,7 @@
             return
         now, tree = self.ensemble.clock(), self.ensemble.tree
         if seen > self.face.tree.zxid:
-            self.abort()  # a client that has seen more than this face must not go back in time
+            self.abort()  # a client that has seen a later zxid must not read older data
             return
         wanted = float(min(max(timeout, LEAST_TIMEOUT), MOST_TIMEOUT))
         session = tree.attach(id, password, now) if id else tree.open(wanted, now)
@@ -330,14 +330,14 @@
         )  # fmt: skip
 
     def _move(self, session: Session) -> None:
-        """A session has one connection: an older one ends."""
+        """Close the session's older connection: a session has only one."""
         for face in self.ensemble.faces:
             for other in list(face.connections):
                 if other is not self and other.session is session:
                     other.abort()
 
     def fire(self, told: Told) -> None:
-        """Tell of a change if it is watched, with the face's ills."""
+        """Send a watch event if the change is watched, subject to the server's faults."""
         if not self.watches.take(told.change, told.path):
             return
         ills = self.face.ills
@@ -372,7 +372,7 @@
             except Failed as failed:
                 code = failed.code
         zxid = self.face.tree.zxid if kind not in CHANGES else tree.zxid
-        # A watch that a change causes is told before the change's own answer (programmer's guide, watches).
+        # Watch events of a change are sent before the change's own reply (programmer's guide, watches).
         self.ensemble.publish(told)
         self._send(jute.write_int(xid) + jute.write_long(zxid) + jute.write_int(code) + body)
         if kind == CLOSE and self.transport is not None:
@@ -427,7 +427,7 @@
             self.ensemble.told(self.client, path, names, data)
 
     def _set_watches(self, reader: Reader) -> None:
-        """Watches that a client had before it reconnected: what changed since is told at once."""
+        """Restore a reconnected client's watches; changes since its last zxid fire them at once."""
         since = reader.long()
         data, exists, children = reader.strings(), reader.strings(), reader.strings()
         nodes, zxid = self.face.tree.nodes, self.face.tree.zxid
@@ -450,7 +450,7 @@
 
 
 def _skip_acl(reader: Reader) -> None:
-    """An access list's entry: the stand-in lets everyone do everything."""
+    """Skip an access list's entry: the stand-in permits everything to everyone."""
     reader.number()
     reader.string()
     reader.string()
--- a/millgw/standins/coordinator/tree.py
+++ b/millgw/standins/coordinator/tree.py
@@ -1,4 +1,4 @@
-"""The coordinator's state: nodes, sessions and watches. Pure: the clock is handed in, events are handed out.
+"""The stand-in coordinator's state: nodes and sessions. Pure: time is an argument, changes are returned.
 
 Source: the ZooKeeper programmer's guide (znodes, ephemeral and sequential nodes, one-shot watches, sessions)
 and the error codes of its published protocol. Times are Unix ms.
@@ -13,12 +13,12 @@
 from millgw.membership.jute import Stat
 from millgw.membership.protocol import EPHEMERAL, Change, Code
 
-SEQUENTIAL = 2  # a flag of a create, beside EPHEMERAL
-MAX_DATA = 1 << 20
+SEQUENTIAL = 2  # flag of a create request, like EPHEMERAL
+MAX_DATA = 1 << 20  # bytes of one node
 
 
 class Failed(Exception):
-    """An operation that the coordinator refuses."""
+    """The coordinator refuses an operation with an error code."""
 
     def __init__(self, code: Code) -> None:
         super().__init__(code.name)
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """One node. `owner` is the session of an ephemeral one."""
+    """One node. `owner`: the session of an ephemeral node, else 0."""
 
     data: bytes
     czxid: int
@@ -38,7 +38,7 @@
     version: int = 0
     cversion: int = 0
     pzxid: int = 0
-    sequence: int = 0  # of the next sequential child
+    sequence: int = 0  # number of the next sequential child
     children: set[str] = field(default_factory=set)
 
     def stat(self) -> Stat:
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """One client's session, which outlives its connections by `timeout` ms."""
+    """One client's session, which survives `timeout` ms without a message."""
 
     id: int
     password: bytes
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Told:
-    """One change, as watches are told of it; `zxid` is its place in the order of all."""
+    """One change, as reported to watches; `zxid` numbers the changes in order."""
 
     change: Change
     path: str
@@ -73,7 +73,7 @@
 
 
 def check_path(path: str) -> None:
-    """A Failed for what is no path: empty or dot segments, a slash at the end, control characters."""
+    """Raise Failed for an invalid path: empty or dot segments, a trailing slash, control characters."""
     parts = path.split("/")
     wrong = not path.startswith("/") or any(p in ("", ".", "..") for p in parts[1:]) or not path.isprintable()
     if path != "/" and wrong:
@@ -81,7 +81,7 @@
 
 
 class Tree:
-    """All nodes and sessions. What an operation changes is returned, for the watches."""
+    """All nodes and sessions. Operations return their changes, for the watches."""
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = random.Random(f"coordinator {seed}")
@@ -109,10 +109,10 @@
         node = self._node(path)
         return sorted(node.children), node.stat()
 
-    # Changing
+    # Writing
 
     def create(self, path: str, data: bytes, flags: int, session: int, now: float) -> tuple[str, list[Told]]:
-        """The path it got (a sequential one has its number), and what changed."""
+        """Create a node; returns its path (with the number of a sequential one) and the changes."""
         if flags & SEQUENTIAL:
             above = self._node(parent(path + "0"))
             path = f"{path}{above.sequence:010d}"
@@ -175,14 +175,14 @@
         return session
 
     def open(self, timeout: float, now: float) -> Session:
-        """A new session."""
+        """Open a new session; `timeout` in ms."""
         id = self.rng.getrandbits(62) | 1
         session = Session(id, self.rng.randbytes(16), timeout, now)
         self.sessions[id] = session
         return session
 
     def attach(self, id: int, password: bytes, now: float) -> Session | None:
-        """The session that a client comes back to; None where it is gone or is not the client's."""
+        """The session that a client resumes; None if it has ended or the password is wrong."""
         session = self.sessions.get(id)
         if session is None or session.password != password:
             return None
@@ -190,7 +190,7 @@
         return session
 
     def end(self, id: int) -> list[Told]:
-        """Close or expire a session: its ephemeral nodes go with it."""
+        """Close or expire a session and delete its ephemeral nodes."""
         session = self.sessions.pop(id, None)
         told: list[Told] = []
         for path in sorted(session.ephemerals) if session is not None else ():
@@ -199,11 +199,11 @@
         return told
 
     def overdue(self, now: float) -> Iterator[int]:
-        """The sessions that were silent for longer than their time-out."""
+        """The ids of sessions that were silent for longer than their timeout."""
         return iter([s.id for s in self.sessions.values() if now - s.heard > s.timeout])
 
     def empty(self) -> None:
-        """Start over with nothing, as a coordinator that lost its disk: also its order of changes."""
+        """Lose everything, as a coordinator whose disk was lost; zxids start over too."""
         self.zxid = 0
         self.nodes = {"/": Node(b"", 0, 0, 0, 0)}
         self.sessions.clear()
