--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -15,12 +15,12 @@
 
 from millgw.log.events import log_event
 from millgw.membership.jute import BadRecord
-from millgw.membership.protocol import Ask, Core, Expired, Fired, Reply, Up
-from millgw.membership.servers import Rota, Try
+from millgw.membership.protocol import Ask, ClientProtocol, Fired, Reply, SessionEstablished, SessionExpired
+from millgw.membership.servers import NextConnect, ServerSelector
 from millgw.platform.config import Address
 
-READ_ONLY_FOR = 10.0  # s to stay on a read-only (partitioned) server before trying the others
-LEAST_CONNECT = 0.5  # s: minimum time allowed for a connection and its session to be established
+READ_ONLY_STAY = 10.0  # s to stay on a read-only (partitioned) server before trying the others
+MIN_CONNECT_TIMEOUT = 0.5  # s: minimum time allowed for a connection and its session to be established
 
 
 class Listener(Protocol):
@@ -50,41 +50,43 @@
         listener: Listener,
         writes: bool = False,
     ) -> None:
-        self.core = Core(timeout, read_only=not writes)
-        self.rota = Rota(servers, rng, timeout)
+        self.protocol = ClientProtocol(timeout, read_only=not writes)
+        self.selector = ServerSelector(servers, rng, timeout)
         self.listener = listener
-        self.wire: Wire | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.task: asyncio.Task[None] | None = None
-        self.over = False
+        self.connection: Connection | None = None
+        self.connect_timer: asyncio.TimerHandle | None = None
+        self.connect_task: asyncio.Task[None] | None = None
+        self.started_over = False
         self.timeout = timeout  # ms; the session's: as negotiated, or as requested before there is a session
-        self.served_until = -math.inf
+        self.disconnected_at = -math.inf
         self.stopped = False
 
     @property
-    def serves(self) -> bool:
-        return self.wire is not None and self.core.up
+    def connected(self) -> bool:
+        return self.connection is not None and self.protocol.session_up
 
     def start(self) -> None:
-        self._later(self.rota.first())
+        self._schedule_connect(self.selector.first())
 
-    def _later(self, next_: Try) -> None:
-        if next_.over:
-            log_event("coordinator-went-back", seen=self.core.seen)
-            self.core.forget()
-            self.over = True
+    def _schedule_connect(self, next_: NextConnect) -> None:
+        if next_.start_over:
+            log_event("coordinator-went-back", seen=self.protocol.last_zxid)
+            self.protocol.forget()
+            self.started_over = True
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(next_.wait / 1000, self._go, next_.server)
+        self.connect_timer = loop.call_later(next_.delay / 1000, self._start_connect, next_.server)
 
-    def _go(self, server: Address) -> None:
-        self.task = asyncio.get_running_loop().create_task(self._connect(server))
+    def _start_connect(self, server: Address) -> None:
+        self.connect_task = asyncio.get_running_loop().create_task(self._connect(server))
 
     async def _connect(self, server: Address) -> None:
         loop = asyncio.get_running_loop()
-        wire = Wire(self, server)
-        self.wire = wire
-        within = max(LEAST_CONNECT, self.core.wanted / 1000 / max(1, len(self.rota.order)))
-        wire.expect(within)
+        wire = Connection(self, server)
+        self.connection = wire
+        within = max(
+            MIN_CONNECT_TIMEOUT, self.protocol.requested_timeout / 1000 / max(1, len(self.selector.order))
+        )
+        wire.restart_silence_timer(within)
         try:
             async with asyncio.timeout(within):
                 await loop.create_connection(lambda: wire, server.host, server.port)
@@ -93,47 +95,51 @@
 
     def ask(self, ask: Ask) -> None:
         """Send a request if a session is established; otherwise drop it, as `down` has already reported."""
-        if self.serves and self.wire is not None:
-            self.wire.write(self.core.ask(ask))
+        if self.connected and self.connection is not None:
+            self.connection.write(self.protocol.request(ask))
 
     def set_watches(self, data: Sequence[str], exists: Sequence[str], children: Sequence[str]) -> None:
-        if self.serves and self.wire is not None:
-            self.wire.write(self.core.set_watches(data, exists, children))
+        if self.connected and self.connection is not None:
+            self.connection.write(self.protocol.set_watches(data, exists, children))
 
-    def ended(self, wire: Wire, why: str) -> None:
+    def connection_ended(self, wire: Connection, why: str) -> None:
         """Handle the end of a connection; runs once for each."""
-        if wire is not self.wire:
+        if wire is not self.connection:
             return
-        served, self.wire = self.core.up, None
-        self.core.up = False
+        served, self.connection = self.protocol.session_up, None
+        self.protocol.session_up = False
         if self.stopped:
             return
         log_event("coordinator-lost", server=wire.server, cause=why)
         if served:
             self.listener.down()
         if wire.expired:
-            self._later(self.rota.expired())
+            self._schedule_connect(self.selector.on_session_expired())
         else:
             if served:
-                self.served_until = time.monotonic()
-            outlived = time.monotonic() > self.served_until + self.timeout / 1000
-            self._later(self.rota.lost(served, wire.reached, wire.reached and not served, outlived))
-
-    def take(self, wire: Wire, data: bytes) -> None:
+                self.disconnected_at = time.monotonic()
+            outlived = time.monotonic() > self.disconnected_at + self.timeout / 1000
+            self._schedule_connect(
+                self.selector.on_connection_lost(
+                    served, wire.accepted, wire.accepted and not served, outlived
+                )
+            )
+
+    def handle_data(self, wire: Connection, data: bytes) -> None:
         try:
-            for event in self.core.receive(data):
-                if wire is not self.wire:
+            for event in self.protocol.receive(data):
+                if wire is not self.connection:
                     return
-                if isinstance(event, Up):
+                if isinstance(event, SessionEstablished):
                     self.timeout = event.timeout
-                    wire.served(event.timeout)
-                    self.rota.up(event.timeout)
-                    over, self.over = self.over, False
+                    wire.session_established(event.timeout)
+                    self.selector.on_session_established(event.timeout)
+                    over, self.started_over = self.started_over, False
                     log_event("coordinator-up", server=wire.server, fresh=event.fresh)
                     if event.read_only:
-                        wire.look_on(READ_ONLY_FOR)
+                        wire.leave_after(READ_ONLY_STAY)
                     self.listener.up(event.fresh, over or event.read_only)
-                elif isinstance(event, Expired):
+                elif isinstance(event, SessionExpired):
                     wire.expired = True
                     log_event("session-expired", server=wire.server)
                     wire.end("session expired")
@@ -146,72 +152,72 @@
 
     async def close(self, within: float = 1.0) -> None:
         """Close the session, so that its nodes are deleted now and not when it times out."""
-        wire = self.wire
-        serves = self.serves
+        wire = self.connection
+        serves = self.connected
         self.stop(abort=not serves)
         if serves and wire is not None:
-            wire.write(self.core.close())
+            wire.write(self.protocol.close())
             try:
                 async with asyncio.timeout(within):
-                    await wire.gone.wait()
+                    await wire.closed.wait()
             except TimeoutError:
                 wire.abort()
 
     def stop(self, abort: bool = True) -> None:
         """Stop without closing the session, which then times out; no more events are reported."""
         self.stopped = True
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.connect_timer is not None:
+            self.connect_timer.cancel()
         if abort:
-            if self.task is not None:
-                self.task.cancel()
-            if self.wire is not None:
-                self.wire.abort()
+            if self.connect_task is not None:
+                self.connect_task.cancel()
+            if self.connection is not None:
+                self.connection.abort()
 
 
-class Wire(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One connection to one server."""
 
     def __init__(self, client: Client, server: Address) -> None:
         self.client = client
         self.server = server
-        self.reached = False
+        self.accepted = False
         self.expired = False  # the server said that the session is gone
-        self.silent = 0.0
+        self.silence_limit = 0.0
         self.transport: asyncio.Transport | None = None
-        self.waiting: asyncio.TimerHandle | None = None
-        self.pinging: asyncio.TimerHandle | None = None
-        self.looking: asyncio.TimerHandle | None = None
-        self.gone = asyncio.Event()
+        self.silence_timer: asyncio.TimerHandle | None = None
+        self.ping_timer: asyncio.TimerHandle | None = None
+        self.leave_timer: asyncio.TimerHandle | None = None
+        self.closed = asyncio.Event()
 
-    def expect(self, within: float) -> None:
+    def restart_silence_timer(self, within: float) -> None:
         """Restart the silence timer. A partitioned server can keep its connection open and send nothing."""
-        if self.waiting is not None:
-            self.waiting.cancel()
-        self.waiting = asyncio.get_running_loop().call_later(
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
+        self.silence_timer = asyncio.get_running_loop().call_later(
             within, self.end, "no data within the silence limit"
         )
 
-    def served(self, timeout: float) -> None:
-        self.silent = timeout * 2 / 3000
-        self.expect(self.silent)
+    def session_established(self, timeout: float) -> None:
+        self.silence_limit = timeout * 2 / 3000
+        self.restart_silence_timer(self.silence_limit)
         self._ping()
 
-    def look_on(self, after: float) -> None:
+    def leave_after(self, after: float) -> None:
         """Leave this read-only server for another after a while (s)."""
         loop = asyncio.get_running_loop()
-        self.looking = loop.call_later(after, self.end, "leaving a read-only server")
+        self.leave_timer = loop.call_later(after, self.end, "leaving a read-only server")
 
     def _ping(self) -> None:
-        self.write(self.client.core.ping())
-        self.pinging = asyncio.get_running_loop().call_later(self.silent / 2, self._ping)
+        self.write(self.client.protocol.ping())
+        self.ping_timer = asyncio.get_running_loop().call_later(self.silence_limit / 2, self._ping)
 
     def write(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        for timer in (self.waiting, self.pinging, self.looking):
+        for timer in (self.silence_timer, self.ping_timer, self.leave_timer):
             if timer is not None:
                 timer.cancel()
         if self.transport is not None:
@@ -219,23 +225,23 @@
 
     def end(self, why: str) -> None:
         self.abort()
-        self.client.ended(self, why)
+        self.client.connection_ended(self, why)
 
     # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.client.wire is not self:
+        if self.client.connection is not self:
             self.abort()
             return
-        self.reached = True
-        self.transport.write(self.client.core.connect())
+        self.accepted = True
+        self.transport.write(self.client.protocol.connect())
 
     def data_received(self, data: bytes) -> None:
-        if self.silent:
-            self.expect(self.silent)
-        self.client.take(self, data)
+        if self.silence_limit:
+            self.restart_silence_timer(self.silence_limit)
+        self.client.handle_data(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone.set()
+        self.closed.set()
         self.end(str(exc) if exc is not None else "closed by the server")
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -20,14 +20,14 @@
 from millgw.cli.report import Out, Reporting, Serving
 from millgw.log.wording import KINDS
 from millgw.membership.client import Client
-from millgw.membership.follower import DRAINING, Follower
+from millgw.membership.follower import DRAINING, DirectoryFollower
 from millgw.membership.nodes import read_node
 from millgw.membership.protocol import Ask, Fired, Reply
 from millgw.membership.registrar import LAYOUTS, Entry, Registrar
 from millgw.membership.servers import check_path, read_connect
 from millgw.platform.config import Address
 
-LOOK = 0.1  # s between checks whether a server accepts connections
+ACCEPT_CHECK_INTERVAL = 0.1  # s between checks whether a server accepts connections
 
 
 PATH = click.option("--path", required=True, help="The directory of the service's nodes.")
@@ -37,7 +37,7 @@
 )
 
 
-def _read_where(connect: str, path: str) -> tuple[tuple[Address, ...], str]:
+def _read_location(connect: str, path: str) -> tuple[tuple[Address, ...], str]:
     """The coordinator's servers and the full path of the directory."""
     try:
         servers, root = read_connect(connect)
@@ -91,7 +91,7 @@
     Exit: 0 stopped by a signal in an orderly way, 1 the server exited by itself or the node could not be
     deleted, 2 bad input.
     """
-    servers, whole = _read_where(connect, path)
+    servers, whole = _read_location(connect, path)
     args = SimpleNamespace(**given)
     if "/" in args.name or args.name == DRAINING:
         raise BadInput(f"--name: {args.name!r} is not a valid member name")
@@ -100,10 +100,12 @@
     except ValueError as error:
         raise BadInput(f"--name: {error}") from None
     start_log(log)
-    return asyncio.run(_serve(args, servers, whole, args.address))
+    return asyncio.run(_run_registered(args, servers, whole, args.address))
 
 
-async def _serve(args: SimpleNamespace, servers: tuple[Address, ...], path: str, address: Address) -> int:
+async def _run_registered(
+    args: SimpleNamespace, servers: tuple[Address, ...], path: str, address: Address
+) -> int:
     loop, told = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, told.set)
@@ -117,13 +119,13 @@
     ended = loop.create_task(child.wait()) if child is not None else loop.create_future()
     ending = loop.create_task(told.wait())
     if not args.at_once:
-        up = loop.create_task(_takes_connections(address))
+        up = loop.create_task(_wait_until_accepting(address))
         await asyncio.wait([ended, ending, up], return_when=asyncio.FIRST_COMPLETED)
         up.cancel()
     registrar: Registrar | None = None
     if not ended.done() and not ending.done():
         entry = Entry(
-            args.name, str(address), args.group, args.weight, args.zone, args.layout, since=since
+            args.name, str(address), args.group, args.weight, args.zone, args.layout, started_at_ms=since
         )  # fmt: skip
         registrar = Registrar(servers, path, entry, args.session_s * 1000)
         registrar.start()
@@ -149,42 +151,42 @@
     return HELD if down else NOT_HELD
 
 
-async def _takes_connections(address: Address) -> None:
+async def _wait_until_accepting(address: Address) -> None:
     while True:
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(1.0):
                 _, writer = await asyncio.open_connection(address.host, address.port)
             writer.close()
             return
-        await asyncio.sleep(LOOK)
+        await asyncio.sleep(ACCEPT_CHECK_INTERVAL)
 
 
 # members
 
 
-class Reading:
+class DirectoryReader:
     """Reads one directory once."""
 
     def __init__(self, servers: tuple[Address, ...], path: str, timeout: float) -> None:
         self.client = Client(servers, timeout, random.Random(), self)
-        self.follower = Follower(path)
+        self.follower = DirectoryFollower(path)
         self.done = asyncio.Event()
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        self._ask(self.follower.up(time.monotonic() * 1000, True))
+        self._send(self.follower.on_connected(time.monotonic() * 1000, True))
 
     def down(self) -> None:
         """The next connection reads the directory from the start."""
 
     def reply(self, reply: Reply) -> None:
-        self._ask(self.follower.reply(time.monotonic() * 1000, reply))
-        if self.follower.picture.whole:
+        self._send(self.follower.on_reply(time.monotonic() * 1000, reply))
+        if self.follower.state.complete:
             self.done.set()
 
     def fired(self, fired: Fired) -> None:
-        self._ask(self.follower.fired(time.monotonic() * 1000, fired))
+        self._send(self.follower.on_watch_event(time.monotonic() * 1000, fired))
 
-    def _ask(self, asks: list[Ask]) -> None:
+    def _send(self, asks: list[Ask]) -> None:
         for ask in asks:
             self.client.ask(ask)
 
@@ -200,12 +202,12 @@
 
     Exit: 0 all nodes are readable, 1 some are not, 2 bad input, 3 the coordinator did not answer in time.
     """
-    servers, whole = _read_where(connect, path)
-    return run_interruptible(_read(out, SimpleNamespace(connect=connect, **given), servers, whole))
+    servers, whole = _read_location(connect, path)
+    return run_interruptible(_report_members(out, SimpleNamespace(connect=connect, **given), servers, whole))
 
 
-async def _read(out: Out, args: SimpleNamespace, servers: tuple[Address, ...], path: str) -> int:
-    reading = Reading(servers, path, args.session_s * 1000)
+async def _report_members(out: Out, args: SimpleNamespace, servers: tuple[Address, ...], path: str) -> int:
+    reading = DirectoryReader(servers, path, args.session_s * 1000)
     reading.client.start()
     try:
         async with asyncio.timeout(args.within_s):
@@ -216,10 +218,10 @@
         return out.end(INCONCLUSIVE, {"path": path, "why": why})
     finally:
         await reading.client.close()
-    picture = reading.follower.picture
+    picture = reading.follower.state
     rows: list[dict[str, object]] = []
     for node, read in sorted(picture.nodes.items()):
-        row: dict[str, object] = {"node": node, "owner": f"{read.stat.owner:x}"}
+        row: dict[str, object] = {"node": node, "owner": f"{read.stat.ephemeral_owner:x}"}
         try:
             held = read_node(read.data, (), args.endpoint)
             if held is None:
--- a/millgw/membership/follower.py
+++ b/millgw/membership/follower.py
@@ -16,14 +16,14 @@
 from dataclasses import dataclass, field
 
 from millgw.membership.jute import Stat
-from millgw.membership.protocol import Ask, Change, Code, Fired, Kind, Reply
+from millgw.membership.protocol import Ask, Code, EventType, Fired, Kind, Reply
 
 DRAINING = "draining"
-PACE = 100.0  # ms: minimum interval between two reads of one node, whose data may change 100 times a second
-RECHECK = 10_000.0  # ms between re-reads of the lists regardless of watches: a watch event may be lost
-SLICE = 64  # nodes re-read at each recheck, in rotation: their watch events may be lost too
-READS = 256  # concurrent reads
-MOST_NODES = 20_000
+MIN_READ_INTERVAL = 100.0  # ms between two reads of one node, whose data may change 100 times a second
+RECHECK_INTERVAL = 10_000.0  # ms between re-reads of the lists without an event: events may be lost
+RECHECK_BATCH = 64  # nodes re-read at each recheck, in rotation: their watch events may be lost too
+MAX_READS_IN_FLIGHT = 256  # concurrent reads
+MAX_NODES = 20_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,184 +35,191 @@
 
 
 @dataclass(slots=True)
-class Picture:
+class DirectoryState:
     """The directory as known now.
 
-    `whole`: everything has been read since the session began. `missing`: the directory does not exist.
+    `complete`: everything has been read since the session began. `missing`: the directory does not exist.
     """
 
     nodes: dict[str, Node] = field(default_factory=dict)
     draining: frozenset[str] = frozenset()
-    whole: bool = False
+    complete: bool = False
     missing: bool = False
 
 
-class Follower:
+class DirectoryFollower:
     """Follows one directory. The caller sends the returned requests in order and passes in what arrives."""
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self.picture = Picture()
-        self.names: frozenset[str] = frozenset()
-        self.wanted: dict[str, None] = {}  # names of members to read, in order
-        self.reading: dict[str, None] = {}  # names of members whose read is in flight
-        self.listing: dict[str, None] = {}
+        self.state = DirectoryState()
+        self.child_names: frozenset[str] = frozenset()
+        self.to_read: dict[str, None] = {}  # names of members to read, in order
+        self.reads_in_flight: dict[str, None] = {}  # names of members whose read is in flight
+        self.lists_in_flight: dict[str, None] = {}
         self.read_at: dict[str, float] = {}
-        self.later: list[tuple[float, str]] = []
-        self.rechecked = 0.0
-        self.turn = 0
+        self.delayed_reads: list[tuple[float, str]] = []
+        self.last_recheck = 0.0
+        self.recheck_position = 0
         self.too_many = 0
-        self.changes = 0  # how often the picture has changed
+        self.revision = 0  # how often the picture has changed
 
     # Events
 
-    def up(self, now: float, fresh: bool) -> list[Ask]:
+    def on_connected(self, now: float, fresh: bool) -> list[Ask]:
         """A connection is established: reads everything on a fresh session, else what was in flight."""
-        lost = list(self.reading)
-        lists = [self.path] if fresh else list(self.listing)
-        self.reading.clear()
-        self.listing.clear()
+        lost = list(self.reads_in_flight)
+        lists = [self.path] if fresh else list(self.lists_in_flight)
+        self.reads_in_flight.clear()
+        self.lists_in_flight.clear()
         if fresh:
-            self.picture.whole = False
-            self.wanted = {}
+            self.state.complete = False
+            self.to_read = {}
             self.read_at.clear()
-            self.names = frozenset()
+            self.child_names = frozenset()
         else:
-            self.wanted = dict.fromkeys([*lost, *self.wanted])
-            if self.picture.missing:
+            self.to_read = dict.fromkeys([*lost, *self.to_read])
+            if self.state.missing:
                 lists.append(self.path)
-        self.rechecked = now
-        return [self._list(path) for path in dict.fromkeys(lists)] + self._reads(now)
+        self.last_recheck = now
+        return [self._list_request(path) for path in dict.fromkeys(lists)] + self._next_reads(now)
 
     def watches(self) -> tuple[list[str], list[str], list[str]]:
         """The watches to set again when a session moves to another server: data, exists, children."""
-        if self.picture.missing:
+        if self.state.missing:
             return [], [self.path], []
-        lists = [self.path, *([f"{self.path}/{DRAINING}"] if DRAINING in self.names else [])]
-        return [f"{self.path}/{name}" for name in self.picture.nodes], [], lists
+        lists = [self.path, *([f"{self.path}/{DRAINING}"] if DRAINING in self.child_names else [])]
+        return [f"{self.path}/{name}" for name in self.state.nodes], [], lists
 
-    def fired(self, now: float, fired: Fired) -> list[Ask]:
+    def on_watch_event(self, now: float, fired: Fired) -> list[Ask]:
         """Handle a watch event."""
         if fired.path in (self.path, f"{self.path}/{DRAINING}"):
-            return [self._list(fired.path)] if fired.path not in self.listing else []
+            return [self._list_request(fired.path)] if fired.path not in self.lists_in_flight else []
         above, _, name = fired.path.rpartition("/")
-        if above != self.path or fired.change == Change.CHILDREN:
+        if above != self.path or fired.event_type == EventType.CHILDREN:
             return []
-        if name in self.reading:
+        if name in self.reads_in_flight:
             return []
-        due = self.read_at.get(name, 0.0) + PACE
+        due = self.read_at.get(name, 0.0) + MIN_READ_INTERVAL
         if now < due:
-            heapq.heappush(self.later, (due, name))
+            heapq.heappush(self.delayed_reads, (due, name))
             return []
-        self.wanted[name] = None
-        return self._reads(now)
+        self.to_read[name] = None
+        return self._next_reads(now)
 
-    def reply(self, now: float, reply: Reply) -> list[Ask]:
+    def on_reply(self, now: float, reply: Reply) -> list[Ask]:
         """Handle the reply to one of its requests."""
-        path = reply.ask.path
-        if reply.ask.kind is Kind.EXISTS:
-            return [self._list(self.path)] if reply.code == Code.OK else []
-        if reply.ask.kind is Kind.READ:
-            return self._read(now, path.rpartition("/")[2], reply)
-        self.listing.pop(path, None)
+        path = reply.request.path
+        if reply.request.operation is Kind.EXISTS:
+            return [self._list_request(self.path)] if reply.code == Code.OK else []
+        if reply.request.operation is Kind.READ:
+            return self._handle_read(now, path.rpartition("/")[2], reply)
+        self.lists_in_flight.pop(path, None)
         if path == self.path:
-            return self._listed(now, reply)
-        self.picture.draining = frozenset(reply.names) if reply.code == Code.OK else frozenset()
-        self.changes += 1
-        self._settle()
+            return self._handle_list(now, reply)
+        self.state.draining = frozenset(reply.names) if reply.code == Code.OK else frozenset()
+        self.revision += 1
+        self._check_complete()
         return []
 
     def tick(self, now: float) -> list[Ask]:
-        """Return the requests that are due; `due` gives the time of the next."""
-        while self.later and self.later[0][0] <= now:
-            name = heapq.heappop(self.later)[1]
-            if name in self.names and name not in self.reading:
-                self.wanted[name] = None
-        asks = self._reads(now)
-        if now >= self.rechecked + RECHECK:
-            self.rechecked = now
-            asks += [self._list(p) for p in self.watches()[2] if p not in self.listing]
-            names = sorted(self.picture.nodes)
-            for name in names[self.turn : self.turn + SLICE]:
-                self.wanted.setdefault(name)
-            self.turn = self.turn + SLICE if self.turn + SLICE < len(names) else 0
-            asks += self._reads(now)
+        """Return the requests that are due; `next_tick` gives the time of the next."""
+        while self.delayed_reads and self.delayed_reads[0][0] <= now:
+            name = heapq.heappop(self.delayed_reads)[1]
+            if name in self.child_names and name not in self.reads_in_flight:
+                self.to_read[name] = None
+        asks = self._next_reads(now)
+        if now >= self.last_recheck + RECHECK_INTERVAL:
+            self.last_recheck = now
+            asks += [self._list_request(p) for p in self.watches()[2] if p not in self.lists_in_flight]
+            names = sorted(self.state.nodes)
+            for name in names[self.recheck_position : self.recheck_position + RECHECK_BATCH]:
+                self.to_read.setdefault(name)
+            self.recheck_position = (
+                self.recheck_position + RECHECK_BATCH
+                if self.recheck_position + RECHECK_BATCH < len(names)
+                else 0
+            )
+            asks += self._next_reads(now)
         return asks
 
-    def due(self) -> float:
+    def next_tick(self) -> float:
         """When `tick` has to be called next."""
-        return min(self.later[0][0] if self.later else self.rechecked + RECHECK, self.rechecked + RECHECK)
+        return min(
+            self.delayed_reads[0][0] if self.delayed_reads else self.last_recheck + RECHECK_INTERVAL,
+            self.last_recheck + RECHECK_INTERVAL,
+        )
 
     # Reading
 
-    def _list(self, path: str) -> Ask:
-        self.listing[path] = None
+    def _list_request(self, path: str) -> Ask:
+        self.lists_in_flight[path] = None
         return Ask(Kind.CHILDREN, path)
 
-    def _listed(self, now: float, reply: Reply) -> list[Ask]:
-        picture = self.picture
+    def _handle_list(self, now: float, reply: Reply) -> list[Ask]:
+        picture = self.state
         if reply.code == Code.NO_NODE:
-            self.changes += 1
-            picture.missing, picture.whole = True, True
+            self.revision += 1
+            picture.missing, picture.complete = True, True
             picture.nodes.clear()
-            self.names = frozenset()
+            self.child_names = frozenset()
             return [Ask(Kind.EXISTS, self.path)]
         if reply.code != Code.OK:
             return []
-        self.too_many = len(reply.names) if len(reply.names) > MOST_NODES else 0
+        self.too_many = len(reply.names) if len(reply.names) > MAX_NODES else 0
         if self.too_many:
             return []  # keeps what is known: no real fleet has a list this long
-        before, picture.missing = self.names, False
-        self.names = frozenset(reply.names)
-        self.changes += self.names != before
-        members = self.names - {DRAINING}
+        before, picture.missing = self.child_names, False
+        self.child_names = frozenset(reply.names)
+        self.revision += self.child_names != before
+        members = self.child_names - {DRAINING}
         for name in [n for n in picture.nodes if n not in members]:
             del picture.nodes[name]
-        for name in [n for n in self.wanted if n not in members]:
-            del self.wanted[name]
+        for name in [n for n in self.to_read if n not in members]:
+            del self.to_read[name]
         for name in sorted(members - before):
-            self.wanted[name] = None
+            self.to_read[name] = None
         asks = []
-        if DRAINING in self.names and DRAINING not in before:
-            asks.append(self._list(f"{self.path}/{DRAINING}"))
-        elif DRAINING not in self.names:
+        if DRAINING in self.child_names and DRAINING not in before:
+            asks.append(self._list_request(f"{self.path}/{DRAINING}"))
+        elif DRAINING not in self.child_names:
             picture.draining = frozenset()
-        asks += self._reads(now)
-        self._settle()
+        asks += self._next_reads(now)
+        self._check_complete()
         return asks
 
-    def _reads(self, now: float) -> list[Ask]:
+    def _next_reads(self, now: float) -> list[Ask]:
         asks = []
-        while self.wanted and len(self.reading) < READS:
-            name = next(iter(self.wanted))
-            del self.wanted[name]
-            if name in self.reading:
+        while self.to_read and len(self.reads_in_flight) < MAX_READS_IN_FLIGHT:
+            name = next(iter(self.to_read))
+            del self.to_read[name]
+            if name in self.reads_in_flight:
                 continue
-            self.reading[name] = None
+            self.reads_in_flight[name] = None
             self.read_at[name] = now
             asks.append(Ask(Kind.READ, f"{self.path}/{name}"))
         return asks
 
-    def _read(self, now: float, name: str, reply: Reply) -> list[Ask]:
-        self.reading.pop(name, None)
+    def _handle_read(self, now: float, name: str, reply: Reply) -> list[Ask]:
+        self.reads_in_flight.pop(name, None)
         if reply.code == Code.OK and reply.stat is not None:
             node = Node(reply.data, reply.stat)
-            if name in self.names and self.picture.nodes.get(name) != node:
-                self.picture.nodes[name] = node
-                self.changes += 1
+            if name in self.child_names and self.state.nodes.get(name) != node:
+                self.state.nodes[name] = node
+                self.revision += 1
         else:
-            self.changes += 1
-            self.picture.nodes.pop(name, None)
+            self.revision += 1
+            self.state.nodes.pop(name, None)
             self.read_at.pop(name, None)
             # If the node is created again before the directory is listed, the list must count it as new;
             # otherwise it would not be read.
-            self.names -= {name}
-        asks = self._reads(now)
-        self._settle()
+            self.child_names -= {name}
+        asks = self._next_reads(now)
+        self._check_complete()
         return asks
 
-    def _settle(self) -> None:
-        listing = {p for p in self.listing if p == self.path or DRAINING in self.names}
-        if not (self.picture.whole or self.wanted or self.reading or listing):
-            self.picture.whole = True
-            self.changes += 1
+    def _check_complete(self) -> None:
+        listing = {p for p in self.lists_in_flight if p == self.path or DRAINING in self.child_names}
+        if not (self.state.complete or self.to_read or self.reads_in_flight or listing):
+            self.state.complete = True
+            self.revision += 1
--- a/millgw/membership/judge.py
+++ b/millgw/membership/judge.py
@@ -30,21 +30,19 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from millgw.membership.nodes import Held
+from millgw.membership.nodes import NodeData
 from millgw.platform.discovery import Listed
 
 FLAPS = 3  # returns within FLAP_WINDOW from which on a returning node has to wait
 FLAP_WINDOW = 30_000.0  # ms
-FLAP_WAIT, FLAP_MOST = 1000.0, 8000.0  # ms: first wait, and its maximum; doubles with each further return
+FLAP_FIRST_DELAY, FLAP_MAX_DELAY = 1000.0, 8000.0  # ms; doubles with each further return
 ASIDE_AFTER = 10_000.0  # ms of failed connections
-ASIDE_FIRST, ASIDE_MOST = (
-    10_000.0,
-    60_000.0,
-)  # ms until offered again: first and maximum; doubles, with jitter
-LOOK_EVERY = 1000.0  # ms between checks for unreachable members
+# ms until a member set aside is offered again: first and maximum; doubles, with jitter
+ASIDE_FIRST_DELAY, ASIDE_MAX_DELAY = 10_000.0, 60_000.0
+LINGERING_CHECK_INTERVAL = 1000.0  # ms between checks for unreachable members
 ASIDE_SHARE = 1 / 3  # maximum share of the members: if more are unreachable, the fault is on this side
-REMEMBER = 600_000.0  # ms to remember the end of a node, so that an older list does not bring it back
-HEARD_WITHIN = 5000.0  # ms since its last answer for which a held endpoint counts as responding
+REMEMBER_ENDED = 600_000.0  # ms to remember the end of a node, so that an older list does not bring it back
+RESPONDING_WITHIN = 5000.0  # ms since its last answer for which a held endpoint counts as responding
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,14 +57,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Found:
+class MemberNode:
     """A member's node: its creation, its owner and its parsed data."""
 
     czxid: int
     mzxid: int
     ctime: int  # Unix ms
     owner: int
-    held: Held
+    data: NodeData
 
     @property
     def identity(self) -> tuple[int, int, int]:
@@ -75,22 +73,22 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class EndpointEvidence:
     """This sidecar's own evidence on an endpoint; `-inf` for never.
 
-    `answered`: its last answer on a connection that is still open; `opened`: when the oldest of these was
-    opened; `broken`: when the endpoint last closed a connection or one failed to connect; `missed`: the last
-    failure to connect alone; `misses`: how many attempts in a row have failed to connect so far.
+    `last_answer`: on a connection that is still open; `oldest_opened`: when the oldest of these was opened;
+    `last_broken`: when the endpoint last closed a connection or one failed to connect; `last_miss`: the
+    latter alone; `misses`: how many attempts in a row have failed to connect so far.
     """
 
-    answered: float = -math.inf
-    opened: float = math.inf
-    broken: float = -math.inf
-    missed: float = -math.inf
+    last_answer: float = -math.inf
+    oldest_opened: float = math.inf
+    last_broken: float = -math.inf
+    last_miss: float = -math.inf
     misses: int = 0
 
 
-class State(Enum):
+class MemberState(Enum):
     """A member's state. Members that are PRESENT, LEAVING or HELD are offered."""
 
     PRESENT = "present"
@@ -100,34 +98,34 @@
     ASIDE = "aside"
 
 
-OFFERED = frozenset({State.PRESENT, State.LEAVING, State.HELD})
+OFFERED = frozenset({MemberState.PRESENT, MemberState.LEAVING, MemberState.HELD})
 
 
 @dataclass(slots=True)
 class Member:
     """The state of one endpoint."""
 
-    found: Found
-    since: float
-    node: str
-    state: State = State.PRESENT
-    at: float = 0.0  # when its state began
-    until: float = math.inf  # when it ends by timeout
-    misses_from: float = math.inf  # first failed connect since its last answer
-    asides: int = 0
+    node: MemberNode
+    started_at: float
+    node_name: str
+    state: MemberState = MemberState.PRESENT
+    state_since: float = 0.0  # when its state began
+    state_until: float = math.inf  # when it ends by timeout
+    first_miss: float = math.inf  # first failed connect since its last answer
+    times_aside: int = 0
 
-    def move(self, state: State, at: float, until: float = math.inf) -> None:
-        self.state, self.at, self.until = state, at, until
+    def set_state(self, state: MemberState, at: float, until: float = math.inf) -> None:
+        self.state, self.state_since, self.state_until = state, at, until
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class EndedNode:
     """A node that has ended or drains."""
 
     identity: tuple[int, int, int]
     mzxid: int
     at: float
-    marked: bool = False  # by the operator's drain list, which may revoke it
+    listed_draining: bool = False  # by the operator's drain list, which may revoke it
 
 
 @dataclass(slots=True)
@@ -146,33 +144,32 @@
     stale: int = 0
 
 
-Witness = Callable[[str], Seen]
+EvidenceLookup = Callable[[str], EndpointEvidence]
 
 
-class Judge:
-    """The members of one directory. `see` takes a complete list; `decide` acts on time and own evidence."""
+class MembershipTracker:
+    """Members of one directory. `update` takes a complete list; `decide` acts on time and own evidence."""
 
-    def __init__(self, terms: Terms, rng: random.Random, witness: Witness) -> None:
-        self.terms = terms
+    def __init__(self, terms: Terms, rng: random.Random, witness: EvidenceLookup) -> None:
+        self.settings = terms
         self.rng = rng
-        self.witness = witness
+        self.evidence = witness
         self.members: dict[str, Member] = {}
-        self.ended: dict[str, Ended] = {}
+        self.ended: dict[str, EndedNode] = {}
         self.draining: dict[str, Listed] = {}  # draining, node still there
-        self.departures: deque[tuple[float, str]] = (
-            deque()
-        )  # (time, name) within the window, without those that are back
+        # (time, name) within the window, without those that are back
+        self.departures: deque[tuple[float, str]] = deque()
         self.returns: dict[str, list[float]] = {}
         self.counts = Counts()
         self.suspect = False
-        self.looked = -math.inf
+        self.last_lingering_check = -math.inf
 
     # Lists
 
-    def see(
+    def update(
         self,
         now: float,
-        nodes: Collection[tuple[str, Found]],
+        nodes: Collection[tuple[str, MemberNode]],
         drained: Collection[str],
         suspect: bool = False,
     ) -> None:
@@ -181,211 +178,227 @@
         `suspect`: the coordinator can't be trusted on which nodes are gone.
         """
         self.suspect = suspect
-        newest: dict[str, tuple[Found, str]] = {}
+        newest: dict[str, tuple[MemberNode, str]] = {}
         for node, found in nodes:
-            name = found.held.name
+            name = found.data.name
             if name not in newest or found.czxid > newest[name][0].czxid:
                 newest[name] = found, node
         for name, (found, node) in newest.items():
-            if node in drained or not found.held.ready:
-                self._drain(now, name, found, node in drained)
-            elif not self._stale(name, found):
-                self._present(now, name, node, found)
+            if node in drained or not found.data.ready:
+                self._remove_draining(now, name, found, node in drained)
+            elif not self._is_stale(name, found):
+                self._update_present(now, name, node, found)
         self.draining = {n: entry for n, entry in self.draining.items() if n in newest}
         for name, member in list(self.members.items()):
             if name in newest:
                 continue
-            if member.node in drained:
-                self._end(now, name, member.found)  # an operator's drain applies to a held member too
+            if member.node_name in drained:
+                self._remove(now, name, member.node)  # an operator's drain applies to a held member too
                 self.counts.drained += 1
-            elif member.state in (State.WAITING, State.ASIDE):
-                self._end(now, name, member.found)
+            elif member.state in (MemberState.WAITING, MemberState.ASIDE):
+                self._remove(now, name, member.node)
                 self.counts.gone += 1
-            elif member.state is State.PRESENT:
-                member.move(State.LEAVING, now, now + self.terms.settle)
+            elif member.state is MemberState.PRESENT:
+                member.set_state(MemberState.LEAVING, now, now + self.settings.settle)
                 self.departures.append((now, name))
 
-    def _stale(self, name: str, found: Found) -> bool:
+    def _is_stale(self, name: str, found: MemberNode) -> bool:
         """Whether this is outdated data on a node that has ended, from a server that lags or lost changes."""
         ended = self.ended.get(name)
         if ended is None or ended.identity != found.identity:
             return False
-        if (ended.marked or found.mzxid > ended.mzxid) and not self.suspect:
+        if (ended.listed_draining or found.mzxid > ended.mzxid) and not self.suspect:
             return False  # the drain was revoked
         self.counts.stale += 1
         return True
 
-    def _drain(self, now: float, name: str, found: Found, marked: bool) -> None:
+    def _remove_draining(self, now: float, name: str, found: MemberNode, marked: bool) -> None:
         """An explicit drain removes the member at once, in any state."""
-        self.draining[name] = found.held.listed
+        self.draining[name] = found.data.listed
         if name in self.members:
             del self.members[name]
             self.counts.drained += 1
-        self.ended[name] = Ended(found.identity, found.mzxid, now, marked)
+        self.ended[name] = EndedNode(found.identity, found.mzxid, now, marked)
 
-    def _end(self, now: float, name: str, found: Found) -> None:
+    def _remove(self, now: float, name: str, found: MemberNode) -> None:
         self.members.pop(name, None)
-        self.ended[name] = Ended(found.identity, found.mzxid, now)
+        self.ended[name] = EndedNode(found.identity, found.mzxid, now)
 
-    def _present(self, now: float, name: str, node: str, found: Found) -> None:
+    def _update_present(self, now: float, name: str, node: str, found: MemberNode) -> None:
         member = self.members.get(name)
         if member is None:
-            member = self.members[name] = Member(found, self._start(found), node, at=now)
-            self._explained(name)
-            wait = self._flap(now, name) if name in self.ended else 0.0
+            member = self.members[name] = Member(found, self._start_time(found), node, state_since=now)
+            self._forget_departure(name)
+            wait = self._flap_delay(now, name) if name in self.ended else 0.0
             if wait:
-                member.move(State.WAITING, now, now + wait)
+                member.set_state(MemberState.WAITING, now, now + wait)
             self.ended.pop(name, None)
             return
-        vanished = member.state in (State.LEAVING, State.HELD)
-        if member.found.identity != found.identity:
+        vanished = member.state in (MemberState.LEAVING, MemberState.HELD)
+        if member.node.identity != found.identity:
             if not self._same_process(member, found, name):
-                member.since = max(self._start(found), member.since + 1.0)
-                member.misses_from, member.asides = math.inf, 0
-                if member.state is State.ASIDE:
-                    member.move(State.PRESENT, now)
-        elif found.held.listed.endpoint.started_at > 0:
-            member.since = found.held.listed.endpoint.started_at
-        member.found, member.node = found, node
+                member.started_at = max(self._start_time(found), member.started_at + 1.0)
+                member.first_miss, member.times_aside = math.inf, 0
+                if member.state is MemberState.ASIDE:
+                    member.set_state(MemberState.PRESENT, now)
+        elif found.data.listed.endpoint.started_at > 0:
+            member.started_at = found.data.listed.endpoint.started_at
+        member.node, member.node_name = found, node
         if vanished:
-            member.move(State.PRESENT, now)
+            member.set_state(MemberState.PRESENT, now)
             self.counts.returned += 1
-            self._explained(name)
+            self._forget_departure(name)
 
-    def _explained(self, name: str) -> None:
+    def _forget_departure(self, name: str) -> None:
         """Forget a departure: the member is back or seen dead, so it no longer implicates the coordinator."""
         if any(name == gone for _, gone in self.departures):
             self.departures = deque(d for d in self.departures if d[1] != name)
 
     @staticmethod
-    def _start(found: Found) -> float:
-        return found.held.listed.endpoint.started_at or float(found.ctime)
+    def _start_time(found: MemberNode) -> float:
+        return found.data.listed.endpoint.started_at or float(found.ctime)
 
-    def _same_process(self, member: Member, found: Found, name: str) -> bool:
-        before = member.found.held
-        if before.listed.address != found.held.listed.address:
+    def _same_process(self, member: Member, found: MemberNode, name: str) -> bool:
+        before = member.node.data
+        if before.listed.address != found.data.listed.address:
             return False
-        if before.instance or found.held.instance:
-            return before.instance == found.held.instance
-        if before.listed.endpoint.started_at > 0 or found.held.listed.endpoint.started_at > 0:
-            return before.listed.endpoint.started_at == found.held.listed.endpoint.started_at
-        if member.state is not State.HELD:
+        if before.instance or found.data.instance:
+            return before.instance == found.data.instance
+        if before.listed.endpoint.started_at > 0 or found.data.listed.endpoint.started_at > 0:
+            return before.listed.endpoint.started_at == found.data.listed.endpoint.started_at
+        if member.state is not MemberState.HELD:
             return False
-        seen = self.witness(name)
-        return seen.opened < member.at and seen.answered > member.at and seen.broken < seen.opened
-
-    def _flap(self, now: float, name: str) -> float:
+        seen = self.evidence(name)
+        return (
+            seen.oldest_opened < member.state_since
+            and seen.last_answer > member.state_since
+            and seen.last_broken < seen.oldest_opened
+        )
+
+    def _flap_delay(self, now: float, name: str) -> float:
         """How long (ms) a node that is back has to wait; 0 unless it flaps."""
         times = [t for t in self.returns.get(name, []) if t > now - FLAP_WINDOW] + [now]
         self.returns[name] = times
         more = len(times) - FLAPS
-        return min(FLAP_MOST, FLAP_WAIT * 2.0**more) if more >= 0 else 0.0
+        return min(FLAP_MAX_DELAY, FLAP_FIRST_DELAY * 2.0**more) if more >= 0 else 0.0
 
     # Time and evidence
 
-    def few(self) -> int:
+    def departure_limit(self) -> int:
         """How many members may vanish within a window and be taken as gone; more are held."""
         there = sum(m.state in OFFERED for m in self.members.values())
         gone = sum(name not in self.members for _, name in self.departures)
-        return max(1, math.ceil(self.terms.share * (there + gone)))
+        return max(1, math.ceil(self.settings.share * (there + gone)))
 
     def decide(self, now: float) -> None:
         """Apply the decisions that are due."""
-        self._forget(now)
-        mass = self.suspect or len(self.departures) > self.few()
+        self._expire_records(now)
+        mass = self.suspect or len(self.departures) > self.departure_limit()
         for name, member in list(self.members.items()):
-            if member.state is State.LEAVING:
+            if member.state is MemberState.LEAVING:
                 if mass:
-                    member.move(State.HELD, member.at, member.at + self.terms.hold)
+                    member.set_state(
+                        MemberState.HELD, member.state_since, member.state_since + self.settings.hold
+                    )
                     self.counts.held += 1
-                elif now >= member.until:
-                    self._end(now, name, member.found)
+                elif now >= member.state_until:
+                    self._remove(now, name, member.node)
                     self.counts.gone += 1
-            elif member.state is State.WAITING and now >= member.until:
-                member.move(State.PRESENT, now)
+            elif member.state is MemberState.WAITING and now >= member.state_until:
+                member.set_state(MemberState.PRESENT, now)
                 self.counts.believed += 1
-        self._holds(now)
-        if now >= self.looked + LOOK_EVERY:
-            self.looked = now
-            self._lingering(now)
+        self._decide_held(now)
+        if now >= self.last_lingering_check + LINGERING_CHECK_INTERVAL:
+            self.last_lingering_check = now
+            self._decide_lingering(now)
 
-    def _forget(self, now: float) -> None:
-        while self.departures and self.departures[0][0] <= now - self.terms.window:
+    def _expire_records(self, now: float) -> None:
+        while self.departures and self.departures[0][0] <= now - self.settings.window:
             self.departures.popleft()
-        for name in [n for n, e in self.ended.items() if e.at < now - REMEMBER]:
+        for name in [n for n, e in self.ended.items() if e.at < now - REMEMBER_ENDED]:
             del self.ended[name]
         for name in [n for n, times in self.returns.items() if times[-1] < now - FLAP_WINDOW]:
             del self.returns[name]
 
-    def _holds(self, now: float) -> None:
-        """Remove held members that are seen dead, and those whose time is over, at most `few` a window."""
-        held = [(n, m) for n, m in self.members.items() if m.state is State.HELD]
-        room = self.few() - sum(name not in self.members for _, name in self.departures)
-        for name, member in sorted(held, key=lambda h: (h[1].at, h[0])):
-            seen = self.witness(name)
-            if seen.misses and seen.missed > max(member.at, seen.answered):
+    def _decide_held(self, now: float) -> None:
+        """Remove held members that are seen dead, and at most `departure_limit` a window whose time is over."""
+        held = [(n, m) for n, m in self.members.items() if m.state is MemberState.HELD]
+        room = self.departure_limit() - sum(name not in self.members for _, name in self.departures)
+        for name, member in sorted(held, key=lambda h: (h[1].state_since, h[0])):
+            seen = self.evidence(name)
+            if seen.misses and seen.last_miss > max(member.state_since, seen.last_answer):
                 # Two independent signs: its session is gone, and connecting to it fails.
-                self._end(now, name, member.found)
-                self._explained(name)
+                self._remove(now, name, member.node)
+                self._forget_departure(name)
                 self.counts.dead += 1
                 continue
-            heard = seen.answered > now - HEARD_WITHIN and now < member.at + self.terms.hold_most
-            if now >= member.until and not heard and room > 0:
+            heard = (
+                seen.last_answer > now - RESPONDING_WITHIN
+                and now < member.state_since + self.settings.hold_most
+            )
+            if now >= member.state_until and not heard and room > 0:
                 room -= 1
-                self._end(now, name, member.found)
+                self._remove(now, name, member.node)
                 self.departures.append((now, name))
                 self.counts.released += 1
 
-    def _lingering(self, now: float) -> None:
+    def _decide_lingering(self, now: float) -> None:
         """Set aside members that are listed but unreachable; offer again those whose time aside is over."""
         most = int(ASIDE_SHARE * len(self.members))
-        aside = sum(m.state is State.ASIDE for m in self.members.values())
+        aside = sum(m.state is MemberState.ASIDE for m in self.members.values())
         for name, member in self.members.items():
-            if member.state is State.ASIDE:
-                if now >= member.until:
+            if member.state is MemberState.ASIDE:
+                if now >= member.state_until:
                     aside -= 1
-                    member.since = max(member.since, now)  # it may have restarted meanwhile: treat it as cold
-                    member.misses_from = math.inf
-                    member.move(State.PRESENT, now)
+                    member.started_at = max(
+                        member.started_at, now
+                    )  # it may have restarted meanwhile: treat it as cold
+                    member.first_miss = math.inf
+                    member.set_state(MemberState.PRESENT, now)
                     self.counts.offered_again += 1
                 continue
-            if member.state is not State.PRESENT:
+            if member.state is not MemberState.PRESENT:
                 continue
-            seen = self.witness(name)
+            seen = self.evidence(name)
             if not seen.misses:
-                member.misses_from = math.inf
-                if seen.answered > member.at:
-                    member.asides = 0
+                member.first_miss = math.inf
+                if seen.last_answer > member.state_since:
+                    member.times_aside = 0
             else:
-                member.misses_from = min(member.misses_from, seen.missed)
-            tried = member.asides > 0 and member.misses_from < math.inf  # offered again and still unreachable
-            if aside < most and (tried or seen.missed - member.misses_from >= ASIDE_AFTER):
+                member.first_miss = min(member.first_miss, seen.last_miss)
+            # Offered again and still unreachable:
+            tried = member.times_aside > 0 and member.first_miss < math.inf
+            if aside < most and (tried or seen.last_miss - member.first_miss >= ASIDE_AFTER):
                 aside += 1
-                wait = min(ASIDE_MOST, ASIDE_FIRST * 2.0**member.asides) * (0.5 + 0.5 * self.rng.random())
-                member.asides += 1
-                member.move(State.ASIDE, now, now + wait)
+                wait = min(ASIDE_MAX_DELAY, ASIDE_FIRST_DELAY * 2.0**member.times_aside) * (
+                    0.5 + 0.5 * self.rng.random()
+                )
+                member.times_aside += 1
+                member.set_state(MemberState.ASIDE, now, now + wait)
                 self.counts.aside += 1
 
-    def due(self) -> float:
+    def next_timeout(self) -> float:
         """When the next state ends by timeout; evidence may end it earlier."""
-        return min((m.until for m in self.members.values()), default=math.inf)
+        return min((m.state_until for m in self.members.values()), default=math.inf)
 
-    def unsettled(self) -> bool:
+    def has_open_departures(self) -> bool:
         """Whether own evidence may lead to a decision soon."""
-        return any(m.state in (State.LEAVING, State.HELD) for m in self.members.values())
+        return any(m.state in (MemberState.LEAVING, MemberState.HELD) for m in self.members.values())
 
     # Results
 
     def offered(self) -> dict[str, Listed]:
         """The endpoints that may receive requests, by name."""
         return {
-            name: replace(entry := m.found.held.listed, endpoint=replace(entry.endpoint, started_at=m.since))
+            name: replace(
+                entry := m.node.data.listed, endpoint=replace(entry.endpoint, started_at=m.started_at)
+            )
             for name, m in self.members.items()
-            if m.state in OFFERED and m.found.held.listed.address is not None
+            if m.state in OFFERED and m.node.data.listed.address is not None
         }
 
     def states(self) -> dict[str, int]:
         """How many members are in each state."""
-        return {s.value: sum(m.state is s for m in self.members.values()) for s in State} | {
+        return {s.value: sum(m.state is s for m in self.members.values()) for s in MemberState} | {
             "draining": len(self.draining)
         }
--- a/millgw/membership/jute.py
+++ b/millgw/membership/jute.py
@@ -26,52 +26,52 @@
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.position = 0
 
-    def _take(self, size: int, what: str) -> bytes:
-        if size < 0 or self.at + size > len(self.data):
-            raise BadRecord(f"{what}: {size} bytes needed, {len(self.data) - self.at} left")
-        part = self.data[self.at : self.at + size]
-        self.at += size
+    def _read_bytes(self, size: int, what: str) -> bytes:
+        if size < 0 or self.position + size > len(self.data):
+            raise BadRecord(f"{what}: {size} bytes needed, {len(self.data) - self.position} left")
+        part = self.data[self.position : self.position + size]
+        self.position += size
         return part
 
-    def number(self) -> int:
-        value: int = INT.unpack(self._take(4, "int"))[0]
+    def read_int(self) -> int:
+        value: int = INT.unpack(self._read_bytes(4, "int"))[0]
         return value
 
-    def long(self) -> int:
-        value: int = LONG.unpack(self._take(8, "long"))[0]
+    def read_long(self) -> int:
+        value: int = LONG.unpack(self._read_bytes(8, "long"))[0]
         return value
 
-    def flag(self) -> bool:
-        return self._take(1, "boolean") != b"\0"
+    def read_bool(self) -> bool:
+        return self._read_bytes(1, "boolean") != b"\0"
 
-    def buffer(self) -> bytes:
+    def read_buffer(self) -> bytes:
         """Bytes; a length of -1 stands for null, returned as empty."""
-        size = self.number()
-        return b"" if size == -1 else self._take(size, "buffer")
+        size = self.read_int()
+        return b"" if size == -1 else self._read_bytes(size, "buffer")
 
-    def string(self) -> str:
+    def read_string(self) -> str:
         try:
-            return self.buffer().decode()
+            return self.read_buffer().decode()
         except UnicodeDecodeError as error:
             raise BadRecord(f"string: {error.reason}") from None
 
-    def vector(self, read: Callable[[Reader], T], least: int) -> list[T]:
+    def read_vector(self, read: Callable[[Reader], T], min_size: int) -> list[T]:
         """A counted list of entries of at least `least` bytes each; -1 stands for null, returned as empty."""
-        count = self.number()
+        count = self.read_int()
         if count == -1:
             return []
-        if count < 0 or count * least > len(self.data) - self.at:
-            raise BadRecord(f"vector: {count} entries don't fit in {len(self.data) - self.at} bytes")
+        if count < 0 or count * min_size > len(self.data) - self.position:
+            raise BadRecord(f"vector: {count} entries don't fit in {len(self.data) - self.position} bytes")
         return [read(self) for _ in range(count)]
 
-    def strings(self) -> list[str]:
-        return self.vector(Reader.string, 4)
+    def read_strings(self) -> list[str]:
+        return self.read_vector(Reader.read_string, 4)
 
     @property
-    def left(self) -> int:
-        return len(self.data) - self.at
+    def remaining(self) -> int:
+        return len(self.data) - self.position
 
 
 def write_int(value: int) -> bytes:
@@ -103,25 +103,25 @@
     return INT.pack(len(payload)) + payload
 
 
-class Frames:
+class FrameSplitter:
     """Splits a byte stream into frames, however it is divided into reads."""
 
     def __init__(self, most: int = MAX_FRAME) -> None:
-        self.most = most
-        self.rest = bytearray()
+        self.max_size = most
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
         """The frames that are complete now; raises BadRecord for an impossible length."""
-        self.rest += data
+        self.buffer += data
         found = []
-        while len(self.rest) >= 4:
-            size = INT.unpack_from(self.rest)[0]
-            if not 0 <= size <= self.most:
-                raise BadRecord(f"frame of {size} bytes; the maximum is {self.most}")
-            if len(self.rest) < 4 + size:
+        while len(self.buffer) >= 4:
+            size = INT.unpack_from(self.buffer)[0]
+            if not 0 <= size <= self.max_size:
+                raise BadRecord(f"frame of {size} bytes; the maximum is {self.max_size}")
+            if len(self.buffer) < 4 + size:
                 break
-            found.append(bytes(self.rest[4 : 4 + size]))
-            del self.rest[: 4 + size]
+            found.append(bytes(self.buffer[4 : 4 + size]))
+            del self.buffer[: 4 + size]
         return found
 
 
@@ -136,15 +136,15 @@
     version: int
     cversion: int
     aversion: int
-    owner: int  # the session of an ephemeral node; 0 for others
-    length: int
-    children: int
+    ephemeral_owner: int  # the session of an ephemeral node; 0 for others
+    data_length: int
+    num_children: int
     pzxid: int
 
     def write(self) -> bytes:
         return STAT.pack(
             self.czxid, self.mzxid, self.ctime, self.mtime, self.version, self.cversion, self.aversion,
-            self.owner, self.length, self.children, self.pzxid,
+            self.ephemeral_owner, self.data_length, self.num_children, self.pzxid,
         )  # fmt: skip
 
 
@@ -152,4 +152,4 @@
 
 
 def read_stat(reader: Reader) -> Stat:
-    return Stat(*STAT.unpack(reader._take(STAT.size, "stat")))
+    return Stat(*STAT.unpack(reader._read_bytes(STAT.size, "stat")))
--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -34,16 +34,16 @@
 
 
 @dataclass(slots=True)
-class Side:
-    """One source's latest list. `spoke`: it has reported a list; `well`: it is reachable now."""
+class SourceList:
+    """One source's latest list. `reported`: it has reported a list; `healthy`: it is reachable now."""
 
     ready: dict[int, Listed] = field(default_factory=dict)
-    drains: dict[int, Listed] = field(default_factory=dict)
+    draining: dict[int, Listed] = field(default_factory=dict)
     ended: dict[int, float] = field(
         default_factory=dict
     )  # removed from this list: latest start time known at that moment (ms)
-    spoke: bool = False
-    well: bool = False
+    reported: bool = False
+    healthy: bool = False
 
 
 class Merger:
@@ -51,38 +51,38 @@
 
     def __init__(self, mode: Mode) -> None:
         self.mode = mode
-        self.sides = (Side(), Side())
+        self.sources = (SourceList(), SourceList())
 
-    def tell(self, side: int, ready: Mapping[int, Listed], drains: Mapping[int, Listed]) -> None:
+    def update(self, side: int, ready: Mapping[int, Listed], drains: Mapping[int, Listed]) -> None:
         """Replace a source's list by its current complete one."""
-        one, other = self.sides[side], self.sides[1 - side]
+        source, other = self.sources[side], self.sources[1 - side]
         at = {entry.address: entry for entry in other.ready.values()}
-        for id, entry in one.ready.items():
+        for id, entry in source.ready.items():
             if id not in ready:
                 # What the other source lists now is the process that has ended, however late its start.
                 theirs = other.ready.get(id) or at.get(entry.address, entry)
-                one.ended[id] = max(entry.endpoint.started_at, theirs.endpoint.started_at)
+                source.ended[id] = max(entry.endpoint.started_at, theirs.endpoint.started_at)
         for id in ready:
-            one.ended.pop(id, None)
-        one.ready, one.drains = dict(ready), dict(drains)
-        one.spoke = one.well = True
+            source.ended.pop(id, None)
+        source.ready, source.draining = dict(ready), dict(drains)
+        source.reported = source.healthy = True
 
-    def ails(self, side: int) -> None:
+    def mark_unhealthy(self, side: int) -> None:
         """A source is unreachable: its latest list stays, but a mode may now prefer the other one."""
-        self.sides[side].well = False
+        self.sources[side].healthy = False
 
     def result(self) -> dict[int, Listed]:
         """The merged list: endpoints that are ready, and those that drain (without address)."""
-        first, second = self.sides
-        names = _same(first, second)
+        first, second = self.sources
+        names = _ids_by_shared_address(first, second)
         theirs = {names.get(id, id): entry for id, entry in second.ready.items()}
-        drains = dict(first.drains) | {names.get(id, id): e for id, e in second.drains.items()}
+        drains = dict(first.draining) | {names.get(id, id): e for id, e in second.draining.items()}
         ended = (first.ended, {names.get(id, id): since for id, since in second.ended.items()})
         chosen: dict[int, Listed] = {}
         for id in {**first.ready, **theirs}:
             mine, other = first.ready.get(id), theirs.get(id)
             entry = self._choose(mine, other)
-            if entry is None or _out(id, mine, other, ended):
+            if entry is None or _is_removed(id, mine, other, ended):
                 continue
             since = max(e.endpoint.started_at for e in (mine, other) if e is not None)
             chosen[id] = replace(entry, endpoint=replace(entry.endpoint, id=id, started_at=since))
@@ -99,26 +99,26 @@
         return chosen
 
     def _choose(self, mine: Listed | None, other: Listed | None) -> Listed | None:
-        first, second = self.sides
+        first, second = self.sources
         either = mine or other
-        if not (first.spoke and second.spoke):
+        if not (first.reported and second.reported):
             return either  # a source that has not reported yet removes nothing
         if self.mode is Mode.UNION:
             return either
         if self.mode is Mode.INTERSECTION:
             return mine if mine is not None and other is not None else None
         if self.mode is Mode.COORDINATOR:
-            return mine if first.well or not second.well else other
-        return other if second.well or not first.well else mine
+            return mine if first.healthy or not second.healthy else other
+        return other if second.healthy or not first.healthy else mine
 
 
-def _same(first: Side, second: Side) -> dict[int, int]:
+def _ids_by_shared_address(first: SourceList, second: SourceList) -> dict[int, int]:
     """Maps the second source's ids to the first's where both list the same address under different names."""
     at: dict[Address, int] = {}
-    for id, entry in [*first.drains.items(), *first.ready.items()]:
+    for id, entry in [*first.draining.items(), *first.ready.items()]:
         if entry.address is not None:
             at[entry.address] = id
-    known = first.ready.keys() | first.drains.keys()
+    known = first.ready.keys() | first.draining.keys()
     same = {}
     for id, entry in second.ready.items():
         if entry.address is not None and id not in known and entry.address in at:
@@ -126,7 +126,7 @@
     return same
 
 
-def _out(
+def _is_removed(
     id: int, mine: Listed | None, other: Listed | None, ended: tuple[Mapping[int, float], Mapping[int, float]]
 ) -> bool:
     """Whether one source has removed it and the other reports no later start."""
--- a/millgw/membership/nodes.py
+++ b/millgw/membership/nodes.py
@@ -18,16 +18,16 @@
 from millgw.interface import Condition
 from millgw.platform.discovery import Listed, read_entry
 
-STATUS = {
+SERVERSET_STATUS = {
     "ALIVE": "in_service", "WARNING": "in_service", "STOPPING": "terminating", "STOPPED": "terminating",
     "DEAD": "terminating",
 }  # fmt: skip
 """Maps a serverset's status to discovery's. STARTING is not a member yet; any other status is an error."""
-MOST_DATA = 65_536  # bytes of one node
+MAX_DATA = 65_536  # bytes of one node
 
 
 @dataclass(slots=True, frozen=True)
-class Held:
+class NodeData:
     """A node's parsed data: its name, its entry and the token of the process that wrote it ('': none)."""
 
     name: str
@@ -39,13 +39,13 @@
         return self.listed.endpoint.condition is Condition.READY
 
 
-def read_node(data: bytes, zones: tuple[str, ...], port: str = "") -> Held | None:
+def read_node(data: bytes, zones: tuple[str, ...], port: str = "") -> NodeData | None:
     """Parse a node's data; None for a server that is still starting. Raises ValueError for malformed data.
 
     `port` names one of a serverset's additional endpoints; '' is its service endpoint.
     """
-    if len(data) > MOST_DATA:
-        raise ValueError(f"{len(data)} bytes; the maximum is {MOST_DATA}")
+    if len(data) > MAX_DATA:
+        raise ValueError(f"{len(data)} bytes; the maximum is {MAX_DATA}")
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -62,7 +62,7 @@
             entry, instance = raw, str(raw.get("instance", ""))
         if entry is None:
             return None
-        return Held(entry["name"], read_entry(entry, zones), instance)
+        return NodeData(entry["name"], read_entry(entry, zones), instance)
     except (ValueError, TypeError, LookupError, AttributeError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
 
@@ -79,12 +79,12 @@
     status = raw.get("status", "ALIVE")
     if status == "STARTING":
         return None
-    if status not in STATUS:
+    if status not in SERVERSET_STATUS:
         raise ValueError(f"unknown serverset status {status!r}")
     address = _address(at["host"], at["port"])
     shard = raw.get("shard")
     return {
-        "name": address, "address": address, "status": STATUS[status],
+        "name": address, "address": address, "status": SERVERSET_STATUS[status],
         "group": shard if isinstance(shard, int) and shard >= 0 else 0,
     }  # fmt: skip
 
--- a/millgw/membership/protocol.py
+++ b/millgw/membership/protocol.py
@@ -2,7 +2,7 @@
 
 Source: the published records (`zookeeper.jute`) and the programmer's guide (sessions, one-shot watches).
 Replies arrive in the order of their requests. The zxid (number of the last change) must never decrease for
-one `Core`: a server that is behind is rejected (`BadRecord`), until `forget` starts over.
+one `ClientProtocol`: a server that is behind is rejected (`BadRecord`), until `forget` starts over.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from enum import IntEnum
 
 from millgw.membership import jute
-from millgw.membership.jute import BadRecord, Frames, Reader, Stat, read_stat
+from millgw.membership.jute import BadRecord, FrameSplitter, Reader, Stat, read_stat
 
-MOST_ANSWER = 8 << 20  # bytes of one frame from a server: a list of 100,000 names takes a few million
-MOST_PENDING = 10_000  # requests without a reply
+MAX_RESPONSE_FRAME = 8 << 20  # bytes of one frame from a server: a list of 100,000 names takes a few million
+MAX_PENDING = 10_000  # requests without a reply
 
-NOTHING = bytes(16)  # password sent to open a new session
+NO_PASSWORD = bytes(16)  # password sent to open a new session
 XID_WATCH, XID_PING, XID_SET_WATCHES = -1, -2, -8
 CREATE, DELETE, EXISTS, GET_DATA, SET_DATA, GET_CHILDREN2 = 1, 2, 3, 4, 5, 12
 PING, SET_WATCHES, CLOSE = 11, 101, -11
 EPHEMERAL = 1
-EVERYTHING = 31  # all permissions
+ALL_PERMISSIONS = 31  # all permissions
 
 
 class Code(IntEnum):
@@ -43,7 +43,7 @@
     NOT_READ_ONLY = -119
 
 
-class Change(IntEnum):
+class EventType(IntEnum):
     """The event types of a watch."""
 
     CREATED = 1
@@ -65,24 +65,24 @@
 
 @dataclass(slots=True, frozen=True)
 class Ask:
-    """One request. Reads also set a watch; a created node is ephemeral unless `lasting`."""
+    """One request. Reads also set a watch; a created node is ephemeral unless `persistent`."""
 
-    kind: Kind
+    operation: Kind
     path: str
     data: bytes = b""
     version: int = -1
-    lasting: bool = False
+    persistent: bool = False
 
     def payload(self) -> bytes:
         path = jute.write_string(self.path)
-        if self.kind is Kind.CREATE:
+        if self.operation is Kind.CREATE:
             anyone = jute.write_string("world") + jute.write_string("anyone")
-            access = jute.write_int(1) + jute.write_int(EVERYTHING) + anyone
-            flags = jute.write_int(0 if self.lasting else EPHEMERAL)
+            access = jute.write_int(1) + jute.write_int(ALL_PERMISSIONS) + anyone
+            flags = jute.write_int(0 if self.persistent else EPHEMERAL)
             return path + jute.write_buffer(self.data) + access + flags
-        if self.kind is Kind.WRITE:
+        if self.operation is Kind.WRITE:
             return path + jute.write_buffer(self.data) + jute.write_int(self.version)
-        if self.kind is Kind.DELETE:
+        if self.operation is Kind.DELETE:
             return path + jute.write_int(self.version)
         return path + jute.write_bool(True)
 
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Up:
+class SessionEstablished:
     """A session is established on this connection. `fresh`: it is new. `timeout`: ms, as negotiated."""
 
     session: int
@@ -101,7 +101,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Expired:
+class SessionExpired:
     """The session has expired and its nodes are deleted; the next connection opens a new session."""
 
 
@@ -109,7 +109,7 @@
 class Fired:
     """A watch event: something changed at a path. The watch is no longer set."""
 
-    change: int
+    event_type: int
     path: str
 
 
@@ -117,52 +117,52 @@
 class Reply:
     """The reply to an `Ask`; fields that do not apply to its kind are empty."""
 
-    ask: Ask
+    request: Ask
     code: int
     names: tuple[str, ...] = ()
     data: bytes = b""
     stat: Stat | None = None
 
 
-Event = Up | Expired | Fired | Reply
+Event = SessionEstablished | SessionExpired | Fired | Reply
 
 
-class Core:
+class ClientProtocol:
     """Protocol state of one client across connections: session, last zxid, requests without a reply."""
 
     def __init__(self, timeout: float, read_only: bool = True) -> None:
-        self.wanted = timeout  # ms
+        self.requested_timeout = timeout  # ms
         self.read_only = read_only  # whether a read-only (partitioned) server is acceptable
         self.session = 0
-        self.password = NOTHING
-        self.seen = 0
-        self.up = False
+        self.password = NO_PASSWORD
+        self.last_zxid = 0
+        self.session_up = False
         self.xid = 0
         self.pending: deque[tuple[int, Ask | None]] = deque()
-        self.frames = Frames(MOST_ANSWER)
+        self.frames = FrameSplitter(MAX_RESPONSE_FRAME)
 
     def connect(self) -> bytes:
         """The connect request for a new connection; requests pending on the last connection are lost."""
-        self.up = False
+        self.session_up = False
         self.pending.clear()
-        self.frames = Frames(MOST_ANSWER)
+        self.frames = FrameSplitter(MAX_RESPONSE_FRAME)
         return jute.frame(
-            jute.write_int(0) + jute.write_long(self.seen) + jute.write_int(int(self.wanted))
+            jute.write_int(0) + jute.write_long(self.last_zxid) + jute.write_int(int(self.requested_timeout))
             + jute.write_long(self.session) + jute.write_buffer(self.password)
             + jute.write_bool(self.read_only)
         )  # fmt: skip
 
     def forget(self) -> None:
         """Start over without a session or a last zxid, after the coordinator has lost committed changes."""
-        self.session, self.password, self.seen = 0, NOTHING, 0
+        self.session, self.password, self.last_zxid = 0, NO_PASSWORD, 0
 
-    def ask(self, ask: Ask) -> bytes:
+    def request(self, ask: Ask) -> bytes:
         """The bytes of a request; raises BadRecord if too many requests are unanswered."""
-        if len(self.pending) >= MOST_PENDING:
+        if len(self.pending) >= MAX_PENDING:
             raise BadRecord(f"{len(self.pending)} requests without a reply")
         self.xid = self.xid % 0x7FFFFFFF + 1
         self.pending.append((self.xid, ask))
-        return jute.frame(jute.write_int(self.xid) + jute.write_int(ask.kind) + ask.payload())
+        return jute.frame(jute.write_int(self.xid) + jute.write_int(ask.operation) + ask.payload())
 
     def ping(self) -> bytes:
         return jute.frame(jute.write_int(XID_PING) + jute.write_int(PING))
@@ -171,7 +171,7 @@
         """Set watches again after the session moved; changes missed meanwhile fire them at once."""
         self.pending.append((XID_SET_WATCHES, None))
         return jute.frame(
-            jute.write_int(XID_SET_WATCHES) + jute.write_int(SET_WATCHES) + jute.write_long(self.seen)
+            jute.write_int(XID_SET_WATCHES) + jute.write_int(SET_WATCHES) + jute.write_long(self.last_zxid)
             + jute.write_strings(data) + jute.write_strings(exists) + jute.write_strings(children)
         )  # fmt: skip
 
@@ -186,45 +186,45 @@
         events: list[Event] = []
         for payload in self.frames.feed(data):
             reader = Reader(payload)
-            if self.up:
-                self._take(reader, events)
+            if self.session_up:
+                self._handle_message(reader, events)
             else:
                 events.append(self._handshake(reader))
         return events
 
     def _handshake(self, reader: Reader) -> Event:
-        reader.number()
-        timeout, session, password = reader.number(), reader.long(), reader.buffer()
-        read_only = reader.flag() if reader.left else False
+        reader.read_int()
+        timeout, session, password = reader.read_int(), reader.read_long(), reader.read_buffer()
+        read_only = reader.read_bool() if reader.remaining else False
         if timeout <= 0 or session == 0:
-            self.session, self.password = 0, NOTHING
-            return Expired()
+            self.session, self.password = 0, NO_PASSWORD
+            return SessionExpired()
         fresh = session != self.session
-        self.session, self.password, self.up = session, password, True
-        return Up(session, float(timeout), fresh, read_only)
+        self.session, self.password, self.session_up = session, password, True
+        return SessionEstablished(session, float(timeout), fresh, read_only)
 
-    def _take(self, reader: Reader, events: list[Event]) -> None:
-        xid, zxid, code = reader.number(), reader.long(), reader.number()
+    def _handle_message(self, reader: Reader, events: list[Event]) -> None:
+        xid, zxid, code = reader.read_int(), reader.read_long(), reader.read_int()
         if xid == XID_WATCH:
-            change = reader.number()
-            reader.number()
-            events.append(Fired(change, reader.string()))
+            change = reader.read_int()
+            reader.read_int()
+            events.append(Fired(change, reader.read_string()))
             return
         if xid != XID_PING and (not self.pending or self.pending[0][0] != xid):
             # Checked first: an invalid reply must not raise the zxid, or every server would reject us.
             raise BadRecord(f"reply to request {xid}, which is not the next one pending")
         if zxid > 0:
-            if zxid < self.seen:
-                raise BadRecord(f"zxid {zxid} after {self.seen}: the server is behind")
-            self.seen = zxid
+            if zxid < self.last_zxid:
+                raise BadRecord(f"zxid {zxid} after {self.last_zxid}: the server is behind")
+            self.last_zxid = zxid
         if xid == XID_PING:
             return
         ask = self.pending.popleft()[1]
         if code == Code.SESSION_MOVED:
             raise BadRecord("the session has moved to another server")
         if code == Code.SESSION_EXPIRED:
-            self.session, self.password = 0, NOTHING
-            events.append(Expired())
+            self.session, self.password = 0, NO_PASSWORD
+            events.append(SessionExpired())
         elif ask is not None:
             events.append(_reply(ask, code, reader))
 
@@ -232,12 +232,12 @@
 def _reply(ask: Ask, code: int, reader: Reader) -> Reply:
     if code != Code.OK:
         return Reply(ask, code)
-    if ask.kind is Kind.CHILDREN:
-        names = tuple(reader.strings())
+    if ask.operation is Kind.CHILDREN:
+        names = tuple(reader.read_strings())
         return Reply(ask, code, names, stat=read_stat(reader))
-    if ask.kind is Kind.READ:
-        data = reader.buffer()
+    if ask.operation is Kind.READ:
+        data = reader.read_buffer()
         return Reply(ask, code, data=data, stat=read_stat(reader))
-    if ask.kind in (Kind.EXISTS, Kind.WRITE):
+    if ask.operation in (Kind.EXISTS, Kind.WRITE):
         return Reply(ask, code, stat=read_stat(reader))
     return Reply(ask, code)
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -22,11 +22,11 @@
 from millgw.log.events import log_event
 from millgw.membership.client import Client
 from millgw.membership.protocol import Ask, Fired, Reply
-from millgw.membership.registration import Registration, State, Wish
+from millgw.membership.registration import DesiredState, NodeState, Registration
 from millgw.platform.config import Address, read_address
 
-RETRY = 1.0  # s between retries of requests that the coordinator refused
-LEAVE_WITHIN = 3.0  # s to wait for the coordinator to confirm the drain, and again the deletion
+RETRY_INTERVAL = 1.0  # s between retries of requests that the coordinator refused
+CONFIRM_TIMEOUT = 3.0  # s to wait for the coordinator to confirm the drain, and again the deletion
 
 Layout = Literal["entry", "serverset", "curator"]
 LAYOUTS: tuple[Layout, ...] = ("entry", "serverset", "curator")
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """The server's entry; `since`: its start in Unix ms, `instance`: a token that identifies its process."""
+    """The server's entry; `started_at_ms`: Unix time, `instance`: a token that identifies its process."""
 
     name: str
     address: str
@@ -42,12 +42,12 @@
     weight: float = 1.0
     zone: str = ""
     layout: Layout = "entry"
-    since: int = field(default_factory=lambda: int(time.time() * 1000))
+    started_at_ms: int = field(default_factory=lambda: int(time.time() * 1000))
     instance: str = field(default_factory=lambda: secrets.token_hex(8))
 
-    def data(self, wish: Wish) -> bytes:
+    def encode(self, wish: DesiredState) -> bytes:
         """The node's data, as serving or as draining."""
-        serves, at = wish is Wish.SERVE, read_address(self.address)
+        serves, at = wish is DesiredState.SERVE, read_address(self.address)
         said: dict[str, object]
         if self.layout == "serverset":
             said = {
@@ -57,18 +57,18 @@
         elif self.layout == "curator":
             said = {
                 "name": self.name, "id": self.name, "address": at.host, "port": at.port, "sslPort": None,
-                "payload": None, "registrationTimeUTC": self.since, "serviceType": "DYNAMIC",
+                "payload": None, "registrationTimeUTC": self.started_at_ms, "serviceType": "DYNAMIC",
                 "uriSpec": None, "enabled": serves,
             }  # fmt: skip
         else:
             said = {
                 "name": self.name, "address": self.address,
                 "status": "in_service" if serves else "terminating", "group": self.group,
-                "weight": self.weight, "zone": self.zone, "since_ms": self.since,
+                "weight": self.weight, "zone": self.zone, "since_ms": self.started_at_ms,
             }  # fmt: skip
         return json.dumps(said | {"instance": self.instance}).encode()
 
-    def mine(self, data: bytes) -> bool:
+    def is_own(self, data: bytes) -> bool:
         """Whether a node's data was written by this process."""
         try:
             said = json.loads(data)
@@ -88,86 +88,86 @@
         timeout: float,
         rng: random.Random | None = None,
     ) -> None:
-        self.registration = Registration(f"{directory}/{entry.name}", entry.data, entry.mine)
+        self.registration = Registration(f"{directory}/{entry.name}", entry.encode, entry.is_own)
         self.client = Client(servers, timeout, rng or random.Random(), self, writes=True)
         self.registered = asyncio.Event()
         self.drained = asyncio.Event()
         self.left = asyncio.Event()
-        self.retrying: asyncio.TimerHandle | None = None
-        self.taken = False
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.name_taken = False
 
     def start(self) -> None:
         self.client.start()
         self._retry()
 
     def _retry(self) -> None:
-        self._ask(self.registration.tick())
-        self.retrying = asyncio.get_running_loop().call_later(RETRY, self._retry)
+        self._send(self.registration.tick())
+        self.retry_timer = asyncio.get_running_loop().call_later(RETRY_INTERVAL, self._retry)
 
     async def leave(self, drain: float) -> bool:
         """Mark the node as draining, wait `drain` s, delete it, close the session; whether it is deleted.
 
         The session's end deletes it too, at once or by its timeout, if the coordinator can't be reached.
         """
-        self._ask(self.registration.want(Wish.DRAIN))
-        await _within(self.drained)
-        if self.registration.made:
+        self._send(self.registration.set_desired(DesiredState.DRAIN))
+        await _confirmed(self.drained)
+        if self.registration.times_created:
             await asyncio.sleep(drain)
         down = await self.withdraw()
         return down
 
     async def withdraw(self) -> bool:
         """Delete the node now and close the session; whether the node is deleted."""
-        self._ask(self.registration.want(Wish.LEAVE))
-        down = await _within(self.left)
-        if self.retrying is not None:
-            self.retrying.cancel()
+        self._send(self.registration.set_desired(DesiredState.LEAVE))
+        down = await _confirmed(self.left)
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         await self.client.close()
         return down
 
-    def _ask(self, asks: list[Ask]) -> None:
+    def _send(self, asks: list[Ask]) -> None:
         for ask in asks:
             self.client.ask(ask)
         state = self.registration.state
-        _mark(self.registered, state is State.SERVES)
-        _mark(self.drained, state in (State.DRAINS, State.LEFT))
-        _mark(self.left, state is State.LEFT)
-        if state is State.TAKEN and not self.taken:
+        _set_event(self.registered, state is NodeState.SERVES)
+        _set_event(self.drained, state in (NodeState.DRAINS, NodeState.LEFT))
+        _set_event(self.left, state is NodeState.LEFT)
+        if state is NodeState.TAKEN and not self.name_taken:
             log_event("name-taken", node=self.registration.path)
-        self.taken = state is State.TAKEN
-        if self.registration.problem:
-            log_event("register-refused", node=self.registration.path, code=self.registration.problem
+        self.name_taken = state is NodeState.TAKEN
+        if self.registration.refusal:
+            log_event("register-refused", node=self.registration.path, code=self.registration.refusal
             )  # fmt: skip
 
     # Callbacks of the client (`Listener`)
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        self._ask(self.registration.up(self.client.core.session))
+        self._send(self.registration.on_connected(self.client.protocol.session))
 
     def down(self) -> None:
-        self.registration.down()
-        self._ask([])
+        self.registration.on_disconnected()
+        self._send([])
 
     def reply(self, reply: Reply) -> None:
-        made = self.registration.made
-        self._ask(self.registration.reply(reply))
-        if self.registration.made > made:
-            log_event("registered", node=self.registration.path, times=self.registration.made)
+        made = self.registration.times_created
+        self._send(self.registration.on_reply(reply))
+        if self.registration.times_created > made:
+            log_event("registered", node=self.registration.path, times=self.registration.times_created)
 
     def fired(self, fired: Fired) -> None:
-        self._ask(self.registration.fired(fired))
+        self._send(self.registration.on_watch_event(fired))
 
 
-def _mark(event: asyncio.Event, holds: bool) -> None:
+def _set_event(event: asyncio.Event, holds: bool) -> None:
     if holds:
         event.set()
     else:
         event.clear()
 
 
-async def _within(event: asyncio.Event) -> bool:
+async def _confirmed(event: asyncio.Event) -> bool:
     try:
-        async with asyncio.timeout(LEAVE_WITHIN):
+        async with asyncio.timeout(CONFIRM_TIMEOUT):
             await event.wait()
     except TimeoutError:
         return False
--- a/millgw/membership/registration.py
+++ b/millgw/membership/registration.py
@@ -19,7 +19,7 @@
 from millgw.membership.protocol import Ask, Code, Fired, Kind, Reply
 
 
-class Wish(Enum):
+class DesiredState(Enum):
     """The state that the process wants its node to be in."""
 
     SERVE = "serve"
@@ -27,7 +27,7 @@
     LEAVE = "leave"
 
 
-class State(Enum):
+class NodeState(Enum):
     """The node's known state."""
 
     UNKNOWN = "unknown"
@@ -40,123 +40,129 @@
 
 
 class Registration:
-    """One node. `words` encodes its data for a wish; `mine` tells whether this process wrote some data."""
+    """One node. `encode` gives its data for a desired state; `is_own` tells whether this process wrote it."""
 
-    def __init__(self, path: str, words: Callable[[Wish], bytes], mine: Callable[[bytes], bool]) -> None:
+    def __init__(
+        self, path: str, words: Callable[[DesiredState], bytes], mine: Callable[[bytes], bool]
+    ) -> None:
         self.path = path
-        self.words = words
-        self.mine = mine
-        self.wish = Wish.SERVE
-        self.state = State.UNKNOWN
+        self.encode = words
+        self.is_own = mine
+        self.desired = DesiredState.SERVE
+        self.state = NodeState.UNKNOWN
         self.session = 0
-        self.out: Ask | None = None
+        self.in_flight: Ask | None = None
         self.version = 0
-        self.made = 0  # how often the node was created
-        self.problem = 0  # error code of the last refusal, until the next tick; 0 for none
+        self.times_created = 0  # how often the node was created
+        self.refusal = 0  # error code of the last refusal, until the next tick; 0 for none
 
     # Events; each returns the requests to send
 
-    def up(self, session: int) -> list[Ask]:
+    def on_connected(self, session: int) -> list[Ask]:
         """A session is established on a connection."""
         self.session = session
-        self.out = None
-        if self.state is not State.LEFT:
-            self.state = State.UNKNOWN
-        return self._next()
+        self.in_flight = None
+        if self.state is not NodeState.LEFT:
+            self.state = NodeState.UNKNOWN
+        return self._next_request()
 
-    def down(self) -> None:
+    def on_disconnected(self) -> None:
         """The connection is lost: the outcome of the request in flight and the node's state are unknown."""
-        self.out = None
-        if self.state is not State.LEFT:
-            self.state = State.UNKNOWN
-
-    def want(self, wish: Wish) -> list[Ask]:
-        """Set the wish, which only moves forward: serve, drain, leave."""
-        order = list(Wish)
-        if order.index(wish) > order.index(self.wish):
-            self.wish = wish
-        return self._next() if self.session else []
-
-    def fired(self, fired: Fired) -> list[Ask]:
+        self.in_flight = None
+        if self.state is not NodeState.LEFT:
+            self.state = NodeState.UNKNOWN
+
+    def set_desired(self, wish: DesiredState) -> list[Ask]:
+        """Set the desired state, which only moves forward: serve, drain, leave."""
+        order = list(DesiredState)
+        if order.index(wish) > order.index(self.desired):
+            self.desired = wish
+        return self._next_request() if self.session else []
+
+    def on_watch_event(self, fired: Fired) -> list[Ask]:
         """Handle a watch event: the node or its owner changed."""
-        if fired.path == self.path and self.state is not State.LEFT:
-            self.state = State.UNKNOWN
-        return self._next()
+        if fired.path == self.path and self.state is not NodeState.LEFT:
+            self.state = NodeState.UNKNOWN
+        return self._next_request()
 
     def tick(self) -> list[Ask]:
         """Retry what was refused; to be called from time to time."""
-        self.problem = 0
-        return self._next() if self.session else []
+        self.refusal = 0
+        return self._next_request() if self.session else []
 
-    def reply(self, reply: Reply) -> list[Ask]:
-        if reply.ask is not self.out:
+    def on_reply(self, reply: Reply) -> list[Ask]:
+        if reply.request is not self.in_flight:
             return []
-        self.out = None
-        kind, code = reply.ask.kind, reply.code
+        self.in_flight = None
+        kind, code = reply.request.operation, reply.code
         if kind is Kind.READ:
-            self._read(reply)
-        elif kind is Kind.CREATE and reply.ask.path != self.path:
-            self.problem = code if code not in (Code.OK, Code.NODE_EXISTS) else 0
+            self._handle_read(reply)
+        elif kind is Kind.CREATE and reply.request.path != self.path:
+            self.refusal = code if code not in (Code.OK, Code.NODE_EXISTS) else 0
         elif kind is Kind.CREATE and code == Code.OK:
-            self.made += 1
+            self.times_created += 1
             self.version = 0
-            wrote = reply.ask.data == self.words(Wish.SERVE)
-            self.state = State.SERVES if wrote else State.DRAINS
+            wrote = reply.request.data == self.encode(DesiredState.SERVE)
+            self.state = NodeState.SERVES if wrote else NodeState.DRAINS
         elif kind is Kind.CREATE and code == Code.NO_NODE:
-            return self._above()
+            return self._create_parents()
         elif kind is Kind.WRITE and code == Code.OK:
             self.version += 1
-            self.state = State.DRAINS
+            self.state = NodeState.DRAINS
         elif kind is Kind.DELETE and code in (Code.OK, Code.NO_NODE):
-            self.state = State.LEFT if self.wish is Wish.LEAVE else State.ABSENT
+            self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.ABSENT
         elif code in (Code.NODE_EXISTS, Code.NO_NODE, Code.BAD_VERSION):
-            self.state = State.UNKNOWN
+            self.state = NodeState.UNKNOWN
         else:
-            self.state = State.UNKNOWN
-            self.problem = code
-        return self._next()
+            self.state = NodeState.UNKNOWN
+            self.refusal = code
+        return self._next_request()
 
-    def _read(self, reply: Reply) -> None:
+    def _handle_read(self, reply: Reply) -> None:
         stat = reply.stat
         if reply.code == Code.NO_NODE:
-            self.state = State.LEFT if self.wish is Wish.LEAVE else State.ABSENT
+            self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.ABSENT
         elif reply.code != Code.OK or stat is None:
-            self.problem = reply.code
-        elif stat.owner == self.session or self.mine(reply.data):
+            self.refusal = reply.code
+        elif stat.ephemeral_owner == self.session or self.is_own(reply.data):
             self.version = stat.version
-            if stat.owner != self.session:
-                self.state = State.OLD
+            if stat.ephemeral_owner != self.session:
+                self.state = NodeState.OLD
             else:
-                self.state = State.SERVES if reply.data == self.words(Wish.SERVE) else State.DRAINS
+                self.state = (
+                    NodeState.SERVES if reply.data == self.encode(DesiredState.SERVE) else NodeState.DRAINS
+                )
         else:
-            self.state = State.LEFT if self.wish is Wish.LEAVE else State.TAKEN
+            self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.TAKEN
 
-    def _above(self) -> list[Ask]:
+    def _create_parents(self) -> list[Ask]:
         """Create the parent directories, top down; creating one that exists is refused, which is harmless."""
         parts = self.path.strip("/").split("/")[:-1]
         above = ["/" + "/".join(parts[: i + 1]) for i in range(len(parts))]
-        asks = [Ask(Kind.CREATE, path, lasting=True) for path in above]
-        self.state = State.ABSENT
-        self.out = asks[-1] if asks else None
+        asks = [Ask(Kind.CREATE, path, persistent=True) for path in above]
+        self.state = NodeState.ABSENT
+        self.in_flight = asks[-1] if asks else None
         return asks
 
-    def _next(self) -> list[Ask]:
-        if self.out is not None or self.problem or not self.session:
+    def _next_request(self) -> list[Ask]:
+        if self.in_flight is not None or self.refusal or not self.session:
             return []
         ask: Ask | None = None
-        if self.state is State.UNKNOWN:
+        if self.state is NodeState.UNKNOWN:
             ask = Ask(Kind.READ, self.path)
-        elif self.state is State.ABSENT:
-            if self.wish is Wish.SERVE:
-                ask = Ask(Kind.CREATE, self.path, self.words(Wish.SERVE))
+        elif self.state is NodeState.ABSENT:
+            if self.desired is DesiredState.SERVE:
+                ask = Ask(Kind.CREATE, self.path, self.encode(DesiredState.SERVE))
             else:
                 # It was never registered, or its node has gone: nothing to drain.
-                self.state = State.LEFT if self.wish is Wish.LEAVE else State.DRAINS
-        elif self.wish is Wish.DRAIN and self.state is State.SERVES:
-            ask = Ask(Kind.WRITE, self.path, self.words(Wish.DRAIN), self.version)
-        elif self.wish is Wish.LEAVE and self.state is State.TAKEN:
-            self.state = State.LEFT  # the node belongs to another process
-        elif self.state is State.OLD or (self.wish is Wish.LEAVE and self.state is not State.LEFT):
+                self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.DRAINS
+        elif self.desired is DesiredState.DRAIN and self.state is NodeState.SERVES:
+            ask = Ask(Kind.WRITE, self.path, self.encode(DesiredState.DRAIN), self.version)
+        elif self.desired is DesiredState.LEAVE and self.state is NodeState.TAKEN:
+            self.state = NodeState.LEFT  # the node belongs to another process
+        elif self.state is NodeState.OLD or (
+            self.desired is DesiredState.LEAVE and self.state is not NodeState.LEFT
+        ):
             ask = Ask(Kind.DELETE, self.path, version=self.version)
-        self.out = ask
+        self.in_flight = ask
         return [] if ask is None else [ask]
--- a/millgw/membership/servers.py
+++ b/millgw/membership/servers.py
@@ -13,10 +13,11 @@
 
 from millgw.platform.config import Address, read_address
 
-SPREAD = 1000.0  # ms: clients that lost a server reconnect spread over at most this time
-BASE, CAP = 400.0, 5000.0  # ms between full rounds without success: decorrelated jitter from BASE to CAP
-WAIT_PART = 1 / 4  # maximum of any delay, as a part of the session timeout
-BACKWARD_ROUNDS = 2  # full rounds in which every reachable server refused the session
+RECONNECT_SPREAD = 1000.0  # ms: clients that lost a server reconnect spread over at most this time
+# ms between full rounds without success: decorrelated jitter from base to cap
+ROUND_DELAY_BASE, ROUND_DELAY_CAP = 400.0, 5000.0
+MAX_DELAY_PART = 1 / 4  # maximum of any delay, as a part of the session timeout
+REFUSED_ROUNDS = 2  # full rounds in which every reachable server refused the session
 
 
 def read_connect(text: str) -> tuple[tuple[Address, ...], str]:
@@ -37,15 +38,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Try:
-    """Connect to `server` after `wait` ms; with `over`, as a new client without session or zxid."""
+class NextConnect:
+    """Connect to `server` after `delay` ms; with `start_over`, as a new client without session or zxid."""
 
     server: Address
-    wait: float
-    over: bool = False
+    delay: float
+    start_over: bool = False
 
 
-class Waits:
+class JitterBackoff:
     """Decorrelated jitter: each delay (ms) is drawn from a range that depends on the one before."""
 
     def __init__(self, base: float, cap: float, rng: random.Random) -> None:
@@ -60,46 +61,48 @@
         self.last = 0.0
 
 
-class Rota:
+class ServerSelector:
     """One client's shuffled order of servers, each once a round. `timeout`: session timeout in ms."""
 
     def __init__(self, servers: Sequence[Address], rng: random.Random, timeout: float) -> None:
         self.rng = rng
         self.order = list(servers)
         rng.shuffle(self.order)
-        self.at = -1
-        self.waits = Waits(BASE, CAP, rng)
-        self.bound(timeout)
+        self.position = -1
+        self.backoff = JitterBackoff(ROUND_DELAY_BASE, ROUND_DELAY_CAP, rng)
+        self.limit_delays(timeout)
         self.tried = 0  # connections tried since the last session was established
         self.refused = 0  # of them, those accepted and then closed without a session
-        self.reached = 0  # of them, those accepted
+        self.accepted = 0  # of them, those accepted
 
-    def first(self) -> Try:
-        self.at += 1
-        return Try(self.order[0], 0.0)
+    def first(self) -> NextConnect:
+        self.position += 1
+        return NextConnect(self.order[0], 0.0)
 
-    def bound(self, timeout: float) -> None:
+    def limit_delays(self, timeout: float) -> None:
         """Limit all delays to their part of a session timeout (ms)."""
-        most = WAIT_PART * timeout
-        self.spread = min(SPREAD, most)
-        self.waits.base, self.waits.cap = min(BASE, most), min(CAP, most)
+        most = MAX_DELAY_PART * timeout
+        self.spread = min(RECONNECT_SPREAD, most)
+        self.backoff.base, self.backoff.cap = min(ROUND_DELAY_BASE, most), min(ROUND_DELAY_CAP, most)
 
-    def up(self, timeout: float) -> None:
+    def on_session_established(self, timeout: float) -> None:
         """A session is established with this timeout (ms): resets the counts and the delay."""
-        self.bound(timeout)
-        self.tried = self.refused = self.reached = 0
-        self.waits.reset()
+        self.limit_delays(timeout)
+        self.tried = self.refused = self.accepted = 0
+        self.backoff.reset()
 
-    def expired(self) -> Try:
+    def on_session_expired(self) -> NextConnect:
         """The next connection after a server reported the session as expired: the same server again.
 
         It is reachable and can open a new session. If the next server were asked instead, a server that hands
         out sessions unknown to the others would keep the client from ever getting a valid one: each of the
         others would only report the last session as expired.
         """
-        return Try(self.order[self.at], self.rng.random() * self.waits.base)
+        return NextConnect(self.order[self.position], self.rng.random() * self.backoff.base)
 
-    def lost(self, served: bool, reached: bool, refused: bool, outlived: bool = False) -> Try:
+    def on_connection_lost(
+        self, served: bool, reached: bool, refused: bool, outlived: bool = False
+    ) -> NextConnect:
         """The next connection after one that ended or was never established.
 
         `served`: a session was established on it. `reached`: the server accepted the connection. `refused`:
@@ -107,20 +110,20 @@
         a later zxid than its own. `outlived`: the session has timed out by now. Only then is nothing lost by
         starting over, since an overloaded coordinator closes connections as well.
         """
-        self.at = (self.at + 1) % len(self.order)
-        server = self.order[self.at]
+        self.position = (self.position + 1) % len(self.order)
+        server = self.order[self.position]
         if served:
-            return Try(server, self.rng.random() * self.spread)
+            return NextConnect(server, self.rng.random() * self.spread)
         self.tried += 1
         self.refused += refused
-        self.reached += reached
+        self.accepted += reached
         over = False
         if self.tried % len(self.order) == 0:
             rounds = self.tried // len(self.order)
             # A single server that lags refuses as well: the ensemble has lost changes only if every reachable
             # server refuses, in several rounds.
-            if outlived and rounds >= BACKWARD_ROUNDS and self.reached and self.refused == self.reached:
+            if outlived and rounds >= REFUSED_ROUNDS and self.accepted and self.refused == self.accepted:
                 over = True
-                self.tried = self.refused = self.reached = 0
-            return Try(server, self.waits.next(), over)
-        return Try(server, self.rng.random() * self.waits.base)
+                self.tried = self.refused = self.accepted = 0
+            return NextConnect(server, self.backoff.next(), over)
+        return NextConnect(server, self.rng.random() * self.backoff.base)
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -14,10 +14,10 @@
 from millgw.cli.kinds import ADDRESS, SEED
 from millgw.cli.report import Serving
 from millgw.platform.config import Address
-from millgw.standins.coordinator.ensemble import Ensemble, Face
-from millgw.standins.coordinator.tree import Failed
+from millgw.standins.coordinator.ensemble import Ensemble, EnsembleServer
+from millgw.standins.coordinator.tree import OperationError
 
-MOST_FACES = 3
+MAX_SERVERS = 3
 
 HELP = """Lines on standard input, each answered by one line of JSON:
   nodes PATH                 the names below a node, with their owners
@@ -52,8 +52,8 @@
 
     Serves ZooKeeper's protocol on loopback until its input ends or SIGTERM comes.
     """
-    if len(listen) > MOST_FACES:
-        raise BadInput(f"--listen: {len(listen)} faces; the maximum is {MOST_FACES}")
+    if len(listen) > MAX_SERVERS:
+        raise BadInput(f"--listen: {len(listen)} faces; the maximum is {MAX_SERVERS}")
     try:
         asyncio.run(_serve(Ensemble(list(listen), seed=seed)))
     except (ValueError, OSError) as error:
@@ -82,16 +82,16 @@
 async def _commands(ensemble: Ensemble, lines: asyncio.StreamReader) -> None:
     while line := await lines.readline():
         if words := line.decode(errors="replace").split():
-            print(json.dumps(carry_out(ensemble, words)), flush=True)
+            print(json.dumps(execute(ensemble, words)), flush=True)
 
 
-def carry_out(ensemble: Ensemble, words: list[str]) -> dict[str, object]:
+def execute(ensemble: Ensemble, words: list[str]) -> dict[str, object]:
     """Execute the command in one line's words; returns its result, or `error`."""
     command, *rest = words
     try:
-        if command in ON_FACES:
+        if command in SERVER_COMMANDS:
             face = ensemble.faces[int(rest[0])]
-            ON_FACES[command](face, float(rest[1]) if len(rest) > 1 else 0.0)
+            SERVER_COMMANDS[command](face, float(rest[1]) if len(rest) > 1 else 0.0)
             return {"done": command}
         if command == "nodes":
             return {
@@ -114,27 +114,27 @@
             ensemble.restart_empty()
         else:
             return {"error": f"{command}: no such command; --help lists them"}
-    except Failed as failed:
+    except OperationError as failed:
         return {"error": f"{command}: {failed}"}
     except (IndexError, KeyError, ValueError) as error:
         return {"error": f"{command}: {type(error).__name__}: {error}"}
     return {"done": command}
 
 
-def _set(name: str, value: object) -> Callable[[Face, float], None]:
+def _set_fault(name: str, value: object) -> Callable[[EnsembleServer, float], None]:
     return lambda face, _: setattr(face.ills, name, value)
 
 
-ON_FACES: dict[str, Callable[[Face, float], None]] = {
+SERVER_COMMANDS: dict[str, Callable[[EnsembleServer, float], None]] = {
     "drop": lambda face, _: face.drop(),
     "freeze": lambda face, _: face.freeze(True),
     "thaw": lambda face, _: face.freeze(False),
     "lag": lambda face, _: face.lag(True),
     "catch-up": lambda face, _: face.lag(False),
-    "refuse": _set("refusing", True),
-    "accept": _set("refusing", False),
-    "read-only": _set("read_only", True),
-    "writable": _set("read_only", False),
+    "refuse": _set_fault("refusing", True),
+    "accept": _set_fault("refusing", False),
+    "read-only": _set_fault("read_only", True),
+    "writable": _set_fault("read_only", False),
     "delay-watches": lambda face, ms: setattr(face.ills, "watch_delay", ms),
     "lose-watches": lambda face, count: setattr(face.ills, "lose_watches", int(count)),
 }
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -15,31 +15,31 @@
 from typing import cast
 
 from millgw.membership import jute
-from millgw.membership.jute import BadRecord, Frames, Reader
-from millgw.membership.protocol import EPHEMERAL, Change, Code
+from millgw.membership.jute import BadRecord, FrameSplitter, Reader
+from millgw.membership.protocol import EPHEMERAL, Code, EventType
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
-from millgw.standins.coordinator.tree import Failed, Session, Told, Tree
+from millgw.standins.coordinator.tree import ChangeEvent, OperationError, Session, Tree
 
-TICK = 0.05  # s between checks for sessions that have timed out
-LEAST_TIMEOUT, MOST_TIMEOUT = 100.0, 40_000.0  # ms: bounds of the negotiated session timeout
+EXPIRY_CHECK_INTERVAL = 0.05  # s between checks for sessions that have timed out
+MIN_TIMEOUT, MAX_TIMEOUT = 100.0, 40_000.0  # ms: bounds of the negotiated session timeout
 
 CREATE, DELETE, EXISTS, GET_DATA, SET_DATA, GET_ACL, SET_ACL, GET_CHILDREN = range(1, 9)
 SYNC, PING, GET_CHILDREN2, CHECK, MULTI, CREATE2 = 9, 11, 12, 13, 14, 15
 AUTH, SET_WATCHES, CLOSE = 100, 101, -11
-CHANGES = frozenset({CREATE, DELETE, SET_DATA, SET_ACL, MULTI, CREATE2})
+WRITE_OPS = frozenset({CREATE, DELETE, SET_DATA, SET_ACL, MULTI, CREATE2})
 
 XID_WATCH, XID_PING, XID_AUTH = -1, -2, -4
 CONNECTED = 3  # the connection state in watch events (SyncConnected)
-ANYONE = jute.write_int(1) + jute.write_int(31) + jute.write_string("world") + jute.write_string("anyone")
+OPEN_ACL = jute.write_int(1) + jute.write_int(31) + jute.write_string("world") + jute.write_string("anyone")
 
 
-Heard = Callable[[str, str, tuple[str, ...] | None, bytes], None]
+ReadObserver = Callable[[str, str, tuple[str, ...] | None, bytes], None]
 """Called for each read a client is served: its name, the path, and the list of names or (None) the data."""
 
 
 @dataclass(slots=True)
-class Ills:
+class Faults:
     """The faults that a server has now. Times in ms."""
 
     frozen: bool = False  # accepts data and answers nothing
@@ -47,11 +47,11 @@
     read_only: bool = False
     watch_delay: float = 0.0
     lose_watches: int = 0  # number of next watch events to drop
-    lag: Tree | None = None  # serves reads from this older copy
+    lagging_tree: Tree | None = None  # serves reads from this older copy
 
 
 @dataclass(slots=True)
-class Count:
+class ServerCounts:
     """Counters of a server, for tests and measurements."""
 
     connections: int = 0
@@ -60,16 +60,16 @@
     watches: int = 0
 
 
-class Face:
+class EnsembleServer:
     """One server of the ensemble."""
 
     def __init__(self, ensemble: Ensemble, address: Address) -> None:
         self.ensemble = ensemble
         self.address = address
-        self.ills = Ills()
-        self.count = Count()
-        self.connections: set[Wire] = set()
-        self.servers: list[asyncio.Server] = []
+        self.ills = Faults()
+        self.count = ServerCounts()
+        self.connections: set[Connection] = set()
+        self.listeners: list[asyncio.Server] = []
 
     async def start(self) -> None:
         await self.listen(self.address, "")
@@ -77,14 +77,16 @@
     async def listen(self, address: Address, client: str) -> None:
         """Listen on one more address; whoever connects there is reported as `client`."""
         loop = asyncio.get_running_loop()
-        made = await loop.create_server(lambda: Wire(self, client), address.host, address.port, backlog=1024)
-        self.servers.append(made)
+        made = await loop.create_server(
+            lambda: Connection(self, client), address.host, address.port, backlog=1024
+        )
+        self.listeners.append(made)
 
     async def stop(self) -> None:
         """Stop as if the process ended: connections are reset, new ones refused. Sessions live on."""
-        for server in self.servers:
+        for server in self.listeners:
             server.close()
-        self.servers.clear()
+        self.listeners.clear()
         self.drop()
 
     def drop(self) -> None:
@@ -97,18 +99,18 @@
         self.ills.frozen = on
         if not on:
             for connection in list(self.connections):
-                connection.go_on()
+                connection.process_queued()
 
     def lag(self, on: bool) -> None:
         """Serve reads from a copy of the current tree until switched off; writes go to the shared tree."""
-        self.ills.lag = copy.deepcopy(self.ensemble.tree) if on else None
+        self.ills.lagging_tree = copy.deepcopy(self.ensemble.tree) if on else None
 
     @property
     def tree(self) -> Tree:
         """The tree that reads are served from."""
-        return self.ills.lag or self.ensemble.tree
+        return self.ills.lagging_tree or self.ensemble.tree
 
-    def tell(self, told: list[Told]) -> None:
+    def fire_watches(self, told: list[ChangeEvent]) -> None:
         """Fire the watches of this server's clients."""
         for connection in list(self.connections):
             for change in told:
@@ -127,9 +129,9 @@
     ) -> None:
         self.tree = Tree(seed)
         self.clock: Callable[[], float] = lambda: clock() * 1000  # ms
-        self.faces = [Face(self, a) for a in addresses or [free_address() for _ in range(faces)]]
-        self.sweeping: asyncio.TimerHandle | None = None
-        self.told: Heard | None = None
+        self.faces = [EnsembleServer(self, a) for a in addresses or [free_address() for _ in range(faces)]]
+        self.expiry_timer: asyncio.TimerHandle | None = None
+        self.told: ReadObserver | None = None
 
     @property
     def connect_string(self) -> str:
@@ -139,7 +141,7 @@
     async def start(self) -> None:
         for face in self.faces:
             await face.start()
-        self._sweep()
+        self._expire_overdue()
 
     async def window(self, client: str) -> str:
         """Listen on separate addresses for one client, as a connect string; `told` then reports its name."""
@@ -149,21 +151,21 @@
         return ",".join(map(str, addresses))
 
     async def stop(self) -> None:
-        if self.sweeping is not None:
-            self.sweeping.cancel()
+        if self.expiry_timer is not None:
+            self.expiry_timer.cancel()
         for face in self.faces:
             await face.stop()
 
-    def _sweep(self) -> None:
+    def _expire_overdue(self) -> None:
         for id in self.tree.overdue(self.clock()):
             self.expire(id)
-        self.sweeping = asyncio.get_running_loop().call_later(TICK, self._sweep)
+        self.expiry_timer = asyncio.get_running_loop().call_later(EXPIRY_CHECK_INTERVAL, self._expire_overdue)
 
-    def publish(self, told: list[Told]) -> None:
+    def publish(self, told: list[ChangeEvent]) -> None:
         """Fire watches for changes on all servers except those that lag."""
         for face in self.faces:
-            if face.ills.lag is None:
-                face.tell(told)
+            if face.ills.lagging_tree is None:
+                face.fire_watches(told)
 
     # Commands
 
@@ -187,9 +189,9 @@
 
     def restart_empty(self) -> None:
         """Lose all nodes and sessions; zxids start over."""
-        self.tree.empty()
+        self.tree.clear()
         for face in self.faces:
-            face.ills.lag = None
+            face.ills.lagging_tree = None
             face.drop()
 
     def put(self, path: str, data: bytes = b"") -> None:
@@ -229,13 +231,13 @@
     exists: set[str] = field(default_factory=set)
     children: set[str] = field(default_factory=set)
 
-    def take(self, change: Change, path: str) -> bool:
+    def trigger(self, change: EventType, path: str) -> bool:
         """Remove the watches that a change fires; whether there were any."""
-        if change is Change.CREATED:
+        if change is EventType.CREATED:
             sets = [self.exists]
-        elif change is Change.DELETED:
+        elif change is EventType.DELETED:
             sets = [self.data, self.exists, self.children]
-        elif change is Change.DATA:
+        elif change is EventType.DATA:
             sets = [self.data, self.exists]
         else:
             sets = [self.children]
@@ -245,47 +247,47 @@
         return found
 
 
-class Wire(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One client's connection to a server."""
 
-    def __init__(self, face: Face, client: str) -> None:
-        self.face = face
+    def __init__(self, face: EnsembleServer, client: str) -> None:
+        self.server = face
         self.client = client
         self.ensemble = face.ensemble
-        self.frames = Frames()
+        self.frames = FrameSplitter()
         self.session: Session | None = None
         self.watches = Watches()
-        self.waiting: list[bytes] = []
+        self.queued: list[bytes] = []
         self.transport: asyncio.Transport | None = None
 
     # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.face.count.connections += 1
-        self.face.connections.add(self)
-        if self.face.ills.refusing:
+        self.server.count.connections += 1
+        self.server.connections.add(self)
+        if self.server.ills.refusing:
             self.abort()
 
     def data_received(self, data: bytes) -> None:
         try:
-            self.waiting += self.frames.feed(data)
+            self.queued += self.frames.feed(data)
         except BadRecord:
             self.abort()
             return
-        self.go_on()
+        self.process_queued()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.face.connections.discard(self)
+        self.server.connections.discard(self)
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    def go_on(self) -> None:
+    def process_queued(self) -> None:
         """Answer the queued requests, unless the server is frozen."""
-        while self.waiting and not self.face.ills.frozen:
-            payload = self.waiting.pop(0)
+        while self.queued and not self.server.ills.frozen:
+            payload = self.queued.pop(0)
             try:
                 if self.session is None:
                     self._connect(Reader(payload))
@@ -302,17 +304,22 @@
     # The session
 
     def _connect(self, reader: Reader) -> None:
-        reader.number()
-        seen, timeout, id, password = reader.long(), reader.number(), reader.long(), reader.buffer()
-        takes_read_only = reader.flag() if reader.left else False
-        if self.face.ills.read_only and not takes_read_only:
+        reader.read_int()
+        seen, timeout, id, password = (
+            reader.read_long(),
+            reader.read_int(),
+            reader.read_long(),
+            reader.read_buffer(),
+        )
+        takes_read_only = reader.read_bool() if reader.remaining else False
+        if self.server.ills.read_only and not takes_read_only:
             self.abort()
             return
         now, tree = self.ensemble.clock(), self.ensemble.tree
-        if seen > self.face.tree.zxid:
+        if seen > self.server.tree.zxid:
             self.abort()  # a client that has seen a later zxid must not read older data
             return
-        wanted = float(min(max(timeout, LEAST_TIMEOUT), MOST_TIMEOUT))
+        wanted = float(min(max(timeout, MIN_TIMEOUT), MAX_TIMEOUT))
         session = tree.attach(id, password, now) if id else tree.open(wanted, now)
         if session is None:
             self._send(jute.write_int(0) * 2 + jute.write_long(0) + jute.write_buffer(bytes(16)) + b"\0")
@@ -320,32 +327,32 @@
                 self.transport.close()
             return
         if id:
-            self._move(session)
+            self._close_other_connections(session)
         else:
-            self.face.count.sessions += 1
+            self.server.count.sessions += 1
         self.session = session
         self._send(
             jute.write_int(0) + jute.write_int(int(session.timeout)) + jute.write_long(session.id)
-            + jute.write_buffer(session.password) + jute.write_bool(self.face.ills.read_only)
+            + jute.write_buffer(session.password) + jute.write_bool(self.server.ills.read_only)
         )  # fmt: skip
 
-    def _move(self, session: Session) -> None:
+    def _close_other_connections(self, session: Session) -> None:
         """Close the session's older connection: a session has only one."""
         for face in self.ensemble.faces:
             for other in list(face.connections):
                 if other is not self and other.session is session:
                     other.abort()
 
-    def fire(self, told: Told) -> None:
+    def fire(self, told: ChangeEvent) -> None:
         """Send a watch event if the change is watched, subject to the server's faults."""
-        if not self.watches.take(told.change, told.path):
+        if not self.watches.trigger(told.event_type, told.path):
             return
-        ills = self.face.ills
+        ills = self.server.ills
         if ills.lose_watches > 0:
             ills.lose_watches -= 1
             return
-        self.face.count.watches += 1
-        event = jute.write_int(told.change) + jute.write_int(CONNECTED) + jute.write_string(told.path)
+        self.server.count.watches += 1
+        event = jute.write_int(told.event_type) + jute.write_int(CONNECTED) + jute.write_string(told.path)
         payload = jute.write_int(XID_WATCH) + jute.write_long(-1) + jute.write_int(0) + event
         if ills.watch_delay > 0:
             asyncio.get_running_loop().call_later(ills.watch_delay / 1000, self._send, payload)
@@ -355,55 +362,55 @@
     # Requests
 
     def _request(self, session: Session, reader: Reader) -> None:
-        xid, kind = reader.number(), reader.number()
+        xid, kind = reader.read_int(), reader.read_int()
         tree = self.ensemble.tree
-        session.heard = self.ensemble.clock()
-        self.face.count.requests += 1
-        code, body, told = Code.OK, b"", list[Told]()
+        session.last_heard = self.ensemble.clock()
+        self.server.count.requests += 1
+        code, body, told = Code.OK, b"", list[ChangeEvent]()
         if session.id not in tree.sessions:
             code = Code.SESSION_EXPIRED
-        elif kind in CHANGES and self.face.ills.read_only:
+        elif kind in WRITE_OPS and self.server.ills.read_only:
             code = Code.NOT_READ_ONLY
         elif kind == CLOSE:
             told = tree.end(session.id)
         else:
             try:
                 body, told = self._carry_out(kind, reader, session)
-            except Failed as failed:
+            except OperationError as failed:
                 code = failed.code
-        zxid = self.face.tree.zxid if kind not in CHANGES else tree.zxid
+        zxid = self.server.tree.zxid if kind not in WRITE_OPS else tree.zxid
         # Watch events of a change are sent before the change's own reply (programmer's guide, watches).
         self.ensemble.publish(told)
         self._send(jute.write_int(xid) + jute.write_long(zxid) + jute.write_int(code) + body)
         if kind == CLOSE and self.transport is not None:
             self.transport.close()
 
-    def _carry_out(self, kind: int, reader: Reader, session: Session) -> tuple[bytes, list[Told]]:
+    def _carry_out(self, kind: int, reader: Reader, session: Session) -> tuple[bytes, list[ChangeEvent]]:
         tree, now = self.ensemble.tree, self.ensemble.clock()
-        seen = self.face.tree
+        seen = self.server.tree
         if kind in (PING, AUTH):
             return b"", []
         if kind == SET_WATCHES:
             self._set_watches(reader)
             return b"", []
-        path = reader.string()
+        path = reader.read_string()
         if kind in (CREATE, CREATE2):
-            data = reader.buffer()
-            reader.vector(_skip_acl, 12)
-            made, told = tree.create(path, data, reader.number(), session.id, now)
+            data = reader.read_buffer()
+            reader.read_vector(_skip_acl, 12)
+            made, told = tree.create(path, data, reader.read_int(), session.id, now)
             stat = tree.nodes[made].stat().write() if kind == CREATE2 else b""
             return jute.write_string(made) + stat, told
         if kind == DELETE:
-            return b"", tree.delete(path, reader.number())
+            return b"", tree.delete(path, reader.read_int())
         if kind == SET_DATA:
-            data = reader.buffer()
-            stat_, told = tree.write(path, data, reader.number(), now)
+            data = reader.read_buffer()
+            stat_, told = tree.write(path, data, reader.read_int(), now)
             return stat_.write(), told
         if kind == SYNC:
             return jute.write_string(path), []
         if kind == GET_ACL:
-            return ANYONE + seen.exists(path).write(), []
-        watch = reader.flag()
+            return OPEN_ACL + seen.exists(path).write(), []
+        watch = reader.read_bool()
         if kind == EXISTS:
             if watch:
                 (self.watches.data if path in seen.nodes else self.watches.exists).add(path)
@@ -412,45 +419,45 @@
             data, stat_ = seen.read(path)
             if watch:
                 self.watches.data.add(path)
-            self._note(path, None, data)
+            self._report_read(path, None, data)
             return jute.write_buffer(data) + stat_.write(), []
         if kind in (GET_CHILDREN, GET_CHILDREN2):
             names, stat_ = seen.children(path)
             if watch:
                 self.watches.children.add(path)
-            self._note(path, tuple(names), b"")
+            self._report_read(path, tuple(names), b"")
             return jute.write_strings(names) + (stat_.write() if kind == GET_CHILDREN2 else b""), []
-        raise Failed(Code.UNIMPLEMENTED)
+        raise OperationError(Code.UNIMPLEMENTED)
 
-    def _note(self, path: str, names: tuple[str, ...] | None, data: bytes) -> None:
+    def _report_read(self, path: str, names: tuple[str, ...] | None, data: bytes) -> None:
         if self.client and self.ensemble.told is not None:
             self.ensemble.told(self.client, path, names, data)
 
     def _set_watches(self, reader: Reader) -> None:
         """Restore a reconnected client's watches; changes since its last zxid fire them at once."""
-        since = reader.long()
-        data, exists, children = reader.strings(), reader.strings(), reader.strings()
-        nodes, zxid = self.face.tree.nodes, self.face.tree.zxid
+        since = reader.read_long()
+        data, exists, children = reader.read_strings(), reader.read_strings(), reader.read_strings()
+        nodes, zxid = self.server.tree.nodes, self.server.tree.zxid
         self.watches.data |= set(data)
         self.watches.exists |= set(exists)
         self.watches.children |= set(children)
         for path in data:
             if path not in nodes:
-                self.fire(Told(Change.DELETED, path, zxid))
+                self.fire(ChangeEvent(EventType.DELETED, path, zxid))
             elif nodes[path].mzxid > since:
-                self.fire(Told(Change.DATA, path, zxid))
+                self.fire(ChangeEvent(EventType.DATA, path, zxid))
         for path in exists:
             if path in nodes:
-                self.fire(Told(Change.CREATED, path, zxid))
+                self.fire(ChangeEvent(EventType.CREATED, path, zxid))
         for path in children:
             if path not in nodes:
-                self.fire(Told(Change.DELETED, path, zxid))
+                self.fire(ChangeEvent(EventType.DELETED, path, zxid))
             elif nodes[path].pzxid > since:
-                self.fire(Told(Change.CHILDREN, path, zxid))
+                self.fire(ChangeEvent(EventType.CHILDREN, path, zxid))
 
 
 def _skip_acl(reader: Reader) -> None:
     """Skip an access list's entry: the stand-in permits everything to everyone."""
-    reader.number()
-    reader.string()
-    reader.string()
+    reader.read_int()
+    reader.read_string()
+    reader.read_string()
--- a/millgw/standins/coordinator/tree.py
+++ b/millgw/standins/coordinator/tree.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 
 from millgw.membership.jute import Stat
-from millgw.membership.protocol import EPHEMERAL, Change, Code
+from millgw.membership.protocol import EPHEMERAL, Code, EventType
 
 SEQUENTIAL = 2  # flag of a create request, like EPHEMERAL
 MAX_DATA = 1 << 20  # bytes of one node
 
 
-class Failed(Exception):
+class OperationError(Exception):
     """The coordinator refuses an operation with an error code."""
 
     def __init__(self, code: Code) -> None:
@@ -55,15 +55,15 @@
     id: int
     password: bytes
     timeout: float
-    heard: float
+    last_heard: float
     ephemerals: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class ChangeEvent:
     """One change, as reported to watches; `zxid` numbers the changes in order."""
 
-    change: Change
+    event_type: EventType
     path: str
     zxid: int
 
@@ -77,7 +77,7 @@
     parts = path.split("/")
     wrong = not path.startswith("/") or any(p in ("", ".", "..") for p in parts[1:]) or not path.isprintable()
     if path != "/" and wrong:
-        raise Failed(Code.BAD_ARGUMENTS)
+        raise OperationError(Code.BAD_ARGUMENTS)
 
 
 class Tree:
@@ -93,7 +93,7 @@
         check_path(path)
         node = self.nodes.get(path)
         if node is None:
-            raise Failed(Code.NO_NODE)
+            raise OperationError(Code.NO_NODE)
         return node
 
     # Reading
@@ -111,7 +111,9 @@
 
     # Writing
 
-    def create(self, path: str, data: bytes, flags: int, session: int, now: float) -> tuple[str, list[Told]]:
+    def create(
+        self, path: str, data: bytes, flags: int, session: int, now: float
+    ) -> tuple[str, list[ChangeEvent]]:
         """Create a node; returns its path (with the number of a sequential one) and the changes."""
         if flags & SEQUENTIAL:
             above = self._node(parent(path + "0"))
@@ -119,11 +121,11 @@
         check_path(path)
         above = self._node(parent(path))
         if path in self.nodes:
-            raise Failed(Code.NODE_EXISTS)
+            raise OperationError(Code.NODE_EXISTS)
         if above.owner:
-            raise Failed(Code.NO_CHILDREN_FOR_EPHEMERALS)
+            raise OperationError(Code.NO_CHILDREN_FOR_EPHEMERALS)
         if len(data) > MAX_DATA:
-            raise Failed(Code.BAD_ARGUMENTS)
+            raise OperationError(Code.BAD_ARGUMENTS)
         owner = session if flags & EPHEMERAL else 0
         if owner:
             self._session(owner).ephemerals.add(path)
@@ -131,36 +133,42 @@
         node = Node(data, self.zxid, self.zxid, int(now), int(now), owner, pzxid=self.zxid)
         self.nodes[path] = node
         above.sequence += 1
-        self._touch(above, path, add=True)
-        return path, [Told(Change.CREATED, path, self.zxid), Told(Change.CHILDREN, parent(path), self.zxid)]
+        self._update_parent(above, path, add=True)
+        return path, [
+            ChangeEvent(EventType.CREATED, path, self.zxid),
+            ChangeEvent(EventType.CHILDREN, parent(path), self.zxid),
+        ]
 
-    def write(self, path: str, data: bytes, version: int, now: float) -> tuple[Stat, list[Told]]:
+    def write(self, path: str, data: bytes, version: int, now: float) -> tuple[Stat, list[ChangeEvent]]:
         node = self._node(path)
         if version not in (-1, node.version):
-            raise Failed(Code.BAD_VERSION)
+            raise OperationError(Code.BAD_VERSION)
         if len(data) > MAX_DATA:
-            raise Failed(Code.BAD_ARGUMENTS)
+            raise OperationError(Code.BAD_ARGUMENTS)
         self.zxid += 1
         node.data, node.version = data, node.version + 1
         node.mzxid, node.mtime = self.zxid, int(now)
-        return node.stat(), [Told(Change.DATA, path, self.zxid)]
+        return node.stat(), [ChangeEvent(EventType.DATA, path, self.zxid)]
 
-    def delete(self, path: str, version: int = -1) -> list[Told]:
+    def delete(self, path: str, version: int = -1) -> list[ChangeEvent]:
         node = self._node(path)
         if path == "/":
-            raise Failed(Code.BAD_ARGUMENTS)
+            raise OperationError(Code.BAD_ARGUMENTS)
         if version not in (-1, node.version):
-            raise Failed(Code.BAD_VERSION)
+            raise OperationError(Code.BAD_VERSION)
         if node.children:
-            raise Failed(Code.NOT_EMPTY)
+            raise OperationError(Code.NOT_EMPTY)
         self.zxid += 1
         del self.nodes[path]
         if node.owner in self.sessions:
             self.sessions[node.owner].ephemerals.discard(path)
-        self._touch(self.nodes[parent(path)], path, add=False)
-        return [Told(Change.DELETED, path, self.zxid), Told(Change.CHILDREN, parent(path), self.zxid)]
+        self._update_parent(self.nodes[parent(path)], path, add=False)
+        return [
+            ChangeEvent(EventType.DELETED, path, self.zxid),
+            ChangeEvent(EventType.CHILDREN, parent(path), self.zxid),
+        ]
 
-    def _touch(self, above: Node, path: str, add: bool) -> None:
+    def _update_parent(self, above: Node, path: str, add: bool) -> None:
         name = path.rpartition("/")[2]
         (above.children.add if add else above.children.discard)(name)
         above.cversion += 1
@@ -171,7 +179,7 @@
     def _session(self, id: int) -> Session:
         session = self.sessions.get(id)
         if session is None:
-            raise Failed(Code.SESSION_EXPIRED)
+            raise OperationError(Code.SESSION_EXPIRED)
         return session
 
     def open(self, timeout: float, now: float) -> Session:
@@ -186,13 +194,13 @@
         session = self.sessions.get(id)
         if session is None or session.password != password:
             return None
-        session.heard = now
+        session.last_heard = now
         return session
 
-    def end(self, id: int) -> list[Told]:
+    def end(self, id: int) -> list[ChangeEvent]:
         """Close or expire a session and delete its ephemeral nodes."""
         session = self.sessions.pop(id, None)
-        told: list[Told] = []
+        told: list[ChangeEvent] = []
         for path in sorted(session.ephemerals) if session is not None else ():
             if path in self.nodes:
                 told += self.delete(path)
@@ -200,9 +208,9 @@
 
     def overdue(self, now: float) -> Iterator[int]:
         """The ids of sessions that were silent for longer than their timeout."""
-        return iter([s.id for s in self.sessions.values() if now - s.heard > s.timeout])
+        return iter([s.id for s in self.sessions.values() if now - s.last_heard > s.timeout])
 
-    def empty(self) -> None:
+    def clear(self) -> None:
         """Lose everything, as a coordinator whose disk was lost; zxids start over too."""
         self.zxid = 0
         self.nodes = {"/": Node(b"", 0, 0, 0, 0)}
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -27,11 +27,11 @@
 from kazoo.retry import KazooRetry
 
 from millgw.membership import jute
-from millgw.membership.jute import BadRecord, Frames, Reader, Stat, read_stat
+from millgw.membership.jute import BadRecord, FrameSplitter, Reader, Stat, read_stat
 from millgw.membership.protocol import Code
-from millgw.standins.coordinator.command import carry_out
+from millgw.standins.coordinator.command import execute
 from millgw.standins.coordinator.ensemble import Ensemble
-from millgw.standins.coordinator.tree import Failed, Tree
+from millgw.standins.coordinator.tree import OperationError, Tree
 from tests.kinds import once
 
 pytestmark = once
@@ -166,7 +166,7 @@
         quiet = made.client(timeout=0.3)
         quiet.create("/quiet", ephemeral=True)
         session = quiet.client_id[0]
-        made.do(lambda: setattr(made.ensemble.tree.sessions[session], "heard", 0.0))
+        made.do(lambda: setattr(made.ensemble.tree.sessions[session], "last_heard", 0.0))
         until(lambda: session not in made.ensemble.tree.sessions)
         assert watcher.exists("/quiet") is None
 
@@ -200,7 +200,7 @@
         client.ensure_path("/s")
         told: list[str] = []
         client.get_children("/s", watch=lambda event: told.append(event.type))
-        made.do(lambda: carry_out(made.ensemble, ["lose-watches", "0", "1"]))
+        made.do(lambda: execute(made.ensemble, ["lose-watches", "0", "1"]))
         made.do(lambda: made.ensemble.put("/s/a"))
         assert client.get_children("/s", watch=lambda event: told.append(event.type)) == ["a"] and not told
         made.do(lambda: made.ensemble.put("/s/b"))
@@ -211,10 +211,10 @@
         assert not waiting.ready()
         made.do(lambda: face.freeze(False))
         assert waiting.get(timeout=LIMIT) == ["a", "b"]
-        made.do(lambda: carry_out(made.ensemble, ["read-only", "0"]))
+        made.do(lambda: execute(made.ensemble, ["read-only", "0"]))
         with pytest.raises(NotReadOnlyCallError):
             client.create("/refused")
-        made.do(lambda: carry_out(made.ensemble, ["writable", "0"]))
+        made.do(lambda: execute(made.ensemble, ["writable", "0"]))
         made.do(lambda: made.ensemble.restart_empty())
         assert made.client().exists("/s") is None
         assert not client.connected, "it has seen more than there is now"
@@ -250,7 +250,7 @@
 @given(st.binary(max_size=200), st.lists(st.integers(0, 250), max_size=4))
 @settings(max_examples=200, deadline=None)
 def test_fuzzed_frames_and_records_are_read_or_refused(data: bytes, cuts: list[int]) -> None:
-    frames, found = Frames(1000), []
+    frames, found = FrameSplitter(1000), []
     bounds = [0, *sorted(c for c in cuts if c < len(data)), len(data)]
     try:
         for start, end in itertools.pairwise(bounds):
@@ -258,7 +258,7 @@
     except BadRecord:
         pass
     for payload in [*found, data]:
-        for read in (Reader.strings, Reader.string, Reader.long, read_stat):
+        for read in (Reader.read_strings, Reader.read_string, Reader.read_long, read_stat):
             try:
                 read(Reader(payload))
             except BadRecord:
@@ -267,11 +267,11 @@
 
 def test_hostile_lengths_cost_nothing() -> None:
     with pytest.raises(BadRecord):
-        Frames().feed(b"\x7f\xff\xff\xff")
+        FrameSplitter().feed(b"\x7f\xff\xff\xff")
     with pytest.raises(BadRecord):
-        Frames().feed(b"\xff\xff\xff\xff")
+        FrameSplitter().feed(b"\xff\xff\xff\xff")
     with pytest.raises(BadRecord):
-        Reader(jute.write_int(100_000_000)).strings()
+        Reader(jute.write_int(100_000_000)).read_strings()
     stat = Stat(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11)
     assert read_stat(Reader(stat.write())) == stat
 
@@ -301,7 +301,7 @@
             else:
                 tree.end(sessions[which])
                 sessions[which] = tree.open(1000.0, 0.0).id
-        except Failed as failed:
+        except OperationError as failed:
             assert failed.code is not Code.OK and tree.zxid == before, "what is refused changes nothing"
         assert tree.zxid >= last
         last = tree.zxid
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,7 +20,7 @@
 
 from millgw.membership import jute
 from millgw.membership.client import Client
-from millgw.membership.follower import MOST_NODES
+from millgw.membership.follower import MAX_NODES
 from millgw.membership.judge import Terms
 from millgw.membership.protocol import Ask, Fired, Kind, Reply
 from millgw.membership.registrar import Entry, Registrar
@@ -30,7 +30,7 @@
 from millgw.platform.discovery import Listed, endpoint_id
 from millgw.standins.address import free_address
 from millgw.standins.coordinator.ensemble import Ensemble
-from millgw.standins.coordinator.tree import Told
+from millgw.standins.coordinator.tree import ChangeEvent
 from millgw.standins.scripted import STREAM, ScriptedDiscoveryServer, ScriptedEndpoint, chunk, line
 from tests.rig import Reachable, request, run, services, until
 from tests.test_coordinator import running
@@ -218,7 +218,7 @@
         async with ensemble(2) as zk, watching(zk, "abcdef") as (rig, _):
             for face in zk.faces:
                 face.ills.refusing = True
-            zk.expire(rig.directory.client.core.session)
+            zk.expire(rig.directory.client.protocol.session)
             zk.write(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000), "terminating"))
             zk.remove(f"{PATH}/b")
             await asyncio.sleep(0.1)
@@ -239,11 +239,11 @@
         async with ensemble() as zk, watching(zk, "abcdef") as (rig, _):
             zk.faces[0].ills.read_only = True
             zk.faces[0].drop()
-            await until(lambda: rig.directory.doubt_until > 0)
+            await until(lambda: rig.directory.distrust_until > 0)
             zk.remove(f"{PATH}/a")
             zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
             await until(lambda: rig.drains == {"b"})
-            await until(lambda: rig.directory.judge.counts.held == 1)
+            await until(lambda: rig.directory.tracker.counts.held == 1)
             assert rig.ready == set("acdef")
 
     run(test)
@@ -252,7 +252,7 @@
 def test_a_session_that_moves_misses_nothing() -> None:
     async def test() -> None:
         async with ensemble(3) as zk, watching(zk, "abcdef") as (rig, _):
-            session = rig.directory.client.core.session
+            session = rig.directory.client.protocol.session
             for _ in range(2):
                 for face in zk.faces:
                     face.drop()
@@ -262,7 +262,7 @@
                 await until(lambda: rig.ready == set("acdef"))
                 zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001)))
                 await until(lambda: rig.ready == set("abcdef"))
-            assert rig.directory.client.core.session == session
+            assert rig.directory.client.protocol.session == session
 
     run(test)
 
@@ -271,11 +271,11 @@
     async def test() -> None:
         async with ensemble() as zk, watching(zk, "abcdef") as (rig, _):
             zk.faces[0].ills.watch_delay = 200.0
-            before = rig.directory.judge.members["a"].since
+            before = rig.directory.tracker.members["a"].started_at
             zk.remove(f"{PATH}/a")
             data = json.dumps({"name": "a", "address": "127.0.0.1:1000", "status": "in_service"}).encode()
             zk.own(f"{PATH}/a", data)
-            await until(lambda: rig.directory.judge.members["a"].since > before)
+            await until(lambda: rig.directory.tracker.members["a"].started_at > before)
             assert rig.ready == set("abcdef")
 
     run(test)
@@ -297,12 +297,12 @@
             assert rig.ready == set("bcdef"), "an older list does not bring back who was told to be gone"
             ahead.ills.refusing = False
             zk.restart_empty()
-            await until(lambda: rig.directory.judge.counts.held == 5)
-            assert rig.ready == set("bcdef") and rig.directory.follower.picture.missing
+            await until(lambda: rig.directory.tracker.counts.held == 5)
+            assert rig.ready == set("bcdef") and rig.directory.follower.state.missing
             for i, name in enumerate("abcdef"):
                 zk.own(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
             await until(lambda: rig.ready == set("abcdef"))
-            assert rig.directory.judge.states()["held"] == 0
+            assert rig.directory.tracker.states()["held"] == 0
 
     run(test)
 
@@ -319,7 +319,7 @@
             for i in range(100_000):
                 zk.tree.create(f"{PATH}/{i}", b"", 0, 0, 0.0)
             zk.put(f"{PATH}/y", entry("y", Address("127.0.0.1", 2001)))
-            await until(lambda: rig.directory.follower.too_many > MOST_NODES)
+            await until(lambda: rig.directory.follower.too_many > MAX_NODES)
             assert rig.ready == set("abcx")
 
     run(test)
@@ -371,7 +371,7 @@
             frozen = next(f for f in zk.faces if f.connections)
             frozen.freeze(True)
             await until(lambda: bool(next(f for f in zk.faces if f is not frozen).connections))
-            await until(lambda: rig.directory.client.serves)
+            await until(lambda: rig.directory.client.connected)
             assert rig.ready == set("abcdef")
             zk.remove(f"{PATH}/a")
             await until(lambda: rig.ready == set("bcdef"))
@@ -391,29 +391,29 @@
             await registrar.registered.wait()
             for turn in range(3):
                 if turn == 0:
-                    zk.expire(registrar.client.core.session)
+                    zk.expire(registrar.client.protocol.session)
                 else:
                     for face in zk.faces:
                         face.drop()
                     if turn == 2:  # the client starts over while its old session and node linger
-                        registrar.client.core.forget()
+                        registrar.client.protocol.forget()
                 await until(lambda: not registrar.registered.is_set())
                 await registrar.registered.wait()
                 owner = zk.tree.nodes[f"{PATH}/a"].owner
-                assert owner == registrar.client.core.session
+                assert owner == registrar.client.protocol.session
             other = Registrar(servers, PATH, Entry("a", "127.0.0.1:2000"), 4000.0, random.Random(2))
             other.start()
-            await until(lambda: other.taken)
+            await until(lambda: other.name_taken)
             assert json.loads(zk.tree.nodes[f"{PATH}/a"].data)["address"] == "127.0.0.1:1000"
             assert await registrar.leave(0.05)
             await other.registered.wait()
             assert json.loads(zk.tree.nodes[f"{PATH}/a"].data)["address"] == "127.0.0.1:2000"
             zk.faces[0].ills.read_only = zk.faces[1].ills.read_only = True
             leaving = asyncio.create_task(other.leave(0.0))
-            await until(lambda: bool(other.registration.problem))
+            await until(lambda: bool(other.registration.refusal))
             for face in zk.faces:
                 face.drop()
-            await until(lambda: not other.client.serves)
+            await until(lambda: not other.client.connected)
             zk.faces[0].ills.read_only = zk.faces[1].ills.read_only = False
             assert await leaving and f"{PATH}/a" not in zk.tree.nodes
 
@@ -440,8 +440,8 @@
         async with ensemble() as zk:
             told = zk.publish
 
-            def publish(changes: list[Told]) -> None:
-                log.extend((c.change, c.path, time.monotonic_ns()) for c in changes)
+            def publish(changes: list[ChangeEvent]) -> None:
+                log.extend((c.event_type, c.path, time.monotonic_ns()) for c in changes)
                 told(changes)
 
             zk.publish = publish  # type: ignore[method-assign, assignment]
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -16,19 +16,37 @@
 
 from millgw.interface import Condition, Endpoint
 from millgw.membership import jute
-from millgw.membership.follower import RECHECK, Follower
-from millgw.membership.judge import ASIDE_AFTER, FLAPS, Found, Judge, Seen, State, Terms
+from millgw.membership.follower import RECHECK_INTERVAL, DirectoryFollower
+from millgw.membership.judge import (
+    ASIDE_AFTER,
+    FLAPS,
+    EndpointEvidence,
+    MemberNode,
+    MembershipTracker,
+    MemberState,
+    Terms,
+)
 from millgw.membership.jute import BadRecord, Stat
 from millgw.membership.merge import COORDINATOR, DISCOVERY, Merger, Mode, changes
-from millgw.membership.nodes import Held, read_node
-from millgw.membership.protocol import Ask, Change, Code, Core, Expired, Fired, Kind, Reply, Up
+from millgw.membership.nodes import NodeData, read_node
+from millgw.membership.protocol import (
+    Ask,
+    ClientProtocol,
+    Code,
+    EventType,
+    Fired,
+    Kind,
+    Reply,
+    SessionEstablished,
+    SessionExpired,
+)
 from millgw.membership.registrar import Entry
-from millgw.membership.registration import Registration, Wish
-from millgw.membership.registration import State as Node
-from millgw.membership.servers import BACKWARD_ROUNDS, SPREAD, Rota, read_connect
+from millgw.membership.registration import DesiredState, Registration
+from millgw.membership.registration import NodeState as Node
+from millgw.membership.servers import RECONNECT_SPREAD, REFUSED_ROUNDS, ServerSelector, read_connect
 from millgw.platform.config import Address
 from millgw.platform.discovery import Listed, endpoint_id, listed_as
-from millgw.standins.coordinator.tree import Failed, Told, Tree
+from millgw.standins.coordinator.tree import ChangeEvent, OperationError, Tree
 from tests.kinds import once
 
 pytestmark = once
@@ -52,7 +70,7 @@
 
 
 def fired(path: str) -> bytes:
-    body = jute.write_int(Change.DATA) + jute.write_int(3) + jute.write_string(path)
+    body = jute.write_int(EventType.DATA) + jute.write_int(3) + jute.write_string(path)
     return answer(-1, -1, 0, body)
 
 
@@ -64,27 +82,28 @@
         handshake(), answer(1, 7, 0, lists), fired("/s/a"), answer(-2, 7),
         answer(2, 8, 0, jute.write_buffer(b"x") + NOWHERE.write()), answer(3, 8, Code.NO_NODE),
     ])  # fmt: skip
-    core = Core(4000.0)
+    core = ClientProtocol(4000.0)
     core.connect()
     asks = [Ask(Kind.CHILDREN, "/s"), Ask(Kind.READ, "/s/a"), Ask(Kind.READ, "/s/b")]
     for ask in asks:
-        core.ask(ask)
+        core.request(ask)
     events = []
     for start, end in itertools.pairwise([0, *sorted(c for c in cuts if c < len(data)), len(data)]):
         events += core.receive(data[start:end])
     assert events == [
-        Up(9, 4000.0, True, False), Reply(asks[0], 0, ("a", "b"), stat=NOWHERE), Fired(Change.DATA, "/s/a"),
+        SessionEstablished(9, 4000.0, True, False),
+        Reply(asks[0], 0, ("a", "b"), stat=NOWHERE), Fired(EventType.DATA, "/s/a"),
         Reply(asks[1], 0, data=b"x", stat=NOWHERE), Reply(asks[2], Code.NO_NODE),
     ]  # fmt: skip
-    assert core.seen == 8
+    assert core.last_zxid == 8
 
 
 @given(st.binary(max_size=300), st.booleans())
 @settings(max_examples=300, deadline=None)
 def test_whatever_comes_is_read_or_refused(data: bytes, up: bool) -> None:
-    core = Core(4000.0)
+    core = ClientProtocol(4000.0)
     core.connect()
-    core.ask(Ask(Kind.CHILDREN, "/s"))
+    core.request(Ask(Kind.CHILDREN, "/s"))
     try:
         core.receive((handshake() if up else b"") + data)
         core.receive(jute.frame(data))
@@ -105,25 +124,25 @@
     ],
 )
 def test_hostile_replies_end_the_connection(data: bytes, says: str) -> None:
-    core = Core(4000.0)
+    core = ClientProtocol(4000.0)
     core.connect()
-    core.ask(Ask(Kind.CHILDREN, "/s"))
-    core.ask(Ask(Kind.EXISTS, "/s"))
+    core.request(Ask(Kind.CHILDREN, "/s"))
+    core.request(Ask(Kind.EXISTS, "/s"))
     core.receive(handshake())
     with pytest.raises(BadRecord, match=says):
         core.receive(data)
 
 
 def test_a_session_moves_expires_and_starts_over() -> None:
-    core = Core(4000.0)
+    core = ClientProtocol(4000.0)
     core.connect()
-    assert core.receive(handshake()) == [Up(9, 4000.0, True, False)]
+    assert core.receive(handshake()) == [SessionEstablished(9, 4000.0, True, False)]
     core.receive(answer(-2, 77))
     again = core.connect()
     assert jute.write_long(77) in again and jute.write_long(9) in again, "what it has seen, and its session"
-    assert core.receive(handshake()) == [Up(9, 4000.0, False, False)]
+    assert core.receive(handshake()) == [SessionEstablished(9, 4000.0, False, False)]
     core.connect()
-    assert core.receive(handshake(0, 0)) == [Expired()] and core.session == 0
+    assert core.receive(handshake(0, 0)) == [SessionExpired()] and core.session == 0
     core.forget()
     assert jute.write_long(77) not in core.connect()
 
@@ -144,11 +163,11 @@
     servers = [Address("127.0.0.1", port) for port in (1, 2, 3)]
     comes = []
     for seed in range(420):
-        rota = Rota(servers, random.Random(seed), TIMEOUT)
+        rota = ServerSelector(servers, random.Random(seed), TIMEOUT)
         rota.first()
-        rota.up(TIMEOUT)
-        comes.append(rota.lost(served=True, reached=True, refused=False))
-    by_tenth = Counter(int(t.wait // (SPREAD / 10)) for t in comes)
+        rota.on_session_established(TIMEOUT)
+        comes.append(rota.on_connection_lost(served=True, reached=True, refused=False))
+    by_tenth = Counter(int(t.delay // (RECONNECT_SPREAD / 10)) for t in comes)
     by_server = Counter(t.server for t in comes)
     assert max(by_tenth.values()) < 420 / 10 * 1.6, "no tenth of the time has much more than its part"
     assert max(by_server.values()) < 420 / 3 * 1.3, "no server either"
@@ -159,35 +178,37 @@
 def test_a_session_outlives_a_coordinator_that_is_back_in_time(timeout: float, servers: int) -> None:
     """Its last ping went out a third of the time-out before the loss, at the worst."""
     for seed in range(100):
-        rota = Rota([Address("127.0.0.1", 1 + n) for n in range(servers)], random.Random(seed), timeout)
+        rota = ServerSelector(
+            [Address("127.0.0.1", 1 + n) for n in range(servers)], random.Random(seed), timeout
+        )
         rota.first()
-        rota.up(timeout)
-        tried = rota.lost(served=True, reached=True, refused=False).wait
+        rota.on_session_established(timeout)
+        tried = rota.on_connection_lost(served=True, reached=True, refused=False).delay
         while tried < 0.4 * timeout:
-            tried += rota.lost(served=False, reached=False, refused=False).wait
+            tried += rota.on_connection_lost(served=False, reached=False, refused=False).delay
         assert tried < 2 / 3 * timeout, seed
 
 
 def test_a_session_that_may_live_is_not_given_up_however_often_it_is_refused() -> None:
-    rota = Rota([Address("127.0.0.1", port) for port in (1, 2)], random.Random(1), TIMEOUT)
+    rota = ServerSelector([Address("127.0.0.1", port) for port in (1, 2)], random.Random(1), TIMEOUT)
     rota.first()
-    assert not any(rota.lost(False, True, True, outlived=False).over for _ in range(40))
+    assert not any(rota.on_connection_lost(False, True, True, outlived=False).start_over for _ in range(40))
 
 
 @given(st.lists(st.sampled_from(["refused", "unreachable", "silent"]), min_size=1, max_size=30))
 def test_it_starts_over_only_where_all_that_can_be_reached_refuse(kinds: list[str]) -> None:
     servers = [Address("127.0.0.1", port) for port in (1, 2)]
-    rota = Rota(servers, random.Random(1), TIMEOUT)
+    rota = ServerSelector(servers, random.Random(1), TIMEOUT)
     rota.first()
     since: list[str] = []
     for kind in kinds:
-        made = rota.lost(False, kind != "unreachable", kind == "refused", outlived=True)
+        made = rota.on_connection_lost(False, kind != "unreachable", kind == "refused", outlived=True)
         since.append(kind)
-        if made.over:
+        if made.start_over:
             assert "silent" not in since and since.count("refused") > 0
-            assert len(since) >= BACKWARD_ROUNDS * len(servers)
+            assert len(since) >= REFUSED_ROUNDS * len(servers)
             since = []
-        elif len(since) == BACKWARD_ROUNDS * len(servers):
+        elif len(since) == REFUSED_ROUNDS * len(servers):
             assert "silent" in since or "refused" not in since
 
 
@@ -220,10 +241,10 @@
         assert drains is not None and not drains.ready
     assert read_node(json.dumps(SERVERSET | {"status": "STARTING"}).encode(), ()) is None
     for layout in ("entry", "serverset", "curator"):
-        made = Entry("a", "10.0.0.1:80", layout=layout, since=5)
-        held, drained = (read_node(made.data(w), ()) for w in (Wish.SERVE, Wish.DRAIN))
+        made = Entry("a", "10.0.0.1:80", layout=layout, started_at_ms=5)
+        held, drained = (read_node(made.encode(w), ()) for w in (DesiredState.SERVE, DesiredState.DRAIN))
         assert held is not None and held.listed.address == Address("10.0.0.1", 80) and held.instance
-        assert drained is not None and not drained.ready and made.mine(made.data(Wish.DRAIN))
+        assert drained is not None and not drained.ready and made.is_own(made.encode(DesiredState.DRAIN))
 
 
 @pytest.mark.parametrize(
@@ -254,32 +275,32 @@
         self.wire: list[Reply | Fired] = []
         self.lose = False
 
-    def change(self, told: list[Told]) -> None:
+    def change(self, told: list[ChangeEvent]) -> None:
         for one in told:
             kinds = {
-                Change.CREATED: ("exists",), Change.DELETED: ("data", "exists", "children"),
-                Change.DATA: ("data", "exists"), Change.CHILDREN: ("children",),
-            }[Change(one.change)]  # fmt: skip
+                EventType.CREATED: ("exists",), EventType.DELETED: ("data", "exists", "children"),
+                EventType.DATA: ("data", "exists"), EventType.CHILDREN: ("children",),
+            }[EventType(one.event_type)]  # fmt: skip
             found = {(k, one.path) for k in kinds} & self.watched
             self.watched -= found
             if found and not self.lose:
-                self.wire.append(Fired(one.change, one.path))
+                self.wire.append(Fired(one.event_type, one.path))
 
     def answer(self) -> None:
         ask = self.asked.pop(0)
         try:
-            if ask.kind is Kind.CHILDREN:
+            if ask.operation is Kind.CHILDREN:
                 names, stat = self.tree.children(ask.path)
                 self.watched.add(("children", ask.path))
                 self.wire.append(Reply(ask, 0, tuple(names), stat=stat))
-            elif ask.kind is Kind.READ:
+            elif ask.operation is Kind.READ:
                 data, stat = self.tree.read(ask.path)
                 self.watched.add(("data", ask.path))
                 self.wire.append(Reply(ask, 0, data=data, stat=stat))
             else:
                 self.watched.add(("exists" if ask.path not in self.tree.nodes else "data", ask.path))
                 self.wire.append(Reply(ask, 0, stat=self.tree.exists(ask.path)))
-        except Failed as failed:
+        except OperationError as failed:
             self.wire.append(Reply(ask, failed.code))
 
     def act(self, what: str, path: str) -> None:
@@ -292,7 +313,7 @@
                 self.change(self.tree.write(path, b"%d" % self.tree.zxid, -1, 0.0)[1])
             elif what == "create":
                 self.change(self.tree.create(path, b"new", 0, self.owner, 0.0)[1])
-        except Failed:
+        except OperationError:
             pass
 
 
@@ -301,13 +322,13 @@
 HAPPENINGS = st.lists(st.tuples(st.sampled_from(ACTS_ON_IT), st.sampled_from(NAMES)), max_size=80)
 
 
-def take(server: Server, follower: Follower, now: float) -> None:
+def take(server: Server, follower: DirectoryFollower, now: float) -> None:
     came = server.wire.pop(0)
-    asks = follower.reply(now, came) if isinstance(came, Reply) else follower.fired(now, came)
+    asks = follower.on_reply(now, came) if isinstance(came, Reply) else follower.on_watch_event(now, came)
     server.asked += asks
 
 
-def quiet(server: Server, follower: Follower, now: float) -> float:
+def quiet(server: Server, follower: DirectoryFollower, now: float) -> float:
     """Let all that is under way come to its end."""
     for _ in range(1000):
         while server.asked or server.wire:
@@ -315,7 +336,7 @@
                 server.answer()
             while server.wire:
                 take(server, follower, now)
-        due = follower.due()
+        due = follower.next_tick()
         if due > now + 1000.0:
             return now
         now = max(now, due)
@@ -323,9 +344,9 @@
     raise AssertionError("it never comes to rest")
 
 
-def same(server: Server, follower: Follower) -> None:
-    nodes, picture = server.tree.nodes, follower.picture
-    assert picture.whole and picture.missing == ("/s" not in nodes)
+def same(server: Server, follower: DirectoryFollower) -> None:
+    nodes, picture = server.tree.nodes, follower.state
+    assert picture.complete and picture.missing == ("/s" not in nodes)
     members = nodes["/s"].children - {"draining"} if "/s" in nodes else set()
     assert {n: (p.data, p.stat.czxid) for n, p in picture.nodes.items()} == {
         n: (nodes[f"/s/{n}"].data, nodes[f"/s/{n}"].czxid) for n in members
@@ -336,8 +357,8 @@
 @given(HAPPENINGS)
 @settings(max_examples=400, deadline=None)
 def test_the_follower_s_picture_comes_to_be_the_tree_whatever_crosses(steps: list[tuple[str, str]]) -> None:
-    server, follower, now = Server(), Follower("/s"), 0.0
-    server.asked += follower.up(now, True)
+    server, follower, now = Server(), DirectoryFollower("/s"), 0.0
+    server.asked += follower.on_connected(now, True)
     for what, path in steps:
         now += 7.0
         if what == "answer" and server.asked:
@@ -353,8 +374,10 @@
             for kind, paths in (("data", data), ("exists", exists), ("children", children)):
                 for each in paths:
                     server.watched.add((kind, each))
-                    server.wire.append(Fired(Change.CHILDREN if kind == "children" else Change.DATA, each))
-            server.asked += follower.up(now, False)
+                    server.wire.append(
+                        Fired(EventType.CHILDREN if kind == "children" else EventType.DATA, each)
+                    )
+            server.asked += follower.on_connected(now, False)
         else:
             server.act(what, path)
     quiet(server, follower, now)
@@ -362,10 +385,10 @@
 
 
 def test_a_node_made_anew_between_its_read_and_its_directory_s_list_is_read() -> None:
-    server, follower = Server(), Follower("/s")
+    server, follower = Server(), DirectoryFollower("/s")
     server.act("create", "/s")
     server.act("create", "/s/a")
-    server.asked += follower.up(0.0, True)
+    server.asked += follower.on_connected(0.0, True)
     now = quiet(server, follower, 0.0) + 1000.0
     server.act("delete", "/s/a")
     while server.wire:
@@ -378,42 +401,42 @@
 
 
 def test_a_read_that_is_lost_with_its_connection_is_made_again() -> None:
-    server, follower = Server(), Follower("/s")
+    server, follower = Server(), DirectoryFollower("/s")
     server.act("create", "/s")
-    server.asked += follower.up(0.0, True)
+    server.asked += follower.on_connected(0.0, True)
     quiet(server, follower, 0.0)
     server.act("create", "/s/a")
     take(server, follower, 1.0)
     server.answer()
     take(server, follower, 1.0)
     assert server.asked == [Ask(Kind.READ, "/s/a")]
-    server.asked = follower.up(2.0, False)
+    server.asked = follower.on_connected(2.0, False)
     quiet(server, follower, 2.0)
     same(server, follower)
 
 
 def test_a_lost_watch_is_made_good_by_the_recheck() -> None:
-    server, follower = Server(), Follower("/s")
+    server, follower = Server(), DirectoryFollower("/s")
     for path in ("/s", "/s/a", "/s/b"):
         server.act("create", path)
-    server.asked += follower.up(0.0, True)
+    server.asked += follower.on_connected(0.0, True)
     now = quiet(server, follower, 0.0)
     server.lose = True
     server.act("create", "/s/c")
     server.act("write", "/s/a")
     server.lose = False
-    assert "c" not in follower.picture.nodes
-    now += RECHECK
+    assert "c" not in follower.state.nodes
+    now += RECHECK_INTERVAL
     server.asked += follower.tick(now)
     quiet(server, follower, now)
     same(server, follower)
 
 
 def test_data_that_changes_all_the_time_is_read_now_and_then() -> None:
-    server, follower, now = Server(), Follower("/s"), 0.0
+    server, follower, now = Server(), DirectoryFollower("/s"), 0.0
     server.act("create", "/s")
     server.act("create", "/s/a")
-    server.asked += follower.up(now, True)
+    server.asked += follower.on_connected(now, True)
     quiet(server, follower, now)
     reads = 0
     for _ in range(500):  # 100 a second for 5 s
@@ -440,9 +463,11 @@
     def __init__(self, count: int, terms: Terms | None = None, since: float = 0.0) -> None:
         self.now = 1_000_000.0
         self.zxid = 0
-        self.nodes: dict[str, Found] = {}
-        self.views: dict[str, Seen] = {}
-        self.judge = Judge(terms or Terms(), random.Random(1), lambda name: self.views.get(name, Seen()))
+        self.nodes: dict[str, MemberNode] = {}
+        self.views: dict[str, EndpointEvidence] = {}
+        self.judge = MembershipTracker(
+            terms or Terms(), random.Random(1), lambda name: self.views.get(name, EndpointEvidence())
+        )
         for i in range(count):
             self.make(f"m{i}", since=since)
         self.see()
@@ -452,7 +477,9 @@
         condition = Condition.READY if status else Condition.DRAINING
         endpoint = Endpoint(endpoint_id(name), condition, started_at=since)
         listed = Listed(endpoint, Address("10.0.0.1", 1000 + int(name[1:])) if status else None)
-        self.nodes[name] = Found(self.zxid, self.zxid, int(self.now), 1, Held(name, listed, instance))
+        self.nodes[name] = MemberNode(
+            self.zxid, self.zxid, int(self.now), 1, NodeData(name, listed, instance)
+        )
 
     def write(self, name: str, status: bool) -> None:
         old = self.nodes[name]
@@ -460,7 +487,7 @@
         self.nodes[name] = replace(self.nodes[name], czxid=old.czxid, ctime=old.ctime, owner=old.owner)
 
     def see(self, drained: tuple[str, ...] = (), suspect: bool = False) -> None:
-        self.judge.see(self.now, list(self.nodes.items()), drained, suspect)
+        self.judge.update(self.now, list(self.nodes.items()), drained, suspect)
         self.judge.decide(self.now)
 
     def wait(self, ms: float, alive: Callable[[str], bool] = lambda name: True) -> None:
@@ -469,13 +496,17 @@
         while self.now < end:
             self.now = min(end, self.now + 50.0)
             for name in self.judge.offered():
-                seen = self.views.get(name, Seen())
+                seen = self.views.get(name, EndpointEvidence())
                 if alive(name):
-                    opened = min(seen.opened, self.now)
-                    self.views[name] = replace(seen, answered=self.now, opened=opened, misses=0)
+                    opened = min(seen.oldest_opened, self.now)
+                    self.views[name] = replace(seen, last_answer=self.now, oldest_opened=opened, misses=0)
                 else:
                     self.views[name] = replace(
-                        seen, missed=self.now, broken=self.now, opened=math.inf, misses=seen.misses + 1
+                        seen,
+                        last_miss=self.now,
+                        last_broken=self.now,
+                        oldest_opened=math.inf,
+                        misses=seen.misses + 1,
                     )
             self.judge.decide(self.now)
 
@@ -495,7 +526,10 @@
 def test_all_sessions_expire_and_all_serve(at_once: bool) -> None:
     fleet = Fleet(17)
     fleet.wait(500.0)
-    few, starts = fleet.judge.few(), {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
+    few, starts = (
+        fleet.judge.departure_limit(),
+        {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()},
+    )
     for name in list(fleet.nodes):
         del fleet.nodes[name]
         if not at_once:
@@ -548,7 +582,7 @@
     fleet.nodes.clear()
     fleet.see()
     fleet.wait(1000.0)
-    fleet.views["m0"] = replace(fleet.views["m0"], broken=fleet.now, opened=fleet.now)
+    fleet.views["m0"] = replace(fleet.views["m0"], last_broken=fleet.now, oldest_opened=fleet.now)
     fleet.wait(500.0)
     for i in range(9):
         fleet.make(f"m{i}")
@@ -563,13 +597,13 @@
     fleet.nodes.clear()
     fleet.see()
     for name in quiet:
-        fleet.views[name] = Seen()
+        fleet.views[name] = EndpointEvidence()
     lost = []
     before = 20
     for _ in range(120):
         fleet.wait(250.0)
         for name in quiet:  # nobody calls these: nothing is heard of them
-            fleet.views[name] = Seen()
+            fleet.views[name] = EndpointEvidence()
         lost.append(before - len(fleet.offered()))
         before = len(fleet.offered())
     assert before == 0 and max(lost) <= 3, lost
@@ -595,7 +629,7 @@
         assert "m0" in fleet.offered(), "an operator's mark can be taken away"
         return
     drained = fleet.nodes["m0"]
-    fleet.nodes["m0"] = replace(drained, mzxid=drained.mzxid - 1, held=Fleet(1).nodes["m0"].held)
+    fleet.nodes["m0"] = replace(drained, mzxid=drained.mzxid - 1, data=Fleet(1).nodes["m0"].data)
     fleet.see()
     assert "m0" not in fleet.offered() and fleet.judge.counts.stale, "an older word of a server that lags"
 
@@ -710,7 +744,7 @@
         before = fleet.offered()
         fleet.see(drained=(name,) if what == "mark" else (), suspect=what == "suspect")
         offered = fleet.offered()
-        assert not any(n in offered and not f.held.ready for n, f in fleet.nodes.items()), "a drain is told"
+        assert not any(n in offered and not f.data.ready for n, f in fleet.nodes.items()), "a drain is told"
         assert what != "mark" or name not in offered
         for gone in before - offered:
             if gone in fleet.judge.ended:
@@ -721,7 +755,10 @@
                 assert marked is None or fleet.nodes[n].identity != told_gone[n]
         if what == "wait":
             fleet.wait(ms, lambda n: n not in dead)
-    assert sum(m.state is State.ASIDE for m in fleet.judge.members.values()) <= len(fleet.judge.members) / 3
+    assert (
+        sum(m.state is MemberState.ASIDE for m in fleet.judge.members.values())
+        <= len(fleet.judge.members) / 3
+    )
 
 
 @given(st.integers(2, 40), st.data())
@@ -729,7 +766,7 @@
 def test_no_expiry_without_deaths_takes_out_more_than_few(count: int, data: st.DataObject) -> None:
     fleet = Fleet(count)
     gaps = data.draw(st.lists(st.sampled_from([0.0, 30.0, 140.0, 300.0]), min_size=count, max_size=count))
-    few = fleet.judge.few()
+    few = fleet.judge.departure_limit()
     for name, gap in zip(list(fleet.nodes), gaps, strict=True):
         del fleet.nodes[name]
         if gap:
@@ -770,30 +807,30 @@
         (Mode.DISCOVERY, {"m1", "m2"}, {"m1", "m2"}),
     ):
         merger = Merger(mode)
-        merger.tell(DISCOVERY, entries("m1", "m2"), {})
+        merger.update(DISCOVERY, entries("m1", "m2"), {})
         assert names(merger) == {"m1", "m2"}, "one that has yet to speak takes nothing away"
-        merger.tell(COORDINATOR, entries("m0", "m1"), {})
+        merger.update(COORDINATOR, entries("m0", "m1"), {})
         assert names(merger) == both
-        merger.ails(COORDINATOR)
+        merger.mark_unhealthy(COORDINATOR)
         assert names(merger) == one_ails
 
 
 def test_a_drain_or_end_that_either_tells_counts_and_a_later_start_lifts_it() -> None:
     merger = Merger(Mode.UNION)
-    merger.tell(COORDINATOR, entries("m0", "m1", since=5.0), {})
-    merger.tell(DISCOVERY, entries("m0", "m1", "m2"), {})
-    merger.tell(DISCOVERY, entries("m1", "m2"), {})
+    merger.update(COORDINATOR, entries("m0", "m1", since=5.0), {})
+    merger.update(DISCOVERY, entries("m0", "m1", "m2"), {})
+    merger.update(DISCOVERY, entries("m1", "m2"), {})
     assert names(merger) == {"m1", "m2"}, "discovery told its end"
-    merger.tell(DISCOVERY, entries("m1"), draining("m2"))
+    merger.update(DISCOVERY, entries("m1"), draining("m2"))
     assert names(merger) == {"m1"} and names(merger, Condition.DRAINING) == {"m2"}
-    merger.tell(COORDINATOR, entries("m0", "m1", since=6.0), {})
+    merger.update(COORDINATOR, entries("m0", "m1", since=6.0), {})
     assert names(merger) == {"m0", "m1"}, "another process"
 
 
 def test_an_address_is_one_endpoint_under_the_coordinator_s_name() -> None:
     merger = Merger(Mode.UNION)
-    merger.tell(COORDINATOR, entries("m0"), {})
-    merger.tell(DISCOVERY, entries("x0", "x1"), {})
+    merger.update(COORDINATOR, entries("m0"), {})
+    merger.update(DISCOVERY, entries("x0", "x1"), {})
     assert names(merger) == {"m0", "x1"}
 
 
@@ -808,12 +845,12 @@
     merger, told = Merger(mode), dict[int, Listed]()
     for side, ready, drains in words:
         mine = {i: e for n in ready - drains for i, e in entries(n).items()}
-        merger.tell(side, mine, draining(*drains))
+        merger.update(side, mine, draining(*drains))
         result = merger.result()
         at = [e.address for e in result.values() if e.address is not None]
         assert len(at) == len(set(at))
-        for one in merger.sides:
-            for id in one.drains:
+        for one in merger.sources:
+            for id in one.draining:
                 assert id not in result or result[id].address is None
         for entry in changes(told, result):
             if entry.endpoint.condition is Condition.GONE:
@@ -833,68 +870,68 @@
 def test_a_registration_keeps_its_node_and_touches_nobody_else_s(settled: bool, steps: list[str]) -> None:
     tree = Tree()
     entry = Entry("a", "10.0.0.1:80", instance="me")
-    node = Registration("/s/x/a", entry.data, entry.mine)
+    node = Registration("/s/x/a", entry.encode, entry.is_own)
     stranger = tree.open(1e9, 0.0).id
     session = tree.open(1e9, 0.0).id
-    asked = node.up(session)
+    asked = node.on_connected(session)
 
     def carry_out(ask: Ask) -> Reply:
         try:
-            if ask.kind is Kind.CREATE:
-                tree.create(ask.path, ask.data, 0 if ask.lasting else 1, session, 0.0)
+            if ask.operation is Kind.CREATE:
+                tree.create(ask.path, ask.data, 0 if ask.persistent else 1, session, 0.0)
                 return Reply(ask, 0)
-            if ask.kind is Kind.READ:
+            if ask.operation is Kind.READ:
                 data, stat = tree.read(ask.path)
                 return Reply(ask, 0, data=data, stat=stat)
-            if ask.kind is Kind.WRITE:
+            if ask.operation is Kind.WRITE:
                 return Reply(ask, 0, stat=tree.write(ask.path, ask.data, ask.version, 0.0)[0])
             before = tree.nodes.get(ask.path)
-            assert before is None or entry.mine(before.data), "another's node must not be taken down"
+            assert before is None or entry.is_own(before.data), "another's node must not be taken down"
             current = tree.exists(ask.path)
             if ask.version not in (-1, current.version):
-                raise Failed(Code.BAD_VERSION)
+                raise OperationError(Code.BAD_VERSION)
             tree.delete(ask.path)
             return Reply(ask, 0)
-        except Failed as failed:
+        except OperationError as failed:
             return Reply(ask, int(failed.code))
 
     def settle() -> None:
         for _ in range(40):
             if not asked:
                 return
-            asked.extend(node.reply(carry_out(asked.pop(0))))
+            asked.extend(node.on_reply(carry_out(asked.pop(0))))
 
     if settled:
         settle()
     for step in [*steps, "leave"]:
         if step == "step" and asked:
-            asked += node.reply(carry_out(asked.pop(0)))
+            asked += node.on_reply(carry_out(asked.pop(0)))
         elif step in ("drop", "lose"):
             if step == "lose" and asked:
                 carry_out(asked[0])  # it was carried out; its reply is lost
-            node.down()
-            asked = node.up(session)
+            node.on_disconnected()
+            asked = node.on_connected(session)
         elif step == "expire":
-            node.down()
+            node.on_disconnected()
             if random.Random(len(asked)).random() < 0.5:
                 tree.end(session)  # else the old one lingers beside the new
             session = tree.open(1e9, 0.0).id
-            asked = node.up(session)
+            asked = node.on_connected(session)
         elif step == "other" and "/s/x" in tree.nodes and "/s/x/a" not in tree.nodes:
             tree.create("/s/x/a", b"{}", 1, stranger, 0.0)
-            asked += node.fired(Fired(Change.CREATED, "/s/x/a"))
+            asked += node.on_watch_event(Fired(EventType.CREATED, "/s/x/a"))
         elif step == "other-goes" and "/s/x/a" in tree.nodes and tree.nodes["/s/x/a"].owner == stranger:
             tree.delete("/s/x/a")
-            asked += node.fired(Fired(Change.DELETED, "/s/x/a"))
+            asked += node.on_watch_event(Fired(EventType.DELETED, "/s/x/a"))
         elif step in ("drain", "leave"):
-            if step == "leave" and node.wish is Wish.SERVE:
+            if step == "leave" and node.desired is DesiredState.SERVE:
                 settle()
                 asked += node.tick()
                 settle()
                 there = tree.nodes.get("/s/x/a")
                 assert there is not None, "it serves: there is a node"
                 assert there.owner in (session, stranger), "never one that an older session takes with it"
-            asked += node.want(Wish(step))
+            asked += node.set_desired(DesiredState(step))
         elif step == "tick":
             asked += node.tick()
     settle()
