--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -68,52 +68,54 @@
     def start(self) -> None:
         self._schedule_connect(self.selector.first())
 
-    def _schedule_connect(self, next_: NextConnect) -> None:
-        if next_.start_over:
+    def _schedule_connect(self, next_connect: NextConnect) -> None:
+        if next_connect.start_over:
             log_event("coordinator-went-back", seen=self.protocol.last_zxid)
             self.protocol.forget()
             self.started_over = True
         loop = asyncio.get_running_loop()
-        self.connect_timer = loop.call_later(next_.delay / 1000, self._start_connect, next_.server)
+        self.connect_timer = loop.call_later(
+            next_connect.delay / 1000, self._start_connect, next_connect.server
+        )
 
     def _start_connect(self, server: Address) -> None:
         self.connect_task = asyncio.get_running_loop().create_task(self._connect(server))
 
     async def _connect(self, server: Address) -> None:
         loop = asyncio.get_running_loop()
-        wire = Connection(self, server)
-        self.connection = wire
+        connection = Connection(self, server)
+        self.connection = connection
         within = max(
             MIN_CONNECT_TIMEOUT, self.protocol.requested_timeout / 1000 / max(1, len(self.selector.order))
         )
-        wire.restart_silence_timer(within)
+        connection.restart_silence_timer(within)
         try:
             async with asyncio.timeout(within):
-                await loop.create_connection(lambda: wire, server.host, server.port)
+                await loop.create_connection(lambda: connection, server.host, server.port)
         except (OSError, TimeoutError) as error:
-            wire.end(str(error) or "connection timed out")
+            connection.end(str(error) or "connection timed out")
 
-    def ask(self, ask: Ask) -> None:
+    def ask(self, request: Ask) -> None:
         """Send a request if a session is established; otherwise drop it, as `down` has already reported."""
         if self.connected and self.connection is not None:
-            self.connection.write(self.protocol.request(ask))
+            self.connection.write(self.protocol.request(request))
 
     def set_watches(self, data: Sequence[str], exists: Sequence[str], children: Sequence[str]) -> None:
         if self.connected and self.connection is not None:
             self.connection.write(self.protocol.set_watches(data, exists, children))
 
-    def connection_ended(self, wire: Connection, why: str) -> None:
+    def connection_ended(self, connection: Connection, reason: str) -> None:
         """Handle the end of a connection; runs once for each."""
-        if wire is not self.connection:
+        if connection is not self.connection:
             return
         served, self.connection = self.protocol.session_up, None
         self.protocol.session_up = False
         if self.stopped:
             return
-        log_event("coordinator-lost", server=wire.server, cause=why)
+        log_event("coordinator-lost", server=connection.server, cause=reason)
         if served:
             self.listener.down()
-        if wire.expired:
+        if connection.expired:
             self._schedule_connect(self.selector.on_session_expired())
         else:
             if served:
@@ -121,47 +123,47 @@
             outlived = time.monotonic() > self.disconnected_at + self.timeout / 1000
             self._schedule_connect(
                 self.selector.on_connection_lost(
-                    served, wire.accepted, wire.accepted and not served, outlived
+                    served, connection.accepted, connection.accepted and not served, outlived
                 )
             )
 
-    def handle_data(self, wire: Connection, data: bytes) -> None:
+    def handle_data(self, connection: Connection, data: bytes) -> None:
         try:
             for event in self.protocol.receive(data):
-                if wire is not self.connection:
+                if connection is not self.connection:
                     return
                 if isinstance(event, SessionEstablished):
                     self.timeout = event.timeout
-                    wire.session_established(event.timeout)
+                    connection.session_established(event.timeout)
                     self.selector.on_session_established(event.timeout)
-                    over, self.started_over = self.started_over, False
-                    log_event("coordinator-up", server=wire.server, fresh=event.fresh)
+                    started_over, self.started_over = self.started_over, False
+                    log_event("coordinator-up", server=connection.server, fresh=event.fresh)
                     if event.read_only:
-                        wire.leave_after(READ_ONLY_STAY)
-                    self.listener.up(event.fresh, over or event.read_only)
+                        connection.leave_after(READ_ONLY_STAY)
+                    self.listener.up(event.fresh, started_over or event.read_only)
                 elif isinstance(event, SessionExpired):
-                    wire.expired = True
-                    log_event("session-expired", server=wire.server)
-                    wire.end("session expired")
+                    connection.expired = True
+                    log_event("session-expired", server=connection.server)
+                    connection.end("session expired")
                 elif isinstance(event, Fired):
                     self.listener.fired(event)
                 else:
                     self.listener.reply(event)
         except BadRecord as error:
-            wire.end(str(error))
+            connection.end(str(error))
 
     async def close(self, within: float = 1.0) -> None:
         """Close the session, so that its nodes are deleted now and not when it times out."""
-        wire = self.connection
+        connection = self.connection
         serves = self.connected
         self.stop(abort=not serves)
-        if serves and wire is not None:
-            wire.write(self.protocol.close())
+        if serves and connection is not None:
+            connection.write(self.protocol.close())
             try:
                 async with asyncio.timeout(within):
-                    await wire.closed.wait()
+                    await connection.closed.wait()
             except TimeoutError:
-                wire.abort()
+                connection.abort()
 
     def stop(self, abort: bool = True) -> None:
         """Stop without closing the session, which then times out; no more events are reported."""
@@ -223,9 +225,9 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def end(self, why: str) -> None:
+    def end(self, reason: str) -> None:
         self.abort()
-        self.client.connection_ended(self, why)
+        self.client.connection_ended(self, reason)
 
     # asyncio.Protocol callbacks
 
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -91,52 +91,53 @@
     Exit: 0 stopped by a signal in an orderly way, 1 the server exited by itself or the node could not be
     deleted, 2 bad input.
     """
-    servers, whole = _read_location(connect, path)
+    servers, full_path = _read_location(connect, path)
     args = SimpleNamespace(**given)
     if "/" in args.name or args.name == DRAINING:
         raise BadInput(f"--name: {args.name!r} is not a valid member name")
     try:
-        check_path(f"{whole}/{args.name}")
+        check_path(f"{full_path}/{args.name}")
     except ValueError as error:
         raise BadInput(f"--name: {error}") from None
     start_log(log)
-    return asyncio.run(_run_registered(args, servers, whole, args.address))
+    return asyncio.run(_run_registered(args, servers, full_path, args.address))
 
 
 async def _run_registered(
     args: SimpleNamespace, servers: tuple[Address, ...], path: str, address: Address
 ) -> int:
-    loop, told = asyncio.get_running_loop(), asyncio.Event()
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     child: asyncio.subprocess.Process | None = None
-    since = int(time.time() * 1000)
+    started_at_ms = int(time.time() * 1000)
     if args.command:
         try:
             child = await asyncio.create_subprocess_exec(*args.command, start_new_session=True)
         except OSError as error:
             raise BadInput(f"{args.command[0]}: {error.strerror}") from None
-    ended = loop.create_task(child.wait()) if child is not None else loop.create_future()
-    ending = loop.create_task(told.wait())
+    child_exit = loop.create_task(child.wait()) if child is not None else loop.create_future()
+    stop_wait = loop.create_task(stop_requested.wait())
     if not args.at_once:
-        up = loop.create_task(_wait_until_accepting(address))
-        await asyncio.wait([ended, ending, up], return_when=asyncio.FIRST_COMPLETED)
-        up.cancel()
+        accepting = loop.create_task(_wait_until_accepting(address))
+        await asyncio.wait([child_exit, stop_wait, accepting], return_when=asyncio.FIRST_COMPLETED)
+        accepting.cancel()
     registrar: Registrar | None = None
-    if not ended.done() and not ending.done():
+    if not child_exit.done() and not stop_wait.done():
         entry = Entry(
-            args.name, str(address), args.group, args.weight, args.zone, args.layout, started_at_ms=since
+            args.name, str(address), args.group, args.weight, args.zone, args.layout,
+            started_at_ms=started_at_ms,
         )  # fmt: skip
         registrar = Registrar(servers, path, entry, args.session_s * 1000)
         registrar.start()
-        await asyncio.wait([ended, ending], return_when=asyncio.FIRST_COMPLETED)
-    ending.cancel()
-    down = True
+        await asyncio.wait([child_exit, stop_wait], return_when=asyncio.FIRST_COMPLETED)
+    stop_wait.cancel()
+    deleted = True
     if registrar is not None:
-        down = await (registrar.withdraw() if ended.done() else registrar.leave(args.drain_s))
+        deleted = await (registrar.withdraw() if child_exit.done() else registrar.leave(args.drain_s))
     if child is None:
-        return HELD if down else NOT_HELD
-    if ended.done():
+        return HELD if deleted else NOT_HELD
+    if child_exit.done():
         print(f"millgw: {args.command[0]} exited with status {child.returncode}", file=sys.stderr)
         return NOT_HELD
     with suppress(ProcessLookupError):
@@ -148,7 +149,7 @@
         with suppress(ProcessLookupError):
             child.kill()
         await child.wait()
-    return HELD if down else NOT_HELD
+    return HELD if deleted else NOT_HELD
 
 
 async def _wait_until_accepting(address: Address) -> None:
@@ -186,9 +187,9 @@
     def fired(self, fired: Fired) -> None:
         self._send(self.follower.on_watch_event(time.monotonic() * 1000, fired))
 
-    def _send(self, asks: list[Ask]) -> None:
-        for ask in asks:
-            self.client.ask(ask)
+    def _send(self, requests: list[Ask]) -> None:
+        for request in requests:
+            self.client.ask(request)
 
 
 @click.command(cls=Reporting, examples=["members --connect 127.0.0.1:2181 --path /services/api"])
@@ -202,8 +203,10 @@
 
     Exit: 0 all nodes are readable, 1 some are not, 2 bad input, 3 the coordinator did not answer in time.
     """
-    servers, whole = _read_location(connect, path)
-    return run_interruptible(_report_members(out, SimpleNamespace(connect=connect, **given), servers, whole))
+    servers, full_path = _read_location(connect, path)
+    return run_interruptible(
+        _report_members(out, SimpleNamespace(connect=connect, **given), servers, full_path)
+    )
 
 
 async def _report_members(out: Out, args: SimpleNamespace, servers: tuple[Address, ...], path: str) -> int:
@@ -213,24 +216,24 @@
         async with asyncio.timeout(args.within_s):
             await reading.done.wait()
     except TimeoutError:
-        why = f"{args.connect}: no answer for {path} within {args.within_s:g} s"
-        print(f"millgw: {why}", file=sys.stderr)
-        return out.end(INCONCLUSIVE, {"path": path, "why": why})
+        reason = f"{args.connect}: no answer for {path} within {args.within_s:g} s"
+        print(f"millgw: {reason}", file=sys.stderr)
+        return out.end(INCONCLUSIVE, {"path": path, "why": reason})
     finally:
         await reading.client.close()
-    picture = reading.follower.state
+    state = reading.follower.state
     rows: list[dict[str, object]] = []
-    for node, read in sorted(picture.nodes.items()):
-        row: dict[str, object] = {"node": node, "owner": f"{read.stat.ephemeral_owner:x}"}
+    for node, member_node in sorted(state.nodes.items()):
+        row: dict[str, object] = {"node": node, "owner": f"{member_node.stat.ephemeral_owner:x}"}
         try:
-            held = read_node(read.data, (), args.endpoint)
-            if held is None:
+            data = read_node(member_node.data, (), args.endpoint)
+            if data is None:
                 row["means"] = "starting"
             else:
-                drains = node in picture.draining or not held.ready
-                row |= {"name": held.name, "means": "draining" if drains else "ready"}
-                row["address"] = str(held.listed.address) if held.listed.address is not None else ""
-                row["since_ms"] = int(held.listed.endpoint.started_at or read.stat.ctime)
+                drains = node in state.draining or not data.ready
+                row |= {"name": data.name, "means": "draining" if drains else "ready"}
+                row["address"] = str(data.listed.address) if data.listed.address is not None else ""
+                row["since_ms"] = int(data.listed.endpoint.started_at or member_node.stat.ctime)
         except ValueError as error:
             row |= {"means": "unreadable", "why": str(error)}
         rows.append(row)
@@ -238,7 +241,7 @@
         "  ".join(str(row[k]) for k in ("node", "means", "name", "address", "why") if row.get(k))
         for row in rows
     ]
-    lines.append(f"{path}: no such directory" if picture.missing else f"{len(rows)} nodes below {path}")
-    unreadable = picture.missing or any(r["means"] == "unreadable" for r in rows)
-    told = {"path": path, "missing": picture.missing, "members": rows}
-    return out.end(NOT_HELD if unreadable else HELD, told, lines)
+    lines.append(f"{path}: no such directory" if state.missing else f"{len(rows)} nodes below {path}")
+    unreadable = state.missing or any(r["means"] == "unreadable" for r in rows)
+    result = {"path": path, "missing": state.missing, "members": rows}
+    return out.end(NOT_HELD if unreadable else HELD, result, lines)
--- a/millgw/membership/follower.py
+++ b/millgw/membership/follower.py
@@ -95,8 +95,8 @@
         """Handle a watch event."""
         if fired.path in (self.path, f"{self.path}/{DRAINING}"):
             return [self._list_request(fired.path)] if fired.path not in self.lists_in_flight else []
-        above, _, name = fired.path.rpartition("/")
-        if above != self.path or fired.event_type == EventType.CHILDREN:
+        parent, _, name = fired.path.rpartition("/")
+        if parent != self.path or fired.event_type == EventType.CHILDREN:
             return []
         if name in self.reads_in_flight:
             return []
@@ -128,10 +128,10 @@
             name = heapq.heappop(self.delayed_reads)[1]
             if name in self.child_names and name not in self.reads_in_flight:
                 self.to_read[name] = None
-        asks = self._next_reads(now)
+        requests = self._next_reads(now)
         if now >= self.last_recheck + RECHECK_INTERVAL:
             self.last_recheck = now
-            asks += [self._list_request(p) for p in self.watches()[2] if p not in self.lists_in_flight]
+            requests += [self._list_request(p) for p in self.watches()[2] if p not in self.lists_in_flight]
             names = sorted(self.state.nodes)
             for name in names[self.recheck_position : self.recheck_position + RECHECK_BATCH]:
                 self.to_read.setdefault(name)
@@ -140,8 +140,8 @@
                 if self.recheck_position + RECHECK_BATCH < len(names)
                 else 0
             )
-            asks += self._next_reads(now)
-        return asks
+            requests += self._next_reads(now)
+        return requests
 
     def next_tick(self) -> float:
         """When `tick` has to be called next."""
@@ -157,11 +157,11 @@
         return Ask(Kind.CHILDREN, path)
 
     def _handle_list(self, now: float, reply: Reply) -> list[Ask]:
-        picture = self.state
+        state = self.state
         if reply.code == Code.NO_NODE:
             self.revision += 1
-            picture.missing, picture.complete = True, True
-            picture.nodes.clear()
+            state.missing, state.complete = True, True
+            state.nodes.clear()
             self.child_names = frozenset()
             return [Ask(Kind.EXISTS, self.path)]
         if reply.code != Code.OK:
@@ -169,27 +169,27 @@
         self.too_many = len(reply.names) if len(reply.names) > MAX_NODES else 0
         if self.too_many:
             return []  # keeps what is known: no real fleet has a list this long
-        before, picture.missing = self.child_names, False
+        before, state.missing = self.child_names, False
         self.child_names = frozenset(reply.names)
         self.revision += self.child_names != before
         members = self.child_names - {DRAINING}
-        for name in [n for n in picture.nodes if n not in members]:
-            del picture.nodes[name]
+        for name in [n for n in state.nodes if n not in members]:
+            del state.nodes[name]
         for name in [n for n in self.to_read if n not in members]:
             del self.to_read[name]
         for name in sorted(members - before):
             self.to_read[name] = None
-        asks = []
+        requests = []
         if DRAINING in self.child_names and DRAINING not in before:
-            asks.append(self._list_request(f"{self.path}/{DRAINING}"))
+            requests.append(self._list_request(f"{self.path}/{DRAINING}"))
         elif DRAINING not in self.child_names:
-            picture.draining = frozenset()
-        asks += self._next_reads(now)
+            state.draining = frozenset()
+        requests += self._next_reads(now)
         self._check_complete()
-        return asks
+        return requests
 
     def _next_reads(self, now: float) -> list[Ask]:
-        asks = []
+        requests = []
         while self.to_read and len(self.reads_in_flight) < MAX_READS_IN_FLIGHT:
             name = next(iter(self.to_read))
             del self.to_read[name]
@@ -197,8 +197,8 @@
                 continue
             self.reads_in_flight[name] = None
             self.read_at[name] = now
-            asks.append(Ask(Kind.READ, f"{self.path}/{name}"))
-        return asks
+            requests.append(Ask(Kind.READ, f"{self.path}/{name}"))
+        return requests
 
     def _handle_read(self, now: float, name: str, reply: Reply) -> list[Ask]:
         self.reads_in_flight.pop(name, None)
@@ -214,9 +214,9 @@
             # If the node is created again before the directory is listed, the list must count it as new;
             # otherwise it would not be read.
             self.child_names -= {name}
-        asks = self._next_reads(now)
+        requests = self._next_reads(now)
         self._check_complete()
-        return asks
+        return requests
 
     def _check_complete(self) -> None:
         listing = {p for p in self.lists_in_flight if p == self.path or DRAINING in self.child_names}
--- a/millgw/membership/judge.py
+++ b/millgw/membership/judge.py
@@ -150,10 +150,10 @@
 class MembershipTracker:
     """Members of one directory. `update` takes a complete list; `decide` acts on time and own evidence."""
 
-    def __init__(self, terms: Terms, rng: random.Random, witness: EvidenceLookup) -> None:
-        self.settings = terms
+    def __init__(self, settings: Terms, rng: random.Random, evidence: EvidenceLookup) -> None:
+        self.settings = settings
         self.rng = rng
-        self.evidence = witness
+        self.evidence = evidence
         self.members: dict[str, Member] = {}
         self.ended: dict[str, EndedNode] = {}
         self.draining: dict[str, Listed] = {}  # draining, node still there
@@ -179,15 +179,15 @@
         """
         self.suspect = suspect
         newest: dict[str, tuple[MemberNode, str]] = {}
-        for node, found in nodes:
-            name = found.data.name
-            if name not in newest or found.czxid > newest[name][0].czxid:
-                newest[name] = found, node
-        for name, (found, node) in newest.items():
-            if node in drained or not found.data.ready:
-                self._remove_draining(now, name, found, node in drained)
-            elif not self._is_stale(name, found):
-                self._update_present(now, name, node, found)
+        for node_name, node in nodes:
+            name = node.data.name
+            if name not in newest or node.czxid > newest[name][0].czxid:
+                newest[name] = node, node_name
+        for name, (node, node_name) in newest.items():
+            if node_name in drained or not node.data.ready:
+                self._remove_draining(now, name, node, node_name in drained)
+            elif not self._is_stale(name, node):
+                self._update_present(now, name, node_name, node)
         self.draining = {n: entry for n, entry in self.draining.items() if n in newest}
         for name, member in list(self.members.items()):
             if name in newest:
@@ -202,32 +202,32 @@
                 member.set_state(MemberState.LEAVING, now, now + self.settings.settle)
                 self.departures.append((now, name))
 
-    def _is_stale(self, name: str, found: MemberNode) -> bool:
+    def _is_stale(self, name: str, node: MemberNode) -> bool:
         """Whether this is outdated data on a node that has ended, from a server that lags or lost changes."""
         ended = self.ended.get(name)
-        if ended is None or ended.identity != found.identity:
+        if ended is None or ended.identity != node.identity:
             return False
-        if (ended.listed_draining or found.mzxid > ended.mzxid) and not self.suspect:
+        if (ended.listed_draining or node.mzxid > ended.mzxid) and not self.suspect:
             return False  # the drain was revoked
         self.counts.stale += 1
         return True
 
-    def _remove_draining(self, now: float, name: str, found: MemberNode, marked: bool) -> None:
+    def _remove_draining(self, now: float, name: str, node: MemberNode, listed_draining: bool) -> None:
         """An explicit drain removes the member at once, in any state."""
-        self.draining[name] = found.data.listed
+        self.draining[name] = node.data.listed
         if name in self.members:
             del self.members[name]
             self.counts.drained += 1
-        self.ended[name] = EndedNode(found.identity, found.mzxid, now, marked)
+        self.ended[name] = EndedNode(node.identity, node.mzxid, now, listed_draining)
 
-    def _remove(self, now: float, name: str, found: MemberNode) -> None:
+    def _remove(self, now: float, name: str, node: MemberNode) -> None:
         self.members.pop(name, None)
-        self.ended[name] = EndedNode(found.identity, found.mzxid, now)
+        self.ended[name] = EndedNode(node.identity, node.mzxid, now)
 
-    def _update_present(self, now: float, name: str, node: str, found: MemberNode) -> None:
+    def _update_present(self, now: float, name: str, node_name: str, node: MemberNode) -> None:
         member = self.members.get(name)
         if member is None:
-            member = self.members[name] = Member(found, self._start_time(found), node, state_since=now)
+            member = self.members[name] = Member(node, self._start_time(node), node_name, state_since=now)
             self._forget_departure(name)
             wait = self._flap_delay(now, name) if name in self.ended else 0.0
             if wait:
@@ -235,15 +235,15 @@
             self.ended.pop(name, None)
             return
         vanished = member.state in (MemberState.LEAVING, MemberState.HELD)
-        if member.node.identity != found.identity:
-            if not self._same_process(member, found, name):
-                member.started_at = max(self._start_time(found), member.started_at + 1.0)
+        if member.node.identity != node.identity:
+            if not self._same_process(member, node, name):
+                member.started_at = max(self._start_time(node), member.started_at + 1.0)
                 member.first_miss, member.times_aside = math.inf, 0
                 if member.state is MemberState.ASIDE:
                     member.set_state(MemberState.PRESENT, now)
-        elif found.data.listed.endpoint.started_at > 0:
-            member.started_at = found.data.listed.endpoint.started_at
-        member.node, member.node_name = found, node
+        elif node.data.listed.endpoint.started_at > 0:
+            member.started_at = node.data.listed.endpoint.started_at
+        member.node, member.node_name = node, node_name
         if vanished:
             member.set_state(MemberState.PRESENT, now)
             self.counts.returned += 1
@@ -255,17 +255,17 @@
             self.departures = deque(d for d in self.departures if d[1] != name)
 
     @staticmethod
-    def _start_time(found: MemberNode) -> float:
-        return found.data.listed.endpoint.started_at or float(found.ctime)
+    def _start_time(node: MemberNode) -> float:
+        return node.data.listed.endpoint.started_at or float(node.ctime)
 
-    def _same_process(self, member: Member, found: MemberNode, name: str) -> bool:
+    def _same_process(self, member: Member, node: MemberNode, name: str) -> bool:
         before = member.node.data
-        if before.listed.address != found.data.listed.address:
+        if before.listed.address != node.data.listed.address:
             return False
-        if before.instance or found.data.instance:
-            return before.instance == found.data.instance
-        if before.listed.endpoint.started_at > 0 or found.data.listed.endpoint.started_at > 0:
-            return before.listed.endpoint.started_at == found.data.listed.endpoint.started_at
+        if before.instance or node.data.instance:
+            return before.instance == node.data.instance
+        if before.listed.endpoint.started_at > 0 or node.data.listed.endpoint.started_at > 0:
+            return before.listed.endpoint.started_at == node.data.listed.endpoint.started_at
         if member.state is not MemberState.HELD:
             return False
         seen = self.evidence(name)
@@ -279,8 +279,8 @@
         """How long (ms) a node that is back has to wait; 0 unless it flaps."""
         times = [t for t in self.returns.get(name, []) if t > now - FLAP_WINDOW] + [now]
         self.returns[name] = times
-        more = len(times) - FLAPS
-        return min(FLAP_MAX_DELAY, FLAP_FIRST_DELAY * 2.0**more) if more >= 0 else 0.0
+        excess = len(times) - FLAPS
+        return min(FLAP_MAX_DELAY, FLAP_FIRST_DELAY * 2.0**excess) if excess >= 0 else 0.0
 
     # Time and evidence
 
@@ -293,10 +293,10 @@
     def decide(self, now: float) -> None:
         """Apply the decisions that are due."""
         self._expire_records(now)
-        mass = self.suspect or len(self.departures) > self.departure_limit()
+        mass_departure = self.suspect or len(self.departures) > self.departure_limit()
         for name, member in list(self.members.items()):
             if member.state is MemberState.LEAVING:
-                if mass:
+                if mass_departure:
                     member.set_state(
                         MemberState.HELD, member.state_since, member.state_since + self.settings.hold
                     )
@@ -321,9 +321,9 @@
             del self.returns[name]
 
     def _decide_held(self, now: float) -> None:
-        """Remove held members that are seen dead, and at most `departure_limit` a window whose time is over."""
+        """Remove held members seen dead, and at most `departure_limit` a window whose time is over."""
         held = [(n, m) for n, m in self.members.items() if m.state is MemberState.HELD]
-        room = self.departure_limit() - sum(name not in self.members for _, name in self.departures)
+        removable = self.departure_limit() - sum(name not in self.members for _, name in self.departures)
         for name, member in sorted(held, key=lambda h: (h[1].state_since, h[0])):
             seen = self.evidence(name)
             if seen.misses and seen.last_miss > max(member.state_since, seen.last_answer):
@@ -332,19 +332,19 @@
                 self._forget_departure(name)
                 self.counts.dead += 1
                 continue
-            heard = (
+            responding = (
                 seen.last_answer > now - RESPONDING_WITHIN
                 and now < member.state_since + self.settings.hold_most
             )
-            if now >= member.state_until and not heard and room > 0:
-                room -= 1
+            if now >= member.state_until and not responding and removable > 0:
+                removable -= 1
                 self._remove(now, name, member.node)
                 self.departures.append((now, name))
                 self.counts.released += 1
 
     def _decide_lingering(self, now: float) -> None:
         """Set aside members that are listed but unreachable; offer again those whose time aside is over."""
-        most = int(ASIDE_SHARE * len(self.members))
+        max_aside = int(ASIDE_SHARE * len(self.members))
         aside = sum(m.state is MemberState.ASIDE for m in self.members.values())
         for name, member in self.members.items():
             if member.state is MemberState.ASIDE:
@@ -367,8 +367,8 @@
             else:
                 member.first_miss = min(member.first_miss, seen.last_miss)
             # Offered again and still unreachable:
-            tried = member.times_aside > 0 and member.first_miss < math.inf
-            if aside < most and (tried or seen.last_miss - member.first_miss >= ASIDE_AFTER):
+            still_unreachable = member.times_aside > 0 and member.first_miss < math.inf
+            if aside < max_aside and (still_unreachable or seen.last_miss - member.first_miss >= ASIDE_AFTER):
                 aside += 1
                 wait = min(ASIDE_MAX_DELAY, ASIDE_FIRST_DELAY * 2.0**member.times_aside) * (
                     0.5 + 0.5 * self.rng.random()
--- a/millgw/membership/jute.py
+++ b/millgw/membership/jute.py
@@ -28,9 +28,9 @@
         self.data = data
         self.position = 0
 
-    def _read_bytes(self, size: int, what: str) -> bytes:
+    def _read_bytes(self, size: int, field: str) -> bytes:
         if size < 0 or self.position + size > len(self.data):
-            raise BadRecord(f"{what}: {size} bytes needed, {len(self.data) - self.position} left")
+            raise BadRecord(f"{field}: {size} bytes needed, {len(self.data) - self.position} left")
         part = self.data[self.position : self.position + size]
         self.position += size
         return part
@@ -113,16 +113,16 @@
     def feed(self, data: bytes) -> list[bytes]:
         """The frames that are complete now; raises BadRecord for an impossible length."""
         self.buffer += data
-        found = []
+        frames = []
         while len(self.buffer) >= 4:
             size = INT.unpack_from(self.buffer)[0]
             if not 0 <= size <= self.max_size:
                 raise BadRecord(f"frame of {size} bytes; the maximum is {self.max_size}")
             if len(self.buffer) < 4 + size:
                 break
-            found.append(bytes(self.buffer[4 : 4 + size]))
+            frames.append(bytes(self.buffer[4 : 4 + size]))
             del self.buffer[: 4 + size]
-        return found
+        return frames
 
 
 @dataclass(slots=True, frozen=True)
--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -56,11 +56,11 @@
     def update(self, side: int, ready: Mapping[int, Listed], drains: Mapping[int, Listed]) -> None:
         """Replace a source's list by its current complete one."""
         source, other = self.sources[side], self.sources[1 - side]
-        at = {entry.address: entry for entry in other.ready.values()}
+        by_address = {entry.address: entry for entry in other.ready.values()}
         for id, entry in source.ready.items():
             if id not in ready:
                 # What the other source lists now is the process that has ended, however late its start.
-                theirs = other.ready.get(id) or at.get(entry.address, entry)
+                theirs = other.ready.get(id) or by_address.get(entry.address, entry)
                 source.ended[id] = max(entry.endpoint.started_at, theirs.endpoint.started_at)
         for id in ready:
             source.ended.pop(id, None)
@@ -114,15 +114,15 @@
 
 def _ids_by_shared_address(first: SourceList, second: SourceList) -> dict[int, int]:
     """Maps the second source's ids to the first's where both list the same address under different names."""
-    at: dict[Address, int] = {}
+    by_address: dict[Address, int] = {}
     for id, entry in [*first.draining.items(), *first.ready.items()]:
         if entry.address is not None:
-            at[entry.address] = id
+            by_address[entry.address] = id
     known = first.ready.keys() | first.draining.keys()
     same = {}
     for id, entry in second.ready.items():
-        if entry.address is not None and id not in known and entry.address in at:
-            same[id] = at[entry.address]
+        if entry.address is not None and id not in known and entry.address in by_address:
+            same[id] = by_address[entry.address]
     return same
 
 
@@ -138,6 +138,6 @@
 
 def changes(before: Mapping[int, Listed], after: Mapping[int, Listed]) -> tuple[Listed, ...]:
     """The entries to send to a receiver that has `before` to bring it to `after`."""
-    told = [entry for id, entry in after.items() if before.get(id) != entry]
+    changed = [entry for id, entry in after.items() if before.get(id) != entry]
     gone = [entry for id, entry in before.items() if id not in after]
-    return (*told, *(listed_as(e, Condition.GONE) for e in gone))
+    return (*changed, *(listed_as(e, Condition.GONE) for e in gone))
--- a/millgw/membership/nodes.py
+++ b/millgw/membership/nodes.py
@@ -75,13 +75,13 @@
 
 def _serverset(raw: Mapping[str, Any], port: str) -> dict[str, Any] | None:
     """Its nodes are sequential and get a new name at each registration, so the address names the endpoint."""
-    at = raw["additionalEndpoints"][port] if port else raw["serviceEndpoint"]
+    endpoint = raw["additionalEndpoints"][port] if port else raw["serviceEndpoint"]
     status = raw.get("status", "ALIVE")
     if status == "STARTING":
         return None
     if status not in SERVERSET_STATUS:
         raise ValueError(f"unknown serverset status {status!r}")
-    address = _address(at["host"], at["port"])
+    address = _address(endpoint["host"], endpoint["port"])
     shard = raw.get("shard")
     return {
         "name": address, "address": address, "status": SERVERSET_STATUS[status],
--- a/millgw/membership/protocol.py
+++ b/millgw/membership/protocol.py
@@ -156,13 +156,13 @@
         """Start over without a session or a last zxid, after the coordinator has lost committed changes."""
         self.session, self.password, self.last_zxid = 0, NO_PASSWORD, 0
 
-    def request(self, ask: Ask) -> bytes:
+    def request(self, request: Ask) -> bytes:
         """The bytes of a request; raises BadRecord if too many requests are unanswered."""
         if len(self.pending) >= MAX_PENDING:
             raise BadRecord(f"{len(self.pending)} requests without a reply")
         self.xid = self.xid % 0x7FFFFFFF + 1
-        self.pending.append((self.xid, ask))
-        return jute.frame(jute.write_int(self.xid) + jute.write_int(ask.operation) + ask.payload())
+        self.pending.append((self.xid, request))
+        return jute.frame(jute.write_int(self.xid) + jute.write_int(request.operation) + request.payload())
 
     def ping(self) -> bytes:
         return jute.frame(jute.write_int(XID_PING) + jute.write_int(PING))
@@ -219,25 +219,25 @@
             self.last_zxid = zxid
         if xid == XID_PING:
             return
-        ask = self.pending.popleft()[1]
+        request = self.pending.popleft()[1]
         if code == Code.SESSION_MOVED:
             raise BadRecord("the session has moved to another server")
         if code == Code.SESSION_EXPIRED:
             self.session, self.password = 0, NO_PASSWORD
             events.append(SessionExpired())
-        elif ask is not None:
-            events.append(_reply(ask, code, reader))
+        elif request is not None:
+            events.append(_reply(request, code, reader))
 
 
-def _reply(ask: Ask, code: int, reader: Reader) -> Reply:
+def _reply(request: Ask, code: int, reader: Reader) -> Reply:
     if code != Code.OK:
-        return Reply(ask, code)
-    if ask.operation is Kind.CHILDREN:
+        return Reply(request, code)
+    if request.operation is Kind.CHILDREN:
         names = tuple(reader.read_strings())
-        return Reply(ask, code, names, stat=read_stat(reader))
-    if ask.operation is Kind.READ:
+        return Reply(request, code, names, stat=read_stat(reader))
+    if request.operation is Kind.READ:
         data = reader.read_buffer()
-        return Reply(ask, code, data=data, stat=read_stat(reader))
-    if ask.operation in (Kind.EXISTS, Kind.WRITE):
-        return Reply(ask, code, stat=read_stat(reader))
-    return Reply(ask, code)
+        return Reply(request, code, data=data, stat=read_stat(reader))
+    if request.operation in (Kind.EXISTS, Kind.WRITE):
+        return Reply(request, code, stat=read_stat(reader))
+    return Reply(request, code)
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -45,36 +45,36 @@
     started_at_ms: int = field(default_factory=lambda: int(time.time() * 1000))
     instance: str = field(default_factory=lambda: secrets.token_hex(8))
 
-    def encode(self, wish: DesiredState) -> bytes:
+    def encode(self, desired: DesiredState) -> bytes:
         """The node's data, as serving or as draining."""
-        serves, at = wish is DesiredState.SERVE, read_address(self.address)
-        said: dict[str, object]
+        serves, at = desired is DesiredState.SERVE, read_address(self.address)
+        fields: dict[str, object]
         if self.layout == "serverset":
-            said = {
+            fields = {
                 "serviceEndpoint": {"host": at.host, "port": at.port}, "additionalEndpoints": {},
                 "status": "ALIVE" if serves else "STOPPING", "shard": self.group,
             }  # fmt: skip
         elif self.layout == "curator":
-            said = {
+            fields = {
                 "name": self.name, "id": self.name, "address": at.host, "port": at.port, "sslPort": None,
                 "payload": None, "registrationTimeUTC": self.started_at_ms, "serviceType": "DYNAMIC",
                 "uriSpec": None, "enabled": serves,
             }  # fmt: skip
         else:
-            said = {
+            fields = {
                 "name": self.name, "address": self.address,
                 "status": "in_service" if serves else "terminating", "group": self.group,
                 "weight": self.weight, "zone": self.zone, "since_ms": self.started_at_ms,
             }  # fmt: skip
-        return json.dumps(said | {"instance": self.instance}).encode()
+        return json.dumps(fields | {"instance": self.instance}).encode()
 
     def is_own(self, data: bytes) -> bool:
         """Whether a node's data was written by this process."""
         try:
-            said = json.loads(data)
+            fields = json.loads(data)
         except (ValueError, RecursionError):
             return False
-        return isinstance(said, dict) and said.get("instance") == self.instance
+        return isinstance(fields, dict) and fields.get("instance") == self.instance
 
 
 class Registrar:
@@ -113,21 +113,21 @@
         await _confirmed(self.drained)
         if self.registration.times_created:
             await asyncio.sleep(drain)
-        down = await self.withdraw()
-        return down
+        deleted = await self.withdraw()
+        return deleted
 
     async def withdraw(self) -> bool:
         """Delete the node now and close the session; whether the node is deleted."""
         self._send(self.registration.set_desired(DesiredState.LEAVE))
-        down = await _confirmed(self.left)
+        deleted = await _confirmed(self.left)
         if self.retry_timer is not None:
             self.retry_timer.cancel()
         await self.client.close()
-        return down
+        return deleted
 
-    def _send(self, asks: list[Ask]) -> None:
-        for ask in asks:
-            self.client.ask(ask)
+    def _send(self, requests: list[Ask]) -> None:
+        for request in requests:
+            self.client.ask(request)
         state = self.registration.state
         _set_event(self.registered, state is NodeState.SERVES)
         _set_event(self.drained, state in (NodeState.DRAINS, NodeState.LEFT))
@@ -149,17 +149,17 @@
         self._send([])
 
     def reply(self, reply: Reply) -> None:
-        made = self.registration.times_created
+        times_created = self.registration.times_created
         self._send(self.registration.on_reply(reply))
-        if self.registration.times_created > made:
+        if self.registration.times_created > times_created:
             log_event("registered", node=self.registration.path, times=self.registration.times_created)
 
     def fired(self, fired: Fired) -> None:
         self._send(self.registration.on_watch_event(fired))
 
 
-def _set_event(event: asyncio.Event, holds: bool) -> None:
-    if holds:
+def _set_event(event: asyncio.Event, condition: bool) -> None:
+    if condition:
         event.set()
     else:
         event.clear()
--- a/millgw/membership/registration.py
+++ b/millgw/membership/registration.py
@@ -43,11 +43,11 @@
     """One node. `encode` gives its data for a desired state; `is_own` tells whether this process wrote it."""
 
     def __init__(
-        self, path: str, words: Callable[[DesiredState], bytes], mine: Callable[[bytes], bool]
+        self, path: str, encode: Callable[[DesiredState], bytes], is_own: Callable[[bytes], bool]
     ) -> None:
         self.path = path
-        self.encode = words
-        self.is_own = mine
+        self.encode = encode
+        self.is_own = is_own
         self.desired = DesiredState.SERVE
         self.state = NodeState.UNKNOWN
         self.session = 0
@@ -72,11 +72,11 @@
         if self.state is not NodeState.LEFT:
             self.state = NodeState.UNKNOWN
 
-    def set_desired(self, wish: DesiredState) -> list[Ask]:
+    def set_desired(self, desired: DesiredState) -> list[Ask]:
         """Set the desired state, which only moves forward: serve, drain, leave."""
         order = list(DesiredState)
-        if order.index(wish) > order.index(self.desired):
-            self.desired = wish
+        if order.index(desired) > order.index(self.desired):
+            self.desired = desired
         return self._next_request() if self.session else []
 
     def on_watch_event(self, fired: Fired) -> list[Ask]:
@@ -102,8 +102,8 @@
         elif kind is Kind.CREATE and code == Code.OK:
             self.times_created += 1
             self.version = 0
-            wrote = reply.request.data == self.encode(DesiredState.SERVE)
-            self.state = NodeState.SERVES if wrote else NodeState.DRAINS
+            as_serving = reply.request.data == self.encode(DesiredState.SERVE)
+            self.state = NodeState.SERVES if as_serving else NodeState.DRAINS
         elif kind is Kind.CREATE and code == Code.NO_NODE:
             return self._create_parents()
         elif kind is Kind.WRITE and code == Code.OK:
@@ -138,31 +138,31 @@
     def _create_parents(self) -> list[Ask]:
         """Create the parent directories, top down; creating one that exists is refused, which is harmless."""
         parts = self.path.strip("/").split("/")[:-1]
-        above = ["/" + "/".join(parts[: i + 1]) for i in range(len(parts))]
-        asks = [Ask(Kind.CREATE, path, persistent=True) for path in above]
+        parents = ["/" + "/".join(parts[: i + 1]) for i in range(len(parts))]
+        requests = [Ask(Kind.CREATE, path, persistent=True) for path in parents]
         self.state = NodeState.ABSENT
-        self.in_flight = asks[-1] if asks else None
-        return asks
+        self.in_flight = requests[-1] if requests else None
+        return requests
 
     def _next_request(self) -> list[Ask]:
         if self.in_flight is not None or self.refusal or not self.session:
             return []
-        ask: Ask | None = None
+        request: Ask | None = None
         if self.state is NodeState.UNKNOWN:
-            ask = Ask(Kind.READ, self.path)
+            request = Ask(Kind.READ, self.path)
         elif self.state is NodeState.ABSENT:
             if self.desired is DesiredState.SERVE:
-                ask = Ask(Kind.CREATE, self.path, self.encode(DesiredState.SERVE))
+                request = Ask(Kind.CREATE, self.path, self.encode(DesiredState.SERVE))
             else:
                 # It was never registered, or its node has gone: nothing to drain.
                 self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.DRAINS
         elif self.desired is DesiredState.DRAIN and self.state is NodeState.SERVES:
-            ask = Ask(Kind.WRITE, self.path, self.encode(DesiredState.DRAIN), self.version)
+            request = Ask(Kind.WRITE, self.path, self.encode(DesiredState.DRAIN), self.version)
         elif self.desired is DesiredState.LEAVE and self.state is NodeState.TAKEN:
             self.state = NodeState.LEFT  # the node belongs to another process
         elif self.state is NodeState.OLD or (
             self.desired is DesiredState.LEAVE and self.state is not NodeState.LEFT
         ):
-            ask = Ask(Kind.DELETE, self.path, version=self.version)
-        self.in_flight = ask
-        return [] if ask is None else [ask]
+            request = Ask(Kind.DELETE, self.path, version=self.version)
+        self.in_flight = request
+        return [] if request is None else [request]
--- a/millgw/membership/servers.py
+++ b/millgw/membership/servers.py
@@ -81,9 +81,12 @@
 
     def limit_delays(self, timeout: float) -> None:
         """Limit all delays to their part of a session timeout (ms)."""
-        most = MAX_DELAY_PART * timeout
-        self.spread = min(RECONNECT_SPREAD, most)
-        self.backoff.base, self.backoff.cap = min(ROUND_DELAY_BASE, most), min(ROUND_DELAY_CAP, most)
+        max_delay = MAX_DELAY_PART * timeout
+        self.spread = min(RECONNECT_SPREAD, max_delay)
+        self.backoff.base, self.backoff.cap = (
+            min(ROUND_DELAY_BASE, max_delay),
+            min(ROUND_DELAY_CAP, max_delay),
+        )
 
     def on_session_established(self, timeout: float) -> None:
         """A session is established with this timeout (ms): resets the counts and the delay."""
@@ -117,13 +120,13 @@
         self.tried += 1
         self.refused += refused
         self.accepted += reached
-        over = False
+        start_over = False
         if self.tried % len(self.order) == 0:
             rounds = self.tried // len(self.order)
             # A single server that lags refuses as well: the ensemble has lost changes only if every reachable
             # server refuses, in several rounds.
             if outlived and rounds >= REFUSED_ROUNDS and self.accepted and self.refused == self.accepted:
-                over = True
+                start_over = True
                 self.tried = self.refused = self.accepted = 0
-            return NextConnect(server, self.backoff.next(), over)
+            return NextConnect(server, self.backoff.next(), start_over)
         return NextConnect(server, self.rng.random() * self.backoff.base)
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -54,17 +54,22 @@
     """Follows one directory and passes its endpoints to `on_change`, from the first complete read on."""
 
     def __init__(
-        self, where: Where, zones: tuple[str, ...], seed: int, witness: Witness, changed: ListsObserver
+        self,
+        location: Where,
+        zones: tuple[str, ...],
+        seed: int,
+        connections: Witness,
+        on_change: ListsObserver,
     ) -> None:
         rng = random.Random(f"membership {seed}")
-        self.location = where
+        self.location = location
         self.zones = zones
-        self.connections = witness
-        self.on_change = changed
+        self.connections = connections
+        self.on_change = on_change
         self.offset = (time.time() - time.monotonic()) * 1000
-        self.client = Client(where.servers, where.timeout, rng, self)
-        self.follower = DirectoryFollower(where.path)
-        self.tracker = MembershipTracker(where.terms, rng, self._evidence)
+        self.client = Client(location.servers, location.timeout, rng, self)
+        self.follower = DirectoryFollower(location.path)
+        self.tracker = MembershipTracker(location.terms, rng, self._evidence)
         self.parsed: dict[str, tuple[bytes, int, MemberNode | None]] = {}
         self.distrust_until = -math.inf
         self.down_since = -math.inf
@@ -124,22 +129,22 @@
     def fired(self, fired: Fired) -> None:
         self._send(self.follower.on_watch_event(self.now(), fired))
 
-    def _send(self, asks: list[Ask]) -> None:
-        for ask in asks:
-            self.client.ask(ask)
+    def _send(self, requests: list[Ask]) -> None:
+        for request in requests:
+            self.client.ask(request)
 
     # Decisions
 
     def _update(self) -> None:
-        picture, now = self.follower.state, self.now()
+        state, now = self.follower.state, self.now()
         if self.follower.too_many:
             log_event("too-many-nodes", path=self.location.path, nodes=self.follower.too_many)
-        if not picture.complete:
+        if not state.complete:
             return
-        self.parsed = {n: r for n, r in self.parsed.items() if n in picture.nodes}
-        found = [(name, f) for name in picture.nodes if (f := self._member_node(name)) is not None]
-        suspect = now < self.distrust_until or (picture.missing and bool(self.tracker.members))
-        self.tracker.update(now, found, picture.draining, suspect)
+        self.parsed = {n: r for n, r in self.parsed.items() if n in state.nodes}
+        member_node = [(name, f) for name in state.nodes if (f := self._member_node(name)) is not None]
+        suspect = now < self.distrust_until or (state.missing and bool(self.tracker.members))
+        self.tracker.update(now, member_node, state.draining, suspect)
         first, self.read_once = not self.read_once, True
         self._decide(now, seen=True, first=first)
 
@@ -155,13 +160,13 @@
         except ValueError as error:
             log_event("node-skipped", node=f"{self.location.path}/{name}", cause=error)
         stat = node.stat
-        found = (
+        member_node = (
             None
             if held is None
             else MemberNode(stat.czxid, stat.mzxid, stat.ctime, stat.ephemeral_owner, held)
         )
-        self.parsed[name] = node.data, stat.mzxid, found
-        return found
+        self.parsed[name] = node.data, stat.mzxid, member_node
+        return member_node
 
     def _decide(self, now: float, seen: bool = False, first: bool = False) -> None:
         """Apply the decisions that are due and report the result; `seen`: a new list was just taken in."""
@@ -219,29 +224,29 @@
 class ChangeNotifier:
     """Passes a list to the balancer module: in full after a subscription (`full_list_due`), then changes."""
 
-    def __init__(self, heard: Heard) -> None:
-        self.on_list = heard
+    def __init__(self, on_list: Heard) -> None:
+        self.on_list = on_list
         self.last_sent: dict[int, Listed] = {}
         self.full_list_due = False
 
-    def notify(self, wanted: dict[int, Listed]) -> None:
+    def notify(self, current: dict[int, Listed]) -> None:
         if self.full_list_due:
             self.full_list_due = False
-            self.on_list(ListKind.FULL, tuple(wanted.values()))
-        elif told := changes(self.last_sent, wanted):
-            self.on_list(ListKind.DELTA, told)
-        self.last_sent = wanted
+            self.on_list(ListKind.FULL, tuple(current.values()))
+        elif changed := changes(self.last_sent, current):
+            self.on_list(ListKind.DELTA, changed)
+        self.last_sent = current
 
 
 class CoordinatorSource:
     """Endpoint source of a pool: a coordinator alone."""
 
     def __init__(
-        self, where: Where, zones: tuple[str, ...], seed: int, witness: Witness, heard: Heard
+        self, location: Where, zones: tuple[str, ...], seed: int, connections: Witness, on_list: Heard
     ) -> None:
-        self.on_list = heard
-        self.directory = Directory(where, zones, seed, witness, self._changed)
-        self.notifier = ChangeNotifier(heard)
+        self.on_list = on_list
+        self.directory = Directory(location, zones, seed, connections, self._changed)
+        self.notifier = ChangeNotifier(on_list)
         self.started = False
 
     def start(self, known: Any) -> None:
@@ -275,27 +280,27 @@
 
     def __init__(
         self,
-        where: Where,
+        location: Where,
         merger: Merger,
         discovery: Address,
-        own: bool,
+        own_discovery: bool,
         ask_within: float,
         zones: tuple[str, ...],
         seed: int,
-        witness: Witness,
-        heard: Heard,
+        connections: Witness,
+        on_list: Heard,
     ) -> None:
-        self.on_list = heard
-        self.own_discovery = own
+        self.on_list = on_list
+        self.own_discovery = own_discovery
         self.merger = merger
-        self.directory = Directory(where, zones, seed, witness, self._on_coordinator_lists)
+        self.directory = Directory(location, zones, seed, connections, self._on_coordinator_lists)
         self.discovery = Discovery(discovery, zones, self._on_discovery_list)
         rng = random.Random(f"both {seed}")
         self.backoff = JitterBackoff(SUBSCRIBE_BASE_PART * ask_within, SUBSCRIBE_CAP_PART * ask_within, rng)
         self.subscribe_timer: asyncio.TimerHandle | None = None
         self.ready: dict[int, Listed] = {}
         self.draining: dict[int, Listed] = {}
-        self.notifier = ChangeNotifier(heard)
+        self.notifier = ChangeNotifier(on_list)
         self.started = False
         self.health_timer: asyncio.TimerHandle | None = None
 
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -63,17 +63,17 @@
 
 async def _serve(ensemble: Ensemble) -> None:
     loop = asyncio.get_running_loop()
-    over = asyncio.Event()
+    stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, over.set)
+        loop.add_signal_handler(number, stop.set)
     await ensemble.start()
     print(json.dumps({"connect": ensemble.connect_string}), flush=True)
     lines = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     reading = loop.create_task(_commands(ensemble, lines))
-    reading.add_done_callback(lambda _: over.set())
+    reading.add_done_callback(lambda _: stop.set())
     try:
-        await over.wait()
+        await stop.wait()
     finally:
         reading.cancel()
         await ensemble.stop()
@@ -90,8 +90,8 @@
     command, *rest = words
     try:
         if command in SERVER_COMMANDS:
-            face = ensemble.faces[int(rest[0])]
-            SERVER_COMMANDS[command](face, float(rest[1]) if len(rest) > 1 else 0.0)
+            server = ensemble.faces[int(rest[0])]
+            SERVER_COMMANDS[command](server, float(rest[1]) if len(rest) > 1 else 0.0)
             return {"done": command}
         if command == "nodes":
             return {
@@ -114,27 +114,27 @@
             ensemble.restart_empty()
         else:
             return {"error": f"{command}: no such command; --help lists them"}
-    except OperationError as failed:
-        return {"error": f"{command}: {failed}"}
+    except OperationError as error:
+        return {"error": f"{command}: {error}"}
     except (IndexError, KeyError, ValueError) as error:
         return {"error": f"{command}: {type(error).__name__}: {error}"}
     return {"done": command}
 
 
 def _set_fault(name: str, value: object) -> Callable[[EnsembleServer, float], None]:
-    return lambda face, _: setattr(face.ills, name, value)
+    return lambda server, _: setattr(server.ills, name, value)
 
 
 SERVER_COMMANDS: dict[str, Callable[[EnsembleServer, float], None]] = {
-    "drop": lambda face, _: face.drop(),
-    "freeze": lambda face, _: face.freeze(True),
-    "thaw": lambda face, _: face.freeze(False),
-    "lag": lambda face, _: face.lag(True),
-    "catch-up": lambda face, _: face.lag(False),
+    "drop": lambda server, _: server.drop(),
+    "freeze": lambda server, _: server.freeze(True),
+    "thaw": lambda server, _: server.freeze(False),
+    "lag": lambda server, _: server.lag(True),
+    "catch-up": lambda server, _: server.lag(False),
     "refuse": _set_fault("refusing", True),
     "accept": _set_fault("refusing", False),
     "read-only": _set_fault("read_only", True),
     "writable": _set_fault("read_only", False),
-    "delay-watches": lambda face, ms: setattr(face.ills, "watch_delay", ms),
-    "lose-watches": lambda face, count: setattr(face.ills, "lose_watches", int(count)),
+    "delay-watches": lambda server, ms: setattr(server.ills, "watch_delay", ms),
+    "lose-watches": lambda server, count: setattr(server.ills, "lose_watches", int(count)),
 }
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -110,10 +110,10 @@
         """The tree that reads are served from."""
         return self.ills.lagging_tree or self.ensemble.tree
 
-    def fire_watches(self, told: list[ChangeEvent]) -> None:
+    def fire_watches(self, events: list[ChangeEvent]) -> None:
         """Fire the watches of this server's clients."""
         for connection in list(self.connections):
-            for change in told:
+            for change in events:
                 connection.fire(change)
 
 
@@ -136,45 +136,45 @@
     @property
     def connect_string(self) -> str:
         """The servers' addresses, as clients accept them."""
-        return ",".join(str(face.address) for face in self.faces)
+        return ",".join(str(server.address) for server in self.faces)
 
     async def start(self) -> None:
-        for face in self.faces:
-            await face.start()
+        for server in self.faces:
+            await server.start()
         self._expire_overdue()
 
     async def window(self, client: str) -> str:
         """Listen on separate addresses for one client, as a connect string; `told` then reports its name."""
         addresses = [free_address() for _ in self.faces]
-        for face, address in zip(self.faces, addresses, strict=True):
-            await face.listen(address, client)
+        for server, address in zip(self.faces, addresses, strict=True):
+            await server.listen(address, client)
         return ",".join(map(str, addresses))
 
     async def stop(self) -> None:
         if self.expiry_timer is not None:
             self.expiry_timer.cancel()
-        for face in self.faces:
-            await face.stop()
+        for server in self.faces:
+            await server.stop()
 
     def _expire_overdue(self) -> None:
         for id in self.tree.overdue(self.clock()):
             self.expire(id)
         self.expiry_timer = asyncio.get_running_loop().call_later(EXPIRY_CHECK_INTERVAL, self._expire_overdue)
 
-    def publish(self, told: list[ChangeEvent]) -> None:
+    def publish(self, events: list[ChangeEvent]) -> None:
         """Fire watches for changes on all servers except those that lag."""
-        for face in self.faces:
-            if face.ills.lagging_tree is None:
-                face.fire_watches(told)
+        for server in self.faces:
+            if server.ills.lagging_tree is None:
+                server.fire_watches(events)
 
     # Commands
 
     def expire(self, session: int) -> None:
         """Expire a session now: its ephemeral nodes are deleted and its connection is closed."""
-        told = self.tree.end(session)
-        self.publish(told)
-        for face in self.faces:
-            for connection in list(face.connections):
+        events = self.tree.end(session)
+        self.publish(events)
+        for server in self.faces:
+            for connection in list(server.connections):
                 if connection.session is not None and connection.session.id == session:
                     connection.abort()
 
@@ -190,9 +190,9 @@
     def restart_empty(self) -> None:
         """Lose all nodes and sessions; zxids start over."""
         self.tree.clear()
-        for face in self.faces:
-            face.ills.lagging_tree = None
-            face.drop()
+        for server in self.faces:
+            server.ills.lagging_tree = None
+            server.drop()
 
     def put(self, path: str, data: bytes = b"") -> None:
         """Create a persistent node and its parents, or replace its data."""
@@ -206,9 +206,9 @@
 
     def own(self, path: str, data: bytes) -> int:
         """Create an ephemeral node with its own session, which only a command ends; returns its id."""
-        above = path.rpartition("/")[0]
-        if above and above not in self.tree.nodes:
-            self.put(above)
+        parent = path.rpartition("/")[0]
+        if parent and parent not in self.tree.nodes:
+            self.put(parent)
         now = self.clock()
         session = self.tree.open(math.inf, now).id
         self.publish(self.tree.create(path, data, EPHEMERAL, session, now)[1])
@@ -250,10 +250,10 @@
 class Connection(asyncio.Protocol):
     """One client's connection to a server."""
 
-    def __init__(self, face: EnsembleServer, client: str) -> None:
-        self.server = face
+    def __init__(self, server: EnsembleServer, client: str) -> None:
+        self.server = server
         self.client = client
-        self.ensemble = face.ensemble
+        self.ensemble = server.ensemble
         self.frames = FrameSplitter()
         self.session: Session | None = None
         self.watches = Watches()
@@ -338,24 +338,24 @@
 
     def _close_other_connections(self, session: Session) -> None:
         """Close the session's older connection: a session has only one."""
-        for face in self.ensemble.faces:
-            for other in list(face.connections):
+        for server in self.ensemble.faces:
+            for other in list(server.connections):
                 if other is not self and other.session is session:
                     other.abort()
 
-    def fire(self, told: ChangeEvent) -> None:
+    def fire(self, change: ChangeEvent) -> None:
         """Send a watch event if the change is watched, subject to the server's faults."""
-        if not self.watches.trigger(told.event_type, told.path):
+        if not self.watches.trigger(change.event_type, change.path):
             return
-        ills = self.server.ills
-        if ills.lose_watches > 0:
-            ills.lose_watches -= 1
+        faults = self.server.ills
+        if faults.lose_watches > 0:
+            faults.lose_watches -= 1
             return
         self.server.count.watches += 1
-        event = jute.write_int(told.event_type) + jute.write_int(CONNECTED) + jute.write_string(told.path)
+        event = jute.write_int(change.event_type) + jute.write_int(CONNECTED) + jute.write_string(change.path)
         payload = jute.write_int(XID_WATCH) + jute.write_long(-1) + jute.write_int(0) + event
-        if ills.watch_delay > 0:
-            asyncio.get_running_loop().call_later(ills.watch_delay / 1000, self._send, payload)
+        if faults.watch_delay > 0:
+            asyncio.get_running_loop().call_later(faults.watch_delay / 1000, self._send, payload)
         else:
             self._send(payload)
 
@@ -366,21 +366,21 @@
         tree = self.ensemble.tree
         session.last_heard = self.ensemble.clock()
         self.server.count.requests += 1
-        code, body, told = Code.OK, b"", list[ChangeEvent]()
+        code, body, events = Code.OK, b"", list[ChangeEvent]()
         if session.id not in tree.sessions:
             code = Code.SESSION_EXPIRED
         elif kind in WRITE_OPS and self.server.ills.read_only:
             code = Code.NOT_READ_ONLY
         elif kind == CLOSE:
-            told = tree.end(session.id)
+            events = tree.end(session.id)
         else:
             try:
-                body, told = self._carry_out(kind, reader, session)
-            except OperationError as failed:
-                code = failed.code
+                body, events = self._carry_out(kind, reader, session)
+            except OperationError as error:
+                code = error.code
         zxid = self.server.tree.zxid if kind not in WRITE_OPS else tree.zxid
         # Watch events of a change are sent before the change's own reply (programmer's guide, watches).
-        self.ensemble.publish(told)
+        self.ensemble.publish(events)
         self._send(jute.write_int(xid) + jute.write_long(zxid) + jute.write_int(code) + body)
         if kind == CLOSE and self.transport is not None:
             self.transport.close()
@@ -397,15 +397,15 @@
         if kind in (CREATE, CREATE2):
             data = reader.read_buffer()
             reader.read_vector(_skip_acl, 12)
-            made, told = tree.create(path, data, reader.read_int(), session.id, now)
+            made, events = tree.create(path, data, reader.read_int(), session.id, now)
             stat = tree.nodes[made].stat().write() if kind == CREATE2 else b""
-            return jute.write_string(made) + stat, told
+            return jute.write_string(made) + stat, events
         if kind == DELETE:
             return b"", tree.delete(path, reader.read_int())
         if kind == SET_DATA:
             data = reader.read_buffer()
-            stat_, told = tree.write(path, data, reader.read_int(), now)
-            return stat_.write(), told
+            stat_, events = tree.write(path, data, reader.read_int(), now)
+            return stat_.write(), events
         if kind == SYNC:
             return jute.write_string(path), []
         if kind == GET_ACL:
--- a/millgw/standins/coordinator/tree.py
+++ b/millgw/standins/coordinator/tree.py
@@ -75,8 +75,10 @@
 def check_path(path: str) -> None:
     """Raise Failed for an invalid path: empty or dot segments, a trailing slash, control characters."""
     parts = path.split("/")
-    wrong = not path.startswith("/") or any(p in ("", ".", "..") for p in parts[1:]) or not path.isprintable()
-    if path != "/" and wrong:
+    invalid = (
+        not path.startswith("/") or any(p in ("", ".", "..") for p in parts[1:]) or not path.isprintable()
+    )
+    if path != "/" and invalid:
         raise OperationError(Code.BAD_ARGUMENTS)
 
 
@@ -116,13 +118,13 @@
     ) -> tuple[str, list[ChangeEvent]]:
         """Create a node; returns its path (with the number of a sequential one) and the changes."""
         if flags & SEQUENTIAL:
-            above = self._node(parent(path + "0"))
-            path = f"{path}{above.sequence:010d}"
+            parent_node = self._node(parent(path + "0"))
+            path = f"{path}{parent_node.sequence:010d}"
         check_path(path)
-        above = self._node(parent(path))
+        parent_node = self._node(parent(path))
         if path in self.nodes:
             raise OperationError(Code.NODE_EXISTS)
-        if above.owner:
+        if parent_node.owner:
             raise OperationError(Code.NO_CHILDREN_FOR_EPHEMERALS)
         if len(data) > MAX_DATA:
             raise OperationError(Code.BAD_ARGUMENTS)
@@ -132,8 +134,8 @@
         self.zxid += 1
         node = Node(data, self.zxid, self.zxid, int(now), int(now), owner, pzxid=self.zxid)
         self.nodes[path] = node
-        above.sequence += 1
-        self._update_parent(above, path, add=True)
+        parent_node.sequence += 1
+        self._update_parent(parent_node, path, add=True)
         return path, [
             ChangeEvent(EventType.CREATED, path, self.zxid),
             ChangeEvent(EventType.CHILDREN, parent(path), self.zxid),
@@ -168,11 +170,11 @@
             ChangeEvent(EventType.CHILDREN, parent(path), self.zxid),
         ]
 
-    def _update_parent(self, above: Node, path: str, add: bool) -> None:
+    def _update_parent(self, parent_node: Node, path: str, add: bool) -> None:
         name = path.rpartition("/")[2]
-        (above.children.add if add else above.children.discard)(name)
-        above.cversion += 1
-        above.pzxid = self.zxid
+        (parent_node.children.add if add else parent_node.children.discard)(name)
+        parent_node.cversion += 1
+        parent_node.pzxid = self.zxid
 
     # Sessions
 
@@ -200,11 +202,11 @@
     def end(self, id: int) -> list[ChangeEvent]:
         """Close or expire a session and delete its ephemeral nodes."""
         session = self.sessions.pop(id, None)
-        told: list[ChangeEvent] = []
+        events: list[ChangeEvent] = []
         for path in sorted(session.ephemerals) if session is not None else ():
             if path in self.nodes:
-                told += self.delete(path)
-        return told
+                events += self.delete(path)
+        return events
 
     def overdue(self, now: float) -> Iterator[int]:
         """The ids of sessions that were silent for longer than their timeout."""
