--- a/millgw/membership/judge.py
+++ b/millgw/membership/judge.py
@@ -140,7 +140,7 @@
     released: int = 0
     aside: int = 0
     offered_again: int = 0
-    believed: int = 0  # flapping members that are offered again
+    offered_after_flapping: int = 0  # flapping members that are offered again
     stale: int = 0
 
 
@@ -306,7 +306,7 @@
                     self.counts.gone += 1
             elif member.state is MemberState.WAITING and now >= member.state_until:
                 member.set_state(MemberState.PRESENT, now)
-                self.counts.believed += 1
+                self.counts.offered_after_flapping += 1
         self._decide_held(now)
         if now >= self.last_lingering_check + LINGERING_CHECK_INTERVAL:
             self.last_lingering_check = now
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -1,4 +1,4 @@
-"""The stand-in coordinator: an unmodified client works on it, and it fails as it is told to."""
+"""The stand-in coordinator: works with an unmodified client, and its faults work as commanded."""
 
 from __future__ import annotations
 
@@ -37,31 +37,31 @@
 pytestmark = once
 
 T = TypeVar("T")
-LIMIT = 15.0  # s that anything may take, far over what it needs
+TIMEOUT = 15.0  # s: timeout of any single step, far above the usual duration
 
 
-class Running:
-    """An ensemble on a loop of its own, in a thread: the client brings threads of its own."""
+class ThreadedEnsemble:
+    """An ensemble on its own event loop in a thread, because the client uses threads of its own."""
 
     def __init__(self, faces: int) -> None:
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
-        self.ensemble: Ensemble = self.do(lambda: Ensemble(faces=faces))
-        asyncio.run_coroutine_threadsafe(self.ensemble.start(), self.loop).result(LIMIT)
+        self.ensemble: Ensemble = self.run(lambda: Ensemble(faces=faces))
+        asyncio.run_coroutine_threadsafe(self.ensemble.start(), self.loop).result(TIMEOUT)
         self.clients: list[Any] = []
 
-    def do(self, work: Callable[[], T]) -> T:
+    def run(self, work: Callable[[], T]) -> T:
         async def call() -> T:
             return work()
 
-        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(LIMIT)
+        return asyncio.run_coroutine_threadsafe(call(), self.loop).result(TIMEOUT)
 
     def client(self, timeout: float = 4.0, face: int | None = None) -> Any:
         hosts = self.ensemble.connect_string if face is None else str(self.ensemble.faces[face].address)
         quick = KazooRetry(max_tries=-1, delay=0.02, max_delay=0.1)
         made = KazooClient(hosts=hosts, timeout=timeout, connection_retry=quick, command_retry=quick)
-        made.start(LIMIT)
+        made.start(TIMEOUT)
         self.clients.append(made)
         return made
 
@@ -69,15 +69,15 @@
         for client in self.clients:
             client.stop()
             client.close()
-        asyncio.run_coroutine_threadsafe(self.ensemble.stop(), self.loop).result(LIMIT)
+        asyncio.run_coroutine_threadsafe(self.ensemble.stop(), self.loop).result(TIMEOUT)
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self.thread.join(LIMIT)
+        self.thread.join(TIMEOUT)
         self.loop.close()
 
 
 @contextmanager
-def running(faces: int = 1) -> Iterator[Running]:
-    made = Running(faces)
+def threaded_ensemble(faces: int = 1) -> Iterator[ThreadedEnsemble]:
+    made = ThreadedEnsemble(faces)
     try:
         yield made
     finally:
@@ -85,20 +85,20 @@
 
 
 def wait(event: threading.Event) -> None:
-    assert event.wait(LIMIT)
+    assert event.wait(TIMEOUT)
 
 
-def until(holds: Callable[[], bool]) -> None:
+def wait_until(holds: Callable[[], bool]) -> None:
     tick = threading.Event()
-    for _ in range(int(LIMIT / 0.01)):
+    for _ in range(int(TIMEOUT / 0.01)):
         if holds():
             return
         tick.wait(0.01)
-    raise AssertionError("it never came to hold")
+    raise AssertionError("the condition never held")
 
 
 def test_an_unmodified_client_creates_reads_watches_and_deletes() -> None:
-    with running() as made:
+    with threaded_ensemble() as made:
         client = made.client()
         assert client.ensure_path("/services/login") == "/services/login"
         assert client.create("/services/login/a", b"one", ephemeral=True) == "/services/login/a"
@@ -138,55 +138,55 @@
 
 
 def test_an_expired_session_takes_its_nodes_and_a_dropped_connection_does_not() -> None:
-    with running() as made:
+    with threaded_ensemble() as made:
         owner, other = made.client(), made.client()
         owner.create("/up", ephemeral=True)
-        made.do(lambda: made.ensemble.faces[0].drop())
-        # What is asked while the drop is still coming fails: a client asks again, as its users are told to.
+        made.run(lambda: made.ensemble.faces[0].drop())
+        # A request made while the connection is being dropped fails; callers of the client are to retry it.
         assert other.retry(other.exists, "/up") is not None, "its session lives on"
         assert owner.retry(owner.exists, "/up") is not None
         lost, gone = threading.Event(), threading.Event()
         owner.add_listener(lambda state: lost.set() if state == KazooState.LOST else None)
         other.exists("/up", watch=lambda _: gone.set())
         session = owner.client_id[0]
-        made.do(partial(made.ensemble.expire, session))
+        made.run(partial(made.ensemble.expire, session))
         wait(lost)
         wait(gone)
         assert other.exists("/up") is None
 
 
 def test_a_share_of_the_owners_expires_and_a_silent_client_after_its_time() -> None:
-    with running() as made:
+    with threaded_ensemble() as made:
         watcher = made.client()
         watcher.ensure_path("/s")
         for i in range(6):
             made.client().create(f"/s/{i}", ephemeral=True)
-        assert made.do(lambda: made.ensemble.expire_owners("/s", 1 / 3)) == 2
+        assert made.run(lambda: made.ensemble.expire_owners("/s", 1 / 3)) == 2
         assert len(watcher.get_children("/s")) == 4
         quiet = made.client(timeout=0.3)
         quiet.create("/quiet", ephemeral=True)
         session = quiet.client_id[0]
-        made.do(lambda: setattr(made.ensemble.tree.sessions[session], "last_heard", 0.0))
-        until(lambda: session not in made.ensemble.tree.sessions)
+        made.run(lambda: setattr(made.ensemble.tree.sessions[session], "last_heard", 0.0))
+        wait_until(lambda: session not in made.ensemble.tree.sessions)
         assert watcher.exists("/quiet") is None
 
 
 def test_sessions_move_between_faces_and_a_lagging_face_is_not_taken_back_in_time() -> None:
-    with running(faces=2) as made:
+    with threaded_ensemble(faces=2) as made:
         behind, ahead = made.ensemble.faces
-        made.do(lambda: made.ensemble.put("/s/a", b"1"))
+        made.run(lambda: made.ensemble.put("/s/a", b"1"))
         client = made.client(face=1)
-        made.do(lambda: behind.lag(True))
-        made.do(lambda: made.ensemble.put("/s/b", b"1"))
+        made.run(lambda: behind.lag(True))
+        made.run(lambda: made.ensemble.put("/s/b", b"1"))
         stale = made.client(face=0)
         assert stale.get_children("/s") == ["a"] and client.get_children("/s") == ["a", "b"]
         client.set_hosts(made.ensemble.connect_string)
-        made.do(lambda: setattr(ahead.ills, "refusing", True))
-        made.do(lambda: ahead.drop())
-        until(lambda: behind.count.connections > 2)
+        made.run(lambda: setattr(ahead.ills, "refusing", True))
+        made.run(lambda: ahead.drop())
+        wait_until(lambda: behind.count.connections > 2)
         assert not client.connected, "a face that knows less than the client must not take it"
-        made.do(lambda: behind.lag(False))
-        until(lambda: bool(client.connected))
+        made.run(lambda: behind.lag(False))
+        wait_until(lambda: bool(client.connected))
         assert (
             client.retry(client.get_children, "/s") == ["a", "b"]
             and client.client_id[0] in made.ensemble.tree.sessions
@@ -194,28 +194,28 @@
 
 
 def test_faults_on_command_freeze_delay_lose_read_only_and_empty() -> None:
-    with running() as made:
+    with threaded_ensemble() as made:
         face = made.ensemble.faces[0]
         client = made.client()
         client.ensure_path("/s")
         told: list[str] = []
         client.get_children("/s", watch=lambda event: told.append(event.type))
-        made.do(lambda: execute(made.ensemble, ["lose-watches", "0", "1"]))
-        made.do(lambda: made.ensemble.put("/s/a"))
+        made.run(lambda: execute(made.ensemble, ["lose-watches", "0", "1"]))
+        made.run(lambda: made.ensemble.put("/s/a"))
         assert client.get_children("/s", watch=lambda event: told.append(event.type)) == ["a"] and not told
-        made.do(lambda: made.ensemble.put("/s/b"))
-        until(lambda: set(told) == {"CHILD"})
-        made.do(lambda: face.freeze(True))
+        made.run(lambda: made.ensemble.put("/s/b"))
+        wait_until(lambda: set(told) == {"CHILD"})
+        made.run(lambda: face.freeze(True))
         waiting = client.get_children_async("/s")
         threading.Event().wait(0.1)
         assert not waiting.ready()
-        made.do(lambda: face.freeze(False))
-        assert waiting.get(timeout=LIMIT) == ["a", "b"]
-        made.do(lambda: execute(made.ensemble, ["read-only", "0"]))
+        made.run(lambda: face.freeze(False))
+        assert waiting.get(timeout=TIMEOUT) == ["a", "b"]
+        made.run(lambda: execute(made.ensemble, ["read-only", "0"]))
         with pytest.raises(NotReadOnlyCallError):
             client.create("/refused")
-        made.do(lambda: execute(made.ensemble, ["writable", "0"]))
-        made.do(lambda: made.ensemble.restart_empty())
+        made.run(lambda: execute(made.ensemble, ["writable", "0"]))
+        made.run(lambda: made.ensemble.restart_empty())
         assert made.client().exists("/s") is None
         assert not client.connected, "it has seen more than there is now"
 
@@ -237,14 +237,14 @@
     assert "no such command" in say("explode")["error"] and "NO_NODE" in say("remove /x")["error"]
     assert "IndexError" in say("freeze 7")["error"] and say("sessions") == {"sessions": []}
     process.stdin.close()
-    assert process.wait(LIMIT) == 0
+    assert process.wait(TIMEOUT) == 0
     done = subprocess.run(
         [sys.executable, "-m", "millgw", "coordinator", "--listen", "here"], capture_output=True, text=True
     )
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and "'here'" in done.stderr
 
 
-# Records
+# Record encoding
 
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 250), max_size=4))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Ephemeral membership on loopback: the daemon and the registrar against a coordinator that fails."""
+"""Membership from ephemeral nodes: daemon and registrar against a faulty coordinator on loopback."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 from millgw.standins.coordinator.tree import ChangeEvent
 from millgw.standins.scripted import STREAM, ScriptedDiscoveryServer, ScriptedEndpoint, chunk, line
 from tests.rig import Reachable, request, run, services, until
-from tests.test_coordinator import running
+from tests.test_coordinator import threaded_ensemble
 
 PATH = "/services/login"
 
@@ -49,30 +49,30 @@
 
 
 def entry(name: str, address: Address, status: str = "in_service") -> bytes:
-    said = {"name": name, "address": str(address), "status": status, "since_ms": 1}
-    return json.dumps(said).encode()
+    fields = {"name": name, "address": str(address), "status": status, "since_ms": 1}
+    return json.dumps(fields).encode()
 
 
-class Watching:
-    """One directory as a pool follows it, without a pool: nothing is seen of any endpoint but by `views`."""
+class FollowedDirectory:
+    """Follows one directory as a pool does; `views` is the only evidence on its endpoints."""
 
     def __init__(self, made: Ensemble, timeout: float = 4000.0, terms: Terms | None = None) -> None:
         servers = tuple(face.address for face in made.faces)
         self.names: dict[int, str] = {}
         self.ready: set[str] = set()
-        self.drains: set[str] = set()
-        self.told = 0
+        self.draining: set[str] = set()
+        self.times_changed = 0
         where = Where(servers, PATH, timeout, terms or Terms())
-        self.directory = Directory(where, (), 1, self, self.changed)
+        self.directory = Directory(where, (), 1, self, self.on_change)
         self.views: dict[str, tuple[float, float, float, float]] = {}
 
-    def knows(self, *names: str) -> None:
+    def add_names(self, *names: str) -> None:
         self.names |= {endpoint_id(name): name for name in names}
 
-    def changed(self, ready: dict[int, Listed], drains: dict[int, Listed]) -> None:
-        self.told += 1
+    def on_change(self, ready: dict[int, Listed], drains: dict[int, Listed]) -> None:
+        self.times_changed += 1
         self.ready = {self.names[id] for id in ready}
-        self.drains = {self.names[id] for id in drains}
+        self.draining = {self.names[id] for id in drains}
 
     def seen(self, endpoint: int) -> tuple[float, float, float, float] | None:
         return self.views.get(self.names[endpoint], (-math.inf, math.inf, -math.inf, -math.inf))
@@ -82,12 +82,12 @@
 
 
 @asynccontextmanager
-async def watching(
+async def followed_directory(
     made: Ensemble, names: str, timeout: float = 4000.0, terms: Terms | None = None
-) -> AsyncIterator[tuple[Watching, dict[str, int]]]:
-    """A directory that is followed, with members of these names; each one's session."""
-    rig = Watching(made, timeout, terms)
-    rig.knows(*names, "x", "y")
+) -> AsyncIterator[tuple[FollowedDirectory, dict[str, int]]]:
+    """Follow a directory whose members have these names; yields the rig and each member's session."""
+    rig = FollowedDirectory(made, timeout, terms)
+    rig.add_names(*names, "x", "y")
     sessions = {}
     for i, name in enumerate(names):
         sessions[name] = made.own(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
@@ -99,27 +99,31 @@
         rig.directory.stop()
 
 
-FIRST_PLACES = 15  # that three endpoints have together before anything is learned of them
+INITIAL_CONCURRENCY = (
+    15  # initial concurrency of three endpoints together, before anything is learned about them
+)
 
 
-def test_the_daemon_sends_to_registered_endpoints_and_stops_when_told(tmp_path: Path) -> None:
+def test_the_daemon_sends_to_registered_endpoints_until_they_drain_or_end(tmp_path: Path) -> None:
     async def test() -> None:
         made = [ScriptedEndpoint(name) for name in "abc"]
         async with ensemble() as zk:
             for e in made:
                 await e.start()
                 zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
-            async with services(tmp_path, service(zk)) as node:
-                await has(node, 3)
-                # At once: calls one by one are free to stay with endpoints that answered quickly.
+            async with services(tmp_path, service_config(zk)) as node:
+                await wait_for_endpoints(node, 3)
+                # Concurrent calls: sequential ones might all go to endpoints that answered quickly.
                 for _ in range(2):
-                    answers = await asyncio.gather(*(node.ask(request("pay")) for _ in range(FIRST_PLACES)))
+                    answers = await asyncio.gather(
+                        *(node.ask(request("pay")) for _ in range(INITIAL_CONCURRENCY))
+                    )
                     assert {answer.status for answer in answers} == {200}
                 assert all(e.got for e in made)
                 zk.remove(f"{PATH}/a")
-                await has(node, 2)
+                await wait_for_endpoints(node, 2)
                 zk.write(f"{PATH}/b", entry("b", made[1].address, "terminating"))
-                await has(node, 1)
+                await wait_for_endpoints(node, 1)
                 before = [len(e.got) for e in made]
                 for _ in range(20):
                     assert (await node.ask(request("pay"))).status == 200
@@ -130,38 +134,38 @@
     run(test)
 
 
-def test_all_expire_and_serve_on_and_one_that_dies_is_taken_out(tmp_path: Path) -> None:
+def test_members_whose_sessions_expire_serve_on_and_a_dead_one_is_removed(tmp_path: Path) -> None:
     async def test() -> None:
         made = [ScriptedEndpoint(f"e{i}") for i in range(6)]
         async with ensemble() as zk:
             for e in made:
                 await e.start()
                 zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
-            async with services(tmp_path, service(zk)) as node:
-                await has(node, 6)
+            async with services(tmp_path, service_config(zk)) as node:
+                await wait_for_endpoints(node, 6)
                 for _ in range(40):
                     assert (await node.ask(request("read"))).status == 200
                 assert zk.expire_owners(PATH) == 6
                 await asyncio.sleep(0.5)
                 for _ in range(40):
                     assert (await node.ask(request("read"))).status == 200
-                await has(node, 6)
+                await wait_for_endpoints(node, 6)
                 made[0].listener.close()
                 for connection in made[0].served:
                     connection.reset()
-                while await count(node) != 5:  # its session is gone and it takes no connection
+                while await ready_endpoints(node) != 5:  # its session is gone and it refuses connections
                     asked = [node.ask(request("read")) for _ in range(12)]
                     assert all(answer.status == 200 for answer in await asyncio.gather(*asked))
                 for e in made[1:]:
                     zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
-                await has(node, 5)
+                await wait_for_endpoints(node, 5)
                 zk.remove(f"{PATH}/e1")
-                await has(node, 4)
+                await wait_for_endpoints(node, 4)
 
     run(test)
 
 
-def service(zk: Ensemble, more: str = "") -> str:
+def service_config(zk: Ensemble, more: str = "") -> str:
     return f"""[services.login]
 {more}
 [services.login.coordinator]
@@ -173,13 +177,13 @@
 """
 
 
-async def count(node: Reachable) -> int:
+async def ready_endpoints(node: Reachable) -> int:
     ready = await node.ask(b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n")
     return int(ready.body.decode().partition(" endpoints")[0].rpartition(" ")[2])
 
 
-async def has(node: Reachable, endpoints: int) -> None:
-    while await count(node) != endpoints:
+async def wait_for_endpoints(node: Reachable, endpoints: int) -> None:
+    while await ready_endpoints(node) != endpoints:
         await asyncio.sleep(0.01)
 
 
@@ -193,56 +197,58 @@
                 await e.start()
             zk.own(f"{PATH}/a", entry("a", a.address))
             zk.own(f"{PATH}/b", entry("b", b.address))
-            text = service(zk, 'membership = "union"')
+            text = service_config(zk, 'membership = "union"')
             async with services(tmp_path, text, str(discovery_server.address)) as node:
                 _, writer = await discovery_server.calls.get()
                 writer.write(STREAM + chunk(line(1, [b.entry(), c.entry()], snapshot=True)))
-                await has(node, 3)
+                await wait_for_endpoints(node, 3)
                 writer.write(chunk(line(2, [b.entry("terminating")])))
-                await has(node, 2)
+                await wait_for_endpoints(node, 2)
                 zk.remove(f"{PATH}/a")
-                await has(node, 1)
+                await wait_for_endpoints(node, 1)
                 assert (await node.ask(request("pay"))).status == 200 and len(c.got) == 1
                 writer.close()
-                zk.write(f"{PATH}/b", entry("b", b.address, "terminating"))  # word that is not discovery's
+                zk.write(
+                    f"{PATH}/b", entry("b", b.address, "terminating")
+                )  # reported by the coordinator, not by discovery
                 _, writer = await discovery_server.calls.get()
                 writer.write(STREAM + chunk(line(2, [c.entry()], snapshot=True)))
                 writer.write(chunk(line(3, [a.entry(since_ms=int(time.time() * 1000) + 60_000)])))
-                await has(node, 2)
+                await wait_for_endpoints(node, 2)
 
     run(test)
 
 
-def test_the_sidecar_s_session_expires_amid_a_drain() -> None:
+def test_a_drain_during_expiry_of_the_sidecar_s_session_is_applied() -> None:
     async def test() -> None:
-        async with ensemble(2) as zk, watching(zk, "abcdef") as (rig, _):
+        async with ensemble(2) as zk, followed_directory(zk, "abcdef") as (rig, _):
             for face in zk.faces:
                 face.ills.refusing = True
             zk.expire(rig.directory.client.protocol.session)
             zk.write(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000), "terminating"))
             zk.remove(f"{PATH}/b")
             await asyncio.sleep(0.1)
-            assert rig.ready == set("abcdef"), "nothing is decided while nothing is heard"
+            assert rig.ready == set("abcdef"), "nothing is decided while the coordinator is unreachable"
             for face in zk.faces:
                 face.ills.refusing = False
-            await until(lambda: rig.ready == set("cdef") and rig.drains == {"a"})
+            await until(lambda: rig.ready == set("cdef") and rig.draining == {"a"})
             zk.put(f"{PATH}/draining/c")
-            await until(lambda: rig.drains == {"a", "c"})
+            await until(lambda: rig.draining == {"a", "c"})
             zk.remove(f"{PATH}/draining/c")
             await until(lambda: rig.ready == set("cdef"))
 
     run(test)
 
 
-def test_a_read_only_server_s_word_on_who_is_gone_is_doubted() -> None:
+def test_a_read_only_server_is_not_trusted_on_removed_nodes() -> None:
     async def test() -> None:
-        async with ensemble() as zk, watching(zk, "abcdef") as (rig, _):
+        async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
             zk.faces[0].ills.read_only = True
             zk.faces[0].drop()
             await until(lambda: rig.directory.distrust_until > 0)
             zk.remove(f"{PATH}/a")
             zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
-            await until(lambda: rig.drains == {"b"})
+            await until(lambda: rig.draining == {"b"})
             await until(lambda: rig.directory.tracker.counts.held == 1)
             assert rig.ready == set("acdef")
 
@@ -251,7 +257,7 @@
 
 def test_a_session_that_moves_misses_nothing() -> None:
     async def test() -> None:
-        async with ensemble(3) as zk, watching(zk, "abcdef") as (rig, _):
+        async with ensemble(3) as zk, followed_directory(zk, "abcdef") as (rig, _):
             session = rig.directory.client.protocol.session
             for _ in range(2):
                 for face in zk.faces:
@@ -267,9 +273,9 @@
     run(test)
 
 
-def test_a_delayed_watch_crosses_a_re_creation() -> None:
+def test_a_node_re_created_before_a_delayed_watch_event_is_a_new_start() -> None:
     async def test() -> None:
-        async with ensemble() as zk, watching(zk, "abcdef") as (rig, _):
+        async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
             zk.faces[0].ills.watch_delay = 200.0
             before = rig.directory.tracker.members["a"].started_at
             zk.remove(f"{PATH}/a")
@@ -283,7 +289,7 @@
 
 def test_a_face_that_lags_and_a_coordinator_that_restarts_empty_take_out_nobody() -> None:
     async def test() -> None:
-        async with ensemble(2) as zk, watching(zk, "abcdef", timeout=1000.0) as (rig, _):
+        async with ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=1000.0) as (rig, _):
             behind, ahead = zk.faces
             behind.lag(True)
             zk.remove(f"{PATH}/a")
@@ -294,7 +300,7 @@
             ahead.ills.refusing = True
             ahead.drop()
             await until(lambda: behind.count.connections > 1)
-            assert rig.ready == set("bcdef"), "an older list does not bring back who was told to be gone"
+            assert rig.ready == set("bcdef"), "an older list does not bring back a removed member"
             ahead.ills.refusing = False
             zk.restart_empty()
             await until(lambda: rig.directory.tracker.counts.held == 5)
@@ -307,11 +313,11 @@
     run(test)
 
 
-def test_what_can_t_be_read_is_skipped_and_far_too_many_nodes_change_nothing(
+def test_unreadable_nodes_are_skipped_and_too_many_nodes_change_nothing(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
-        async with ensemble() as zk, watching(zk, "abc") as (rig, _):
+        async with ensemble() as zk, followed_directory(zk, "abc") as (rig, _):
             zk.put(f"{PATH}/odd", b"{")
             zk.put(f"{PATH}/x", entry("x", Address("127.0.0.1", 2000)))
             await until(lambda: rig.ready == set("abcx"))
@@ -325,33 +331,33 @@
     run(test)
 
 
-def test_hostile_servers_are_left_and_the_next_is_tried() -> None:
+def test_after_malformed_replies_the_next_server_is_tried() -> None:
     session = jute.write_int(4000) + jute.write_long(5) + jute.write_buffer(bytes(16))
     up = jute.frame(jute.write_int(0) + session) + jute.frame(b"\1" * 16)
-    words = [b"\x7f\xff\xff\xff" * 9, b"\xff\xff\xff\xff", b"HTTP/1.1 400 \r\n\r\n", up]
+    replies = [b"\x7f\xff\xff\xff" * 9, b"\xff\xff\xff\xff", b"HTTP/1.1 400 \r\n\r\n", up]
 
     async def test() -> None:
-        met = set[int]()
+        reached = set[int]()
 
         async def serve(which: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            met.add(which)
-            writer.write(words[which])
+            reached.add(which)
+            writer.write(replies[which])
             await reader.read()
             writer.close()
 
         async with ensemble() as zk:
-            liars = [free_address() for _ in words]
+            faulty = [free_address() for _ in replies]
             servers = [
                 await asyncio.start_server(partial(serve, i), liar.host, liar.port)
-                for i, liar in enumerate(liars)
+                for i, liar in enumerate(faulty)
             ]
-            rig = Watching(zk)
-            rig.knows("a")
+            rig = FollowedDirectory(zk)
+            rig.add_names("a")
             zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
-            rig.directory.client = Client((*liars, zk.faces[0].address), 4000.0, Late(), rig.directory)
+            rig.directory.client = Client((*faulty, zk.faces[0].address), 4000.0, NoShuffle(), rig.directory)
             rig.directory.start()
             await until(lambda: rig.ready == {"a"})
-            assert len(met) == len(words)
+            assert len(reached) == len(replies)
             rig.directory.stop()
             for server in servers:
                 server.close()
@@ -359,15 +365,15 @@
     run(test)
 
 
-class Late(random.Random):
-    """Shuffles nothing: the honest server is tried last."""
+class NoShuffle(random.Random):
+    """Does not shuffle, so the correct server is tried last."""
 
     def shuffle(self, x: object) -> None: ...
 
 
-def test_a_frozen_coordinator_is_noticed_and_nobody_goes() -> None:
+def test_a_frozen_server_is_detected_and_no_member_is_removed() -> None:
     async def test() -> None:
-        async with ensemble(2) as zk, watching(zk, "abcdef", timeout=600.0) as (rig, _):
+        async with ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=600.0) as (rig, _):
             frozen = next(f for f in zk.faces if f.connections)
             frozen.freeze(True)
             await until(lambda: bool(next(f for f in zk.faces if f is not frozen).connections))
@@ -395,7 +401,7 @@
                 else:
                     for face in zk.faces:
                         face.drop()
-                    if turn == 2:  # the client starts over while its old session and node linger
+                    if turn == 2:  # the client starts over while its old session and node still exist
                         registrar.client.protocol.forget()
                 await until(lambda: not registrar.registered.is_set())
                 await registrar.registered.wait()
@@ -420,7 +426,7 @@
     run(test)
 
 
-CHILD = """
+SERVER_SCRIPT = """
 import pathlib, signal, socket, sys, time
 s = socket.create_server((sys.argv[3], int(sys.argv[1])))
 def end(*_):
@@ -438,40 +444,40 @@
         address = free_address()
         log: list[tuple[int, str, int]] = []
         async with ensemble() as zk:
-            told = zk.publish
+            publish_original = zk.publish
 
             def publish(changes: list[ChangeEvent]) -> None:
                 log.extend((c.event_type, c.path, time.monotonic_ns()) for c in changes)
-                told(changes)
+                publish_original(changes)
 
             zk.publish = publish  # type: ignore[method-assign, assignment]
-            words = ["--connect", zk.connect_string, "--path", PATH, "--name", "a", "--drain-s", "0.2"]
+            options = ["--connect", zk.connect_string, "--path", PATH, "--name", "a", "--drain-s", "0.2"]
             ended = tmp_path / "ended"
-            child = [sys.executable, "-c", CHILD, str(address.port), str(ended), address.host]
+            child = [sys.executable, "-c", SERVER_SCRIPT, str(address.port), str(ended), address.host]
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "millgw", "register", *words, "--address", str(address), "--", *child,
+                sys.executable, "-m", "millgw", "register", *options, "--address", str(address), "--", *child,
                 stderr=subprocess.DEVNULL,
             )  # fmt: skip
             await until(lambda: f"{PATH}/a" in zk.tree.nodes)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
-            mine = [(change, at) for change, path, at in log if path == f"{PATH}/a"]
-            assert [change for change, _ in mine] == [1, 3, 2], "made, drained, taken down"
-            assert mine[1][1] + 0.2e9 <= mine[2][1] < int(ended.read_text())
-            assert not zk.tree.sessions, "its session is closed, not left to its time-out"
-            dies = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "millgw", "register", *words, "--address", str(address), "--at-once",
+            own_events = [(change, at) for change, path, at in log if path == f"{PATH}/a"]
+            assert [change for change, _ in own_events] == [1, 3, 2], "created, drained, deleted"
+            assert own_events[1][1] + 0.2e9 <= own_events[2][1] < int(ended.read_text())
+            assert not zk.tree.sessions, "its session is closed and not left to time out"
+            exiting = await asyncio.create_subprocess_exec(
+                sys.executable, "-m", "millgw", "register", *options, "--address", str(address), "--at-once",
                 "--", sys.executable, "-c", "import time; time.sleep(1); raise SystemExit(7)",
                 stderr=subprocess.DEVNULL,
             )  # fmt: skip
             await until(lambda: f"{PATH}/a" in zk.tree.nodes)
-            assert await dies.wait() == 1 and f"{PATH}/a" not in zk.tree.nodes
+            assert await exiting.wait() == 1 and f"{PATH}/a" not in zk.tree.nodes
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         ({"--connect": "here"}, "--connect"),
         ({"--path": "services"}, "--path"),
@@ -482,19 +488,19 @@
         ({"--drain-s": "-1"}, "--drain-s"),
     ],
 )
-def test_bad_words_are_named_in_one_line(
-    change: dict[str, str], says: str, capsys: pytest.CaptureFixture[str]
+def test_invalid_options_are_reported_in_one_line(
+    change: dict[str, str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     from millgw.__main__ import main
 
-    words = {"--connect": "127.0.0.1:1", "--path": "/s", "--name": "a", "--address": "127.0.0.1:2"} | change
-    assert main(["register", *(w for pair in words.items() for w in pair)]) == 2
-    said = capsys.readouterr().err
-    assert says in said and said.count("\n") == 1
+    options = {"--connect": "127.0.0.1:1", "--path": "/s", "--name": "a", "--address": "127.0.0.1:2"} | change
+    assert main(["register", *(w for pair in options.items() for w in pair)]) == 2
+    printed = capsys.readouterr().err
+    assert message in printed and printed.count("\n") == 1
 
 
 def test_an_unmodified_client_s_nodes_are_read_and_ours_by_it() -> None:
-    with running() as made:
+    with threaded_ensemble() as made:
         client = made.client()
         assert isinstance(client, KazooClient)
         client.ensure_path(PATH)
@@ -537,11 +543,11 @@
         assert nowhere.returncode == 3 and nowhere.stderr.count("\n") == 1
 
 
-# The operator's file
+# Operator configuration file
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ('membership = "union"', "services.login.membership: says how two sources"),
         ('membership = "both"', "services.login.membership: Invalid enum value 'both'"),
@@ -558,14 +564,14 @@
         ),
     ],
 )
-def test_a_coordinator_that_can_t_be_used_is_named(text: str, says: str) -> None:
+def test_invalid_coordinator_settings_are_reported(text: str, message: str) -> None:
     with pytest.raises(OperatorError) as caught:
         parse(f'[services.login]\n{text}\n[[routes]]\nto = "login"\n', "o.toml")
-    assert says in str(caught.value) and str(caught.value).startswith("o.toml:")
+    assert message in str(caught.value) and str(caught.value).startswith("o.toml:")
 
 
-class Quiet:
-    """A listener that only asks for the list, over and over."""
+class ListingListener:
+    """A listener that requests the list on each connection."""
 
     def __init__(self) -> None:
         self.replies = 0
@@ -585,7 +591,7 @@
 def test_closing_ends_the_session_at_once() -> None:
     async def test() -> None:
         async with ensemble() as zk:
-            listener = Quiet()
+            listener = ListingListener()
             listener.client = Client((zk.faces[0].address,), 4000.0, random.Random(1), listener)
             listener.client.start()
             await until(lambda: listener.replies == 1)
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -1,4 +1,4 @@
-"""Ephemeral membership's decisions: protocol core, follower, judge, merge, registration. No sockets."""
+"""Decision logic of membership: protocol, server selection, follower, tracker, merge, registration."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
 
 pytestmark = once
 
-TIMEOUT = 10_000.0  # ms of a session
-NOWHERE = Stat(1, 2, 3, 4, 0, 0, 0, 0, 0, 0, 5)
+TIMEOUT = 10_000.0  # ms: session timeout
+SOME_STAT = Stat(1, 2, 3, 4, 0, 0, 0, 0, 0, 0, 5)
 
 
-# The protocol core
+# Client protocol
 
 
 def handshake(session: int = 9, timeout: int = 4000) -> bytes:
@@ -77,42 +77,42 @@
 @given(st.lists(st.integers(0, 400), max_size=12))
 @settings(max_examples=100, deadline=None)
 def test_the_core_reads_the_same_at_any_split(cuts: list[int]) -> None:
-    lists = jute.write_strings(["a", "b"]) + NOWHERE.write()
+    lists = jute.write_strings(["a", "b"]) + SOME_STAT.write()
     data = b"".join([
         handshake(), answer(1, 7, 0, lists), fired("/s/a"), answer(-2, 7),
-        answer(2, 8, 0, jute.write_buffer(b"x") + NOWHERE.write()), answer(3, 8, Code.NO_NODE),
+        answer(2, 8, 0, jute.write_buffer(b"x") + SOME_STAT.write()), answer(3, 8, Code.NO_NODE),
     ])  # fmt: skip
-    core = ClientProtocol(4000.0)
-    core.connect()
-    asks = [Ask(Kind.CHILDREN, "/s"), Ask(Kind.READ, "/s/a"), Ask(Kind.READ, "/s/b")]
-    for ask in asks:
-        core.request(ask)
+    protocol = ClientProtocol(4000.0)
+    protocol.connect()
+    requests = [Ask(Kind.CHILDREN, "/s"), Ask(Kind.READ, "/s/a"), Ask(Kind.READ, "/s/b")]
+    for ask in requests:
+        protocol.request(ask)
     events = []
     for start, end in itertools.pairwise([0, *sorted(c for c in cuts if c < len(data)), len(data)]):
-        events += core.receive(data[start:end])
+        events += protocol.receive(data[start:end])
     assert events == [
         SessionEstablished(9, 4000.0, True, False),
-        Reply(asks[0], 0, ("a", "b"), stat=NOWHERE), Fired(EventType.DATA, "/s/a"),
-        Reply(asks[1], 0, data=b"x", stat=NOWHERE), Reply(asks[2], Code.NO_NODE),
+        Reply(requests[0], 0, ("a", "b"), stat=SOME_STAT), Fired(EventType.DATA, "/s/a"),
+        Reply(requests[1], 0, data=b"x", stat=SOME_STAT), Reply(requests[2], Code.NO_NODE),
     ]  # fmt: skip
-    assert core.last_zxid == 8
+    assert protocol.last_zxid == 8
 
 
 @given(st.binary(max_size=300), st.booleans())
 @settings(max_examples=300, deadline=None)
-def test_whatever_comes_is_read_or_refused(data: bytes, up: bool) -> None:
-    core = ClientProtocol(4000.0)
-    core.connect()
-    core.request(Ask(Kind.CHILDREN, "/s"))
+def test_arbitrary_bytes_are_parsed_or_rejected(data: bytes, up: bool) -> None:
+    protocol = ClientProtocol(4000.0)
+    protocol.connect()
+    protocol.request(Ask(Kind.CHILDREN, "/s"))
     try:
-        core.receive((handshake() if up else b"") + data)
-        core.receive(jute.frame(data))
+        protocol.receive((handshake() if up else b"") + data)
+        protocol.receive(jute.frame(data))
     except BadRecord:
         pass
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
         (answer(5, 1), "not the next"),
         (answer(1, 9, Code.SESSION_MOVED), "moved"),
@@ -123,34 +123,34 @@
         (jute.frame(b"\0\0\0"), "int"),
     ],
 )
-def test_hostile_replies_end_the_connection(data: bytes, says: str) -> None:
-    core = ClientProtocol(4000.0)
-    core.connect()
-    core.request(Ask(Kind.CHILDREN, "/s"))
-    core.request(Ask(Kind.EXISTS, "/s"))
-    core.receive(handshake())
-    with pytest.raises(BadRecord, match=says):
-        core.receive(data)
+def test_malformed_replies_end_the_connection(data: bytes, message: str) -> None:
+    protocol = ClientProtocol(4000.0)
+    protocol.connect()
+    protocol.request(Ask(Kind.CHILDREN, "/s"))
+    protocol.request(Ask(Kind.EXISTS, "/s"))
+    protocol.receive(handshake())
+    with pytest.raises(BadRecord, match=message):
+        protocol.receive(data)
 
 
 def test_a_session_moves_expires_and_starts_over() -> None:
-    core = ClientProtocol(4000.0)
-    core.connect()
-    assert core.receive(handshake()) == [SessionEstablished(9, 4000.0, True, False)]
-    core.receive(answer(-2, 77))
-    again = core.connect()
-    assert jute.write_long(77) in again and jute.write_long(9) in again, "what it has seen, and its session"
-    assert core.receive(handshake()) == [SessionEstablished(9, 4000.0, False, False)]
-    core.connect()
-    assert core.receive(handshake(0, 0)) == [SessionExpired()] and core.session == 0
-    core.forget()
-    assert jute.write_long(77) not in core.connect()
+    protocol = ClientProtocol(4000.0)
+    protocol.connect()
+    assert protocol.receive(handshake()) == [SessionEstablished(9, 4000.0, True, False)]
+    protocol.receive(answer(-2, 77))
+    again = protocol.connect()
+    assert jute.write_long(77) in again and jute.write_long(9) in again, "sends its last zxid and its session"
+    assert protocol.receive(handshake()) == [SessionEstablished(9, 4000.0, False, False)]
+    protocol.connect()
+    assert protocol.receive(handshake(0, 0)) == [SessionExpired()] and protocol.session == 0
+    protocol.forget()
+    assert jute.write_long(77) not in protocol.connect()
 
 
-# Which server, and when
+# Server selection
 
 
-def test_a_connect_string_is_read_or_named() -> None:
+def test_a_connect_string_is_parsed_or_rejected() -> None:
     assert read_connect("127.0.0.1:1,127.0.0.1:2/a/b") == (
         (Address("127.0.0.1", 1), Address("127.0.0.1", 2)), "/a/b",
     )  # fmt: skip
@@ -161,48 +161,50 @@
 
 def test_clients_that_lose_a_server_together_come_back_spread() -> None:
     servers = [Address("127.0.0.1", port) for port in (1, 2, 3)]
-    comes = []
+    reconnects = []
     for seed in range(420):
-        rota = ServerSelector(servers, random.Random(seed), TIMEOUT)
-        rota.first()
-        rota.on_session_established(TIMEOUT)
-        comes.append(rota.on_connection_lost(served=True, reached=True, refused=False))
-    by_tenth = Counter(int(t.delay // (RECONNECT_SPREAD / 10)) for t in comes)
-    by_server = Counter(t.server for t in comes)
-    assert max(by_tenth.values()) < 420 / 10 * 1.6, "no tenth of the time has much more than its part"
-    assert max(by_server.values()) < 420 / 3 * 1.3, "no server either"
+        selector = ServerSelector(servers, random.Random(seed), TIMEOUT)
+        selector.first()
+        selector.on_session_established(TIMEOUT)
+        reconnects.append(selector.on_connection_lost(served=True, reached=True, refused=False))
+    by_tenth = Counter(int(t.delay // (RECONNECT_SPREAD / 10)) for t in reconnects)
+    by_server = Counter(t.server for t in reconnects)
+    assert max(by_tenth.values()) < 420 / 10 * 1.6, "reconnects are spread evenly over time"
+    assert max(by_server.values()) < 420 / 3 * 1.3, "and over servers"
 
 
 @pytest.mark.parametrize("timeout", [1000.0, 4000.0, 10_000.0, 30_000.0])
 @pytest.mark.parametrize("servers", [1, 3])
 def test_a_session_outlives_a_coordinator_that_is_back_in_time(timeout: float, servers: int) -> None:
-    """Its last ping went out a third of the time-out before the loss, at the worst."""
+    """In the worst case the last ping was sent a third of the timeout before the connection was lost."""
     for seed in range(100):
-        rota = ServerSelector(
+        selector = ServerSelector(
             [Address("127.0.0.1", 1 + n) for n in range(servers)], random.Random(seed), timeout
         )
-        rota.first()
-        rota.on_session_established(timeout)
-        tried = rota.on_connection_lost(served=True, reached=True, refused=False).delay
+        selector.first()
+        selector.on_session_established(timeout)
+        tried = selector.on_connection_lost(served=True, reached=True, refused=False).delay
         while tried < 0.4 * timeout:
-            tried += rota.on_connection_lost(served=False, reached=False, refused=False).delay
+            tried += selector.on_connection_lost(served=False, reached=False, refused=False).delay
         assert tried < 2 / 3 * timeout, seed
 
 
 def test_a_session_that_may_live_is_not_given_up_however_often_it_is_refused() -> None:
-    rota = ServerSelector([Address("127.0.0.1", port) for port in (1, 2)], random.Random(1), TIMEOUT)
-    rota.first()
-    assert not any(rota.on_connection_lost(False, True, True, outlived=False).start_over for _ in range(40))
+    selector = ServerSelector([Address("127.0.0.1", port) for port in (1, 2)], random.Random(1), TIMEOUT)
+    selector.first()
+    assert not any(
+        selector.on_connection_lost(False, True, True, outlived=False).start_over for _ in range(40)
+    )
 
 
 @given(st.lists(st.sampled_from(["refused", "unreachable", "silent"]), min_size=1, max_size=30))
-def test_it_starts_over_only_where_all_that_can_be_reached_refuse(kinds: list[str]) -> None:
+def test_starts_over_only_if_all_reachable_servers_refuse(kinds: list[str]) -> None:
     servers = [Address("127.0.0.1", port) for port in (1, 2)]
-    rota = ServerSelector(servers, random.Random(1), TIMEOUT)
-    rota.first()
+    selector = ServerSelector(servers, random.Random(1), TIMEOUT)
+    selector.first()
     since: list[str] = []
     for kind in kinds:
-        made = rota.on_connection_lost(False, kind != "unreachable", kind == "refused", outlived=True)
+        made = selector.on_connection_lost(False, kind != "unreachable", kind == "refused", outlived=True)
         since.append(kind)
         if made.start_over:
             assert "silent" not in since and since.count("refused") > 0
@@ -212,7 +214,7 @@
             assert "silent" in since or "refused" not in since
 
 
-# What nodes hold
+# Node data
 
 
 ENTRY = {"name": "a", "address": "10.0.0.1:80", "status": "in_service", "group": 2, "weight": 1.5}
@@ -256,223 +258,225 @@
         json.dumps(ENTRY | {"name": "x" * 70_000}).encode(),
     ],
 )  # fmt: skip
-def test_what_can_t_be_read_says_why(data: bytes) -> None:
+def test_malformed_node_data_is_rejected_with_a_reason(data: bytes) -> None:
     with pytest.raises(ValueError, match=r"\w"):
         read_node(data, ())
 
 
-# The follower against a coordinator
+# Directory follower against a coordinator
 
 
-class Server:
-    """A coordinator as one client has it: replies in order, watches that tell once, all on one wire."""
+class SimulatedServer:
+    """A coordinator as seen by one client: ordered replies and one-shot watch events on one connection."""
 
     def __init__(self) -> None:
         self.tree = Tree()
         self.owner = self.tree.open(1e9, 0.0).id
         self.watched: set[tuple[str, str]] = set()
-        self.asked: list[Ask] = []
-        self.wire: list[Reply | Fired] = []
-        self.lose = False
+        self.requests: list[Ask] = []
+        self.in_flight: list[Reply | Fired] = []
+        self.lose_watches = False
 
-    def change(self, told: list[ChangeEvent]) -> None:
-        for one in told:
+    def fire_watches(self, events: list[ChangeEvent]) -> None:
+        for one in events:
             kinds = {
                 EventType.CREATED: ("exists",), EventType.DELETED: ("data", "exists", "children"),
                 EventType.DATA: ("data", "exists"), EventType.CHILDREN: ("children",),
             }[EventType(one.event_type)]  # fmt: skip
             found = {(k, one.path) for k in kinds} & self.watched
             self.watched -= found
-            if found and not self.lose:
-                self.wire.append(Fired(one.event_type, one.path))
+            if found and not self.lose_watches:
+                self.in_flight.append(Fired(one.event_type, one.path))
 
     def answer(self) -> None:
-        ask = self.asked.pop(0)
+        ask = self.requests.pop(0)
         try:
             if ask.operation is Kind.CHILDREN:
                 names, stat = self.tree.children(ask.path)
                 self.watched.add(("children", ask.path))
-                self.wire.append(Reply(ask, 0, tuple(names), stat=stat))
+                self.in_flight.append(Reply(ask, 0, tuple(names), stat=stat))
             elif ask.operation is Kind.READ:
                 data, stat = self.tree.read(ask.path)
                 self.watched.add(("data", ask.path))
-                self.wire.append(Reply(ask, 0, data=data, stat=stat))
+                self.in_flight.append(Reply(ask, 0, data=data, stat=stat))
             else:
                 self.watched.add(("exists" if ask.path not in self.tree.nodes else "data", ask.path))
-                self.wire.append(Reply(ask, 0, stat=self.tree.exists(ask.path)))
+                self.in_flight.append(Reply(ask, 0, stat=self.tree.exists(ask.path)))
         except OperationError as failed:
-            self.wire.append(Reply(ask, failed.code))
+            self.in_flight.append(Reply(ask, failed.code))
 
-    def act(self, what: str, path: str) -> None:
+    def apply(self, what: str, path: str) -> None:
         try:
             if what == "delete":
                 for child in sorted(self.tree.nodes[path].children) if path in self.tree.nodes else ():
-                    self.change(self.tree.delete(f"{path}/{child}"))
-                self.change(self.tree.delete(path))
+                    self.fire_watches(self.tree.delete(f"{path}/{child}"))
+                self.fire_watches(self.tree.delete(path))
             elif what == "write":
-                self.change(self.tree.write(path, b"%d" % self.tree.zxid, -1, 0.0)[1])
+                self.fire_watches(self.tree.write(path, b"%d" % self.tree.zxid, -1, 0.0)[1])
             elif what == "create":
-                self.change(self.tree.create(path, b"new", 0, self.owner, 0.0)[1])
+                self.fire_watches(self.tree.create(path, b"new", 0, self.owner, 0.0)[1])
         except OperationError:
             pass
 
 
 NAMES = ["/s", "/s/a", "/s/a", "/s/a", "/s/b", "/s/draining", "/s/draining/a"]
-ACTS_ON_IT = ["create", "create", "write", "delete", "answer", "answer", "read", "read", "wait", "move"]
-HAPPENINGS = st.lists(st.tuples(st.sampled_from(ACTS_ON_IT), st.sampled_from(NAMES)), max_size=80)
+STEP_KINDS = ["create", "create", "write", "delete", "answer", "answer", "read", "read", "wait", "move"]
+STEPS = st.lists(st.tuples(st.sampled_from(STEP_KINDS), st.sampled_from(NAMES)), max_size=80)
 
 
-def take(server: Server, follower: DirectoryFollower, now: float) -> None:
-    came = server.wire.pop(0)
-    asks = follower.on_reply(now, came) if isinstance(came, Reply) else follower.on_watch_event(now, came)
-    server.asked += asks
+def deliver_next(server: SimulatedServer, follower: DirectoryFollower, now: float) -> None:
+    came = server.in_flight.pop(0)
+    requests = follower.on_reply(now, came) if isinstance(came, Reply) else follower.on_watch_event(now, came)
+    server.requests += requests
 
 
-def quiet(server: Server, follower: DirectoryFollower, now: float) -> float:
-    """Let all that is under way come to its end."""
+def run_until_idle(server: SimulatedServer, follower: DirectoryFollower, now: float) -> float:
+    """Run until nothing is in flight and nothing is due within 1 s; returns the time then."""
     for _ in range(1000):
-        while server.asked or server.wire:
-            if server.asked:
+        while server.requests or server.in_flight:
+            if server.requests:
                 server.answer()
-            while server.wire:
-                take(server, follower, now)
+            while server.in_flight:
+                deliver_next(server, follower, now)
         due = follower.next_tick()
         if due > now + 1000.0:
             return now
         now = max(now, due)
-        server.asked += follower.tick(now)
-    raise AssertionError("it never comes to rest")
+        server.requests += follower.tick(now)
+    raise AssertionError("the follower never becomes idle")
 
 
-def same(server: Server, follower: DirectoryFollower) -> None:
-    nodes, picture = server.tree.nodes, follower.state
-    assert picture.complete and picture.missing == ("/s" not in nodes)
+def assert_state_matches_tree(server: SimulatedServer, follower: DirectoryFollower) -> None:
+    nodes, state = server.tree.nodes, follower.state
+    assert state.complete and state.missing == ("/s" not in nodes)
     members = nodes["/s"].children - {"draining"} if "/s" in nodes else set()
-    assert {n: (p.data, p.stat.czxid) for n, p in picture.nodes.items()} == {
+    assert {n: (p.data, p.stat.czxid) for n, p in state.nodes.items()} == {
         n: (nodes[f"/s/{n}"].data, nodes[f"/s/{n}"].czxid) for n in members
     }
-    assert picture.draining == (nodes["/s/draining"].children if "/s/draining" in nodes else set())
+    assert state.draining == (nodes["/s/draining"].children if "/s/draining" in nodes else set())
 
 
-@given(HAPPENINGS)
+@given(STEPS)
 @settings(max_examples=400, deadline=None)
-def test_the_follower_s_picture_comes_to_be_the_tree_whatever_crosses(steps: list[tuple[str, str]]) -> None:
-    server, follower, now = Server(), DirectoryFollower("/s"), 0.0
-    server.asked += follower.on_connected(now, True)
+def test_the_follower_s_state_converges_to_the_tree_in_any_order_of_events(
+    steps: list[tuple[str, str]],
+) -> None:
+    server, follower, now = SimulatedServer(), DirectoryFollower("/s"), 0.0
+    server.requests += follower.on_connected(now, True)
     for what, path in steps:
         now += 7.0
-        if what == "answer" and server.asked:
+        if what == "answer" and server.requests:
             server.answer()
-        elif what == "read" and server.wire:
-            take(server, follower, now)
+        elif what == "read" and server.in_flight:
+            deliver_next(server, follower, now)
         elif what == "wait":
-            server.asked += follower.tick(now)
+            server.requests += follower.tick(now)
         elif what == "move":
-            # A new connection under the same session: what is under way is lost, watches are set again.
-            server.wire, server.asked, server.watched = [], [], set()
+            # A new connection of the same session: whatever is in flight is lost, watches are set again.
+            server.in_flight, server.requests, server.watched = [], [], set()
             data, exists, children = follower.watches()
             for kind, paths in (("data", data), ("exists", exists), ("children", children)):
                 for each in paths:
                     server.watched.add((kind, each))
-                    server.wire.append(
+                    server.in_flight.append(
                         Fired(EventType.CHILDREN if kind == "children" else EventType.DATA, each)
                     )
-            server.asked += follower.on_connected(now, False)
+            server.requests += follower.on_connected(now, False)
         else:
-            server.act(what, path)
-    quiet(server, follower, now)
-    same(server, follower)
+            server.apply(what, path)
+    run_until_idle(server, follower, now)
+    assert_state_matches_tree(server, follower)
 
 
 def test_a_node_made_anew_between_its_read_and_its_directory_s_list_is_read() -> None:
-    server, follower = Server(), DirectoryFollower("/s")
-    server.act("create", "/s")
-    server.act("create", "/s/a")
-    server.asked += follower.on_connected(0.0, True)
-    now = quiet(server, follower, 0.0) + 1000.0
-    server.act("delete", "/s/a")
-    while server.wire:
-        take(server, follower, now)
+    server, follower = SimulatedServer(), DirectoryFollower("/s")
+    server.apply("create", "/s")
+    server.apply("create", "/s/a")
+    server.requests += follower.on_connected(0.0, True)
+    now = run_until_idle(server, follower, 0.0) + 1000.0
+    server.apply("delete", "/s/a")
+    while server.in_flight:
+        deliver_next(server, follower, now)
     server.answer()
-    assert isinstance(server.wire[-1], Reply) and server.wire[-1].code == Code.NO_NODE
-    server.act("create", "/s/a")
-    quiet(server, follower, now)
-    same(server, follower)
+    assert isinstance(server.in_flight[-1], Reply) and server.in_flight[-1].code == Code.NO_NODE
+    server.apply("create", "/s/a")
+    run_until_idle(server, follower, now)
+    assert_state_matches_tree(server, follower)
 
 
 def test_a_read_that_is_lost_with_its_connection_is_made_again() -> None:
-    server, follower = Server(), DirectoryFollower("/s")
-    server.act("create", "/s")
-    server.asked += follower.on_connected(0.0, True)
-    quiet(server, follower, 0.0)
-    server.act("create", "/s/a")
-    take(server, follower, 1.0)
+    server, follower = SimulatedServer(), DirectoryFollower("/s")
+    server.apply("create", "/s")
+    server.requests += follower.on_connected(0.0, True)
+    run_until_idle(server, follower, 0.0)
+    server.apply("create", "/s/a")
+    deliver_next(server, follower, 1.0)
     server.answer()
-    take(server, follower, 1.0)
-    assert server.asked == [Ask(Kind.READ, "/s/a")]
-    server.asked = follower.on_connected(2.0, False)
-    quiet(server, follower, 2.0)
-    same(server, follower)
+    deliver_next(server, follower, 1.0)
+    assert server.requests == [Ask(Kind.READ, "/s/a")]
+    server.requests = follower.on_connected(2.0, False)
+    run_until_idle(server, follower, 2.0)
+    assert_state_matches_tree(server, follower)
 
 
-def test_a_lost_watch_is_made_good_by_the_recheck() -> None:
-    server, follower = Server(), DirectoryFollower("/s")
+def test_a_lost_watch_event_is_made_up_for_by_the_recheck() -> None:
+    server, follower = SimulatedServer(), DirectoryFollower("/s")
     for path in ("/s", "/s/a", "/s/b"):
-        server.act("create", path)
-    server.asked += follower.on_connected(0.0, True)
-    now = quiet(server, follower, 0.0)
-    server.lose = True
-    server.act("create", "/s/c")
-    server.act("write", "/s/a")
-    server.lose = False
+        server.apply("create", path)
+    server.requests += follower.on_connected(0.0, True)
+    now = run_until_idle(server, follower, 0.0)
+    server.lose_watches = True
+    server.apply("create", "/s/c")
+    server.apply("write", "/s/a")
+    server.lose_watches = False
     assert "c" not in follower.state.nodes
     now += RECHECK_INTERVAL
-    server.asked += follower.tick(now)
-    quiet(server, follower, now)
-    same(server, follower)
+    server.requests += follower.tick(now)
+    run_until_idle(server, follower, now)
+    assert_state_matches_tree(server, follower)
 
 
 def test_data_that_changes_all_the_time_is_read_now_and_then() -> None:
-    server, follower, now = Server(), DirectoryFollower("/s"), 0.0
-    server.act("create", "/s")
-    server.act("create", "/s/a")
-    server.asked += follower.on_connected(now, True)
-    quiet(server, follower, now)
+    server, follower, now = SimulatedServer(), DirectoryFollower("/s"), 0.0
+    server.apply("create", "/s")
+    server.apply("create", "/s/a")
+    server.requests += follower.on_connected(now, True)
+    run_until_idle(server, follower, now)
     reads = 0
     for _ in range(500):  # 100 a second for 5 s
         now += 10.0
-        server.act("write", "/s/a")
-        server.asked += follower.tick(now)
-        while server.asked or server.wire:
-            reads += len(server.asked)
-            while server.asked:
+        server.apply("write", "/s/a")
+        server.requests += follower.tick(now)
+        while server.requests or server.in_flight:
+            reads += len(server.requests)
+            while server.requests:
                 server.answer()
-            while server.wire:
-                take(server, follower, now)
+            while server.in_flight:
+                deliver_next(server, follower, now)
     assert 40 <= reads <= 55, reads
-    quiet(server, follower, now)
-    same(server, follower)
+    run_until_idle(server, follower, now)
+    assert_state_matches_tree(server, follower)
 
 
-# The judge
+# Membership tracker
 
 
 class Fleet:
-    """Members of one directory, and what a sidecar sees of them."""
+    """Members of one directory, and a sidecar's own evidence on them."""
 
     def __init__(self, count: int, terms: Terms | None = None, since: float = 0.0) -> None:
         self.now = 1_000_000.0
         self.zxid = 0
         self.nodes: dict[str, MemberNode] = {}
-        self.views: dict[str, EndpointEvidence] = {}
-        self.judge = MembershipTracker(
-            terms or Terms(), random.Random(1), lambda name: self.views.get(name, EndpointEvidence())
+        self.evidence: dict[str, EndpointEvidence] = {}
+        self.tracker = MembershipTracker(
+            terms or Terms(), random.Random(1), lambda name: self.evidence.get(name, EndpointEvidence())
         )
         for i in range(count):
-            self.make(f"m{i}", since=since)
-        self.see()
+            self.create(f"m{i}", since=since)
+        self.update()
 
-    def make(self, name: str, status: bool = True, since: float = 0.0, instance: str = "") -> None:
+    def create(self, name: str, status: bool = True, since: float = 0.0, instance: str = "") -> None:
         self.zxid += 1
         condition = Condition.READY if status else Condition.DRAINING
         endpoint = Endpoint(endpoint_id(name), condition, started_at=since)
@@ -483,43 +487,43 @@
 
     def write(self, name: str, status: bool) -> None:
         old = self.nodes[name]
-        self.make(name, status)
+        self.create(name, status)
         self.nodes[name] = replace(self.nodes[name], czxid=old.czxid, ctime=old.ctime, owner=old.owner)
 
-    def see(self, drained: tuple[str, ...] = (), suspect: bool = False) -> None:
-        self.judge.update(self.now, list(self.nodes.items()), drained, suspect)
-        self.judge.decide(self.now)
+    def update(self, drained: tuple[str, ...] = (), suspect: bool = False) -> None:
+        self.tracker.update(self.now, list(self.nodes.items()), drained, suspect)
+        self.tracker.decide(self.now)
 
     def wait(self, ms: float, alive: Callable[[str], bool] = lambda name: True) -> None:
-        """Time passes; calls are made to all that are offered, and those that live answer."""
+        """Let time pass; all offered endpoints receive requests, and those that are alive answer."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + 50.0)
-            for name in self.judge.offered():
-                seen = self.views.get(name, EndpointEvidence())
+            for name in self.tracker.offered():
+                seen = self.evidence.get(name, EndpointEvidence())
                 if alive(name):
                     opened = min(seen.oldest_opened, self.now)
-                    self.views[name] = replace(seen, last_answer=self.now, oldest_opened=opened, misses=0)
+                    self.evidence[name] = replace(seen, last_answer=self.now, oldest_opened=opened, misses=0)
                 else:
-                    self.views[name] = replace(
+                    self.evidence[name] = replace(
                         seen,
                         last_miss=self.now,
                         last_broken=self.now,
                         oldest_opened=math.inf,
                         misses=seen.misses + 1,
                     )
-            self.judge.decide(self.now)
+            self.tracker.decide(self.now)
 
     def offered(self) -> set[str]:
-        return set(self.judge.offered())
+        return set(self.tracker.offered())
 
 
 def test_one_that_vanishes_is_gone_well_within_the_grace() -> None:
     fleet = Fleet(17)
     del fleet.nodes["m3"]
-    fleet.see()
+    fleet.update()
     fleet.wait(200.0)
-    assert "m3" not in fleet.offered() and len(fleet.offered()) == 16 and fleet.judge.counts.gone == 1
+    assert "m3" not in fleet.offered() and len(fleet.offered()) == 16 and fleet.tracker.counts.gone == 1
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -527,25 +531,25 @@
     fleet = Fleet(17)
     fleet.wait(500.0)
     few, starts = (
-        fleet.judge.departure_limit(),
-        {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()},
+        fleet.tracker.departure_limit(),
+        {n: e.endpoint.started_at for n, e in fleet.tracker.offered().items()},
     )
     for name in list(fleet.nodes):
         del fleet.nodes[name]
         if not at_once:
-            fleet.see()
+            fleet.update()
             fleet.wait(400.0)
-    fleet.see()
+    fleet.update()
     fleet.wait(20_000.0)
     assert len(fleet.offered()) >= 17 - (0 if at_once else few) and few == 3
     held = fleet.offered()
     for i in range(17):
-        fleet.make(f"m{i}")
-    fleet.see()
+        fleet.create(f"m{i}")
+    fleet.update()
     assert len(fleet.offered()) == 17
-    now = fleet.judge.offered()
+    now = fleet.tracker.offered()
     assert all(now[n].endpoint.started_at == starts[n] for n in held), (
-        "the same processes: not one counts as cold"
+        "the same processes: none counts as cold"
     )
     assert all(now[n].endpoint.started_at > starts[n] for n in now.keys() - held)
 
@@ -556,38 +560,40 @@
     lost, dead = [f"m{i}" for i in range(6)], {"m0", "m1"}
     for name in lost:
         del fleet.nodes[name]
-    fleet.see()
+    fleet.update()
     fleet.wait(2000.0, lambda name: name not in dead)
-    assert fleet.offered() == {f"m{i}" for i in range(18)} - dead and fleet.judge.counts.dead == 2
-    fleet.make("m0")
-    fleet.make("m2")
-    fleet.see()
-    now = fleet.judge.offered()
-    assert now["m0"].endpoint.started_at == fleet.nodes["m0"].ctime, "another process under its name: cold"
+    assert fleet.offered() == {f"m{i}" for i in range(18)} - dead and fleet.tracker.counts.dead == 2
+    fleet.create("m0")
+    fleet.create("m2")
+    fleet.update()
+    now = fleet.tracker.offered()
+    assert now["m0"].endpoint.started_at == fleet.nodes["m0"].ctime, (
+        "another process under the same name is cold"
+    )
     assert now["m2"].endpoint.started_at < fleet.nodes["m2"].ctime
     for name in ("m3", "m4", "m5"):
-        fleet.make(name)
-    fleet.see()
+        fleet.create(name)
+    fleet.update()
     for name in ("m9", "m10", "m11"):
         del fleet.nodes[name]
-    fleet.see()
+    fleet.update()
     fleet.wait(200.0)
-    assert "m9" not in fleet.offered(), "who was seen dead says nothing of the coordinator any more"
+    assert "m9" not in fleet.offered(), "departures of members seen dead do not count against the coordinator"
 
 
 def test_a_held_endpoint_whose_connections_broke_comes_back_as_a_cold_one() -> None:
     fleet = Fleet(9)
     fleet.wait(500.0)
-    starts = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
+    starts = {n: e.endpoint.started_at for n, e in fleet.tracker.offered().items()}
     fleet.nodes.clear()
-    fleet.see()
+    fleet.update()
     fleet.wait(1000.0)
-    fleet.views["m0"] = replace(fleet.views["m0"], last_broken=fleet.now, oldest_opened=fleet.now)
+    fleet.evidence["m0"] = replace(fleet.evidence["m0"], last_broken=fleet.now, oldest_opened=fleet.now)
     fleet.wait(500.0)
     for i in range(9):
-        fleet.make(f"m{i}")
-    fleet.see()
-    now = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
+        fleet.create(f"m{i}")
+    fleet.update()
+    now = {n: e.endpoint.started_at for n, e in fleet.tracker.offered().items()}
     assert now["m0"] > starts["m0"] and all(now[f"m{i}"] == starts[f"m{i}"] for i in range(1, 9))
 
 
@@ -595,19 +601,19 @@
     fleet = Fleet(20, Terms(hold=2000.0, hold_most=8000.0, window=1000.0))
     quiet = {f"m{i}" for i in range(10)}
     fleet.nodes.clear()
-    fleet.see()
+    fleet.update()
     for name in quiet:
-        fleet.views[name] = EndpointEvidence()
+        fleet.evidence[name] = EndpointEvidence()
     lost = []
     before = 20
     for _ in range(120):
         fleet.wait(250.0)
-        for name in quiet:  # nobody calls these: nothing is heard of them
-            fleet.views[name] = EndpointEvidence()
+        for name in quiet:  # these receive no requests, so there is no evidence on them
+            fleet.evidence[name] = EndpointEvidence()
         lost.append(before - len(fleet.offered()))
         before = len(fleet.offered())
     assert before == 0 and max(lost) <= 3, lost
-    assert sum(lost[: 2000 // 250 - 1]) == 0, "none before its hold is over"
+    assert sum(lost[: 2000 // 250 - 1]) == 0, "none is removed before its hold ends"
 
 
 @pytest.mark.parametrize("how", ["status", "mark", "held", "mass"])
@@ -617,76 +623,76 @@
         kept = fleet.nodes.pop("m0") if how == "held" else fleet.nodes["m0"]
         for i in range(1, 8):
             del fleet.nodes[f"m{i}"]
-        fleet.see()
-        assert fleet.judge.states()["held"] >= 7
+        fleet.update()
+        assert fleet.tracker.states()["held"] >= 7
         fleet.nodes["m0"] = kept
     if how != "mark":
         fleet.write("m0", status=False)
-    fleet.see(drained=("m0",) if how == "mark" else ())
-    assert "m0" not in fleet.offered() and "m0" in fleet.judge.draining
+    fleet.update(drained=("m0",) if how == "mark" else ())
+    assert "m0" not in fleet.offered() and "m0" in fleet.tracker.draining
     if how == "mark":
-        fleet.see()
-        assert "m0" in fleet.offered(), "an operator's mark can be taken away"
+        fleet.update()
+        assert "m0" in fleet.offered(), "an operator's drain can be revoked"
         return
     drained = fleet.nodes["m0"]
     fleet.nodes["m0"] = replace(drained, mzxid=drained.mzxid - 1, data=Fleet(1).nodes["m0"].data)
-    fleet.see()
-    assert "m0" not in fleet.offered() and fleet.judge.counts.stale, "an older word of a server that lags"
+    fleet.update()
+    assert "m0" not in fleet.offered() and fleet.tracker.counts.stale, "outdated data of a server that lags"
 
 
 def test_a_node_that_was_told_gone_is_not_brought_back_by_an_older_list() -> None:
     fleet = Fleet(10)
     old = fleet.nodes.pop("m1")
-    fleet.see()
+    fleet.update()
     fleet.wait(200.0)
     fleet.nodes["m1"] = old
-    fleet.see(suspect=True)
+    fleet.update(suspect=True)
     assert "m1" not in fleet.offered()
-    fleet.make("m1")
-    fleet.see()
-    assert fleet.judge.offered()["m1"].endpoint.started_at == fleet.nodes["m1"].ctime, (
+    fleet.create("m1")
+    fleet.update()
+    assert fleet.tracker.offered()["m1"].endpoint.started_at == fleet.nodes["m1"].ctime, (
         "a new node: new and cold"
     )
 
 
-def test_a_coordinator_in_doubt_takes_out_nobody() -> None:
+def test_a_suspect_coordinator_removes_no_member() -> None:
     fleet = Fleet(10)
     del fleet.nodes["m1"]
-    fleet.see(suspect=True)
+    fleet.update(suspect=True)
     fleet.wait(2000.0)
-    assert len(fleet.offered()) == 10 and fleet.judge.states()["held"] == 1
+    assert len(fleet.offered()) == 10 and fleet.tracker.states()["held"] == 1
 
 
 def test_a_node_made_anew_is_a_new_process_unless_its_token_says_otherwise() -> None:
     fleet = Fleet(0)
-    fleet.make("m0", instance="x")
-    fleet.make("m1", instance="x")
-    fleet.make("m2")
-    fleet.see()
-    starts = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
+    fleet.create("m0", instance="x")
+    fleet.create("m1", instance="x")
+    fleet.create("m2")
+    fleet.update()
+    starts = {n: e.endpoint.started_at for n, e in fleet.tracker.offered().items()}
     fleet.now += 5000.0
-    fleet.make("m0", instance="x")
-    fleet.make("m1", instance="y")
-    fleet.make("m2")
-    fleet.see()
-    now = {n: e.endpoint.started_at for n, e in fleet.judge.offered().items()}
+    fleet.create("m0", instance="x")
+    fleet.create("m1", instance="y")
+    fleet.create("m2")
+    fleet.update()
+    now = {n: e.endpoint.started_at for n, e in fleet.tracker.offered().items()}
     assert now["m0"] == starts["m0"] and now["m1"] > starts["m1"] and now["m2"] > starts["m2"]
 
 
-def test_what_flaps_has_to_wait() -> None:
+def test_a_flapping_member_has_to_wait() -> None:
     fleet = Fleet(10)
     for turn in range(FLAPS + 2):
         del fleet.nodes["m0"]
-        fleet.see()
+        fleet.update()
         fleet.wait(200.0)
-        fleet.make("m0")
-        fleet.see()
+        fleet.create("m0")
+        fleet.update()
         assert ("m0" in fleet.offered()) == (turn + 1 < FLAPS), turn
     fleet.wait(9000.0)
     assert "m0" in fleet.offered()
 
 
-def test_what_lingers_is_put_aside_and_comes_back_by_evidence_as_a_cold_one() -> None:
+def test_an_unreachable_member_is_set_aside_and_comes_back_cold_once_it_answers() -> None:
     fleet = Fleet(9)
     dead = {"m0", "m1"}
     fleet.wait(ASIDE_AFTER + 3000.0, lambda n: n not in dead)
@@ -696,20 +702,22 @@
         was = fleet.offered() & dead
         fleet.wait(100.0, lambda n: n not in dead)
         offers += len((fleet.offered() & dead) - was)
-    assert 3 <= offers <= 12, "offered again at growing times, no storm"
+    assert 3 <= offers <= 12, "offered again with growing delays"
     dead.clear()
     fleet.wait(61_000.0)
     assert len(fleet.offered()) == 9
-    assert fleet.judge.offered()["m0"].endpoint.started_at > fleet.judge.offered()["m5"].endpoint.started_at
+    assert (
+        fleet.tracker.offered()["m0"].endpoint.started_at > fleet.tracker.offered()["m5"].endpoint.started_at
+    )
 
 
-def test_when_most_can_t_be_reached_the_trouble_is_on_this_side() -> None:
+def test_at_most_a_third_of_the_members_is_set_aside() -> None:
     fleet = Fleet(9)
     fleet.wait(30_000.0, lambda n: False)
     assert len(fleet.offered()) >= 6
 
 
-ACTS = st.lists(
+FLEET_STEPS = st.lists(
     st.tuples(
         st.sampled_from(["vanish", "make", "drain", "wait", "suspect", "die", "mark"]),
         st.integers(0, 11),
@@ -719,21 +727,21 @@
 )
 
 
-@given(ACTS)
+@given(FLEET_STEPS)
 @settings(max_examples=300, deadline=None)
 def test_whatever_happens_drains_hold_and_the_living_are_not_evicted(
     acts: list[tuple[str, int, float]],
 ) -> None:
     fleet = Fleet(12)
     dead: set[str] = set()
-    touched: set[str] = set()  # whose end someone wanted
-    told_gone: dict[str, tuple[int, int, int]] = {}
+    touched: set[str] = set()  # members that were drained or died
+    removed: dict[str, tuple[int, int, int]] = {}
     for what, which, ms in acts:
         name = f"m{which}"
         if what == "vanish":
             fleet.nodes.pop(name, None)
         elif what == "make":
-            fleet.make(name)
+            fleet.create(name)
             dead.discard(name)
         elif what == "drain" and name in fleet.nodes:
             fleet.write(name, status=False)
@@ -742,22 +750,22 @@
             dead.add(name)
             touched.add(name)
         before = fleet.offered()
-        fleet.see(drained=(name,) if what == "mark" else (), suspect=what == "suspect")
+        fleet.update(drained=(name,) if what == "mark" else (), suspect=what == "suspect")
         offered = fleet.offered()
         assert not any(n in offered and not f.data.ready for n, f in fleet.nodes.items()), "a drain is told"
         assert what != "mark" or name not in offered
         for gone in before - offered:
-            if gone in fleet.judge.ended:
-                told_gone[gone] = fleet.judge.ended[gone].identity
+            if gone in fleet.tracker.ended:
+                removed[gone] = fleet.tracker.ended[gone].identity
         for n in offered:
-            if n in told_gone and n in fleet.nodes and not fleet.judge.suspect:
-                marked = fleet.judge.ended.get(n)
-                assert marked is None or fleet.nodes[n].identity != told_gone[n]
+            if n in removed and n in fleet.nodes and not fleet.tracker.suspect:
+                marked = fleet.tracker.ended.get(n)
+                assert marked is None or fleet.nodes[n].identity != removed[n]
         if what == "wait":
             fleet.wait(ms, lambda n: n not in dead)
     assert (
-        sum(m.state is MemberState.ASIDE for m in fleet.judge.members.values())
-        <= len(fleet.judge.members) / 3
+        sum(m.state is MemberState.ASIDE for m in fleet.tracker.members.values())
+        <= len(fleet.tracker.members) / 3
     )
 
 
@@ -766,23 +774,23 @@
 def test_no_expiry_without_deaths_takes_out_more_than_few(count: int, data: st.DataObject) -> None:
     fleet = Fleet(count)
     gaps = data.draw(st.lists(st.sampled_from([0.0, 30.0, 140.0, 300.0]), min_size=count, max_size=count))
-    few = fleet.judge.departure_limit()
+    few = fleet.tracker.departure_limit()
     for name, gap in zip(list(fleet.nodes), gaps, strict=True):
         del fleet.nodes[name]
         if gap:
-            fleet.see()
+            fleet.update()
             fleet.wait(gap)
         if fleet.now > 1_000_000.0 + Terms().window:
             break
-    fleet.see()
+    fleet.update()
     fleet.wait(1000.0)
     assert count - len(fleet.offered()) <= few
 
 
-# Both sources
+# Merging two sources
 
 
-def entries(*names: str, **common: float) -> dict[int, Listed]:
+def listed_entries(*names: str, **common: float) -> dict[int, Listed]:
     made = {}
     for name in names:
         endpoint = Endpoint(endpoint_id(name), started_at=common.get("since", 0.0))
@@ -790,74 +798,74 @@
     return made
 
 
-def draining(*names: str) -> dict[int, Listed]:
-    return {id: listed_as(e, Condition.DRAINING) for id, e in entries(*names).items()}
+def draining_entries(*names: str) -> dict[int, Listed]:
+    return {id: listed_as(e, Condition.DRAINING) for id, e in listed_entries(*names).items()}
 
 
-def names(merger: Merger, condition: Condition = Condition.READY) -> set[str]:
+def merged_names(merger: Merger, condition: Condition = Condition.READY) -> set[str]:
     known = {endpoint_id(f"{letter}{i}"): f"{letter}{i}" for letter in "mx" for i in range(9)}
     return {known[id] for id, e in merger.result().items() if e.endpoint.condition is condition}
 
 
-def test_the_four_ways_two_lists_become_one() -> None:
-    for mode, both, one_ails in (
+def test_the_four_modes_of_merging_two_lists() -> None:
+    for mode, both, coordinator_unhealthy in (
         (Mode.UNION, {"m0", "m1", "m2"}, {"m0", "m1", "m2"}),
         (Mode.INTERSECTION, {"m1"}, {"m1"}),
         (Mode.COORDINATOR, {"m0", "m1"}, {"m1", "m2"}),
         (Mode.DISCOVERY, {"m1", "m2"}, {"m1", "m2"}),
     ):
         merger = Merger(mode)
-        merger.update(DISCOVERY, entries("m1", "m2"), {})
-        assert names(merger) == {"m1", "m2"}, "one that has yet to speak takes nothing away"
-        merger.update(COORDINATOR, entries("m0", "m1"), {})
-        assert names(merger) == both
+        merger.update(DISCOVERY, listed_entries("m1", "m2"), {})
+        assert merged_names(merger) == {"m1", "m2"}, "a source that has not reported yet removes nothing"
+        merger.update(COORDINATOR, listed_entries("m0", "m1"), {})
+        assert merged_names(merger) == both
         merger.mark_unhealthy(COORDINATOR)
-        assert names(merger) == one_ails
+        assert merged_names(merger) == coordinator_unhealthy
 
 
 def test_a_drain_or_end_that_either_tells_counts_and_a_later_start_lifts_it() -> None:
     merger = Merger(Mode.UNION)
-    merger.update(COORDINATOR, entries("m0", "m1", since=5.0), {})
-    merger.update(DISCOVERY, entries("m0", "m1", "m2"), {})
-    merger.update(DISCOVERY, entries("m1", "m2"), {})
-    assert names(merger) == {"m1", "m2"}, "discovery told its end"
-    merger.update(DISCOVERY, entries("m1"), draining("m2"))
-    assert names(merger) == {"m1"} and names(merger, Condition.DRAINING) == {"m2"}
-    merger.update(COORDINATOR, entries("m0", "m1", since=6.0), {})
-    assert names(merger) == {"m0", "m1"}, "another process"
+    merger.update(COORDINATOR, listed_entries("m0", "m1", since=5.0), {})
+    merger.update(DISCOVERY, listed_entries("m0", "m1", "m2"), {})
+    merger.update(DISCOVERY, listed_entries("m1", "m2"), {})
+    assert merged_names(merger) == {"m1", "m2"}, "discovery removed it"
+    merger.update(DISCOVERY, listed_entries("m1"), draining_entries("m2"))
+    assert merged_names(merger) == {"m1"} and merged_names(merger, Condition.DRAINING) == {"m2"}
+    merger.update(COORDINATOR, listed_entries("m0", "m1", since=6.0), {})
+    assert merged_names(merger) == {"m0", "m1"}, "another process"
 
 
 def test_an_address_is_one_endpoint_under_the_coordinator_s_name() -> None:
     merger = Merger(Mode.UNION)
-    merger.update(COORDINATOR, entries("m0"), {})
-    merger.update(DISCOVERY, entries("x0", "x1"), {})
-    assert names(merger) == {"m0", "x1"}
+    merger.update(COORDINATOR, listed_entries("m0"), {})
+    merger.update(DISCOVERY, listed_entries("x0", "x1"), {})
+    assert merged_names(merger) == {"m0", "x1"}
 
 
-NAMED = st.sets(st.sampled_from([f"m{i}" for i in range(5)] + [f"x{i}" for i in range(5)]))
+NAME_SETS = st.sets(st.sampled_from([f"m{i}" for i in range(5)] + [f"x{i}" for i in range(5)]))
 
 
-@given(st.sampled_from(list(Mode)), st.lists(st.tuples(st.integers(0, 1), NAMED, NAMED), max_size=12))
+@given(st.sampled_from(list(Mode)), st.lists(st.tuples(st.integers(0, 1), NAME_SETS, NAME_SETS), max_size=12))
 @settings(max_examples=200, deadline=None)
 def test_merged_lists_know_each_address_once_and_heed_each_drain(
-    mode: Mode, words: list[tuple[int, set[str], set[str]]]
+    mode: Mode, steps: list[tuple[int, set[str], set[str]]]
 ) -> None:
-    merger, told = Merger(mode), dict[int, Listed]()
-    for side, ready, drains in words:
-        mine = {i: e for n in ready - drains for i, e in entries(n).items()}
-        merger.update(side, mine, draining(*drains))
+    merger, known = Merger(mode), dict[int, Listed]()
+    for side, ready, drains in steps:
+        mine = {i: e for n in ready - drains for i, e in listed_entries(n).items()}
+        merger.update(side, mine, draining_entries(*drains))
         result = merger.result()
         at = [e.address for e in result.values() if e.address is not None]
         assert len(at) == len(set(at))
         for one in merger.sources:
             for id in one.draining:
                 assert id not in result or result[id].address is None
-        for entry in changes(told, result):
+        for entry in changes(known, result):
             if entry.endpoint.condition is Condition.GONE:
-                del told[entry.endpoint.id]
+                del known[entry.endpoint.id]
             else:
-                told[entry.endpoint.id] = entry
-        assert told == result, "what is told step by step comes to the whole"
+                known[entry.endpoint.id] = entry
+        assert known == result, "the changes add up to the full list"
 
 
 # Registration
@@ -875,7 +883,7 @@
     session = tree.open(1e9, 0.0).id
     asked = node.on_connected(session)
 
-    def carry_out(ask: Ask) -> Reply:
+    def execute(ask: Ask) -> Reply:
         try:
             if ask.operation is Kind.CREATE:
                 tree.create(ask.path, ask.data, 0 if ask.persistent else 1, session, 0.0)
@@ -886,7 +894,7 @@
             if ask.operation is Kind.WRITE:
                 return Reply(ask, 0, stat=tree.write(ask.path, ask.data, ask.version, 0.0)[0])
             before = tree.nodes.get(ask.path)
-            assert before is None or entry.is_own(before.data), "another's node must not be taken down"
+            assert before is None or entry.is_own(before.data), "another process's node must not be deleted"
             current = tree.exists(ask.path)
             if ask.version not in (-1, current.version):
                 raise OperationError(Code.BAD_VERSION)
@@ -899,22 +907,22 @@
         for _ in range(40):
             if not asked:
                 return
-            asked.extend(node.on_reply(carry_out(asked.pop(0))))
+            asked.extend(node.on_reply(execute(asked.pop(0))))
 
     if settled:
         settle()
     for step in [*steps, "leave"]:
         if step == "step" and asked:
-            asked += node.on_reply(carry_out(asked.pop(0)))
+            asked += node.on_reply(execute(asked.pop(0)))
         elif step in ("drop", "lose"):
             if step == "lose" and asked:
-                carry_out(asked[0])  # it was carried out; its reply is lost
+                execute(asked[0])  # executed, but the reply is lost
             node.on_disconnected()
             asked = node.on_connected(session)
         elif step == "expire":
             node.on_disconnected()
             if random.Random(len(asked)).random() < 0.5:
-                tree.end(session)  # else the old one lingers beside the new
+                tree.end(session)  # otherwise the old session lives on beside the new one
             session = tree.open(1e9, 0.0).id
             asked = node.on_connected(session)
         elif step == "other" and "/s/x" in tree.nodes and "/s/x/a" not in tree.nodes:
@@ -928,9 +936,11 @@
                 settle()
                 asked += node.tick()
                 settle()
-                there = tree.nodes.get("/s/x/a")
-                assert there is not None, "it serves: there is a node"
-                assert there.owner in (session, stranger), "never one that an older session takes with it"
+                node_now = tree.nodes.get("/s/x/a")
+                assert node_now is not None, "while it serves there is a node"
+                assert node_now.owner in (session, stranger), (
+                    "never owned by an older session, whose end would delete it"
+                )
             asked += node.set_desired(DesiredState(step))
         elif step == "tick":
             asked += node.tick()
