--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -184,8 +184,8 @@
         if self.follower.state.complete:
             self.done.set()
 
-    def fired(self, fired: Fired) -> None:
-        self._send(self.follower.on_watch_event(time.monotonic() * 1000, fired))
+    def fired(self, event: Fired) -> None:
+        self._send(self.follower.on_watch_event(time.monotonic() * 1000, event))
 
     def _send(self, requests: list[Ask]) -> None:
         for request in requests:
--- a/millgw/membership/follower.py
+++ b/millgw/membership/follower.py
@@ -57,12 +57,12 @@
         self.to_read: dict[str, None] = {}  # names of members to read, in order
         self.reads_in_flight: dict[str, None] = {}  # names of members whose read is in flight
         self.lists_in_flight: dict[str, None] = {}
-        self.read_at: dict[str, float] = {}
-        self.delayed_reads: list[tuple[float, str]] = []
+        self.read_at: dict[str, float] = {}  # by name: when its last read was requested (ms)
+        self.delayed_reads: list[tuple[float, str]] = []  # heap of (due time in ms, name)
         self.last_recheck = 0.0
         self.recheck_position = 0
-        self.too_many = 0
-        self.revision = 0  # how often the picture has changed
+        self.too_many = 0  # length of a list that exceeds `MAX_NODES`, else 0
+        self.revision = 0  # incremented with each change of the state
 
     # Events
 
@@ -91,12 +91,12 @@
         lists = [self.path, *([f"{self.path}/{DRAINING}"] if DRAINING in self.child_names else [])]
         return [f"{self.path}/{name}" for name in self.state.nodes], [], lists
 
-    def on_watch_event(self, now: float, fired: Fired) -> list[Ask]:
+    def on_watch_event(self, now: float, event: Fired) -> list[Ask]:
         """Handle a watch event."""
-        if fired.path in (self.path, f"{self.path}/{DRAINING}"):
-            return [self._list_request(fired.path)] if fired.path not in self.lists_in_flight else []
-        parent, _, name = fired.path.rpartition("/")
-        if parent != self.path or fired.event_type == EventType.CHILDREN:
+        if event.path in (self.path, f"{self.path}/{DRAINING}"):
+            return [self._list_request(event.path)] if event.path not in self.lists_in_flight else []
+        parent, _, name = event.path.rpartition("/")
+        if parent != self.path or event.event_type == EventType.CHILDREN:
             return []
         if name in self.reads_in_flight:
             return []
--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -39,9 +39,8 @@
 
     ready: dict[int, Listed] = field(default_factory=dict)
     draining: dict[int, Listed] = field(default_factory=dict)
-    ended: dict[int, float] = field(
-        default_factory=dict
-    )  # removed from this list: latest start time known at that moment (ms)
+    # Endpoints removed from this list, each with its latest start time known at that moment (ms):
+    ended: dict[int, float] = field(default_factory=dict)
     reported: bool = False
     healthy: bool = False
 
@@ -130,8 +129,8 @@
     id: int, mine: Listed | None, other: Listed | None, ended: tuple[Mapping[int, float], Mapping[int, float]]
 ) -> bool:
     """Whether one source has removed it and the other reports no later start."""
-    for told, still in ((ended[0], other), (ended[1], mine)):
-        if id in told and (still is None or still.endpoint.started_at <= told[id]):
+    for removed, entry in ((ended[0], other), (ended[1], mine)):
+        if id in removed and (entry is None or entry.endpoint.started_at <= removed[id]):
             return True
     return False
 
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -154,8 +154,8 @@
         if self.registration.times_created > times_created:
             log_event("registered", node=self.registration.path, times=self.registration.times_created)
 
-    def fired(self, fired: Fired) -> None:
-        self._send(self.registration.on_watch_event(fired))
+    def fired(self, event: Fired) -> None:
+        self._send(self.registration.on_watch_event(event))
 
 
 def _set_event(event: asyncio.Event, condition: bool) -> None:
--- a/millgw/membership/registration.py
+++ b/millgw/membership/registration.py
@@ -79,9 +79,9 @@
             self.desired = desired
         return self._next_request() if self.session else []
 
-    def on_watch_event(self, fired: Fired) -> list[Ask]:
+    def on_watch_event(self, event: Fired) -> list[Ask]:
         """Handle a watch event: the node or its owner changed."""
-        if fired.path == self.path and self.state is not NodeState.LEFT:
+        if event.path == self.path and self.state is not NodeState.LEFT:
             self.state = NodeState.UNKNOWN
         return self._next_request()
 
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -126,8 +126,8 @@
         if self.follower.revision != before or self.follower.too_many:
             self._update()
 
-    def fired(self, fired: Fired) -> None:
-        self._send(self.follower.on_watch_event(self.now(), fired))
+    def fired(self, event: Fired) -> None:
+        self._send(self.follower.on_watch_event(self.now(), event))
 
     def _send(self, requests: list[Ask]) -> None:
         for request in requests:
@@ -142,9 +142,9 @@
         if not state.complete:
             return
         self.parsed = {n: r for n, r in self.parsed.items() if n in state.nodes}
-        member_node = [(name, f) for name in state.nodes if (f := self._member_node(name)) is not None]
+        member_nodes = [(name, f) for name in state.nodes if (f := self._member_node(name)) is not None]
         suspect = now < self.distrust_until or (state.missing and bool(self.tracker.members))
-        self.tracker.update(now, member_node, state.draining, suspect)
+        self.tracker.update(now, member_nodes, state.draining, suspect)
         first, self.read_once = not self.read_once, True
         self._decide(now, seen=True, first=first)
 
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -387,7 +387,7 @@
 
     def _carry_out(self, kind: int, reader: Reader, session: Session) -> tuple[bytes, list[ChangeEvent]]:
         tree, now = self.ensemble.tree, self.ensemble.clock()
-        seen = self.server.tree
+        read_tree = self.server.tree
         if kind in (PING, AUTH):
             return b"", []
         if kind == SET_WATCHES:
@@ -409,20 +409,20 @@
         if kind == SYNC:
             return jute.write_string(path), []
         if kind == GET_ACL:
-            return OPEN_ACL + seen.exists(path).write(), []
+            return OPEN_ACL + read_tree.exists(path).write(), []
         watch = reader.read_bool()
         if kind == EXISTS:
             if watch:
-                (self.watches.data if path in seen.nodes else self.watches.exists).add(path)
-            return seen.exists(path).write(), []
+                (self.watches.data if path in read_tree.nodes else self.watches.exists).add(path)
+            return read_tree.exists(path).write(), []
         if kind == GET_DATA:
-            data, stat_ = seen.read(path)
+            data, stat_ = read_tree.read(path)
             if watch:
                 self.watches.data.add(path)
             self._report_read(path, None, data)
             return jute.write_buffer(data) + stat_.write(), []
         if kind in (GET_CHILDREN, GET_CHILDREN2):
-            names, stat_ = seen.children(path)
+            names, stat_ = read_tree.children(path)
             if watch:
                 self.watches.children.add(path)
             self._report_read(path, tuple(names), b"")
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -107,22 +107,22 @@
         assert first < second and first.startswith("/services/login/n-")
         data, stat = client.get("/services/login/a")
         assert data == b"one" and stat.ephemeralOwner == client.client_id[0] and stat.version == 0
-        told, changed = threading.Event(), threading.Event()
+        listed, changed = threading.Event(), threading.Event()
         seen: list[Any] = []
 
         def watch(then: threading.Event) -> Callable[[Any], None]:
-            def tell(event: Any) -> None:
+            def on_event(event: Any) -> None:
                 seen.append(event)
                 then.set()
 
-            return tell
+            return on_event
 
-        client.get_children("/services/login", watch=watch(told))
+        client.get_children("/services/login", watch=watch(listed))
         client.get("/services/login/a", watch=watch(changed))
         client.set("/services/login/a", b"two", version=0)
         wait(changed)
         client.delete("/services/login/a")
-        wait(told)
+        wait(listed)
         assert [(e.type, e.path) for e in seen] == [
             ("CHANGED", "/services/login/a"), ("CHILD", "/services/login"),
         ]  # fmt: skip
@@ -155,7 +155,7 @@
         assert other.exists("/up") is None
 
 
-def test_a_share_of_the_owners_expires_and_a_silent_client_after_its_time() -> None:
+def test_a_share_of_the_owners_expires_and_a_silent_client_times_out() -> None:
     with threaded_ensemble() as made:
         watcher = made.client()
         watcher.ensure_path("/s")
@@ -171,7 +171,7 @@
         assert watcher.exists("/quiet") is None
 
 
-def test_sessions_move_between_faces_and_a_lagging_face_is_not_taken_back_in_time() -> None:
+def test_sessions_move_between_servers_and_a_lagging_server_refuses_a_newer_client() -> None:
     with threaded_ensemble(faces=2) as made:
         behind, ahead = made.ensemble.faces
         made.run(lambda: made.ensemble.put("/s/a", b"1"))
@@ -184,7 +184,7 @@
         made.run(lambda: setattr(ahead.ills, "refusing", True))
         made.run(lambda: ahead.drop())
         wait_until(lambda: behind.count.connections > 2)
-        assert not client.connected, "a face that knows less than the client must not take it"
+        assert not client.connected, "a server that is behind the client must not accept it"
         made.run(lambda: behind.lag(False))
         wait_until(lambda: bool(client.connected))
         assert (
@@ -198,13 +198,15 @@
         face = made.ensemble.faces[0]
         client = made.client()
         client.ensure_path("/s")
-        told: list[str] = []
-        client.get_children("/s", watch=lambda event: told.append(event.type))
+        events: list[str] = []
+        client.get_children("/s", watch=lambda event: events.append(event.type))
         made.run(lambda: execute(made.ensemble, ["lose-watches", "0", "1"]))
         made.run(lambda: made.ensemble.put("/s/a"))
-        assert client.get_children("/s", watch=lambda event: told.append(event.type)) == ["a"] and not told
+        assert (
+            client.get_children("/s", watch=lambda event: events.append(event.type)) == ["a"] and not events
+        )
         made.run(lambda: made.ensemble.put("/s/b"))
-        wait_until(lambda: set(told) == {"CHILD"})
+        wait_until(lambda: set(events) == {"CHILD"})
         made.run(lambda: face.freeze(True))
         waiting = client.get_children_async("/s")
         threading.Event().wait(0.1)
@@ -217,7 +219,7 @@
         made.run(lambda: execute(made.ensemble, ["writable", "0"]))
         made.run(lambda: made.ensemble.restart_empty())
         assert made.client().exists("/s") is None
-        assert not client.connected, "it has seen more than there is now"
+        assert not client.connected, "its last zxid is ahead of the emptied coordinator"
 
 
 def test_commands_answer_a_line_each_and_name_what_is_wrong() -> None:
@@ -228,14 +230,17 @@
     assert process.stdin is not None and process.stdout is not None
     assert ":" in json.loads(process.stdout.readline())["connect"]
 
-    def say(line: str) -> Any:
+    def send_command(line: str) -> Any:
         assert process.stdin is not None and process.stdout is not None
         print(line, file=process.stdin, flush=True)
         return json.loads(process.stdout.readline())
 
-    assert say("put /s/a hello") == {"done": "put"} and say("nodes /s") == {"a": 0}
-    assert "no such command" in say("explode")["error"] and "NO_NODE" in say("remove /x")["error"]
-    assert "IndexError" in say("freeze 7")["error"] and say("sessions") == {"sessions": []}
+    assert send_command("put /s/a hello") == {"done": "put"} and send_command("nodes /s") == {"a": 0}
+    assert (
+        "no such command" in send_command("explode")["error"]
+        and "NO_NODE" in send_command("remove /x")["error"]
+    )
+    assert "IndexError" in send_command("freeze 7")["error"] and send_command("sessions") == {"sessions": []}
     process.stdin.close()
     assert process.wait(TIMEOUT) == 0
     done = subprocess.run(
@@ -249,7 +254,7 @@
 
 @given(st.binary(max_size=200), st.lists(st.integers(0, 250), max_size=4))
 @settings(max_examples=200, deadline=None)
-def test_fuzzed_frames_and_records_are_read_or_refused(data: bytes, cuts: list[int]) -> None:
+def test_arbitrary_frames_and_records_are_parsed_or_rejected(data: bytes, cuts: list[int]) -> None:
     frames, found = FrameSplitter(1000), []
     bounds = [0, *sorted(c for c in cuts if c < len(data)), len(data)]
     try:
@@ -265,7 +270,7 @@
                 continue
 
 
-def test_hostile_lengths_cost_nothing() -> None:
+def test_impossible_lengths_are_rejected() -> None:
     with pytest.raises(BadRecord):
         FrameSplitter().feed(b"\x7f\xff\xff\xff")
     with pytest.raises(BadRecord):
@@ -285,7 +290,7 @@
 
 @given(STEPS)
 @settings(max_examples=150, deadline=None)
-def test_the_tree_keeps_its_own_books(steps: list[tuple[str, str, int]]) -> None:
+def test_the_tree_s_invariants_hold(steps: list[tuple[str, str, int]]) -> None:
     tree = Tree()
     sessions = [tree.open(1000.0, 0.0).id for _ in range(4)]
     last = 0
@@ -302,7 +307,7 @@
                 tree.end(sessions[which])
                 sessions[which] = tree.open(1000.0, 0.0).id
         except OperationError as failed:
-            assert failed.code is not Code.OK and tree.zxid == before, "what is refused changes nothing"
+            assert failed.code is not Code.OK and tree.zxid == before, "a refused operation changes nothing"
         assert tree.zxid >= last
         last = tree.zxid
         for name, node in tree.nodes.items():
