--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -1,7 +1,7 @@
-"""The protocol core on sockets: one session kept up over the servers of an ensemble.
+"""ZooKeeper client on asyncio: keeps one session alive across the servers of an ensemble.
 
-Time-outs follow the negotiated session time as the programmer's guide has it: a connection that is silent for
-two thirds of it is given up, a ping goes out after a third.
+Timeouts derive from the negotiated session timeout, as in the ZooKeeper programmer's guide: a connection that
+is silent for two thirds of it is closed, and a ping is sent after one third.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 
 from millgw.log.events import log_event
 from millgw.membership.jute import BadRecord
-from millgw.membership.protocol import Ask, Core, Expired, Fired, Reply, Up
-from millgw.membership.servers import Rota, Try
+from millgw.membership.protocol import Ask, ClientProtocol, Fired, Reply, SessionEstablished, SessionExpired
+from millgw.membership.servers import NextConnect, ServerSelector
 from millgw.platform.config import Address
 
-READ_ONLY_FOR = 10.0  # s on a server that is cut off, until the others are tried again
-LEAST_CONNECT = 0.5  # s for a connection and its session to come up, at the least
+READ_ONLY_STAY = 10.0  # s to stay on a read-only (partitioned) server before trying the others
+MIN_CONNECT_TIMEOUT = 0.5  # s: minimum time allowed for a connection and its session to be established
 
 
 class Listener(Protocol):
-    """What is told of a session, in order."""
+    """Callbacks for the events of a session, in order."""
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        """A session serves; `fresh`: a new one, with no watches. `doubtful`: the coordinator went back, or
-        this server of it is cut off from the others.
+        """A session is established. `fresh`: it is new and has no watches. `doubtful`: the coordinator has
+        lost changes it had committed, or this server is partitioned from the others.
         """
 
     def down(self) -> None:
-        """No connection: what was asked and not answered is lost."""
+        """The connection is lost, and with it every unanswered request."""
 
     def reply(self, reply: Reply) -> None: ...
 
-    def fired(self, fired: Fired) -> None: ...
+    def fired(self, event: Fired) -> None: ...
 
 
 class Client:
-    """One session; `listener` is told. Nothing runs before `start`."""
+    """One session, whose events go to `listener`. Nothing runs before `start`."""
 
     def __init__(
         self,
@@ -50,190 +50,200 @@
         listener: Listener,
         writes: bool = False,
     ) -> None:
-        self.core = Core(timeout, read_only=not writes)
-        self.rota = Rota(servers, rng, timeout)
+        self.protocol = ClientProtocol(timeout, read_only=not writes)
+        self.selector = ServerSelector(servers, rng, timeout)
         self.listener = listener
-        self.wire: Wire | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.task: asyncio.Task[None] | None = None
-        self.over = False
-        self.timeout = timeout  # ms; the session's, as negotiated once there is one
-        self.served_until = -math.inf
+        self.connection: Connection | None = None
+        self.connect_timer: asyncio.TimerHandle | None = None
+        self.connect_task: asyncio.Task[None] | None = None
+        self.started_over = False
+        self.timeout = timeout  # ms; the session's: as negotiated, or as requested before there is a session
+        self.disconnected_at = -math.inf
         self.stopped = False
 
     @property
-    def serves(self) -> bool:
-        return self.wire is not None and self.core.up
+    def connected(self) -> bool:
+        return self.connection is not None and self.protocol.session_up
 
     def start(self) -> None:
-        self._later(self.rota.first())
+        self._schedule_connect(self.selector.first())
 
-    def _later(self, next_: Try) -> None:
-        if next_.over:
-            log_event("coordinator-went-back", seen=self.core.seen)
-            self.core.forget()
-            self.over = True
+    def _schedule_connect(self, next_connect: NextConnect) -> None:
+        if next_connect.start_over:
+            log_event("coordinator-went-back", seen=self.protocol.last_zxid)
+            self.protocol.forget()
+            self.started_over = True
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(next_.wait / 1000, self._go, next_.server)
+        self.connect_timer = loop.call_later(
+            next_connect.delay / 1000, self._start_connect, next_connect.server
+        )
 
-    def _go(self, server: Address) -> None:
-        self.task = asyncio.get_running_loop().create_task(self._connect(server))
+    def _start_connect(self, server: Address) -> None:
+        self.connect_task = asyncio.get_running_loop().create_task(self._connect(server))
 
     async def _connect(self, server: Address) -> None:
         loop = asyncio.get_running_loop()
-        wire = Wire(self, server)
-        self.wire = wire
-        within = max(LEAST_CONNECT, self.core.wanted / 1000 / max(1, len(self.rota.order)))
-        wire.expect(within)
+        connection = Connection(self, server)
+        self.connection = connection
+        within = max(
+            MIN_CONNECT_TIMEOUT, self.protocol.requested_timeout / 1000 / max(1, len(self.selector.order))
+        )
+        connection.restart_silence_timer(within)
         try:
             async with asyncio.timeout(within):
-                await loop.create_connection(lambda: wire, server.host, server.port)
+                await loop.create_connection(lambda: connection, server.host, server.port)
         except (OSError, TimeoutError) as error:
-            wire.end(str(error) or "no connection in time")
+            connection.end(str(error) or "connection timed out")
 
-    def ask(self, ask: Ask) -> None:
-        """Ask, if a session serves; otherwise it is lost, as `down` has told."""
-        if self.serves and self.wire is not None:
-            self.wire.write(self.core.ask(ask))
+    def ask(self, request: Ask) -> None:
+        """Send a request if a session is established; otherwise drop it, as `down` has already reported."""
+        if self.connected and self.connection is not None:
+            self.connection.write(self.protocol.request(request))
 
     def set_watches(self, data: Sequence[str], exists: Sequence[str], children: Sequence[str]) -> None:
-        if self.serves and self.wire is not None:
-            self.wire.write(self.core.set_watches(data, exists, children))
+        if self.connected and self.connection is not None:
+            self.connection.write(self.protocol.set_watches(data, exists, children))
 
-    def ended(self, wire: Wire, why: str) -> None:
-        """A connection is over: told once for each."""
-        if wire is not self.wire:
+    def connection_ended(self, connection: Connection, reason: str) -> None:
+        """Handle the end of a connection; runs once for each."""
+        if connection is not self.connection:
             return
-        served, self.wire = self.core.up, None
-        self.core.up = False
+        served, self.connection = self.protocol.session_up, None
+        self.protocol.session_up = False
         if self.stopped:
             return
-        log_event("coordinator-lost", server=wire.server, cause=why)
+        log_event("coordinator-lost", server=connection.server, cause=reason)
         if served:
             self.listener.down()
-        if wire.expired:
-            self._later(self.rota.expired())
+        if connection.expired:
+            self._schedule_connect(self.selector.on_session_expired())
         else:
             if served:
-                self.served_until = time.monotonic()
-            outlived = time.monotonic() > self.served_until + self.timeout / 1000
-            self._later(self.rota.lost(served, wire.reached, wire.reached and not served, outlived))
-
-    def take(self, wire: Wire, data: bytes) -> None:
+                self.disconnected_at = time.monotonic()
+            outlived = time.monotonic() > self.disconnected_at + self.timeout / 1000
+            self._schedule_connect(
+                self.selector.on_connection_lost(
+                    served, connection.accepted, connection.accepted and not served, outlived
+                )
+            )
+
+    def handle_data(self, connection: Connection, data: bytes) -> None:
         try:
-            for event in self.core.receive(data):
-                if wire is not self.wire:
+            for event in self.protocol.receive(data):
+                if connection is not self.connection:
                     return
-                if isinstance(event, Up):
+                if isinstance(event, SessionEstablished):
                     self.timeout = event.timeout
-                    wire.served(event.timeout)
-                    self.rota.up(event.timeout)
-                    over, self.over = self.over, False
-                    log_event("coordinator-up", server=wire.server, fresh=event.fresh)
+                    connection.session_established(event.timeout)
+                    self.selector.on_session_established(event.timeout)
+                    started_over, self.started_over = self.started_over, False
+                    log_event("coordinator-up", server=connection.server, fresh=event.fresh)
                     if event.read_only:
-                        wire.look_on(READ_ONLY_FOR)
-                    self.listener.up(event.fresh, over or event.read_only)
-                elif isinstance(event, Expired):
-                    wire.expired = True
-                    log_event("session-expired", server=wire.server)
-                    wire.end("the session has expired")
+                        connection.leave_after(READ_ONLY_STAY)
+                    self.listener.up(event.fresh, started_over or event.read_only)
+                elif isinstance(event, SessionExpired):
+                    connection.expired = True
+                    log_event("session-expired", server=connection.server)
+                    connection.end("session expired")
                 elif isinstance(event, Fired):
                     self.listener.fired(event)
                 else:
                     self.listener.reply(event)
         except BadRecord as error:
-            wire.end(str(error))
+            connection.end(str(error))
 
     async def close(self, within: float = 1.0) -> None:
-        """End the session in order, so that its nodes go now and not by its time-out."""
-        wire = self.wire
-        serves = self.serves
+        """Close the session, so that its nodes are deleted now and not when it times out."""
+        connection = self.connection
+        serves = self.connected
         self.stop(abort=not serves)
-        if serves and wire is not None:
-            wire.write(self.core.close())
+        if serves and connection is not None:
+            connection.write(self.protocol.close())
             try:
                 async with asyncio.timeout(within):
-                    await wire.gone.wait()
+                    await connection.closed.wait()
             except TimeoutError:
-                wire.abort()
+                connection.abort()
 
     def stop(self, abort: bool = True) -> None:
-        """Tell nothing more. The session is left to its time-out."""
+        """Stop without closing the session, which then times out; no more events are reported."""
         self.stopped = True
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.connect_timer is not None:
+            self.connect_timer.cancel()
         if abort:
-            if self.task is not None:
-                self.task.cancel()
-            if self.wire is not None:
-                self.wire.abort()
+            if self.connect_task is not None:
+                self.connect_task.cancel()
+            if self.connection is not None:
+                self.connection.abort()
 
 
-class Wire(asyncio.Protocol):
+class Connection(asyncio.Protocol):
     """One connection to one server."""
 
     def __init__(self, client: Client, server: Address) -> None:
         self.client = client
         self.server = server
-        self.reached = False
+        self.accepted = False
         self.expired = False  # the server said that the session is gone
-        self.silent = 0.0
+        self.silence_limit = 0.0
         self.transport: asyncio.Transport | None = None
-        self.waiting: asyncio.TimerHandle | None = None
-        self.pinging: asyncio.TimerHandle | None = None
-        self.looking: asyncio.TimerHandle | None = None
-        self.gone = asyncio.Event()
-
-    def expect(self, within: float) -> None:
-        """Guards against a server that is cut off: its connection stays open and says nothing."""
-        if self.waiting is not None:
-            self.waiting.cancel()
-        self.waiting = asyncio.get_running_loop().call_later(within, self.end, "silent past its time")
-
-    def served(self, timeout: float) -> None:
-        self.silent = timeout * 2 / 3000
-        self.expect(self.silent)
+        self.silence_timer: asyncio.TimerHandle | None = None
+        self.ping_timer: asyncio.TimerHandle | None = None
+        self.leave_timer: asyncio.TimerHandle | None = None
+        self.closed = asyncio.Event()
+
+    def restart_silence_timer(self, within: float) -> None:
+        """Restart the silence timer. A partitioned server can keep its connection open and send nothing."""
+        if self.silence_timer is not None:
+            self.silence_timer.cancel()
+        self.silence_timer = asyncio.get_running_loop().call_later(
+            within, self.end, "no data within the silence limit"
+        )
+
+    def session_established(self, timeout: float) -> None:
+        self.silence_limit = timeout * 2 / 3000
+        self.restart_silence_timer(self.silence_limit)
         self._ping()
 
-    def look_on(self, after: float) -> None:
-        """Leave for another server after a while: this one is read-only."""
+    def leave_after(self, after: float) -> None:
+        """Leave this read-only server for another after a while (s)."""
         loop = asyncio.get_running_loop()
-        self.looking = loop.call_later(after, self.end, "looks for a server that is not read-only")
+        self.leave_timer = loop.call_later(after, self.end, "leaving a read-only server")
 
     def _ping(self) -> None:
-        self.write(self.client.core.ping())
-        self.pinging = asyncio.get_running_loop().call_later(self.silent / 2, self._ping)
+        self.write(self.client.protocol.ping())
+        self.ping_timer = asyncio.get_running_loop().call_later(self.silence_limit / 2, self._ping)
 
     def write(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        for timer in (self.waiting, self.pinging, self.looking):
+        for timer in (self.silence_timer, self.ping_timer, self.leave_timer):
             if timer is not None:
                 timer.cancel()
         if self.transport is not None:
             self.transport.abort()
 
-    def end(self, why: str) -> None:
+    def end(self, reason: str) -> None:
         self.abort()
-        self.client.ended(self, why)
+        self.client.connection_ended(self, reason)
 
-    # asyncio
+    # asyncio.Protocol callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.client.wire is not self:
+        if self.client.connection is not self:
             self.abort()
             return
-        self.reached = True
-        self.transport.write(self.client.core.connect())
+        self.accepted = True
+        self.transport.write(self.client.protocol.connect())
 
     def data_received(self, data: bytes) -> None:
-        if self.silent:
-            self.expect(self.silent)
-        self.client.take(self, data)
+        if self.silence_limit:
+            self.restart_silence_timer(self.silence_limit)
+        self.client.handle_data(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone.set()
+        self.closed.set()
         self.end(str(exc) if exc is not None else "closed by the server")
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -1,4 +1,4 @@
-"""The commands `register` (a server's node, kept while it serves) and `members` (what a directory means)."""
+"""The commands `register` (keeps a server's node) and `members` (lists a directory's members)."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from millgw.cli.report import Out, Reporting, Serving
 from millgw.log.rendering import FORMATS
 from millgw.membership.client import Client
-from millgw.membership.follower import DRAINING, Follower
+from millgw.membership.follower import DRAINING, DirectoryFollower
 from millgw.membership.nodes import read_node
 from millgw.membership.protocol import Ask, Fired, Reply
 from millgw.membership.registrar import LAYOUTS, Entry, Registrar
 from millgw.membership.servers import check_path, read_connect
 from millgw.platform.config import Address
 
-LOOK = 0.1  # s between two looks whether a server takes connections
+ACCEPT_CHECK_INTERVAL = 0.1  # s between checks whether a server accepts connections
 
 
 PATH = click.option("--path", required=True, help="The directory of the service's nodes.")
@@ -37,8 +37,8 @@
 )
 
 
-def _read_where(connect: str, path: str) -> tuple[tuple[Address, ...], str]:
-    """Servers and the whole path."""
+def _read_location(connect: str, path: str) -> tuple[tuple[Address, ...], str]:
+    """The coordinator's servers and the full path of the directory."""
     try:
         servers, root = read_connect(connect)
     except ValueError as error:
@@ -62,72 +62,83 @@
 @SESSION
 @click.option("--name", required=True, help="The node's name.")
 @click.option("--address", required=True, type=ADDRESS, help="Where the server is reached.")
-@click.option("--layout", type=click.Choice(LAYOUTS), default="entry", help="Of the node's data (entry).")
+@click.option(
+    "--layout", type=click.Choice(LAYOUTS), default="entry", help="Format of the node's data (entry)."
+)
 @click.option("--group", type=click.IntRange(0), default=0)
 @click.option("--weight", type=Number(), default=1.0)
 @click.option("--zone", default="")
-@click.option("--drain-s", type=Duration(), default=2.0, show_default=True, help="Between drain and end.")
 @click.option(
-    "--stop-s", type=Duration(), default=10.0, show_default=True, help="For COMMAND to end before SIGKILL."
+    "--drain-s",
+    type=Duration(),
+    default=2.0,
+    show_default=True,
+    help="Between marking the node as draining and deleting it.",
+)
+@click.option(
+    "--stop-s", type=Duration(), default=10.0, show_default=True, help="For COMMAND to exit before SIGKILL."
 )
-@click.option("--at-once", is_flag=True, help="Don't wait until the address answers.")
+@click.option("--at-once", is_flag=True, help="Don't wait until the address accepts connections.")
 @click.option("--log", type=click.Choice(FORMATS), default="text")
 @click.argument("command", nargs=-1, type=click.UNPROCESSED, metavar="[-- COMMAND]")
 def register(connect: str, path: str, log: str, **given: Any) -> int:
     """Keep a server's ephemeral node at a coordinator while it serves.
 
-    Registers a server once its address takes connections. SIGTERM: the node says that it drains, is taken
-    down after --drain-s, and only then COMMAND, the server, gets its SIGTERM. A COMMAND that ends by itself
-    has its node taken down at once.
+    Registers a server once its address accepts connections. On SIGTERM the node is marked as draining and
+    deleted after --drain-s; only then does COMMAND, the server, receive SIGTERM. If COMMAND exits by itself,
+    its node is deleted at once.
 
-    Exit: 0 told to end and in order, 1 the server ended by itself or the node could not be taken down, 2 bad
-    input.
+    Exit: 0 stopped by a signal in an orderly way, 1 the server exited by itself or the node could not be
+    deleted, 2 bad input.
     """
-    servers, whole = _read_where(connect, path)
+    servers, full_path = _read_location(connect, path)
     args = SimpleNamespace(**given)
     if "/" in args.name or args.name == DRAINING:
-        raise BadInput(f"--name: {args.name!r} is no name of a member")
+        raise BadInput(f"--name: {args.name!r} is not a valid member name")
     try:
-        check_path(f"{whole}/{args.name}")
+        check_path(f"{full_path}/{args.name}")
     except ValueError as error:
         raise BadInput(f"--name: {error}") from None
     start_log(log)
-    return asyncio.run(_serve(args, servers, whole, args.address))
+    return asyncio.run(_run_registered(args, servers, full_path, args.address))
 
 
-async def _serve(args: SimpleNamespace, servers: tuple[Address, ...], path: str, address: Address) -> int:
-    loop, told = asyncio.get_running_loop(), asyncio.Event()
+async def _run_registered(
+    args: SimpleNamespace, servers: tuple[Address, ...], path: str, address: Address
+) -> int:
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     child: asyncio.subprocess.Process | None = None
-    since = int(time.time() * 1000)
+    started_at_ms = int(time.time() * 1000)
     if args.command:
         try:
             child = await asyncio.create_subprocess_exec(*args.command, start_new_session=True)
         except OSError as error:
             raise BadInput(f"{args.command[0]}: {error.strerror}") from None
-    ended = loop.create_task(child.wait()) if child is not None else loop.create_future()
-    ending = loop.create_task(told.wait())
+    child_exit = loop.create_task(child.wait()) if child is not None else loop.create_future()
+    stop_wait = loop.create_task(stop_requested.wait())
     if not args.at_once:
-        up = loop.create_task(_takes_connections(address))
-        await asyncio.wait([ended, ending, up], return_when=asyncio.FIRST_COMPLETED)
-        up.cancel()
+        accepting = loop.create_task(_wait_until_accepting(address))
+        await asyncio.wait([child_exit, stop_wait, accepting], return_when=asyncio.FIRST_COMPLETED)
+        accepting.cancel()
     registrar: Registrar | None = None
-    if not ended.done() and not ending.done():
+    if not child_exit.done() and not stop_wait.done():
         entry = Entry(
-            args.name, str(address), args.group, args.weight, args.zone, args.layout, since=since
+            args.name, str(address), args.group, args.weight, args.zone, args.layout,
+            started_at_ms=started_at_ms,
         )  # fmt: skip
         registrar = Registrar(servers, path, entry, args.session_s * 1000)
         registrar.start()
-        await asyncio.wait([ended, ending], return_when=asyncio.FIRST_COMPLETED)
-    ending.cancel()
-    down = True
+        await asyncio.wait([child_exit, stop_wait], return_when=asyncio.FIRST_COMPLETED)
+    stop_wait.cancel()
+    deleted = True
     if registrar is not None:
-        down = await (registrar.withdraw() if ended.done() else registrar.leave(args.drain_s))
+        deleted = await (registrar.withdraw() if child_exit.done() else registrar.leave(args.drain_s))
     if child is None:
-        return HELD if down else NOT_HELD
-    if ended.done():
-        print(f"millgw: {args.command[0]} ended with {child.returncode}", file=sys.stderr)
+        return HELD if deleted else NOT_HELD
+    if child_exit.done():
+        print(f"millgw: {args.command[0]} exited with status {child.returncode}", file=sys.stderr)
         return NOT_HELD
     with suppress(ProcessLookupError):
         child.terminate()
@@ -138,47 +149,47 @@
         with suppress(ProcessLookupError):
             child.kill()
         await child.wait()
-    return HELD if down else NOT_HELD
+    return HELD if deleted else NOT_HELD
 
 
-async def _takes_connections(address: Address) -> None:
+async def _wait_until_accepting(address: Address) -> None:
     while True:
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(1.0):
                 _, writer = await asyncio.open_connection(address.host, address.port)
             writer.close()
             return
-        await asyncio.sleep(LOOK)
+        await asyncio.sleep(ACCEPT_CHECK_INTERVAL)
 
 
 # members
 
 
-class Reading:
+class DirectoryReader:
     """Reads one directory once."""
 
     def __init__(self, servers: tuple[Address, ...], path: str, timeout: float) -> None:
         self.client = Client(servers, timeout, random.Random(), self)
-        self.follower = Follower(path)
+        self.follower = DirectoryFollower(path)
         self.done = asyncio.Event()
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        self._ask(self.follower.up(time.monotonic() * 1000, True))
+        self._send(self.follower.on_connected(time.monotonic() * 1000, True))
 
     def down(self) -> None:
-        """It is read from the start on the next connection."""
+        """The next connection reads the directory from the start."""
 
     def reply(self, reply: Reply) -> None:
-        self._ask(self.follower.reply(time.monotonic() * 1000, reply))
-        if self.follower.picture.whole:
+        self._send(self.follower.on_reply(time.monotonic() * 1000, reply))
+        if self.follower.state.complete:
             self.done.set()
 
-    def fired(self, fired: Fired) -> None:
-        self._ask(self.follower.fired(time.monotonic() * 1000, fired))
+    def fired(self, event: Fired) -> None:
+        self._send(self.follower.on_watch_event(time.monotonic() * 1000, event))
 
-    def _ask(self, asks: list[Ask]) -> None:
-        for ask in asks:
-            self.client.ask(ask)
+    def _send(self, requests: list[Ask]) -> None:
+        for request in requests:
+            self.client.ask(request)
 
 
 @click.command(cls=Reporting, examples=["members --connect 127.0.0.1:2181 --path /services/api"])
@@ -186,41 +197,43 @@
 @PATH
 @SESSION
 @click.option("--endpoint", default="", help="One of a serverset's additional endpoints.")
-@click.option("--within-s", type=Duration(), default=5.0, show_default=True, help="For the whole of it.")
+@click.option("--within-s", type=Duration(), default=5.0, show_default=True, help="For the whole read.")
 def members(out: Out, connect: str, path: str, **given: Any) -> int:
-    """What the nodes below a coordinator's path mean to a pool. Reads a directory once.
+    """Show what the nodes below a coordinator's path mean to a pool. Reads the directory once.
 
-    Exit: 0 all nodes can be read, 1 some can't, 2 bad input, 3 the coordinator did not tell in time.
+    Exit: 0 all nodes are readable, 1 some are not, 2 bad input, 3 the coordinator did not answer in time.
     """
-    servers, whole = _read_where(connect, path)
-    return run_interruptible(_read(out, SimpleNamespace(connect=connect, **given), servers, whole))
+    servers, full_path = _read_location(connect, path)
+    return run_interruptible(
+        _report_members(out, SimpleNamespace(connect=connect, **given), servers, full_path)
+    )
 
 
-async def _read(out: Out, args: SimpleNamespace, servers: tuple[Address, ...], path: str) -> int:
-    reading = Reading(servers, path, args.session_s * 1000)
+async def _report_members(out: Out, args: SimpleNamespace, servers: tuple[Address, ...], path: str) -> int:
+    reading = DirectoryReader(servers, path, args.session_s * 1000)
     reading.client.start()
     try:
         async with asyncio.timeout(args.within_s):
             await reading.done.wait()
     except TimeoutError:
-        why = f"{args.connect}: told nothing of {path} within {args.within_s:g} s"
-        print(f"millgw: {why}", file=sys.stderr)
-        return out.end(INCONCLUSIVE, {"path": path, "why": why})
+        reason = f"{args.connect}: no answer for {path} within {args.within_s:g} s"
+        print(f"millgw: {reason}", file=sys.stderr)
+        return out.end(INCONCLUSIVE, {"path": path, "why": reason})
     finally:
         await reading.client.close()
-    picture = reading.follower.picture
+    state = reading.follower.state
     rows: list[dict[str, object]] = []
-    for node, read in sorted(picture.nodes.items()):
-        row: dict[str, object] = {"node": node, "owner": f"{read.stat.owner:x}"}
+    for node, member_node in sorted(state.nodes.items()):
+        row: dict[str, object] = {"node": node, "owner": f"{member_node.stat.ephemeral_owner:x}"}
         try:
-            held = read_node(read.data, (), args.endpoint)
-            if held is None:
+            data = read_node(member_node.data, (), args.endpoint)
+            if data is None:
                 row["means"] = "starting"
             else:
-                drains = node in picture.draining or not held.ready
-                row |= {"name": held.name, "means": "draining" if drains else "ready"}
-                row["address"] = str(held.listed.address) if held.listed.address is not None else ""
-                row["since_ms"] = int(held.listed.endpoint.started_at or read.stat.ctime)
+                drains = node in state.draining or not data.ready
+                row |= {"name": data.name, "means": "draining" if drains else "ready"}
+                row["address"] = str(data.listed.address) if data.listed.address is not None else ""
+                row["since_ms"] = int(data.listed.endpoint.started_at or member_node.stat.ctime)
         except ValueError as error:
             row |= {"means": "unreadable", "why": str(error)}
         rows.append(row)
@@ -228,9 +241,7 @@
         "  ".join(str(row[k]) for k in ("node", "means", "name", "address", "why") if row.get(k))
         for row in rows
     ]
-    lines.append(
-        f"{path}: there is no such directory" if picture.missing else f"{len(rows)} nodes below {path}"
-    )
-    unreadable = picture.missing or any(r["means"] == "unreadable" for r in rows)
-    told = {"path": path, "missing": picture.missing, "members": rows}
-    return out.end(NOT_HELD if unreadable else HELD, told, lines)
+    lines.append(f"{path}: no such directory" if state.missing else f"{len(rows)} nodes below {path}")
+    unreadable = state.missing or any(r["means"] == "unreadable" for r in rows)
+    result = {"path": path, "missing": state.missing, "members": rows}
+    return out.end(NOT_HELD if unreadable else HELD, result, lines)
--- a/millgw/membership/jute.py
+++ b/millgw/membership/jute.py
@@ -1,7 +1,7 @@
-"""Records of the ZooKeeper protocol (its jute encoding): big-endian, lengths before what they count. Pure.
+"""Jute, the record encoding of the ZooKeeper protocol: big-endian, length-prefixed. Pure.
 
-Source: the protocol's record definitions as published (`zookeeper.jute`). A `BadRecord` tells what can't be
-read; nothing is allocated for a length before it is seen that so much is there.
+Source: the published record definitions (`zookeeper.jute`). Malformed input raises `BadRecord`; a length is
+checked against the data at hand before anything is allocated for it.
 """
 
 from __future__ import annotations
@@ -18,60 +18,60 @@
 
 
 class BadRecord(ValueError):
-    """What came is no record of the protocol."""
+    """The data is not a valid record of the protocol."""
 
 
 class Reader:
-    """Reads one frame from its start to its end."""
+    """Decodes the fields of one frame in order."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
-        self.at = 0
+        self.position = 0
 
-    def _take(self, size: int, what: str) -> bytes:
-        if size < 0 or self.at + size > len(self.data):
-            raise BadRecord(f"{what}: {size} bytes wanted, {len(self.data) - self.at} there")
-        part = self.data[self.at : self.at + size]
-        self.at += size
+    def _read_bytes(self, size: int, field: str) -> bytes:
+        if size < 0 or self.position + size > len(self.data):
+            raise BadRecord(f"{field}: {size} bytes needed, {len(self.data) - self.position} left")
+        part = self.data[self.position : self.position + size]
+        self.position += size
         return part
 
-    def number(self) -> int:
-        value: int = INT.unpack(self._take(4, "int"))[0]
+    def read_int(self) -> int:
+        value: int = INT.unpack(self._read_bytes(4, "int"))[0]
         return value
 
-    def long(self) -> int:
-        value: int = LONG.unpack(self._take(8, "long"))[0]
+    def read_long(self) -> int:
+        value: int = LONG.unpack(self._read_bytes(8, "long"))[0]
         return value
 
-    def flag(self) -> bool:
-        return self._take(1, "boolean") != b"\0"
+    def read_bool(self) -> bool:
+        return self._read_bytes(1, "boolean") != b"\0"
 
-    def buffer(self) -> bytes:
-        """Bytes; a length of -1 stands for none."""
-        size = self.number()
-        return b"" if size == -1 else self._take(size, "buffer")
+    def read_buffer(self) -> bytes:
+        """Bytes; a length of -1 stands for null, returned as empty."""
+        size = self.read_int()
+        return b"" if size == -1 else self._read_bytes(size, "buffer")
 
-    def string(self) -> str:
+    def read_string(self) -> str:
         try:
-            return self.buffer().decode()
+            return self.read_buffer().decode()
         except UnicodeDecodeError as error:
             raise BadRecord(f"string: {error.reason}") from None
 
-    def vector(self, read: Callable[[Reader], T], least: int) -> list[T]:
-        """A counted list, each of `least` bytes or more; -1 stands for none."""
-        count = self.number()
+    def read_vector(self, read: Callable[[Reader], T], min_size: int) -> list[T]:
+        """A counted list of entries of at least `least` bytes each; -1 stands for null, returned as empty."""
+        count = self.read_int()
         if count == -1:
             return []
-        if count < 0 or count * least > len(self.data) - self.at:
-            raise BadRecord(f"vector: {count} entries can't be in {len(self.data) - self.at} bytes")
+        if count < 0 or count * min_size > len(self.data) - self.position:
+            raise BadRecord(f"vector: {count} entries don't fit in {len(self.data) - self.position} bytes")
         return [read(self) for _ in range(count)]
 
-    def strings(self) -> list[str]:
-        return self.vector(Reader.string, 4)
+    def read_strings(self) -> list[str]:
+        return self.read_vector(Reader.read_string, 4)
 
     @property
-    def left(self) -> int:
-        return len(self.data) - self.at
+    def remaining(self) -> int:
+        return len(self.data) - self.position
 
 
 def write_int(value: int) -> bytes:
@@ -99,35 +99,35 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """A payload as it goes on the wire."""
+    """A payload with its length prefix, as sent on the wire."""
     return INT.pack(len(payload)) + payload
 
 
-class Frames:
-    """Cuts what comes into frames, wherever the reads fall."""
+class FrameSplitter:
+    """Splits a byte stream into frames, however it is divided into reads."""
 
     def __init__(self, most: int = MAX_FRAME) -> None:
-        self.most = most
-        self.rest = bytearray()
+        self.max_size = most
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The frames that are whole now; a BadRecord where a length can't be one."""
-        self.rest += data
-        found = []
-        while len(self.rest) >= 4:
-            size = INT.unpack_from(self.rest)[0]
-            if not 0 <= size <= self.most:
-                raise BadRecord(f"a frame of {size} bytes; the most is {self.most}")
-            if len(self.rest) < 4 + size:
+        """The frames that are complete now; raises BadRecord for an impossible length."""
+        self.buffer += data
+        frames = []
+        while len(self.buffer) >= 4:
+            size = INT.unpack_from(self.buffer)[0]
+            if not 0 <= size <= self.max_size:
+                raise BadRecord(f"frame of {size} bytes; the maximum is {self.max_size}")
+            if len(self.buffer) < 4 + size:
                 break
-            found.append(bytes(self.rest[4 : 4 + size]))
-            del self.rest[: 4 + size]
-        return found
+            frames.append(bytes(self.buffer[4 : 4 + size]))
+            del self.buffer[: 4 + size]
+        return frames
 
 
 @dataclass(slots=True, frozen=True)
 class Stat:
-    """What the coordinator knows of a node. Times are Unix ms, zxids its own order of changes."""
+    """A node's metadata. Times are Unix ms; zxids number the coordinator's changes in order."""
 
     czxid: int
     mzxid: int
@@ -136,15 +136,15 @@
     version: int
     cversion: int
     aversion: int
-    owner: int  # the session of an ephemeral node; 0 for others
-    length: int
-    children: int
+    ephemeral_owner: int  # the session of an ephemeral node; 0 for others
+    data_length: int
+    num_children: int
     pzxid: int
 
     def write(self) -> bytes:
         return STAT.pack(
             self.czxid, self.mzxid, self.ctime, self.mtime, self.version, self.cversion, self.aversion,
-            self.owner, self.length, self.children, self.pzxid,
+            self.ephemeral_owner, self.data_length, self.num_children, self.pzxid,
         )  # fmt: skip
 
 
@@ -152,4 +152,4 @@
 
 
 def read_stat(reader: Reader) -> Stat:
-    return Stat(*STAT.unpack(reader._take(STAT.size, "stat")))
+    return Stat(*STAT.unpack(reader._read_bytes(STAT.size, "stat")))
--- a/millgw/membership/merge.py
+++ b/millgw/membership/merge.py
@@ -1,13 +1,13 @@
-"""Two sources of one pool's endpoints, made one list. Pure.
+"""Merges two sources of one pool's endpoints, the coordinator and discovery, into one list. Pure.
 
-    union          what either lists                       intersection   what both list
-    coordinator    the coordinator's list while it is well; discovery's while it is not; `discovery`: the same
-                   the other way round
+    union          endpoints that either lists             intersection   endpoints that both list
+    coordinator    the coordinator's list while it is healthy, else discovery's
+    discovery      discovery's list while it is healthy, else the coordinator's
 
-Whatever the way: a drain that either tells counts at once. So does an end: an endpoint that one source had
-listed and lists no more is out, until it is listed there again or the other tells of a later start. What one
-never listed, it says nothing of. Each endpoint is known once: entries with one name, or one address, are one,
-under the coordinator's name.
+In every mode a drain that either source reports applies at once. So does a removal: an endpoint that one
+source listed before and lists no longer is out, until that source lists it again or the other reports a later
+start. A source has no say on endpoints it never listed. Each endpoint appears once: entries with the same
+name or the same address are one endpoint, under the coordinator's name.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Mode(Enum):
-    """How two lists become one."""
+    """How the two lists are merged."""
 
     UNION = "union"
     INTERSECTION = "intersection"
@@ -34,55 +34,56 @@
 
 
 @dataclass(slots=True)
-class Side:
-    """One source's last word. `spoke`: it has said anything; `well`: it could say more if there were any."""
+class SourceList:
+    """One source's latest list. `reported`: it has reported a list; `healthy`: it is reachable now."""
 
     ready: dict[int, ListedEndpoint] = field(default_factory=dict)
-    drains: dict[int, ListedEndpoint] = field(default_factory=dict)
-    ended: dict[int, float] = field(default_factory=dict)  # listed once and no more: its start by then
-    spoke: bool = False
-    well: bool = False
+    draining: dict[int, ListedEndpoint] = field(default_factory=dict)
+    # Endpoints removed from this list, each with its latest start time known at that moment (ms):
+    ended: dict[int, float] = field(default_factory=dict)
+    reported: bool = False
+    healthy: bool = False
 
 
 class Merger:
-    """Both lists, by endpoint id."""
+    """Holds both sources' lists, by endpoint id."""
 
     def __init__(self, mode: Mode) -> None:
         self.mode = mode
-        self.sides = (Side(), Side())
+        self.sources = (SourceList(), SourceList())
 
-    def tell(
+    def update(
         self, side: int, ready: Mapping[int, ListedEndpoint], drains: Mapping[int, ListedEndpoint]
     ) -> None:
-        """A source's whole list as it is now."""
-        one, other = self.sides[side], self.sides[1 - side]
-        at = {entry.address: entry for entry in other.ready.values()}
-        for id, entry in one.ready.items():
+        """Replace a source's list by its current complete one."""
+        source, other = self.sources[side], self.sources[1 - side]
+        by_address = {entry.address: entry for entry in other.ready.values()}
+        for id, entry in source.ready.items():
             if id not in ready:
-                # What the other knows by now is of the process that has ended, however late its start.
-                theirs = other.ready.get(id) or at.get(entry.address, entry)
-                one.ended[id] = max(entry.endpoint.started_at, theirs.endpoint.started_at)
+                # What the other source lists now is the process that has ended, however late its start.
+                theirs = other.ready.get(id) or by_address.get(entry.address, entry)
+                source.ended[id] = max(entry.endpoint.started_at, theirs.endpoint.started_at)
         for id in ready:
-            one.ended.pop(id, None)
-        one.ready, one.drains = dict(ready), dict(drains)
-        one.spoke = one.well = True
+            source.ended.pop(id, None)
+        source.ready, source.draining = dict(ready), dict(drains)
+        source.reported = source.healthy = True
 
-    def ails(self, side: int) -> None:
-        """A source can't be reached: its last word stands, and counts less where the other is preferred."""
-        self.sides[side].well = False
+    def mark_unhealthy(self, side: int) -> None:
+        """A source is unreachable: its latest list stays, but a mode may now prefer the other one."""
+        self.sources[side].healthy = False
 
     def result(self) -> dict[int, ListedEndpoint]:
-        """What is told to the module: endpoints that are ready, and those that drain."""
-        first, second = self.sides
-        names = _same(first, second)
+        """The merged list: endpoints that are ready, and those that drain (without address)."""
+        first, second = self.sources
+        names = _ids_by_shared_address(first, second)
         theirs = {names.get(id, id): entry for id, entry in second.ready.items()}
-        drains = dict(first.drains) | {names.get(id, id): e for id, e in second.drains.items()}
+        drains = dict(first.draining) | {names.get(id, id): e for id, e in second.draining.items()}
         ended = (first.ended, {names.get(id, id): since for id, since in second.ended.items()})
         chosen: dict[int, ListedEndpoint] = {}
         for id in {**first.ready, **theirs}:
             mine, other = first.ready.get(id), theirs.get(id)
             entry = self._choose(mine, other)
-            if entry is None or _out(id, mine, other, ended):
+            if entry is None or _is_removed(id, mine, other, ended):
                 continue
             since = max(e.endpoint.started_at for e in (mine, other) if e is not None)
             chosen[id] = replace(entry, endpoint=replace(entry.endpoint, id=id, started_at=since))
@@ -90,7 +91,7 @@
         for id, entry in list(chosen.items()):
             other_id = last.setdefault(entry.address, id)
             if other_id != id:
-                # Two names at one address: the later start is the one that is there.
+                # Two names at one address: only the one that started later can be running there.
                 later = entry.endpoint.started_at > chosen[other_id].endpoint.started_at
                 del chosen[other_id if later else id]
                 last[entry.address] = id if later else other_id
@@ -99,42 +100,42 @@
         return chosen
 
     def _choose(self, mine: ListedEndpoint | None, other: ListedEndpoint | None) -> ListedEndpoint | None:
-        first, second = self.sides
+        first, second = self.sources
         either = mine or other
-        if not (first.spoke and second.spoke):
-            return either  # one that has yet to speak takes nothing away
+        if not (first.reported and second.reported):
+            return either  # a source that has not reported yet removes nothing
         if self.mode is Mode.UNION:
             return either
         if self.mode is Mode.INTERSECTION:
             return mine if mine is not None and other is not None else None
         if self.mode is Mode.COORDINATOR:
-            return mine if first.well or not second.well else other
-        return other if second.well or not first.well else mine
+            return mine if first.healthy or not second.healthy else other
+        return other if second.healthy or not first.healthy else mine
 
 
-def _same(first: Side, second: Side) -> dict[int, int]:
-    """The second's ids that go by another id at the first: an address has one endpoint."""
-    at: dict[Address, int] = {}
-    for id, entry in [*first.drains.items(), *first.ready.items()]:
+def _ids_by_shared_address(first: SourceList, second: SourceList) -> dict[int, int]:
+    """Maps the second source's ids to the first's where both list the same address under different names."""
+    by_address: dict[Address, int] = {}
+    for id, entry in [*first.draining.items(), *first.ready.items()]:
         if entry.address is not None:
-            at[entry.address] = id
-    known = first.ready.keys() | first.drains.keys()
+            by_address[entry.address] = id
+    known = first.ready.keys() | first.draining.keys()
     same = {}
     for id, entry in second.ready.items():
-        if entry.address is not None and id not in known and entry.address in at:
-            same[id] = at[entry.address]
+        if entry.address is not None and id not in known and entry.address in by_address:
+            same[id] = by_address[entry.address]
     return same
 
 
-def _out(
+def _is_removed(
     id: int,
     mine: ListedEndpoint | None,
     other: ListedEndpoint | None,
     ended: tuple[Mapping[int, float], Mapping[int, float]],
 ) -> bool:
-    """Whether one source has told its end, and the other knows of no later start."""
-    for told, still in ((ended[0], other), (ended[1], mine)):
-        if id in told and (still is None or still.endpoint.started_at <= told[id]):
+    """Whether one source has removed it and the other reports no later start."""
+    for removed, entry in ((ended[0], other), (ended[1], mine)):
+        if id in removed and (entry is None or entry.endpoint.started_at <= removed[id]):
             return True
     return False
 
@@ -142,7 +143,7 @@
 def changes(
     before: Mapping[int, ListedEndpoint], after: Mapping[int, ListedEndpoint]
 ) -> tuple[ListedEndpoint, ...]:
-    """What has to be told to one who knows `before`."""
-    told = [entry for id, entry in after.items() if before.get(id) != entry]
+    """The entries to send to a receiver that has `before` to bring it to `after`."""
+    changed = [entry for id, entry in after.items() if before.get(id) != entry]
     gone = [entry for id, entry in before.items() if id not in after]
-    return (*told, *(with_condition(e, Condition.GONE) for e in gone))
+    return (*changed, *(with_condition(e, Condition.GONE) for e in gone))
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -1,11 +1,11 @@
-"""Registers one server: keeps its node there while it serves, and takes it down before the server stops.
+"""Registers one server: keeps its node while it serves, and deletes it before the server stops.
 
-A library call for programs that register themselves, and what the command `register` is made of:
+For programs that register themselves; the command `register` is built on it too:
 
     registrar = Registrar(servers, "/services/login", Entry("a1", "10.0.0.7:8080"), 10_000.0)
     registrar.start()
     ...
-    await registrar.leave(drain=2.0)     # told to drain, 2 s, taken down, session closed
+    await registrar.leave(drain=2.0)     # marks it draining, waits 2 s, deletes it, closes the session
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from millgw.log.events import log_event
 from millgw.membership.client import Client
 from millgw.membership.protocol import Ask, Fired, Reply
-from millgw.membership.registration import Registration, State, Wish
+from millgw.membership.registration import DesiredState, NodeState, Registration
 from millgw.platform.config import Address, read_address
 
-RETRY = 1.0  # s until what the coordinator refused is tried again
-LEAVE_WITHIN = 3.0  # s for the coordinator to hear of the drain, and again of the end
+RETRY_INTERVAL = 1.0  # s between retries of requests that the coordinator refused
+CONFIRM_TIMEOUT = 3.0  # s to wait for the coordinator to confirm the drain, and again the deletion
 
 Layout = Literal["entry", "serverset", "curator"]
 LAYOUTS: tuple[Layout, ...] = ("entry", "serverset", "curator")
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """What the node says of the server; `since`: its start in Unix ms, `instance`: a token of its process."""
+    """The server's entry; `started_at_ms`: Unix time, `instance`: a token that identifies its process."""
 
     name: str
     address: str
@@ -42,43 +42,43 @@
     weight: float = 1.0
     zone: str = ""
     layout: Layout = "entry"
-    since: int = field(default_factory=lambda: int(time.time() * 1000))
+    started_at_ms: int = field(default_factory=lambda: int(time.time() * 1000))
     instance: str = field(default_factory=lambda: secrets.token_hex(8))
 
-    def data(self, wish: Wish) -> bytes:
-        """The node's data: serving, or draining."""
-        serves, at = wish is Wish.SERVE, read_address(self.address)
-        said: dict[str, object]
+    def encode(self, desired: DesiredState) -> bytes:
+        """The node's data, as serving or as draining."""
+        serves, at = desired is DesiredState.SERVE, read_address(self.address)
+        fields: dict[str, object]
         if self.layout == "serverset":
-            said = {
+            fields = {
                 "serviceEndpoint": {"host": at.host, "port": at.port}, "additionalEndpoints": {},
                 "status": "ALIVE" if serves else "STOPPING", "shard": self.group,
             }  # fmt: skip
         elif self.layout == "curator":
-            said = {
+            fields = {
                 "name": self.name, "id": self.name, "address": at.host, "port": at.port, "sslPort": None,
-                "payload": None, "registrationTimeUTC": self.since, "serviceType": "DYNAMIC",
+                "payload": None, "registrationTimeUTC": self.started_at_ms, "serviceType": "DYNAMIC",
                 "uriSpec": None, "enabled": serves,
             }  # fmt: skip
         else:
-            said = {
+            fields = {
                 "name": self.name, "address": self.address,
                 "status": "in_service" if serves else "terminating", "group": self.group,
-                "weight": self.weight, "zone": self.zone, "since_ms": self.since,
+                "weight": self.weight, "zone": self.zone, "since_ms": self.started_at_ms,
             }  # fmt: skip
-        return json.dumps(said | {"instance": self.instance}).encode()
+        return json.dumps(fields | {"instance": self.instance}).encode()
 
-    def mine(self, data: bytes) -> bool:
-        """Whether a node's data was written by this very process."""
+    def is_own(self, data: bytes) -> bool:
+        """Whether a node's data was written by this process."""
         try:
-            said = json.loads(data)
+            fields = json.loads(data)
         except (ValueError, RecursionError):
             return False
-        return isinstance(said, dict) and said.get("instance") == self.instance
+        return isinstance(fields, dict) and fields.get("instance") == self.instance
 
 
 class Registrar:
-    """One node. `registered` is set while it is there under the session that serves."""
+    """One registered node. `registered` is set while the node exists under the current session."""
 
     def __init__(
         self,
@@ -88,86 +88,86 @@
         timeout: float,
         rng: random.Random | None = None,
     ) -> None:
-        self.registration = Registration(f"{directory}/{entry.name}", entry.data, entry.mine)
+        self.registration = Registration(f"{directory}/{entry.name}", entry.encode, entry.is_own)
         self.client = Client(servers, timeout, rng or random.Random(), self, writes=True)
         self.registered = asyncio.Event()
         self.drained = asyncio.Event()
         self.left = asyncio.Event()
-        self.retrying: asyncio.TimerHandle | None = None
-        self.taken = False
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.name_taken = False
 
     def start(self) -> None:
         self.client.start()
         self._retry()
 
     def _retry(self) -> None:
-        self._ask(self.registration.tick())
-        self.retrying = asyncio.get_running_loop().call_later(RETRY, self._retry)
+        self._send(self.registration.tick())
+        self.retry_timer = asyncio.get_running_loop().call_later(RETRY_INTERVAL, self._retry)
 
     async def leave(self, drain: float) -> bool:
-        """Tell that it drains, wait (s), take the node down and end the session; whether the node is down.
+        """Mark the node as draining, wait `drain` s, delete it, close the session; whether it is deleted.
 
-        The session's end takes it down too, at once or by its time-out, where the coordinator can't be asked.
+        The session's end deletes it too, at once or by its timeout, if the coordinator can't be reached.
         """
-        self._ask(self.registration.want(Wish.DRAIN))
-        await _within(self.drained)
-        if self.registration.made:
+        self._send(self.registration.set_desired(DesiredState.DRAIN))
+        await _confirmed(self.drained)
+        if self.registration.times_created:
             await asyncio.sleep(drain)
-        down = await self.withdraw()
-        return down
+        deleted = await self.withdraw()
+        return deleted
 
     async def withdraw(self) -> bool:
-        """Take the node down now, and end the session."""
-        self._ask(self.registration.want(Wish.LEAVE))
-        down = await _within(self.left)
-        if self.retrying is not None:
-            self.retrying.cancel()
+        """Delete the node now and close the session; whether the node is deleted."""
+        self._send(self.registration.set_desired(DesiredState.LEAVE))
+        deleted = await _confirmed(self.left)
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         await self.client.close()
-        return down
+        return deleted
 
-    def _ask(self, asks: list[Ask]) -> None:
-        for ask in asks:
-            self.client.ask(ask)
+    def _send(self, requests: list[Ask]) -> None:
+        for request in requests:
+            self.client.ask(request)
         state = self.registration.state
-        _mark(self.registered, state is State.SERVES)
-        _mark(self.drained, state in (State.DRAINS, State.LEFT))
-        _mark(self.left, state is State.LEFT)
-        if state is State.TAKEN and not self.taken:
+        _set_event(self.registered, state is NodeState.SERVES)
+        _set_event(self.drained, state in (NodeState.DRAINS, NodeState.LEFT))
+        _set_event(self.left, state is NodeState.LEFT)
+        if state is NodeState.TAKEN and not self.name_taken:
             log_event("name-taken", node=self.registration.path)
-        self.taken = state is State.TAKEN
-        if self.registration.problem:
-            log_event("register-refused", node=self.registration.path, code=self.registration.problem
+        self.name_taken = state is NodeState.TAKEN
+        if self.registration.refusal:
+            log_event("register-refused", node=self.registration.path, code=self.registration.refusal
             )  # fmt: skip
 
-    # The client's listener
+    # Callbacks of the client (`Listener`)
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        self._ask(self.registration.up(self.client.core.session))
+        self._send(self.registration.on_connected(self.client.protocol.session))
 
     def down(self) -> None:
-        self.registration.down()
-        self._ask([])
+        self.registration.on_disconnected()
+        self._send([])
 
     def reply(self, reply: Reply) -> None:
-        made = self.registration.made
-        self._ask(self.registration.reply(reply))
-        if self.registration.made > made:
-            log_event("registered", node=self.registration.path, times=self.registration.made)
+        times_created = self.registration.times_created
+        self._send(self.registration.on_reply(reply))
+        if self.registration.times_created > times_created:
+            log_event("registered", node=self.registration.path, times=self.registration.times_created)
 
-    def fired(self, fired: Fired) -> None:
-        self._ask(self.registration.fired(fired))
+    def fired(self, event: Fired) -> None:
+        self._send(self.registration.on_watch_event(event))
 
 
-def _mark(event: asyncio.Event, holds: bool) -> None:
-    if holds:
+def _set_event(event: asyncio.Event, condition: bool) -> None:
+    if condition:
         event.set()
     else:
         event.clear()
 
 
-async def _within(event: asyncio.Event) -> bool:
+async def _confirmed(event: asyncio.Event) -> bool:
     try:
-        async with asyncio.timeout(LEAVE_WITHIN):
+        async with asyncio.timeout(CONFIRM_TIMEOUT):
             await event.wait()
     except TimeoutError:
         return False
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -1,4 +1,4 @@
-"""The command `coordinator`: the stand-in by itself, told what to do by lines on its standard input."""
+"""The command `coordinator`: runs the stand-in coordinator, controlled by lines on standard input."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from millgw.cli.kinds import ADDRESS, SEED
 from millgw.cli.report import Serving
 from millgw.platform.config import Address
-from millgw.standins.coordinator.ensemble import Ensemble, Face
-from millgw.standins.coordinator.tree import Failed
+from millgw.standins.coordinator.ensemble import Ensemble, EnsembleServer
+from millgw.standins.coordinator.tree import OperationError
 
-MOST_FACES = 3
+MAX_SERVERS = 3
 
 HELP = """Lines on standard input, each answered by one line of JSON:
   nodes PATH                 the names below a node, with their owners
-  put PATH [TEXT]            make a node that no session owns, or give it other data
-  own PATH [TEXT]            make an ephemeral node of a session of its own; tells the session
+  put PATH [TEXT]            create a persistent node, or replace its data
+  own PATH [TEXT]            create an ephemeral node with its own session; returns the session
   remove PATH                delete a node, whoever owns it
-  sessions                   those that are open
-  expire SESSION             expire one now
-  expire-owners PATH [SHARE] expire those that own a share of the nodes below PATH (1)
-  drop FACE                  end all connections to a face; sessions live on
-  freeze FACE | thaw FACE    answer nothing, or all that has waited
-  lag FACE | catch-up FACE   serve reads from the tree as it is now, or follow again
-  refuse FACE | accept FACE  end new connections, or serve them
+  sessions                   the open sessions
+  expire SESSION             expire a session now
+  expire-owners PATH [SHARE] expire the sessions that own a share of the nodes below PATH (1)
+  drop FACE                  close all connections to a face; sessions live on
+  freeze FACE | thaw FACE    stop answering, or resume and answer what is queued
+  lag FACE | catch-up FACE   serve reads from a copy of the current tree, or follow changes again
+  refuse FACE | accept FACE  close new connections at once, or serve them
   read-only FACE | writable FACE
-  delay-watches FACE MS      tell watches late (0: at once)
-  lose-watches FACE COUNT    tell none of the next ones
+  delay-watches FACE MS      delay watch events (0: send at once)
+  lose-watches FACE COUNT    drop the next watch events
   restart-empty              all nodes and sessions are lost
-Faces are numbered from 0."""
+A face is one server of the ensemble; faces are numbered from 0."""
 
 
 @click.command(cls=Serving, examples=["coordinator --listen 127.0.0.1:2181"], epilog="\b\n" + HELP)
@@ -44,16 +44,16 @@
     multiple=True,
     type=ADDRESS,
     metavar="IP:PORT",
-    help="A face; up to three (one free one).",
+    help="A face, a server of the ensemble; up to three (default: one on a free port).",
 )
-@click.option("--seed", type=SEED, default=1, show_default=True, help="Of session ids and of what is drawn.")
+@click.option("--seed", type=SEED, default=1, show_default=True, help="Of session ids and random choices.")
 def coordinator(listen: tuple[Address, ...], seed: int) -> int:
     """A stand-in for a ZooKeeper-style coordinator, with faults on command.
 
     Serves ZooKeeper's protocol on loopback until its input ends or SIGTERM comes.
     """
-    if len(listen) > MOST_FACES:
-        raise BadInput(f"--listen: {len(listen)} faces; the most are {MOST_FACES}")
+    if len(listen) > MAX_SERVERS:
+        raise BadInput(f"--listen: {len(listen)} faces; the maximum is {MAX_SERVERS}")
     try:
         asyncio.run(_serve(Ensemble(list(listen), seed=seed)))
     except (ValueError, OSError) as error:
@@ -63,17 +63,17 @@
 
 async def _serve(ensemble: Ensemble) -> None:
     loop = asyncio.get_running_loop()
-    over = asyncio.Event()
+    stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
-        loop.add_signal_handler(number, over.set)
+        loop.add_signal_handler(number, stop.set)
     await ensemble.start()
     print(json.dumps({"connect": ensemble.connect_string}), flush=True)
     lines = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     reading = loop.create_task(_commands(ensemble, lines))
-    reading.add_done_callback(lambda _: over.set())
+    reading.add_done_callback(lambda _: stop.set())
     try:
-        await over.wait()
+        await stop.wait()
     finally:
         reading.cancel()
         await ensemble.stop()
@@ -82,16 +82,16 @@
 async def _commands(ensemble: Ensemble, lines: asyncio.StreamReader) -> None:
     while line := await lines.readline():
         if words := line.decode(errors="replace").split():
-            print(json.dumps(carry_out(ensemble, words)), flush=True)
+            print(json.dumps(execute(ensemble, words)), flush=True)
 
 
-def carry_out(ensemble: Ensemble, words: list[str]) -> dict[str, object]:
-    """Carry out one line's words; what it came to, or `error`."""
+def execute(ensemble: Ensemble, words: list[str]) -> dict[str, object]:
+    """Execute the command in one line's words; returns its result, or `error`."""
     command, *rest = words
     try:
-        if command in ON_FACES:
-            face = ensemble.faces[int(rest[0])]
-            ON_FACES[command](face, float(rest[1]) if len(rest) > 1 else 0.0)
+        if command in SERVER_COMMANDS:
+            server = ensemble.faces[int(rest[0])]
+            SERVER_COMMANDS[command](server, float(rest[1]) if len(rest) > 1 else 0.0)
             return {"done": command}
         if command == "nodes":
             return {
@@ -114,27 +114,27 @@
             ensemble.restart_empty()
         else:
             return {"error": f"{command}: no such command; --help lists them"}
-    except Failed as failed:
-        return {"error": f"{command}: {failed}"}
+    except OperationError as error:
+        return {"error": f"{command}: {error}"}
     except (IndexError, KeyError, ValueError) as error:
         return {"error": f"{command}: {type(error).__name__}: {error}"}
     return {"done": command}
 
 
-def _set(name: str, value: object) -> Callable[[Face, float], None]:
-    return lambda face, _: setattr(face.ills, name, value)
+def _set_fault(name: str, value: object) -> Callable[[EnsembleServer, float], None]:
+    return lambda server, _: setattr(server.ills, name, value)
 
 
-ON_FACES: dict[str, Callable[[Face, float], None]] = {
-    "drop": lambda face, _: face.drop(),
-    "freeze": lambda face, _: face.freeze(True),
-    "thaw": lambda face, _: face.freeze(False),
-    "lag": lambda face, _: face.lag(True),
-    "catch-up": lambda face, _: face.lag(False),
-    "refuse": _set("refusing", True),
-    "accept": _set("refusing", False),
-    "read-only": _set("read_only", True),
-    "writable": _set("read_only", False),
-    "delay-watches": lambda face, ms: setattr(face.ills, "watch_delay", ms),
-    "lose-watches": lambda face, count: setattr(face.ills, "lose_watches", int(count)),
+SERVER_COMMANDS: dict[str, Callable[[EnsembleServer, float], None]] = {
+    "drop": lambda server, _: server.drop(),
+    "freeze": lambda server, _: server.freeze(True),
+    "thaw": lambda server, _: server.freeze(False),
+    "lag": lambda server, _: server.lag(True),
+    "catch-up": lambda server, _: server.lag(False),
+    "refuse": _set_fault("refusing", True),
+    "accept": _set_fault("refusing", False),
+    "read-only": _set_fault("read_only", True),
+    "writable": _set_fault("read_only", False),
+    "delay-watches": lambda server, ms: setattr(server.ills, "watch_delay", ms),
+    "lose-watches": lambda server, count: setattr(server.ills, "lose_watches", int(count)),
 }
