--- a/millgw/configuration/__init__.py
+++ b/millgw/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of configuration: versions that control instances replicate and sidecars apply."""
+"""Distributed configuration: control instances replicate versions of a document and sidecars apply them."""
--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -1,12 +1,14 @@
-"""A version of the distributed document over the files of one sidecar: checked as a whole, applied as one.
+"""Applies a version of the distributed document to a sidecar: validated as a whole, then applied atomically.
 
-Entries for a sidecar, all others being ignored:
+The version's entries override the sidecar's local files. Entries used, all others being ignored:
 
-- `settings`: goes over the settings of the configuration file, table by table.
-- `services.NAME`: goes over those of one service of the operator's file, after them.
-- `services.NAME.limits`, `services.NAME.connections`, `connections`: over the operator's tables of that name.
+- `settings`: overrides the settings of the configuration file, table by table.
+- `services.NAME`: overrides the settings of one service of the operator's file, after `settings`.
+- `services.NAME.limits`, `services.NAME.connections`, `connections`: override the operator's tables of that
+  name.
 
-A refusal is one line that names the field. What can't change in service is worded `takes a restart: FIELD`.
+The error for an unusable version is one line that names the field. A field that can't change while the
+sidecar is running is reported as `takes a restart: FIELD`.
 """
 
 from __future__ import annotations
@@ -46,25 +48,28 @@
     "Settings.cold_share": "settings: rules.coldShare",
     "Settings.siblings": "settings: siblings",
 }
-"""The fields that only the balancer's settings check, as operators word them."""
+"""Fields that only the balancer's settings validate, and the setting that an operator writes for each."""
 
 OF_PROCESS = frozenset(("listen", "control", "discovery", "name", "seed", "known"))
-"""Words of the configuration file that a process reads once, at its start."""
+"""Keys of the configuration file that a process reads only once, at startup."""
 
 
 class RefusedVersionError(ValueError):
-    """A version can't be used here; the text is one line that names the field. Nothing has changed."""
+    """This sidecar can't use a version; nothing has changed. The message is one line naming the field."""
 
 
 class RestartNeededError(RefusedVersionError):
-    """A version can't be used in service: a start may begin with it."""
+    """A version can't be applied to a running sidecar, but can be used at its next start."""
 
     def __init__(self, field: str) -> None:
         super().__init__(f"takes a restart: {field}")
 
 
 def overlay(files: Files, entries: Entries) -> Files:
-    """The files with a document's entries over them; a RefusedVersionError names what can't be used."""
+    """Return the files overridden by a document's entries.
+
+    Raises RefusedVersionError, naming the field, for entries that can't be used.
+    """
     settings = dict(files.settings)
     if SETTINGS in entries:
         check_words(SETTINGS, entries[SETTINGS], files.settings)
@@ -113,7 +118,7 @@
 
 
 def _converted(path: str, before: T, over: Mapping[str, Any], kind: type[T]) -> T:
-    """A table of the operator's file with words over it, by the file's own checks."""
+    """Override keys of a table of the operator's file, with the same validation as for the file."""
     try:
         return msgspec.convert(merged(msgspec.to_builtins(before), over), kind)
     except msgspec.ValidationError as error:
@@ -122,9 +127,9 @@
 
 
 def check_words(path: str, over: Mapping[str, Any], base: Mapping[str, Any]) -> None:
-    """Refuse words that no setting has, and tables or lists that are none: they would silently do nothing.
+    """Refuse unknown keys, and values that are no table or list where one is expected.
 
-    What the file has beside the known words may be worded too.
+    They would otherwise be ignored silently. Keys that the file has beside the known ones are accepted too.
     """
     for word in over:
         if word in OF_PROCESS:
@@ -164,7 +169,7 @@
 
 
 def in_words(error: Exception) -> str:
-    """A cause with the operators' word for a field of the settings."""
+    """The error's message in one line, with internal field names replaced by the operator's setting names."""
     cause = one_line(error)
     for name, word in FIELD_WORDS.items():
         cause = cause.replace(name, word)
@@ -172,16 +177,16 @@
 
 
 def one_line(text: object) -> str:
-    """A cause as one line, whatever was in the field that it quotes."""
+    """Collapse all whitespace, so that a message that quotes a field's value stays one line."""
     return " ".join(str(text).split())
 
 
-# One pool
+# Changes of one pool
 
 
 @dataclass(slots=True, frozen=True)
 class PoolChange:
-    """What becomes of one pool, checked already."""
+    """A validated change of one pool's configuration."""
 
     pool: Pool
     tended: Tended | None
@@ -189,7 +194,7 @@
     terms: Terms | None
 
     def carry_out(self) -> None:
-        """Have the pool go by it from now on."""
+        """Apply the change to the pool and its connections."""
         self.pool.reconfigure(self.config)
         if self.tended is None or self.terms is None:
             return
@@ -201,7 +206,10 @@
 
 
 def plan(path: str, pool: Pool, tended: Tended | None, config: Config, terms: Terms | None) -> PoolChange:
-    """The change of a pool to a configuration; a RefusedVersionError names what can't change in service."""
+    """Plan the change of a running pool to a configuration.
+
+    Raises RestartNeededError, naming the field, for a change that takes a restart.
+    """
     if (tended is None) != (terms is None):
         raise RestartNeededError(f"{path}{CONNECTIONS}")
     settings = in_service(f"{path}{SETTINGS}", pool.config.settings, config.settings)
@@ -211,9 +219,10 @@
 
 
 def in_service(path: str, before: Settings, after: Settings) -> Settings:
-    """Settings as a running balancer takes them: classes and tenants in the order in which it numbers them.
+    """Order classes and tenants as the running balancer numbers them.
 
-    A tenant that is left out has no limit, as one that was never named; a new one comes after all others.
+    A tenant missing from the new settings has no limit, like one that was never configured; a new tenant
+    comes after all others.
     """
     classes = {cls.name: cls for cls in after.classes}
     if len(classes) != len(after.classes) or classes.keys() != {cls.name for cls in before.classes}:
@@ -234,7 +243,7 @@
 
 
 def service_config(files: Files, name: str) -> Config:
-    """The configuration of one service's pool; a RefusedVersionError names what can't be used."""
+    """The configuration of one service's pool; raises RefusedVersionError for settings that can't be used."""
     try:
         return pool_config(name, files.operator.services[name], files.config, files.settings)
     except (ValueError, TypeError) as error:
@@ -242,10 +251,10 @@
 
 
 def plan_service(files: Files, name: str, pool: Pool, tended: Tended | None) -> PoolChange:
-    """The change of one service's pool to what the files say, with entries over them."""
+    """Plan the change of one service's pool to files that already include the document's entries."""
     service, config = files.operator.services[name], service_config(files, name)
     two_sources = service.coordinator is not None and service.membership is not None
     if two_sources and config.settings.ask_within != pool.config.settings.ask_within:
-        # The waits between tries at the two sources are worked out once.
+        # The retry intervals of the two sources are computed only once.
         raise RestartNeededError(f"{SERVICES}{name}.settings.rules.askWithin")
     return plan(f"{SERVICES}{name}.", pool, tended, config, files.operator.tends(name))
--- a/millgw/configuration/client.py
+++ b/millgw/configuration/client.py
@@ -1,7 +1,7 @@
-"""A sidecar's side of the distribution on sockets: carries out what the follower decides.
+"""Client of the distributed configuration in a sidecar: performs the I/O that the follower decides on.
 
-One watch, cut into lines wherever the reads fall, and one short connection for each report. What comes in one
-read is applied once, as its newest version. Calls never wait for any of it.
+It holds one watch, an HTTP response that stays open and is split into lines, and opens one short connection
+for each report. If one read brings several versions, only the newest is applied. Calls never wait for this.
 """
 
 from __future__ import annotations
@@ -28,30 +28,30 @@
 from millgw.log.events import log_event
 from millgw.platform.config import read_address
 
-MAX_LINE = 10 * 1024 * 1024  # bytes of one line: control takes documents of 8 MB
-MAX_ANSWER = 64 * 1024  # bytes of the answer to a report
-REPORT_WITHIN = 2.0  # s that a report may take
-START_WITHIN = 1.0  # s that a start waits for its first version; it serves without one
-DESCRIPTORS = 3  # the watch, a report, the file
-LEAST_TIMER = 0.001  # s, guards against a loop's clock that counts whole ms and wakes too early
+MAX_LINE = 10 * 1024 * 1024  # bytes; control instances accept documents of up to 8 MB
+MAX_ANSWER = 64 * 1024  # bytes of the response to a report
+REPORT_WITHIN = 2.0  # s for sending one report
+START_WITHIN = 1.0  # s that startup waits for the first version before it goes on without one
+DESCRIPTORS = 3  # file descriptors: the watch, a report, the last-good file
+LEAST_TIMER = 0.001  # s; an event loop clock with a resolution of 1 ms can fire too early
 
 
 class Target(Protocol):
-    """What the entries of the distributed document go over.
+    """What the entries of the distributed document are applied to.
 
-    A RefusedVersionError of either method tells that they can't be used, and nothing has changed.
+    Both methods raise RefusedVersionError, without changing anything, for entries that can't be used.
     """
 
     def check(self, entries: Entries) -> None:
-        """Whether a start could begin with these entries."""
+        """Check that the sidecar could start with these entries."""
 
     def reconfigure(self, entries: Entries) -> None:
-        """Go by these entries from now on, all of them at once."""
+        """Apply all these entries at once."""
 
 
 @dataclass(slots=True)
 class Traffic:
-    """What was counted, as the operators' endpoint tells it. Bytes are those of HTTP, without TCP's own."""
+    """Counters for the operators' endpoint. Bytes are those of HTTP, without TCP overhead."""
 
     bytes_in: int = 0
     bytes_out: int = 0
@@ -62,8 +62,8 @@
 class Client:
     """Follows the distributed configuration for one sidecar.
 
-    Until `serving`, versions are only checked: the sidecar has no pools yet, and begins with what `begin`
-    tells. From then on they change what is in service.
+    Until `serving` is set, versions are only checked: the sidecar has no pools yet, and starts with the
+    entries that `begin` returns. After that, each version is applied to the running pools.
     """
 
     descriptors = DESCRIPTORS
@@ -78,23 +78,23 @@
         self.target = target
         self.serving = False
         self.follower = Follower(instances, seed)
-        self.good: Document | None = None  # in force
+        self.good: Document | None = None  # the version in force
         self.traffic = Traffic()
         self.watch: Watch | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.reporting: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
-        self.settled = asyncio.Event()  # the first version has come, or the first try has failed
-        self.up = False  # whether the loss of control was not told yet
-        self.applied_in = 0.0  # s from the last line's arrival until it was in force
+        self.settled = asyncio.Event()  # the first version has arrived or the first connection has failed
+        self.up = False  # whether a watch is established; its loss is logged once
+        self.applied_in = 0.0  # s from the arrival of the last version until it was in force
         self.stopped = False
 
     # Start and end
 
     async def begin(self) -> Entries:
-        """Follow from now on; the entries to start with, none where there is no version that can be used.
+        """Start following; return the entries to start with, none if no version can be used.
 
-        With no version on the disk it waits for a first one, but not for long.
+        Without a usable version on disk it waits up to `START_WITHIN` seconds for the first one.
         """
         for document in () if self.last_good is None else self.last_good.read():
             self.follower = Follower(self.instances, self.seed, document)
@@ -113,7 +113,7 @@
         return {} if self.good is None else self.good.entries
 
     def stop(self) -> None:
-        """Follow no longer. What is being written to the disk comes to its end."""
+        """Stop following. A write of the last-good file that is in progress is completed."""
         self.stopped = True
         if self.timer is not None:
             self.timer.cancel()
@@ -121,13 +121,13 @@
         for task in self.reporting:
             task.cancel()
 
-    # Carrying out
+    # Actions of the follower
 
     def _now(self) -> float:
         return time.monotonic() * 1000
 
     def _work(self) -> None:
-        """Carry out all that is to be done now, and wake up when there is more."""
+        """Perform all actions that are due, and set a timer for the next one."""
         if self.stopped:
             return
         while (step := self.follower.next(self._now())) is not None:
@@ -165,7 +165,7 @@
             watch.stop()
 
     def _lost(self, cause: str) -> None:
-        """The watch is over: tell so once for each that was up."""
+        """Close the watch; log the loss once per watch that was established."""
         instance = "" if self.watch is None else self.watch.step.instance
         self._close_watch()
         self.settled.set()
@@ -173,17 +173,17 @@
             self.up = False
             log_event("control-lost", instance=instance, cause=cause)
 
-    # What the watch tells
+    # Events of the watch
 
     def ended(self, watch: Watch, cause: str) -> None:
-        """A watch ended by itself, or never came about."""
+        """Handle a watch that ended or could not be opened."""
         if watch is self.watch:
             self.follower.ended(self._now())
             self._lost(cause)
             self._work()
 
     def lines(self, watch: Watch, lines: list[bytes]) -> None:
-        """Take the lines of one read, and apply the newest version among them."""
+        """Process the lines of one read, and apply the newest version among them."""
         arrived = time.monotonic()
         newer = False
         for data in lines:
@@ -195,7 +195,7 @@
         self._work()
 
     def _line(self, watch: Watch, data: bytes) -> bool:
-        """Take one line; tells whether the document held is a newer one now."""
+        """Process one line; return whether it brought a newer document."""
         heard = self.follower.line(self._now(), data)
         if heard in (Heard.UNREADABLE, Heard.GAP):
             self._lost(f"{heard.value}: a line that can't be used")
@@ -210,7 +210,7 @@
         return heard is Heard.NEWER
 
     def _apply(self, arrived: float) -> None:
-        """Check the version held, and have it in force as a whole or not at all."""
+        """Check or apply the newest version, as a whole or not at all."""
         follower = self.follower
         document = follower.held
         use = self.target.reconfigure if self.serving else self.target.check
@@ -230,7 +230,7 @@
         self._keep()
 
     def _keep(self, *newer: Document) -> None:
-        """Have the disk hold the version in force, and a newer one that takes a restart before it."""
+        """Save the version in force, preceded by a newer one that takes a restart, if any."""
         if self.last_good is not None:
             self.last_good.keep(*newer, *(() if self.good is None else (self.good,)))
 
@@ -263,7 +263,7 @@
     # For operators
 
     def figures(self) -> dict[str, object]:
-        """Where the configuration stands here; docs/configuration-sidecar.md says what each figure means."""
+        """State of the configuration client; docs/configuration-sidecar.md describes each field."""
         follower, traffic = self.follower, self.traffic
         refused: dict[str, object] = {}
         if follower.refused is not None:
@@ -285,7 +285,7 @@
 
 
 class Watch(asyncio.Protocol):
-    """One watch: an answer that stays open, cut into lines wherever the reads fall."""
+    """One watch: an HTTP response that stays open, split into lines whatever the boundaries of the reads."""
 
     def __init__(self, client: Client, step: Connect) -> None:
         self.client = client
@@ -297,7 +297,7 @@
         self.ended = ""
 
     def stop(self) -> None:
-        """End it; nothing more is taken from it."""
+        """Close the connection and ignore whatever still arrives."""
         self.stopped = True
         if self.transport is not None:
             self.transport.abort()
@@ -343,7 +343,7 @@
 
 
 class Post(asyncio.Protocol):
-    """One report on a connection of its own; `done` tells whether the instance has it."""
+    """One report on a connection of its own; `done` resolves to whether the instance accepted it."""
 
     def __init__(self, instance: str, body: bytes, traffic: Traffic) -> None:
         self.instance = instance
@@ -355,7 +355,7 @@
         self.done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     def stop(self) -> None:
-        """Close the connection, whatever has come of it."""
+        """Close the connection, whether or not the report was accepted."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -396,6 +396,6 @@
 
 
 def quoted(name: str) -> str:
-    """A name as it may stand in a query."""
+    """Percent-encode a name for a query string."""
     kept = b"abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~"
     return "".join(chr(byte) if byte in kept else f"%{byte:02X}" for byte in name.encode())
--- a/millgw/configuration/command.py
+++ b/millgw/configuration/command.py
@@ -1,4 +1,4 @@
-"""The command `configuration`: control instances, proposals, and where versions are in force."""
+"""The `configuration` command: runs control instances, proposes versions, shows where they are in force."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 from millgw.log.wording import KINDS
 from millgw.platform.config import Address, read_address
 
-POLL_INTERVAL = 0.5  # s between two looks of `wait`
-WITHIN = 2.0  # s for an instance's answer
+POLL_INTERVAL = 0.5  # s between two polls of `wait`
+WITHIN = 2.0  # s for an instance's response
 MAX_INSTANCE_NAME = 64  # characters
 
 
 class AddressesKind(click.ParamType[tuple[Address, ...]]):
-    """`IP:PORT,...`, to addresses."""
+    """Parses `IP:PORT,...` into addresses."""
 
     name = "IP:PORT,..."
 
@@ -61,7 +61,7 @@
 
 
 class VotersKind(click.ParamType[dict[str, Address]]):
-    """`NAME=IP:PORT,...`, to addresses by name."""
+    """Parses `NAME=IP:PORT,...` into addresses by name."""
 
     name = "NAME=IP:PORT,..."
 
@@ -74,13 +74,13 @@
         for part in value.split(","):
             name, _, address = part.partition("=")
             if not _is_instance_name(name) or name in voters:
-                self.fail(f"{name!r} is no name, or stands twice", param, ctx)
+                self.fail(f"{name!r} is not a valid instance name or is given twice", param, ctx)
             try:
                 voters[name] = read_address(address)
             except ValueError as error:
                 self.fail(str(error), param, ctx)
         if len(set(voters.values())) != len(voters):
-            self.fail("an address stands twice", param, ctx)
+            self.fail("an address is given twice", param, ctx)
         return voters
 
 
@@ -91,15 +91,15 @@
 INSTANCES = click.argument("instances", nargs=-1, required=True, type=ADDRESS, metavar="IP:PORT...")
 AT = click.option("--at", "instances", required=True, type=AddressesKind(), help="The control instances.")
 EACH = click.option(
-    "--each-within", type=Duration(0.01, 60), default=WITHIN, show_default=True, help="For one answer."
+    "--each-within", type=Duration(0.01, 60), default=WITHIN, show_default=True, help="Timeout per response."
 )
 
 
 @click.group()
 def configuration() -> None:
-    """Control instances: run one, change the fleet's configuration, see where it is in force.
+    """Run control instances, change the fleet's configuration and see where it is in force.
 
-    Exit: 0 it held, 1 it did not, 2 bad input, 3 it could not be told.
+    Exit: 0 success, 1 the condition does not hold, 2 bad input, 3 inconclusive.
     """
 
 
@@ -114,17 +114,17 @@
     ],
 )
 @click.option("--name", required=True, help="This instance's name.")
-@click.option("--voters", type=VotersKind(), help="All voters, this one among them.")
-@click.option("--follow", type=AddressesKind(), help="Be a relay of these instances.")
-@click.option("--listen", type=ADDRESS, help="Where a relay listens; a voter listens where --voters says.")
+@click.option("--voters", type=VotersKind(), help="All voters, including this one.")
+@click.option("--follow", type=AddressesKind(), help="Run a relay that follows these instances.")
+@click.option("--listen", type=ADDRESS, help="Address of a relay; that of a voter is in --voters.")
 @click.option(
     "--store",
     required=True,
     multiple=True,
     type=click.Path(file_okay=False, path_type=Path),
-    help="Its directory; twice for mirrors.",
+    help="Directory of the instance's state; twice to mirror it.",
 )
-@click.option("--create", is_flag=True, help="Make the state of a voter that never ran.")
+@click.option("--create", is_flag=True, help="Create the state of a voter that has never run.")
 @click.option("--log", type=click.Choice(KINDS), default="text", show_default=True)
 def serve(
     name: str,
@@ -137,21 +137,21 @@
 ) -> int:
     """Run one control instance: a voter (--voters) or a relay (--follow).
 
-    A voter whose store is lost, incomplete or another's does not start: it could vote a committed version
-    away. --create is for the first start of a new cluster alone.
+    A voter whose store is lost, incomplete or belongs to another instance does not start, as its vote could
+    lose a committed version. Use --create only for the first start of a new cluster.
 
-    Exit: 0 told to end (SIGTERM), 1 it could not go on, 2 bad input, or a store that can't be used.
+    Exit: 0 stopped by a signal (SIGTERM), 1 failed while running, 2 bad input or an unusable store.
     """
     if not _is_instance_name(name):
-        raise BadInput(f"--name: {name!r} is no name of an instance")
+        raise BadInput(f"--name: {name!r} is not a valid instance name")
     if (voters is None) == (follow is None):
-        raise BadInput("one of --voters and --follow is needed")
+        raise BadInput("exactly one of --voters and --follow is required")
     start_log(log)
     if voters is not None:
         return _serve_voter(name, voters, listen, store, create)
     assert follow is not None
     if listen is None or create or len(store) != 1:
-        raise BadInput("a relay takes --listen and one --store, and no --create")
+        raise BadInput("a relay requires --listen and exactly one --store, and does not accept --create")
     return uvloop.run(_run_relay(name, listen, follow, store[0]))
 
 
@@ -159,9 +159,9 @@
     name: str, voters: dict[str, Address], listen: Address | None, store: Sequence[Path], create: bool
 ) -> int:
     if name not in voters:
-        raise BadInput(f"--voters: {name} is not among them")
+        raise BadInput(f"--voters: does not include {name}")
     if listen is not None:
-        raise BadInput("--listen: a voter listens where --voters says")
+        raise BadInput("--listen: the address of a voter is in --voters")
     if len(store) > 2:
         raise BadInput("--store: one directory, or two that mirror each other")
     try:
@@ -194,7 +194,7 @@
 
 
 async def _run_relay(name: str, listen: Address, follow: tuple[Address, ...], store: Path) -> int:
-    from millgw.configuration.relay import Relay  # a voter needs nothing of a sidecar's side
+    from millgw.configuration.relay import Relay  # a voter does not need the sidecar's client
 
     relay = Relay(name, listen, follow, store, random.randrange(2**32))
     try:
@@ -215,7 +215,7 @@
 
 
 def _ending() -> asyncio.Future[None]:
-    """Done once the process is told to end."""
+    """A future that is done when the process receives SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     told: asyncio.Future[None] = loop.create_future()
 
@@ -238,11 +238,13 @@
 )
 @AT
 @click.argument("changes", nargs=-1, metavar="NAME=JSON...")
-@click.option("--remove", multiple=True, metavar="NAME", help="Remove an entry; may stand several times.")
-@click.option("--if-index", type=click.IntRange(0), help="Only if this is the newest version.")
-@click.option("--author", default="", help="By default the user's name.")
+@click.option("--remove", multiple=True, metavar="NAME", help="Remove an entry; repeatable.")
+@click.option("--if-index", type=click.IntRange(0), help="Commit only if this is the newest version.")
+@click.option("--author", default="", help="Defaults to the name of the user.")
 @click.option("--reason", default="")
-@click.option("--within", type=Duration(0.1, 600), default=10.0, show_default=True, help="For the outcome.")
+@click.option(
+    "--within", type=Duration(0.1, 600), default=10.0, show_default=True, help="Timeout for the outcome."
+)
 def set_(
     out: Out,
     instances: tuple[Address, ...],
@@ -253,12 +255,12 @@
     reason: str,
     within: float,
 ) -> int:
-    """Propose one version with all these changes; FILE's content by NAME=@FILE.
+    """Propose one version with all these changes; NAME=@FILE reads a value from a file.
 
-    Asks until an instance leads or the time is over. A version that may or may not be committed is never
-    proposed again by itself: look with `get`, and give --if-index.
+    Retries until an instance leads or the timeout is over. A version that may have been committed is never
+    proposed again automatically: check with `get`, then use --if-index.
 
-    Exit: 0 committed, 1 nothing changed (a conflict, no quorum), 2 bad input, 3 not known or nobody answered.
+    Exit: 0 committed, 1 nothing changed (conflict or no quorum), 2 bad input, 3 unknown or no response.
     """
     proposed = [_read_change(text) for text in changes] + [Change(name, None) for name in remove]
     names = [change.name for change in proposed]
@@ -266,7 +268,7 @@
         raise BadInput("nothing to change: give NAME=JSON or --remove NAME")
     for name in names:
         if not 0 < len(name) <= MAX_NAME or names.count(name) > 1:
-            raise BadInput(f"{name!r} is no name of an entry, or stands twice")
+            raise BadInput(f"{name!r} is not a valid entry name or is given twice")
     result = run_interruptible(propose(instances, proposed, author or _user(), reason, if_index, within))
     if result.outcome is Outcome.INVALID:
         raise BadInput(f"refused: {result.cause}")
@@ -325,9 +327,9 @@
 @click.argument("name", required=False)
 @EACH
 def get(out: Out, instances: tuple[Address, ...], name: str | None, each_within: float) -> int:
-    """The newest committed document that any instance has, or one entry of it.
+    """Print the newest committed document that any instance has, or one entry of it.
 
-    Exit: 0 it is there, 1 there is no such entry, 2 bad input, 3 no instance answered.
+    Exit: 0 found, 1 there is no such entry, 2 bad input, 3 no instance answered.
     """
     line, troubles = run_interruptible(fetch_document(instances, each_within))
     if line is None:
@@ -355,12 +357,12 @@
 
 @configuration.command(cls=Reporting, examples=["configuration status 127.0.0.1:7301 127.0.0.1:7302"])
 @INSTANCES
-@click.option("--index", type=click.IntRange(0), help="The version asked for; the newest by default.")
+@click.option("--index", type=click.IntRange(0), help="The version to look up; the newest by default.")
 @EACH
 def status(out: Out, instances: tuple[Address, ...], index: int | None, each_within: float) -> int:
-    """What all these instances know together, and at how many sidecars the newest version is in force.
+    """Show the merged status of these instances and at how many sidecars a version is in force.
 
-    Exit: 0 in force at all known sidecars and all instances have a quorum, 1 not so, 2 bad input, 3 some
+    Exit: 0 in force at all known sidecars and all instances have a quorum, 1 otherwise, 2 bad input, 3 some
     instances did not answer.
     """
     fleet = run_interruptible(fetch_status(tuple(dict.fromkeys(instances)), each_within))
@@ -424,9 +426,9 @@
 )
 @INSTANCES
 @click.option("--index", type=click.IntRange(1), required=True, help="The version to wait for.")
-@click.option("--all", "all_", is_flag=True, help="Until it is in force at every known sidecar.")
-@click.option("--sidecars", type=click.IntRange(1), help="Until it is in force at so many.")
-@click.option("--within", type=Duration(0.1, 3600), default=30.0, show_default=True, help="For all of it.")
+@click.option("--all", "all_", is_flag=True, help="Wait for every known sidecar.")
+@click.option("--sidecars", type=click.IntRange(1), help="Wait for this many sidecars.")
+@click.option("--within", type=Duration(0.1, 3600), default=30.0, show_default=True, help="Total timeout.")
 @EACH
 def wait(
     out: Out,
@@ -439,10 +441,9 @@
 ) -> int:
     """Wait until a version is in force at the sidecars that these instances know.
 
-    With --all every instance named must answer, and at least one sidecar be known.
+    With --all, every listed instance must answer and at least one sidecar must be known.
 
-    Exit: 0 in force, 1 refused by a sidecar, or one has it with another content, 2 bad input, 3 not known in
-    time.
+    Exit: 0 in force, 1 refused by a sidecar or in force with different content, 2 bad input, 3 timed out.
     """
     if not all_ and sidecars is None:
         raise BadInput("--all or --sidecars N is needed")
--- a/millgw/configuration/control_client.py
+++ b/millgw/configuration/control_client.py
@@ -1,4 +1,4 @@
-"""What commands ask of control instances: proposals, the document, and statuses merged into one."""
+"""Client of control instances for commands: proposes versions, fetches the document and merges statuses."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 CONFIGURATION_PATH = "/v1/configuration"
 STATUS_PATH = "/v1/configuration/status"
 MAX_ANSWER = 2 * MAX_DOCUMENT  # bytes
-RETRY_INTERVAL = 0.2  # s between two rounds over the instances, while none of them leads
-CONNECT_TIME = 1.0  # s for a connection to an instance, before the next one is tried
-MAX_REDIRECTS = 4  # to a leader, in one round
+RETRY_INTERVAL = 0.2  # s between two rounds over the instances while none of them leads
+CONNECT_TIME = 1.0  # s to connect to an instance before the next one is tried
+MAX_REDIRECTS = 4  # followed to a leader in one round
 
 
 class Outcome(StrEnum):
-    """How a proposal ended, as far as whoever proposed it can know."""
+    """Outcome of a proposal as far as the proposer can know it."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"  # `if_index` was not the newest version: nothing changed
-    INVALID = "invalid"  # the proposal can't be taken: nothing changed
+    INVALID = "invalid"  # the proposal was rejected: nothing changed
     NO_QUORUM = "no quorum"  # nothing changed
     UNREACHABLE = "no instance answered"  # nothing changed
-    UNKNOWN = "not known"  # it may be committed, or be so later
+    UNKNOWN = "not known"  # it may have been committed, or may still be
 
 
 @dataclass(slots=True, frozen=True)
 class ProposalResult:
-    """An outcome, the version (committed, or the newest one at a conflict), and why."""
+    """Outcome of a proposal, its version (on a conflict, the newest one) and the cause of a failure."""
 
     outcome: Outcome
     index: int | None = None
@@ -54,7 +54,7 @@
     if_index: int | None,
     within: float,
 ) -> ProposalResult:
-    """Propose a version to whoever leads, and ask again while nobody does: until then nothing has changed."""
+    """Propose a version to the leader; retry while there is none, as nothing has changed until then."""
     fields: dict[str, Any] = {
         "changes": [{"name": change.name, "value": change.value} for change in changes],
         "author": author,
@@ -78,11 +78,11 @@
 
 
 async def _propose_by(instance: Address, body: bytes, deadline: float) -> ProposalResult:
-    """Propose at one instance and follow it to the leader."""
+    """Propose to one instance, following its redirects to the leader."""
     for _ in range(MAX_REDIRECTS):
         within = deadline - time.monotonic()
         if within <= 0:
-            return ProposalResult(Outcome.UNREACHABLE, cause=f"{instance}: not asked in time")
+            return ProposalResult(Outcome.UNREACHABLE, cause=f"{instance}: not tried before the deadline")
         try:
             status, answer = await ask(
                 instance, CONFIGURATION_PATH, within, "POST", body, connect_within=CONNECT_TIME
@@ -99,7 +99,7 @@
         try:
             instance = read_address(leader)
         except ValueError:
-            return ProposalResult(Outcome.NO_QUORUM, cause=f"{instance}: names no leader that can be reached")
+            return ProposalResult(Outcome.NO_QUORUM, cause=f"{instance}: returned an invalid leader address")
     return ProposalResult(Outcome.NO_QUORUM, cause="the instances do not agree on a leader")
 
 
@@ -133,7 +133,7 @@
 
 
 async def fetch_document(instances: Sequence[Address], within: float) -> tuple[Line | None, dict[str, str]]:
-    """The newest document that any instance has, and why others told none, by address."""
+    """The newest document that any instance has, and the errors of the others by address."""
     lines: list[Line] = []
     troubles: dict[str, str] = {}
 
@@ -155,7 +155,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceStatus:
-    """One instance's view."""
+    """Status of one instance."""
 
     address: str
     name: str
@@ -169,7 +169,7 @@
     sidecars: tuple[Sidecar, ...]
 
     def fields(self) -> dict[str, Any]:
-        """As a report tells it."""
+        """The JSON fields for a command's report."""
         return {
             "address": self.address,
             "name": self.name,
@@ -184,7 +184,7 @@
 
 @dataclass(slots=True)
 class FleetStatus:
-    """What all instances that were asked tell together."""
+    """Statuses of all instances that answered, and the errors of the others by address."""
 
     instances: list[InstanceStatus] = field(default_factory=list)
     troubles: dict[str, str] = field(default_factory=dict)
@@ -195,13 +195,13 @@
         return max((instance.committed for instance in self.instances), default=0)
 
     def summary(self, index: int) -> Summary:
-        """Where a version is in force."""
+        """Count the sidecars at which a version is in force."""
         digests = {instance.committed: instance.digest for instance in self.instances}
         sidecars = merge(instance.sidecars for instance in self.instances)
         return summarize(sidecars, index, digests)
 
     def split_versions(self) -> list[int]:
-        """Indexes of which instances have different documents: something is wrong."""
+        """Committed indexes at which instances have different documents, which must never happen."""
         seen: dict[int, set[str]] = {}
         for instance in self.instances:
             seen.setdefault(instance.committed, set()).add(instance.digest)
@@ -209,7 +209,7 @@
 
 
 async def fetch_status(instances: Sequence[Address], within: float) -> FleetStatus:
-    """Ask all instances at once."""
+    """Fetch the status of all instances concurrently."""
     fleet = FleetStatus()
 
     async def fetch(instance: Address) -> None:
@@ -227,7 +227,7 @@
 
 
 def decode_status(address: str, fields: dict[str, Any], now: float) -> InstanceStatus:
-    """An instance's status from its JSON; a DocumentError names the field that can't be used."""
+    """Decode an instance's status; raises DocumentError, naming the field, for invalid JSON fields."""
     for name in ("name", "role", "digest"):
         if not isinstance(fields.get(name), str):
             raise DocumentError(f"{name}: not a string")
--- a/millgw/configuration/document.py
+++ b/millgw/configuration/document.py
@@ -1,6 +1,6 @@
-"""The fleet's configuration as a document of named entries, and the versions that change it.
+"""Document of named entries that holds the fleet's configuration, and the versions that change it.
 
-A version is applied as a whole. Indexes are 1, 2, 3, ... without gaps; index 0 is the empty document.
+A version is applied atomically. Indexes are 1, 2, 3, ... without gaps; index 0 is the empty document.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class DocumentError(ValueError):
-    """A line, version or change can't be used; the text names the field."""
+    """A line, version or change is invalid; the message names the field."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Version:
-    """One committed or proposed version: what changed, by whom and why; `at` is Unix time in ms."""
+    """One committed or proposed version: its changes, author and reason; `at` is Unix time in ms."""
 
     index: int
     epoch: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Line:
-    """One line of a watch: the whole document (`snapshot`), or what changed since the line before."""
+    """One line of a watch: the whole document (`snapshot`) or the changes since the previous line."""
 
     index: int
     epoch: int
@@ -52,14 +52,14 @@
 
 @dataclass(slots=True)
 class Document:
-    """All entries as of one version. Instances are changed by `apply` and `load` alone."""
+    """All entries as of one version. Only `apply` and `load` modify a document."""
 
     index: int = 0
     epoch: int = 0
     entries: dict[str, Mapping[str, Any]] = field(default_factory=dict)
 
     def copy(self) -> Document:
-        """An independent document; entry values are shared, as nobody changes them in place."""
+        """An independent copy; entry values are shared, as they are never modified in place."""
         return Document(self.index, self.epoch, dict(self.entries))
 
     def digest(self) -> str:
@@ -67,7 +67,7 @@
         return blake2b(canonical(self.entries), digest_size=DIGEST_BYTES).hexdigest()
 
     def apply(self, index: int, epoch: int, changes: Iterable[Change]) -> None:
-        """Take the changes of one version, or of several at once."""
+        """Apply the changes of one version, or of several at once."""
         for change in changes:
             if change.value is None:
                 self.entries.pop(change.name, None)
@@ -77,7 +77,7 @@
         self.epoch = epoch
 
     def load(self, line: Line) -> None:
-        """Take a line of a watch; a DocumentError tells that its digest does not fit, and nothing changed."""
+        """Apply a line of a watch; raises DocumentError, changing nothing, if its digest does not match."""
         after = Document() if line.snapshot else self.copy()
         after.apply(line.index, line.epoch, line.changes)
         if after.digest() != line.digest:
@@ -93,12 +93,12 @@
 
 
 def canonical(value: Any) -> bytes:
-    """A JSON value as bytes that are the same for equal values."""
+    """Canonical JSON: equal values are encoded as the same bytes."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
 
 
 def encode_line(line: Line) -> bytes:
-    """A line of a watch, with its line feed."""
+    """Encode a line of a watch, including its line feed."""
     entries = [{"name": change.name, "value": change.value} for change in line.changes]
     fields = {
         "index": line.index,
@@ -111,7 +111,7 @@
 
 
 def decode_line(data: bytes) -> Line:
-    """A line of a watch from its bytes; a DocumentError names the field that can't be used."""
+    """Decode a line of a watch; raises DocumentError naming an invalid field."""
     try:
         fields = json.loads(data)
     except ValueError as error:
@@ -129,7 +129,7 @@
 
 
 def decode_changes(value: Any, path: str) -> tuple[Change, ...]:
-    """Changes from their JSON value; a DocumentError names the field that can't be used."""
+    """Decode changes from a JSON value; raises DocumentError naming an invalid field."""
     if not isinstance(value, list):
         raise DocumentError(f"{path}: not a list")
     return tuple(_decode_change(item, f"{path}[{i}]") for i, item in enumerate(value))
@@ -148,7 +148,7 @@
 
 
 def decode_count(fields: Mapping[str, Any], name: str) -> int:
-    """A field that is a whole number of 0 or more."""
+    """Decode a field that must be a whole number of 0 or more."""
     value = fields.get(name)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise DocumentError(f"{name}: not a whole number of 0 or more")
--- a/millgw/configuration/follower.py
+++ b/millgw/configuration/follower.py
@@ -1,12 +1,12 @@
-"""A sidecar's side of the distribution, as decisions: no I/O, no clock, chance is seeded. Times are ms.
+"""State machine by which a sidecar follows the configuration. No I/O or clock, seeded random; times in ms.
 
-One watch at a time. `Follower` says which control instance to ask and when again, takes the lines of the
-watch and says what they mean, and what to report. Who carries it out (`millgw.configuration.client`) tells it
-what happened and asks for `next` after each event.
+There is one watch at a time. `Follower` decides which control instance to connect to and when, classifies
+the lines of the watch and decides what to report. `millgw.configuration.client` performs the actions, passes
+in the events and asks for `next` after each of them.
 
-Versions never go back: a line that is not newer than the document held is ignored, also where another
-instance sends it. The document held is the newest that was received whole; the one in force may be older, as
-a version can be refused.
+Versions never go back: a line that is not newer than the document held is ignored, even if another instance
+sent it. The document held is the newest one received completely; the one in force may be older, as a version
+can be refused.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 from millgw.configuration.document import Document, DocumentError, Line, decode_line
 
-SILENCE = 5000.0  # without a line after which a watch is broken: heartbeats come every 2 s
-FIRST_LINE = 3000.0  # from the start of a connect until its first line
-SPREAD = 1000.0  # over which the followers of an instance that is lost turn to the others
-RETRY = 200.0  # least wait after a failed try, and base of the jitter
-RETRY_MOST = 2400.0  # longest wait: two of them, one for an instance that is still lost, are under 5 s
-STEADY = 5000.0  # of a watch, after which its end is no failure of the same kind as the one before
-RETURN = 300_000.0  # at another than the first choice, after which the first is tried again
-RETURN_JITTER = 0.5  # of it, less or more
-REPORT_EVERY = 1000.0  # between two reports
-REPORT_JITTER = 200.0  # before the first report of a version: the whole fleet has it at once
-DIGESTS_KEPT = 64  # of versions held before, to tell a repeated line from one that contradicts
-CAUSE_MOST = 300  # characters of a cause in a report
+SILENCE = 5000.0  # ms without a line after which a watch counts as broken; heartbeats come every 2 s
+FIRST_LINE = 3000.0  # ms from the start of a connect to its first line
+SPREAD = 1000.0  # ms over which the followers of a lost instance reconnect to other instances
+RETRY = 200.0  # ms, the shortest delay after a failed connect and the base of the jitter
+RETRY_MOST = 2400.0  # ms, the longest delay: two, the second for an instance still lost, stay under 5 s
+STEADY = 5000.0  # ms after which the end of a watch does not count as another failure in a row
+RETURN = 300_000.0  # ms at another instance, after which the preferred one is tried again
+RETURN_JITTER = 0.5  # as a fraction of `RETURN`, in both directions
+REPORT_EVERY = 1000.0  # ms between two reports
+REPORT_JITTER = 200.0  # ms before the first report of a version, as all sidecars receive it at once
+DIGESTS_KEPT = 64  # of earlier versions, to distinguish a repeated line from a conflicting one
+CAUSE_MOST = 300  # characters; longer causes are cut off in a report
 
 
 class Status(Enum):
-    """What became of a version at this sidecar."""
+    """Result of a version at this sidecar."""
 
     APPLIED = "applied"
     REFUSED = "refused"
@@ -44,10 +44,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What an instance is told: what is in force here, or which version was refused and why.
+    """Report to an instance: the version in force, or the version that was refused and why.
 
-    With a version in force it also tells which one was `refused` last before it, 0 for none: the report of
-    that one may never have gone, as reports are `REPORT_EVERY` apart and only the newest is sent.
+    With a version in force it also has the last one `refused` before it, 0 for none: that one's own report
+    may never have been sent, as reports are `REPORT_EVERY` apart and only the newest is sent.
     """
 
     index: int
@@ -58,7 +58,7 @@
     refused_cause: str = ""
 
     def encode(self, name: str) -> bytes:
-        """Its JSON, for the sidecar of this name."""
+        """Encode the report as JSON for the sidecar of this name."""
         fields: dict[str, str | int] = {
             "name": name,
             "index": self.index,
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Connect:
-    """Open a watch at an instance from a version on; without one, for the whole document."""
+    """Open a watch at an instance, starting after version `since`, or with a snapshot if it is None."""
 
     instance: str
     since: int | None
@@ -82,14 +82,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Disconnect:
-    """End the watch, or the connect that is under way."""
+    """Close the watch, or cancel the connect in progress."""
 
     cause: str
 
 
 @dataclass(slots=True, frozen=True)
 class SendReport:
-    """Tell the instance of the watch."""
+    """Send a report to the instance of the watch."""
 
     report: Report
 
@@ -98,18 +98,18 @@
 
 
 class Heard(Enum):
-    """What a line of the watch was."""
+    """Classification of a line of the watch."""
 
     HEARTBEAT = "heartbeat"
-    NEWER = "newer"  # a version to be checked and applied: the document held now
-    KNOWN = "known"  # nothing that was not held already
-    CONTRADICTS = "contradicts"  # another content or order of versions than held: it is ignored and reported
-    GAP = "gap"  # it does not follow from the document held: the whole is asked for
+    NEWER = "newer"  # a newer version, now the document held, which is to be checked and applied
+    KNOWN = "known"  # a version already received
+    CONTRADICTS = "contradicts"  # conflicts with the versions held; ignored and reported
+    GAP = "gap"  # does not follow from the document held; a snapshot is requested
     UNREADABLE = "unreadable"
 
 
 class Phase(Enum):
-    """Where the one connection is."""
+    """State of the connection."""
 
     WAITING = "waiting"
     CONNECTING = "connecting"
@@ -117,10 +117,10 @@
 
 
 def preference(name: str, near: Sequence[str], others: Sequence[str]) -> tuple[str, ...]:
-    """The instances in the order in which a sidecar turns to them: near ones first, each group by a hash.
+    """Order the instances by a sidecar's preference: near ones first, each group by rendezvous hashing.
 
-    By rendezvous hashing, so that many sidecars share the instances evenly, and the share of one that is lost
-    goes to all others alike.
+    The hashing spreads many sidecars evenly over the instances, and those of a lost instance evenly over all
+    others.
     """
 
     def rank(instance: str) -> bytes:
@@ -131,14 +131,14 @@
 
 
 class Follower:
-    """The decisions of one sidecar.
+    """Decides on connections, versions and reports for one sidecar.
 
-    `document` is the last good one, if there is one: to be accepted or rejected like any that is received.
+    `document` is the last good one, if any: it has to be accepted or rejected like a received one.
     """
 
     def __init__(self, instances: Sequence[str], seed: int, document: Document | None = None) -> None:
         if not instances:
-            raise ValueError("instances: there is none")
+            raise ValueError("instances: is empty")
         self.instances = tuple(instances)
         self.rng = random.Random(seed)
         self.held = Document() if document is None else document.copy()
@@ -146,54 +146,54 @@
         self.applied = 0  # the version in force, with its epoch and digest
         self.applied_epoch = 0
         self.applied_digest = Document().digest()
-        self.refused: int | None = None  # the newest version that was refused, if it is the newest of all
-        self.last_refusal = (0, "")  # the version that was refused last, whatever came since, and why
+        self.refused: int | None = None  # the version held, if it was refused
+        self.last_refusal = (0, "")  # the last version refused, whatever came since, and why
         self.cause = ""
         self.digests: dict[int, str] = {self.held.index: self.held_digest}
         self.phase = Phase.WAITING
-        self.choice = 0  # of the instances, to be asked next or being asked
+        self.choice = 0  # index of the instance that is connected to, now or next
         self.wait = 0.0
-        self.again = 0.0  # when to connect
-        self.begun = 0.0  # when the connect began
-        self.broken = math.inf  # when the connection counts as broken
-        self.back = math.inf  # when to turn to the first choice again
+        self.again = 0.0  # when to connect next
+        self.begun = 0.0  # when the connect started
+        self.broken = math.inf  # deadline for the next line, after which the connection counts as broken
+        self.back = math.inf  # when to try the preferred instance again
         self.need_whole = False
-        self.gaps = 0  # in a row
-        self.leaving = False  # the watch ends once what is wrong with it has been reported
+        self.gaps = 0  # consecutive lines that did not follow
+        self.leaving = False  # close the watch once its conflict has been reported
         self.connects = 0
         self.contradictions = 0
         self.pending: Report | None = None
-        self.report_from = 0.0  # from when on a report may be sent
+        self.report_from = 0.0  # earliest time of the next report
         self.last: Report | None = None
 
     @property
     def instance(self) -> str:
-        """Whom to ask next, or who is being asked."""
+        """The instance that is connected to, now or next."""
         return self.instances[self.choice]
 
-    # What to do
+    # Actions
 
     def next(self, now: float) -> Step | None:
-        """One thing to do now, if there is one; to be asked until there is none."""
+        """The next action that is due, or None; to be called until it returns None."""
         if self.phase is Phase.WAITING:
             return self._connect(now) if now >= self.again else None
         if now >= self.broken:
-            return self._give_up(now, "silent past its time")
+            return self._give_up(now, "no line received in time")
         if self.phase is Phase.CONNECTING:
             return None
         if now >= self.back:
             self._leave(now, wait=0.0, choice=0)
-            return Disconnect("the first choice is tried again")
+            return Disconnect("trying the preferred instance again")
         if self.pending is not None and now >= self.report_from:
             report, self.pending = self.pending, None
             self.report_from = now + REPORT_EVERY
             return SendReport(report)
         if self.leaving and self.pending is None:
-            return self._give_up(now, "another history than this sidecar's")
+            return self._give_up(now, "its versions conflict with those of this sidecar")
         return None
 
     def due(self) -> float:
-        """When to ask for `next` again, if nothing happens before."""
+        """When to call `next` again, if there is no event before."""
         if self.phase is Phase.WAITING:
             return self.again
         if self.phase is Phase.CONNECTING:
@@ -222,7 +222,7 @@
         self.choice = choice
 
     def _failed(self, now: float) -> None:
-        """The connection is over: turn to the next instance, later the more have failed in a row."""
+        """Schedule a connect to the next instance; the delay grows with consecutive failures."""
         steady = self.phase is Phase.WATCHING and now >= self.begun + STEADY
         if steady:
             self.wait = RETRY
@@ -232,15 +232,15 @@
             wait = self.wait
         self._leave(now, wait, (self.choice + 1) % len(self.instances))
 
-    # What happens
+    # Events
 
     def ended(self, now: float) -> None:
-        """The connection ended, or none came about, or what came can't be used."""
+        """Handle a connection that ended, could not be made or sent something unusable."""
         if self.phase is not Phase.WAITING:
             self._failed(now)
 
     def line(self, now: float, data: bytes) -> Heard:
-        """Take one line of the watch."""
+        """Process one line of the watch."""
         if self.phase is Phase.WAITING:
             return Heard.KNOWN
         if not data.strip():
@@ -270,7 +270,7 @@
                 return Heard.KNOWN
             return self._contradicts(now, f"digest: version {line.index} has another content than before")
         if line.epoch < self.held.epoch:
-            return self._contradicts(now, f"epoch: version {line.index} is of an older one, {line.epoch}")
+            return self._contradicts(now, f"epoch: version {line.index} is of the older epoch {line.epoch}")
         try:
             self.held.load(line)
         except DocumentError:
@@ -284,14 +284,14 @@
         return Heard.NEWER
 
     def _contradicts(self, now: float, cause: str) -> Heard:
-        """Another history than this sidecar's: keep what is held, say so, and ask somebody else."""
+        """Handle a conflict: keep the document held, report the conflict and move to another instance."""
         self.contradictions += 1
         self.leaving = True
         self._tell(now, Report(self.held.index, self.held_digest, Status.REFUSED, cause))
         return Heard.CONTRADICTS
 
     def _gap(self, now: float, line: Line) -> Heard:
-        """Ask for the whole: here at once, or elsewhere if this was the whole or did not help."""
+        """Request a snapshot: at once from this instance, or from the next one if this did not help."""
         self.gaps += 1
         self.need_whole = True
         if line.snapshot or self.gaps > 1:
@@ -300,10 +300,10 @@
             self._leave(now, 0.0, self.choice)
         return Heard.GAP
 
-    # What became of the version held
+    # Result of the version held
 
     def accepted(self, now: float) -> None:
-        """The document held is in force."""
+        """Record that the document held is in force."""
         self.applied, self.applied_epoch = self.held.index, self.held.epoch
         self.applied_digest = self.held_digest
         self.refused, self.cause = None, ""
@@ -312,7 +312,7 @@
         self._tell(now, report)
 
     def rejected(self, now: float, cause: str) -> None:
-        """The document held can't be used here; it is not tried again until a newer one comes."""
+        """Record that the document held can't be used; it is not tried again, only a newer one."""
         self.refused, self.cause = self.held.index, cause
         self.last_refusal = (self.held.index, cause)
         self._tell(now, Report(self.held.index, self.held_digest, Status.REFUSED, cause))
@@ -324,7 +324,7 @@
             self.report_from = max(self.report_from, now + self.rng.uniform(0.0, REPORT_JITTER))
 
     def unreported(self, now: float, report: Report) -> None:
-        """A report did not arrive: it is sent again, unless there is a newer one."""
+        """Schedule a report that failed to be sent again, unless there is a newer one."""
         if self.last == report and self.pending is None:
             self.pending = report
             self.report_from = max(self.report_from, now + REPORT_EVERY)
--- a/millgw/configuration/history.py
+++ b/millgw/configuration/history.py
@@ -1,24 +1,24 @@
-"""The committed document with the lines of its last versions, each encoded once for all watches. No I/O."""
+"""History of the committed document: its newest versions, each encoded once for all watches. No I/O."""
 
 from __future__ import annotations
 
 from millgw.configuration.document import Document, Line, Version, encode_line
 
-MAX_LINES = 256  # versions whose lines are kept for watches that come back
-MAX_LINE_BYTES = 1024 * 1024  # that these lines may have together
+MAX_LINES = 256  # versions whose changes are kept for watches that reconnect
+MAX_LINE_BYTES = 1024 * 1024  # bytes, the total size of these lines
 NO_VERSION = -1
 NOTHING = b""
 
 
 class History:
-    """What has been committed. Lines are bytes of a chunked HTTP body, ready to be written."""
+    """The committed document and its recent changes, encoded as chunks of an HTTP body."""
 
     def __init__(self, max_lines: int = MAX_LINES, max_bytes: int = MAX_LINE_BYTES) -> None:
         self.max_lines = max_lines
         self.max_bytes = max_bytes
         self.document = Document()
-        self.digests: dict[int, str] = {}  # of the last versions, the oldest first
-        self._chunks: dict[int, bytes] = {}  # what changed with each of the last versions, the oldest first
+        self.digests: dict[int, str] = {}  # by index, of the newest versions, oldest first
+        self._chunks: dict[int, bytes] = {}  # changes by index, of the newest versions, oldest first
         self._chunk_bytes = 0
         self._snapshot: bytes | None = None
 
@@ -28,7 +28,7 @@
         return self.document.index
 
     def append(self, version: Version) -> None:
-        """Take the next version. Whoever calls has them in order and without gaps."""
+        """Append the next version. Versions must be appended in order and without gaps."""
         if version.index != self.index + 1:
             raise ValueError(f"version {version.index} does not follow version {self.index}")
         self.document.apply(version.index, version.epoch, version.changes)
@@ -42,7 +42,7 @@
         self._trim()
 
     def replace(self, document: Document) -> None:
-        """Take a whole newer document, where versions in between were not had; pass an older one over."""
+        """Replace the document by a newer one if versions in between are missing; ignore an older one."""
         if document.index <= self.index:
             return
         self.document = document.copy()
@@ -53,15 +53,15 @@
         self._trim()
 
     def snapshot(self) -> bytes:
-        """The whole document as a chunk; encoded when it is first asked for."""
+        """The whole document as a chunk, encoded on first use."""
         if self._snapshot is None:
             self._snapshot = encode_chunk(encode_line(self.document.snapshot()))
         return self._snapshot
 
     def after(self, index: int) -> bytes:
-        """What a watch lacks after version `index`: changes or the whole, and nothing where it is ahead.
+        """What a watch needs after version `index`: changes or a snapshot; nothing if it is not behind.
 
-        The whole in any case after NO_VERSION: whoever asks without a version may hold anything.
+        After `NO_VERSION` always the snapshot, as a client that sends no version may hold any document.
         """
         if index == NO_VERSION:
             return self.snapshot()
@@ -85,5 +85,5 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Bytes as one chunk of an HTTP/1.1 body (RFC 9112, section 7.1)."""
+    """Encode bytes as one chunk of an HTTP/1.1 body (RFC 9112, section 7.1)."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/millgw/configuration/last_good.py
+++ b/millgw/configuration/last_good.py
@@ -1,8 +1,8 @@
-"""The last good document in a file, so that a sidecar that starts while all control is away begins with it.
+"""Last-good file: the document a sidecar starts with while no control instance can be reached.
 
-The file is one line: the name of the sidecar that wrote it and snapshots as a watch would tell them, with
-their digests. Before the last good document stands a newer one that takes a restart, if there is one. The
-file is written under another name, synced and renamed, so that it is whole or the one before.
+The file is one line of JSON: the name of the sidecar that wrote it and snapshots in the format of a watch,
+with their digests. A newer document that takes a restart, if any, precedes the last good one. The file is
+written under a temporary name, synced and renamed, so that a reader finds either the old or the new one.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from millgw.configuration.document import Document, DocumentError, canonical, decode_line, encode_line
 from millgw.log.events import log_event
 
-MAX_FILE = 21 * 1024 * 1024  # bytes: two lines of the longest, and what stands round them
-NAME_BYTES = 64  # of a sidecar's name in the file's name
+MAX_FILE = 21 * 1024 * 1024  # bytes: two lines of maximum length and the object around them
+NAME_BYTES = 64  # of the sidecar's name that appear in the file name
 
 
 class LastGood:
-    """One sidecar's file in a directory; writing waits for the disk in a thread, the newest document only."""
+    """The last-good file of one sidecar; written in a thread, skipping superseded documents."""
 
     def __init__(self, directory: Path, name: str) -> None:
         self.directory = directory
@@ -33,7 +33,7 @@
         self.writing: asyncio.Task[None] | None = None
 
     def read(self) -> tuple[Document, ...]:
-        """The documents to start with, the newest first; a file that is not whole or another's is logged."""
+        """The documents to start with, newest first; none, with a log line, for a damaged or foreign file."""
         try:
             with self.path.open("rb") as file:
                 data = file.read(MAX_FILE + 1)
@@ -49,14 +49,14 @@
             raise DocumentError(f"file: longer than {MAX_FILE} bytes")
         fields = json.loads(data)
         if not isinstance(fields, dict) or fields.get("sidecar") != self.name:
-            raise DocumentError("sidecar: the file is another's")
+            raise DocumentError("sidecar: the file belongs to another sidecar")
         lines = fields.get("documents")
         if not isinstance(lines, list):
             raise DocumentError("documents: not a list")
         return tuple(map(_document, lines))
 
     def keep(self, *documents: Document) -> None:
-        """Write these, the newest first, after what is being written, if anything is."""
+        """Schedule a write of these documents, newest first, after a write that is in progress."""
         self.waiting = tuple(document.copy() for document in documents)
         if self.writing is None:
             self.writing = asyncio.get_running_loop().create_task(self._write_waiting())
@@ -68,13 +68,13 @@
                 try:
                     await asyncio.to_thread(self.write, documents)
                 except OSError as error:
-                    # Guards against a full or missing disk: the sidecar serves on, and may start without it.
+                    # The disk is full or missing: keep serving; the next start may lack the file.
                     log_event("last-good-unwritten", path=self.path, cause=error)
         finally:
             self.writing = None
 
     def write(self, documents: Sequence[Document]) -> None:
-        """Replace the file as a whole, and return when that is on the disk."""
+        """Replace the file atomically, and return once it is durable."""
         lines = [json.loads(encode_line(document.snapshot())) for document in documents]
         data = canonical({"sidecar": self.name, "documents": lines}) + b"\n"
         self.directory.mkdir(parents=True, exist_ok=True)
@@ -99,7 +99,7 @@
 def _document(fields: object) -> Document:
     line = decode_line(canonical(fields))
     if not line.snapshot:
-        raise DocumentError("snapshot: the file holds no whole document")
+        raise DocumentError("snapshot: the file has no full snapshot")
     document = Document()
     document.load(line)
     return document
--- a/millgw/configuration/proposal.py
+++ b/millgw/configuration/proposal.py
@@ -1,4 +1,4 @@
-"""What may be proposed: bounds that keep every entry, snapshot and message readable to the peers. Pure."""
+"""Validation of proposals: bounds that keep every entry, snapshot and message decodable by peers. No I/O."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class ProposalError(ValueError):
-    """A proposal can't be taken; the text names the field."""
+    """A proposal is invalid; the message names the field."""
 
 
 def check_proposal(changes: Sequence[Change], author: str, reason: str, at: float) -> int:
-    """The size of the changes as canonical JSON; a ProposalError tells why they can't be taken."""
+    """Return the size of the changes as canonical JSON; raises ProposalError for an invalid proposal."""
     for name, text in (("author", author), ("reason", reason)):
         if len(text) > MAX_TEXT:
             raise ProposalError(f"{name}: over {MAX_TEXT} characters")
@@ -40,7 +40,7 @@
 
 
 def check_document(document: Document, added: int) -> None:
-    """A ProposalError if a document and so many bytes more might be over the bound of a whole document."""
+    """Raise ProposalError if the document plus `added` bytes may exceed the limit for a whole document."""
     size = len(canonical(document.entries)) + added
     if size > MAX_DOCUMENT:
         raise ProposalError(f"changes: a document of {size} bytes may be over {MAX_DOCUMENT}")
@@ -48,7 +48,7 @@
 
 def _encoded(path: str, value: Any) -> bytes:
     try:
-        json.dumps(value, allow_nan=False)  # NaN and the infinities are no JSON
+        json.dumps(value, allow_nan=False)  # NaN and the infinities are not JSON
         return canonical(value)
     except (TypeError, ValueError) as error:
         raise ProposalError(f"{path}: {error}") from None
--- a/millgw/configuration/relay.py
+++ b/millgw/configuration/relay.py
@@ -1,6 +1,6 @@
-"""An instance that is no voter: it follows the committed versions by a watch and serves them.
+"""Relay: a control instance without a vote, which follows the committed versions by a watch and serves them.
 
-It keeps the last good document in a file, so that it serves after a restart while all voters are away.
+It keeps the last good document in a file, so that it can serve after a restart while no voter is reachable.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Relay:
-    """Serves what it follows. `directory` is where the last good document is kept."""
+    """Serves the versions that it follows. `directory` holds the file of the last good document."""
 
     def __init__(
         self, name: str, address: Address, instances: Sequence[Address], directory: Path, seed: int
@@ -33,19 +33,19 @@
         self.server = Server(self.service, time.monotonic)
         followed = tuple(str(instance) for instance in instances)
         self.client = Client(name, followed, LastGood(directory, name), seed, self)
-        self.client.serving = True  # a version is served as soon as it is there
+        self.client.serving = True  # a version is served as soon as it arrives
 
     async def start(self) -> None:
-        """Follow, and listen once there is a first version or it is known not to come soon.
+        """Start following, and listen once the first version has arrived or the wait for it is over.
 
-        An OSError tells why that can't be.
+        Raises OSError if it can't listen.
         """
         await self.client.begin()
         await self.server.start(self.address)
         self.service.start()
 
     def stop(self) -> None:
-        """End all connections."""
+        """Stop following and close all connections."""
         self.client.stop()
         self.service.stop()
         self.server.stop()
@@ -53,32 +53,32 @@
     # Target of the client
 
     def check(self, entries: Entries) -> None:
-        """A relay serves whatever is committed."""
+        """Accept any version, as a relay serves whatever is committed."""
 
     def reconfigure(self, entries: Entries) -> None:
-        """Serve the version that the client holds now: `entries` is its document."""
+        """Serve the client's current document, whose entries are `entries`."""
         take(self.service.history, self.client.follower.held)
         self.service.watchers.publish()
 
     # Backend of the service
 
     def standing(self) -> Standing:
-        """What is followed; `quorum` is whether there is a watch, as no more is known here."""
+        """State of the relay; `quorum` is whether a watch is up, as a relay knows no more."""
         follower = self.client.follower
         followed = follower.instance if self.client.up else None
         return Standing(ROLE, follower.held.epoch, followed, follower.held.index, self.client.up)
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
-        """A relay accepts none: it names the instance that it follows, which knows the leader."""
+        """Redirect to the followed instance, which knows the leader; a relay accepts no proposals."""
         reply(json_response(421, {"leader": self.standing().leader}))
 
     def receive(self, sender: str, body: bytes) -> Response:
-        """A relay takes no part in the replication."""
-        return error_response(404, "a relay is no voter")
+        """Reject the message, as a relay takes no part in the replication."""
+        return error_response(404, "a relay is not a voter")
 
 
 def take(history: History, document: Document) -> None:
-    """Add a newer document to a history: as one version's changes where it is the next one, else whole."""
+    """Add a newer document to a history: as changes if it is the next version, otherwise as a snapshot."""
     if document.index != history.index + 1:
         history.replace(document)
         return
@@ -87,7 +87,7 @@
 
 
 def changes_between(before: Document, after: Document) -> list[Change]:
-    """The entries that differ, by name."""
+    """The changes from one document to another, ordered by name."""
     names = sorted(before.entries.keys() | after.entries.keys())
     return [
         Change(name, after.entries.get(name))
--- a/millgw/configuration/reports.py
+++ b/millgw/configuration/reports.py
@@ -1,6 +1,6 @@
-"""What sidecars report: which version is in force at each, and which it refused. No I/O, no clock.
+"""Reports of sidecars: the version in force at each, and the one it refused. No I/O, no clock.
 
-One entry per sidecar, in bounded memory. One that neither watches nor reports is forgotten after a while.
+Memory is bounded: there is one entry per sidecar, which is dropped after a time without a watch or report.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 MAX_SIDECARS = 4096
 MAX_SIDECAR_NAME = 128  # characters
-MAX_REFUSALS = 20  # that a summary names
+MAX_REFUSALS = 20  # listed in a summary
 FORGET_AFTER = 300.0  # s without a watch and without a report
 
 
 class ReportsFullError(Exception):
-    """As many sidecars are known as may be."""
+    """The maximum number of known sidecars is reached."""
 
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What one sidecar says of the newest version that it was sent, and which one it `refused` before."""
+    """A sidecar's report on the newest version it was sent, and the last version it `refused` before."""
 
     name: str
     index: int
@@ -39,9 +39,9 @@
 
 @dataclass(slots=True)
 class Sidecar:
-    """What is known of one sidecar. `seen` is when it last reported or ended a watch, in s.
+    """Known state of one sidecar. `seen` is when it last reported or ended a watch, in s.
 
-    `refused` is the version that it refused last, 0 for none; a newer one may be in force there since.
+    `refused` is the last version that it refused, 0 for none; a newer one may be in force since.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class Summary:
-    """How many sidecars have a version in force; `diverged` have one of its index with another digest."""
+    """Counts of sidecars by their state at a version; `diverged` ones have another digest."""
 
     index: int
     applied: int = 0
@@ -76,11 +76,11 @@
 
     @property
     def known(self) -> int:
-        """All sidecars that were counted."""
+        """Number of sidecars counted."""
         return self.applied + self.refused + self.behind + self.diverged
 
     def fields(self) -> dict[str, Any]:
-        """As it stands in a status: `in_force` of the wire form."""
+        """The JSON object `in_force` of a status."""
         return {
             "applied": self.applied,
             "refused": self.refused,
@@ -90,12 +90,12 @@
         }
 
     def refusal_fields(self) -> list[dict[str, Any]]:
-        """The refusals as they stand in a status."""
+        """The JSON list of refusals of a status."""
         return [{"name": r.name, "index": r.index, "cause": r.cause} for r in self.refusals]
 
 
 class Reports:
-    """The newest report of each sidecar. Times are seconds of any clock that does not go back."""
+    """The newest report of each sidecar. Times are in s of any monotonic clock."""
 
     def __init__(self, max_sidecars: int = MAX_SIDECARS, forget_after: float = FORGET_AFTER) -> None:
         self.max_sidecars = max_sidecars
@@ -103,14 +103,14 @@
         self.sidecars: dict[str, Sidecar] = {}
 
     def take(self, now: float, report: Report) -> None:
-        """Keep a report in place of the sidecar's last one."""
+        """Record a report, replacing the sidecar's previous one."""
         sidecar = self._sidecar(now, report.name)
         sidecar.seen = now
         if report.status is Status.APPLIED:
             sidecar.applied = report.index
             sidecar.digest = report.digest
             if report.index < sidecar.refused:
-                sidecar.refused = 0  # another process of it, which has yet to take that version
+                sidecar.refused = 0  # a restarted sidecar, which has not tried that version yet
                 sidecar.cause = ""
             if report.refused > sidecar.refused:
                 sidecar.refused = report.refused
@@ -120,7 +120,7 @@
             sidecar.cause = report.cause[:MAX_CAUSE]
 
     def watch_opened(self, now: float, name: str) -> None:
-        """A sidecar watches. Not counted where too many are known: it is served all the same."""
+        """Count a sidecar's new watch; with too many known sidecars, it is served without being counted."""
         try:
             sidecar = self._sidecar(now, name)
         except ReportsFullError:
@@ -128,14 +128,14 @@
         sidecar.watches += 1
 
     def watch_closed(self, now: float, name: str) -> None:
-        """A sidecar's watch has ended; it may have opened another one before."""
+        """Count the end of a sidecar's watch; it may have opened another one already."""
         sidecar = self.sidecars.get(name)
         if sidecar is not None and sidecar.watches:
             sidecar.watches -= 1
             sidecar.seen = now
 
     def forget_old(self, now: float) -> None:
-        """Forget sidecars that have been away for too long."""
+        """Drop sidecars without a watch or report for `forget_after` seconds."""
         for sidecar in list(self.sidecars.values()):
             if not sidecar.watches and now - sidecar.seen >= self.forget_after:
                 del self.sidecars[sidecar.name]
@@ -152,7 +152,7 @@
 
 
 def summarize(sidecars: Iterable[Sidecar], index: int, digests: Mapping[int, str]) -> Summary:
-    """Where a version is in force; `digests` has those of the versions that are remembered, by index."""
+    """Count the sidecars by their state at a version; `digests` holds the known digests by index."""
     summary = Summary(index)
     for sidecar in sidecars:
         oldest = summary.oldest_index
@@ -171,9 +171,9 @@
 
 
 def merge(told: Iterable[Iterable[Sidecar]]) -> list[Sidecar]:
-    """One entry per sidecar of what several instances know: where it watches, else where it was seen last.
+    """Merge the sidecars known to several instances, one entry each: where it watches, else was last seen.
 
-    `seen` must be on one clock.
+    All `seen` must be times of the same clock.
     """
     merged: dict[str, Sidecar] = {}
     for sidecars in told:
@@ -189,7 +189,7 @@
 
 
 def decode_report(data: bytes) -> Report:
-    """A report from its JSON; a DocumentError names the field that can't be used."""
+    """Decode a report; raises DocumentError naming an invalid field."""
     try:
         fields = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -212,18 +212,18 @@
     refused_cause = fields.get("refused_cause", "")
     if not isinstance(refused_cause, str):
         raise DocumentError("refused_cause: not a string")
-    refused = decode_count(fields, "refused") if "refused" in fields else 0  # older sidecars tell none
+    refused = decode_count(fields, "refused") if "refused" in fields else 0  # not sent by older sidecars
     index = decode_count(fields, "index")
     return Report(name, index, digest, status, cause[:MAX_CAUSE], refused, refused_cause[:MAX_CAUSE])
 
 
 def is_sidecar_name(name: str) -> bool:
-    """Whether a sidecar may have this name."""
+    """Whether the name is valid for a sidecar."""
     return 0 < len(name) <= MAX_SIDECAR_NAME and name.isprintable()
 
 
 def encode_sidecar(sidecar: Sidecar, now: float) -> dict[str, Any]:
-    """A sidecar as it stands in a status; its age takes the place of a time of this instance's clock."""
+    """The JSON object for a sidecar in a status; it has an age, as other processes don't share this clock."""
     return {
         "name": sidecar.name,
         "watches": sidecar.watches,
@@ -236,7 +236,7 @@
 
 
 def decode_sidecar(fields: Any, now: float) -> Sidecar:
-    """A sidecar from a status, `seen` on the clock of who asked; a DocumentError names the bad field."""
+    """Decode a sidecar from a status, with `seen` on the caller's clock; raises DocumentError."""
     if not isinstance(fields, dict):
         raise DocumentError("sidecar: not an object")
     age = fields.get("age_s")
--- a/millgw/configuration/rollback.py
+++ b/millgw/configuration/rollback.py
@@ -1,13 +1,13 @@
-"""Detection of a peer that came back with older state than it had acknowledged. No I/O.
+"""Detects a peer that restarted with older state than it had acknowledged. No I/O.
 
-An instance's incarnation rises each time its durable state is opened. Within one incarnation messages may
-overtake each other; but whatever a later incarnation sends, its epoch is no lower than any that an earlier
-one sent, and its log is no shorter than what an earlier one acknowledged in the same epoch, as both were
-durable before they were told. Where that does not hold its state was restored from an older copy, or lost.
+An instance's incarnation is incremented each time its durable state is opened. Within one incarnation
+messages may be reordered. But a later incarnation never sends a lower epoch than an earlier one sent, nor has
+a shorter log than an earlier one acknowledged in the same epoch, as both were durable before they were sent.
+If that does not hold, its state was restored from an older copy or lost.
 
-What is known of peers is kept in memory, by those who heard it: acknowledgements by the leader of that epoch,
-epochs by whoever got a message. So older state goes unnoticed where all who heard of the later state have
-restarted since or can't be reached. Then an entry that only they and this instance had may be lost: never
+The state of peers is kept in the memory of those that received their messages: acknowledgements by the leader
+of that epoch, epochs by any receiver. So older state is not detected if all receivers of the later state have
+restarted since or can't be reached. An entry that only they and this instance had may then be lost: never
 start a voter from an older copy of its directory.
 """
 
@@ -20,28 +20,28 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """The furthest that a peer is known to have been."""
+    """The most advanced state that a peer is known to have had."""
 
     incarnation: int = 0
     epoch: int = 0
-    acknowledged: int = 0  # position, in this epoch
-    refused: int = 0  # an incarnation that is refused
+    acknowledged: int = 0  # log position acknowledged in this epoch
+    refused: int = 0  # the incarnation whose messages are refused
 
 
 class RollbackDetector:
-    """What all peers were heard to have."""
+    """Tracks the state of all peers by their messages."""
 
     def __init__(self) -> None:
         self._peers: dict[str, PeerState] = {}
 
     def copy(self) -> RollbackDetector:
-        """An independent one in the same state."""
+        """An independent copy."""
         made = RollbackDetector()
         made._peers = {name: replace(peer) for name, peer in self._peers.items()}
         return made
 
     def check(self, sender: str, message: Message) -> str | None:
-        """Take note of a message; the cause if it comes from older state. "" for one to drop unsaid."""
+        """Record a message; return None if it is valid, else the cause, or "" to drop it silently."""
         peer = self._peers.setdefault(sender, PeerState())
         header = message.header
         if header.incarnation < peer.incarnation or header.incarnation == peer.refused:
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -1,4 +1,4 @@
-"""The distributed configuration at a sidecar with one pool, where the operator's file has no services."""
+"""Distributed configuration of a sidecar with a single pool, whose operator's file has no services."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SinglePool:
-    """One pool's files with a document's entries over them."""
+    """Applies a document's entries, as overrides of the files, to one pool."""
 
     def __init__(self, filed: Files, environ: Mapping[str, str], path: str) -> None:
         self.filed = filed
@@ -28,18 +28,18 @@
     def serve(
         self, entries: Entries, pool: Pool, tended: Tended | None, reload_rest: Callable[[Config], None]
     ) -> None:
-        """The pool is there, made with these entries; `reload_rest` applies what a SIGHUP changes beside."""
+        """Set the pool, created with these entries; `reload_rest` applies all other changes of a SIGHUP."""
         self.entries = entries
         self.pool = pool
         self.tended = tended
         self.reload_rest = reload_rest
 
     def check(self, entries: Entries) -> None:
-        """Whether a start could begin with these entries; a RefusedVersionError names what can't be used."""
+        """Check that the sidecar could start with these entries; raises RefusedVersionError otherwise."""
         overlay(self.filed, entries)
 
     def reconfigure(self, entries: Entries) -> None:
-        """Go by these entries over the files; a RefusedVersionError leaves everything as it was."""
+        """Apply these entries as overrides of the files; changes nothing if it raises RefusedVersionError."""
         self._plan(self.filed, entries).carry_out()
         self.entries = entries
 
@@ -48,7 +48,7 @@
         return plan("", self.pool, self.tended, after.config, after.operator.tends())
 
     def reload(self) -> None:
-        """Read the files again, and have the entries go over them; what can't be used changes nothing."""
+        """Read the files again and apply them with the entries; unusable files change nothing."""
         try:
             config = read_config(self.environ, self.filed.config)
             filed = Files(config, read_settings_table(self.environ), load(self.path))
