--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -36,21 +36,21 @@
 SETTINGS, CONNECTIONS, SERVICES = "settings", "connections", "services."
 LIMITS_PART, CONNECTIONS_PART = "limits", "connections"
 
-WORDS = frozenset(
+SETTING_KEYS = frozenset(
     ("classes", "projects", "rules", "limits", "localities", "overShareWorth", "registryMode")
 ) | frozenset(("me", "siblings", "stage", "tick"))
-RULES = frozenset(("coldShare", "cold", "fallMultiple", "fall", "askWithin"))
-LIMITS = frozenset(("tryLimit", "parallelTries", "maxRetryAfter", "connectTimeout", "connIdle"))
-CLASS = frozenset(("name", "deadline", "repeat", "slo", "worth", "keyScope", "repeatWindow"))
-PROJECT = frozenset(("name", "quotaRps"))
-FIELD_WORDS = {
+RULE_KEYS = frozenset(("coldShare", "cold", "fallMultiple", "fall", "askWithin"))
+LIMIT_KEYS = frozenset(("tryLimit", "parallelTries", "maxRetryAfter", "connectTimeout", "connIdle"))
+CLASS_KEYS = frozenset(("name", "deadline", "repeat", "slo", "worth", "keyScope", "repeatWindow"))
+PROJECT_KEYS = frozenset(("name", "quotaRps"))
+FIELD_LABELS = {
     "Settings.max_attempts": "settings: limits.tryLimit",
     "Settings.cold_share": "settings: rules.coldShare",
     "Settings.siblings": "settings: siblings",
 }
 """Fields that only the balancer's settings validate, and the setting that an operator writes for each."""
 
-OF_PROCESS = frozenset(("listen", "control", "discovery", "name", "seed", "known"))
+STARTUP_KEYS = frozenset(("listen", "control", "discovery", "name", "seed", "known"))
 """Keys of the configuration file that a process reads only once, at startup."""
 
 
@@ -58,7 +58,7 @@
     """This sidecar can't use a version; nothing has changed. The message is one line naming the field."""
 
 
-class RestartNeededError(RefusedVersionError):
+class RestartRequiredError(RefusedVersionError):
     """A version can't be applied to a running sidecar, but can be used at its next start."""
 
     def __init__(self, field: str) -> None:
@@ -72,84 +72,84 @@
     """
     settings = dict(files.settings)
     if SETTINGS in entries:
-        check_words(SETTINGS, entries[SETTINGS], files.settings)
+        check_setting_keys(SETTINGS, entries[SETTINGS], files.settings)
         settings = merged(settings, entries[SETTINGS])
     try:
         config = with_settings(files.config, settings)
     except (ValueError, TypeError) as error:
-        raise RefusedVersionError(in_words(error)) from None
-    return Files(config, settings, _operator(files, settings, entries))
+        raise RefusedVersionError(operator_message(error)) from None
+    return Files(config, settings, _override_operator(files, settings, entries))
 
 
-def _operator(files: Files, settings: Mapping[str, Any], entries: Entries) -> Operator:
+def _override_operator(files: Files, settings: Mapping[str, Any], entries: Entries) -> Operator:
     operator = files.operator
-    connections = _connections(operator.connections, entries, CONNECTIONS)
+    connections = _override_connections(operator.connections, entries, CONNECTIONS)
     services = {
-        name: _service(service, settings, entries, f"{SERVICES}{name}")
+        name: _override_service(service, settings, entries, f"{SERVICES}{name}")
         for name, service in operator.services.items()
     }
-    made = msgspec.structs.replace(operator, connections=connections, services=services)
+    overridden = msgspec.structs.replace(operator, connections=connections, services=services)
     try:
-        return check(made)
+        return check(overridden)
     except ValueError as error:
         raise RefusedVersionError(one_line(error)) from None
 
 
-def _service(service: Service, settings: Mapping[str, Any], entries: Entries, path: str) -> Service:
-    own = service.settings
+def _override_service(service: Service, settings: Mapping[str, Any], entries: Entries, path: str) -> Service:
+    own_settings = service.settings
     if path in entries:
-        check_words(path, entries[path], merged(settings, own))
-        own = merged(own, entries[path])
+        check_setting_keys(path, entries[path], merged(settings, own_settings))
+        own_settings = merged(own_settings, entries[path])
     limits = service.limits
     limits_path = f"{path}.{LIMITS_PART}"
     if limits_path in entries:
-        limits = _converted(limits_path, limits, entries[limits_path], Limits)
-    connections = _connections(service.connections, entries, f"{path}.{CONNECTIONS_PART}")
-    return msgspec.structs.replace(service, settings=own, limits=limits, connections=connections)
+        limits = _override_table(limits_path, limits, entries[limits_path], Limits)
+    connections = _override_connections(service.connections, entries, f"{path}.{CONNECTIONS_PART}")
+    return msgspec.structs.replace(service, settings=own_settings, limits=limits, connections=connections)
 
 
-def _connections(told: Connections | None, entries: Entries, path: str) -> Connections | None:
+def _override_connections(before: Connections | None, entries: Entries, path: str) -> Connections | None:
     if path not in entries:
-        return told
-    return _converted(path, told or Connections(), entries[path], Connections)
+        return before
+    return _override_table(path, before or Connections(), entries[path], Connections)
 
 
 T = TypeVar("T", bound=msgspec.Struct)
 
 
-def _converted(path: str, before: T, over: Mapping[str, Any], kind: type[T]) -> T:
+def _override_table(path: str, before: T, overrides: Mapping[str, Any], kind: type[T]) -> T:
     """Override keys of a table of the operator's file, with the same validation as for the file."""
     try:
-        return msgspec.convert(merged(msgspec.to_builtins(before), over), kind)
+        return msgspec.convert(merged(msgspec.to_builtins(before), overrides), kind)
     except msgspec.ValidationError as error:
-        what, _, where = str(error).partition(" - at `$")
-        raise RefusedVersionError(one_line(f"{path}{where.rstrip('`')}: {what}")) from None
+        problem, _, location = str(error).partition(" - at `$")
+        raise RefusedVersionError(one_line(f"{path}{location.rstrip('`')}: {problem}")) from None
 
 
-def check_words(path: str, over: Mapping[str, Any], base: Mapping[str, Any]) -> None:
+def check_setting_keys(path: str, overrides: Mapping[str, Any], base: Mapping[str, Any]) -> None:
     """Refuse unknown keys, and values that are no table or list where one is expected.
 
     They would otherwise be ignored silently. Keys that the file has beside the known ones are accepted too.
     """
-    for word in over:
-        if word in OF_PROCESS:
-            raise RefusedVersionError(f"takes a restart: {path}.{word}, which only the file can say")
-    _check_known(path, over, WORDS | base.keys())
-    for word, known in (("rules", RULES), ("limits", LIMITS)):
-        if word in over:
-            if not isinstance(over[word], dict):
-                raise RefusedVersionError(f"{path}.{word}: not an object")
-            _check_known(f"{path}.{word}", over[word], known | read_table(dict(base), word).keys())
-    for word, known in (("classes", CLASS), ("projects", PROJECT)):
-        if word in over:
-            filed = [row.keys() for row in read_list(dict(base), word) if isinstance(row, dict)]
-            _check_rows(f"{path}.{word}", over[word], known.union(*filed))
-
-
-def _check_known(path: str, words: Mapping[str, Any], known: Collection[str]) -> None:
-    for word in words:
-        if word not in known:
-            raise RefusedVersionError(one_line(f"{path}.{word}: no such setting"))
+    for key in overrides:
+        if key in STARTUP_KEYS:
+            raise RefusedVersionError(f"takes a restart: {path}.{key}, which only the file can say")
+    _check_known_keys(path, overrides, SETTING_KEYS | base.keys())
+    for key, known in (("rules", RULE_KEYS), ("limits", LIMIT_KEYS)):
+        if key in overrides:
+            if not isinstance(overrides[key], dict):
+                raise RefusedVersionError(f"{path}.{key}: not an object")
+            _check_known_keys(f"{path}.{key}", overrides[key], known | read_table(dict(base), key).keys())
+    for key, known in (("classes", CLASS_KEYS), ("projects", PROJECT_KEYS)):
+        if key in overrides:
+            file_keys = [row.keys() for row in read_list(dict(base), key) if isinstance(row, dict)]
+            _check_rows(f"{path}.{key}", overrides[key], known.union(*file_keys))
+
+
+def _check_known_keys(path: str, keys: Mapping[str, Any], known: Collection[str]) -> None:
+    for key in keys:
+        if key not in known:
+            raise RefusedVersionError(one_line(f"{path}.{key}: no such setting"))
 
 
 def _check_rows(path: str, rows: Any, known: Collection[str]) -> None:
@@ -162,17 +162,17 @@
         if row["name"] in names:
             raise RefusedVersionError(one_line(f"{path}[{i}].name: {row['name']!r} is given twice"))
         names.append(row["name"])
-        _check_known(f"{path}[{i}]", row, known)
-        for word, choices in (("keyScope", SCOPES), ("repeat", REPEATS)):
-            if word in row and row[word] not in list(choices):
-                raise RefusedVersionError(f"{path}[{i}].{word}: is unknown")
+        _check_known_keys(f"{path}[{i}]", row, known)
+        for key, choices in (("keyScope", SCOPES), ("repeat", REPEATS)):
+            if key in row and row[key] not in list(choices):
+                raise RefusedVersionError(f"{path}[{i}].{key}: is unknown")
 
 
-def in_words(error: Exception) -> str:
+def operator_message(error: Exception) -> str:
     """The error's message in one line, with internal field names replaced by the operator's setting names."""
     cause = one_line(error)
-    for name, word in FIELD_WORDS.items():
-        cause = cause.replace(name, word)
+    for name, label in FIELD_LABELS.items():
+        cause = cause.replace(name, label)
     return cause
 
 
@@ -205,20 +205,22 @@
             self.tended.change(self.terms)
 
 
-def plan(path: str, pool: Pool, tended: Tended | None, config: Config, terms: Terms | None) -> PoolChange:
+def plan_pool_change(
+    path: str, pool: Pool, tended: Tended | None, config: Config, terms: Terms | None
+) -> PoolChange:
     """Plan the change of a running pool to a configuration.
 
     Raises RestartNeededError, naming the field, for a change that takes a restart.
     """
     if (tended is None) != (terms is None):
-        raise RestartNeededError(f"{path}{CONNECTIONS}")
-    settings = in_service(f"{path}{SETTINGS}", pool.config.settings, config.settings)
+        raise RestartRequiredError(f"{path}{CONNECTIONS}")
+    settings = live_settings(f"{path}{SETTINGS}", pool.config.settings, config.settings)
     if config.zones != pool.config.zones:
-        raise RestartNeededError(f"{path}{SETTINGS}.localities")
+        raise RestartRequiredError(f"{path}{SETTINGS}.localities")
     return PoolChange(pool, tended, replace(config, settings=settings), terms)
 
 
-def in_service(path: str, before: Settings, after: Settings) -> Settings:
+def live_settings(path: str, before: Settings, after: Settings) -> Settings:
     """Order classes and tenants as the running balancer numbers them.
 
     A tenant missing from the new settings has no limit, like one that was never configured; a new tenant
@@ -226,18 +228,18 @@
     """
     classes = {cls.name: cls for cls in after.classes}
     if len(classes) != len(after.classes) or classes.keys() != {cls.name for cls in before.classes}:
-        raise RestartNeededError(f"{path}.classes")
-    for word, same in (
+        raise RestartRequiredError(f"{path}.classes")
+    for key, same in (
         ("registryMode", after.ask_discovery == before.ask_discovery),
         ("stage", after.stage == before.stage),
         ("me", after.index == before.index),
     ):
         if not same:
-            raise RestartNeededError(f"{path}.{word}")
-    told = {tenant.name: tenant for tenant in after.tenants}
+            raise RestartRequiredError(f"{path}.{key}")
+    new_tenants = {tenant.name: tenant for tenant in after.tenants}
     known = [tenant.name for tenant in before.tenants]
-    tenants = [told.get(name, Tenant(name)) for name in known]
-    tenants += [tenant for name, tenant in told.items() if name not in known]
+    tenants = [new_tenants.get(name, Tenant(name)) for name in known]
+    tenants += [tenant for name, tenant in new_tenants.items() if name not in known]
     ordered = tuple(classes[cls.name] for cls in before.classes)
     return replace(after, classes=ordered, tenants=tuple(tenants))
 
@@ -247,7 +249,7 @@
     try:
         return pool_config(name, files.operator.services[name], files.config, files.settings)
     except (ValueError, TypeError) as error:
-        raise RefusedVersionError(in_words(error)) from None
+        raise RefusedVersionError(operator_message(error)) from None
 
 
 def plan_service(files: Files, name: str, pool: Pool, tended: Tended | None) -> PoolChange:
@@ -256,5 +258,5 @@
     two_sources = service.coordinator is not None and service.membership is not None
     if two_sources and config.settings.ask_within != pool.config.settings.ask_within:
         # The retry intervals of the two sources are computed only once.
-        raise RestartNeededError(f"{SERVICES}{name}.settings.rules.askWithin")
-    return plan(f"{SERVICES}{name}.", pool, tended, config, files.operator.tends(name))
+        raise RestartRequiredError(f"{SERVICES}{name}.settings.rules.askWithin")
+    return plan_pool_change(f"{SERVICES}{name}.", pool, tended, config, files.operator.tends(name))
--- a/millgw/configuration/command.py
+++ b/millgw/configuration/command.py
@@ -39,8 +39,8 @@
 from millgw.log.wording import KINDS
 from millgw.platform.config import Address, read_address
 
-POLL_INTERVAL = 0.5  # s between two polls of `wait`
-WITHIN = 2.0  # s for an instance's response
+POLL_INTERVAL_S = 0.5  # s between two polls of `wait`
+RESPONSE_TIMEOUT_S = 2.0  # s for an instance's response
 MAX_INSTANCE_NAME = 64  # characters
 
 
@@ -88,10 +88,16 @@
     return 0 < len(name) <= MAX_INSTANCE_NAME and name.isascii() and name.isprintable() and " " not in name
 
 
-INSTANCES = click.argument("instances", nargs=-1, required=True, type=ADDRESS, metavar="IP:PORT...")
-AT = click.option("--at", "instances", required=True, type=AddressesKind(), help="The control instances.")
-EACH = click.option(
-    "--each-within", type=Duration(0.01, 60), default=WITHIN, show_default=True, help="Timeout per response."
+INSTANCES_ARGUMENT = click.argument("instances", nargs=-1, required=True, type=ADDRESS, metavar="IP:PORT...")
+INSTANCES_OPTION = click.option(
+    "--at", "instances", required=True, type=AddressesKind(), help="The control instances."
+)
+RESPONSE_TIMEOUT_OPTION = click.option(
+    "--each-within",
+    type=Duration(0.01, 60),
+    default=RESPONSE_TIMEOUT_S,
+    show_default=True,
+    help="Timeout per response.",
 )
 
 
@@ -181,9 +187,9 @@
     address = voters[options.name]
     try:
         await _start(instance.start, address)
-        told = _ending()
+        terminated = _termination_signal()
         log_event("instance-serving", name=options.name, listen=address, index=instance.service.history.index)
-        ends: list[asyncio.Future[Any]] = [told, instance.failed]
+        ends: list[asyncio.Future[Any]] = [terminated, instance.failed]
         await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
     finally:
         instance.stop()
@@ -199,9 +205,9 @@
     relay = Relay(name, listen, follow, store, random.randrange(2**32))
     try:
         await _start(relay.start, listen)
-        told = _ending()
+        terminated = _termination_signal()
         log_event("instance-serving", name=name, listen=listen, index=relay.service.history.index)
-        await told
+        await terminated
     finally:
         relay.stop()
     return HELD
@@ -214,18 +220,18 @@
         raise BadInput(f"{address}: {error.strerror or error}") from None
 
 
-def _ending() -> asyncio.Future[None]:
+def _termination_signal() -> asyncio.Future[None]:
     """A future that is done when the process receives SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    told: asyncio.Future[None] = loop.create_future()
+    terminated: asyncio.Future[None] = loop.create_future()
 
-    def tell_once() -> None:
-        if not told.done():
-            told.set_result(None)
+    def on_signal() -> None:
+        if not terminated.done():
+            terminated.set_result(None)
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, tell_once)
-    return told
+        loop.add_signal_handler(number, on_signal)
+    return terminated
 
 
 # set
@@ -236,7 +242,7 @@
     cls=Reporting,
     examples=["""configuration set --at 127.0.0.1:7301 'services.login={"limits":{"tryLimit":2}}'"""],
 )
-@AT
+@INSTANCES_OPTION
 @click.argument("changes", nargs=-1, metavar="NAME=JSON...")
 @click.option("--remove", multiple=True, metavar="NAME", help="Remove an entry; repeatable.")
 @click.option("--if-index", type=click.IntRange(0), help="Commit only if this is the newest version.")
@@ -269,11 +275,11 @@
     for name in names:
         if not 0 < len(name) <= MAX_NAME or names.count(name) > 1:
             raise BadInput(f"{name!r} is not a valid entry name or is given twice")
-    result = run_interruptible(propose(instances, proposed, author or _user(), reason, if_index, within))
+    result = run_interruptible(propose(instances, proposed, author or _user_name(), reason, if_index, within))
     if result.outcome is Outcome.INVALID:
         raise BadInput(f"refused: {result.cause}")
-    told = {"outcome": result.outcome.value, "index": result.index, "epoch": result.epoch}
-    return out.end(_exit_of(result), told | {"cause": result.cause}, [_describe(result)])
+    fields = {"outcome": result.outcome.value, "index": result.index, "epoch": result.epoch}
+    return out.end(_proposal_exit_code(result), fields | {"cause": result.cause}, [_describe(result)])
 
 
 def _read_change(text: str) -> Change:
@@ -290,14 +296,14 @@
     return Change(name, decoded)
 
 
-def _user() -> str:
+def _user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
         return str(os.getuid())
 
 
-def _exit_of(result: ProposalResult) -> int:
+def _proposal_exit_code(result: ProposalResult) -> int:
     if result.outcome is Outcome.COMMITTED:
         return HELD
     if result.outcome in (Outcome.CONFLICT, Outcome.NO_QUORUM):
@@ -323,9 +329,9 @@
 
 
 @configuration.command(cls=Reporting, examples=["configuration get --at 127.0.0.1:7301 services.login"])
-@AT
+@INSTANCES_OPTION
 @click.argument("name", required=False)
-@EACH
+@RESPONSE_TIMEOUT_OPTION
 def get(out: Out, instances: tuple[Address, ...], name: str | None, each_within: float) -> int:
     """Print the newest committed document that any instance has, or one entry of it.
 
@@ -337,28 +343,28 @@
             print(f"millgw: {address}: {trouble}", file=sys.stderr)
         return out.end(INCONCLUSIVE, {"troubles": troubles})
     entries = {change.name: change.value for change in line.changes}
-    told: dict[str, Any] = {"index": line.index, "epoch": line.epoch, "digest": line.digest}
+    fields: dict[str, Any] = {"index": line.index, "epoch": line.epoch, "digest": line.digest}
     if name is not None:
         found = entries.get(name)
         if found is None:
             return out.end(
-                NOT_HELD, told | {"entries": {}}, [f"version {line.index} has no entry named {name}"]
+                NOT_HELD, fields | {"entries": {}}, [f"version {line.index} has no entry named {name}"]
             )
-        return out.end(HELD, told | {"entries": {name: found}}, [json.dumps(found, indent=2)])
+        return out.end(HELD, fields | {"entries": {name: found}}, [json.dumps(found, indent=2)])
     lines = [
         f"version {line.index} of epoch {line.epoch}, digest {line.digest}",
         json.dumps(entries, indent=2),
     ]
-    return out.end(HELD, told | {"entries": entries}, lines)
+    return out.end(HELD, fields | {"entries": entries}, lines)
 
 
 # status
 
 
 @configuration.command(cls=Reporting, examples=["configuration status 127.0.0.1:7301 127.0.0.1:7302"])
-@INSTANCES
+@INSTANCES_ARGUMENT
 @click.option("--index", type=click.IntRange(0), help="The version to look up; the newest by default.")
-@EACH
+@RESPONSE_TIMEOUT_OPTION
 def status(out: Out, instances: tuple[Address, ...], index: int | None, each_within: float) -> int:
     """Show the merged status of these instances and at how many sidecars a version is in force.
 
@@ -368,11 +374,13 @@
     fleet = run_interruptible(fetch_status(tuple(dict.fromkeys(instances)), each_within))
     asked = fleet.committed if index is None else index
     summary = fleet.summary(asked)
-    return out.end(_verdict(fleet, summary), _status_fields(fleet, summary), _status_lines(fleet, summary))
+    return out.end(
+        _status_exit_code(fleet, summary), _status_fields(fleet, summary), _status_lines(fleet, summary)
+    )
 
 
-def _verdict(fleet: FleetStatus, summary: Summary) -> int:
-    if fleet.troubles:
+def _status_exit_code(fleet: FleetStatus, summary: Summary) -> int:
+    if fleet.errors:
         return INCONCLUSIVE
     held = summary.applied == summary.known and not fleet.split_versions()
     return HELD if held and all(instance.quorum for instance in fleet.instances) else NOT_HELD
@@ -386,7 +394,7 @@
         "refusals": summary.refusal_fields(),
         "split_versions": fleet.split_versions(),
         "instances": [instance.fields() for instance in fleet.instances],
-        "troubles": fleet.troubles,
+        "troubles": fleet.errors,
     }
 
 
@@ -397,7 +405,7 @@
         + ("" if instance.quorum else "  no quorum")
         for instance in fleet.instances
     ]
-    lines += [f"{address}  {trouble}" for address, trouble in sorted(fleet.troubles.items())]
+    lines += [f"{address}  {trouble}" for address, trouble in sorted(fleet.errors.items())]
     lines += [f"version {index}: instances differ in its content" for index in fleet.split_versions()]
     lines.append(_summary_line(summary))
     lines += [
@@ -424,12 +432,12 @@
 @configuration.command(
     cls=Reporting, examples=["configuration wait --index 43 --all 127.0.0.1:7301 127.0.0.1:7302"]
 )
-@INSTANCES
+@INSTANCES_ARGUMENT
 @click.option("--index", type=click.IntRange(1), required=True, help="The version to wait for.")
 @click.option("--all", "all_", is_flag=True, help="Wait for every known sidecar.")
 @click.option("--sidecars", type=click.IntRange(1), help="Wait for this many sidecars.")
 @click.option("--within", type=Duration(0.1, 3600), default=30.0, show_default=True, help="Total timeout.")
-@EACH
+@RESPONSE_TIMEOUT_OPTION
 def wait(
     out: Out,
     instances: tuple[Address, ...],
@@ -462,9 +470,9 @@
         summary = fleet.summary(index)
         if summary.refused or summary.diverged:
             return fleet, NOT_HELD
-        everywhere = summary.applied == summary.known and not fleet.troubles
+        everywhere = summary.applied == summary.known and not fleet.errors
         if summary.applied >= least and (everywhere or not all_):
             return fleet, HELD
-        if time.monotonic() + POLL_INTERVAL >= deadline:
+        if time.monotonic() + POLL_INTERVAL_S >= deadline:
             return fleet, INCONCLUSIVE
-        await asyncio.sleep(POLL_INTERVAL)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/millgw/configuration/control_client.py
+++ b/millgw/configuration/control_client.py
@@ -18,9 +18,9 @@
 
 CONFIGURATION_PATH = "/v1/configuration"
 STATUS_PATH = "/v1/configuration/status"
-MAX_ANSWER = 2 * MAX_DOCUMENT  # bytes
-RETRY_INTERVAL = 0.2  # s between two rounds over the instances while none of them leads
-CONNECT_TIME = 1.0  # s to connect to an instance before the next one is tried
+MAX_RESPONSE_BYTES = 2 * MAX_DOCUMENT  # bytes
+RETRY_INTERVAL_S = 0.2  # s between two rounds over the instances while none of them leads
+CONNECT_TIMEOUT_S = 1.0  # s to connect to an instance before the next one is tried
 MAX_REDIRECTS = 4  # followed to a leader in one round
 
 
@@ -67,17 +67,17 @@
     result = ProposalResult(Outcome.UNREACHABLE)
     while True:
         for instance in instances:
-            found = await _propose_by(instance, body, deadline)
+            found = await _propose_to(instance, body, deadline)
             if found.outcome not in (Outcome.NO_QUORUM, Outcome.UNREACHABLE):
                 return found
             if found.outcome is Outcome.NO_QUORUM or result.outcome is Outcome.UNREACHABLE:
                 result = found
-        if time.monotonic() + RETRY_INTERVAL >= deadline:
+        if time.monotonic() + RETRY_INTERVAL_S >= deadline:
             return result
-        await asyncio.sleep(RETRY_INTERVAL)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
-async def _propose_by(instance: Address, body: bytes, deadline: float) -> ProposalResult:
+async def _propose_to(instance: Address, body: bytes, deadline: float) -> ProposalResult:
     """Propose to one instance, following its redirects to the leader."""
     for _ in range(MAX_REDIRECTS):
         within = deadline - time.monotonic()
@@ -85,7 +85,7 @@
             return ProposalResult(Outcome.UNREACHABLE, cause=f"{instance}: not tried before the deadline")
         try:
             status, answer = await ask(
-                instance, CONFIGURATION_PATH, within, "POST", body, connect_within=CONNECT_TIME
+                instance, CONFIGURATION_PATH, within, "POST", body, connect_within=CONNECT_TIMEOUT_S
             )
         except Trouble as trouble:
             outcome = Outcome.UNKNOWN if trouble.sent else Outcome.UNREACHABLE
@@ -139,7 +139,7 @@
 
     async def fetch(instance: Address) -> None:
         try:
-            status, answer = await ask(instance, CONFIGURATION_PATH, within, most=MAX_ANSWER)
+            status, answer = await ask(instance, CONFIGURATION_PATH, within, most=MAX_RESPONSE_BYTES)
             if status != 200:
                 raise Trouble(f"answered {status}")
             lines.append(decode_line(answer))
@@ -187,7 +187,7 @@
     """Statuses of all instances that answered, and the errors of the others by address."""
 
     instances: list[InstanceStatus] = field(default_factory=list)
-    troubles: dict[str, str] = field(default_factory=dict)
+    errors: dict[str, str] = field(default_factory=dict)
 
     @property
     def committed(self) -> int:
@@ -214,12 +214,12 @@
 
     async def fetch(instance: Address) -> None:
         try:
-            status, answer = await ask(instance, f"{STATUS_PATH}?sidecars=1", within, most=MAX_ANSWER)
+            status, answer = await ask(instance, f"{STATUS_PATH}?sidecars=1", within, most=MAX_RESPONSE_BYTES)
             if status != 200:
                 raise Trouble(f"answered {status}")
             fleet.instances.append(decode_status(str(instance), _read_object(answer), time.monotonic()))
         except (Trouble, DocumentError) as error:
-            fleet.troubles[str(instance)] = str(error)
+            fleet.errors[str(instance)] = str(error)
 
     await asyncio.gather(*(fetch(instance) for instance in instances))
     fleet.instances.sort(key=lambda status: status.address)
--- a/millgw/configuration/history.py
+++ b/millgw/configuration/history.py
@@ -7,7 +7,7 @@
 MAX_LINES = 256  # versions whose changes are kept for watches that reconnect
 MAX_LINE_BYTES = 1024 * 1024  # bytes, the total size of these lines
 NO_VERSION = -1
-NOTHING = b""
+EMPTY = b""
 
 
 class History:
@@ -66,13 +66,13 @@
         if index == NO_VERSION:
             return self.snapshot()
         if index >= self.index:
-            return NOTHING
+            return EMPTY
         if index == self.index - 1 and self.index in self._chunks:
             return self._chunks[self.index]
         missed = range(index + 1, self.index + 1)
         if missed[0] not in self._chunks:
             return self.snapshot()
-        changes = NOTHING.join(self._chunks[number] for number in missed)
+        changes = EMPTY.join(self._chunks[number] for number in missed)
         whole = self.snapshot()
         return changes if len(changes) <= len(whole) else whole
 
--- a/millgw/configuration/last_good.py
+++ b/millgw/configuration/last_good.py
@@ -17,8 +17,8 @@
 from millgw.configuration.document import Document, DocumentError, canonical, decode_line, encode_line
 from millgw.log.events import log_event
 
-MAX_FILE = 21 * 1024 * 1024  # bytes: two lines of maximum length and the object around them
-NAME_BYTES = 64  # of the sidecar's name that appear in the file name
+MAX_FILE_BYTES = 21 * 1024 * 1024  # bytes: two lines of maximum length and the object around them
+MAX_NAME_BYTES = 64  # of the sidecar's name that appear in the file name
 
 
 class LastGood:
@@ -27,16 +27,16 @@
     def __init__(self, directory: Path, name: str) -> None:
         self.directory = directory
         self.name = name
-        stem = name.encode().hex()[: 2 * NAME_BYTES] or "unnamed"
+        stem = name.encode().hex()[: 2 * MAX_NAME_BYTES] or "unnamed"
         self.path = directory / f"configuration-{stem}.json"
-        self.waiting: tuple[Document, ...] = ()
-        self.writing: asyncio.Task[None] | None = None
+        self.pending: tuple[Document, ...] = ()
+        self.write_task: asyncio.Task[None] | None = None
 
     def read(self) -> tuple[Document, ...]:
         """The documents to start with, newest first; none, with a log line, for a damaged or foreign file."""
         try:
             with self.path.open("rb") as file:
-                data = file.read(MAX_FILE + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
             return self._decode(data)
         except FileNotFoundError:
             return ()
@@ -45,33 +45,33 @@
             return ()
 
     def _decode(self, data: bytes) -> tuple[Document, ...]:
-        if len(data) > MAX_FILE:
-            raise DocumentError(f"file: longer than {MAX_FILE} bytes")
+        if len(data) > MAX_FILE_BYTES:
+            raise DocumentError(f"file: longer than {MAX_FILE_BYTES} bytes")
         fields = json.loads(data)
         if not isinstance(fields, dict) or fields.get("sidecar") != self.name:
             raise DocumentError("sidecar: the file belongs to another sidecar")
         lines = fields.get("documents")
         if not isinstance(lines, list):
             raise DocumentError("documents: not a list")
-        return tuple(map(_document, lines))
+        return tuple(map(_decode_document, lines))
 
-    def keep(self, *documents: Document) -> None:
+    def save(self, *documents: Document) -> None:
         """Schedule a write of these documents, newest first, after a write that is in progress."""
-        self.waiting = tuple(document.copy() for document in documents)
-        if self.writing is None:
-            self.writing = asyncio.get_running_loop().create_task(self._write_waiting())
+        self.pending = tuple(document.copy() for document in documents)
+        if self.write_task is None:
+            self.write_task = asyncio.get_running_loop().create_task(self._write_pending())
 
-    async def _write_waiting(self) -> None:
+    async def _write_pending(self) -> None:
         try:
-            while self.waiting:
-                documents, self.waiting = self.waiting, ()
+            while self.pending:
+                documents, self.pending = self.pending, ()
                 try:
                     await asyncio.to_thread(self.write, documents)
                 except OSError as error:
                     # The disk is full or missing: keep serving; the next start may lack the file.
                     log_event("last-good-unwritten", path=self.path, cause=error)
         finally:
-            self.writing = None
+            self.write_task = None
 
     def write(self, documents: Sequence[Document]) -> None:
         """Replace the file atomically, and return once it is durable."""
@@ -96,7 +96,7 @@
             os.close(folder)
 
 
-def _document(fields: object) -> Document:
+def _decode_document(fields: object) -> Document:
     line = decode_line(canonical(fields))
     if not line.snapshot:
         raise DocumentError("snapshot: the file has no full snapshot")
--- a/millgw/configuration/proposal.py
+++ b/millgw/configuration/proposal.py
@@ -23,7 +23,7 @@
     for name, text in (("author", author), ("reason", reason)):
         if len(text) > MAX_TEXT:
             raise ProposalError(f"{name}: over {MAX_TEXT} characters")
-        _encoded(name, text)
+        _canonical_json(name, text)
     if not math.isfinite(at):
         raise ProposalError("at: not a finite number")
     size = 0
@@ -33,7 +33,7 @@
             raise ProposalError(f"{path}.name: not a string of 1 to {MAX_NAME} characters")
         if _deeper_than(change.value, MAX_DEPTH):
             raise ProposalError(f"{path}.value: nested deeper than {MAX_DEPTH}")
-        size += len(_encoded(path, [change.name, change.value]))
+        size += len(_canonical_json(path, [change.name, change.value]))
     if size > MAX_CHANGES:
         raise ProposalError(f"changes: {size} bytes are over {MAX_CHANGES}")
     return size
@@ -46,7 +46,7 @@
         raise ProposalError(f"changes: a document of {size} bytes may be over {MAX_DOCUMENT}")
 
 
-def _encoded(path: str, value: Any) -> bytes:
+def _canonical_json(path: str, value: Any) -> bytes:
     try:
         json.dumps(value, allow_nan=False)  # NaN and the infinities are not JSON
         return canonical(value)
--- a/millgw/configuration/relay.py
+++ b/millgw/configuration/relay.py
@@ -57,7 +57,7 @@
 
     def reconfigure(self, entries: Entries) -> None:
         """Serve the client's current document, whose entries are `entries`."""
-        take(self.service.history, self.client.follower.held)
+        add_document(self.service.history, self.client.follower.latest)
         self.service.watchers.publish()
 
     # Backend of the service
@@ -65,8 +65,8 @@
     def standing(self) -> Standing:
         """State of the relay; `quorum` is whether a watch is up, as a relay knows no more."""
         follower = self.client.follower
-        followed = follower.instance if self.client.up else None
-        return Standing(ROLE, follower.held.epoch, followed, follower.held.index, self.client.up)
+        followed = follower.instance if self.client.connected else None
+        return Standing(ROLE, follower.latest.epoch, followed, follower.latest.index, self.client.connected)
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
         """Redirect to the followed instance, which knows the leader; a relay accepts no proposals."""
@@ -77,7 +77,7 @@
         return error_response(404, "a relay is not a voter")
 
 
-def take(history: History, document: Document) -> None:
+def add_document(history: History, document: Document) -> None:
     """Add a newer document to a history: as changes if it is the next version, otherwise as a snapshot."""
     if document.index != history.index + 1:
         history.replace(document)
--- a/millgw/configuration/reports.py
+++ b/millgw/configuration/reports.py
@@ -39,13 +39,13 @@
 
 @dataclass(slots=True)
 class Sidecar:
-    """Known state of one sidecar. `seen` is when it last reported or ended a watch, in s.
+    """Known state of one sidecar. `last_seen` is when it last reported or ended a watch, in s.
 
     `refused` is the last version that it refused, 0 for none; a newer one may be in force since.
     """
 
     name: str
-    seen: float
+    last_seen: float
     watches: int = 0
     applied: int = 0
     digest: str = ""
@@ -105,7 +105,7 @@
     def take(self, now: float, report: Report) -> None:
         """Record a report, replacing the sidecar's previous one."""
         sidecar = self._sidecar(now, report.name)
-        sidecar.seen = now
+        sidecar.last_seen = now
         if report.status is Status.APPLIED:
             sidecar.applied = report.index
             sidecar.digest = report.digest
@@ -132,12 +132,12 @@
         sidecar = self.sidecars.get(name)
         if sidecar is not None and sidecar.watches:
             sidecar.watches -= 1
-            sidecar.seen = now
+            sidecar.last_seen = now
 
     def forget_old(self, now: float) -> None:
         """Drop sidecars without a watch or report for `forget_after` seconds."""
         for sidecar in list(self.sidecars.values()):
-            if not sidecar.watches and now - sidecar.seen >= self.forget_after:
+            if not sidecar.watches and now - sidecar.last_seen >= self.forget_after:
                 del self.sidecars[sidecar.name]
 
     def _sidecar(self, now: float, name: str) -> Sidecar:
@@ -170,22 +170,22 @@
     return summary
 
 
-def merge(told: Iterable[Iterable[Sidecar]]) -> list[Sidecar]:
+def merge(instances: Iterable[Iterable[Sidecar]]) -> list[Sidecar]:
     """Merge the sidecars known to several instances, one entry each: where it watches, else was last seen.
 
-    All `seen` must be times of the same clock.
+    All `last_seen` must be times of the same clock.
     """
     merged: dict[str, Sidecar] = {}
-    for sidecars in told:
+    for sidecars in instances:
         for sidecar in sidecars:
             held = merged.get(sidecar.name)
-            if held is None or _newness(held) < _newness(sidecar):
+            if held is None or _recency(held) < _recency(sidecar):
                 merged[sidecar.name] = sidecar
     return [merged[name] for name in sorted(merged)]
 
 
-def _newness(sidecar: Sidecar) -> tuple[bool, float]:
-    return bool(sidecar.watches), sidecar.seen
+def _recency(sidecar: Sidecar) -> tuple[bool, float]:
+    return bool(sidecar.watches), sidecar.last_seen
 
 
 def decode_report(data: bytes) -> Report:
@@ -227,7 +227,7 @@
     return {
         "name": sidecar.name,
         "watches": sidecar.watches,
-        "age_s": round(max(0.0, now - sidecar.seen), 3),
+        "age_s": round(max(0.0, now - sidecar.last_seen), 3),
         "applied": sidecar.applied,
         "digest": sidecar.digest,
         "refused": sidecar.refused,
@@ -236,7 +236,7 @@
 
 
 def decode_sidecar(fields: Any, now: float) -> Sidecar:
-    """Decode a sidecar from a status, with `seen` on the caller's clock; raises DocumentError."""
+    """Decode a sidecar from a status, with `last_seen` on the caller's clock; raises DocumentError."""
     if not isinstance(fields, dict):
         raise DocumentError("sidecar: not an object")
     age = fields.get("age_s")
@@ -247,7 +247,7 @@
             raise DocumentError(f"{name}: not a string")
     return Sidecar(
         name=fields["name"],
-        seen=now - age,
+        last_seen=now - age,
         watches=decode_count(fields, "watches"),
         applied=decode_count(fields, "applied"),
         digest=fields["digest"],
--- a/millgw/configuration/rollback.py
+++ b/millgw/configuration/rollback.py
@@ -36,9 +36,9 @@
 
     def copy(self) -> RollbackDetector:
         """An independent copy."""
-        made = RollbackDetector()
-        made._peers = {name: replace(peer) for name, peer in self._peers.items()}
-        return made
+        duplicate = RollbackDetector()
+        duplicate._peers = {name: replace(peer) for name, peer in self._peers.items()}
+        return duplicate
 
     def check(self, sender: str, message: Message) -> str | None:
         """Record a message; return None if it is valid, else the cause, or "" to drop it silently."""
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from millgw.configuration.apply import Entries, PoolChange, RefusedVersionError, overlay, plan
+from millgw.configuration.apply import Entries, PoolChange, RefusedVersionError, overlay, plan_pool_change
 from millgw.log.events import log_event
 from millgw.operator.file import OperatorError, load
 from millgw.operator.files import Files
@@ -19,47 +19,51 @@
 class SinglePool:
     """Applies a document's entries, as overrides of the files, to one pool."""
 
-    def __init__(self, filed: Files, environ: Mapping[str, str], path: str) -> None:
-        self.filed = filed
+    def __init__(self, files: Files, environ: Mapping[str, str], path: str) -> None:
+        self.files = files
         self.environ = environ
         self.path = path
         self.entries: Entries = {}
 
     def serve(
-        self, entries: Entries, pool: Pool, tended: Tended | None, reload_rest: Callable[[Config], None]
+        self,
+        entries: Entries,
+        pool: Pool,
+        tended: Tended | None,
+        apply_other_changes: Callable[[Config], None],
     ) -> None:
-        """Set the pool, created with these entries; `reload_rest` applies all other changes of a SIGHUP."""
+        """Set the pool created with these entries; `apply_other_changes` is called after a reload."""
         self.entries = entries
         self.pool = pool
         self.tended = tended
-        self.reload_rest = reload_rest
+        self.apply_other_changes = apply_other_changes
 
     def check(self, entries: Entries) -> None:
         """Check that the sidecar could start with these entries; raises RefusedVersionError otherwise."""
-        overlay(self.filed, entries)
+        overlay(self.files, entries)
 
     def reconfigure(self, entries: Entries) -> None:
         """Apply these entries as overrides of the files; changes nothing if it raises RefusedVersionError."""
-        self._plan(self.filed, entries).carry_out()
+        self._plan(self.files, entries).carry_out()
         self.entries = entries
 
-    def _plan(self, filed: Files, entries: Entries) -> PoolChange:
-        after = overlay(filed, entries)
-        return plan("", self.pool, self.tended, after.config, after.operator.tends())
+    def _plan(self, files: Files, entries: Entries) -> PoolChange:
+        after = overlay(files, entries)
+        return plan_pool_change("", self.pool, self.tended, after.config, after.operator.tends())
 
     def reload(self) -> None:
         """Read the files again and apply them with the entries; unusable files change nothing."""
         try:
-            config = read_config(self.environ, self.filed.config)
-            filed = Files(config, read_settings_table(self.environ), load(self.path))
-            change = self._plan(filed, self.entries)
+            config = read_config(self.environ, self.files.config)
+            files = Files(config, read_settings_table(self.environ), load(self.path))
+            change = self._plan(files, self.entries)
         except (ConfigError, OperatorError, RefusedVersionError) as error:
             log_event("reload-refused", cause=str(error))
             return
         for field in ("peers", "store", "configuration", "places", "services"):
-            if getattr(filed.operator, field) != getattr(self.filed.operator, field):
+            if getattr(files.operator, field) != getattr(self.files.operator, field):
                 log_event("reload-takes-restart", field=field)
         change.carry_out()
-        self.filed = filed
+        self.files = files
         log_event("reloaded")
-        self.reload_rest(config)
+        self.apply_other_changes(config)
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -16,8 +16,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from millgw.configuration.apply import RefusedVersionError, in_service, one_line, overlay
-from millgw.configuration.client import START_WITHIN
+from millgw.configuration.apply import RefusedVersionError, live_settings, one_line, overlay
+from millgw.configuration.client import START_TIMEOUT_S
 from millgw.configuration.last_good import LastGood
 from millgw.connections.tended import Tended
 from millgw.decide import Balancer
@@ -494,14 +494,14 @@
 def test_whatever_is_sent_is_refused_with_a_cause_or_usable(entries: dict[str, dict[str, Any]]) -> None:
     with suppress(RefusedVersionError):
         after = overlay(files(), entries)
-        in_service("settings", files().config.settings, after.config.settings)
+        live_settings("settings", files().config.settings, after.config.settings)
 
 
 def test_classes_and_tenants_keep_their_numbers() -> None:
     before = replace(SETTINGS, tenants=TENANTS)
     tenants = (Tenant("c", 1.0), replace(TENANTS[1], rate=3.0))
     turned = replace(before, classes=before.classes[::-1], tenants=tenants)
-    taken = in_service("settings", before, turned)
+    taken = live_settings("settings", before, turned)
     assert taken.classes == before.classes
     assert taken.tenants == (Tenant("a", 0.0), Tenant("b", 3.0), Tenant("c", 1.0))
 
@@ -519,7 +519,7 @@
 )
 def test_what_takes_a_restart_is_named(changes: dict[str, Any], field: str) -> None:
     with pytest.raises(RefusedVersionError) as caught:
-        in_service("settings", SETTINGS, replace(SETTINGS, **changes))
+        live_settings("settings", SETTINGS, replace(SETTINGS, **changes))
     assert str(caught.value) == f"takes a restart: {field}"
 
 
@@ -723,7 +723,9 @@
                 writer.write(answers)
             client = await connected(node)
             assert (await client.ask(b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n")).status == 200
-            assert asyncio.get_running_loop().time() - begun < START_WITHIN + 1.0, "and the test's own part"
+            assert asyncio.get_running_loop().time() - begun < START_TIMEOUT_S + 1.0, (
+                "and the test's own part"
+            )
             assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
 
     run(test)
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -13,8 +13,8 @@
 
 from millgw.configuration import client as client_module
 from millgw.configuration import follower as follower_module
-from millgw.configuration.apply import RefusedVersionError, RestartNeededError
-from millgw.configuration.client import MAX_LINE, Client, quoted
+from millgw.configuration.apply import RefusedVersionError, RestartRequiredError
+from millgw.configuration.client import MAX_LINE_BYTES, Client, percent_encoded
 from millgw.configuration.document import Change, Document, Line, encode_line
 from millgw.configuration.last_good import LastGood
 from millgw.standins.address import free_address
@@ -207,15 +207,15 @@
         None,  # a reset
         b"",  # it never answers
         STREAM + chunk(b"\n"),  # and silence
-        STREAM + chunk(b"x" * (MAX_LINE + 1)),  # a line without an end
+        STREAM + chunk(b"x" * (MAX_LINE_BYTES + 1)),  # a line without an end
     ],
 )
 def test_each_end_of_a_watch_has_another_instance_asked(
     end: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(follower_module, "SILENCE", 200.0)
-    monkeypatch.setattr(follower_module, "FIRST_LINE", 300.0)
-    monkeypatch.setattr(client_module, "START_WITHIN", 0.05)
+    monkeypatch.setattr(follower_module, "WATCH_SILENCE_MS", 200.0)
+    monkeypatch.setattr(follower_module, "FIRST_LINE_TIMEOUT_MS", 300.0)
+    monkeypatch.setattr(client_module, "START_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         bad, good = ControlInstance(by_hand=True), ControlInstance(document=VERSIONS[3].copy())
@@ -375,12 +375,12 @@
         client.serving = True
 
         def refuse(entries: Mapping[str, Mapping[str, Any]]) -> None:
-            raise RestartNeededError("settings.classes")
+            raise RestartRequiredError("settings.classes")
 
         target.reconfigure = refuse  # type: ignore[method-assign]
         control.commit({"settings": {"tick": 40}})
         await until(lambda: client.follower.refused == 4)
-        assert client.follower.cause == "takes a restart: settings.classes"
+        assert client.follower.refusal_cause == "takes a restart: settings.classes"
         await until(lambda: [document.index for document in last_good.read()] == [4, 3])
         client.stop()
         control.stop()
@@ -459,7 +459,7 @@
 
 
 def test_names_in_a_query_and_in_a_file_s_name(tmp_path: Path) -> None:
-    assert quoted("n-3.a~b_c") == "n-3.a~b_c" and quoted("a&b=/") == "a%26b%3D%2F"
+    assert percent_encoded("n-3.a~b_c") == "n-3.a~b_c" and percent_encoded("a&b=/") == "a%26b%3D%2F"
     path = LastGood(tmp_path, "../../etc/x").path
     assert path.parent == tmp_path
 
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -13,25 +13,25 @@
 
 from millgw.configuration.document import Change, Document, Line, encode_line
 from millgw.configuration.follower import (
-    FIRST_LINE,
-    REPORT_EVERY,
-    REPORT_JITTER,
-    RETRY,
-    RETRY_MOST,
-    RETURN,
-    RETURN_JITTER,
-    SILENCE,
-    SPREAD,
-    STEADY,
+    FIRST_LINE_TIMEOUT_MS,
+    MAX_RETRY_DELAY_MS,
+    MIN_RETRY_DELAY_MS,
+    PREFERRED_RETRY_JITTER,
+    PREFERRED_RETRY_MS,
+    RECONNECT_SPREAD_MS,
+    REPORT_INTERVAL_MS,
+    REPORT_JITTER_MS,
+    STABLE_WATCH_MS,
+    WATCH_SILENCE_MS,
     Connect,
     Disconnect,
     Follower,
-    Heard,
+    FollowerAction,
+    LineOutcome,
     Phase,
     Report,
     SendReport,
     Status,
-    Step,
     preference,
 )
 from millgw.configuration.reports import Report as Reported
@@ -65,10 +65,10 @@
     return encode_line(document.snapshot())
 
 
-def steps(follower: Follower, now: float) -> list[Step]:
+def steps(follower: Follower, now: float) -> list[FollowerAction]:
     """All that is to be done now."""
-    out: list[Step] = []
-    while (step := follower.next(now)) is not None:
+    out: list[FollowerAction] = []
+    while (step := follower.next_action(now)) is not None:
         out.append(step)
         assert len(out) < 10, "it never ends"
     return out
@@ -80,7 +80,7 @@
     if document is not None:
         follower.accepted(now)
     assert isinstance(steps(follower, now)[0], Connect)
-    follower.line(now, b"\n")
+    follower.handle_line(now, b"\n")
     return follower
 
 
@@ -90,8 +90,8 @@
 def test_a_first_connect_is_made_at_once_and_a_first_version_is_taken() -> None:
     follower = Follower(INSTANCES, 1)
     assert steps(follower, 0.0) == [Connect("a:1", None)]
-    assert follower.line(3.0, whole(VERSIONS[5])) is Heard.NEWER
-    assert follower.held == VERSIONS[5]
+    assert follower.handle_line(3.0, whole(VERSIONS[5])) is LineOutcome.NEWER
+    assert follower.latest == VERSIONS[5]
     follower.accepted(3.0)
     assert (follower.applied, follower.applied_digest) == (5, VERSIONS[5].digest())
 
@@ -100,24 +100,24 @@
     follower = Follower(INSTANCES, 1, VERSIONS[4])
     follower.accepted(0.0)
     assert steps(follower, 0.0) == [Connect("a:1", 4)]
-    assert follower.line(1.0, delta(VERSIONS[4], VERSIONS[6])) is Heard.NEWER
+    assert follower.handle_line(1.0, delta(VERSIONS[4], VERSIONS[6])) is LineOutcome.NEWER
 
 
 def test_what_is_older_or_the_same_is_ignored() -> None:
     follower = watching(document=VERSIONS[6])
     for line in (whole(VERSIONS[3]), whole(VERSIONS[6]), delta(VERSIONS[5], VERSIONS[6])):
-        assert follower.line(1.0, line) is Heard.KNOWN
-    assert follower.held == VERSIONS[6] and follower.contradictions == 0
-    assert follower.line(2.0, delta(VERSIONS[6], VERSIONS[7])) is Heard.NEWER
+        assert follower.handle_line(1.0, line) is LineOutcome.KNOWN
+    assert follower.latest == VERSIONS[6] and follower.contradictions == 0
+    assert follower.handle_line(2.0, delta(VERSIONS[6], VERSIONS[7])) is LineOutcome.NEWER
 
 
 def test_the_same_version_with_another_digest_is_reported_and_the_instance_left() -> None:
     follower = watching(document=VERSIONS[6])
     other = history(6, epoch=2)[6]
     other.apply(6, 2, [Change("settings", {"tick": 99})])
-    assert follower.line(1000.0, whole(other)) is Heard.CONTRADICTS
-    assert follower.held == VERSIONS[6]
-    found = steps(follower, 1000.0 + REPORT_EVERY)
+    assert follower.handle_line(1000.0, whole(other)) is LineOutcome.CONTRADICTS
+    assert follower.latest == VERSIONS[6]
+    found = steps(follower, 1000.0 + REPORT_INTERVAL_MS)
     assert isinstance(found[0], SendReport) and isinstance(found[1], Disconnect)
     report = found[0].report
     assert report.status is Status.REFUSED and report.index == 6
@@ -128,20 +128,20 @@
     documents = history(6, epoch=4)
     follower = watching(document=documents[6])
     old = history(8, epoch=3)
-    assert follower.line(1.0, whole(old[8])) is Heard.CONTRADICTS
-    assert follower.held == documents[6] and follower.contradictions == 1
+    assert follower.handle_line(1.0, whole(old[8])) is LineOutcome.CONTRADICTS
+    assert follower.latest == documents[6] and follower.contradictions == 1
 
 
 def test_a_digest_that_does_not_fit_has_the_whole_asked_for_and_a_wrong_whole_another_instance() -> None:
     follower = watching(document=VERSIONS[4])
-    assert follower.line(100.0, delta(VERSIONS[6], VERSIONS[7])) is Heard.GAP
-    assert follower.held == VERSIONS[4], "nothing of it was taken"
+    assert follower.handle_line(100.0, delta(VERSIONS[6], VERSIONS[7])) is LineOutcome.GAP
+    assert follower.latest == VERSIONS[4], "nothing of it was taken"
     assert steps(follower, 100.0) == [Connect("a:1", None)], "at once, the same instance, all of it"
     wrong = Line(7, 1, True, "0" * 32, ())
-    assert follower.line(110.0, encode_line(wrong)) is Heard.GAP
-    assert steps(follower, 110.0) == [] and follower.again > 110.0
-    assert steps(follower, follower.again) == [Connect("b:1", None)]
-    assert follower.line(follower.again, whole(VERSIONS[7])) is Heard.NEWER
+    assert follower.handle_line(110.0, encode_line(wrong)) is LineOutcome.GAP
+    assert steps(follower, 110.0) == [] and follower.connect_at > 110.0
+    assert steps(follower, follower.connect_at) == [Connect("b:1", None)]
+    assert follower.handle_line(follower.connect_at, whole(VERSIONS[7])) is LineOutcome.NEWER
 
 
 def test_lines_that_never_fit_do_not_make_it_ask_in_a_tight_loop() -> None:
@@ -150,28 +150,32 @@
         for step in steps(follower, now):
             if isinstance(step, Connect):
                 connects += 1
-                follower.line(now, whole(VERSIONS[4]) if step.since is None else b"\n")
-                follower.line(now, delta(VERSIONS[6], VERSIONS[7]))
+                follower.handle_line(now, whole(VERSIONS[4]) if step.since is None else b"\n")
+                follower.handle_line(now, delta(VERSIONS[6], VERSIONS[7]))
         now += 5.0
     assert connects <= 30
 
 
 def test_a_refused_version_is_kept_out_until_a_newer_one() -> None:
     follower = watching(document=VERSIONS[4])
-    follower.line(1.0, delta(VERSIONS[4], VERSIONS[5]))
+    follower.handle_line(1.0, delta(VERSIONS[4], VERSIONS[5]))
     follower.rejected(1.0, "settings.tick: is no number")
-    assert (follower.applied, follower.refused, follower.cause) == (4, 5, "settings.tick: is no number")
-    assert follower.line(2.0, whole(VERSIONS[5])) is Heard.KNOWN, "not tried again"
-    assert follower.line(3.0, delta(VERSIONS[5], VERSIONS[6])) is Heard.NEWER
+    assert (follower.applied, follower.refused, follower.refusal_cause) == (
+        4,
+        5,
+        "settings.tick: is no number",
+    )
+    assert follower.handle_line(2.0, whole(VERSIONS[5])) is LineOutcome.KNOWN, "not tried again"
+    assert follower.handle_line(3.0, delta(VERSIONS[5], VERSIONS[6])) is LineOutcome.NEWER
     follower.accepted(3.0)
-    assert (follower.applied, follower.refused, follower.cause) == (6, None, "")
+    assert (follower.applied, follower.refused, follower.refusal_cause) == (6, None, "")
 
 
 @pytest.mark.parametrize("data", [b"{", b"[]\n", b'{"index":-1}', b"\xff\xfe"])
 def test_a_line_that_cannot_be_read_ends_the_watch(data: bytes) -> None:
     follower = watching(document=VERSIONS[4])
-    assert follower.line(1.0, data) is Heard.UNREADABLE
-    assert steps(follower, 1.0) == [] and follower.held == VERSIONS[4]
+    assert follower.handle_line(1.0, data) is LineOutcome.UNREADABLE
+    assert steps(follower, 1.0) == [] and follower.latest == VERSIONS[4]
 
 
 LINES = st.one_of(
@@ -220,41 +224,44 @@
                 open_connects = 1
             elif isinstance(step, Disconnect):
                 open_connects = 0
-        before = follower.held.index
+        before = follower.latest.index
         if kind == "wait":
             assert isinstance(args[0], float)
             now += args[0]
         elif kind == "ended":
-            follower.ended(now)
+            follower.connection_ended(now)
             open_connects = 0
         elif kind == "refuse next":
             refuse = True
         elif kind == "unreported":
-            follower.unreported(now, Report(applied, "", Status.APPLIED))
+            follower.report_failed(now, Report(applied, "", Status.APPLIED))
         elif open_connects:
-            heard = follower.line(now, worded(str(kind), args))
-            if heard in (Heard.UNREADABLE, Heard.GAP):
+            heard = follower.handle_line(now, worded(str(kind), args))
+            if heard in (LineOutcome.UNREADABLE, LineOutcome.GAP):
                 open_connects = 0
-            if heard is Heard.NEWER and refuse:
+            if heard is LineOutcome.NEWER and refuse:
                 follower.rejected(now, "no")
                 refuse = False
-            elif heard is Heard.NEWER:
+            elif heard is LineOutcome.NEWER:
                 follower.accepted(now)
-        assert follower.held.index >= before
+        assert follower.latest.index >= before
         assert follower.applied >= applied
-        assert follower.held.digest() == follower.held_digest
+        assert follower.latest.digest() == follower.latest_digest
         applied = follower.applied
         if follower.phase is Phase.WAITING:
-            assert follower.again <= now + max(RETRY_MOST, SPREAD)
+            assert follower.connect_at <= now + max(MAX_RETRY_DELAY_MS, RECONNECT_SPREAD_MS)
         assert follower.due() < float("inf")
     # From now on every instance tells a newer good version: it is in force before long.
-    good = follower.held.copy()
-    good.apply(follower.held.index + 1, follower.held.epoch + 1, [Change("settings", {"tick": 7})])
-    end = now + 2 * RETRY_MOST + SILENCE + REPORT_EVERY
+    good = follower.latest.copy()
+    good.apply(follower.latest.index + 1, follower.latest.epoch + 1, [Change("settings", {"tick": 7})])
+    end = now + 2 * MAX_RETRY_DELAY_MS + WATCH_SILENCE_MS + REPORT_INTERVAL_MS
     while follower.applied != good.index:
         assert now <= end, "a good newer version was never applied"
         steps(follower, now)
-        if follower.phase is not Phase.WAITING and follower.line(now, whole(good)) is Heard.NEWER:
+        if (
+            follower.phase is not Phase.WAITING
+            and follower.handle_line(now, whole(good)) is LineOutcome.NEWER
+        ):
             follower.accepted(now)
         now = max(now + 1.0, min(follower.due(), now + 1000.0))
 
@@ -283,11 +290,11 @@
     for i in range(670):
         follower = Follower(preference(f"n{i}", (), instances), i)
         steps(follower, 0.0)
-        follower.line(1.0, b"\n")
-        follower.broken = 1e9
-        follower.ended(60_000.0)
-        when.append(follower.again - 60_000.0)
-    assert max(when) <= SPREAD
+        follower.handle_line(1.0, b"\n")
+        follower.line_deadline = 1e9
+        follower.connection_ended(60_000.0)
+        when.append(follower.connect_at - 60_000.0)
+    assert max(when) <= RECONNECT_SPREAD_MS
     slots = Counter(int(at / 100) for at in when)
     assert max(slots.values()) < 2 * 670 / 10, "none of the tenths of the second has twice its part"
 
@@ -299,11 +306,13 @@
         (step,) = steps(follower, now)
         assert isinstance(step, Connect)
         asked.append(step.instance)
-        follower.ended(now)
-        waits.append(follower.again - now)
-        now = follower.again
-    assert all(RETRY - 0.01 <= wait <= RETRY_MOST + 0.01 for wait in waits), "but for rounding"
-    assert waits[0] <= 3 * RETRY and sum(waits[20:]) / 20 > RETRY_MOST / 2
+        follower.connection_ended(now)
+        waits.append(follower.connect_at - now)
+        now = follower.connect_at
+    assert all(MIN_RETRY_DELAY_MS - 0.01 <= wait <= MAX_RETRY_DELAY_MS + 0.01 for wait in waits), (
+        "but for rounding"
+    )
+    assert waits[0] <= 3 * MIN_RETRY_DELAY_MS and sum(waits[20:]) / 20 > MAX_RETRY_DELAY_MS / 2
     assert set(asked) == set(INSTANCES) and asked[:3] == list(INSTANCES)
 
 
@@ -318,40 +327,40 @@
             assert isinstance(step, Connect)
             if now >= returned and step.instance != lost:
                 break
-            follower.ended(now)
-            now = follower.again
+            follower.connection_ended(now)
+            now = follower.connect_at
         assert now - returned <= 5000.0
 
 
 def test_one_that_never_answers_and_one_that_falls_silent_are_left() -> None:
     follower = Follower(INSTANCES, 1)
     steps(follower, 0.0)
-    assert follower.due() == FIRST_LINE
-    assert isinstance(steps(follower, FIRST_LINE)[0], Disconnect)
-    assert steps(follower, follower.again) == [Connect("b:1", None)]
-    at = follower.again
-    follower.line(at + 5.0, b"\n")
-    assert follower.due() == at + 5.0 + SILENCE
-    follower.line(at + 2000.0, b"\n")
-    assert steps(follower, at + 2000.0 + SILENCE - 1) == []
-    assert isinstance(steps(follower, at + 2000.0 + SILENCE)[0], Disconnect)
-    assert follower.again <= at + 2000.0 + SILENCE + SPREAD
+    assert follower.due() == FIRST_LINE_TIMEOUT_MS
+    assert isinstance(steps(follower, FIRST_LINE_TIMEOUT_MS)[0], Disconnect)
+    assert steps(follower, follower.connect_at) == [Connect("b:1", None)]
+    at = follower.connect_at
+    follower.handle_line(at + 5.0, b"\n")
+    assert follower.due() == at + 5.0 + WATCH_SILENCE_MS
+    follower.handle_line(at + 2000.0, b"\n")
+    assert steps(follower, at + 2000.0 + WATCH_SILENCE_MS - 1) == []
+    assert isinstance(steps(follower, at + 2000.0 + WATCH_SILENCE_MS)[0], Disconnect)
+    assert follower.connect_at <= at + 2000.0 + WATCH_SILENCE_MS + RECONNECT_SPREAD_MS
 
 
 def test_it_comes_back_to_its_first_choice() -> None:
     follower = Follower(INSTANCES, 1)
     steps(follower, 0.0)
-    follower.ended(0.0)
-    at = follower.again
+    follower.connection_ended(0.0)
+    at = follower.connect_at
     steps(follower, at)
-    follower.line(at, b"\n")
+    follower.handle_line(at, b"\n")
     now = at
-    while follower.choice != 0:
+    while follower.instance_index != 0:
         now += 2000.0
-        assert now < at + (1 + RETURN_JITTER) * RETURN + 2000.0
-        follower.line(now, b"\n")
+        assert now < at + (1 + PREFERRED_RETRY_JITTER) * PREFERRED_RETRY_MS + 2000.0
+        follower.handle_line(now, b"\n")
         found = steps(follower, now)
-    assert now > at + (1 - RETURN_JITTER) * RETURN
+    assert now > at + (1 - PREFERRED_RETRY_JITTER) * PREFERRED_RETRY_MS
     assert isinstance(found[0], Disconnect) and found[1] == Connect("a:1", None)
 
 
@@ -361,10 +370,10 @@
         for step in steps(follower, now):
             if isinstance(step, Connect):
                 connects += 1
-                follower.line(now, b"\n")
-                follower.ended(now + 1.0)
+                follower.handle_line(now, b"\n")
+                follower.connection_ended(now + 1.0)
         now += 10.0
-    assert connects < 60_000.0 / STEADY * 4
+    assert connects < 60_000.0 / STABLE_WATCH_MS * 4
 
 
 # Reports
@@ -373,7 +382,7 @@
 def reports(follower: Follower, since: float, until: float) -> list[tuple[float, Report]]:
     found, now = [], since
     while now <= until:
-        follower.line(now, b"\n")
+        follower.handle_line(now, b"\n")
         found += [(now, s.report) for s in steps(follower, now) if isinstance(s, SendReport)]
         now += 10.0
     return found
@@ -383,23 +392,23 @@
     follower, now = watching(), 0.0
     for index in range(1, 9):
         now = 40.0 * index
-        follower.line(now, delta(VERSIONS[index - 1], VERSIONS[index]))
+        follower.handle_line(now, delta(VERSIONS[index - 1], VERSIONS[index]))
         follower.accepted(now)
     sent = reports(follower, now, now + 4000.0)
     assert [report.index for _, report in sent][-1] == 8 and len(sent) <= 2
-    assert sent[0][0] <= now + REPORT_JITTER + 10.0
-    assert all(b[0] - a[0] >= REPORT_EVERY for a, b in pairwise(sent))
+    assert sent[0][0] <= now + REPORT_JITTER_MS + 10.0
+    assert all(b[0] - a[0] >= REPORT_INTERVAL_MS for a, b in pairwise(sent))
 
 
 def test_a_report_is_repeated_on_a_new_connection_and_after_a_failure() -> None:
     follower = watching(document=VERSIONS[3])
     ((_, report),) = reports(follower, 0.0, 3000.0)
     assert report == Report(3, VERSIONS[3].digest(), Status.APPLIED)
-    follower.unreported(3000.0, report)
+    follower.report_failed(3000.0, report)
     assert [r for _, r in reports(follower, 3000.0, 6000.0)] == [report]
-    follower.ended(6000.0)
-    steps(follower, follower.again)
-    assert [r for _, r in reports(follower, follower.again, follower.again + 3000.0)] == [report]
+    follower.connection_ended(6000.0)
+    steps(follower, follower.connect_at)
+    assert [r for _, r in reports(follower, follower.connect_at, follower.connect_at + 3000.0)] == [report]
 
 
 def test_a_refusal_is_told_though_a_newer_version_comes_before_its_report_may_go() -> None:
@@ -407,9 +416,9 @@
     follower = watching(document=VERSIONS[4])
     reports(follower, 0.0, 3000.0)
     now = 3000.0
-    follower.line(now, delta(VERSIONS[4], VERSIONS[5]))
+    follower.handle_line(now, delta(VERSIONS[4], VERSIONS[5]))
     follower.rejected(now, "settings.tick: is no number")
-    follower.line(now, delta(VERSIONS[5], VERSIONS[6]))
+    follower.handle_line(now, delta(VERSIONS[5], VERSIONS[6]))
     follower.accepted(now)
     ((_, report),) = reports(follower, now, now + 3000.0)
     assert (report.status, report.index) == (Status.APPLIED, 6)
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -12,7 +12,7 @@
 from millgw.configuration.client import Client
 from millgw.configuration.document import Document
 from millgw.configuration.history import History
-from millgw.configuration.relay import Relay, changes_between, take
+from millgw.configuration.relay import Relay, add_document, changes_between
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from tests.configuration_rig import Answer, Cluster, Watcher, address_of, call, propose
@@ -45,7 +45,7 @@
     history, index = History(), 0
     for step, entries in steps:
         index += step
-        take(history, Document(index, 1, dict(entries)))
+        add_document(history, Document(index, 1, dict(entries)))
         assert (history.index, history.document.entries) == (index, entries)
         assert history.digests[index] == history.document.digest()
         assert (step == 1) == (history.after(index - 1) is not history.snapshot())
@@ -101,7 +101,9 @@
                 cluster.stop(name)
             await until(lambda: not relay.standing().quorum)
             assert await propose(address, "c", {}) == Answer(421, {"leader": None})
-            await until(lambda: relay.client.last_good is not None and relay.client.last_good.writing is None)
+            await until(
+                lambda: relay.client.last_good is not None and relay.client.last_good.write_task is None
+            )
             relay.stop()
             again = await started(address, cluster, tmp_path)
             late = await Watcher("n2").open(address)
