--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -1,4 +1,4 @@
-"""Control instances in one process on loopback, a network between them that can be parted, and sidecars."""
+"""Test cluster of control instances on loopback in one process, with network partitions and test watchers."""
 
 from __future__ import annotations
 
@@ -20,21 +20,25 @@
 from millgw.top.door import ask
 from tests.rig import until
 
-HEARTBEAT, LEASE, ELECTION = 60.0, 400.0, (500.0, 1000.0)  # ms: short, and far over a turn of the loop
-ANSWER_TIME = 15.0  # s for a call to be answered, far over what it takes
+HEARTBEAT, LEASE, ELECTION = (
+    60.0,
+    400.0,
+    (500.0, 1000.0),
+)  # ms: short, but far longer than one iteration of the event loop
+ANSWER_TIME = 15.0  # s for a response, far more than one takes
 
 
 class MemoryState:
-    """Keeps a replica's state through restarts of its instance, as a disk would."""
+    """In-memory replacement of the disk: keeps a replica's state across restarts of its instance."""
 
     def __init__(self) -> None:
         self.state = State()
         self.error: OSError | None = None
 
     def reopened(self) -> MemoryState:
-        """The state as a new run of the instance finds it."""
-        made = MemoryState()
-        made.state = State(
+        """The state that a restarted instance finds."""
+        restarted = MemoryState()
+        restarted.state = State(
             self.state.epoch,
             self.state.voted_for,
             self.state.committed,
@@ -42,7 +46,7 @@
             self.state.snapshot,
             self.state.entries,
         )
-        return made
+        return restarted
 
     def load(self) -> State:
         return self.state
@@ -57,25 +61,25 @@
 
 
 class Network:
-    """Which instances hear each other: those of the same part."""
+    """Delivers messages only between instances of the same partition."""
 
     def __init__(self) -> None:
-        self.parts: list[frozenset[str]] = []
+        self.partitions: list[frozenset[str]] = []
 
-    def part(self, *parts: Iterable[str]) -> None:
-        """Cut the network into parts."""
-        self.parts = [frozenset(part) for part in parts]
+    def part(self, *partitions: Iterable[str]) -> None:
+        """Split the network into partitions."""
+        self.partitions = [frozenset(part) for part in partitions]
 
     def join(self) -> None:
-        """Make it whole again."""
-        self.parts = []
+        """Remove all partitions."""
+        self.partitions = []
 
     def allowed(self, sender: str, receiver: str) -> bool:
-        return not self.parts or any(sender in part and receiver in part for part in self.parts)
+        return not self.partitions or any(sender in part and receiver in part for part in self.partitions)
 
 
 class Cluster:
-    """Some control instances. Those that were stopped can be started again on the state that they had."""
+    """A cluster of control instances. Stopped instances can be restarted with the state they had."""
 
     def __init__(self, count: int, keep: int = 1000) -> None:
         self.voters = {f"c{number}": free_address() for number in range(1, count + 1)}
@@ -103,18 +107,18 @@
         return instance
 
     def stop(self, name: str) -> None:
-        """End an instance as a kill would: what was not durable is gone."""
+        """Stop an instance as a kill would: state that was not durable is lost."""
         self.running.pop(name).stop()
 
     async def restart(self, name: str) -> Instance:
-        """Start an instance again on what it had made durable."""
+        """Restart an instance with its durable state."""
         state = self.states[name]
         assert isinstance(state, MemoryState)
         self.states[name] = state.reopened()
         return await self.start(name)
 
     async def leader(self, among: Iterable[str] = ()) -> Instance:
-        """The one instance (of some) that leads and is known to lead by a quorum."""
+        """Wait for exactly one instance (of `among`) to lead with a quorum, and return it."""
         names = set(among) or set(self.voters)
         found: list[Instance] = []
 
@@ -130,39 +134,39 @@
         return found[0]
 
     async def committed(self, index: int, among: Iterable[str] = ()) -> None:
-        """Wait until a version is committed at all instances, or at some."""
+        """Wait until a version is committed at all running instances, or at those in `among`."""
         names = set(among) or set(self.running)
         await until(lambda: all(self.running[name].service.history.index >= index for name in names))
 
 
 def address_of(instance: Instance) -> Address:
-    """Where an instance listens."""
+    """The address an instance listens on."""
     return instance.voters[instance.options.name]
 
 
 @dataclass(slots=True)
 class Answer:
-    """Status and JSON of an answer."""
+    """Status and JSON fields of a response."""
 
     status: int
     fields: dict[str, Any]
 
 
 async def call(address: Address, method: str, path: str, body: object = None) -> Answer:
-    """One call."""
+    """Send one HTTP request with a JSON body."""
     data = b"" if body is None else json.dumps(body).encode()
     status, answer = await ask(address, path, ANSWER_TIME, method, data)
     return Answer(status, json.loads(answer) if answer else {})
 
 
 async def propose(address: Address, name: str, value: object, **more: object) -> Answer:
-    """Propose one entry."""
+    """Propose a version that sets one entry."""
     body = {"changes": [{"name": name, "value": value}], "author": "a", "reason": "r", **more}
     return await call(address, "POST", "/v1/configuration", body)
 
 
 class Watcher(asyncio.Protocol):
-    """A sidecar's watch, as far as tests need it: follows one instance and checks that nothing goes back."""
+    """Minimal watch of a sidecar: follows one instance and checks that versions only increase."""
 
     def __init__(self, name: str = "", position: int = 0, document: Document | None = None) -> None:
         self.name = name
@@ -220,6 +224,6 @@
                 self.on_line(line)
 
 
-def entry(name: str, value: dict[str, Any] | None) -> Change:
-    """One change."""
+def entry_change(name: str, value: dict[str, Any] | None) -> Change:
+    """A change of one entry."""
     return Change(name, value)
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -1,4 +1,4 @@
-"""Settings that change in service: the balancer goes on with all it has learned, by the new rules."""
+"""Tests of settings changed at runtime: the balancer keeps all it has learned and uses the new settings."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 from tests.test_services import static, two
 from tests.test_sidecar_process import start
 
-STEADY = hypothesis_settings(
+DETERMINISTIC = hypothesis_settings(
     derandomize=True, deadline=None, max_examples=120, suppress_health_check=[HealthCheck.too_slow]
 )
 
@@ -86,7 +86,7 @@
 
 
 def changed_settings(tenants: tuple[Tenant, ...] = TENANTS) -> st.SearchStrategy[Settings]:
-    """Settings that differ from those of the tests in what may change in service."""
+    """The test settings with other values for all that may change at runtime."""
     return st.builds(
         lambda classes, **fields: replace(SETTINGS, classes=classes, **fields),
         st.tuples(*(request_class(cls) for cls in SETTINGS.classes)),
@@ -109,7 +109,7 @@
 
 
 class ChangingDrive(Drive):
-    """A drive whose settings change on the way; each request is checked by the class it came in."""
+    """Test driver whose settings change during the run; each request is checked by its class at arrival."""
 
     def __init__(self, config: Settings, seed: int = 3) -> None:
         super().__init__(config, seed)
@@ -126,19 +126,19 @@
             self._check(action)
 
     def _check_send(self, action: Send) -> None:
-        with self._as_taken(action.request):
+        with self._with_arrival_class(action.request):
             super()._check_send(action)
 
     def _check_refuse(self, request: int) -> None:
-        with self._as_taken(request):
+        with self._with_arrival_class(request):
             super()._check_refuse(request)
 
-    def _as_taken(self, request: int) -> Taken:
-        return Taken(self, request)
+    def _with_arrival_class(self, request: int) -> ArrivalClass:
+        return ArrivalClass(self, request)
 
 
-class Taken:
-    """Has the drive check one request by the class as it was when the request came."""
+class ArrivalClass:
+    """Context in which the driver checks a request by its class as it was when the request arrived."""
 
     def __init__(self, drive: ChangingDrive, request: int) -> None:
         self.drive, self.request, self.config = drive, request, drive.config
@@ -154,8 +154,8 @@
         self.drive.config = self.config
 
 
-def carry_out(drive: Drive, steps: list[tuple[object, ...]]) -> None:
-    """The steps of the module's own properties, and changes of settings among them."""
+def run_steps(drive: Drive, steps: list[tuple[object, ...]]) -> None:
+    """Run the steps of the property tests, which may include changes of settings."""
     for name, *args in steps:
         pending = [(r, i) for r, tries in drive.tries.items() for i, t in enumerate(tries) if t[2] is None]
         match name, args:
@@ -181,133 +181,139 @@
 change = st.tuples(st.just("change"), changed_settings())
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(step | change, max_size=60))
-def test_rules_hold_and_no_call_is_lost_however_settings_change(steps: list[tuple[object, ...]]) -> None:
-    made = ChangingDrive(START)
-    made.show(*endpoints(4), kind=ListKind.CACHED)
-    carry_out(made, steps)
-    made.advance(made.now + 5000)
-    overdue(made)
-    assert not made.open, "a request was left without an answer"
+def test_rules_hold_and_no_call_is_lost_when_settings_change(steps: list[tuple[object, ...]]) -> None:
+    driver = ChangingDrive(START)
+    driver.show(*endpoints(4), kind=ListKind.CACHED)
+    run_steps(driver, steps)
+    driver.advance(driver.now + 5000)
+    overdue(driver)
+    assert not driver.open, "a request got no response"
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(step, max_size=40), st.lists(step, max_size=20))
 def test_identical_settings_change_nothing_at_all(
     before: list[tuple[object, ...]], after: list[tuple[object, ...]]
 ) -> None:
     plain, changed = ChangingDrive(START), ChangingDrive(START)
-    for made in (plain, changed):
-        made.show(*endpoints(4), kind=ListKind.CACHED)
-        carry_out(made, before)
+    for driver in (plain, changed):
+        driver.show(*endpoints(4), kind=ListKind.CACHED)
+        run_steps(driver, before)
     same = replace(
         START,
         classes=tuple(replace(cls) for cls in START.classes),
         tenants=tuple(replace(tenant) for tenant in START.tenants),
     )
     assert changed.balancer.reconfigure(changed.now, same) == []
-    for made in (plain, changed):
-        carry_out(made, after)
+    for driver in (plain, changed):
+        run_steps(driver, after)
     assert plain.log == changed.log
 
 
-def fresh_with_learned(held: Balancer, settings: Settings, now: float) -> Balancer:
-    """A new balancer of other settings that takes over all that another one holds and has learned."""
-    made = Balancer(settings, 99)
+def fresh_copy(held: Balancer, settings: Settings, now: float) -> Balancer:
+    """A new balancer with other settings that takes over all state of another one."""
+    balancer = Balancer(settings, 99)
     for name in (
         "rng", "budget", "backoff", "advice", "doubts", "servers", "requests", "flights", "coming",
         "admission", "shedding", "answered", "held", "heard_siblings", "timers", "next_timer", "started",
     ):  # fmt: skip
-        setattr(made, name, getattr(held, name))
-    made.outliers.rng = made.discovery.rng = held.rng
-    made.discovery.backoff = held.discovery.backoff
+        setattr(balancer, name, getattr(held, name))
+    balancer.outliers.rng = balancer.discovery.rng = held.rng
+    balancer.discovery.backoff = held.discovery.backoff
     called = ("began", "called", "heard_at", "words", "lost_at", "failures", "crowded")
     seen = ("unreachable_at", "seems_down_at", "troubled_at")
     flags = ("spoken", "moved", "failed_in_time", "refused", "watch_ended")
     for name in ("wait", "due", *called, *seen, *flags):
-        setattr(made.discovery, name, getattr(held.discovery, name))
-    made.cold.rates, made.cold.part, made.cold.rng = dict(held.cold.rates), held.cold.part, held.doubts
-    made.cold.siblings = max(settings.siblings, held.heard_siblings)
-    assert made.shares is not None and held.shares is not None
-    made.shares.tokens[: len(held.shares.tokens)] = held.shares.tokens
-    made.shares.at = held.shares.at
+        setattr(balancer.discovery, name, getattr(held.discovery, name))
+    balancer.cold.rates, balancer.cold.part, balancer.cold.rng = (
+        dict(held.cold.rates),
+        held.cold.part,
+        held.doubts,
+    )
+    balancer.cold.siblings = max(settings.siblings, held.heard_siblings)
+    assert balancer.shares is not None and held.shares is not None
+    balancer.shares.tokens[: len(held.shares.tokens)] = held.shares.tokens
+    balancer.shares.at = held.shares.at
     for cls, answered in enumerate(held.answered):
         if answered:
-            made.quick[cls], made.spent[cls] = held.quick[cls], held.spent[cls]
-    known = tuple(server.info for server in made.servers.values())
-    fresh_until = made.discovery.fresh_until()
-    # A list with nothing new puts its endpoints in order; a cached one is no sign of life.
-    made.handle(now, EndpointList(ListKind.CACHED, known))
-    assert made.discovery.fresh_until() == fresh_until
-    return made
+            balancer.quick[cls], balancer.spent[cls] = held.quick[cls], held.spent[cls]
+    known = tuple(server.info for server in balancer.servers.values())
+    fresh_until = balancer.discovery.fresh_until()
+    # An unchanged list sorts the endpoints; a cached one does not count as a response of discovery.
+    balancer.handle(now, EndpointList(ListKind.CACHED, known))
+    assert balancer.discovery.fresh_until() == fresh_until
+    return balancer
 
 
-@STEADY
+@DETERMINISTIC
 @given(st.lists(step, max_size=50), changed_settings(), st.lists(st.integers(0, 2), min_size=1, max_size=25))
-def test_a_changed_balancer_acts_as_a_fresh_one_that_knows_as_much(
+def test_a_changed_balancer_acts_like_a_new_one_with_the_same_state(
     before: list[tuple[object, ...]], after: Settings, arrivals: list[int]
 ) -> None:
-    made, twin = ChangingDrive(START), ChangingDrive(START)
-    for driven in (made, twin):  # same events, same state; compiled objects can't be copied
+    driver, twin = ChangingDrive(START), ChangingDrive(START)
+    for driven in (driver, twin):  # both get the same events, as compiled objects can't be copied
         driven.show(*endpoints(5), kind=ListKind.CACHED)
         driven.feed(PeerReports((), siblings=3))
-        carry_out(driven, before)
-    fresh = fresh_with_learned(twin.balancer, after, made.now)
-    made.balancer.reconfigure(made.now, after)
+        run_steps(driven, before)
+    fresh = fresh_copy(twin.balancer, after, driver.now)
+    driver.balancer.reconfigure(driver.now, after)
     events: list[tuple[float, Event]] = []
     for number, cls in enumerate(arrivals):
-        made.now += 37.0
-        events.append((made.now, RequestArrived(10_000 + number, cls, made.now + 900.0, number % 2)))
-        events += [(made.now, TimerFired(timer)) for timer in list(made.balancer.timers)[:2]]
+        driver.now += 37.0
+        events.append((driver.now, RequestArrived(10_000 + number, cls, driver.now + 900.0, number % 2)))
+        events += [(driver.now, TimerFired(timer)) for timer in list(driver.balancer.timers)[:2]]
     for now, event in events:
-        assert made.balancer.handle(now, event) == fresh.handle(now, event)
+        assert driver.balancer.handle(now, event) == fresh.handle(now, event)
 
 
-def test_a_call_in_flight_keeps_the_class_it_came_in() -> None:
-    made = drive(4)
-    asked = made.arrive(KEYED)
+def test_a_call_in_flight_keeps_its_class_at_arrival() -> None:
+    driver = drive(4)
+    request_id = driver.arrive(KEYED)
     classes = list(SETTINGS.classes)
     classes[KEYED] = replace(classes[KEYED], repeat=Repeat.UNSAFE)
-    made.balancer.reconfigure(made.now, replace(SETTINGS, classes=tuple(classes)))
-    made.outcome(asked, 0, Outcome.RESET)
-    made.advance(made.now + 400)
-    assert len(made.tries[asked]) == 2, "it was taken as one that may be repeated, with its key"
-    later = made.arrive(KEYED)
-    made.outcome(later, 0, Outcome.RESET)
-    made.advance(made.now + 400)
-    assert len(made.tries[later]) == 1 and made.answers[later] == "failed"
+    driver.balancer.reconfigure(driver.now, replace(SETTINGS, classes=tuple(classes)))
+    driver.outcome(request_id, 0, Outcome.RESET)
+    driver.advance(driver.now + 400)
+    assert len(driver.tries[request_id]) == 2, "it arrived with a key as a request that may be repeated"
+    later = driver.arrive(KEYED)
+    driver.outcome(later, 0, Outcome.RESET)
+    driver.advance(driver.now + 400)
+    assert len(driver.tries[later]) == 1 and driver.answers[later] == "failed"
 
 
 def test_a_class_that_becomes_repeatable_leaves_earlier_calls_unsafe() -> None:
-    made = drive(4)
-    asked = made.arrive(UNSAFE)
+    driver = drive(4)
+    request_id = driver.arrive(UNSAFE)
     classes = list(SETTINGS.classes)
     classes[UNSAFE] = replace(classes[UNSAFE], repeat=Repeat.KEYED, scope=Scope.ALL, window=5000.0)
-    made.balancer.reconfigure(made.now, replace(SETTINGS, classes=tuple(classes)))
-    made.outcome(asked, 0, Outcome.RESET)
-    assert made.answers[asked] == "failed", "it came without a key: nobody could recognise its repeat"
+    driver.balancer.reconfigure(driver.now, replace(SETTINGS, classes=tuple(classes)))
+    driver.outcome(request_id, 0, Outcome.RESET)
+    assert driver.answers[request_id] == "failed", (
+        "it arrived without a key, so that a repeat could not be recognised"
+    )
 
 
-def test_what_was_learned_stays() -> None:
-    made = drive(4)
+def test_learned_state_is_kept() -> None:
+    driver = drive(4)
     for _ in range(50):
-        asked = made.arrive()
-        made.advance(made.now + 30)
-        made.outcome(asked, 0, Outcome.OK)
-    before, servers = export_learned(made.balancer), dict(made.balancer.servers)
-    made.balancer.reconfigure(made.now, replace(SETTINGS, max_attempts=2, fall_multiple=2.0))
-    after = export_learned(made.balancer)
+        request_id = driver.arrive()
+        driver.advance(driver.now + 30)
+        driver.outcome(request_id, 0, Outcome.OK)
+    before, servers = export_learned(driver.balancer), dict(driver.balancer.servers)
+    driver.balancer.reconfigure(driver.now, replace(SETTINGS, max_attempts=2, fall_multiple=2.0))
+    after = export_learned(driver.balancer)
     assert before["limit"] == after["limit"] and before["times"] == after["times"]
-    assert made.balancer.servers == servers
+    assert driver.balancer.servers == servers
 
 
-def test_fewer_attempts_hold_for_calls_that_are_open() -> None:
-    made = drive(4)
-    asked = made.arrive()
-    made.balancer.reconfigure(made.now, replace(SETTINGS, max_attempts=1))
-    made.outcome(asked, 0, Outcome.ERROR)
-    assert made.answers[asked] == "refused" and len(made.tries[asked]) == 1
+def test_a_lower_attempt_limit_applies_to_open_calls() -> None:
+    driver = drive(4)
+    request_id = driver.arrive()
+    driver.balancer.reconfigure(driver.now, replace(SETTINGS, max_attempts=1))
+    driver.outcome(request_id, 0, Outcome.ERROR)
+    assert driver.answers[request_id] == "refused" and len(driver.tries[request_id]) == 1
 
 
 @pytest.mark.parametrize(
@@ -319,35 +325,35 @@
         ("ask_discovery", replace(SETTINGS, tenants=TENANTS, ask_discovery=False)),
     ],
 )
-def test_what_takes_a_new_balancer_is_named_and_nothing_changes(field: str, settings: Settings) -> None:
-    made = drive(4, tenants=TENANTS)
-    before = made.balancer.settings
+def test_a_change_that_takes_a_new_balancer_is_refused_by_name(field: str, settings: Settings) -> None:
+    driver = drive(4, tenants=TENANTS)
+    before = driver.balancer.settings
     with pytest.raises(ValueError, match=rf"Settings\.{field} can't be changed in service"):
-        made.balancer.reconfigure(made.now, settings)
-    assert made.balancer.settings is before and made.balancer.rules.max_attempts == 4
+        driver.balancer.reconfigure(driver.now, settings)
+    assert driver.balancer.settings is before and driver.balancer.rules.max_attempts == 4
 
 
 def test_a_tenant_that_is_added_has_its_own_share() -> None:
-    made = drive(4, tenants=TENANTS)
-    made.balancer.reconfigure(made.now, replace(made.config, tenants=(*TENANTS, Tenant("c", 5.0))))
-    assert made.balancer.shares is not None
-    assert made.balancer.shares.tokens[2] == 5.0
-    asked = made.arrive(tenant=2)
-    assert made.balancer.requests[asked].within_share and made.balancer.shares.tokens[2] == 4.0
+    driver = drive(4, tenants=TENANTS)
+    driver.balancer.reconfigure(driver.now, replace(driver.config, tenants=(*TENANTS, Tenant("c", 5.0))))
+    assert driver.balancer.shares is not None
+    assert driver.balancer.shares.tokens[2] == 5.0
+    request_id = driver.arrive(tenant=2)
+    assert driver.balancer.requests[request_id].within_share and driver.balancer.shares.tokens[2] == 4.0
 
 
 def test_waiting_calls_go_out_when_a_change_makes_room() -> None:
-    made = drive(0, cold_time=1e9, cold_share=0.0, ask_within=1e6)
-    made.show(*endpoints(1, started_at=made.now))
-    first, second = made.arrive(), made.arrive()
-    waiting = [r for r in (first, second) if not made.tries[r]]
-    assert waiting, "a cold endpoint takes one at a time"
-    actions = made.balancer.reconfigure(made.now, replace(SETTINGS, cold_time=0.0))
+    driver = drive(0, cold_time=1e9, cold_share=0.0, ask_within=1e6)
+    driver.show(*endpoints(1, started_at=driver.now))
+    first, second = driver.arrive(), driver.arrive()
+    waiting = [r for r in (first, second) if not driver.tries[r]]
+    assert waiting, "a cold endpoint gets one request at a time"
+    actions = driver.balancer.reconfigure(driver.now, replace(SETTINGS, cold_time=0.0))
     assert [a.request for a in actions if isinstance(a, Send)] == waiting
     assert not any(isinstance(a, Refuse) for a in actions)
 
 
-# A version over the files
+# Overrides of the files by a version
 
 
 OPERATOR = """
@@ -373,11 +379,11 @@
 
 def files(operator: str = OPERATOR) -> Files:
     address = Address("127.0.0.1", 9)
-    made = rig.config([], address, known=None)
-    return Files(made, rig.SETTINGS, parse(operator, "o.toml"))
+    config = rig.config([], address, known=None)
+    return Files(config, rig.SETTINGS, parse(operator, "o.toml"))
 
 
-def test_entries_go_over_the_files_table_by_table() -> None:
+def test_entries_override_the_files_table_by_table() -> None:
     entries: dict[str, dict[str, Any]] = {
         "settings": {
             "limits": {"tryLimit": 5, "connIdle": 8000},
@@ -389,8 +395,8 @@
         "services.elsewhere": {"limits": {"tryLimit": 9}},
         "something.else": {"x": []},
     }
-    filed = files()
-    after = overlay(filed, entries)
+    original = files()
+    after = overlay(original, entries)
     assert after.config.idle == 8000 and after.config.settings.tenants == (Tenant("acme", 7.0),)
     login = pool_config("login", after.operator.services["login"], after.config, after.settings)
     campaign = pool_config("campaign", after.operator.services["campaign"], after.config, after.settings)
@@ -398,36 +404,42 @@
     assert (login.settings.retry_after_most, campaign.settings.retry_after_most) == (100.0, 2000.0)
     assert after.operator.services["login"].connections == Connections(keep_least=3, open_most=9)
     assert after.operator.services["campaign"].limits == Limits(calls=0.25, bodies=0.5)
-    assert overlay(filed, {}) == filed, "no entries change nothing"
+    assert overlay(original, {}) == original, "without entries nothing changes"
 
 
-def over(entry: str = "settings", **words: Any) -> dict[str, dict[str, Any]]:
-    return {entry: words}
+def override(entry: str = "settings", **fields: Any) -> dict[str, dict[str, Any]]:
+    return {entry: fields}
 
 
 @pytest.mark.parametrize(
     ("entries", "cause"),
     [
-        (over(limits={"tryLimit": 0}), "settings: limits.tryLimit must be 1 or more"),
-        (over(limits={"tryLimit": "3"}), "limits.tryLimit is missing or not a number"),
-        (over(limits={"trylimit": 3}), "settings.limits.trylimit: no such setting"),
-        (over(limits=None), "settings.limits: not an object"),
-        (over(retry={}), "settings.retry: no such setting"),
-        (over(listen="127.0.0.1:80"), "takes a restart: settings.listen"),
-        (over(classes={}), "settings.classes: not a list"),
-        (over(classes=[]), "classes is missing or empty"),
-        (over(classes=[{"name": "read", "deadline": -1, "repeat": "retryable"}]), "classes[0].deadline"),
-        (over(classes=[{"name": "read", "deadline": 1, "repeat": []}]), "settings.classes[0].repeat: is unk"),
-        (over(classes=[{"name": "read", "deadline": 1}]), "classes[0].repeat is missing or unknown"),
-        (over(classes=[{"name": "read", "keyScope": {}}]), "settings.classes[0].keyScope: is unknown"),
-        (over(projects=[{"name": "a"}, {"name": "a"}]), "settings.projects[1].name: 'a' is given twice"),
-        (over(rules={"coldShare": 2}), "settings: rules.coldShare must be 1 or less"),
-        (over("services.login", rules={"cold": -3}), "services.login.settings: settings: rules.cold must"),
-        (over("services.login", deadline=5), "services.login.deadline: no such setting"),
-        (over("services.login.limits", calls=0.9), "limits.calls: all together are 1.4 of the whole"),
-        (over("services.login.limits", calls=2), "services.login.limits.calls: Expected"),
-        (over("services.login.limits", cals=0.2), "services.login.limits: Object contains unknown field"),
-        (over("services.login.connections", keep_least=-1), "services.login.connections.keep_least: Exp"),
+        (override(limits={"tryLimit": 0}), "settings: limits.tryLimit must be 1 or more"),
+        (override(limits={"tryLimit": "3"}), "limits.tryLimit is missing or not a number"),
+        (override(limits={"trylimit": 3}), "settings.limits.trylimit: no such setting"),
+        (override(limits=None), "settings.limits: not an object"),
+        (override(retry={}), "settings.retry: no such setting"),
+        (override(listen="127.0.0.1:80"), "takes a restart: settings.listen"),
+        (override(classes={}), "settings.classes: not a list"),
+        (override(classes=[]), "classes is missing or empty"),
+        (override(classes=[{"name": "read", "deadline": -1, "repeat": "retryable"}]), "classes[0].deadline"),
+        (
+            override(classes=[{"name": "read", "deadline": 1, "repeat": []}]),
+            "settings.classes[0].repeat: is unk",
+        ),
+        (override(classes=[{"name": "read", "deadline": 1}]), "classes[0].repeat is missing or unknown"),
+        (override(classes=[{"name": "read", "keyScope": {}}]), "settings.classes[0].keyScope: is unknown"),
+        (override(projects=[{"name": "a"}, {"name": "a"}]), "settings.projects[1].name: 'a' is given twice"),
+        (override(rules={"coldShare": 2}), "settings: rules.coldShare must be 1 or less"),
+        (
+            override("services.login", rules={"cold": -3}),
+            "services.login.settings: settings: rules.cold must",
+        ),
+        (override("services.login", deadline=5), "services.login.deadline: no such setting"),
+        (override("services.login.limits", calls=0.9), "limits.calls: all together are 1.4 of the whole"),
+        (override("services.login.limits", calls=2), "services.login.limits.calls: Expected"),
+        (override("services.login.limits", cals=0.2), "services.login.limits: Object contains unknown field"),
+        (override("services.login.connections", keep_least=-1), "services.login.connections.keep_least: Exp"),
     ],
 )
 def test_a_version_that_cannot_be_used_is_refused_in_one_line(
@@ -481,7 +493,7 @@
 )
 
 
-@STEADY
+@DETERMINISTIC
 @given(
     st.dictionaries(
         st.sampled_from(
@@ -491,7 +503,7 @@
         max_size=3,
     )
 )
-def test_whatever_is_sent_is_refused_with_a_cause_or_usable(entries: dict[str, dict[str, Any]]) -> None:
+def test_any_entries_are_refused_with_a_cause_or_usable(entries: dict[str, dict[str, Any]]) -> None:
     with suppress(RefusedVersionError):
         after = overlay(files(), entries)
         live_settings("settings", files().config.settings, after.config.settings)
@@ -500,10 +512,10 @@
 def test_classes_and_tenants_keep_their_numbers() -> None:
     before = replace(SETTINGS, tenants=TENANTS)
     tenants = (Tenant("c", 1.0), replace(TENANTS[1], rate=3.0))
-    turned = replace(before, classes=before.classes[::-1], tenants=tenants)
-    taken = live_settings("settings", before, turned)
-    assert taken.classes == before.classes
-    assert taken.tenants == (Tenant("a", 0.0), Tenant("b", 3.0), Tenant("c", 1.0))
+    reordered = replace(before, classes=before.classes[::-1], tenants=tenants)
+    live = live_settings("settings", before, reordered)
+    assert live.classes == before.classes
+    assert live.tenants == (Tenant("a", 0.0), Tenant("b", 3.0), Tenant("c", 1.0))
 
 
 @pytest.mark.parametrize(
@@ -517,29 +529,29 @@
         ({"ask_discovery": False}, "settings.registryMode"),
     ],
 )
-def test_what_takes_a_restart_is_named(changes: dict[str, Any], field: str) -> None:
+def test_a_change_that_takes_a_restart_is_named(changes: dict[str, Any], field: str) -> None:
     with pytest.raises(RefusedVersionError) as caught:
         live_settings("settings", SETTINGS, replace(SETTINGS, **changes))
     assert str(caught.value) == f"takes a restart: {field}"
 
 
-# A sidecar in service
+# A running sidecar
 
 
-def pools() -> list[Pool]:
-    """Those in service."""
+def live_pools() -> list[Pool]:
+    """All pools that have not been retired."""
     gc.collect()
     return [o for o in gc.get_objects() if isinstance(o, Pool) and not o.retired]
 
 
-async def configured(control: ControlInstance, *services: str, more: str = "") -> str:
-    """An operator's file that follows a control instance."""
+async def operator_text(control: ControlInstance, *services: str, more: str = "") -> str:
+    """Start a control instance; return an operator's file that follows it."""
     await control.start()
     return "\n".join((*services, f'[configuration]\ninstances = ["{control.address}"]\n{more}'))
 
 
-async def connected(node: rig.Services) -> rig.Client:
-    """A caller's connection as soon as the sidecar listens: it waits for its first version before."""
+async def connect_when_listening(node: rig.Services) -> rig.Client:
+    """Connect as soon as the sidecar listens, which it does only after the wait for its first version."""
     while True:
         with suppress(ConnectionRefusedError):
             return await node.connect()
@@ -549,15 +561,15 @@
 CLASSES: list[dict[str, Any]] = rig.SETTINGS["classes"]
 
 
-def test_versions_are_in_force_in_each_service_with_its_pool_and_what_it_learned(tmp_path: Path) -> None:
+def test_versions_apply_to_each_service_and_keep_its_pool_and_learned_state(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
-        text = await configured(control, await two(login, campaign))
+        text = await operator_text(control, await two(login, campaign))
         async with rig.services(tmp_path, text) as node:
-            client = await connected(node)
+            client = await connect_when_listening(node)
             for _ in range(20):
                 assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
-            before = {pool.name: pool for pool in pools()}
+            before = {pool.name: pool for pool in live_pools()}
             balancer = before["login"].driver.balancer
             assert balancer.answered == [0, 0, 20]
             learned = (balancer.spent[2], balancer.quick[2], balancer.budget.tokens, balancer.servers.copy())
@@ -568,7 +580,7 @@
             })  # fmt: skip
             await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
             assert control.reports[-1]["status"] == "applied"
-            assert {pool.name: pool for pool in pools()} == before, "no pool has begun anew"
+            assert {pool.name: pool for pool in live_pools()} == before, "no pool was replaced"
             settings = {name: pool.settings for name, pool in before.items()}
             assert settings["login"].max_attempts == settings["campaign"].max_attempts == 1
             assert [c.aim for c in settings["login"].classes] == [444.0] * 3
@@ -596,31 +608,36 @@
 def test_a_refused_version_changes_no_service_and_the_next_one_does(tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
-        text = await configured(control, await two(login, campaign))
+        text = await operator_text(control, await two(login, campaign))
         async with rig.services(tmp_path, text):
-            before = {pool.name: pool.settings for pool in pools()}
+            before = {pool.name: pool.settings for pool in live_pools()}
             control.commit(
                 {"services.login": {"limits": {"tryLimit": 7}}, "services.campaign": {"classes": []}}
             )
             await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
             assert control.reports[-1]["status"] == "refused"
             assert control.reports[-1]["cause"].startswith("services.campaign.settings: settings: classes")
-            assert {pool.name: pool.settings for pool in pools()} == before, "nor the half that was good"
+            assert {pool.name: pool.settings for pool in live_pools()} == before, (
+                "the valid half is not applied either"
+            )
             control.commit({"services.campaign": {"limits": {"tryLimit": 9}}})
             await until(lambda: control.reports[-1]["index"] == 2)
-            assert {pool.name: pool.settings.max_attempts for pool in pools()} == {"login": 7, "campaign": 9}
+            assert {pool.name: pool.settings.max_attempts for pool in live_pools()} == {
+                "login": 7,
+                "campaign": 9,
+            }
 
     run(test)
 
 
 @pytest.mark.parametrize("kept", [True, False])
-def test_another_class_takes_a_restart_and_is_there_after_it(kept: bool, tmp_path: Path) -> None:
+def test_a_new_class_takes_a_restart(kept: bool, tmp_path: Path) -> None:
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
         more = f'directory = "{tmp_path}/state"' if kept else ""
-        text = await configured(control, await two(login, campaign), more=more)
+        text = await operator_text(control, await two(login, campaign), more=more)
         async with rig.services(tmp_path, text) as node:
-            client = await connected(node)
+            client = await connect_when_listening(node)
             bulk = dict(CLASSES[2], name="bulk")
             control.commit({"settings": {"classes": [*CLASSES, bulk]}, "services.login.connections": {}})
             await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 1)
@@ -636,29 +653,29 @@
         if kept:
             control.stop()
         async with rig.services(tmp_path, text) as node:
-            client = await connected(node)
+            client = await connect_when_listening(node)
             assert (await client.ask(request("bulk", Host="login.example.org"))).status == 200
 
     run(test)
 
 
-def test_a_sighup_reads_the_files_and_the_version_goes_over_them_again(
+def test_a_sighup_rereads_the_files_and_applies_the_version_over_them(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO", "millgw")
 
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance()
-        text = await configured(control, await two(login, campaign))
+        text = await operator_text(control, await two(login, campaign))
         async with rig.services(tmp_path, text) as node:
             control.commit({"services.login": {"limits": {"tryLimit": 7}}})
             await until(lambda: bool(control.reports))
-            before = {pool.name: pool for pool in pools()}
+            before = {pool.name: pool for pool in live_pools()}
             await node.reload(text)
-            assert {pool.name: pool for pool in pools()} == before
+            assert {pool.name: pool for pool in live_pools()} == before
             assert before["login"].settings.max_attempts == 7
             await node.reload(text + "\n[services.campaign.settings.limits]\ntryLimit = 4\n")
-            after = {pool.name: pool for pool in pools()}
+            after = {pool.name: pool for pool in live_pools()}
             assert after["login"] is before["login"] and after["campaign"] is not before["campaign"]
             assert (after["login"].settings.max_attempts, after["campaign"].settings.max_attempts) == (7, 4)
             control.commit({"services.login.limits": {"calls": 0.4}})
@@ -669,7 +686,7 @@
                 "reload-refused" in caplog.text
                 and "with the distributed configuration over it" in caplog.text
             )
-            assert {pool.name: pool for pool in pools()} == after
+            assert {pool.name: pool for pool in live_pools()} == after
 
     run(test)
 
@@ -679,11 +696,11 @@
         endpoint, control, discovery = ScriptedEndpoint("e"), ControlInstance(), ScriptedDiscoveryServer()
         await endpoint.start()
         await discovery.start()
-        text = await configured(control, more="[connections]\nkeep_least = 1\n")
+        text = await operator_text(control, more="[connections]\nkeep_least = 1\n")
         async with rig.services(tmp_path, text, str(discovery.address)) as node:
             _, writer = await discovery.calls.get()
             writer.write(STREAM + chunk(line(1, [endpoint.entry()], snapshot=True)))
-            (pool,) = pools()
+            (pool,) = live_pools()
             await until(lambda: bool(pool.driver.ready))
             assert (await node.ask(request())).status == 200
             control.commit({"settings": {"rules": {"cold": 9000.0}}, "connections": {"keep_least": 2}})
@@ -699,21 +716,23 @@
             node.config.write_text(json.dumps(data | {"settings": changed}))
             await node.reload(text)
             assert (pool.settings.fall_window, pool.settings.cold_time) == (77.0, 9000.0)
-            assert pools() == [pool] and (await node.ask(request())).status == 200
+            assert live_pools() == [pool] and (await node.ask(request())).status == 200
             control.commit({"settings": None})
             await until(lambda: control.reports[-1]["index"] == 2)
-            assert pool.settings.cold_time == 1.0, "as the file says since the reload"
+            assert pool.settings.cold_time == 1.0, "the value in the reloaded file"
 
     run(test)
 
 
 @pytest.mark.parametrize("answers", [b"", STREAM, None])
-def test_a_start_is_ready_soon_whatever_control_does(answers: bytes | None, tmp_path: Path) -> None:
-    """It accepts and says nothing, begins an answer and says nothing, or is not there."""
+def test_a_start_is_ready_soon_even_if_control_does_not_respond(
+    answers: bytes | None, tmp_path: Path
+) -> None:
+    """Control accepts the connection but stays silent, sends only a response head, or is not there."""
 
     async def test() -> None:
         login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance(by_hand=True)
-        text = await configured(control, await two(login, campaign))
+        text = await operator_text(control, await two(login, campaign))
         if answers is None:
             control.stop()
         begun = asyncio.get_running_loop().time()
@@ -721,17 +740,17 @@
             if answers is not None:
                 _, writer = await control.watches.get()
                 writer.write(answers)
-            client = await connected(node)
+            client = await connect_when_listening(node)
             assert (await client.ask(b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n")).status == 200
             assert asyncio.get_running_loop().time() - begun < START_TIMEOUT_S + 1.0, (
-                "and the test's own part"
+                "with 1 s for the test itself"
             )
             assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
 
     run(test)
 
 
-def test_without_the_table_nothing_of_it_is_loaded() -> None:
+def test_without_the_configuration_table_its_modules_are_not_loaded() -> None:
     assert loaded("millgw.sidecar.__main__, millgw.services.node", "millgw.configuration") == []
 
 
@@ -749,17 +768,17 @@
         ('[configuration]\ninstances = ["127.0.0.1:1"]\nzones = "a"\n', "configuration.zones: no such key"),
     ],
 )
-def test_a_table_that_cannot_be_used_is_named(
+def test_the_error_for_an_unusable_table_names_the_field(
     text: str, says: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert says in refused(tmp_path, text, capsys)
 
 
-# A process
+# A sidecar process
 
 
-def test_a_process_under_calls_goes_by_each_version_without_losing_one(tmp_path: Path) -> None:
-    """Deadline, attempts and a tenant's rate change under calls; control goes away; a bad version comes."""
+def test_a_process_applies_each_version_without_losing_a_call(tmp_path: Path) -> None:
+    """Deadline, attempts and a tenant's rate change under calls, one version is bad, and control is lost."""
 
     async def test() -> None:
         control = ControlInstance()
@@ -788,15 +807,15 @@
         assert stderr is not None
         seen: list[str] = []
 
-        def until_serving() -> None:
+        def wait_until_serving() -> None:
             for text in stderr:
                 seen.append(text)
                 if "serving name=" in text:
                     return
 
         try:
-            await asyncio.to_thread(until_serving)
-            listen, door = read_address(data["listen"]), read_address(data["control"])
+            await asyncio.to_thread(wait_until_serving)
+            listen, control_address = read_address(data["listen"]), read_address(data["control"])
             statuses: list[int] = []
             stop = asyncio.Event()
 
@@ -807,13 +826,13 @@
                     statuses.append((await read_message(reader)).status)
                 writer.close()
 
-            async def standing() -> dict[str, Any]:
-                found = (await figures(door))["configuration"]
+            async def configuration_figures() -> dict[str, Any]:
+                found = (await figures(control_address))["configuration"]
                 assert isinstance(found, dict)
                 return found
 
             async def in_force(index: int) -> None:
-                while (await standing())["index"] != index:
+                while (await configuration_figures())["index"] != index:
                     await asyncio.sleep(0.01)
 
             callers = [asyncio.create_task(calls()) for _ in range(4)]
@@ -828,7 +847,7 @@
                 {"classes": [dict(c, deadline=300.0) for c in CLASSES]},
             ):
                 await in_force(control.commit({"settings": change}))
-            # A call of before keeps its time; a new one has the new deadline.
+            # An earlier call keeps its deadline; a new one gets the new deadline.
             late = await asyncio.open_connection(listen.host, listen.port)
             late[1].write(request(Host="stuck.example.org"))
             assert (await read_message(late[0])).status in (503, 504)
@@ -838,16 +857,16 @@
             bad = control.commit({"settings": {"limits": {"tryLimit": 0}}})
             await until(lambda: control.reports[-1]["index"] == bad)
             assert control.reports[-1]["cause"] == "settings: limits.tryLimit must be 1 or more"
-            found = await standing()
+            found = await configuration_figures()
             assert found["index"] == bad - 1 and found["refused"]["index"] == bad
             assert found["bytes_in"] > 0 and found["bytes_out"] > 0
             control.stop()
             before = len(statuses)
-            while (await standing())["instance"]:
+            while (await configuration_figures())["instance"]:
                 await asyncio.sleep(0.01)
             await until(lambda: len(statuses) > before + 50)
-            code, _ = await call(door, "GET", "/-/ready")
-            assert code == 200, "it serves on without control"
+            code, _ = await call(control_address, "GET", "/-/ready")
+            assert code == 200, "it keeps serving without control"
             stop.set()
             await asyncio.gather(*callers)
             assert set(statuses) == {200}, "no call was lost"
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -1,4 +1,4 @@
-"""A sidecar's side of the distribution on loopback sockets, against scripted control instances."""
+"""Tests of the configuration client on loopback sockets against scripted control instances."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from tests.rig import run, until
 
 
-class Settings:
-    """A target that takes everything but a `tick` below 0."""
+class RecordingTarget:
+    """Target that records the entries applied, and refuses a `tick` below 0."""
 
     def __init__(self) -> None:
-        self.taken: list[Mapping[str, Mapping[str, Any]]] = []
+        self.applied: list[Mapping[str, Mapping[str, Any]]] = []
 
     def check(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
         self.reconfigure(entries)
@@ -36,14 +36,14 @@
     def reconfigure(self, entries: Mapping[str, Mapping[str, Any]]) -> None:
         if entries.get("settings", {}).get("tick", 0) < 0:
             raise RefusedVersionError("settings.tick: must not be negative")
-        self.taken.append({name: dict(value) for name, value in entries.items()})
+        self.applied.append({name: dict(value) for name, value in entries.items()})
 
     @property
     def ticks(self) -> list[int]:
-        return [entries["settings"]["tick"] for entries in self.taken]
+        return [entries["settings"]["tick"] for entries in self.applied]
 
 
-def versions(count: int, epoch: int = 1) -> list[Document]:
+def make_versions(count: int, epoch: int = 1) -> list[Document]:
     documents = [Document()]
     for index in range(1, count + 1):
         after = documents[-1].copy()
@@ -52,27 +52,27 @@
     return documents
 
 
-def delta(after: Document) -> bytes:
+def encode_delta(after: Document) -> bytes:
     changes = tuple(Change(name, value) for name, value in after.entries.items())
     return encode_line(Line(after.index, after.epoch, False, after.digest(), changes))
 
 
-VERSIONS = versions(9)
+VERSIONS = make_versions(9)
 
 
-def following(
+def make_client(
     *instances: ControlInstance | str, last_good: LastGood | None = None, name: str = "n3"
-) -> tuple[Client, Settings]:
+) -> tuple[Client, RecordingTarget]:
     addresses = tuple(i if isinstance(i, str) else str(i.address) for i in instances)
-    target = Settings()
+    target = RecordingTarget()
     return Client(name, addresses, last_good, 1, target), target
 
 
-def test_a_line_in_pieces_a_heartbeat_and_a_change_are_taken_and_reported() -> None:
+def test_a_fragmented_line_a_heartbeat_and_a_change_are_processed_and_reported() -> None:
     async def test() -> None:
         control = ControlInstance(by_hand=True)
         await control.start()
-        client, target = following(control, name="n 3/é")
+        client, target = make_client(control, name="n 3/é")
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
         data = STREAM + chunk(b"\n") + chunk(whole(VERSIONS[4])[:20]) + chunk(whole(VERSIONS[4])[20:])
@@ -81,7 +81,7 @@
             await asyncio.sleep(0)
         await beginning
         await until(lambda: target.ticks == [4])
-        writer.write(chunk(delta(VERSIONS[5])))
+        writer.write(chunk(encode_delta(VERSIONS[5])))
         await until(lambda: target.ticks == [4, 5])
         assert control.asked == ["/v1/configuration?watch=1&name=n%203%2F%C3%A9"]
         await until(lambda: bool(control.reports) and control.reports[-1]["index"] == 5)
@@ -91,7 +91,7 @@
         await until(lambda: client.traffic.reports == len(control.reports))
         figures = client.figures()
         assert figures["index"] == 5 and figures["digest"] == VERSIONS[5].digest()
-        assert figures["bytes_in"] == len(data) + len(chunk(delta(VERSIONS[5]))) + len(TAKEN) * len(
+        assert figures["bytes_in"] == len(data) + len(chunk(encode_delta(VERSIONS[5]))) + len(TAKEN) * len(
             control.reports
         )
         client.stop()
@@ -103,10 +103,10 @@
     async def test() -> None:
         control = ControlInstance(by_hand=True)
         await control.start()
-        client, target = following(control)
+        client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
-        writer.write(STREAM + chunk(whole(VERSIONS[2]) + b"".join(map(delta, VERSIONS[3:9]))))
+        writer.write(STREAM + chunk(whole(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9]))))
         await beginning
         assert target.ticks == [8]
         client.stop()
@@ -114,16 +114,18 @@
     run(test)
 
 
-def test_a_list_that_is_older_than_what_is_applied_changes_nothing() -> None:
+def test_versions_older_than_the_applied_one_change_nothing() -> None:
     async def test() -> None:
         control = ControlInstance(by_hand=True)
         await control.start()
-        client, target = following(control)
+        client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
         writer.write(STREAM + chunk(whole(VERSIONS[6])))
         await beginning
-        writer.write(chunk(whole(VERSIONS[2])) + chunk(delta(VERSIONS[5])) + chunk(delta(VERSIONS[7])))
+        writer.write(
+            chunk(whole(VERSIONS[2])) + chunk(encode_delta(VERSIONS[5])) + chunk(encode_delta(VERSIONS[7]))
+        )
         await until(lambda: target.ticks == [6, 7])
         assert client.follower.contradictions == 0 and len(control.asked) == 1
         client.stop()
@@ -131,18 +133,18 @@
     run(test)
 
 
-def test_an_old_leader_s_history_is_not_taken_and_the_other_instance_is_asked() -> None:
+def test_an_old_leader_s_history_is_ignored_and_another_instance_is_tried() -> None:
     async def test() -> None:
-        good = ControlInstance(document=versions(5, epoch=3)[5])
-        old = ControlInstance(document=versions(8, epoch=2)[8])
+        good = ControlInstance(document=make_versions(5, epoch=3)[5])
+        old = ControlInstance(document=make_versions(8, epoch=2)[8])
         await good.start()
         await old.start()
-        client, target = following(good, old)
+        client, target = make_client(good, old)
         await client.begin()
         assert target.ticks == [5]
         good.stop()
         await until(lambda: bool(old.asked) and client.follower.contradictions > 0)
-        assert target.ticks == [5], "an older epoch's versions are no newer ones"
+        assert target.ticks == [5], "versions of an older epoch are not newer"
         await until(lambda: bool(old.reports))
         found = next(r for r in old.reports if r["status"] == "refused")
         assert found["index"] == 5 and found["cause"].startswith("epoch: version 8 ")
@@ -156,16 +158,16 @@
     run(test)
 
 
-def test_a_snapshot_with_a_wrong_digest_is_not_taken_and_another_instance_is_asked() -> None:
+def test_a_snapshot_with_a_wrong_digest_is_ignored_and_another_instance_is_tried() -> None:
     async def test() -> None:
         wrong, good = ControlInstance(by_hand=True), ControlInstance(document=VERSIONS[4].copy())
         await wrong.start()
         await good.start()
-        client, target = following(wrong, good)
+        client, target = make_client(wrong, good)
         beginning = asyncio.create_task(client.begin())
         _, writer = await wrong.watches.get()
-        spoilt = whole(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
-        writer.write(STREAM + chunk(spoilt))
+        corrupted = whole(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
+        writer.write(STREAM + chunk(corrupted))
         await beginning
         await until(lambda: target.ticks == [4])
         client.stop()
@@ -173,11 +175,11 @@
     run(test)
 
 
-def test_a_change_that_does_not_follow_has_the_whole_asked_for() -> None:
+def test_a_change_that_does_not_follow_causes_a_request_for_a_snapshot() -> None:
     async def test() -> None:
         control = ControlInstance(by_hand=True)
         await control.start()
-        client, target = following(control)
+        client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
         writer.write(STREAM + chunk(whole(VERSIONS[4])))
@@ -206,11 +208,11 @@
         b"220 mail\r\n",
         None,  # a reset
         b"",  # it never answers
-        STREAM + chunk(b"\n"),  # and silence
-        STREAM + chunk(b"x" * (MAX_LINE_BYTES + 1)),  # a line without an end
+        STREAM + chunk(b"\n"),  # then silence
+        STREAM + chunk(b"x" * (MAX_LINE_BYTES + 1)),  # a line that is too long
     ],
 )
-def test_each_end_of_a_watch_has_another_instance_asked(
+def test_another_instance_is_tried_however_a_watch_ends(
     end: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(follower_module, "WATCH_SILENCE_MS", 200.0)
@@ -221,7 +223,7 @@
         bad, good = ControlInstance(by_hand=True), ControlInstance(document=VERSIONS[3].copy())
         await bad.start()
         await good.start()
-        client, target = following(bad, good)
+        client, target = make_client(bad, good)
         beginning = asyncio.create_task(client.begin())
         _, writer = await bad.watches.get()
         if end is None:
@@ -240,7 +242,7 @@
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[2].copy())
         await control.start()
-        client, target = following(control)
+        client, target = make_client(control)
         await client.begin()
         control.commit({"settings": {"tick": -1}})
         await until(lambda: any(r["status"] == "refused" for r in control.reports))
@@ -257,12 +259,12 @@
     run(test)
 
 
-def test_a_report_that_is_not_taken_is_sent_again() -> None:
+def test_a_report_that_is_not_accepted_is_sent_again() -> None:
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[2].copy())
         control.report_answer = status(503)
         await control.start()
-        client, _ = following(control)
+        client, _ = make_client(control)
         await client.begin()
         await until(lambda: len(control.reports) == 1)
         control.report_answer = ControlInstance().report_answer
@@ -275,13 +277,13 @@
     run(test)
 
 
-def test_a_refused_change_by_one_in_ten_is_told_by_just_these() -> None:
-    """A fleet of ten: one cannot use a version, and says so; the others have it in force."""
+def test_only_the_sidecar_that_refuses_a_change_reports_so() -> None:
+    """One of ten sidecars can't use a version: only that one reports a refusal, the others apply it."""
 
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[2].copy())
         await control.start()
-        fleet = [following(control, name=f"n{i}") for i in range(10)]
+        fleet = [make_client(control, name=f"n{i}") for i in range(10)]
         for client, _ in fleet:
             await client.begin()
 
@@ -304,16 +306,16 @@
     run(test)
 
 
-# The start, and the last good version
+# Startup and the last good version
 
 
 def test_a_start_with_no_control_goes_on_at_once_and_takes_a_version_when_it_is_there() -> None:
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[3].copy())
-        client, target = following(control)
+        client, target = make_client(control)
         begun = asyncio.get_running_loop().time()
         await client.begin()
-        assert asyncio.get_running_loop().time() - begun < 0.9 and target.taken == []
+        assert asyncio.get_running_loop().time() - begun < 0.9 and target.applied == []
         await control.start()
         await until(lambda: target.ticks == [3])
         client.stop()
@@ -321,20 +323,20 @@
     run(test)
 
 
-def test_a_start_waits_for_a_control_that_never_answers_no_longer_than_its_bound() -> None:
+def test_a_start_waits_a_limited_time_for_a_control_that_never_answers() -> None:
     async def test() -> None:
         control = ControlInstance(by_hand=True)
         await control.start()
-        client, target = following(control)
+        client, target = make_client(control)
         begun = asyncio.get_running_loop().time()
         await client.begin()
-        assert 0.9 < asyncio.get_running_loop().time() - begun < 3.0 and target.taken == []
+        assert 0.9 < asyncio.get_running_loop().time() - begun < 3.0 and target.applied == []
         client.stop()
 
     run(test)
 
 
-async def kept(last_good: LastGood, index: int) -> None:
+async def wait_saved(last_good: LastGood, index: int) -> None:
     await until(lambda: [document.index for document in last_good.read()] == [index])
 
 
@@ -343,34 +345,34 @@
         last_good = LastGood(tmp_path / "state", "n3")
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
-        client, target = following(control, last_good=last_good)
+        client, target = make_client(control, last_good=last_good)
         await client.begin()
         control.commit({"settings": {"tick": -4}})
         await until(lambda: client.follower.refused == 4)
-        await kept(last_good, 3)
+        await wait_saved(last_good, 3)
         client.stop()
         control.stop()
-        again, target = following(control, last_good=last_good)
-        assert (await again.begin())["settings"] == {"tick": 3}, "nobody can be asked"
+        again, target = make_client(control, last_good=last_good)
+        assert (await again.begin())["settings"] == {"tick": 3}, "no instance is reachable"
         control.by_hand = True
         await control.start()
         _, writer = await control.watches.get()
         assert "from=3&" in control.asked[-1]
-        writer.write(STREAM + chunk(delta(VERSIONS[5])))
+        writer.write(STREAM + chunk(encode_delta(VERSIONS[5])))
         await until(lambda: target.ticks == [3, 5])
-        await kept(last_good, 5)
-        assert sorted(os.listdir(tmp_path / "state")) == [last_good.path.name], "nothing half written is left"
+        await wait_saved(last_good, 5)
+        assert sorted(os.listdir(tmp_path / "state")) == [last_good.path.name], "no temporary file is left"
         again.stop()
 
     run(test)
 
 
-def test_a_version_that_takes_a_restart_is_what_the_next_start_begins_with(tmp_path: Path) -> None:
+def test_the_next_start_uses_a_version_that_takes_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
         last_good = LastGood(tmp_path, "n3")
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
-        client, target = following(control, last_good=last_good)
+        client, target = make_client(control, last_good=last_good)
         await client.begin()
         client.serving = True
 
@@ -384,25 +386,25 @@
         await until(lambda: [document.index for document in last_good.read()] == [4, 3])
         client.stop()
         control.stop()
-        again, _ = following(control, last_good=last_good)
+        again, _ = make_client(control, last_good=last_good)
         assert (await again.begin())["settings"] == {"tick": 40} and again.follower.applied == 4
         again.stop()
-        # Where it can't be used at a start either, the last good one is begun with.
-        last_good.write((versions(5)[5], VERSIONS[3]))
-        picky, target = following(control, last_good=last_good)
+        # If a start can't use it either, the last good version is used.
+        last_good.write((make_versions(5)[5], VERSIONS[3]))
+        restarted, target = make_client(control, last_good=last_good)
         target.check = lambda entries: refuse(entries) if entries["settings"]["tick"] == 5 else None  # type: ignore[method-assign]
-        assert (await picky.begin())["settings"] == {"tick": 3} and picky.follower.applied == 3
-        picky.stop()
+        assert (await restarted.begin())["settings"] == {"tick": 3} and restarted.follower.applied == 3
+        restarted.stop()
 
     run(test)
 
 
-def as_file(document: Document, name: str = "n3") -> bytes:
+def last_good_content(document: Document, name: str = "n3") -> bytes:
     return json.dumps({"sidecar": name, "documents": [json.loads(whole(document))]}).encode()
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         lambda data: b"",
         lambda data: data[: len(data) // 2],
@@ -413,35 +415,35 @@
         lambda data: b"\xff\x00",
     ],
 )
-def test_a_torn_or_foreign_file_is_ignored_and_told(
-    spoil: Callable[[bytes], bytes], tmp_path: Path, caplog: pytest.LogCaptureFixture
+def test_a_damaged_or_foreign_file_is_ignored_and_logged(
+    corrupt: Callable[[bytes], bytes], tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     last_good = LastGood(tmp_path, "n3")
-    last_good.path.write_bytes(as_file(VERSIONS[4]))
+    last_good.path.write_bytes(last_good_content(VERSIONS[4]))
     assert last_good.read() == (VERSIONS[4],)
-    spoilt = spoil(as_file(VERSIONS[4]))
-    assert spoilt != as_file(VERSIONS[4])
-    last_good.path.write_bytes(spoilt)
+    corrupted = corrupt(last_good_content(VERSIONS[4]))
+    assert corrupted != last_good_content(VERSIONS[4])
+    last_good.path.write_bytes(corrupted)
 
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[6].copy())
         await control.start()
-        client, target = following(control, last_good=last_good)
+        client, target = make_client(control, last_good=last_good)
         await client.begin()
         assert target.ticks == [6]
-        await kept(last_good, 6)
+        await wait_saved(last_good, 6)
         client.stop()
 
     run(test)
     assert "last-good-unusable" in caplog.text
 
 
-def test_no_file_is_ordinary(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+def test_a_missing_file_is_not_logged(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     assert LastGood(tmp_path / "none", "n3").read() == ()
     assert caplog.text == ""
 
 
-def test_a_directory_that_cannot_be_written_costs_the_file_only(
+def test_versions_are_applied_when_the_directory_cannot_be_written(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "taken").write_text("a file")
@@ -449,7 +451,7 @@
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
-        client, target = following(control, last_good=LastGood(tmp_path / "taken", "n3"))
+        client, target = make_client(control, last_good=LastGood(tmp_path / "taken", "n3"))
         await client.begin()
         await until(lambda: "last-good-unwritten" in caplog.text)
         assert target.ticks == [3]
@@ -458,17 +460,17 @@
     run(test)
 
 
-def test_names_in_a_query_and_in_a_file_s_name(tmp_path: Path) -> None:
+def test_names_are_escaped_in_a_query_and_a_file_name(tmp_path: Path) -> None:
     assert percent_encoded("n-3.a~b_c") == "n-3.a~b_c" and percent_encoded("a&b=/") == "a%26b%3D%2F"
     path = LastGood(tmp_path, "../../etc/x").path
     assert path.parent == tmp_path
 
 
-def test_nothing_is_left_open_after_its_end() -> None:
+def test_a_stopped_client_no_longer_connects_or_applies_versions() -> None:
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
-        client, target = following(control, str(free_address()))
+        client, target = make_client(control, str(free_address()))
         await client.begin()
         client.stop()
         control.commit({"settings": {"tick": 9}})
--- a/tests/test_configuration_command.py
+++ b/tests/test_configuration_command.py
@@ -1,4 +1,4 @@
-"""The command `configuration`: instances as processes, outcomes of proposals, where a version is in force."""
+"""Tests of the `configuration` command: instances as processes, outcomes of proposals, merged status."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 ROOT = Path(__file__).parent.parent
 
 
-def eventually(holds: Callable[[], bool]) -> None:
-    """Wait for something that no event tells of."""
+def wait_until(holds: Callable[[], bool]) -> None:
+    """Poll until the condition holds."""
     end = time.monotonic() + LIMIT
     while not holds():
-        assert time.monotonic() < end, "it did not come to hold"
+        assert time.monotonic() < end, "the condition did not hold in time"
         time.sleep(0.05)
 
 
-class Processes:
-    """Instances, each in a process of its own with a store of its own."""
+class ProcessCluster:
+    """Control instances, each in its own process with its own store."""
 
     def __init__(self, folder: Path, count: int) -> None:
         self.folder = folder
@@ -62,14 +62,14 @@
         return list(self.voters.values())
 
     @property
-    def words(self) -> list[str]:
+    def address_arguments(self) -> list[str]:
         return [str(address) for address in self.addresses]
 
     @property
-    def at(self) -> list[str]:
-        return ["--at", ",".join(self.words)]
+    def at_arguments(self) -> list[str]:
+        return ["--at", ",".join(self.address_arguments)]
 
-    def serve_words(self, name: str) -> list[str]:
+    def serve_arguments(self, name: str) -> list[str]:
         voters = ",".join(f"{voter}={address}" for voter, address in self.voters.items())
         return [
             "configuration",
@@ -83,8 +83,8 @@
         ]
 
     def start(self, name: str, *more: str) -> None:
-        words = [sys.executable, "-m", "millgw", *self.serve_words(name), *more]
-        self.running[name] = subprocess.Popen(words, stderr=subprocess.PIPE, text=True, cwd=ROOT)
+        arguments = [sys.executable, "-m", "millgw", *self.serve_arguments(name), *more]
+        self.running[name] = subprocess.Popen(arguments, stderr=subprocess.PIPE, text=True, cwd=ROOT)
 
     def kill(self, name: str) -> None:
         process = self.running.pop(name)
@@ -95,40 +95,40 @@
         return asyncio.run(fetch_status(self.addresses, 2.0))
 
     def leader(self) -> str:
-        """The name of the one that leads with a quorum, waited for."""
+        """Wait for a leader with a quorum and return its name."""
         found: list[str] = []
 
         def elected() -> bool:
             found[:] = [i.name for i in self.statuses().instances if i.role == "leader" and i.quorum]
             return len(found) == 1
 
-        eventually(elected)
+        wait_until(elected)
         return found[0]
 
 
 @contextmanager
-def processes(folder: Path, count: int = 3) -> Iterator[Processes]:
-    made = Processes(folder, count)
+def process_cluster(folder: Path, count: int = 3) -> Iterator[ProcessCluster]:
+    cluster = ProcessCluster(folder, count)
     try:
-        for name in made.voters:
-            made.start(name, "--create")
-        made.leader()
-        yield made
+        for name in cluster.voters:
+            cluster.start(name, "--create")
+        cluster.leader()
+        yield cluster
     finally:
-        for name in list(made.running):
-            made.kill(name)
+        for name in list(cluster.running):
+            cluster.kill(name)
 
 
-def report(capsys: pytest.CaptureFixture[str], *words: str) -> tuple[int, dict[str, Any]]:
-    """Exit code and JSON of one command of `configuration`."""
+def run_command(capsys: pytest.CaptureFixture[str], *arguments: str) -> tuple[int, dict[str, Any]]:
+    """Run a subcommand of `configuration`; return its exit code and JSON output."""
     capsys.readouterr()
-    code = main(["configuration", *words, "--json"])
-    told = json.loads(capsys.readouterr().out)
-    assert told["exit"] == code
-    return code, told
+    code = main(["configuration", *arguments, "--json"])
+    fields = json.loads(capsys.readouterr().out)
+    assert fields["exit"] == code
+    return code, fields
 
 
-def tell(
+def send_report(
     address: Address, name: str, index: int, digest: str, status: str = "applied", cause: str = ""
 ) -> None:
     body = {"name": name, "index": index, "digest": digest, "status": status, "cause": cause}
@@ -142,42 +142,46 @@
 def test_a_change_is_set_read_and_waited_for_at_three_processes(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with processes(tmp_path) as fleet:
-        code, told = report(capsys, "set", *fleet.at, 'services.a={"n":1}', 'services.b={"n":2}')
-        assert (code, told["outcome"], told["index"]) == (exits.HELD, "committed", 1)
-        code, told = report(capsys, "set", *fleet.at, "--remove", "services.b", "--if-index", "1")
-        assert (code, told["index"]) == (exits.HELD, 2)
-        code, told = report(capsys, "set", *fleet.at, "services.a={}", "--if-index", "1")
-        assert (code, told["outcome"], told["index"]) == (exits.NOT_HELD, "conflict", 2)
-        code, told = report(capsys, "get", *fleet.at)
-        assert (code, told["entries"]) == (exits.HELD, {"services.a": {"n": 1}})
-        digest = told["digest"]
-        assert report(capsys, "get", *fleet.at, "services.a")[0] == exits.HELD
-        assert report(capsys, "get", *fleet.at, "services.b")[0] == exits.NOT_HELD
-
-        wait = ["wait", "--index", "2", "--all", *fleet.words]
-        code, told = report(capsys, *wait, "--within", "300ms")
+    with process_cluster(tmp_path) as fleet:
+        code, fields = run_command(
+            capsys, "set", *fleet.at_arguments, 'services.a={"n":1}', 'services.b={"n":2}'
+        )
+        assert (code, fields["outcome"], fields["index"]) == (exits.HELD, "committed", 1)
+        code, fields = run_command(
+            capsys, "set", *fleet.at_arguments, "--remove", "services.b", "--if-index", "1"
+        )
+        assert (code, fields["index"]) == (exits.HELD, 2)
+        code, fields = run_command(capsys, "set", *fleet.at_arguments, "services.a={}", "--if-index", "1")
+        assert (code, fields["outcome"], fields["index"]) == (exits.NOT_HELD, "conflict", 2)
+        code, fields = run_command(capsys, "get", *fleet.at_arguments)
+        assert (code, fields["entries"]) == (exits.HELD, {"services.a": {"n": 1}})
+        digest = fields["digest"]
+        assert run_command(capsys, "get", *fleet.at_arguments, "services.a")[0] == exits.HELD
+        assert run_command(capsys, "get", *fleet.at_arguments, "services.b")[0] == exits.NOT_HELD
+
+        wait = ["wait", "--index", "2", "--all", *fleet.address_arguments]
+        code, fields = run_command(capsys, *wait, "--within", "300ms")
         assert code == exits.INCONCLUSIVE, "no sidecar is known"
         for number, address in enumerate(fleet.addresses):
-            tell(address, f"n{number}", 2, digest)
-        assert report(capsys, *wait)[0] == exits.HELD
-        eventually(lambda: {i.committed for i in fleet.statuses().instances} == {2})
-        code, told = report(capsys, "status", *fleet.words)
-        assert (code, told["in_force"]["applied"], told["committed"]) == (exits.HELD, 3, 2)
-        tell(fleet.addresses[0], "n9", 1, digest)
-        code, told = report(capsys, *wait, "--within", "300ms")
-        assert (code, told["in_force"]["behind"]) == (exits.INCONCLUSIVE, 1)
-        assert report(capsys, *wait, "--sidecars", "3", "--within", "300ms")[0] == exits.INCONCLUSIVE, (
+            send_report(address, f"n{number}", 2, digest)
+        assert run_command(capsys, *wait)[0] == exits.HELD
+        wait_until(lambda: {i.committed for i in fleet.statuses().instances} == {2})
+        code, fields = run_command(capsys, "status", *fleet.address_arguments)
+        assert (code, fields["in_force"]["applied"], fields["committed"]) == (exits.HELD, 3, 2)
+        send_report(fleet.addresses[0], "n9", 1, digest)
+        code, fields = run_command(capsys, *wait, "--within", "300ms")
+        assert (code, fields["in_force"]["behind"]) == (exits.INCONCLUSIVE, 1)
+        assert run_command(capsys, *wait, "--sidecars", "3", "--within", "300ms")[0] == exits.INCONCLUSIVE, (
             "--all holds as well"
         )
-        some = ["wait", "--index", "2", "--sidecars", "3", *fleet.words]
-        assert report(capsys, *some)[0] == exits.HELD
-        tell(fleet.addresses[0], "n9", 2, digest, "refused", "services.a.n: over 0")
-        code, told = report(capsys, *wait)
-        assert (code, told["refusals"][0]["cause"]) == (exits.NOT_HELD, "services.a.n: over 0")
-        assert report(capsys, "status", *fleet.words)[0] == exits.NOT_HELD
+        some = ["wait", "--index", "2", "--sidecars", "3", *fleet.address_arguments]
+        assert run_command(capsys, *some)[0] == exits.HELD
+        send_report(fleet.addresses[0], "n9", 2, digest, "refused", "services.a.n: over 0")
+        code, fields = run_command(capsys, *wait)
+        assert (code, fields["refusals"][0]["cause"]) == (exits.NOT_HELD, "services.a.n: over 0")
+        assert run_command(capsys, "status", *fleet.address_arguments)[0] == exits.NOT_HELD
         nobody = str(free_address())
-        assert report(capsys, "status", *fleet.words, nobody)[0] == exits.INCONCLUSIVE
+        assert run_command(capsys, "status", *fleet.address_arguments, nobody)[0] == exits.INCONCLUSIVE
 
         first = fleet.running["c1"]
         first.send_signal(signal.SIGTERM)
@@ -187,20 +191,20 @@
 def test_a_relay_serves_as_a_process_and_proposals_to_it_reach_the_leader(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with processes(tmp_path, 1) as fleet:
+    with process_cluster(tmp_path, 1) as fleet:
         address = free_address()
-        words = ["configuration", "serve", "--name", "r", "--follow", fleet.words[0]]
-        words += ["--listen", str(address), "--store", f"{tmp_path}/r"]
-        relay = subprocess.Popen([sys.executable, "-m", "millgw", *words], cwd=ROOT)
+        arguments = ["configuration", "serve", "--name", "r", "--follow", fleet.address_arguments[0]]
+        arguments += ["--listen", str(address), "--store", f"{tmp_path}/r"]
+        relay = subprocess.Popen([sys.executable, "-m", "millgw", *arguments], cwd=ROOT)
         try:
-            at = ["--at", str(address)]
-            code, told = report(capsys, "set", *at, 'a={"n":1}', "--within", f"{LIMIT}s")
-            assert (code, told["outcome"]) == (exits.HELD, "committed")
-            eventually(lambda: report(capsys, "get", *at)[1].get("entries") == {"a": {"n": 1}})
-            # The voter knows it as it knows a sidecar.
-            wait = ["wait", "--index", "1", "--all", fleet.words[0], str(address)]
-            code, told = report(capsys, *wait)
-            assert (code, told["in_force"]["applied"]) == (exits.HELD, 1)
+            at_option = ["--at", str(address)]
+            code, fields = run_command(capsys, "set", *at_option, 'a={"n":1}', "--within", f"{LIMIT}s")
+            assert (code, fields["outcome"]) == (exits.HELD, "committed")
+            wait_until(lambda: run_command(capsys, "get", *at_option)[1].get("entries") == {"a": {"n": 1}})
+            # The voter counts the relay like a sidecar.
+            wait = ["wait", "--index", "1", "--all", fleet.address_arguments[0], str(address)]
+            code, fields = run_command(capsys, *wait)
+            assert (code, fields["in_force"]["applied"]) == (exits.HELD, 1)
             relay.send_signal(signal.SIGTERM)
             assert relay.wait(LIMIT) == exits.HELD
         finally:
@@ -208,12 +212,12 @@
             relay.wait()
 
 
-def test_leaders_killed_while_proposals_are_out_lose_and_double_no_version(tmp_path: Path) -> None:
+def test_killing_leaders_during_proposals_loses_and_duplicates_no_version(tmp_path: Path) -> None:
     acknowledged: dict[int, int] = {}
     unknown: list[int] = []
     stop = threading.Event()
 
-    def change(fleet: Processes) -> None:
+    def change(fleet: ProcessCluster) -> None:
         number = 0
         while not stop.is_set():
             number += 1
@@ -225,7 +229,7 @@
             else:
                 unknown.append(number)
 
-    with processes(tmp_path) as fleet:
+    with process_cluster(tmp_path) as fleet:
         changing = threading.Thread(target=change, args=(fleet,))
         changing.start()
         try:
@@ -238,78 +242,78 @@
         finally:
             stop.set()
             changing.join()
-        assert len(set(acknowledged.values())) == len(acknowledged), "each version once"
+        assert len(set(acknowledged.values())) == len(acknowledged), "each version is committed once"
         last = max(acknowledged.values())
-        eventually(lambda: len({(i.committed, i.digest) for i in fleet.statuses().instances}) == 1)
-        eventually(lambda: len(fleet.statuses().instances) == 3)
+        wait_until(lambda: len({(i.committed, i.digest) for i in fleet.statuses().instances}) == 1)
+        wait_until(lambda: len(fleet.statuses().instances) == 3)
         line, _ = asyncio.run(fetch_document(fleet.addresses, 2.0))
         assert line is not None and line.index >= last
         entries = {change.name for change in line.changes}
-        assert {f"e{number}" for number in acknowledged} <= entries, "none that was acknowledged is lost"
+        assert {f"e{number}" for number in acknowledged} <= entries, "no acknowledged version is lost"
         assert line.index == len(entries), "one version for each entry"
         assert entries - {f"e{number}" for number in acknowledged} <= {f"e{number}" for number in unknown}
 
 
 def _await_more(acknowledged: dict[int, int], more: int) -> None:
     wanted = len(acknowledged) + more
-    eventually(lambda: len(acknowledged) >= wanted)
+    wait_until(lambda: len(acknowledged) >= wanted)
 
 
-def test_without_a_majority_a_change_is_refused_and_the_rest_is_told(
+def test_without_a_majority_changes_are_refused_and_reads_still_work(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with processes(tmp_path) as fleet:
-        assert report(capsys, "set", *fleet.at, 'a={"n":1}')[0] == exits.HELD
-        eventually(lambda: {i.committed for i in fleet.statuses().instances} == {1})
+    with process_cluster(tmp_path) as fleet:
+        assert run_command(capsys, "set", *fleet.at_arguments, 'a={"n":1}')[0] == exits.HELD
+        wait_until(lambda: {i.committed for i in fleet.statuses().instances} == {1})
         fleet.kill("c1")
         fleet.kill("c2")
-        eventually(lambda: not fleet.statuses().instances[0].quorum)
-        code, told = report(capsys, "set", *fleet.at, 'a={"n":2}', "--within", "1s")
-        assert (code, told["outcome"]) == (exits.NOT_HELD, "no quorum")
-        code, told = report(capsys, "get", *fleet.at)
-        assert (code, told["entries"]) == (exits.HELD, {"a": {"n": 1}})
-        code, told = report(capsys, "status", fleet.words[2])
-        assert (code, told["instances"][0]["quorum"]) == (exits.NOT_HELD, False)
+        wait_until(lambda: not fleet.statuses().instances[0].quorum)
+        code, fields = run_command(capsys, "set", *fleet.at_arguments, 'a={"n":2}', "--within", "1s")
+        assert (code, fields["outcome"]) == (exits.NOT_HELD, "no quorum")
+        code, fields = run_command(capsys, "get", *fleet.at_arguments)
+        assert (code, fields["entries"]) == (exits.HELD, {"a": {"n": 1}})
+        code, fields = run_command(capsys, "status", fleet.address_arguments[2])
+        assert (code, fields["instances"][0]["quorum"]) == (exits.NOT_HELD, False)
 
 
-def run_once(words: list[str]) -> subprocess.CompletedProcess[str]:
+def run_once(arguments: list[str]) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "millgw", *words], capture_output=True, text=True, timeout=LIMIT, cwd=ROOT
+        [sys.executable, "-m", "millgw", *arguments], capture_output=True, text=True, timeout=LIMIT, cwd=ROOT
     )
 
 
-def test_a_store_that_is_lost_or_another_s_is_refused_in_one_line(tmp_path: Path) -> None:
-    fleet = Processes(tmp_path, 1)
+def test_a_lost_or_foreign_store_is_refused_in_one_line(tmp_path: Path) -> None:
+    fleet = ProcessCluster(tmp_path, 1)
     (tmp_path / "c1").mkdir()
-    lost = run_once(fleet.serve_words("c1"))
+    lost = run_once(fleet.serve_arguments("c1"))
     assert lost.returncode == exits.BAD_INPUT
     assert lost.stderr.startswith("millgw: --store: there is no state of c1") and lost.stderr.count("\n") == 1
     fleet.start("c1", "--create")
     try:
         fleet.leader()
-        taken = run_once(fleet.serve_words("c1"))
+        taken = run_once(fleet.serve_arguments("c1"))
         assert (taken.returncode, taken.stderr.count("\n")) == (exits.BAD_INPUT, 1), "it is in use"
     finally:
         fleet.kill("c1")
-    again = run_once([*fleet.serve_words("c1"), "--create"])
+    again = run_once([*fleet.serve_arguments("c1"), "--create"])
     assert again.returncode == exits.BAD_INPUT and "already" in again.stderr
-    words = [word.replace("c1=", "c2=") if word != "c1" else "c2" for word in fleet.serve_words("c1")]
-    foreign = run_once(words)
+    arguments = [word.replace("c1=", "c2=") if word != "c1" else "c2" for word in fleet.serve_arguments("c1")]
+    foreign = run_once(arguments)
     assert foreign.returncode == exits.BAD_INPUT and "is of c1, not of c2" in foreign.stderr
     assert foreign.stderr.count("\n") == 1
 
 
 def test_an_address_that_is_taken_is_refused_in_one_line(tmp_path: Path) -> None:
-    fleet = Processes(tmp_path, 1)
+    fleet = ProcessCluster(tmp_path, 1)
     address = fleet.voters["c1"]
     with socket.create_server((address.host, address.port)):
-        refused = run_once([*fleet.serve_words("c1"), "--create"])
+        refused = run_once([*fleet.serve_arguments("c1"), "--create"])
     assert refused.returncode == exits.BAD_INPUT
     assert refused.stderr.startswith(f"millgw: {address}: ") and refused.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ["serve", "--name", "a", "--store", "s"],
         ["serve", "--name", "a b", "--voters", "a=127.0.0.1:1", "--store", "s"],
@@ -332,21 +336,21 @@
         ["wait", "127.0.0.1:1", "--index", "0", "--all"],
     ],
 )
-def test_bad_input_is_named_in_one_line(words: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    assert main(["configuration", *words]) == exits.BAD_INPUT
-    said = capsys.readouterr()
-    assert not said.out and said.err.startswith("millgw: ") and said.err.count("\n") == 1
+def test_bad_input_is_named_in_one_line(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+    assert main(["configuration", *arguments]) == exits.BAD_INPUT
+    output = capsys.readouterr()
+    assert not output.out and output.err.startswith("millgw: ") and output.err.count("\n") == 1
 
 
 # Outcomes
 
 
-class Scripted:
-    """An instance that answers each connection with the next of some answers; none: it just ends it."""
+class ScriptedInstance:
+    """Instance that sends the next scripted response to each connection, or closes it if that is None."""
 
     def __init__(self, *answers: tuple[int, dict[str, Any]] | None) -> None:
         self.answers = list(answers)
-        self.asked = 0
+        self.requests = 0
         self.address = free_address()
         self.socket = socket.create_server((self.address.host, self.address.port))
         self.thread = threading.Thread(target=self._run, daemon=True)
@@ -358,8 +362,8 @@
                 connection, _ = self.socket.accept()
                 with connection:
                     connection.recv(65_536)
-                    answer = self.answers[min(self.asked, len(self.answers) - 1)]
-                    self.asked += 1
+                    answer = self.answers[min(self.requests, len(self.answers) - 1)]
+                    self.requests += 1
                     if answer is not None:
                         body = json.dumps(answer[1]).encode()
                         head = f"HTTP/1.1 {answer[0]} X\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -370,7 +374,7 @@
         self.socket.close()
 
 
-def outcome(*instances: Scripted, within: float = 1.0) -> ProposalResult:
+def propose_to(*instances: ScriptedInstance, within: float = 1.0) -> ProposalResult:
     addresses = [instance.address for instance in instances]
     try:
         return asyncio.run(propose(addresses, [Change("a", {})], "a", "", None, within))
@@ -379,37 +383,37 @@
             instance.close()
 
 
-def test_a_proposal_whose_answer_is_lost_is_not_known_and_not_repeated() -> None:
+def test_the_outcome_is_unknown_after_a_lost_response_and_the_proposal_is_not_repeated() -> None:
     for answer in (None, (504, {"cause": "the outcome is not known"}), (500, {}), (200, {})):
-        first, second = Scripted(answer), Scripted((200, {"index": 1, "epoch": 1}))
-        assert outcome(first, second).outcome is Outcome.UNKNOWN
-        assert (first.asked, second.asked) == (1, 0)
+        first, second = ScriptedInstance(answer), ScriptedInstance((200, {"index": 1, "epoch": 1}))
+        assert propose_to(first, second).outcome is Outcome.UNKNOWN
+        assert (first.requests, second.requests) == (1, 0)
 
 
-def test_a_proposal_is_asked_again_while_nobody_leads() -> None:
-    instance = Scripted(
+def test_a_proposal_is_retried_while_there_is_no_leader() -> None:
+    instance = ScriptedInstance(
         (503, {"cause": "no quorum"}), (421, {"leader": None}), (200, {"index": 7, "epoch": 2})
     )
-    result = outcome(instance, within=LIMIT)
+    result = propose_to(instance, within=LIMIT)
     assert (result.outcome, result.index, result.epoch) == (Outcome.COMMITTED, 7, 2)
-    instance = Scripted((503, {"cause": "no quorum"}))
-    assert outcome(instance, within=0.5).outcome is Outcome.NO_QUORUM
+    instance = ScriptedInstance((503, {"cause": "no quorum"}))
+    assert propose_to(instance, within=0.5).outcome is Outcome.NO_QUORUM
 
 
-def test_a_proposal_follows_the_leader_but_not_round_and_round() -> None:
-    leader = Scripted((200, {"index": 7, "epoch": 2}))
-    follower = Scripted((421, {"leader": str(leader.address)}))
-    assert outcome(follower, leader).outcome is Outcome.COMMITTED
-    one = Scripted()
+def test_a_proposal_follows_redirects_to_the_leader_but_no_endless_loop() -> None:
+    leader = ScriptedInstance((200, {"index": 7, "epoch": 2}))
+    follower = ScriptedInstance((421, {"leader": str(leader.address)}))
+    assert propose_to(follower, leader).outcome is Outcome.COMMITTED
+    one = ScriptedInstance()
     one.answers.append((421, {"leader": str(one.address)}))
-    assert outcome(one, within=0.5).outcome is Outcome.NO_QUORUM
-    assert one.asked < 50
+    assert propose_to(one, within=0.5).outcome is Outcome.NO_QUORUM
+    assert one.requests < 50
 
 
-def test_what_is_refused_is_told_and_changes_nothing() -> None:
-    conflict = outcome(Scripted((409, {"index": 9})))
+def test_conflicts_invalid_proposals_and_missing_instances_have_their_outcomes() -> None:
+    conflict = propose_to(ScriptedInstance((409, {"index": 9})))
     assert (conflict.outcome, conflict.index) == (Outcome.CONFLICT, 9)
-    invalid = outcome(Scripted((400, {"cause": "changes: too large"})))
+    invalid = propose_to(ScriptedInstance((400, {"cause": "changes: too large"})))
     assert (invalid.outcome, invalid.cause) == (Outcome.INVALID, "changes: too large")
     nobody = asyncio.run(propose([free_address()], [Change("a", {})], "a", "", None, 0.3))
     assert nobody.outcome is Outcome.UNREACHABLE
@@ -422,7 +426,7 @@
     return InstanceStatus(name, name, "follower", 1, "", committed, digest, True, len(sidecars), sidecars)
 
 
-def test_a_sidecar_that_moved_counts_once_and_differing_documents_are_told() -> None:
+def test_a_sidecar_that_moved_counts_once_and_differing_documents_are_reported() -> None:
     old = Sidecar("n", 10.0, 0, 42, "d42")
     new = Sidecar("n", 1.0, 1, 43, "d43")
     fleet = FleetStatus([status_of("a", 43, "d43", old), status_of("b", 43, "d43", new)])
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration as a document: lines read back, digests, whole versions only."""
+"""Tests of the configuration document: decoding of lines, digests, atomic versions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @given(st.lists(CHANGES, max_size=6))
-def test_a_document_follows_from_a_snapshot_and_from_lines_alike(versions: list[tuple[Change, ...]]) -> None:
+def test_a_snapshot_and_successive_lines_give_the_same_document(versions: list[tuple[Change, ...]]) -> None:
     leader = Document()
     follower = Document()
     for index, changes in enumerate(versions, 1):
@@ -58,6 +58,6 @@
         (b'{"index":1,"epoch":1,"snapshot":true,"digest":"","entries":[{"name":"a","value":1}]}', "value"),
     ],
 )
-def test_what_can_not_be_used_is_named(line: bytes, field: str) -> None:
+def test_the_error_for_an_invalid_line_names_the_field(line: bytes, field: str) -> None:
     with pytest.raises(DocumentError, match=field):
         decode_line(line)
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -1,4 +1,4 @@
-"""A relay: follows voters, serves watches and reports, and keeps the last good document."""
+"""Tests of the relay: it follows voters, serves watches and reports, and keeps the last good document."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 ENTRIES = st.dictionaries(st.sampled_from("abc"), st.fixed_dictionaries({"n": st.integers(0, 2)}))
 
 
-async def started(address: Address, cluster: Cluster, folder: Path) -> Relay:
+async def start_relay(address: Address, cluster: Cluster, folder: Path) -> Relay:
     relay = Relay("r1", address, list(cluster.voters.values()), folder, 1)
     await relay.start()
     return relay
 
 
-async def changed(cluster: Cluster, name: str, value: object) -> int:
+async def commit_change(cluster: Cluster, name: str, value: object) -> int:
     answer = await propose(address_of(await cluster.leader()), name, value)
     assert answer.status == 200
     index = answer.fields["index"]
@@ -39,7 +39,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), ENTRIES), max_size=6))
-def test_what_a_history_is_given_whole_its_watches_get_as_changes_or_whole(
+def test_a_document_added_to_a_history_is_served_as_changes_or_as_a_snapshot(
     steps: list[tuple[int, dict[str, dict[str, int]]]],
 ) -> None:
     history, index = History(), 0
@@ -51,7 +51,7 @@
         assert (step == 1) == (history.after(index - 1) is not history.snapshot())
 
 
-def test_entries_that_differ_are_told_by_name() -> None:
+def test_changes_between_documents_are_ordered_by_name() -> None:
     before, after = Document(1, 1, {"a": {}, "b": {}}), Document(2, 1, {"b": {"n": 1}, "c": {}})
     assert [(c.name, c.value) for c in changes_between(before, after)] == [
         ("a", None), ("b", {"n": 1}), ("c", {}),
@@ -62,13 +62,13 @@
     async def test() -> None:
         async with Cluster(3) as cluster:
             address = free_address()
-            await changed(cluster, "a", {"n": 1})
-            relay = await started(address, cluster, tmp_path)
+            await commit_change(cluster, "a", {"n": 1})
+            relay = await start_relay(address, cluster, tmp_path)
             watcher = await Watcher("n1").open(address)
             await until(lambda: watcher.index == 1)
-            assert await changed(cluster, "b", {"n": 2}) == 2
+            assert await commit_change(cluster, "b", {"n": 2}) == 2
             await until(lambda: watcher.index == 2)
-            assert not watcher.lines[-1].snapshot, "one version goes on as its changes"
+            assert not watcher.lines[-1].snapshot, "a single version is sent as changes"
             assert watcher.document.entries == {"a": {"n": 1}, "b": {"n": 2}}
             report = {"name": "n1", "index": 2, "digest": watcher.lines[-1].digest, "status": "applied"}
             assert (await call(address, "POST", "/v1/configuration/reports", report)).status == 204
@@ -84,18 +84,18 @@
     run(test)
 
 
-def test_a_relay_goes_to_another_voter_and_serves_on_without_any(tmp_path: Path) -> None:
+def test_a_relay_switches_to_another_voter_and_keeps_serving_without_any(tmp_path: Path) -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             address = free_address()
-            await changed(cluster, "a", {"n": 1})
+            await commit_change(cluster, "a", {"n": 1})
             await cluster.committed(1)
-            relay = await started(address, cluster, tmp_path)
+            relay = await start_relay(address, cluster, tmp_path)
             watcher = await Watcher("n1").open(address)
             await until(lambda: watcher.index == 1)
             followed = relay.client.follower.instance
             cluster.stop(next(name for name, at in cluster.voters.items() if str(at) == followed))
-            assert await changed(cluster, "a", {"n": 2}) == 2
+            assert await commit_change(cluster, "a", {"n": 2}) == 2
             await until(lambda: watcher.index == 2)
             for name in list(cluster.running):
                 cluster.stop(name)
@@ -105,7 +105,7 @@
                 lambda: relay.client.last_good is not None and relay.client.last_good.write_task is None
             )
             relay.stop()
-            again = await started(address, cluster, tmp_path)
+            again = await start_relay(address, cluster, tmp_path)
             late = await Watcher("n2").open(address)
             await until(lambda: late.index == 2)
             assert late.document.entries == {"a": {"n": 2}}
@@ -114,18 +114,18 @@
     run(test)
 
 
-def test_a_relay_that_is_behind_takes_no_watcher_back(tmp_path: Path) -> None:
+def test_a_relay_that_is_behind_sends_no_older_version_to_a_watcher(tmp_path: Path) -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
             address = free_address()
-            await changed(cluster, "a", {"n": 1})
-            relay = await started(address, cluster, tmp_path)
+            await commit_change(cluster, "a", {"n": 1})
+            relay = await start_relay(address, cluster, tmp_path)
             ahead = await Watcher("n1", document=Document(2, 1, {"a": {"n": 2}})).open(address)
             await until(lambda: ahead.heartbeats > 1)
             assert not ahead.lines
-            await changed(cluster, "a", {"n": 2})
+            await commit_change(cluster, "a", {"n": 2})
             await until(lambda: relay.service.history.index == 2)
-            assert await changed(cluster, "a", {"n": 3}) == 3
+            assert await commit_change(cluster, "a", {"n": 3}) == 3
             await until(lambda: ahead.index == 3)
             assert [line.index for line in ahead.lines] == [3]
             relay.stop()
@@ -133,7 +133,7 @@
     run(test)
 
 
-def test_a_sidecar_follows_voters_and_relays_alike_and_is_known_where_it_watches(tmp_path: Path) -> None:
+def test_a_sidecar_can_follow_a_relay_and_is_known_where_it_watches(tmp_path: Path) -> None:
     class Target:
         def __init__(self) -> None:
             self.entries: dict[str, object] = {}
@@ -146,12 +146,12 @@
     async def test() -> None:
         async with Cluster(3) as cluster:
             address = free_address()
-            relay = await started(address, cluster, tmp_path)
+            relay = await start_relay(address, cluster, tmp_path)
             target = Target()
             client = Client("n1", (str(address),), None, 1, target)
             client.serving = True
             await client.begin()
-            await changed(cluster, "settings", {"n": 1})
+            await commit_change(cluster, "settings", {"n": 1})
             await until(lambda: target.entries == {"settings": {"n": 1}})
             sidecars = relay.service.reports.sidecars
             await until(lambda: "n1" in sidecars and sidecars["n1"].applied == 1)
