--- a/millgw/configuration/command.py
+++ b/millgw/configuration/command.py
@@ -337,20 +337,20 @@
 
     Exit: 0 found, 1 there is no such entry, 2 bad input, 3 no instance answered.
     """
-    line, troubles = run_interruptible(fetch_document(instances, each_within))
+    line, errors = run_interruptible(fetch_document(instances, each_within))
     if line is None:
-        for address, trouble in sorted(troubles.items()):
-            print(f"millgw: {address}: {trouble}", file=sys.stderr)
-        return out.end(INCONCLUSIVE, {"troubles": troubles})
+        for address, error in sorted(errors.items()):
+            print(f"millgw: {address}: {error}", file=sys.stderr)
+        return out.end(INCONCLUSIVE, {"troubles": errors})
     entries = {change.name: change.value for change in line.changes}
     fields: dict[str, Any] = {"index": line.index, "epoch": line.epoch, "digest": line.digest}
     if name is not None:
-        found = entries.get(name)
-        if found is None:
+        value = entries.get(name)
+        if value is None:
             return out.end(
                 NOT_HELD, fields | {"entries": {}}, [f"version {line.index} has no entry named {name}"]
             )
-        return out.end(HELD, fields | {"entries": {name: found}}, [json.dumps(found, indent=2)])
+        return out.end(HELD, fields | {"entries": {name: value}}, [json.dumps(value, indent=2)])
     lines = [
         f"version {line.index} of epoch {line.epoch}, digest {line.digest}",
         json.dumps(entries, indent=2),
@@ -372,8 +372,8 @@
     instances did not answer.
     """
     fleet = run_interruptible(fetch_status(tuple(dict.fromkeys(instances)), each_within))
-    asked = fleet.committed if index is None else index
-    summary = fleet.summary(asked)
+    requested = fleet.committed if index is None else index
+    summary = fleet.summary(requested)
     return out.end(
         _status_exit_code(fleet, summary), _status_fields(fleet, summary), _status_lines(fleet, summary)
     )
@@ -382,8 +382,8 @@
 def _status_exit_code(fleet: FleetStatus, summary: Summary) -> int:
     if fleet.errors:
         return INCONCLUSIVE
-    held = summary.applied == summary.known and not fleet.split_versions()
-    return HELD if held and all(instance.quorum for instance in fleet.instances) else NOT_HELD
+    in_force = summary.applied == summary.known and not fleet.split_versions()
+    return HELD if in_force and all(instance.quorum for instance in fleet.instances) else NOT_HELD
 
 
 def _status_fields(fleet: FleetStatus, summary: Summary) -> dict[str, Any]:
@@ -405,7 +405,7 @@
         + ("" if instance.quorum else "  no quorum")
         for instance in fleet.instances
     ]
-    lines += [f"{address}  {trouble}" for address, trouble in sorted(fleet.errors.items())]
+    lines += [f"{address}  {error}" for address, error in sorted(fleet.errors.items())]
     lines += [f"version {index}: instances differ in its content" for index in fleet.split_versions()]
     lines.append(_summary_line(summary))
     lines += [
--- a/millgw/configuration/control_client.py
+++ b/millgw/configuration/control_client.py
@@ -67,11 +67,11 @@
     result = ProposalResult(Outcome.UNREACHABLE)
     while True:
         for instance in instances:
-            found = await _propose_to(instance, body, deadline)
-            if found.outcome not in (Outcome.NO_QUORUM, Outcome.UNREACHABLE):
-                return found
-            if found.outcome is Outcome.NO_QUORUM or result.outcome is Outcome.UNREACHABLE:
-                result = found
+            attempt = await _propose_to(instance, body, deadline)
+            if attempt.outcome not in (Outcome.NO_QUORUM, Outcome.UNREACHABLE):
+                return attempt
+            if attempt.outcome is Outcome.NO_QUORUM or result.outcome is Outcome.UNREACHABLE:
+                result = attempt
         if time.monotonic() + RETRY_INTERVAL_S >= deadline:
             return result
         await asyncio.sleep(RETRY_INTERVAL_S)
@@ -135,7 +135,7 @@
 async def fetch_document(instances: Sequence[Address], within: float) -> tuple[Line | None, dict[str, str]]:
     """The newest document that any instance has, and the errors of the others by address."""
     lines: list[Line] = []
-    troubles: dict[str, str] = {}
+    errors: dict[str, str] = {}
 
     async def fetch(instance: Address) -> None:
         try:
@@ -144,10 +144,10 @@
                 raise Trouble(f"answered {status}")
             lines.append(decode_line(answer))
         except (Trouble, DocumentError) as error:
-            troubles[str(instance)] = str(error)
+            errors[str(instance)] = str(error)
 
     await asyncio.gather(*(fetch(instance) for instance in instances))
-    return max(lines, key=lambda line: line.index, default=None), troubles
+    return max(lines, key=lambda line: line.index, default=None), errors
 
 
 # Statuses
--- a/millgw/configuration/history.py
+++ b/millgw/configuration/history.py
@@ -73,8 +73,8 @@
         if missed[0] not in self._chunks:
             return self.snapshot()
         changes = EMPTY.join(self._chunks[number] for number in missed)
-        whole = self.snapshot()
-        return changes if len(changes) <= len(whole) else whole
+        snapshot = self.snapshot()
+        return changes if len(changes) <= len(snapshot) else snapshot
 
     def _trim(self) -> None:
         while len(self._chunks) > self.max_lines or self._chunk_bytes > self.max_bytes:
--- a/millgw/configuration/reports.py
+++ b/millgw/configuration/reports.py
@@ -178,8 +178,8 @@
     merged: dict[str, Sidecar] = {}
     for sidecars in instances:
         for sidecar in sidecars:
-            held = merged.get(sidecar.name)
-            if held is None or _recency(held) < _recency(sidecar):
+            current = merged.get(sidecar.name)
+            if current is None or _recency(current) < _recency(sidecar):
                 merged[sidecar.name] = sidecar
     return [merged[name] for name in sorted(merged)]
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -253,10 +253,10 @@
     before: list[tuple[object, ...]], after: Settings, arrivals: list[int]
 ) -> None:
     driver, twin = ChangingDrive(START), ChangingDrive(START)
-    for driven in (driver, twin):  # both get the same events, as compiled objects can't be copied
-        driven.show(*endpoints(5), kind=ListKind.CACHED)
-        driven.feed(PeerReports((), siblings=3))
-        run_steps(driven, before)
+    for each_driver in (driver, twin):  # both get the same events, as compiled objects can't be copied
+        each_driver.show(*endpoints(5), kind=ListKind.CACHED)
+        each_driver.feed(PeerReports((), siblings=3))
+        run_steps(each_driver, before)
     fresh = fresh_copy(twin.balancer, after, driver.now)
     driver.balancer.reconfigure(driver.now, after)
     events: list[tuple[float, Event]] = []
