--- a/millgw/configuration/command.py
+++ b/millgw/configuration/command.py
@@ -1,4 +1,4 @@
-"""The command `configuration`: control instances, proposals, and where versions are in force."""
+"""The `configuration` command: runs control instances, proposes versions, shows where they are in force."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 from millgw.log.rendering import FORMATS
 from millgw.platform.config import Address, read_address
 
-POLL_INTERVAL = 0.5  # s between two looks of `wait`
-WITHIN = 2.0  # s for an instance's answer
+POLL_INTERVAL_S = 0.5  # s between two polls of `wait`
+RESPONSE_TIMEOUT_S = 2.0  # s for an instance's response
 MAX_INSTANCE_NAME = 64  # characters
 
 
 class AddressesKind(click.ParamType[tuple[Address, ...]]):
-    """`IP:PORT,...`, to addresses."""
+    """Parses `IP:PORT,...` into addresses."""
 
     name = "IP:PORT,..."
 
@@ -61,7 +61,7 @@
 
 
 class VotersKind(click.ParamType[dict[str, Address]]):
-    """`NAME=IP:PORT,...`, to addresses by name."""
+    """Parses `NAME=IP:PORT,...` into addresses by name."""
 
     name = "NAME=IP:PORT,..."
 
@@ -74,13 +74,13 @@
         for part in value.split(","):
             name, _, address = part.partition("=")
             if not _is_instance_name(name) or name in voters:
-                self.fail(f"{name!r} is no name, or stands twice", param, ctx)
+                self.fail(f"{name!r} is not a valid instance name or is given twice", param, ctx)
             try:
                 voters[name] = read_address(address)
             except ValueError as error:
                 self.fail(str(error), param, ctx)
         if len(set(voters.values())) != len(voters):
-            self.fail("an address stands twice", param, ctx)
+            self.fail("an address is given twice", param, ctx)
         return voters
 
 
@@ -88,18 +88,24 @@
     return 0 < len(name) <= MAX_INSTANCE_NAME and name.isascii() and name.isprintable() and " " not in name
 
 
-INSTANCES = click.argument("instances", nargs=-1, required=True, type=ADDRESS, metavar="IP:PORT...")
-AT = click.option("--at", "instances", required=True, type=AddressesKind(), help="The control instances.")
-EACH = click.option(
-    "--each-within", type=Duration(0.01, 60), default=WITHIN, show_default=True, help="For one answer."
+INSTANCES_ARGUMENT = click.argument("instances", nargs=-1, required=True, type=ADDRESS, metavar="IP:PORT...")
+INSTANCES_OPTION = click.option(
+    "--at", "instances", required=True, type=AddressesKind(), help="The control instances."
+)
+RESPONSE_TIMEOUT_OPTION = click.option(
+    "--each-within",
+    type=Duration(0.01, 60),
+    default=RESPONSE_TIMEOUT_S,
+    show_default=True,
+    help="Timeout per response.",
 )
 
 
 @click.group()
 def configuration() -> None:
-    """Control instances: run one, change the fleet's configuration, see where it is in force.
+    """Run control instances, change the fleet's configuration and see where it is in force.
 
-    Exit: 0 it held, 1 it did not, 2 bad input, 3 it could not be told.
+    Exit: 0 success, 1 the condition does not hold, 2 bad input, 3 inconclusive.
     """
 
 
@@ -114,17 +120,17 @@
     ],
 )
 @click.option("--name", required=True, help="This instance's name.")
-@click.option("--voters", type=VotersKind(), help="All voters, this one among them.")
-@click.option("--follow", type=AddressesKind(), help="Be a relay of these instances.")
-@click.option("--listen", type=ADDRESS, help="Where a relay listens; a voter listens where --voters says.")
+@click.option("--voters", type=VotersKind(), help="All voters, including this one.")
+@click.option("--follow", type=AddressesKind(), help="Run a relay that follows these instances.")
+@click.option("--listen", type=ADDRESS, help="Address of a relay; that of a voter is in --voters.")
 @click.option(
     "--store",
     required=True,
     multiple=True,
     type=click.Path(file_okay=False, path_type=Path),
-    help="Its directory; twice for mirrors.",
+    help="Directory of the instance's state; twice to mirror it.",
 )
-@click.option("--create", is_flag=True, help="Make the state of a voter that never ran.")
+@click.option("--create", is_flag=True, help="Create the state of a voter that has never run.")
 @click.option("--log", type=click.Choice(FORMATS), default="text", show_default=True)
 def serve(
     name: str,
@@ -137,21 +143,21 @@
 ) -> int:
     """Run one control instance: a voter (--voters) or a relay (--follow).
 
-    A voter whose store is lost, incomplete or another's does not start: it could vote a committed version
-    away. --create is for the first start of a new cluster alone.
+    A voter whose store is lost, incomplete or belongs to another instance does not start, as its vote could
+    lose a committed version. Use --create only for the first start of a new cluster.
 
-    Exit: 0 told to end (SIGTERM), 1 it could not go on, 2 bad input, or a store that can't be used.
+    Exit: 0 stopped by a signal (SIGTERM), 1 failed while running, 2 bad input or an unusable store.
     """
     if not _is_instance_name(name):
-        raise BadInput(f"--name: {name!r} is no name of an instance")
+        raise BadInput(f"--name: {name!r} is not a valid instance name")
     if (voters is None) == (follow is None):
-        raise BadInput("one of --voters and --follow is needed")
+        raise BadInput("exactly one of --voters and --follow is required")
     start_log(log)
     if voters is not None:
         return _serve_voter(name, voters, listen, store, create)
     assert follow is not None
     if listen is None or create or len(store) != 1:
-        raise BadInput("a relay takes --listen and one --store, and no --create")
+        raise BadInput("a relay requires --listen and exactly one --store, and does not accept --create")
     return uvloop.run(_run_relay(name, listen, follow, store[0]))
 
 
@@ -159,9 +165,9 @@
     name: str, voters: dict[str, Address], listen: Address | None, store: Sequence[Path], create: bool
 ) -> int:
     if name not in voters:
-        raise BadInput(f"--voters: {name} is not among them")
+        raise BadInput(f"--voters: does not include {name}")
     if listen is not None:
-        raise BadInput("--listen: a voter listens where --voters says")
+        raise BadInput("--listen: the address of a voter is in --voters")
     if len(store) > 2:
         raise BadInput("--store: one directory, or two that mirror each other")
     try:
@@ -181,9 +187,9 @@
     address = voters[options.name]
     try:
         await _start(instance.start, address)
-        told = _ending()
+        terminated = _termination_signal()
         log_event("instance-serving", name=options.name, listen=address, index=instance.service.history.index)
-        ends: list[asyncio.Future[Any]] = [told, instance.failed]
+        ends: list[asyncio.Future[Any]] = [terminated, instance.failed]
         await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
     finally:
         instance.stop()
@@ -194,14 +200,14 @@
 
 
 async def _run_relay(name: str, listen: Address, follow: tuple[Address, ...], store: Path) -> int:
-    from millgw.configuration.relay import Relay  # a voter needs nothing of a sidecar's side
+    from millgw.configuration.relay import Relay  # a voter does not need the sidecar's client
 
     relay = Relay(name, listen, follow, store, random.randrange(2**32))
     try:
         await _start(relay.start, listen)
-        told = _ending()
+        terminated = _termination_signal()
         log_event("instance-serving", name=name, listen=listen, index=relay.service.history.index)
-        await told
+        await terminated
     finally:
         relay.stop()
     return HELD
@@ -214,18 +220,18 @@
         raise BadInput(f"{address}: {error.strerror or error}") from None
 
 
-def _ending() -> asyncio.Future[None]:
-    """Done once the process is told to end."""
+def _termination_signal() -> asyncio.Future[None]:
+    """A future that is done when the process receives SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
-    told: asyncio.Future[None] = loop.create_future()
+    terminated: asyncio.Future[None] = loop.create_future()
 
-    def tell_once() -> None:
-        if not told.done():
-            told.set_result(None)
+    def on_signal() -> None:
+        if not terminated.done():
+            terminated.set_result(None)
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, tell_once)
-    return told
+        loop.add_signal_handler(number, on_signal)
+    return terminated
 
 
 # set
@@ -236,13 +242,15 @@
     cls=Reporting,
     examples=["""configuration set --at 127.0.0.1:7301 'services.login={"limits":{"tryLimit":2}}'"""],
 )
-@AT
+@INSTANCES_OPTION
 @click.argument("changes", nargs=-1, metavar="NAME=JSON...")
-@click.option("--remove", multiple=True, metavar="NAME", help="Remove an entry; may stand several times.")
-@click.option("--if-index", type=click.IntRange(0), help="Only if this is the newest version.")
-@click.option("--author", default="", help="By default the user's name.")
+@click.option("--remove", multiple=True, metavar="NAME", help="Remove an entry; repeatable.")
+@click.option("--if-index", type=click.IntRange(0), help="Commit only if this is the newest version.")
+@click.option("--author", default="", help="Defaults to the name of the user.")
 @click.option("--reason", default="")
-@click.option("--within", type=Duration(0.1, 600), default=10.0, show_default=True, help="For the outcome.")
+@click.option(
+    "--within", type=Duration(0.1, 600), default=10.0, show_default=True, help="Timeout for the outcome."
+)
 def set_(
     out: Out,
     instances: tuple[Address, ...],
@@ -253,12 +261,12 @@
     reason: str,
     within: float,
 ) -> int:
-    """Propose one version with all these changes; FILE's content by NAME=@FILE.
+    """Propose one version with all these changes; NAME=@FILE reads a value from a file.
 
-    Asks until an instance leads or the time is over. A version that may or may not be committed is never
-    proposed again by itself: look with `get`, and give --if-index.
+    Retries until an instance leads or the timeout is over. A version that may have been committed is never
+    proposed again automatically: check with `get`, then use --if-index.
 
-    Exit: 0 committed, 1 nothing changed (a conflict, no quorum), 2 bad input, 3 not known or nobody answered.
+    Exit: 0 committed, 1 nothing changed (conflict or no quorum), 2 bad input, 3 unknown or no response.
     """
     proposed = [_read_change(text) for text in changes] + [Change(name, None) for name in remove]
     names = [change.name for change in proposed]
@@ -266,12 +274,12 @@
         raise BadInput("nothing to change: give NAME=JSON or --remove NAME")
     for name in names:
         if not 0 < len(name) <= MAX_NAME or names.count(name) > 1:
-            raise BadInput(f"{name!r} is no name of an entry, or stands twice")
-    result = run_interruptible(propose(instances, proposed, author or _user(), reason, if_index, within))
+            raise BadInput(f"{name!r} is not a valid entry name or is given twice")
+    result = run_interruptible(propose(instances, proposed, author or _user_name(), reason, if_index, within))
     if result.outcome is Outcome.INVALID:
         raise BadInput(f"refused: {result.cause}")
-    told = {"outcome": result.outcome.value, "index": result.index, "epoch": result.epoch}
-    return out.end(_exit_of(result), told | {"cause": result.cause}, [_describe(result)])
+    fields = {"outcome": result.outcome.value, "index": result.index, "epoch": result.epoch}
+    return out.end(_proposal_exit_code(result), fields | {"cause": result.cause}, [_describe(result)])
 
 
 def _read_change(text: str) -> Change:
@@ -288,14 +296,14 @@
     return Change(name, decoded)
 
 
-def _user() -> str:
+def _user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
         return str(os.getuid())
 
 
-def _exit_of(result: ProposalResult) -> int:
+def _proposal_exit_code(result: ProposalResult) -> int:
     if result.outcome is Outcome.COMMITTED:
         return HELD
     if result.outcome in (Outcome.CONFLICT, Outcome.NO_QUORUM):
@@ -321,59 +329,61 @@
 
 
 @configuration.command(cls=Reporting, examples=["configuration get --at 127.0.0.1:7301 services.login"])
-@AT
+@INSTANCES_OPTION
 @click.argument("name", required=False)
-@EACH
+@RESPONSE_TIMEOUT_OPTION
 def get(out: Out, instances: tuple[Address, ...], name: str | None, each_within: float) -> int:
-    """The newest committed document that any instance has, or one entry of it.
+    """Print the newest committed document that any instance has, or one entry of it.
 
-    Exit: 0 it is there, 1 there is no such entry, 2 bad input, 3 no instance answered.
+    Exit: 0 found, 1 there is no such entry, 2 bad input, 3 no instance answered.
     """
-    line, troubles = run_interruptible(fetch_document(instances, each_within))
+    line, errors = run_interruptible(fetch_document(instances, each_within))
     if line is None:
-        for address, trouble in sorted(troubles.items()):
-            print(f"millgw: {address}: {trouble}", file=sys.stderr)
-        return out.end(INCONCLUSIVE, {"troubles": troubles})
+        for address, error in sorted(errors.items()):
+            print(f"millgw: {address}: {error}", file=sys.stderr)
+        return out.end(INCONCLUSIVE, {"troubles": errors})
     entries = {change.name: change.value for change in line.changes}
-    told: dict[str, Any] = {"index": line.index, "epoch": line.epoch, "digest": line.digest}
+    fields: dict[str, Any] = {"index": line.index, "epoch": line.epoch, "digest": line.digest}
     if name is not None:
-        found = entries.get(name)
-        if found is None:
+        value = entries.get(name)
+        if value is None:
             return out.end(
-                NOT_HELD, told | {"entries": {}}, [f"version {line.index} has no entry named {name}"]
+                NOT_HELD, fields | {"entries": {}}, [f"version {line.index} has no entry named {name}"]
             )
-        return out.end(HELD, told | {"entries": {name: found}}, [json.dumps(found, indent=2)])
+        return out.end(HELD, fields | {"entries": {name: value}}, [json.dumps(value, indent=2)])
     lines = [
         f"version {line.index} of epoch {line.epoch}, digest {line.digest}",
         json.dumps(entries, indent=2),
     ]
-    return out.end(HELD, told | {"entries": entries}, lines)
+    return out.end(HELD, fields | {"entries": entries}, lines)
 
 
 # status
 
 
 @configuration.command(cls=Reporting, examples=["configuration status 127.0.0.1:7301 127.0.0.1:7302"])
-@INSTANCES
-@click.option("--index", type=click.IntRange(0), help="The version asked for; the newest by default.")
-@EACH
+@INSTANCES_ARGUMENT
+@click.option("--index", type=click.IntRange(0), help="The version to look up; the newest by default.")
+@RESPONSE_TIMEOUT_OPTION
 def status(out: Out, instances: tuple[Address, ...], index: int | None, each_within: float) -> int:
-    """What all these instances know together, and at how many sidecars the newest version is in force.
+    """Show the merged status of these instances and at how many sidecars a version is in force.
 
-    Exit: 0 in force at all known sidecars and all instances have a quorum, 1 not so, 2 bad input, 3 some
+    Exit: 0 in force at all known sidecars and all instances have a quorum, 1 otherwise, 2 bad input, 3 some
     instances did not answer.
     """
     fleet = run_interruptible(fetch_status(tuple(dict.fromkeys(instances)), each_within))
-    asked = fleet.committed if index is None else index
-    summary = fleet.summary(asked)
-    return out.end(_verdict(fleet, summary), _status_fields(fleet, summary), _status_lines(fleet, summary))
+    requested = fleet.committed if index is None else index
+    summary = fleet.summary(requested)
+    return out.end(
+        _status_exit_code(fleet, summary), _status_fields(fleet, summary), _status_lines(fleet, summary)
+    )
 
 
-def _verdict(fleet: FleetStatus, summary: Summary) -> int:
-    if fleet.troubles:
+def _status_exit_code(fleet: FleetStatus, summary: Summary) -> int:
+    if fleet.errors:
         return INCONCLUSIVE
-    held = summary.applied == summary.known and not fleet.split_versions()
-    return HELD if held and all(instance.quorum for instance in fleet.instances) else NOT_HELD
+    in_force = summary.applied == summary.known and not fleet.split_versions()
+    return HELD if in_force and all(instance.quorum for instance in fleet.instances) else NOT_HELD
 
 
 def _status_fields(fleet: FleetStatus, summary: Summary) -> dict[str, Any]:
@@ -384,7 +394,7 @@
         "refusals": summary.refusal_fields(),
         "split_versions": fleet.split_versions(),
         "instances": [instance.fields() for instance in fleet.instances],
-        "troubles": fleet.troubles,
+        "troubles": fleet.errors,
     }
 
 
@@ -395,7 +405,7 @@
         + ("" if instance.quorum else "  no quorum")
         for instance in fleet.instances
     ]
-    lines += [f"{address}  {trouble}" for address, trouble in sorted(fleet.troubles.items())]
+    lines += [f"{address}  {error}" for address, error in sorted(fleet.errors.items())]
     lines += [f"version {index}: instances differ in its content" for index in fleet.split_versions()]
     lines.append(_summary_line(summary))
     lines += [
@@ -422,12 +432,12 @@
 @configuration.command(
     cls=Reporting, examples=["configuration wait --index 43 --all 127.0.0.1:7301 127.0.0.1:7302"]
 )
-@INSTANCES
+@INSTANCES_ARGUMENT
 @click.option("--index", type=click.IntRange(1), required=True, help="The version to wait for.")
-@click.option("--all", "all_", is_flag=True, help="Until it is in force at every known sidecar.")
-@click.option("--sidecars", type=click.IntRange(1), help="Until it is in force at so many.")
-@click.option("--within", type=Duration(0.1, 3600), default=30.0, show_default=True, help="For all of it.")
-@EACH
+@click.option("--all", "all_", is_flag=True, help="Wait for every known sidecar.")
+@click.option("--sidecars", type=click.IntRange(1), help="Wait for this many sidecars.")
+@click.option("--within", type=Duration(0.1, 3600), default=30.0, show_default=True, help="Total timeout.")
+@RESPONSE_TIMEOUT_OPTION
 def wait(
     out: Out,
     instances: tuple[Address, ...],
@@ -439,10 +449,9 @@
 ) -> int:
     """Wait until a version is in force at the sidecars that these instances know.
 
-    With --all every instance named must answer, and at least one sidecar be known.
+    With --all, every listed instance must answer and at least one sidecar must be known.
 
-    Exit: 0 in force, 1 refused by a sidecar, or one has it with another content, 2 bad input, 3 not known in
-    time.
+    Exit: 0 in force, 1 refused by a sidecar or in force with different content, 2 bad input, 3 timed out.
     """
     if not all_ and sidecars is None:
         raise BadInput("--all or --sidecars N is needed")
@@ -461,9 +470,9 @@
         summary = fleet.summary(index)
         if summary.refused or summary.diverged:
             return fleet, NOT_HELD
-        everywhere = summary.applied == summary.known and not fleet.troubles
+        everywhere = summary.applied == summary.known and not fleet.errors
         if summary.applied >= least and (everywhere or not all_):
             return fleet, HELD
-        if time.monotonic() + POLL_INTERVAL >= deadline:
+        if time.monotonic() + POLL_INTERVAL_S >= deadline:
             return fleet, INCONCLUSIVE
-        await asyncio.sleep(POLL_INTERVAL)
+        await asyncio.sleep(POLL_INTERVAL_S)
