--- a/millgw/configuration/actions.py
+++ b/millgw/configuration/actions.py
@@ -1,8 +1,8 @@
-"""What a replica asks its caller to do, and how proposals end: typed values, no I/O.
+"""Actions that a consensus replica requests from its caller, and outcomes of proposals. No I/O.
 
-The caller carries out each list of actions in its order, and no list before the one it was given earlier is
-done. A `Persist` is durable before anything behind it is done; if it fails the process must stop, as the
-replica already counts on it.
+The caller executes the actions of a list in order, and finishes each list before it starts the next one. A
+`Persist` must be durable before any later action is executed. If it fails, the process must stop, because the
+replica's state already assumes that the write succeeded.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Accepted:
-    """It is committed, as this version."""
+    """The proposal was committed as this version."""
 
     index: int
     epoch: int
@@ -34,38 +34,38 @@
 
 @dataclass(slots=True, frozen=True)
 class NotLeader:
-    """Nothing happened: another instance leads."""
+    """Rejected without effect: another instance is the leader."""
 
     leader: str
 
 
 @dataclass(slots=True, frozen=True)
 class NoQuorum:
-    """Nothing happened: no majority of the voters is known to be reachable."""
+    """Rejected without effect: no majority of the voters is known to be reachable."""
 
 
 @dataclass(slots=True, frozen=True)
 class Conflict:
-    """Nothing happened: `if_index` was not the newest version, which is `newest`."""
+    """Rejected without effect: `if_index` was not the newest version, which is `newest`."""
 
     newest: int
 
 
 @dataclass(slots=True, frozen=True)
 class Busy:
-    """Nothing happened: as many proposals are under way as may be."""
+    """Rejected without effect: the limit of concurrent proposals is reached."""
 
 
 @dataclass(slots=True, frozen=True)
 class Invalid:
-    """Nothing happened: the proposal can't be taken, for a cause that its author can mend."""
+    """Rejected without effect: the proposal is malformed or too large; its author can correct it."""
 
     cause: str
 
 
 @dataclass(slots=True, frozen=True)
 class Unknown:
-    """Leadership was lost while it was under way: it may still be committed, or may never be."""
+    """Leadership was lost before the commit: the proposal may still be committed later, or never."""
 
 
 Outcome = Accepted | NotLeader | NoQuorum | Conflict | Busy | Invalid | Unknown
@@ -76,9 +76,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Persist:
-    """Make durable: epoch and vote; `entries` in the place of all from the first one's position on; then
-    `snapshot` in the place of all up to its position, and of what the log holds behind it unless the log
-    contains the snapshot's entry. `committed` is the position known to be committed, for the next start.
+    """Write to durable storage, in this order.
+
+    The epoch and the vote; `entries`, which replace the log from the position of the first one on;
+    `snapshot`, which replaces the log up to its position, and also the entries after it if the log does not
+    contain the snapshot's last entry. `committed` is the log position known to be committed, for the next
+    start.
     """
 
     epoch: int
@@ -90,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send a message; it may be lost, late, repeated or overtaken."""
+    """Send a message. It may be lost, delayed, duplicated or reordered."""
 
     to: str
     message: Message
@@ -98,16 +101,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Committed:
-    """The next version is committed. They come in the order of their indexes, without gaps."""
+    """The next version was committed. Versions arrive in index order, without gaps."""
 
     version: Version
 
 
 @dataclass(slots=True, frozen=True)
 class Installed:
-    """A snapshot took the place of versions that were not replicated one by one: the whole document.
+    """A snapshot replaced the document, in place of versions that were not replicated one by one.
 
-    The document is the caller's own copy.
+    The document is a copy that the caller may modify.
     """
 
     document: Document
@@ -115,7 +118,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Decided:
-    """How a proposal ended; exactly one for each proposal."""
+    """The outcome of a proposal. Each proposal gets exactly one."""
 
     proposal: int
     outcome: Outcome
@@ -123,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RoleChanged:
-    """Role, epoch or known leader have changed."""
+    """The role, the epoch or the known leader has changed."""
 
     role: Role
     epoch: int
@@ -132,7 +135,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerRefused:
-    """A peer came back with less than it had acknowledged: nothing it says counts. Tell the operator."""
+    """A peer restarted without state it had acknowledged, so its votes and acknowledgements are ignored.
+
+    The caller reports this to the operator.
+    """
 
     peer: str
     cause: str
@@ -143,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Proposed:
-    """A proposal's number, and what is to be done; an immediate refusal is a `Decided` among the actions."""
+    """A proposal's number and the actions to execute. An immediate rejection is a `Decided` among them."""
 
     proposal: int
     actions: list[Action]
--- a/millgw/configuration/durable.py
+++ b/millgw/configuration/durable.py
@@ -1,20 +1,23 @@
-"""An instance's epoch, vote and log on a disk: what is persisted is durable when `persist` returns.
+"""Durable storage of an instance's Raft state (epoch, vote and log); `persist` returns once it is on disk.
 
-The state is a *checkpoint* (all of it) and a *journal* of what was persisted since. Each piece is one record
-of the store, synced before the next is written, so a torn write leaves a shorter journal and no mixture; what
-is torn was never acknowledged. A checkpoint is written into the half of the keys that the one in use does
-not occupy, and counts once all its pieces are there. Each opening begins with a new checkpoint, so what an
-interrupted write left behind is never taken for a part of a later one.
+The state consists of a *checkpoint* (the whole state) and a *journal* of the writes since. Each is split into
+pieces; a piece is one record of the store and is synced before the next one is written. A torn write
+therefore only shortens the journal and never mixes old and new data, and torn data was never acknowledged.
+The keys are divided into two halves: a new checkpoint goes into the half that the current one does not
+occupy, and takes effect once all its pieces are written. Opening the state always writes a new checkpoint, so
+pieces left by an interrupted write can't be mistaken for pieces of a later one.
 
-Refused, as an instance with less than it acknowledged could vote a committed version away:
+These states are refused, because an instance that lost acknowledged data could elect a leader that lacks a
+committed version:
 
-- no state, unless a new cluster is being created: an instance that lost its state has to come back under
+- no state, unless a new cluster is being created: an instance that lost its state has to rejoin under
   another name, as a relay or in a new list of voters;
-- state of another instance;
-- state that the store knows to be incomplete: acknowledged records are missing, or can't be read.
+- the state of another instance;
+- state that the store reports as incomplete: acknowledged records are missing or unreadable.
 
-An older copy of the whole directory looks sound here. Its incarnation is the time of its opening, so it is
-higher than any before, and peers that heard later state refuse it (`rollback` says what they can't notice).
+An older copy of the whole directory can't be detected here. Its incarnation is the time of its opening, hence
+higher than any earlier one, and peers that received later state refuse it (`rollback` lists the limits of
+that check).
 """
 
 from __future__ import annotations
@@ -43,33 +46,33 @@
 from millgw.store.files import Files, RealFiles
 from millgw.store.store import Item, Options, Store, StoreError
 
-FOREVER = 100 * 365 * 24 * 3_600_000.0  # ms: what the store lost is never to be forgotten
+FOREVER = 100 * 365 * 24 * 3_600_000.0  # ms; the store must never stop reporting records it has lost
 STORE = Options(window=FOREVER)
-PIECE = 512 * 1024  # bytes of one record's value
-MAX_JOURNAL = 4096  # records after which a new checkpoint is written
+PIECE = 512 * 1024  # bytes; largest body stored in one record
+MAX_JOURNAL = 4096  # records in a half before a new checkpoint is written
 KEY = struct.Struct(">BI")  # half, slot
-HEAD = struct.Struct(">QBII")  # generation, whether of a checkpoint, piece, pieces
+HEAD = struct.Struct(">QBII")  # generation, checkpoint flag, piece number, number of pieces
 
 
 class DurableStateError(OSError):
-    """The state can't be used or written; the text says why. The instance must not run with it."""
+    """The state can't be read or written. The instance must not run with it."""
 
 
 class StateMissing(DurableStateError):
-    """There is no state, and no new cluster is being created."""
+    """No state exists, and no new cluster is being created."""
 
 
 class StateIncomplete(DurableStateError):
-    """Something that was acknowledged is missing or can't be read."""
+    """Acknowledged data is missing or unreadable."""
 
 
 class StateOfAnother(DurableStateError):
-    """The state is another instance's."""
+    """The state belongs to another instance."""
 
 
 @dataclass(slots=True, frozen=True)
 class Piece:
-    """One record of the store: a piece of a checkpoint, or of a journal entry."""
+    """One record of the store: a piece of a checkpoint or of a journal entry."""
 
     generation: int
     checkpoint: bool
@@ -87,7 +90,7 @@
 
 
 class DurableState:
-    """The open state of one instance. It is locked against another process. One thread at a time uses it."""
+    """The open state of one instance, locked against other processes. Not thread-safe."""
 
     def __init__(
         self,
@@ -97,9 +100,9 @@
         wall: Callable[[], float] = lambda: time.time() * 1000,
         monotonic: Callable[[], float] = lambda: time.monotonic() * 1000,
     ) -> None:
-        """Open it for a new run; a DurableStateError tells why that can't be.
+        """Open the state for a new run; raises DurableStateError if it can't be used.
 
-        `create` makes the state of an instance that never ran, and is refused where there is one.
+        `create` initializes the state of an instance that never ran, and fails if a state exists already.
         """
         self._instance = instance
         try:
@@ -115,7 +118,7 @@
             if loaded is None and not create:
                 raise StateMissing(f"there is no state of {instance}: create it only for a new cluster")
             if loaded is not None and create:
-                raise DurableStateError(f"there is a state of {instance} already: it can't be created")
+                raise DurableStateError(f"there is already a state of {instance}: it can't be created")
             self._state, self._half = loaded or (State(incarnation=0), 0)
             incarnation = max(self._state.incarnation + 1, int(wall()))
             self._checkpoint(replace(self._state, incarnation=incarnation))
@@ -125,20 +128,20 @@
 
     @classmethod
     def open(cls, directories: Sequence[Path], instance: str, create: bool = False) -> DurableState:
-        """The state in one directory, or in two that mirror each other."""
+        """Open the state in one directory, or in two mirrored ones."""
         return cls([RealFiles(path) for path in directories], instance, create)
 
     @property
     def notes(self) -> Sequence[str]:
-        """What the store's recovery found, in words."""
+        """Messages from the store's recovery, for people to read."""
         return self._store.notes
 
     def load(self) -> State:
-        """What the replica starts from."""
+        """The state that the replica starts from."""
         return self._state
 
     def persist(self, persist: Persist) -> None:
-        """Make it durable. After a DurableStateError the instance must stop: the disk may hold anything."""
+        """Write to disk. After a DurableStateError the instance must stop: the content on disk is unknown."""
         state = self._state.after(persist)
         if persist.snapshot is not None or self._slot >= MAX_JOURNAL:
             self._checkpoint(state)
@@ -153,7 +156,7 @@
     # Writing
 
     def _checkpoint(self, state: State) -> None:
-        """Write the whole state into the other half; it takes the place of all that was written before."""
+        """Write the whole state into the other half; it replaces the previous checkpoint and journal."""
         self._generation += 1
         self._half = 1 - self._half
         self._slot = 0
@@ -185,7 +188,7 @@
 
     def _check_complete(self) -> None:
         if self._store.unproven:
-            notes = "; ".join(self._store.notes) or "acknowledged records were missing before"
+            notes = "; ".join(self._store.notes) or "acknowledged records were missing at an earlier start"
             raise StateIncomplete(f"the state of {self._instance} is incomplete: {notes}")
 
     def _newest_generation(self) -> int:
@@ -193,7 +196,7 @@
         return max(generations, default=0)
 
     def _load(self) -> tuple[State, int] | None:
-        """The newest whole state, and the half that it is in."""
+        """The newest complete state and the half it is stored in."""
         halves = [self._pieces(half) for half in (0, 1)]
         whole = [half for half in (0, 1) if _is_whole(halves[half])]
         if not whole:
@@ -202,7 +205,7 @@
         return self._replay(halves[half]), half
 
     def _pieces(self, half: int) -> list[Piece]:
-        """The pieces of one generation that stand in a half, from slot 0 on without gaps."""
+        """The pieces of one generation in a half, from slot 0 up to the first gap."""
         pieces: list[Piece] = []
         while (entry := self._store.get(KEY.pack(half, len(pieces)))) is not None:
             piece = _decode_piece(entry.value)
@@ -223,7 +226,7 @@
 
 
 def _is_whole(pieces: list[Piece]) -> bool:
-    """Whether a half begins with a whole checkpoint."""
+    """Whether a half begins with a complete checkpoint."""
     if not pieces or len(pieces) < pieces[0].count:
         return False
     return all(
@@ -232,7 +235,7 @@
 
 
 def _joined(pieces: list[Piece]) -> list[bytes]:
-    """The bodies of a checkpoint and of its journal; one whose last pieces are missing is left out."""
+    """The bodies of a checkpoint and its journal entries; an entry that lacks its last pieces is omitted."""
     bodies: list[bytes] = []
     start = 0
     while start < len(pieces) and start + pieces[start].count <= len(pieces):
--- a/millgw/configuration/encoding.py
+++ b/millgw/configuration/encoding.py
@@ -1,6 +1,6 @@
-"""Entries of the log and snapshots as JSON values, in messages and on the disk, and the reading of fields.
+"""JSON encoding of log entries and snapshots, for messages and for the disk, and validated field access.
 
-Whatever can't be read is an EncodingError, whose text names the field.
+Invalid values raise an EncodingError that names the field.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 )
 from millgw.configuration.log import Entry, Snapshot
 
-MAX_TEXT = 1024  # characters of an author or a reason
+MAX_TEXT = 1024  # characters; limit for an author or a reason
 
 Fields = Mapping[str, Any]
 
 
 class EncodingError(DocumentError):
-    """A JSON value is not what it has to be; the text names the field."""
+    """A JSON value has the wrong type or range; the text names the field."""
 
 
 # Writing
 
 
 def entry_fields(entry: Entry) -> dict[str, Any]:
-    """An entry of the log as a JSON value."""
+    """A log entry as a JSON object."""
     return {
         "position": entry.position,
         "epoch": entry.epoch,
@@ -41,7 +41,7 @@
 
 
 def encoded_size(entry: Entry) -> int:
-    """The bytes of an entry as JSON."""
+    """The size of an entry as JSON, in bytes."""
     return len(canonical(entry_fields(entry)))
 
 
@@ -56,7 +56,7 @@
 
 
 def snapshot_fields(snapshot: Snapshot) -> dict[str, Any]:
-    """A snapshot as a JSON value."""
+    """A snapshot as a JSON object."""
     document = snapshot.document
     return {
         "position": snapshot.position,
@@ -69,7 +69,7 @@
 
 
 def read_entry(value: Any, path: str) -> Entry:
-    """An entry of the log from its JSON value; a DocumentError names the field."""
+    """Decode a log entry; a DocumentError names the invalid field."""
     fields = read_object(value, path)
     position = read_count(fields, "position", path)
     epoch = read_count(fields, "epoch", path)
@@ -92,7 +92,7 @@
 
 
 def read_snapshot(value: Any, path: str) -> Snapshot:
-    """A snapshot from its JSON value; a DocumentError names the field."""
+    """Decode a snapshot; a DocumentError names the invalid field."""
     fields = read_object(value, path)
     document = _read_document(fields.get("document"), f"{path}.document")
     return Snapshot(read_count(fields, "position", path), read_count(fields, "epoch", path), document)
--- a/millgw/configuration/instance.py
+++ b/millgw/configuration/instance.py
@@ -1,7 +1,7 @@
-"""One control instance that votes: the replica on a clock, a disk and sockets, behind the service's calls.
+"""A voting control instance: drives the replica with a clock, a disk and sockets, and serves the HTTP API.
 
-The replica's actions are carried out in their order, and what must be durable is so before anything behind it
-is done. A write that fails ends the instance: the replica counts on it.
+The replica's actions are executed in order, and a write is durable before any later action is executed. A
+failed write stops the instance, because the replica's state already assumes that it succeeded.
 """
 
 from __future__ import annotations
@@ -39,31 +39,31 @@
 from millgw.log.events import log_event
 from millgw.platform.config import Address
 
-PROPOSAL_TIME = 10.0  # s after which the outcome of a proposal counts as not known
+PROPOSAL_TIME = 10.0  # s; after this the outcome of a proposal is reported as unknown
 
 
 class StateKeeper(Protocol):
-    """Where a replica's state is kept: `durable.DurableState`, or a stand-in of it."""
+    """Storage of a replica's state: `durable.DurableState`, or a test double."""
 
     def load(self) -> State:
-        """What the replica starts from."""
+        """The state that the replica starts from."""
 
     def persist(self, persist: Persist) -> None:
-        """Make it durable; an OSError tells that it may not be."""
+        """Write to durable storage; raises OSError if that may have failed."""
 
     def close(self) -> None: ...
 
 
 @dataclass(slots=True, frozen=True)
 class Pending:
-    """A proposal whose outcome is not known yet."""
+    """A proposal that waits for its outcome."""
 
     reply: Reply
     timer: asyncio.TimerHandle
 
 
 class Instance:
-    """One voter. `voters` has the addresses of all, its own among them, by name."""
+    """One voter. `voters` maps the names of all voters, including this one, to their addresses."""
 
     def __init__(
         self,
@@ -91,13 +91,13 @@
         self._stopped = False
 
     async def start(self) -> None:
-        """Listen and take part; an OSError tells why that can't be."""
+        """Start to listen and to participate in the cluster; raises OSError if the address can't be bound."""
         await self.server.start(self.voters[self.options.name])
         self.service.start()
         self._schedule()
 
     def stop(self) -> None:
-        """End all connections and let the disk go; proposals that are out are left unanswered."""
+        """Close all connections and the storage; pending proposals get no response."""
         if self._stopped:
             return
         self._stopped = True
@@ -111,10 +111,10 @@
         self.server.stop()
         self.durable.close()
 
-    # Backend of the service
+    # The service's Backend protocol
 
     def standing(self) -> Standing:
-        """What this instance knows of itself and of the others."""
+        """This instance's view of itself and of the cluster."""
         leader = self.replica.leader
         return Standing(
             role=self.replica.role.value,
@@ -125,7 +125,7 @@
         )
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
-        """Propose a version; `reply` gets its outcome, once."""
+        """Propose a version; `reply` is called once, with its outcome."""
         self._advance(lambda: self._propose(proposal, reply))
 
     def _propose(self, proposal: Proposal, reply: Reply) -> Sequence[Action]:
@@ -137,7 +137,7 @@
         return proposed.actions
 
     def receive(self, sender: str, body: bytes) -> Response:
-        """A peer's message, answered by the reply to it if there is one."""
+        """Process a peer's message; the response carries the reply, if there is one."""
         if sender not in self.links:
             return error_response(404, "not from a voter")
         if not self.allowed(sender, self.options.name):
@@ -162,12 +162,12 @@
         self._advance(lambda: self.replica.tick(now_ms()))
 
     def _advance(self, step: Callable[[], Sequence[Action]], answering: str = "") -> list[Message]:
-        """Carry out what an input leads to; messages to `answering` are returned, to be its answer."""
+        """Run one input and execute its actions; messages to `answering` are returned for the response."""
         if self._stopped:
             return []
         try:
             return self._carry_out(step(), answering)
-        except Exception as error:  # whatever it was, actions that the replica counts on were not done
+        except Exception as error:  # any error: actions that the replica assumes were executed were not
             self._fail(error)
             return []
 
@@ -205,7 +205,7 @@
         return answers
 
     def _fail(self, error: Exception) -> None:
-        """End the instance: going on could break what it has promised to the others."""
+        """Stop the instance: continuing could violate what it has acknowledged to its peers."""
         log_event("instance-failed", cause=error)
         self.stop()
         if not self.failed.done():
@@ -241,5 +241,5 @@
 
 
 def now_ms() -> float:
-    """The replica's clock."""
+    """The replica's monotonic clock, in ms."""
     return time.monotonic() * 1000
--- a/millgw/configuration/log.py
+++ b/millgw/configuration/log.py
@@ -1,7 +1,8 @@
-"""The replicated log in memory: a snapshot of what was compacted, and the entries behind it.
+"""The replicated log in memory: a snapshot of the compacted entries, and the entries after it.
 
-A log *position* counts every entry. A document *index* counts only entries that carry a version: the barrier
-entry with which a leader begins its epoch has a position and no version, so document indexes have no gaps.
+A log *position* counts every entry. A document *index* counts only entries that carry a version. The barrier
+entry that a leader appends at the start of its epoch has a position but no version, so document indexes have
+no gaps.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 
 class LogError(RuntimeError):
-    """The log was asked for what it can't hold; going on would break an invariant of the protocol."""
+    """An operation that the log can't perform without breaking an invariant of the protocol."""
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """One entry of the log. `version` is None for a barrier, which changes nothing."""
+    """One entry of the log. `version` is None for a barrier, which leaves the document unchanged."""
 
     position: int
     epoch: int
@@ -63,7 +64,7 @@
         return self.snapshot.document.index
 
     def epoch_at(self, position: int) -> int | None:
-        """The epoch of the entry at a position; None where the log does not reach, or no longer reaches."""
+        """The epoch of the entry at a position; None after the end of the log or where it is compacted."""
         if position == self.snapshot.position:
             return self.snapshot.epoch
         if not self.snapshot.position < position <= self.last_position:
@@ -71,7 +72,7 @@
         return self.at(position).epoch
 
     def at(self, position: int) -> Entry:
-        """The entry at a position that the log holds."""
+        """The entry at a position, which must be in the log."""
         return self.entries[position - self.snapshot.position - 1]
 
     def slice(self, first: int, most: int) -> Sequence[Entry]:
@@ -86,16 +87,16 @@
         self.entries.append(entry)
 
     def replace_from(self, entries: Sequence[Entry]) -> None:
-        """Put entries in the place of everything from the first one's position on."""
+        """Replace the log from the first entry's position on."""
         start = entries[0].position - self.snapshot.position - 1
         if start < 0:
-            raise LogError(f"entry {entries[0].position} is compacted already")
+            raise LogError(f"entry {entries[0].position} is already compacted")
         del self.entries[start:]
         for entry in entries:
             self.append(entry)
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Drop everything up to a snapshot; also what is behind it, where the log does not contain it."""
+        """Drop the entries up to a snapshot, and those after it if the log lacks the snapshot's last one."""
         behind = snapshot.position - self.snapshot.position
         if self.epoch_at(snapshot.position) == snapshot.epoch and behind >= 0:
             self.entries = self.entries[behind:]
@@ -104,7 +105,7 @@
         self.snapshot = snapshot
 
     def document_at(self, position: int) -> Document:
-        """A new document with every version up to a position."""
+        """A new document with every version up to a position applied."""
         document = self.snapshot.document.copy()
         for entry in self.entries[: position - self.snapshot.position]:
             if entry.version is not None:
--- a/millgw/configuration/messages.py
+++ b/millgw/configuration/messages.py
@@ -1,7 +1,8 @@
-"""The messages between replicas, and their JSON form. No I/O.
+"""The messages between replicas and their JSON encoding. No I/O.
 
-Every message carries its sender's epoch, its incarnation (how often its durable state was opened) and the
-last position of its log: peers notice by them an instance that came back with older state.
+Every message carries its sender's epoch, its incarnation (a number that increases each time its durable state
+is opened) and the last position of its log. From these, peers detect an instance that restarted with older
+state.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 )
 from millgw.configuration.log import Entry, Snapshot
 
-MAX_MESSAGE = 16 * 2**20  # bytes of one encoded message
-MAX_CHANGES = 256 * 2**10  # bytes of one version's changes, as canonical JSON
-MAX_DOCUMENT = 8 * 2**20  # bytes of a whole document, as canonical JSON
-MAX_ENTRIES = 256  # of one append
-MAX_BATCH = 512 * 2**10  # bytes of one append's changes; a single entry may always be sent
+MAX_MESSAGE = 16 * 2**20  # bytes; one encoded message
+MAX_CHANGES = 256 * 2**10  # bytes; one version's changes as canonical JSON
+MAX_DOCUMENT = 8 * 2**20  # bytes; a whole document as canonical JSON
+MAX_ENTRIES = 256  # entries in one append request
+MAX_BATCH = 512 * 2**10  # bytes; entries of one append request as JSON. One entry is sent at any size
 
 
 class MessageError(ValueError):
-    """Bytes that are no message; the text names the field."""
+    """Bytes that are not a valid message; the text names the field."""
 
 
 @dataclass(slots=True, frozen=True)
 class Header:
-    """What every message carries of its sender."""
+    """The sender's state, included in every message."""
 
     epoch: int
     incarnation: int
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PreVoteRequest:
-    """Would you vote for me in the epoch after `header.epoch`? Changes nothing at either side."""
+    """Asks for a vote in the epoch after `header.epoch`, without changing state on either side."""
 
     header: Header
     last_epoch: int
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class VoteRequest:
-    """Vote for me in epoch `header.epoch`; my log ends with an entry of `last_epoch`."""
+    """Requests a vote for the sender in `header.epoch`. `last_epoch` is the epoch of its last log entry."""
 
     header: Header
     last_epoch: int
@@ -77,9 +78,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendRequest:
-    """Entries behind the one at `previous_position`; a heartbeat if there are none.
+    """Entries after `previous_position`; a heartbeat if there are none.
 
-    `sent` is the leader's clock, which the reply brings back for the leader's lease.
+    `sent` is the leader's clock in ms. The reply returns it, and the leader extends its lease from it.
     """
 
     header: Header
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppendReply:
-    """`position`: up to which the logs agree, or (not `success`) the one to try as the previous position."""
+    """`position`: with `success`, up to which the logs agree; else the previous position to try next."""
 
     header: Header
     success: bool
@@ -102,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SnapshotRequest:
-    """A whole document for a follower that needs entries which the leader has compacted."""
+    """A whole document, for a follower that needs entries the leader has already compacted."""
 
     header: Header
     sent: float
@@ -131,7 +132,7 @@
 
 
 def encode(message: Message) -> bytes:
-    """A message as JSON; a MessageError where it is over the bound."""
+    """Encode a message as JSON; raises MessageError if it is larger than MAX_MESSAGE."""
     data = canonical(
         {"kind": KINDS[type(message)], **_header_fields(message.header), **_body_fields(message)}
     )
@@ -172,7 +173,7 @@
 
 
 def decode(data: bytes) -> Message:
-    """A message from its JSON; a MessageError names the field that can't be used."""
+    """Decode a message from JSON; a MessageError names the invalid field."""
     if len(data) > MAX_MESSAGE:
         raise MessageError(f"message: {len(data)} bytes are over {MAX_MESSAGE}")
     try:
--- a/millgw/configuration/replica.py
+++ b/millgw/configuration/replica.py
@@ -1,23 +1,23 @@
-"""The consensus state machine of one control instance: the Raft rules, without I/O, clock or threads.
-
-The same inputs give the same actions; `actions` says how they are to be carried out. Times are ms on the
-caller's monotonic clock, which need not agree with any other instance's.
-
-Rules beside those of plain Raft:
-
-- Pre-vote: an instance asks whether it would be elected before it begins an epoch, so one that was cut off
-  does not depose a working leader when it comes back.
-- Lease: a follower refuses votes for `election[0]` ms after it heard a leader, and after its own start, as
-  it may have heard one just before. A leader accepts proposals only for `lease` ms after the moment at which
-  it sent the newest requests that a majority answered. Options are refused if clocks whose rates are wrong
-  by `drift` could make the two overlap. No invariant of the log depends on the lease.
-- A leader begins its epoch with a barrier: a log entry without a version. Once it is committed, so is all
-  before it. It takes a position in the log but no document index, so document indexes have no gaps.
-- Compaction: entries further back than `keep` behind the committed position become a snapshot. A follower
-  that needs them is sent the snapshot.
-- A peer that came back with older state than it had acknowledged is refused (see `rollback`): a leader
-  brings it up to date, but nobody counts its votes and acknowledgements until it has started again with all
-  that it had acknowledged.
+"""The Raft state machine of one control instance, without I/O, clock or threads.
+
+It is deterministic: the same inputs give the same actions, which the caller executes as `actions` describes.
+Times are ms on the caller's monotonic clock, which need not agree with the clock of any other instance.
+
+Extensions to basic Raft:
+
+- Pre-vote: before it starts an epoch, an instance asks whether it would be elected. An instance that was
+  partitioned therefore does not depose a working leader when it reconnects.
+- Leader lease: a follower refuses votes for `election[0]` ms after it last heard from a leader, and after its
+  own start, because it may have heard from one just before. A leader accepts proposals only for `lease` ms
+  after it sent the newest requests that a majority answered. Options are rejected if the two periods could
+  overlap with clock rates that are off by `drift`. No invariant of the log depends on the lease.
+- Barrier: a leader starts its epoch with a log entry without a version. Once that entry is committed, so are
+  all entries before it. It has a log position but no document index, so document indexes have no gaps.
+- Compaction: entries more than `keep` positions before the committed one are replaced by a snapshot. The
+  snapshot is sent to followers that need those entries.
+- Rollback detection: a peer that restarted with older state than it had acknowledged is refused (see
+  `rollback`). A leader brings it up to date, but nobody counts its votes and acknowledgements until it has
+  restarted with everything it had acknowledged.
 """
 
 from __future__ import annotations
@@ -68,16 +68,16 @@
 from millgw.configuration.rollback import RollbackDetector
 from millgw.configuration.state import State
 
-KEEP_SLACK = 4  # a compaction is due once the log is longer than `keep` by a part of so many
+KEEP_SLACK = 4  # the log is compacted once it exceeds `keep` by one part in KEEP_SLACK
 
 
 class ConsensusError(RuntimeError):
-    """An invariant of the protocol does not hold: the process must stop."""
+    """An invariant of the protocol is violated: the process must stop."""
 
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """One instance among the voters; times in ms, `drift` the most by which a clock's rate is wrong."""
+    """Options of one voter. Times are in ms; `drift` is the largest relative error of a clock's rate."""
 
     name: str
     voters: tuple[str, ...]
@@ -91,13 +91,13 @@
     def __post_init__(self) -> None:
         low, high = self.election
         if self.name not in self.voters or len(set(self.voters)) != len(self.voters):
-            raise ValueError("voters: must name this instance, and each one once")
+            raise ValueError("voters: must include this instance, without duplicates")
         if not 0 < self.heartbeat < self.lease:
             raise ValueError("heartbeat: must be over 0 and shorter than the lease")
         if not low < high:
-            raise ValueError("election: the upper bound must be over the lower one")
+            raise ValueError("election: the upper bound must be greater than the lower one")
         if not 0 <= self.drift < 1 or self.lease / (1 - self.drift) > low / (1 + self.drift):
-            raise ValueError("lease: must end before a follower may vote again, with clocks that drift")
+            raise ValueError("lease: must expire before a follower may vote again, at the given clock drift")
         if self.keep < 1 or self.max_proposals < 1:
             raise ValueError("keep, max_proposals: must be 1 or more")
 
@@ -111,7 +111,7 @@
 
 
 class Replica:
-    """One voter. Each input returns the actions that it leads to."""
+    """The state machine of one voter. Each input returns the actions to execute."""
 
     def __init__(self, options: Options, state: State, seed: int, now: float) -> None:
         self.options = options
@@ -126,11 +126,11 @@
         self._random = random.Random(f"{seed} {options.name}")
         self._peers = RollbackDetector()
         self._leadership: Leadership | None = None
-        self._pre_votes: set[str] | None = None  # while a pre-vote is under way
+        self._pre_votes: set[str] | None = None  # granted in the current pre-vote; None if there is none
         self._votes: set[str] = set()
         self._proposals = 0
         self._now = now
-        self._heard = now  # a leader may have been heard just before the start
+        self._heard = now  # this instance may have heard from a leader just before it started
         self._election_at = self._next_election()
         self._actions: list[Action] = []
         self._unsaved = False
@@ -141,7 +141,7 @@
     # Inputs
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed; due no later than at `next_deadline`."""
+        """Process timers; must be called at `next_deadline` at the latest."""
         self._begin(now)
         if self._leadership is not None:
             self._tick_leader(self._leadership)
@@ -150,7 +150,7 @@
         return self._finish()
 
     def receive(self, now: float, sender: str, message: Message) -> list[Action]:
-        """A message has come. One from an instance that is no voter is ignored."""
+        """Process a message; messages from instances that are not voters are ignored."""
         self._begin(now)
         if sender in self.options.peers:
             cause = self._peers.check(sender, message)
@@ -169,9 +169,10 @@
         if_index: int | None,
         at: float,
     ) -> Proposed:
-        """Propose a version. Its outcome comes as one `Decided`, now or from a later input.
+        """Propose a version. Its outcome is one `Decided`, returned by this or by a later input.
 
-        With `if_index` it is refused unless that is the newest version in the leader's log, committed or not.
+        With `if_index`, the proposal is rejected unless that is the index of the newest version in the
+        leader's log, committed or not.
         """
         self._begin(now)
         self._proposals += 1
@@ -183,13 +184,13 @@
         return Proposed(self._proposals, self._finish())
 
     def next_deadline(self) -> float:
-        """When `tick` is due at the latest."""
+        """The latest time for the next `tick`."""
         if self._leadership is None:
             return self._election_at
         return min(self._leadership.heartbeat_at, self._deposed_at(self._leadership))
 
     def has_quorum(self, now: float) -> bool:
-        """A leader: its lease holds. Others: a leader was heard lately."""
+        """Whether the lease is valid (leader), or a leader was heard from recently (others)."""
         if self._leadership is not None:
             return now < self._leadership.contact(now) + self.options.lease
         return self.leader is not None and now < self._heard + self.options.election[1]
@@ -201,7 +202,7 @@
         self._actions = []
 
     def _emit(self, action: Action) -> None:
-        """Add an action, behind the persistence of all that it may rest on."""
+        """Add an action, after a `Persist` of all unsaved state that it may depend on."""
         self._save()
         self._actions.append(action)
 
@@ -252,7 +253,7 @@
     # Epochs and roles
 
     def _adopt(self, epoch: int) -> None:
-        """Enter a higher epoch, without a leader and without a vote in it."""
+        """Enter a higher epoch as a follower, with no known leader and no vote."""
         self._stop_leading()
         self.role, self.leader = Role.FOLLOWER, None
         self._pre_votes = None
@@ -265,7 +266,7 @@
         self._unsaved = True
 
     def _follow(self, leader: str, epoch: int) -> None:
-        """Take note that a leader of this or a higher epoch was heard."""
+        """Follow a leader that was heard from in this or a higher epoch."""
         if epoch > self.epoch:
             self._adopt(epoch)
         if self.role is Role.LEADER:
@@ -274,7 +275,7 @@
             raise ConsensusError(f"{leader} and {self.leader} both lead epoch {epoch}")
         self.role, self.leader = Role.FOLLOWER, leader
         if not self.voted_for:
-            self._set_vote(leader)  # an epoch that has a leader needs no other candidate
+            self._set_vote(leader)  # the epoch has a leader, so no other candidate may get this vote
         self._pre_votes = None
         self._heard = self._now
         self._election_at = self._next_election()
@@ -292,7 +293,7 @@
         return self._now + self._random.uniform(*self.options.election)
 
     def _hears_leader(self) -> bool:
-        """Whether a leader may hold its lease: votes are refused then."""
+        """Whether a leader may hold a valid lease, so that votes must be refused."""
         if self._leadership is not None:
             return self.has_quorum(self._now)
         return self._now < self._heard + self.options.election[0]
@@ -356,7 +357,7 @@
         )
 
     def _is_up_to_date(self, last_epoch: int, last_position: int) -> bool:
-        """Whether a log with such an end holds all that this one may know to be committed."""
+        """Whether a log with this end has every entry that this instance may know to be committed."""
         return (last_epoch, last_position) >= (self.log.last_epoch, self.log.last_position)
 
     def _on_vote_reply(self, sender: str, reply: VoteReply) -> None:
@@ -390,12 +391,12 @@
             self._send_appends(leadership)
 
     def _deposed_at(self, leadership: Leadership) -> float:
-        """When a leader gives up that no majority answers."""
+        """When a leader steps down because no majority has answered."""
         contact = max(leadership.since, leadership.contact(self._now))
         return contact + self.options.election[1]
 
     def _append_own(self, version: Version | None) -> None:
-        """Add an entry to the log as the leader, and send it."""
+        """Append an entry to the log as the leader, and replicate it."""
         assert self._leadership is not None
         entry = Entry(self.log.last_position + 1, self.epoch, version)
         self.log.append(entry)
@@ -409,7 +410,7 @@
             self._send_append(peer, progress)
 
     def _send_append(self, peer: str, progress: Progress) -> None:
-        """Send what a follower lacks; a heartbeat if that is nothing, or a snapshot is on its way."""
+        """Send a follower its missing entries; a heartbeat if none are missing or a snapshot is in flight."""
         snapshot = self.log.snapshot
         if progress.next <= snapshot.position:
             self._send_snapshot(peer, progress)
@@ -425,7 +426,7 @@
         )
 
     def _batch(self, first: int) -> tuple[Entry, ...]:
-        """Entries from a position on, as many as one message may hold."""
+        """Entries from a position on, as many as one message may contain."""
         entries: list[Entry] = []
         size = 0
         for entry in self.log.slice(first, MAX_ENTRIES):
@@ -442,7 +443,7 @@
         self._send(peer, SnapshotRequest(self._header(), self._now, snapshot))
 
     def _progress_of(self, sender: str, header: Header, sent: float) -> Progress | None:
-        """The follower that a reply is of; None if it says that a higher epoch began, or is out of date."""
+        """The progress of the follower that replied; None if outdated, or if this is not the leader."""
         if header.epoch > self.epoch:
             self._adopt(header.epoch)
         if self._leadership is None or header.epoch < self.epoch:
@@ -461,13 +462,13 @@
             self._send_append(sender, progress)
 
     def _awaits_snapshot(self, progress: Progress) -> bool:
-        """Whether a snapshot was sent lately; the follower rejects all else until it has come."""
+        """Whether a snapshot was sent recently; until it arrives the follower rejects all other requests."""
         if progress.snapshot_sent is None:
             return False
         return self._now < progress.snapshot_sent + self.options.election[1]
 
     def _on_refused(self, sender: str, message: Message, cause: str) -> None:
-        """Bring a peer that lost state up to date, without counting on anything it says."""
+        """Bring a peer that lost state up to date, without counting its acknowledgements."""
         if cause:
             self._emit(PeerRefused(sender, cause))
         if self._leadership is None or message.header.epoch != self.epoch:
@@ -500,10 +501,10 @@
         position = leadership.replicated(self.log.last_position)
         if position > self.committed and self._may_commit(position):
             self._commit_to(position)
-            self._send_appends(leadership)  # so that followers learn of it before the next heartbeat
+            self._send_appends(leadership)  # followers learn the commit before the next heartbeat
 
     def _may_commit(self, position: int) -> bool:
-        """Entries of earlier epochs are committed only by one of this epoch that follows them."""
+        """Whether the entry is of this epoch; entries of earlier epochs are committed only through it."""
         return self.log.epoch_at(position) == self.epoch
 
     # Proposals
@@ -551,11 +552,11 @@
         self._commit_to(min(request.committed, position))
 
     def _log_matches(self, position: int, epoch: int) -> bool:
-        """Whether this log agrees with the leader's up to a position. What is compacted is committed."""
+        """Whether this log matches the leader's up to a position. Compacted entries do: they are committed."""
         return position < self.log.snapshot.position or self.log.epoch_at(position) == epoch
 
     def _agreeing_position(self, rejected: int) -> int:
-        """Up to where the logs may agree, after they were found not to agree at a position."""
+        """The last position where the logs may agree, after a mismatch at `rejected`."""
         if rejected > self.log.last_position:
             return self.log.last_position
         epoch = self.log.epoch_at(rejected)
@@ -565,7 +566,7 @@
         return position
 
     def _take_entries(self, entries: Sequence[Entry]) -> None:
-        """Put in the log what it lacks; only a conflict drops what it holds, as requests may come late."""
+        """Append the missing entries. Requests may arrive late, so only a conflict truncates the log."""
         for number, entry in enumerate(entries):
             if entry.position <= self.log.snapshot.position:
                 continue
@@ -575,7 +576,7 @@
 
     def _replace_from(self, entries: tuple[Entry, ...]) -> None:
         if entries[0].position <= self.committed:
-            raise ConsensusError(f"entry {entries[0].position} is committed and would be replaced")
+            raise ConsensusError(f"entry {entries[0].position} is committed and can't be replaced")
         self.log.replace_from(entries)
         self._unsaved, self._unsaved_entries = True, entries
 
@@ -608,7 +609,7 @@
         if version is None:
             return
         if version.index != self.document.index + 1:
-            raise ConsensusError(f"version {version.index} follows version {self.document.index}")
+            raise ConsensusError(f"version {version.index} does not follow version {self.document.index}")
         self.document.apply(version.index, version.epoch, version.changes)
         self._emit(Committed(version))
         if self._leadership is not None and entry.position in self._leadership.proposals:
--- a/millgw/configuration/request_reader.py
+++ b/millgw/configuration/request_reader.py
@@ -1,4 +1,4 @@
-"""Requests to an instance as they come in: bytes in, whole requests out, within bounds. No I/O."""
+"""Incremental HTTP request parser with size limits: bytes in, complete requests out. No I/O."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import httptools
 
-MAX_HEAD = 8 * 1024  # bytes of a request's line and headers
-HEADER_FRAMING = 4  # bytes of a header beside its name and value
-MAX_PIPELINED = 16  # requests that may come at once on one connection
+MAX_HEAD = 8 * 1024  # bytes; request line and headers
+HEADER_FRAMING = 4  # bytes of a header line besides name and value: ": " and CRLF
+MAX_PIPELINED = 16  # requests in one read of a connection
 
 
 class BadRequestError(Exception):
-    """A request that is answered with `status` and ends its connection."""
+    """An invalid request; it is answered with `status` and its connection is closed."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """One whole request."""
+    """One complete request."""
 
     method: str
     path: str
@@ -33,7 +33,7 @@
 
 
 class RequestReader:
-    """Reads one connection; `max_body` gives the bytes that a path's body may have."""
+    """Parses the requests of one connection; `max_body` returns the largest body for a path, in bytes."""
 
     def __init__(self, max_body: Callable[[str], int]) -> None:
         self._max_body = max_body
@@ -44,16 +44,16 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request is half read."""
+        """Whether no request is partially read."""
         return not self._fed
 
     def feed(self, data: bytes) -> list[Request]:
-        """The requests that are whole with these bytes; a BadRequestError tells why nothing more is read."""
+        """The requests completed by these bytes; after a BadRequestError nothing more may be read."""
         self._fed += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise BadRequestError(400, "no other protocol is spoken here") from None
+            raise BadRequestError(400, "protocol upgrades are not supported") from None
         except httptools.HttpParserError:
             raise self._error or BadRequestError(400, "not HTTP/1.1") from None
         if not self._head_done and self._fed > MAX_HEAD:
@@ -77,7 +77,7 @@
             self._refuse(431, "the head is too long")
 
     def _refuse(self, status: int, text: str) -> None:
-        # Raised through the parser, which words it as an error of its own.
+        # The parser replaces this exception by one of its own, so `feed` raises the stored one.
         self._error = BadRequestError(status, text)
         raise self._error
 
--- a/millgw/configuration/server.py
+++ b/millgw/configuration/server.py
@@ -1,6 +1,6 @@
-"""The HTTP side of a control instance: connections on asyncio, bounded in number, time and bytes.
+"""HTTP/1.1 server of a control instance, on asyncio, with limits on connections, time and bytes.
 
-What a request means is a `Service`'s to say; here it is read, answered, or made a stream.
+It reads requests and writes responses and streams; a `Service` handles the requests.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from millgw.configuration.request_reader import BadRequestError, Request, RequestReader
 from millgw.platform.config import Address
 
-BACKLOG = 1024  # connections that wait to be accepted: a fleet that comes back at once
+BACKLOG = 1024  # connections waiting to be accepted, for a fleet of sidecars that reconnects all at once
 MAX_CONNECTIONS = 4096
-MAX_TURNED_AWAY = 64  # connections over the bound that are told so; more are just ended
-RESERVED_DESCRIPTORS = 64  # for the store, the peers and the process itself
-REQUEST_TIME = 10.0  # s for a request to come in whole
-IDLE_TIME = 90.0  # s that a connection is kept between two requests
-LINGER_TIME = 2.0  # s that a connection waits for the peer's end after its last answer
-SWEEP_INTERVAL = 1.0  # s between two looks for connections whose time has come
-UNACKED_TIME = 15_000  # ms for a peer's kernel to confirm bytes: a machine that vanished is noticed by then
+MAX_TURNED_AWAY = 64  # connections over the limit that get a 503 response; further ones are reset
+RESERVED_DESCRIPTORS = 64  # file descriptors for the store, the peers and the process itself
+REQUEST_TIME = 10.0  # s; timeout for receiving a whole request
+IDLE_TIME = 90.0  # s; keep-alive timeout between two requests
+LINGER_TIME = 2.0  # s; wait for the client to close after the last response
+SWEEP_INTERVAL = 1.0  # s between checks for expired connections
+UNACKED_TIME = 15_000  # ms (TCP_USER_TIMEOUT); a host that vanished is detected after this
 REASONS = {
     200: "OK",
     204: "No Content",
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Response:
-    """An answer with a JSON body, or with none."""
+    """A response with a JSON body, or with none."""
 
     status: int
     body: bytes = b""
     allow: str = ""
 
     def encode(self, keep_alive: bool) -> bytes:
-        """The bytes of the whole answer."""
+        """The whole response in bytes."""
         lines = [f"HTTP/1.1 {self.status} {REASONS.get(self.status, 'Status')}"]
         if self.allow:
             lines.append(f"Allow: {self.allow}")
@@ -65,37 +65,37 @@
 
 
 def json_response(status: int, fields: Mapping[str, Any]) -> Response:
-    """An answer whose body is one JSON object in a line."""
+    """A response whose body is one JSON object on one line."""
     return Response(status, json.dumps(fields, separators=(",", ":")).encode() + b"\n")
 
 
 def error_response(status: int, cause: str) -> Response:
-    """A refusal with its cause."""
+    """An error response with its cause."""
     return json_response(status, {"cause": cause})
 
 
 class Service(Protocol):
-    """What a server serves."""
+    """Handles the requests of a server."""
 
     def handle(self, request: Request, connection: Connection) -> None:
-        """Answer by `connection.reply`, now or later, or begin a stream; once for each request."""
+        """Call `connection.reply`, now or later, or begin a stream; exactly once for each request."""
 
     def max_body(self, path: str) -> int:
-        """Bytes that the body of a request for this path may have."""
+        """The largest request body for this path, in bytes."""
 
 
 class Stream(Protocol):
-    """What is told of a connection that streams."""
+    """Callbacks for a connection that streams its response."""
 
     def drained(self) -> None:
-        """All that was written has been taken by the kernel."""
+        """The kernel has accepted all bytes that were written."""
 
     def ended(self) -> None:
-        """The connection is gone."""
+        """The connection was closed or lost."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection: requests in, one at a time, and their answers or one stream out."""
+    """One connection: handles its requests one at a time, each with a response or with a stream."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -107,10 +107,10 @@
         self.finishing = False
         self.expires = server.now() + REQUEST_TIME
 
-    # The service's side
+    # For the service
 
     def reply(self, response: Response) -> None:
-        """Answer the request that was handed on; a connection that has ended meanwhile takes no harm."""
+        """Send the response to the current request; does nothing if the connection was lost meanwhile."""
         request, self.current = self.current, None
         if request is None:
             return
@@ -120,35 +120,35 @@
             return
         self.expires = self.server.now() + IDLE_TIME
         if self.waiting:
-            # Not at once: who answers may be in the midst of something that a next request would disturb.
+            # Not immediately: the caller of `reply` may be in a state that the next request would disturb.
             asyncio.get_running_loop().call_soon(self._next)
         elif self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def begin_stream(self, stream: Stream) -> None:
-        """Answer the request that was handed on by a stream, which `write` adds to."""
+        """Answer the current request with a stream; `write` appends to it."""
         self.stream = stream
         self.current = None
         self.waiting.clear()
         if self.transport is not None:
-            # Every byte that the kernel does not take at once is told of.
+            # With a limit of 0, `resume_writing` follows whenever the kernel did not accept all bytes at once.
             self.transport.set_write_buffer_limits(high=0)
             self.transport.resume_reading()
         self.write(STREAM_HEAD)
 
     def write(self, data: bytes) -> None:
-        """Send bytes; lost where the connection has ended."""
+        """Send bytes; does nothing if the connection was closed."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """The number of bytes that the kernel has not accepted yet."""
         if self.transport is None or self.transport.is_closing():
             return 0
         return self.transport.get_write_buffer_size()
 
     def close(self) -> None:
-        """End it at once, whatever waits to be sent."""
+        """Abort the connection and discard unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -168,7 +168,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.stream is not None or self.finishing or self.transport is None:
-            return  # nothing more is expected
+            return  # no further request is expected
         if self.reader.idle:
             self.expires = self.server.now() + REQUEST_TIME
         try:
@@ -201,7 +201,7 @@
         self.server.service.handle(self.current, self)
 
     def _finish(self) -> None:
-        """End it in order: what still comes is read and dropped, as a reset could take the answer with it."""
+        """Close gracefully: read and discard further input, as a reset could discard the last response."""
         self.finishing = True
         self.waiting.clear()
         self.expires = self.server.now() + LINGER_TIME
@@ -211,7 +211,7 @@
 
 
 def connections_allowed() -> int:
-    """How many connections the process's descriptors allow, less those that the instance itself needs."""
+    """The number of connections that the limit of file descriptors allows, less the reserved ones."""
     descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if descriptors == resource.RLIM_INFINITY:
         return MAX_CONNECTIONS
@@ -219,7 +219,7 @@
 
 
 class Server:
-    """Listens for one service."""
+    """Accepts connections for one service."""
 
     def __init__(self, service: Service, now: Callable[[], float]) -> None:
         self.service = service
@@ -230,7 +230,7 @@
         self._sweeping: asyncio.TimerHandle | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen; an OSError tells why that can't be."""
+        """Start to listen; raises OSError if the address can't be bound."""
         loop = asyncio.get_running_loop()
         self._listening = await loop.create_server(
             lambda: Connection(self), address.host, address.port, backlog=BACKLOG
@@ -238,7 +238,7 @@
         self._sweep()
 
     def stop(self) -> None:
-        """Listen no more and end all connections."""
+        """Stop listening and abort all connections."""
         if self._listening is not None:
             self._listening.close()
         if self._sweeping is not None:
@@ -249,7 +249,7 @@
     def _sweep(self) -> None:
         now = self.now()
         for connection in list(self.connections):
-            # A request that was handed on has a bound of its own; a stream has the service's.
+            # The service limits the time of requests that it handles, and of streams.
             if connection.current is None and connection.stream is None and connection.expires <= now:
                 connection.close()
         self._sweeping = asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self._sweep)
--- a/millgw/configuration/service.py
+++ b/millgw/configuration/service.py
@@ -1,4 +1,4 @@
-"""The calls of a control instance, whatever stands behind it: a voter (`instance`) or a relay (`relay`)."""
+"""The HTTP API of a control instance, for both a voter (`instance`) and a relay (`relay`)."""
 
 from __future__ import annotations
 
@@ -40,27 +40,27 @@
 CONFIGURATION_PATH = "/v1/configuration"
 REPORTS_PATH = "/v1/configuration/reports"
 STATUS_PATH = "/v1/configuration/status"
-MAX_PROPOSAL = 2 * MAX_CHANGES  # bytes of a proposal's body: its JSON may have blanks and escapes
-MAX_REPORT = 4 * 1024  # bytes of a report's body
-FORGET_INTERVAL = 10.0  # s between two looks for sidecars to be forgotten
+MAX_PROPOSAL = 2 * MAX_CHANGES  # bytes; body of a proposal, whose JSON may have whitespace and escapes
+MAX_REPORT = 4 * 1024  # bytes; body of a report
+FORGET_INTERVAL = 10.0  # s between removals of sidecars that are gone
 
 Reply = Callable[[Response], None]
 
 
 @dataclass(slots=True, frozen=True)
 class Standing:
-    """What an instance knows of itself and of the others."""
+    """An instance's view of itself and of the cluster."""
 
     role: str
     epoch: int
-    leader: str | None  # its address
-    index: int  # of the newest version known, committed or not
+    leader: str | None  # address of the leader
+    index: int  # newest known version, committed or not
     quorum: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """A version that somebody proposes; `at` is Unix time in ms."""
+    """A proposed version; `at` is Unix time in ms."""
 
     changes: tuple[Change, ...]
     author: str
@@ -70,19 +70,19 @@
 
 
 class Backend(Protocol):
-    """What the calls of a voter and those of a relay differ in."""
+    """The operations that a voter and a relay implement differently."""
 
     def standing(self) -> Standing: ...
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
-        """Answer by `reply` once the outcome is known."""
+        """Call `reply` once the outcome is known."""
 
     def receive(self, sender: str, body: bytes) -> Response:
-        """A message from another instance."""
+        """Process a message from another instance."""
 
 
 class SidecarStream:
-    """Ties one watch to its connection."""
+    """Forwards the events of a connection to its watch."""
 
     def __init__(self, service: ControlService, watch: Watch) -> None:
         self.service = service
@@ -96,7 +96,7 @@
 
 
 class ControlService:
-    """Serves the committed document, watches, reports and the status; hands the rest to its backend."""
+    """Serves the committed document, watches, reports and the status; the backend handles the rest."""
 
     def __init__(self, name: str, backend: Backend, clock: Callable[[], float] = time.monotonic) -> None:
         self.name = name
@@ -109,19 +109,19 @@
         self._forget_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin heartbeats and the forgetting of sidecars."""
+        """Start the timers for heartbeats and for the removal of sidecars that are gone."""
         self._beat()
         self._forget()
 
     def stop(self) -> None:
-        """End all watches."""
+        """Stop the timers and close all watches."""
         for timer in (self._beat_timer, self._forget_timer):
             if timer is not None:
                 timer.cancel()
         self.watchers.close_all()
 
     def watch_ended(self, watch: Watch) -> None:
-        """A watch's connection is gone."""
+        """A watch's connection was closed or lost."""
         self.watchers.close(watch)
         if watch.name:
             self.reports.watch_closed(self.clock(), watch.name)
@@ -129,11 +129,11 @@
     # Service
 
     def max_body(self, path: str) -> int:
-        """Bytes that the body of a request for this path may have."""
+        """The largest request body for this path, in bytes."""
         return {REPLICA_PATH: MAX_MESSAGE, CONFIGURATION_PATH: MAX_PROPOSAL}.get(path, MAX_REPORT)
 
     def handle(self, request: Request, connection: Connection) -> None:
-        """Answer one request."""
+        """Handle one request."""
         calls = self._calls().get(request.path)
         if calls is None:
             connection.reply(error_response(404, "no such call"))
@@ -155,7 +155,7 @@
             REPLICA_PATH: {"POST": self._receive},
         }
 
-    # Calls
+    # Request handlers
 
     def _get(self, request: Request, connection: Connection) -> None:
         if request.query.get("watch", "0") in ("", "0"):
@@ -197,7 +197,7 @@
         connection.reply(json_response(200, self.status(index, with_sidecars)))
 
     def status(self, index: int, with_sidecars: bool = False) -> dict[str, Any]:
-        """The instance's view, and where version `index` is in force."""
+        """The instance's view of the cluster, and which sidecars have applied version `index`."""
         standing = self.backend.standing()
         summary = summarize(self.reports.sidecars.values(), index, self.history.digests)
         fields: dict[str, Any] = {
@@ -232,7 +232,7 @@
 
 
 def decode_proposal(body: bytes, at: float) -> Proposal:
-    """A proposal from its JSON; a DocumentError names the field that can't be used."""
+    """Decode a proposal from JSON; a DocumentError names the invalid field."""
     try:
         fields = json.loads(body, parse_constant=_refuse_constant)
     except (ValueError, RecursionError) as error:
@@ -241,7 +241,7 @@
         raise DocumentError("proposal: not an object")
     changes = decode_changes(fields.get("changes"), "changes")
     if not changes:
-        raise DocumentError("changes: there are none")
+        raise DocumentError("changes: the list is empty")
     for name in ("author", "reason"):
         if not isinstance(fields.get(name, ""), str):
             raise DocumentError(f"{name}: not a string")
@@ -250,11 +250,11 @@
 
 
 def _refuse_constant(name: str) -> float:
-    raise ValueError(f"{name} is no JSON")
+    raise ValueError(f"{name} is not valid JSON")
 
 
 def _query_count(request: Request, name: str, default: int) -> int:
-    """A query's whole number of 0 or more."""
+    """A non-negative integer from the query string."""
     text = request.query.get(name)
     if text is None:
         return default
--- a/millgw/configuration/state.py
+++ b/millgw/configuration/state.py
@@ -1,4 +1,4 @@
-"""What an instance keeps through a restart. Pure; `durable` keeps it on a disk."""
+"""The Raft state that survives a restart. No I/O; `durable` stores it on disk."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(slots=True, frozen=True)
 class State:
-    """What an instance starts from; the default is one that never ran.
+    """The state that an instance starts from; the default is that of an instance that never ran.
 
-    `committed` is a log position that is known to be committed; more may be. `incarnation` rises each time
-    the state is opened for a new run.
+    `committed` is a log position known to be committed; later positions may be committed too. `incarnation`
+    increases each time the state is opened for a new run.
     """
 
     epoch: int = 0
@@ -24,7 +24,7 @@
     entries: tuple[Entry, ...] = ()
 
     def after(self, persist: Persist) -> State:
-        """The state with what a replica asked to have made durable."""
+        """The state after a `Persist` was applied to it."""
         entries = self.entries
         if persist.entries:
             kept = persist.entries[0].position - self.snapshot.position - 1
@@ -41,7 +41,7 @@
         return made if persist.snapshot is None else made.compacted(persist.snapshot)
 
     def compacted(self, snapshot: Snapshot) -> State:
-        """The state with a snapshot in the place of what it covers."""
+        """The state with the covered entries replaced by a snapshot."""
         log = Log(self.snapshot, self.entries)
         log.compact(snapshot)
         return replace(self, snapshot=log.snapshot, entries=tuple(log.entries))
--- a/millgw/configuration/transport.py
+++ b/millgw/configuration/transport.py
@@ -1,6 +1,7 @@
-"""Messages between instances: each is posted to the other's server, whose answer brings the reply.
+"""HTTP transport for messages between instances: each is a POST request, and the response carries the reply.
 
-One kept connection to each peer and one exchange at a time. Messages may be lost: the replica sends again.
+Each peer has one persistent connection with one exchange at a time. Messages may be lost; the replica sends
+them again.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 from millgw.platform.config import Address
 
 REPLICA_PATH = "/v1/replica"
-MAX_QUEUED = 32  # messages that wait for one peer; the oldest go first
-CONNECT_TIME = 1.0  # s for a connection to come up
-EXCHANGE_TIME = 3.0  # s for a message and its answer
-RECONNECT_AFTER = 0.1  # s after a connection could not be had or was lost
+MAX_QUEUED = 32  # messages queued for one peer; the oldest are dropped first
+CONNECT_TIME = 1.0  # s; timeout for opening a connection
+EXCHANGE_TIME = 3.0  # s; timeout for a message and its response
+RECONNECT_AFTER = 0.1  # s; delay after a connection failed or was lost
 
 Receive = Callable[[str, Message], None]
-"""Takes a message and the name of its sender."""
+"""Receives the name of the sender and a message."""
 
 Filter = Callable[[str, str], bool]
-"""Whether a message from one instance may reach another one: tests part the network by it."""
+"""Whether a message from one instance may reach another; tests simulate network partitions with it."""
 
 
 def allow_all(sender: str, receiver: str) -> bool:
-    """The filter of a whole network."""
+    """The filter that lets every message pass."""
     return True
 
 
 class PeerLink:
-    """Messages from one instance to one peer, and the peer's replies."""
+    """Sends messages from one instance to one peer, and receives the peer's replies."""
 
     def __init__(
         self, name: str, peer: str, address: Address, receive: Receive, allowed: Filter = allow_all
@@ -52,7 +53,7 @@
         self._stopped = False
 
     def send(self, message: Message) -> None:
-        """Send a message when its turn comes; it is lost if the peer can't be reached."""
+        """Queue a message; it is lost if the peer can't be reached."""
         if self._stopped or not self.allowed(self.name, self.peer):
             return
         self._queue.append(message)
@@ -62,7 +63,7 @@
             self._connecting = asyncio.get_running_loop().create_task(self._connect())
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Close the connection and drop queued messages."""
         self._stopped = True
         self._queue.clear()
         if self._retry is not None:
@@ -73,27 +74,27 @@
             self._wire.abort()
 
     def take(self) -> bytes | None:
-        """The next request to write; None if nothing waits."""
+        """Remove the next message from the queue and return it as a request; None if the queue is empty."""
         while self._queue:
             message = self._queue.popleft()
             try:
                 return self._encode_request(encode(message))
             except MessageError:
-                continue  # too large to be sent
+                continue  # over MAX_MESSAGE
         return None
 
     def answered(self, status: int, body: bytes) -> None:
-        """The peer has answered a message."""
+        """Process the peer's response to a message."""
         if status != 200 or not self.allowed(self.peer, self.name):
             return
         try:
             message = decode(body)
         except MessageError:
-            return  # as if it were lost
+            return  # treated as a lost reply
         self.receive(self.peer, message)
 
     def ended(self) -> None:
-        """The connection is gone, and with it whatever waited: it will be outdated."""
+        """The connection failed or was lost. Queued messages are dropped, as they would arrive outdated."""
         self._wire = None
         self._queue.clear()
         if not self._stopped:
@@ -117,7 +118,7 @@
             self.ended()
             return
         self._connecting = None
-        if wire.transport is not None:  # else it was lost at once, and `ended` has been told
+        if wire.transport is not None:  # else it was lost at once, and `ended` was called
             self._wire = wire
             wire.next()
 
@@ -137,10 +138,10 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.timeout: asyncio.TimerHandle | None = None  # while an exchange is under way
+        self.timeout: asyncio.TimerHandle | None = None  # set while an exchange is in progress
 
     def next(self) -> None:
-        """Begin the next exchange, if none is under way."""
+        """Start the next exchange, if none is in progress."""
         if self.timeout is not None or self.transport is None or self.transport.is_closing():
             return
         request = self.link.take()
@@ -149,7 +150,7 @@
             self.timeout = asyncio.get_running_loop().call_later(EXCHANGE_TIME, self.abort)
 
     def abort(self) -> None:
-        """Give the connection up."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/millgw/configuration/watchers.py
+++ b/millgw/configuration/watchers.py
@@ -1,7 +1,7 @@
-"""The open watches of one instance: who is sent what, and who reads too slowly to be kept.
+"""The open watches of one instance: which changes each is sent, and closing of watches that read too slowly.
 
-A watch that has not taken all it was sent is sent nothing more; once it has, it gets what it missed in one
-piece. So at most one piece waits for each, and a watch that takes nothing for a while is closed.
+Nothing more is sent to a watch with unsent bytes. Once they are sent, it gets all changes it missed in one
+write, so the buffer of a watch holds at most one write. A watch that reads nothing for a while is closed.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 from millgw.configuration.history import History, encode_chunk
 
 MAX_WATCHES = 2048
-MAX_UNSENT = 64 * 1024 * 1024  # bytes that wait for all slow watches together
-STALLED_AFTER = 10.0  # s in which a watch must take what it was sent
-HEARTBEAT_INTERVAL = 2.0  # s between two empty lines
-HEARTBEAT_GROUPS = 10  # watches get theirs in turn, so that not all are due at once
+MAX_UNSENT = 64 * 1024 * 1024  # bytes; buffered for all slow watches together
+STALLED_AFTER = 10.0  # s; a watch with unsent bytes for this long is closed
+HEARTBEAT_INTERVAL = 2.0  # s between heartbeats (empty lines) of a watch
+HEARTBEAT_GROUPS = 10  # watches are divided into groups, so that not all heartbeats are due at once
 HEARTBEAT = encode_chunk(b"\n")
 
 
 class TooManyWatchesError(Exception):
-    """As many watches are open as may be."""
+    """The limit of open watches is reached."""
 
 
 class Channel(Protocol):
-    """Where a watch is written to."""
+    """The connection that a watch writes to."""
 
     def write(self, data: bytes) -> None: ...
 
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken yet."""
+        """The number of bytes that the kernel has not accepted yet."""
 
     def close(self) -> None:
-        """End it at once, whatever waits to be sent."""
+        """Abort the connection and discard unsent bytes."""
 
 
 class Watch:
-    """One open watch. `position` is the newest version it was sent, or asked for the changes after."""
+    """One open watch. `position` is the newest version it was sent, or the one it asked to start after."""
 
     __slots__ = ("channel", "group", "name", "position", "slow_since")
 
@@ -50,22 +50,22 @@
 
 
 class Watchers:
-    """All watches of one instance. `clock` gives seconds that do not go back."""
+    """All watches of one instance. `clock` is monotonic, in seconds."""
 
     def __init__(self, history: History, clock: Callable[[], float], max_watches: int = MAX_WATCHES) -> None:
         self.history = history
         self.clock = clock
         self.max_watches = max_watches
         self.groups: list[dict[Watch, None]] = [{} for _ in range(HEARTBEAT_GROUPS)]
-        self.slow: deque[Watch] = deque()  # since when they are, the longest first
+        self.slow: deque[Watch] = deque()  # the longest slow first
         self.count = 0
-        self.opened = 0  # since the start
-        self.cut = 0  # of these, closed as they read too slowly
+        self.opened = 0  # watches opened since the start
+        self.cut = 0  # of these, closed for reading too slowly
         self._turn = 0
         self._largest_piece = 0
 
     def add(self, channel: Channel, name: str, position: int) -> Watch:
-        """Take a watch in; `begin` sends its first line once its answer has begun."""
+        """Register a watch; `begin` sends its first line, after the head of the response."""
         if self.count >= self.max_watches:
             raise TooManyWatchesError(f"{self.max_watches} watches are open")
         group = self.opened % HEARTBEAT_GROUPS
@@ -76,12 +76,12 @@
         return watch
 
     def begin(self, watch: Watch) -> None:
-        """Send a new watch its first line at once: what it lacks, or a heartbeat."""
+        """Send a new watch its first line immediately: the changes it lacks, or a heartbeat."""
         if not self.bring_up(watch):
             self._write(watch, HEARTBEAT)
 
     def bring_up(self, watch: Watch) -> bool:
-        """Send a watch what it lacks; False if that is nothing."""
+        """Send a watch the changes it lacks; False if there are none."""
         lacks = self.history.after(watch.position)
         if not lacks:
             return False
@@ -90,7 +90,7 @@
         return True
 
     def close(self, watch: Watch) -> None:
-        """The watch's connection has ended. A second call does nothing."""
+        """Remove a watch whose connection was closed. A second call does nothing."""
         if self.groups[watch.group].pop(watch, self) is None:
             self.count -= 1
             if watch.slow_since is not None:
@@ -98,21 +98,21 @@
                 self.slow.remove(watch)
 
     def publish(self) -> None:
-        """Newer versions are committed: send them to all that can take them."""
+        """Send newly committed versions to all watches without unsent bytes."""
         for group in self.groups:
             for watch in list(group):
                 if watch.slow_since is None:
                     self.bring_up(watch)
 
     def drained(self, watch: Watch) -> None:
-        """A slow watch has taken all it was sent."""
+        """A slow watch has no more unsent bytes."""
         if watch.slow_since is not None:
             watch.slow_since = None
             self.slow.remove(watch)
             self.bring_up(watch)
 
     def beat(self) -> None:
-        """Send the next group its heartbeat; called HEARTBEAT_GROUPS times in HEARTBEAT_INTERVAL."""
+        """Send the next group its heartbeat; called HEARTBEAT_GROUPS times per HEARTBEAT_INTERVAL."""
         self._cut_stalled()
         group = self.groups[self._turn]
         self._turn = (self._turn + 1) % HEARTBEAT_GROUPS
@@ -121,7 +121,7 @@
                 self._write(watch, HEARTBEAT)
 
     def close_all(self) -> None:
-        """End all watches, as the instance stops."""
+        """Close all watches when the instance stops."""
         for group in self.groups:
             for watch in list(group):
                 self.close(watch)
