--- a/millgw/configuration/durable.py
+++ b/millgw/configuration/durable.py
@@ -46,12 +46,12 @@
 from millgw.store.files import Files, RealFiles
 from millgw.store.store import Item, Options, Store, StoreError
 
-FOREVER = 100 * 365 * 24 * 3_600_000.0  # ms; the store must never stop reporting records it has lost
-STORE = Options(window=FOREVER)
-PIECE = 512 * 1024  # bytes; largest body stored in one record
-MAX_JOURNAL = 4096  # records in a half before a new checkpoint is written
-KEY = struct.Struct(">BI")  # half, slot
-HEAD = struct.Struct(">QBII")  # generation, checkpoint flag, piece number, number of pieces
+NEVER_FORGET = 100 * 365 * 24 * 3_600_000.0  # ms; the store must never stop reporting records it has lost
+STORE_OPTIONS = Options(window=NEVER_FORGET)
+PIECE_SIZE = 512 * 1024  # bytes; largest body stored in one record
+MAX_JOURNAL_RECORDS = 4096  # records in a half before a new checkpoint is written
+PIECE_KEY = struct.Struct(">BI")  # half, slot
+PIECE_HEADER = struct.Struct(">QBII")  # generation, checkpoint flag, piece number, number of pieces
 
 
 class DurableStateError(OSError):
@@ -66,7 +66,7 @@
     """Acknowledged data is missing or unreadable."""
 
 
-class StateOfAnother(DurableStateError):
+class StateOfAnotherInstance(DurableStateError):
     """The state belongs to another instance."""
 
 
@@ -81,12 +81,12 @@
     body: bytes
 
     def encode(self) -> bytes:
-        return HEAD.pack(self.generation, self.checkpoint, self.number, self.count) + self.body
+        return PIECE_HEADER.pack(self.generation, self.checkpoint, self.number, self.count) + self.body
 
 
 def _decode_piece(value: bytes) -> Piece:
-    generation, checkpoint, number, count = HEAD.unpack_from(value)
-    return Piece(generation, bool(checkpoint), number, count, value[HEAD.size :])
+    generation, checkpoint, number, count = PIECE_HEADER.unpack_from(value)
+    return Piece(generation, bool(checkpoint), number, count, value[PIECE_HEADER.size :])
 
 
 class DurableState:
@@ -106,7 +106,7 @@
         """
         self._instance = instance
         try:
-            self._store = Store(mirrors, STORE, wall, monotonic)
+            self._store = Store(mirrors, STORE_OPTIONS, wall, monotonic)
         except StoreError as error:
             raise StateIncomplete(f"the state can't be read: {error}") from error
         except OSError as error:
@@ -143,7 +143,7 @@
     def persist(self, persist: Persist) -> None:
         """Write to disk. After a DurableStateError the instance must stop: the content on disk is unknown."""
         state = self._state.after(persist)
-        if persist.snapshot is not None or self._slot >= MAX_JOURNAL:
+        if persist.snapshot is not None or self._slot >= MAX_JOURNAL_RECORDS:
             self._checkpoint(state)
         else:
             self._write(False, canonical(_persist_fields(persist)))
@@ -164,10 +164,10 @@
         self._state = state
 
     def _write(self, checkpoint: bool, data: bytes) -> None:
-        bodies = [data[start : start + PIECE] for start in range(0, len(data), PIECE)]
+        bodies = [data[start : start + PIECE_SIZE] for start in range(0, len(data), PIECE_SIZE)]
         for number, body in enumerate(bodies):
             piece = Piece(self._generation, checkpoint, number, len(bodies), body)
-            self._append(Item(KEY.pack(self._half, self._slot), piece.encode()))
+            self._append(Item(PIECE_KEY.pack(self._half, self._slot), piece.encode()))
             self._slot += 1
 
     def _append(self, item: Item) -> None:
@@ -198,16 +198,16 @@
     def _load(self) -> tuple[State, int] | None:
         """The newest complete state and the half it is stored in."""
         halves = [self._pieces(half) for half in (0, 1)]
-        whole = [half for half in (0, 1) if _is_whole(halves[half])]
-        if not whole:
+        complete = [half for half in (0, 1) if _is_complete(halves[half])]
+        if not complete:
             return None
-        half = max(whole, key=lambda number: halves[number][0].generation)
+        half = max(complete, key=lambda number: halves[number][0].generation)
         return self._replay(halves[half]), half
 
     def _pieces(self, half: int) -> list[Piece]:
         """The pieces of one generation in a half, from slot 0 up to the first gap."""
         pieces: list[Piece] = []
-        while (entry := self._store.get(KEY.pack(half, len(pieces)))) is not None:
+        while (entry := self._store.get(PIECE_KEY.pack(half, len(pieces)))) is not None:
             piece = _decode_piece(entry.value)
             if pieces and piece.generation != pieces[0].generation:
                 break
@@ -215,17 +215,17 @@
         return pieces
 
     def _replay(self, pieces: list[Piece]) -> State:
-        bodies = _joined(pieces)
+        bodies = _join_pieces(pieces)
         try:
-            state = _read_state(self._instance, _object(bodies[0]))
+            state = _read_state(self._instance, _decode_object(bodies[0]))
             for body in bodies[1:]:
-                state = state.after(_read_persist(_object(body)))
+                state = state.after(_read_persist(_decode_object(body)))
         except (DocumentError, LogError, ValueError) as error:
             raise StateIncomplete(f"the state of {self._instance} can't be read: {error}") from error
         return state
 
 
-def _is_whole(pieces: list[Piece]) -> bool:
+def _is_complete(pieces: list[Piece]) -> bool:
     """Whether a half begins with a complete checkpoint."""
     if not pieces or len(pieces) < pieces[0].count:
         return False
@@ -234,7 +234,7 @@
     )
 
 
-def _joined(pieces: list[Piece]) -> list[bytes]:
+def _join_pieces(pieces: list[Piece]) -> list[bytes]:
     """The bodies of a checkpoint and its journal entries; an entry that lacks its last pieces is omitted."""
     bodies: list[bytes] = []
     start = 0
@@ -248,7 +248,7 @@
 # JSON
 
 
-def _object(body: bytes) -> Mapping[str, Any]:
+def _decode_object(body: bytes) -> Mapping[str, Any]:
     return read_object(json.loads(body), "record")
 
 
@@ -266,7 +266,7 @@
 
 def _read_state(instance: str, fields: Mapping[str, Any]) -> State:
     if fields.get("instance") != instance:
-        raise StateOfAnother(f"the state is of {fields.get('instance')}, not of {instance}")
+        raise StateOfAnotherInstance(f"the state is of {fields.get('instance')}, not of {instance}")
     entries = read_list(fields, "entries")
     return State(
         decode_count(fields, "epoch"),
--- a/millgw/configuration/instance.py
+++ b/millgw/configuration/instance.py
@@ -35,11 +35,11 @@
 from millgw.configuration.server import Response, Server, error_response, json_response
 from millgw.configuration.service import ControlService, Proposal, Reply, Standing
 from millgw.configuration.state import State
-from millgw.configuration.transport import Filter, PeerLink, allow_all
+from millgw.configuration.transport import LinkFilter, PeerLink, allow_all
 from millgw.log.events import log_event
 from millgw.platform.config import Address
 
-PROPOSAL_TIME = 10.0  # s; after this the outcome of a proposal is reported as unknown
+PROPOSAL_TIMEOUT = 10.0  # s; after this the outcome of a proposal is reported as unknown
 
 
 class StateKeeper(Protocol):
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pending:
+class PendingProposal:
     """A proposal that waits for its outcome."""
 
     reply: Reply
@@ -69,15 +69,15 @@
         self,
         options: Options,
         voters: Mapping[str, Address],
-        durable: StateKeeper,
+        storage: StateKeeper,
         seed: int,
-        allowed: Filter = allow_all,
+        allowed: LinkFilter = allow_all,
     ) -> None:
         self.options = options
         self.voters = dict(voters)
-        self.durable = durable
+        self.storage = storage
         self.allowed = allowed
-        self.replica = Replica(options, durable.load(), seed, now_ms())
+        self.replica = Replica(options, storage.load(), seed, now_ms())
         self.service = ControlService(options.name, self)
         self.service.history.replace(self.replica.document)
         self.server = Server(self.service, time.monotonic)
@@ -86,8 +86,8 @@
             peer: PeerLink(options.name, peer, self.voters[peer], self._receive, allowed)
             for peer in options.peers
         }
-        self._pending: dict[int, Pending] = {}
-        self._deadline: asyncio.TimerHandle | None = None
+        self._pending: dict[int, PendingProposal] = {}
+        self._tick_timer: asyncio.TimerHandle | None = None
         self._stopped = False
 
     async def start(self) -> None:
@@ -101,15 +101,15 @@
         if self._stopped:
             return
         self._stopped = True
-        if self._deadline is not None:
-            self._deadline.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         for pending in self._pending.values():
             pending.timer.cancel()
         for link in self.links.values():
             link.stop()
         self.service.stop()
         self.server.stop()
-        self.durable.close()
+        self.storage.close()
 
     # The service's Backend protocol
 
@@ -126,14 +126,14 @@
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
         """Propose a version; `reply` is called once, with its outcome."""
-        self._advance(lambda: self._propose(proposal, reply))
+        self._run_step(lambda: self._propose(proposal, reply))
 
     def _propose(self, proposal: Proposal, reply: Reply) -> Sequence[Action]:
         proposed = self.replica.propose(
             now_ms(), proposal.changes, proposal.author, proposal.reason, proposal.if_index, proposal.at
         )
-        timer = asyncio.get_running_loop().call_later(PROPOSAL_TIME, self._expire, proposed.proposal)
-        self._pending[proposed.proposal] = Pending(reply, timer)
+        timer = asyncio.get_running_loop().call_later(PROPOSAL_TIMEOUT, self._expire, proposed.proposal)
+        self._pending[proposed.proposal] = PendingProposal(reply, timer)
         return proposed.actions
 
     def receive(self, sender: str, body: bytes) -> Response:
@@ -146,7 +146,7 @@
             message = decode(body)
         except MessageError as error:
             return error_response(400, str(error))
-        replies = self._advance(lambda: self.replica.receive(now_ms(), sender, message), answering=sender)
+        replies = self._run_step(lambda: self.replica.receive(now_ms(), sender, message), reply_to=sender)
         if not replies or not self.allowed(self.options.name, sender):
             return Response(204)
         for reply in replies[1:]:
@@ -156,37 +156,37 @@
     # The replica
 
     def _receive(self, sender: str, message: Message) -> None:
-        self._advance(lambda: self.replica.receive(now_ms(), sender, message))
+        self._run_step(lambda: self.replica.receive(now_ms(), sender, message))
 
     def _tick(self) -> None:
-        self._advance(lambda: self.replica.tick(now_ms()))
+        self._run_step(lambda: self.replica.tick(now_ms()))
 
-    def _advance(self, step: Callable[[], Sequence[Action]], answering: str = "") -> list[Message]:
+    def _run_step(self, step: Callable[[], Sequence[Action]], reply_to: str = "") -> list[Message]:
         """Run one input and execute its actions; messages to `answering` are returned for the response."""
         if self._stopped:
             return []
         try:
-            return self._carry_out(step(), answering)
+            return self._execute(step(), reply_to)
         except Exception as error:  # any error: actions that the replica assumes were executed were not
             self._fail(error)
             return []
 
     def _schedule(self) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         if not self._stopped:
             after = max(0.0, self.replica.next_deadline() - now_ms()) / 1000
-            self._deadline = asyncio.get_running_loop().call_later(after, self._tick)
+            self._tick_timer = asyncio.get_running_loop().call_later(after, self._tick)
 
-    def _carry_out(self, actions: Sequence[Action], answering: str) -> list[Message]:
-        answers: list[Message] = []
+    def _execute(self, actions: Sequence[Action], reply_to: str) -> list[Message]:
+        replies: list[Message] = []
         before = self.service.history.index
         for action in actions:
             match action:
                 case Persist():
-                    self.durable.persist(action)
-                case Send(to, message) if to == answering:
-                    answers.append(message)
+                    self.storage.persist(action)
+                case Send(to, message) if to == reply_to:
+                    replies.append(message)
                 case Send(to, message):
                     self.links[to].send(message)
                 case Committed(version):
@@ -194,7 +194,7 @@
                 case Installed(document):
                     self.service.history.replace(document)
                 case Decided(proposal, outcome):
-                    self._decided(proposal, outcome)
+                    self._on_decided(proposal, outcome)
                 case RoleChanged(role, epoch, leader):
                     log_event("replica-role", role=role.value, epoch=epoch, leader=leader)
                 case PeerRefused(peer, cause):
@@ -202,7 +202,7 @@
         if self.service.history.index != before:
             self.service.watchers.publish()
         self._schedule()
-        return answers
+        return replies
 
     def _fail(self, error: Exception) -> None:
         """Stop the instance: continuing could violate what it has acknowledged to its peers."""
@@ -213,14 +213,14 @@
 
     # Proposals
 
-    def _decided(self, proposal: int, outcome: Outcome) -> None:
+    def _on_decided(self, proposal: int, outcome: Outcome) -> None:
         pending = self._pending.pop(proposal, None)
         if pending is not None:
             pending.timer.cancel()
             pending.reply(self._response(outcome))
 
     def _expire(self, proposal: int) -> None:
-        self._decided(proposal, Unknown())
+        self._on_decided(proposal, Unknown())
 
     def _response(self, outcome: Outcome) -> Response:
         match outcome:
--- a/millgw/configuration/leadership.py
+++ b/millgw/configuration/leadership.py
@@ -12,20 +12,20 @@
     """One follower: `next` is the next position to send, `match` the last one known to be on its disk."""
 
     next: int
-    contact: float  # leader's clock (ms) when it sent the newest request that was answered
+    contact_at: float  # leader's clock (ms) when it sent the newest request that was answered
     match: int = 0
-    snapshot_sent: float | None = None  # leader's clock (ms); None if no snapshot is in flight
+    snapshot_sent_at: float | None = None  # leader's clock (ms); None if no snapshot is in flight
 
     def acknowledge(self, position: int) -> None:
         """The follower's log agrees with the leader's up to a position."""
         self.match = max(self.match, position)
         self.next = max(self.next, self.match + 1)
-        self.snapshot_sent = None
+        self.snapshot_sent_at = None
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Discard the follower's acknowledgements and contact time."""
         self.match = 0
-        self.contact = float("-inf")
+        self.contact_at = float("-inf")
 
     def reject(self, position: int) -> bool:
         """The follower requests the entries after a position; False if the request is outdated."""
@@ -40,24 +40,26 @@
 
     def __init__(self, followers: Iterable[str], majority: int, next_position: int, now: float) -> None:
         self.majority = majority
-        self.since = now
+        self.started_at = now
         self.followers = {name: Progress(next_position, float("-inf")) for name in followers}
         self.proposals: dict[int, int] = {}  # numbers of uncommitted proposals, by log position
         self.heartbeat_at = now
 
     def copy(self) -> Leadership:
         """An independent copy."""
-        made = copy(self)
-        made.followers = {name: replace(progress) for name, progress in self.followers.items()}
-        made.proposals = self.proposals.copy()
-        return made
+        duplicate = copy(self)
+        duplicate.followers = {name: replace(progress) for name, progress in self.followers.items()}
+        duplicate.proposals = self.proposals.copy()
+        return duplicate
 
-    def contact(self, now: float) -> float:
+    def majority_contact_at(self, now: float) -> float:
         """The latest time at which a majority, including the leader, is known to have been in contact."""
-        times = sorted([now, *(progress.contact for progress in self.followers.values())], reverse=True)
+        times = sorted([now, *(progress.contact_at for progress in self.followers.values())], reverse=True)
         return times[self.majority - 1]
 
-    def replicated(self, own: int) -> int:
+    def majority_position(self, leader_position: int) -> int:
         """The last position on the disks of a majority, given that the leader has all entries up to `own`."""
-        matches = sorted([own, *(progress.match for progress in self.followers.values())], reverse=True)
+        matches = sorted(
+            [leader_position, *(progress.match for progress in self.followers.values())], reverse=True
+        )
         return matches[self.majority - 1]
--- a/millgw/configuration/log.py
+++ b/millgw/configuration/log.py
@@ -35,13 +35,13 @@
     document: Document
 
 
-EMPTY = Snapshot(0, 0, Document())
+EMPTY_SNAPSHOT = Snapshot(0, 0, Document())
 
 
 class Log:
     """Entries with positions from `snapshot.position + 1` on, without gaps."""
 
-    def __init__(self, snapshot: Snapshot = EMPTY, entries: Iterable[Entry] = ()) -> None:
+    def __init__(self, snapshot: Snapshot = EMPTY_SNAPSHOT, entries: Iterable[Entry] = ()) -> None:
         self.snapshot = snapshot
         self.entries: list[Entry] = []
         for entry in entries:
@@ -69,16 +69,16 @@
             return self.snapshot.epoch
         if not self.snapshot.position < position <= self.last_position:
             return None
-        return self.at(position).epoch
+        return self.entry_at(position).epoch
 
-    def at(self, position: int) -> Entry:
+    def entry_at(self, position: int) -> Entry:
         """The entry at a position, which must be in the log."""
         return self.entries[position - self.snapshot.position - 1]
 
-    def slice(self, first: int, most: int) -> Sequence[Entry]:
+    def slice(self, first: int, max_entries: int) -> Sequence[Entry]:
         """Up to `most` entries from position `first` on."""
         start = first - self.snapshot.position - 1
-        return self.entries[start : start + most]
+        return self.entries[start : start + max_entries]
 
     def append(self, entry: Entry) -> None:
         """Add an entry at the end."""
@@ -97,9 +97,9 @@
 
     def compact(self, snapshot: Snapshot) -> None:
         """Drop the entries up to a snapshot, and those after it if the log lacks the snapshot's last one."""
-        behind = snapshot.position - self.snapshot.position
-        if self.epoch_at(snapshot.position) == snapshot.epoch and behind >= 0:
-            self.entries = self.entries[behind:]
+        covered = snapshot.position - self.snapshot.position
+        if self.epoch_at(snapshot.position) == snapshot.epoch and covered >= 0:
+            self.entries = self.entries[covered:]
         else:
             self.entries = []
         self.snapshot = snapshot
--- a/millgw/configuration/messages.py
+++ b/millgw/configuration/messages.py
@@ -55,10 +55,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PreVoteReply:
-    """`asked` is the epoch of the request's header."""
+    """`request_epoch`: the epoch in the header of the request."""
 
     header: Header
-    asked: int
+    request_epoch: int
     granted: bool
 
 
@@ -150,7 +150,7 @@
         case PreVoteRequest() | VoteRequest():
             return {"last_epoch": message.last_epoch}
         case PreVoteReply():
-            return {"asked": message.asked, "granted": message.granted}
+            return {"asked": message.request_epoch, "granted": message.granted}
         case VoteReply():
             return {"granted": message.granted}
         case AppendRequest():
@@ -183,9 +183,9 @@
     if not isinstance(fields, dict):
         raise MessageError("message: not an object")
     kind = fields.get("kind")
-    reader = READERS.get(kind) if isinstance(kind, str) else None
+    reader = DECODERS.get(kind) if isinstance(kind, str) else None
     if reader is None:
-        raise MessageError("kind: not one of " + ", ".join(READERS))
+        raise MessageError("kind: not one of " + ", ".join(DECODERS))
     try:
         return reader(_read_header(fields), fields)
     except DocumentError as error:
@@ -217,7 +217,7 @@
     )
 
 
-READERS: dict[str, Callable[[Header, Fields], Message]] = {
+DECODERS: dict[str, Callable[[Header, Fields], Message]] = {
     "pre-vote": lambda header, fields: PreVoteRequest(header, decode_count(fields, "last_epoch")),
     "pre-vote-reply": lambda header, fields: PreVoteReply(
         header, decode_count(fields, "asked"), read_flag(fields, "granted")
--- a/millgw/configuration/replica.py
+++ b/millgw/configuration/replica.py
@@ -68,7 +68,7 @@
 from millgw.configuration.rollback import RollbackDetector
 from millgw.configuration.state import State
 
-KEEP_SLACK = 4  # the log is compacted once it exceeds `keep` by one part in KEEP_SLACK
+COMPACTION_SLACK_DIVISOR = 4  # the log is compacted once it exceeds `keep` by a quarter
 
 
 class ConsensusError(RuntimeError):
@@ -128,15 +128,15 @@
         self._leadership: Leadership | None = None
         self._pre_votes: set[str] | None = None  # granted in the current pre-vote; None if there is none
         self._votes: set[str] = set()
-        self._proposals = 0
+        self._last_proposal = 0
         self._now = now
-        self._heard = now  # this instance may have heard from a leader just before it started
+        self._leader_heard_at = now  # this instance may have heard from a leader just before it started
         self._election_at = self._next_election()
         self._actions: list[Action] = []
-        self._unsaved = False
-        self._unsaved_entries: tuple[Entry, ...] = ()
-        self._unsaved_snapshot: Snapshot | None = None
-        self._told = self._standing()
+        self._persist_due = False
+        self._unpersisted_entries: tuple[Entry, ...] = ()
+        self._unpersisted_snapshot: Snapshot | None = None
+        self._reported_role = self._current_role()
 
     # Inputs
 
@@ -157,7 +157,7 @@
             if cause is None:
                 self._dispatch(sender, message)
             else:
-                self._on_refused(sender, message, cause)
+                self._on_rolled_back_peer(sender, message, cause)
         return self._finish()
 
     def propose(
@@ -175,25 +175,25 @@
         leader's log, committed or not.
         """
         self._begin(now)
-        self._proposals += 1
-        refusal = self._refusal(changes, author, reason, if_index, at)
-        if refusal is not None:
-            self._emit(Decided(self._proposals, refusal))
+        self._last_proposal += 1
+        rejection = self._rejection(changes, author, reason, if_index, at)
+        if rejection is not None:
+            self._emit(Decided(self._last_proposal, rejection))
         else:
-            self._accept(tuple(changes), author, reason, at)
-        return Proposed(self._proposals, self._finish())
+            self._append_proposal(tuple(changes), author, reason, at)
+        return Proposed(self._last_proposal, self._finish())
 
     def next_deadline(self) -> float:
         """The latest time for the next `tick`."""
         if self._leadership is None:
             return self._election_at
-        return min(self._leadership.heartbeat_at, self._deposed_at(self._leadership))
+        return min(self._leadership.heartbeat_at, self._step_down_at(self._leadership))
 
     def has_quorum(self, now: float) -> bool:
         """Whether the lease is valid (leader), or a leader was heard from recently (others)."""
         if self._leadership is not None:
-            return now < self._leadership.contact(now) + self.options.lease
-        return self.leader is not None and now < self._heard + self.options.election[1]
+            return now < self._leadership.majority_contact_at(now) + self.options.lease
+        return self.leader is not None and now < self._leader_heard_at + self.options.election[1]
 
     # Actions
 
@@ -203,24 +203,24 @@
 
     def _emit(self, action: Action) -> None:
         """Add an action, after a `Persist` of all unsaved state that it may depend on."""
-        self._save()
+        self._emit_persist()
         self._actions.append(action)
 
-    def _save(self) -> None:
-        if not self._unsaved:
+    def _emit_persist(self) -> None:
+        if not self._persist_due:
             return
-        entries, snapshot = self._unsaved_entries, self._unsaved_snapshot
-        self._unsaved, self._unsaved_entries, self._unsaved_snapshot = False, (), None
+        entries, snapshot = self._unpersisted_entries, self._unpersisted_snapshot
+        self._persist_due, self._unpersisted_entries, self._unpersisted_snapshot = False, (), None
         self._actions.append(Persist(self.epoch, self.voted_for, self.committed, entries, snapshot))
 
     def _finish(self) -> list[Action]:
-        self._save()
-        if self._told != self._standing():
-            self._told = self._standing()
-            self._actions.append(self._told)
+        self._emit_persist()
+        if self._reported_role != self._current_role():
+            self._reported_role = self._current_role()
+            self._actions.append(self._reported_role)
         return self._actions
 
-    def _standing(self) -> RoleChanged:
+    def _current_role(self) -> RoleChanged:
         return RoleChanged(self.role, self.epoch, self.leader)
 
     def _send(self, to: str, message: Message) -> None:
@@ -252,7 +252,7 @@
 
     # Epochs and roles
 
-    def _adopt(self, epoch: int) -> None:
+    def _enter_epoch(self, epoch: int) -> None:
         """Enter a higher epoch as a follower, with no known leader and no vote."""
         self._stop_leading()
         self.role, self.leader = Role.FOLLOWER, None
@@ -263,12 +263,12 @@
 
     def _set_vote(self, candidate: str) -> None:
         self.voted_for = candidate
-        self._unsaved = True
+        self._persist_due = True
 
-    def _follow(self, leader: str, epoch: int) -> None:
+    def _follow_leader(self, leader: str, epoch: int) -> None:
         """Follow a leader that was heard from in this or a higher epoch."""
         if epoch > self.epoch:
-            self._adopt(epoch)
+            self._enter_epoch(epoch)
         if self.role is Role.LEADER:
             raise ConsensusError(f"{leader} and {self.options.name} both lead epoch {epoch}")
         if self.leader not in (None, leader):
@@ -277,7 +277,7 @@
         if not self.voted_for:
             self._set_vote(leader)  # the epoch has a leader, so no other candidate may get this vote
         self._pre_votes = None
-        self._heard = self._now
+        self._leader_heard_at = self._now
         self._election_at = self._next_election()
 
     def _stop_leading(self) -> None:
@@ -296,7 +296,7 @@
         """Whether a leader may hold a valid lease, so that votes must be refused."""
         if self._leadership is not None:
             return self.has_quorum(self._now)
-        return self._now < self._heard + self.options.election[0]
+        return self._now < self._leader_heard_at + self.options.election[0]
 
     # Elections
 
@@ -318,8 +318,8 @@
 
     def _on_pre_vote_reply(self, sender: str, reply: PreVoteReply) -> None:
         if reply.header.epoch > self.epoch:
-            self._adopt(reply.header.epoch)
-        elif reply.granted and reply.asked == self.epoch and self._pre_votes is not None:
+            self._enter_epoch(reply.header.epoch)
+        elif reply.granted and reply.request_epoch == self.epoch and self._pre_votes is not None:
             self._pre_votes.add(sender)
             self._count_pre_votes(self._pre_votes)
 
@@ -328,7 +328,7 @@
             self._start_election()
 
     def _start_election(self) -> None:
-        self._adopt(self.epoch + 1)
+        self._enter_epoch(self.epoch + 1)
         self.role = Role.CANDIDATE
         self._set_vote(self.options.name)
         self._votes = {self.options.name}
@@ -341,7 +341,7 @@
             self._send(sender, VoteReply(self._header(), False))
             return
         if request.header.epoch > self.epoch:
-            self._adopt(request.header.epoch)
+            self._enter_epoch(request.header.epoch)
         granted = self._may_vote_for(sender, request)
         if granted and self.voted_for != sender:
             self._set_vote(sender)
@@ -362,7 +362,7 @@
 
     def _on_vote_reply(self, sender: str, reply: VoteReply) -> None:
         if reply.header.epoch > self.epoch:
-            self._adopt(reply.header.epoch)
+            self._enter_epoch(reply.header.epoch)
         elif reply.granted and reply.header.epoch == self.epoch and self._is_candidate():
             self._votes.add(sender)
             self._count_votes()
@@ -379,28 +379,28 @@
         self._leadership = Leadership(
             self.options.peers, self.options.majority, self.log.last_position + 1, self._now
         )
-        self._append_own(None)
+        self._append_as_leader(None)
 
     # Leading
 
     def _tick_leader(self, leadership: Leadership) -> None:
-        if self._now >= self._deposed_at(leadership):
+        if self._now >= self._step_down_at(leadership):
             self._stop_leading()
             self._election_at = self._next_election()
         elif self._now >= leadership.heartbeat_at:
             self._send_appends(leadership)
 
-    def _deposed_at(self, leadership: Leadership) -> float:
+    def _step_down_at(self, leadership: Leadership) -> float:
         """When a leader steps down because no majority has answered."""
-        contact = max(leadership.since, leadership.contact(self._now))
+        contact = max(leadership.started_at, leadership.majority_contact_at(self._now))
         return contact + self.options.election[1]
 
-    def _append_own(self, version: Version | None) -> None:
+    def _append_as_leader(self, version: Version | None) -> None:
         """Append an entry to the log as the leader, and replicate it."""
         assert self._leadership is not None
         entry = Entry(self.log.last_position + 1, self.epoch, version)
         self.log.append(entry)
-        self._unsaved, self._unsaved_entries = True, (*self._unsaved_entries, entry)
+        self._persist_due, self._unpersisted_entries = True, (*self._unpersisted_entries, entry)
         self._send_appends(self._leadership)
         self._advance_commit(self._leadership)
 
@@ -418,7 +418,7 @@
         previous = progress.next - 1
         previous_epoch = self.log.epoch_at(previous)
         assert previous_epoch is not None
-        entries = () if progress.snapshot_sent is not None else self._batch(progress.next)
+        entries = () if progress.snapshot_sent_at is not None else self._batch(progress.next)
         progress.next += len(entries)
         self._send(
             peer,
@@ -438,59 +438,59 @@
 
     def _send_snapshot(self, peer: str, progress: Progress) -> None:
         snapshot = self.log.snapshot
-        progress.snapshot_sent = self._now
+        progress.snapshot_sent_at = self._now
         progress.next = snapshot.position + 1
         self._send(peer, SnapshotRequest(self._header(), self._now, snapshot))
 
-    def _progress_of(self, sender: str, header: Header, sent: float) -> Progress | None:
+    def _update_progress(self, sender: str, header: Header, sent: float) -> Progress | None:
         """The progress of the follower that replied; None if outdated, or if this is not the leader."""
         if header.epoch > self.epoch:
-            self._adopt(header.epoch)
+            self._enter_epoch(header.epoch)
         if self._leadership is None or header.epoch < self.epoch:
             return None
         progress = self._leadership.followers[sender]
-        progress.contact = max(progress.contact, min(sent, self._now))
+        progress.contact_at = max(progress.contact_at, min(sent, self._now))
         return progress
 
     def _on_append_reply(self, sender: str, reply: AppendReply) -> None:
-        progress = self._progress_of(sender, reply.header, reply.sent)
+        progress = self._update_progress(sender, reply.header, reply.sent)
         if progress is None:
             return
         if reply.success:
-            self._acknowledged(sender, progress, reply.position)
+            self._on_acknowledgement(sender, progress, reply.position)
         elif not self._awaits_snapshot(progress) and progress.reject(reply.position):
             self._send_append(sender, progress)
 
     def _awaits_snapshot(self, progress: Progress) -> bool:
         """Whether a snapshot was sent recently; until it arrives the follower rejects all other requests."""
-        if progress.snapshot_sent is None:
+        if progress.snapshot_sent_at is None:
             return False
-        return self._now < progress.snapshot_sent + self.options.election[1]
+        return self._now < progress.snapshot_sent_at + self.options.election[1]
 
-    def _on_refused(self, sender: str, message: Message, cause: str) -> None:
+    def _on_rolled_back_peer(self, sender: str, message: Message, cause: str) -> None:
         """Bring a peer that lost state up to date, without counting its acknowledgements."""
         if cause:
             self._emit(PeerRefused(sender, cause))
         if self._leadership is None or message.header.epoch != self.epoch:
             return
         progress = self._leadership.followers[sender]
-        progress.forget()
+        progress.reset()
         match message:
             case AppendReply(success=False):
                 if not self._awaits_snapshot(progress):
                     progress.reject(message.position)
                     self._send_append(sender, progress)
             case AppendReply() | SnapshotReply():
-                progress.snapshot_sent = None
+                progress.snapshot_sent_at = None
                 if progress.next <= self.log.last_position:
                     self._send_append(sender, progress)
 
     def _on_snapshot_reply(self, sender: str, reply: SnapshotReply) -> None:
-        progress = self._progress_of(sender, reply.header, reply.sent)
+        progress = self._update_progress(sender, reply.header, reply.sent)
         if progress is not None:
-            self._acknowledged(sender, progress, reply.position)
+            self._on_acknowledgement(sender, progress, reply.position)
 
-    def _acknowledged(self, sender: str, progress: Progress, position: int) -> None:
+    def _on_acknowledgement(self, sender: str, progress: Progress, position: int) -> None:
         assert self._leadership is not None
         progress.acknowledge(position)
         self._advance_commit(self._leadership)
@@ -498,7 +498,7 @@
             self._send_append(sender, progress)
 
     def _advance_commit(self, leadership: Leadership) -> None:
-        position = leadership.replicated(self.log.last_position)
+        position = leadership.majority_position(self.log.last_position)
         if position > self.committed and self._may_commit(position):
             self._commit_to(position)
             self._send_appends(leadership)  # followers learn the commit before the next heartbeat
@@ -509,7 +509,7 @@
 
     # Proposals
 
-    def _refusal(
+    def _rejection(
         self, changes: Sequence[Change], author: str, reason: str, if_index: int | None, at: float
     ) -> Outcome | None:
         leadership = self._leadership
@@ -523,17 +523,19 @@
             return Busy()
         try:
             size = check_proposal(changes, author, reason, at)
-            under_way = sum(encoded_size(self.log.at(position)) for position in leadership.proposals)
-            check_document(self.document, under_way + size)
+            uncommitted_size = sum(
+                encoded_size(self.log.entry_at(position)) for position in leadership.proposals
+            )
+            check_document(self.document, uncommitted_size + size)
         except ProposalError as error:
             return Invalid(str(error))
         return None
 
-    def _accept(self, changes: tuple[Change, ...], author: str, reason: str, at: float) -> None:
+    def _append_proposal(self, changes: tuple[Change, ...], author: str, reason: str, at: float) -> None:
         assert self._leadership is not None
         version = Version(self.log.last_index + 1, self.epoch, changes, author, reason, at)
-        self._leadership.proposals[self.log.last_position + 1] = self._proposals
-        self._append_own(version)
+        self._leadership.proposals[self.log.last_position + 1] = self._last_proposal
+        self._append_as_leader(version)
 
     # Following
 
@@ -541,31 +543,31 @@
         if request.header.epoch < self.epoch:
             self._send(sender, AppendReply(self._header(), False, 0, request.sent))
             return
-        self._follow(sender, request.header.epoch)
+        self._follow_leader(sender, request.header.epoch)
         if not self._log_matches(request.previous_position, request.previous_epoch):
-            hint = self._agreeing_position(request.previous_position)
+            hint = self._last_possible_match(request.previous_position)
             self._send(sender, AppendReply(self._header(), False, hint, request.sent))
             return
-        self._take_entries(request.entries)
+        self._append_missing(request.entries)
         position = request.previous_position + len(request.entries)
         self._send(sender, AppendReply(self._header(), True, position, request.sent))
         self._commit_to(min(request.committed, position))
 
     def _log_matches(self, position: int, epoch: int) -> bool:
-        """Whether this log matches the leader's up to a position. Compacted entries do: they are committed."""
+        """Whether this log matches the leader's up to a position. Compacted ones are committed, so they do."""
         return position < self.log.snapshot.position or self.log.epoch_at(position) == epoch
 
-    def _agreeing_position(self, rejected: int) -> int:
+    def _last_possible_match(self, mismatch: int) -> int:
         """The last position where the logs may agree, after a mismatch at `rejected`."""
-        if rejected > self.log.last_position:
+        if mismatch > self.log.last_position:
             return self.log.last_position
-        epoch = self.log.epoch_at(rejected)
-        position = rejected - 1
+        epoch = self.log.epoch_at(mismatch)
+        position = mismatch - 1
         while position > self.committed and self.log.epoch_at(position) == epoch:
             position -= 1
         return position
 
-    def _take_entries(self, entries: Sequence[Entry]) -> None:
+    def _append_missing(self, entries: Sequence[Entry]) -> None:
         """Append the missing entries. Requests may arrive late, so only a conflict truncates the log."""
         for number, entry in enumerate(entries):
             if entry.position <= self.log.snapshot.position:
@@ -578,13 +580,13 @@
         if entries[0].position <= self.committed:
             raise ConsensusError(f"entry {entries[0].position} is committed and can't be replaced")
         self.log.replace_from(entries)
-        self._unsaved, self._unsaved_entries = True, entries
+        self._persist_due, self._unpersisted_entries = True, entries
 
     def _on_snapshot_request(self, sender: str, request: SnapshotRequest) -> None:
         if request.header.epoch < self.epoch:
             self._send(sender, AppendReply(self._header(), False, 0, request.sent))
             return
-        self._follow(sender, request.header.epoch)
+        self._follow_leader(sender, request.header.epoch)
         if request.snapshot.position > self.committed:
             self._install(request.snapshot)
         self._send(sender, SnapshotReply(self._header(), request.snapshot.position, request.sent))
@@ -593,7 +595,7 @@
         self.log.compact(snapshot)
         self.committed = snapshot.position
         self.document = snapshot.document.copy()
-        self._unsaved, self._unsaved_snapshot = True, snapshot
+        self._persist_due, self._unpersisted_snapshot = True, snapshot
         self._emit(Installed(self.document.copy()))
 
     # Committing
@@ -601,7 +603,7 @@
     def _commit_to(self, position: int) -> None:
         while self.committed < position:
             self.committed += 1
-            self._apply(self.log.at(self.committed))
+            self._apply(self.log.entry_at(self.committed))
         self._compact()
 
     def _apply(self, entry: Entry) -> None:
@@ -618,12 +620,12 @@
 
     def _compact(self) -> None:
         keep = self.options.keep
-        if self.committed - self.log.snapshot.position <= keep + keep // KEEP_SLACK:
+        if self.committed - self.log.snapshot.position <= keep + keep // COMPACTION_SLACK_DIVISOR:
             return
         position = self.committed - keep
         epoch = self.log.epoch_at(position)
         assert epoch is not None
         snapshot = Snapshot(position, epoch, self.log.document_at(position))
-        self._save()
+        self._emit_persist()
         self.log.compact(snapshot)
-        self._unsaved, self._unsaved_snapshot = True, snapshot
+        self._persist_due, self._unpersisted_snapshot = True, snapshot
--- a/millgw/configuration/request_reader.py
+++ b/millgw/configuration/request_reader.py
@@ -9,7 +9,7 @@
 import httptools
 
 MAX_HEAD = 8 * 1024  # bytes; request line and headers
-HEADER_FRAMING = 4  # bytes of a header line besides name and value: ": " and CRLF
+HEADER_OVERHEAD = 4  # bytes of a header line besides name and value: ": " and CRLF
 MAX_PIPELINED = 16  # requests in one read of a connection
 
 
@@ -38,42 +38,42 @@
     def __init__(self, max_body: Callable[[str], int]) -> None:
         self._max_body = max_body
         self._parser = httptools.HttpRequestParser(self)
-        self._done: list[Request] = []
+        self._complete: list[Request] = []
         self._error: BadRequestError | None = None
         self._begin()
 
     @property
     def idle(self) -> bool:
         """Whether no request is partially read."""
-        return not self._fed
+        return not self._received
 
     def feed(self, data: bytes) -> list[Request]:
         """The requests completed by these bytes; after a BadRequestError nothing more may be read."""
-        self._fed += len(data)
+        self._received += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise BadRequestError(400, "protocol upgrades are not supported") from None
         except httptools.HttpParserError:
             raise self._error or BadRequestError(400, "not HTTP/1.1") from None
-        if not self._head_done and self._fed > MAX_HEAD:
+        if not self._head_done and self._received > MAX_HEAD:
             raise BadRequestError(431, "the head is too long")
-        done, self._done = self._done, []
-        if len(done) > MAX_PIPELINED:
+        complete, self._complete = self._complete, []
+        if len(complete) > MAX_PIPELINED:
             raise BadRequestError(400, "too many requests at once")
-        return done
+        return complete
 
     def _begin(self) -> None:
-        self._fed = 0  # bytes since the last whole request
-        self._head = 0
+        self._received = 0  # bytes since the last whole request
+        self._head_size = 0
         self._head_done = False
         self._target = b""
         self._body = bytearray()
         self._limit = 0
 
-    def _count_head(self, more: int) -> None:
-        self._head += more
-        if self._head > MAX_HEAD:
+    def _count_head(self, size: int) -> None:
+        self._head_size += size
+        if self._head_size > MAX_HEAD:
             self._refuse(431, "the head is too long")
 
     def _refuse(self, status: int, text: str) -> None:
@@ -88,7 +88,7 @@
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._count_head(len(name) + len(value) + HEADER_FRAMING)
+        self._count_head(len(name) + len(value) + HEADER_OVERHEAD)
         if name.lower() == b"content-length" and value.strip().isdigit() and len(value) < 20:
             path = self._target.partition(b"?")[0].decode("latin-1")
             if int(value) > self._max_body(path):
@@ -109,5 +109,5 @@
         method = self._parser.get_method().decode("latin-1")
         pairs = dict(parse_qsl(query, keep_blank_values=True))
         keep_alive = bool(self._parser.should_keep_alive())
-        self._done.append(Request(method, unquote(path), pairs, bytes(self._body), keep_alive))
+        self._complete.append(Request(method, unquote(path), pairs, bytes(self._body), keep_alive))
         self._begin()
--- a/millgw/configuration/server.py
+++ b/millgw/configuration/server.py
@@ -18,13 +18,13 @@
 
 BACKLOG = 1024  # connections waiting to be accepted, for a fleet of sidecars that reconnects all at once
 MAX_CONNECTIONS = 4096
-MAX_TURNED_AWAY = 64  # connections over the limit that get a 503 response; further ones are reset
+MAX_REJECTED_CONNECTIONS = 64  # connections over the limit that get a 503 response; further ones are reset
 RESERVED_DESCRIPTORS = 64  # file descriptors for the store, the peers and the process itself
-REQUEST_TIME = 10.0  # s; timeout for receiving a whole request
-IDLE_TIME = 90.0  # s; keep-alive timeout between two requests
-LINGER_TIME = 2.0  # s; wait for the client to close after the last response
+REQUEST_TIMEOUT = 10.0  # s; timeout for receiving a whole request
+IDLE_TIMEOUT = 90.0  # s; keep-alive timeout between two requests
+LINGER_TIMEOUT = 2.0  # s; wait for the client to close after the last response
 SWEEP_INTERVAL = 1.0  # s between checks for expired connections
-UNACKED_TIME = 15_000  # ms (TCP_USER_TIMEOUT); a host that vanished is detected after this
+UNACKED_TIMEOUT_MS = 15_000  # ms (TCP_USER_TIMEOUT); a host that vanished is detected after this
 REASONS = {
     200: "OK",
     204: "No Content",
@@ -90,7 +90,7 @@
     def drained(self) -> None:
         """The kernel has accepted all bytes that were written."""
 
-    def ended(self) -> None:
+    def connection_closed(self) -> None:
         """The connection was closed or lost."""
 
 
@@ -101,11 +101,11 @@
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.reader = RequestReader(server.service.max_body)
-        self.waiting: list[Request] = []
+        self.pipelined: list[Request] = []
         self.current: Request | None = None
         self.stream: Stream | None = None
-        self.finishing = False
-        self.expires = server.now() + REQUEST_TIME
+        self.closing = False
+        self.expires_at = server.clock() + REQUEST_TIMEOUT
 
     # For the service
 
@@ -116,12 +116,12 @@
             return
         self.write(response.encode(request.keep_alive))
         if not request.keep_alive:
-            self._finish()
+            self._close_gracefully()
             return
-        self.expires = self.server.now() + IDLE_TIME
-        if self.waiting:
+        self.expires_at = self.server.clock() + IDLE_TIMEOUT
+        if self.pipelined:
             # Not immediately: the caller of `reply` may be in a state that the next request would disturb.
-            asyncio.get_running_loop().call_soon(self._next)
+            asyncio.get_running_loop().call_soon(self._handle_next)
         elif self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
@@ -129,9 +129,9 @@
         """Answer the current request with a stream; `write` appends to it."""
         self.stream = stream
         self.current = None
-        self.waiting.clear()
+        self.pipelined.clear()
         if self.transport is not None:
-            # With a limit of 0, `resume_writing` follows whenever the kernel did not accept all bytes at once.
+            # With a limit of 0, `resume_writing` is called after any write that had to be buffered.
             self.transport.set_write_buffer_limits(high=0)
             self.transport.resume_reading()
         self.write(STREAM_HEAD)
@@ -157,29 +157,29 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info("socket")
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIME)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
         self.server.connections[self] = None
         over = len(self.server.connections) - self.server.max_connections
-        if over > MAX_TURNED_AWAY:
+        if over > MAX_REJECTED_CONNECTIONS:
             self.transport.abort()
         elif over > 0:
             self.write(error_response(503, "too many connections").encode(False))
-            self._finish()
+            self._close_gracefully()
 
     def data_received(self, data: bytes) -> None:
-        if self.stream is not None or self.finishing or self.transport is None:
+        if self.stream is not None or self.closing or self.transport is None:
             return  # no further request is expected
         if self.reader.idle:
-            self.expires = self.server.now() + REQUEST_TIME
+            self.expires_at = self.server.clock() + REQUEST_TIMEOUT
         try:
-            self.waiting += self.reader.feed(data)
+            self.pipelined += self.reader.feed(data)
         except BadRequestError as error:
             self.write(error_response(error.status, str(error)).encode(False))
-            self._finish()
+            self._close_gracefully()
             return
-        if self.waiting:
+        if self.pipelined:
             self.transport.pause_reading()
-            self._next()
+            self._handle_next()
 
     def resume_writing(self) -> None:
         if self.stream is not None:
@@ -188,68 +188,68 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         self.current = None
-        self.waiting.clear()
+        self.pipelined.clear()
         self.server.connections.pop(self, None)
         stream, self.stream = self.stream, None
         if stream is not None:
-            stream.ended()
+            stream.connection_closed()
 
-    def _next(self) -> None:
-        if not self.waiting or self.current is not None:
+    def _handle_next(self) -> None:
+        if not self.pipelined or self.current is not None:
             return
-        self.current = self.waiting.pop(0)
+        self.current = self.pipelined.pop(0)
         self.server.service.handle(self.current, self)
 
-    def _finish(self) -> None:
+    def _close_gracefully(self) -> None:
         """Close gracefully: read and discard further input, as a reset could discard the last response."""
-        self.finishing = True
-        self.waiting.clear()
-        self.expires = self.server.now() + LINGER_TIME
+        self.closing = True
+        self.pipelined.clear()
+        self.expires_at = self.server.clock() + LINGER_TIMEOUT
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write_eof()
             self.transport.resume_reading()
 
 
-def connections_allowed() -> int:
+def connection_limit() -> int:
     """The number of connections that the limit of file descriptors allows, less the reserved ones."""
     descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if descriptors == resource.RLIM_INFINITY:
         return MAX_CONNECTIONS
-    return max(1, min(MAX_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS - MAX_TURNED_AWAY))
+    return max(1, min(MAX_CONNECTIONS, descriptors - RESERVED_DESCRIPTORS - MAX_REJECTED_CONNECTIONS))
 
 
 class Server:
     """Accepts connections for one service."""
 
-    def __init__(self, service: Service, now: Callable[[], float]) -> None:
+    def __init__(self, service: Service, clock: Callable[[], float]) -> None:
         self.service = service
-        self.now = now
-        self.max_connections = connections_allowed()
+        self.clock = clock
+        self.max_connections = connection_limit()
         self.connections: dict[Connection, None] = {}
-        self._listening: asyncio.Server | None = None
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._listener: asyncio.Server | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, address: Address) -> None:
         """Start to listen; raises OSError if the address can't be bound."""
         loop = asyncio.get_running_loop()
-        self._listening = await loop.create_server(
+        self._listener = await loop.create_server(
             lambda: Connection(self), address.host, address.port, backlog=BACKLOG
         )
-        self._sweep()
+        self._close_expired()
 
     def stop(self) -> None:
         """Stop listening and abort all connections."""
-        if self._listening is not None:
-            self._listening.close()
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        if self._listener is not None:
+            self._listener.close()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         for connection in list(self.connections):
             connection.close()
 
-    def _sweep(self) -> None:
-        now = self.now()
+    def _close_expired(self) -> None:
+        now = self.clock()
         for connection in list(self.connections):
             # The service limits the time of requests that it handles, and of streams.
-            if connection.current is None and connection.stream is None and connection.expires <= now:
+            if connection.current is None and connection.stream is None and connection.expires_at <= now:
                 connection.close()
-        self._sweeping = asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self._sweep)
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL, self._close_expired)
--- a/millgw/configuration/service.py
+++ b/millgw/configuration/service.py
@@ -91,7 +91,7 @@
     def drained(self) -> None:
         self.service.watchers.drained(self.watch)
 
-    def ended(self) -> None:
+    def connection_closed(self) -> None:
         self.service.watch_ended(self.watch)
 
 
@@ -105,17 +105,17 @@
         self.history = History()
         self.watchers = Watchers(self.history, clock)
         self.reports = Reports()
-        self._beat_timer: asyncio.TimerHandle | None = None
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
         self._forget_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Start the timers for heartbeats and for the removal of sidecars that are gone."""
-        self._beat()
-        self._forget()
+        self._send_heartbeats()
+        self._forget_sidecars()
 
     def stop(self) -> None:
         """Stop the timers and close all watches."""
-        for timer in (self._beat_timer, self._forget_timer):
+        for timer in (self._heartbeat_timer, self._forget_timer):
             if timer is not None:
                 timer.cancel()
         self.watchers.close_all()
@@ -134,20 +134,20 @@
 
     def handle(self, request: Request, connection: Connection) -> None:
         """Handle one request."""
-        calls = self._calls().get(request.path)
-        if calls is None:
+        handlers = self._handlers().get(request.path)
+        if handlers is None:
             connection.reply(error_response(404, "no such call"))
             return
-        call = calls.get(request.method)
-        if call is None:
-            connection.reply(Response(405, allow=", ".join(sorted(calls))))
+        handler = handlers.get(request.method)
+        if handler is None:
+            connection.reply(Response(405, allow=", ".join(sorted(handlers))))
             return
         try:
-            call(request, connection)
+            handler(request, connection)
         except DocumentError as error:
             connection.reply(error_response(400, str(error)))
 
-    def _calls(self) -> dict[str, dict[str, Callable[[Request, Connection], None]]]:
+    def _handlers(self) -> dict[str, dict[str, Callable[[Request, Connection], None]]]:
         return {
             CONFIGURATION_PATH: {"GET": self._get, "POST": self._propose},
             REPORTS_PATH: {"POST": self._report},
@@ -161,7 +161,7 @@
         if request.query.get("watch", "0") in ("", "0"):
             connection.reply(Response(200, encode_line(self.history.document.snapshot())))
             return
-        position = _query_count(request, "from", NO_VERSION)
+        position = _query_int(request, "from", NO_VERSION)
         name = request.query.get("name", "")
         if name and not is_sidecar_name(name):
             raise DocumentError("name: not a sidecar's name")
@@ -192,25 +192,25 @@
         connection.reply(self.backend.receive(request.query.get("from", ""), request.body))
 
     def _status(self, request: Request, connection: Connection) -> None:
-        index = _query_count(request, "index", self.history.index)
+        index = _query_int(request, "index", self.history.index)
         with_sidecars = request.query.get("sidecars", "0") not in ("", "0")
         connection.reply(json_response(200, self.status(index, with_sidecars)))
 
     def status(self, index: int, with_sidecars: bool = False) -> dict[str, Any]:
         """The instance's view of the cluster, and which sidecars have applied version `index`."""
-        standing = self.backend.standing()
+        view = self.backend.standing()
         summary = summarize(self.reports.sidecars.values(), index, self.history.digests)
         fields: dict[str, Any] = {
             "name": self.name,
-            "role": standing.role,
-            "epoch": standing.epoch,
-            "leader": standing.leader,
-            "index": standing.index,
+            "role": view.role,
+            "epoch": view.epoch,
+            "leader": view.leader,
+            "index": view.index,
             "committed": self.history.index,
             "digest": self.history.digests.get(self.history.index, ""),
-            "quorum": standing.quorum,
+            "quorum": view.quorum,
             "watchers": self.watchers.count,
-            "watchers_cut": self.watchers.cut,
+            "watchers_cut": self.watchers.closed_slow,
             "in_force": summary.fields(),
             "refusals": summary.refusal_fields(),
         }
@@ -221,14 +221,14 @@
 
     # Timers
 
-    def _beat(self) -> None:
-        self.watchers.beat()
+    def _send_heartbeats(self) -> None:
+        self.watchers.send_heartbeats()
         after = HEARTBEAT_INTERVAL / HEARTBEAT_GROUPS
-        self._beat_timer = asyncio.get_running_loop().call_later(after, self._beat)
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(after, self._send_heartbeats)
 
-    def _forget(self) -> None:
+    def _forget_sidecars(self) -> None:
         self.reports.forget_old(self.clock())
-        self._forget_timer = asyncio.get_running_loop().call_later(FORGET_INTERVAL, self._forget)
+        self._forget_timer = asyncio.get_running_loop().call_later(FORGET_INTERVAL, self._forget_sidecars)
 
 
 def decode_proposal(body: bytes, at: float) -> Proposal:
@@ -253,7 +253,7 @@
     raise ValueError(f"{name} is not valid JSON")
 
 
-def _query_count(request: Request, name: str, default: int) -> int:
+def _query_int(request: Request, name: str, default: int) -> int:
     """A non-negative integer from the query string."""
     text = request.query.get(name)
     if text is None:
--- a/millgw/configuration/state.py
+++ b/millgw/configuration/state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from millgw.configuration.actions import Persist
-from millgw.configuration.log import EMPTY, Entry, Log, LogError, Snapshot
+from millgw.configuration.log import EMPTY_SNAPSHOT, Entry, Log, LogError, Snapshot
 
 
 @dataclass(slots=True, frozen=True)
@@ -20,7 +20,7 @@
     voted_for: str = ""
     committed: int = 0
     incarnation: int = 1
-    snapshot: Snapshot = EMPTY
+    snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: tuple[Entry, ...] = ()
 
     def after(self, persist: Persist) -> State:
@@ -31,14 +31,14 @@
             if not 0 <= kept <= len(entries):
                 raise LogError(f"entry {persist.entries[0].position} does not follow the log")
             entries = entries[:kept] + persist.entries
-        made = replace(
+        updated = replace(
             self,
             epoch=persist.epoch,
             voted_for=persist.voted_for,
             committed=persist.committed,
             entries=entries,
         )
-        return made if persist.snapshot is None else made.compacted(persist.snapshot)
+        return updated if persist.snapshot is None else updated.compacted(persist.snapshot)
 
     def compacted(self, snapshot: Snapshot) -> State:
         """The state with the covered entries replaced by a snapshot."""
--- a/millgw/configuration/transport.py
+++ b/millgw/configuration/transport.py
@@ -19,14 +19,14 @@
 
 REPLICA_PATH = "/v1/replica"
 MAX_QUEUED = 32  # messages queued for one peer; the oldest are dropped first
-CONNECT_TIME = 1.0  # s; timeout for opening a connection
-EXCHANGE_TIME = 3.0  # s; timeout for a message and its response
-RECONNECT_AFTER = 0.1  # s; delay after a connection failed or was lost
+CONNECT_TIMEOUT = 1.0  # s; timeout for opening a connection
+EXCHANGE_TIMEOUT = 3.0  # s; timeout for a message and its response
+RECONNECT_DELAY = 0.1  # s; delay after a connection failed or was lost
 
-Receive = Callable[[str, Message], None]
+MessageReceiver = Callable[[str, Message], None]
 """Receives the name of the sender and a message."""
 
-Filter = Callable[[str, str], bool]
+LinkFilter = Callable[[str, str], bool]
 """Whether a message from one instance may reach another; tests simulate network partitions with it."""
 
 
@@ -39,7 +39,12 @@
     """Sends messages from one instance to one peer, and receives the peer's replies."""
 
     def __init__(
-        self, name: str, peer: str, address: Address, receive: Receive, allowed: Filter = allow_all
+        self,
+        name: str,
+        peer: str,
+        address: Address,
+        receive: MessageReceiver,
+        allowed: LinkFilter = allow_all,
     ) -> None:
         self.name = name
         self.peer = peer
@@ -47,9 +52,9 @@
         self.receive = receive
         self.allowed = allowed
         self._queue: deque[Message] = deque(maxlen=MAX_QUEUED)
-        self._wire: PeerConnection | None = None
-        self._connecting: asyncio.Task[None] | None = None
-        self._retry: asyncio.TimerHandle | None = None
+        self._connection: PeerConnection | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self._reconnect_timer: asyncio.TimerHandle | None = None
         self._stopped = False
 
     def send(self, message: Message) -> None:
@@ -57,23 +62,23 @@
         if self._stopped or not self.allowed(self.name, self.peer):
             return
         self._queue.append(message)
-        if self._wire is not None:
-            self._wire.next()
-        elif self._connecting is None and self._retry is None:
-            self._connecting = asyncio.get_running_loop().create_task(self._connect())
+        if self._connection is not None:
+            self._connection.send_next()
+        elif self._connect_task is None and self._reconnect_timer is None:
+            self._connect_task = asyncio.get_running_loop().create_task(self._connect())
 
     def stop(self) -> None:
         """Close the connection and drop queued messages."""
         self._stopped = True
         self._queue.clear()
-        if self._retry is not None:
-            self._retry.cancel()
-        if self._connecting is not None:
-            self._connecting.cancel()
-        if self._wire is not None:
-            self._wire.abort()
-
-    def take(self) -> bytes | None:
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        if self._connection is not None:
+            self._connection.abort()
+
+    def next_request(self) -> bytes | None:
         """Remove the next message from the queue and return it as a request; None if the queue is empty."""
         while self._queue:
             message = self._queue.popleft()
@@ -83,7 +88,7 @@
                 continue  # over MAX_MESSAGE
         return None
 
-    def answered(self, status: int, body: bytes) -> None:
+    def on_response(self, status: int, body: bytes) -> None:
         """Process the peer's response to a message."""
         if status != 200 or not self.allowed(self.peer, self.name):
             return
@@ -93,34 +98,34 @@
             return  # treated as a lost reply
         self.receive(self.peer, message)
 
-    def ended(self) -> None:
+    def on_connection_lost(self) -> None:
         """The connection failed or was lost. Queued messages are dropped, as they would arrive outdated."""
-        self._wire = None
+        self._connection = None
         self._queue.clear()
         if not self._stopped:
             loop = asyncio.get_running_loop()
-            self._retry = loop.call_later(RECONNECT_AFTER, self._retry_now)
+            self._reconnect_timer = loop.call_later(RECONNECT_DELAY, self._reconnect)
 
-    def _retry_now(self) -> None:
-        self._retry = None
+    def _reconnect(self) -> None:
+        self._reconnect_timer = None
         if self._queue:
-            self._connecting = asyncio.get_running_loop().create_task(self._connect())
+            self._connect_task = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_TIME):
-                _, wire = await loop.create_connection(
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                _, connection = await loop.create_connection(
                     lambda: PeerConnection(self), self.address.host, self.address.port
                 )
         except (OSError, TimeoutError):
-            self._connecting = None
-            self.ended()
+            self._connect_task = None
+            self.on_connection_lost()
             return
-        self._connecting = None
-        if wire.transport is not None:  # else it was lost at once, and `ended` was called
-            self._wire = wire
-            wire.next()
+        self._connect_task = None
+        if connection.transport is not None:  # else it was lost at once, and `on_connection_lost` was called
+            self._connection = connection
+            connection.send_next()
 
     def _encode_request(self, body: bytes) -> bytes:
         head = (
@@ -138,16 +143,16 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.timeout: asyncio.TimerHandle | None = None  # set while an exchange is in progress
+        self.exchange_timer: asyncio.TimerHandle | None = None  # set while an exchange is in progress
 
-    def next(self) -> None:
+    def send_next(self) -> None:
         """Start the next exchange, if none is in progress."""
-        if self.timeout is not None or self.transport is None or self.transport.is_closing():
+        if self.exchange_timer is not None or self.transport is None or self.transport.is_closing():
             return
-        request = self.link.take()
+        request = self.link.next_request()
         if request is not None:
             self.transport.write(request)
-            self.timeout = asyncio.get_running_loop().call_later(EXCHANGE_TIME, self.abort)
+            self.exchange_timer = asyncio.get_running_loop().call_later(EXCHANGE_TIMEOUT, self.abort)
 
     def abort(self) -> None:
         """Abort the connection."""
@@ -167,10 +172,10 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None
-        self.link.ended()
+        if self.exchange_timer is not None:
+            self.exchange_timer.cancel()
+            self.exchange_timer = None
+        self.link.on_connection_lost()
 
     # httptools
 
@@ -183,8 +188,8 @@
             self.abort()
 
     def on_message_complete(self) -> None:
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None
-        self.link.answered(self.parser.get_status_code(), bytes(self.body))
-        self.next()
+        if self.exchange_timer is not None:
+            self.exchange_timer.cancel()
+            self.exchange_timer = None
+        self.link.on_response(self.parser.get_status_code(), bytes(self.body))
+        self.send_next()
--- a/millgw/configuration/watchers.py
+++ b/millgw/configuration/watchers.py
@@ -14,7 +14,7 @@
 
 MAX_WATCHES = 2048
 MAX_UNSENT = 64 * 1024 * 1024  # bytes; buffered for all slow watches together
-STALLED_AFTER = 10.0  # s; a watch with unsent bytes for this long is closed
+STALL_TIMEOUT = 10.0  # s; a watch with unsent bytes for this long is closed
 HEARTBEAT_INTERVAL = 2.0  # s between heartbeats (empty lines) of a watch
 HEARTBEAT_GROUPS = 10  # watches are divided into groups, so that not all heartbeats are due at once
 HEARTBEAT = encode_chunk(b"\n")
@@ -60,9 +60,9 @@
         self.slow: deque[Watch] = deque()  # the longest slow first
         self.count = 0
         self.opened = 0  # watches opened since the start
-        self.cut = 0  # of these, closed for reading too slowly
-        self._turn = 0
-        self._largest_piece = 0
+        self.closed_slow = 0  # of these, closed for reading too slowly
+        self._next_group = 0
+        self._largest_write = 0
 
     def add(self, channel: Channel, name: str, position: int) -> Watch:
         """Register a watch; `begin` sends its first line, after the head of the response."""
@@ -77,16 +77,16 @@
 
     def begin(self, watch: Watch) -> None:
         """Send a new watch its first line immediately: the changes it lacks, or a heartbeat."""
-        if not self.bring_up(watch):
+        if not self.send_missing(watch):
             self._write(watch, HEARTBEAT)
 
-    def bring_up(self, watch: Watch) -> bool:
+    def send_missing(self, watch: Watch) -> bool:
         """Send a watch the changes it lacks; False if there are none."""
-        lacks = self.history.after(watch.position)
-        if not lacks:
+        missing = self.history.after(watch.position)
+        if not missing:
             return False
         watch.position = self.history.index
-        self._write(watch, lacks)
+        self._write(watch, missing)
         return True
 
     def close(self, watch: Watch) -> None:
@@ -102,20 +102,20 @@
         for group in self.groups:
             for watch in list(group):
                 if watch.slow_since is None:
-                    self.bring_up(watch)
+                    self.send_missing(watch)
 
     def drained(self, watch: Watch) -> None:
         """A slow watch has no more unsent bytes."""
         if watch.slow_since is not None:
             watch.slow_since = None
             self.slow.remove(watch)
-            self.bring_up(watch)
+            self.send_missing(watch)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send the next group its heartbeat; called HEARTBEAT_GROUPS times per HEARTBEAT_INTERVAL."""
-        self._cut_stalled()
-        group = self.groups[self._turn]
-        self._turn = (self._turn + 1) % HEARTBEAT_GROUPS
+        self._close_stalled()
+        group = self.groups[self._next_group]
+        self._next_group = (self._next_group + 1) % HEARTBEAT_GROUPS
         for watch in list(group):
             if watch.slow_since is None:
                 self._write(watch, HEARTBEAT)
@@ -128,28 +128,28 @@
                 watch.channel.close()
 
     def _write(self, watch: Watch, data: bytes) -> None:
-        self._largest_piece = max(self._largest_piece, len(data))
+        self._largest_write = max(self._largest_write, len(data))
         watch.channel.write(data)
         if watch.channel.unsent():
             watch.slow_since = self.clock()
             self.slow.append(watch)
-            self._bound_unsent()
+            self._limit_unsent()
 
-    def _bound_unsent(self) -> None:
-        if len(self.slow) * self._largest_piece <= MAX_UNSENT:
+    def _limit_unsent(self) -> None:
+        if len(self.slow) * self._largest_write <= MAX_UNSENT:
             return
-        waiting = sum(watch.channel.unsent() for watch in self.slow)
-        while waiting > MAX_UNSENT:
+        unsent = sum(watch.channel.unsent() for watch in self.slow)
+        while unsent > MAX_UNSENT:
             slowest = self.slow[0]
-            waiting -= slowest.channel.unsent()
-            self._cut(slowest)
+            unsent -= slowest.channel.unsent()
+            self._close_slow(slowest)
 
-    def _cut_stalled(self) -> None:
-        limit = self.clock() - STALLED_AFTER
+    def _close_stalled(self) -> None:
+        limit = self.clock() - STALL_TIMEOUT
         while self.slow and self.slow[0].slow_since is not None and self.slow[0].slow_since <= limit:
-            self._cut(self.slow[0])
+            self._close_slow(self.slow[0])
 
-    def _cut(self, watch: Watch) -> None:
-        self.cut += 1
+    def _close_slow(self, watch: Watch) -> None:
+        self.closed_slow += 1
         self.close(watch)
         watch.channel.close()
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -12,12 +12,12 @@
 from millgw.configuration.actions import Action, Persist
 from millgw.configuration.document import Change, Document, Version
 from millgw.configuration.durable import (
-    PIECE,
+    PIECE_SIZE,
     DurableState,
     DurableStateError,
     StateIncomplete,
     StateMissing,
-    StateOfAnother,
+    StateOfAnotherInstance,
 )
 from millgw.configuration.log import Entry, Snapshot
 from millgw.configuration.state import State
@@ -96,7 +96,7 @@
     state = opened(disk, create=True)
     document = Document(4, 1, {f"services.{n}": {"text": "x" * 4000} for n in range(400)})
     state.persist(persist(committed=9, snapshot=Snapshot(9, 1, document)))
-    large = [entry(position, "y" * (PIECE // 2)) for position in (10, 11, 12)]
+    large = [entry(position, "y" * (PIECE_SIZE // 2)) for position in (10, 11, 12)]
     state.persist(persist(*large, committed=9))
     assert opened(copied(disk)).load().entries == tuple(large)
     assert opened(copied(disk)).load().snapshot.document == document
@@ -105,7 +105,7 @@
 def test_the_journal_ends_in_a_checkpoint_and_the_store_does_not_grow(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("millgw.configuration.durable.MAX_JOURNAL", 50)
+    monkeypatch.setattr("millgw.configuration.durable.MAX_JOURNAL_RECORDS", 50)
     disk = FaultyFiles(random.Random(1))
     state = opened(disk, create=True)
     for epoch in range(1, 3000):
@@ -167,7 +167,7 @@
     DurableState.open([tmp_path], "a", create=True).close()
     with pytest.raises(DurableStateError, match="already"):
         DurableState.open([tmp_path], "a", create=True)
-    with pytest.raises(StateOfAnother, match="of a, not of b"):
+    with pytest.raises(StateOfAnotherInstance, match="of a, not of b"):
         DurableState.open([tmp_path], "b")
     held = DurableState.open([tmp_path], "a")
     with pytest.raises(DurableStateError, match="another process"):
@@ -264,8 +264,8 @@
 
 def play_power_cuts(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Several power cuts, each at a drawn step, among appends, conflicts, snapshots and checkpoints."""
-    monkeypatch.setattr("millgw.configuration.durable.MAX_JOURNAL", 12)
-    monkeypatch.setattr("millgw.configuration.durable.PIECE", 200)
+    monkeypatch.setattr("millgw.configuration.durable.MAX_JOURNAL_RECORDS", 12)
+    monkeypatch.setattr("millgw.configuration.durable.PIECE_SIZE", 200)
     rng = random.Random(f"power cuts {seed}")
     disk = FaultyFiles(rng)
     possible = [content(State())]  # what may be found: the last that was persisted, or was under way
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -17,10 +17,10 @@
 from millgw.configuration.client import Client
 from millgw.configuration.control_client import fetch_status
 from millgw.configuration.document import Document
-from millgw.configuration.durable import DurableState, StateIncomplete, StateMissing, StateOfAnother
+from millgw.configuration.durable import DurableState, StateIncomplete, StateMissing, StateOfAnotherInstance
 from millgw.configuration.instance import Instance
 from millgw.configuration.messages import MAX_CHANGES
-from millgw.configuration.server import connections_allowed
+from millgw.configuration.server import connection_limit
 from millgw.platform.config import Address
 from tests.configuration_rig import (
     ANSWER_TIME,
@@ -368,7 +368,7 @@
             with pytest.raises(StateIncomplete):
                 DurableState.open([tmp_path / "c1"], "c1")
             cluster.stop("c2")
-            with pytest.raises(StateOfAnother):
+            with pytest.raises(StateOfAnotherInstance):
                 DurableState.open([tmp_path / "c2"], "c1")
             (tmp_path / "lost").mkdir()
             with pytest.raises(StateMissing):
@@ -422,7 +422,10 @@
             await propose_until_committed(cluster, "after", {"n": 1}, [])
             await until(lambda: all(watcher.index == 21 for watcher in again))
             print(f"{FLEET} watchers back, and sent a new version, in {time.monotonic() - begun:.2f} s")
-            counts = [len(i.service.watchers.slow) + i.service.watchers.cut for i in cluster.running.values()]
+            counts = [
+                len(i.service.watchers.slow) + i.service.watchers.closed_slow
+                for i in cluster.running.values()
+            ]
             assert counts == [0, 0, 0]
 
     run(test)
@@ -508,7 +511,7 @@
 
 
 def test_a_watcher_that_does_not_read_is_closed_and_the_others_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millgw.configuration.watchers.STALLED_AFTER", 0.5)
+    monkeypatch.setattr("millgw.configuration.watchers.STALL_TIMEOUT", 0.5)
 
     async def test() -> None:
         async with Cluster(1) as cluster:
@@ -520,12 +523,12 @@
             (reads,) = await open_watchers([address_of(instance)], 1)
             watchers = instance.service.watchers
             number = 0
-            while not watchers.cut:
+            while not watchers.closed_slow:
                 number += 1
                 await propose_until_committed(cluster, "a", {"n": number, "x": "x" * 200_000}, [])
                 assert all(c.unsent() < 2 * MAX_CHANGES for c in instance.server.connections)
                 await asyncio.sleep(0.01)
-            assert (watchers.cut, watchers.count) == (1, 1)
+            assert (watchers.closed_slow, watchers.count) == (1, 1)
             await until(lambda: reads.index == number)
             stuck.close()
 
@@ -570,7 +573,7 @@
 
 
 def test_half_a_request_is_given_up_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millgw.configuration.server.REQUEST_TIME", 0.3)
+    monkeypatch.setattr("millgw.configuration.server.REQUEST_TIMEOUT", 0.3)
 
     async def test() -> None:
         async with Cluster(1) as cluster:
@@ -653,7 +656,7 @@
     descriptors: int, connections: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (descriptors, -1))
-    assert connections_allowed() == connections
+    assert connection_limit() == connections
 
 
 def test_connections_are_bounded() -> None:
--- a/tests/test_configuration_transport.py
+++ b/tests/test_configuration_transport.py
@@ -93,7 +93,7 @@
     [ok(b"{}"), ok(b"\xff\xfe"), status(204), status(500), b"no HTTP\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\n"],
 )
 def test_an_answer_that_is_no_message_counts_as_lost(bad: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIME", 0.2)
+    monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIMEOUT", 0.2)
 
     async def test() -> None:
         peer, received = Peer(lambda epoch: bad if epoch == 1 else answering(epoch)), Received()
@@ -112,7 +112,7 @@
 
 
 def test_a_peer_that_is_silent_is_given_up_and_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIME", 0.2)
+    monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIMEOUT", 0.2)
 
     async def test() -> None:
         peer, received = Peer(lambda epoch: None if epoch == 1 else answering(epoch)), Received()
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -30,7 +30,7 @@
 from millgw.configuration.watchers import (
     HEARTBEAT,
     HEARTBEAT_GROUPS,
-    STALLED_AFTER,
+    STALL_TIMEOUT,
     TooManyWatchesError,
     Watch,
     Watchers,
@@ -177,7 +177,7 @@
         history.append(version(index))
         watchers.publish()
     for _ in range(HEARTBEAT_GROUPS):
-        watchers.beat()
+        watchers.send_heartbeats()
     assert channel.taken == [HEARTBEAT, HEARTBEAT], "its first line comes at once"
     history.append(version(5))
     watchers.publish()
@@ -195,7 +195,7 @@
         history.append(version(index))
         watchers.publish()
     for _ in range(HEARTBEAT_GROUPS):
-        watchers.beat()
+        watchers.send_heartbeats()
     assert len(channel.taken) == 1, "nothing is added while bytes wait"
     channel.reads, channel.waiting = True, 0
     watchers.drained(watch)
@@ -209,13 +209,13 @@
     stuck.reads = False
     opened(watchers, stuck, "stuck", 0)
     opened(watchers, other, "other", 0)
-    clock.now += STALLED_AFTER - 0.1
-    watchers.beat()
+    clock.now += STALL_TIMEOUT - 0.1
+    watchers.send_heartbeats()
     assert not stuck.closed
     clock.now += 0.1
-    watchers.beat()
+    watchers.send_heartbeats()
     assert stuck.closed and not other.closed
-    assert (watchers.count, watchers.cut) == (1, 1)
+    assert (watchers.count, watchers.closed_slow) == (1, 1)
 
 
 def test_bytes_that_wait_for_slow_watches_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
