--- a/millgw/configuration/replica.py
+++ b/millgw/configuration/replica.py
@@ -554,7 +554,7 @@
         self._commit_to(min(request.committed, position))
 
     def _log_matches(self, position: int, epoch: int) -> bool:
-        """Whether this log matches the leader's up to a position. Compacted ones are committed, so they do."""
+        """Whether this log matches the leader's up to a position; compacted entries always match."""
         return position < self.log.snapshot.position or self.log.epoch_at(position) == epoch
 
     def _last_possible_match(self, mismatch: int) -> int:
--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -1,4 +1,4 @@
-"""A control instance for tests of the sidecar's side: one that follows its document, or is moved by hand."""
+"""Fake control instance for tests of a sidecar: serves its document, or lets the test write each response."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def whole(document: Document) -> bytes:
-    """The document as a line."""
+    """The document as a snapshot line."""
     return encode_line(document.snapshot())
 
 
 class ControlInstance:
-    """Takes reports; a watch is answered by its document, or given to the test where `by_hand` is set."""
+    """Accepts reports, and answers a watch with its document; with `by_hand`, the test answers it."""
 
     def __init__(self, by_hand: bool = False, document: Document | None = None) -> None:
         self.address: Address = free_address()
@@ -32,7 +32,7 @@
         self.document = Document() if document is None else document
         self.watches: asyncio.Queue[tuple[Message, asyncio.StreamWriter]] = asyncio.Queue()
         self.open: list[asyncio.StreamWriter] = []
-        self.asked: list[str] = []  # the target of each watch
+        self.asked: list[str] = []  # request target of each watch
         self.reports: list[dict[str, Any]] = []
         self.report_answer = TAKEN
 
@@ -48,7 +48,7 @@
                 writer.write(chunk(b"\n"))
 
     def stop(self) -> None:
-        """Vanish: the listener closes and every watch is reset."""
+        """Close the listener and reset every watch."""
         self.server.close()
         for writer in self.open:
             writer.transport.abort()
@@ -70,7 +70,7 @@
                 writer.write(STREAM + chunk(whole(self.document)))
 
     def commit(self, entries: Mapping[str, Mapping[str, Any] | None], epoch: int | None = None) -> int:
-        """One more version, told on every watch; returns its index."""
+        """Commit a version and send it to every watch; returns its index."""
         changes = tuple(Change(name, value) for name, value in entries.items())
         self.document.apply(self.document.index + 1, self.document.epoch if epoch is None else epoch, changes)
         line = Line(self.document.index, self.document.epoch, False, self.document.digest(), changes)
--- a/tests/replica_cluster.py
+++ b/tests/replica_cluster.py
@@ -1,7 +1,7 @@
-"""Replicas on a simulated network, in virtual time, with the protocol's invariants checked at every action.
+"""Simulated cluster of replicas in virtual time; the protocol's invariants are checked at every action.
 
-Messages are lost, delayed, repeated and overtaken by a seeded generator; instances are cut off from each
-other, stopped between any two actions and started again from what was persisted; their clocks drift.
+A seeded generator loses, delays, duplicates and reorders messages. Instances can be partitioned, stopped
+between any two actions and restarted from their persisted state; their clocks drift.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
 
 class InvariantBroken(AssertionError):
-    """What a replicated log promises does not hold."""
+    """An invariant of the replicated log is violated."""
 
 
 @dataclass
 class Network:
-    """How messages travel: chances from 0 to 1, delays in ms."""
+    """Network conditions: probabilities from 0 to 1, delays in ms."""
 
     loss: float = 0.0
     repeat: float = 0.0
@@ -47,26 +47,29 @@
 
 @dataclass
 class Node:
-    """One instance: its disk, and its replica while it runs. `rate` is of its clock, `skew` its offset."""
+    """One instance: its persisted state, and its replica while it runs.
+
+    `rate` and `skew` are the relative rate and the offset (ms) of its clock.
+    """
 
     name: str
     rate: float = 1.0
     skew: float = 0.0
     state: State = field(default_factory=State)
     replica: Replica | None = None
-    watched: Document = field(default_factory=Document)  # what a watcher of this run was told
+    watched: Document = field(default_factory=Document)  # as seen by a watcher of this run
 
     def clock(self, now: float) -> float:
         return now * self.rate + self.skew
 
     def due(self, now: float) -> float:
-        """The true time of the replica's next deadline."""
+        """The virtual time of the replica's next deadline."""
         assert self.replica is not None
         return max(now, (self.replica.next_deadline() - self.skew) / self.rate)
 
 
 class Cluster:
-    """Replicas, their network and the observer that checks them."""
+    """Replicas, their network and the checks of their invariants."""
 
     def __init__(
         self,
@@ -96,7 +99,7 @@
         self.outcomes: dict[tuple[str, int, int], Outcome] = {}
         self.refused: list[PeerRefused] = []
         self.roles: list[tuple[float, str, RoleChanged]] = []
-        self.stopping: dict[str, int] = {}  # instances that stop after so many actions
+        self.stopping: dict[str, int] = {}  # actions left until an instance stops
         for name in self.names:
             self.start(name)
 
@@ -106,7 +109,7 @@
         return Options(name, self.names, keep=self.keep)
 
     def start(self, name: str) -> Replica:
-        """Start an instance from its disk."""
+        """Start an instance from its persisted state."""
         node = self.nodes[name]
         replica = self.make(self.options(name), node.state, self.seed, node.clock(self.now))
         node.replica = replica
@@ -114,14 +117,14 @@
         return replica
 
     def start_all(self) -> None:
-        """Start all that do not run; none is to stop any more."""
+        """Start all stopped instances, and cancel pending stops."""
         self.stopping.clear()
         for name in self.names:
             if self.nodes[name].replica is None:
                 self.start(name)
 
     def stop_after(self, name: str, actions: int) -> None:
-        """Stop an instance before it has carried out one action more than so many."""
+        """Stop an instance after it has executed a number of further actions."""
         self.stopping[name] = actions
 
     def stop(self, name: str) -> None:
@@ -150,7 +153,7 @@
         return [name for name in self.names if self.nodes[name].replica is not None]
 
     def leading(self) -> list[str]:
-        """Who leads with a quorum."""
+        """The leaders that have a quorum."""
         return [
             name
             for name in self.running()
@@ -161,12 +164,12 @@
     # Network
 
     def part(self, *groups: Iterable[str]) -> None:
-        """Messages pass only within a group."""
+        """Partition the network: messages pass only within a group."""
         group = {name: number for number, names in enumerate(groups) for name in names}
         self.blocked = {(a, b) for a in self.names for b in self.names if group.get(a) != group.get(b)}
 
     def cut(self, one: str, other: str) -> None:
-        """No messages pass between two instances; all others reach both."""
+        """Block messages between two instances only."""
         self.blocked |= {(one, other), (other, one)}
 
     def heal(self) -> None:
@@ -184,7 +187,7 @@
     # Time
 
     def advance(self, duration: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time by a duration in ms."""
         until = self.now + duration
         while True:
             due = [(self.nodes[name].due(self.now), name) for name in self.running()]
@@ -196,7 +199,7 @@
                 self._deliver()
             else:
                 self.now = tick_at
-                # A clock that was rounded down would be asked again at the same time, for ever.
+                # If rounding put the clock before the deadline, this loop would never end.
                 clock = max(self.nodes[name].clock(self.now), self.replica(name).next_deadline())
                 self.carry_out(name, self.replica(name).tick(clock))
         self.now = until
@@ -211,15 +214,15 @@
         self.carry_out(to, actions)
 
     def until(self, holds: Callable[[], bool], within: float) -> None:
-        """Let time pass until something holds; fails if it does not within that time."""
+        """Advance time until a condition holds; fails if it does not within `within` ms."""
         limit = self.now + within
         while not holds():
             if self.now >= limit:
-                raise AssertionError(f"does not hold within {within} ms")
+                raise AssertionError(f"condition does not hold within {within} ms")
             self.advance(10.0)
 
     def settle(self, within: float = 20_000.0) -> str:
-        """Wait until all that run agree on one leader and one document; who leads."""
+        """Wait until all running instances agree on one leader and one document; returns the leader."""
 
         def settled() -> bool:
             leading = self.leading()
@@ -239,7 +242,7 @@
     def propose(
         self, name: str, changes: Iterable[Change], if_index: int | None = None
     ) -> tuple[str, int, int]:
-        """Propose at an instance; the key under which `outcomes` tells what became of it."""
+        """Propose at an instance; returns the proposal's key in `outcomes`."""
         node, replica = self.nodes[name], self.replica(name)
         changes = tuple(changes)
         proposed = replica.propose(node.clock(self.now), changes, "author", "reason", if_index, 1.0)
@@ -253,7 +256,7 @@
     # Actions
 
     def carry_out(self, name: str, actions: list[Action]) -> None:
-        """Do what a replica asked for; only a part of it if the instance stops in between."""
+        """Execute a replica's actions, up to the point where the instance is to stop."""
         for action in actions:
             if name in self.stopping:
                 self.stopping[name] -= 1
@@ -293,24 +296,24 @@
         self._check_complete(name)
 
     def _check_accepted(self, name: str) -> None:
-        """Who accepts a proposal leads the newest epoch: its lease kept all others from being elected."""
+        """An instance that accepts proposals leads the newest epoch: its lease prevents other elections."""
         epoch = self.replica(name).epoch
         if epoch != max(self.leaders):
             raise InvariantBroken(f"{name} accepts in epoch {epoch}, and {max(self.leaders)} has a leader")
 
     def _check_complete(self, name: str) -> None:
-        """A leader's log holds every version that anybody has committed."""
+        """A leader's log contains every committed version."""
         log = self.replica(name).log
         held = {entry.version.index: entry.version for entry in log.entries if entry.version is not None}
         for index, version in self.versions.items():
             if index > log.snapshot.document.index and held.get(index) != version:
-                raise InvariantBroken(f"{name} leads, and lacks version {index}, which was committed")
+                raise InvariantBroken(f"{name} leads, and lacks committed version {index}")
 
     def _check_committed(self, node: Node, version: Version) -> None:
         if version.index != node.watched.index + 1:
-            raise InvariantBroken(f"{node.name} tells of {version.index} after {node.watched.index}")
+            raise InvariantBroken(f"{node.name} committed {version.index} after {node.watched.index}")
         if self.versions.setdefault(version.index, version) != version:
-            raise InvariantBroken(f"{node.name} committed another version {version.index}")
+            raise InvariantBroken(f"{node.name} committed a different version {version.index}")
         node.watched.apply(version.index, version.epoch, version.changes)
 
     def _check_installed(self, node: Node, document: Document) -> None:
@@ -323,7 +326,7 @@
             version = self.versions[index]
             expected.apply(index, version.epoch, version.changes)
         if expected != document:
-            raise InvariantBroken(f"{node.name} installed another document {document.index}")
+            raise InvariantBroken(f"{node.name} installed a different document {document.index}")
         node.watched = document
 
     def _check_decided(self, node: Node, proposal: int, outcome: Outcome) -> None:
@@ -334,9 +337,9 @@
         if isinstance(outcome, Accepted):
             version = self.versions.get(outcome.index)
             if version is None or version.epoch != outcome.epoch or version.changes != self.proposals[key]:
-                raise InvariantBroken(f"proposal {key} was told another version {outcome.index}")
+                raise InvariantBroken(f"proposal {key} was accepted as a different version {outcome.index}")
 
 
 def change(name: str, value: int) -> Change:
-    """An entry set to an object with one number."""
+    """A change that sets an entry to an object with one number."""
     return Change(name, {"value": value})
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -1,4 +1,4 @@
-"""The replicas' state on a disk: torn and lost writes, damage, another instance's, an older copy."""
+"""Durable Raft state: torn and lost writes, damage, state of another instance, an older copy."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def entry(position: int, text: str = "", epoch: int = 1) -> Entry:
-    """An entry with a version, or a barrier at position 1."""
+    """A log entry with a version; position 1 is a barrier."""
     if position == 1:
         return Entry(position, epoch, None)
     changes = (Change("settings", {"value": position, "text": text}),)
@@ -47,7 +47,7 @@
 
 
 def copied(disk: FaultyFiles, **other: bytes) -> FaultyFiles:
-    """The same files as they read now, with other bytes in some."""
+    """A copy of the files with their current content; `other` overrides the content of some."""
     made = FaultyFiles(random.Random(1))
     for name, inode in disk.now.items():
         made.now[name] = Inode(bytearray(other.get(name, inode.now)))
@@ -57,7 +57,7 @@
 
 
 def content(state: State) -> State:
-    """All but the incarnation, which is another in each run."""
+    """The state without its incarnation, which differs in each run."""
     return State(state.epoch, state.voted_for, state.committed, 0, state.snapshot, state.entries)
 
 
@@ -77,7 +77,7 @@
     assert loaded.incarnation > first.incarnation
 
 
-def test_a_snapshot_takes_the_place_of_what_it_covers() -> None:
+def test_a_snapshot_replaces_the_entries_it_covers() -> None:
     disk = FaultyFiles(random.Random(1))
     state = opened(disk, create=True)
     state.persist(persist(*(entry(position) for position in range(1, 6)), committed=5))
@@ -91,7 +91,7 @@
     assert [each.position for each in loaded.entries] == [4, 5, 6]
 
 
-def test_state_larger_than_one_record_comes_back_whole() -> None:
+def test_state_larger_than_one_record_is_restored_completely() -> None:
     disk = FaultyFiles(random.Random(1))
     state = opened(disk, create=True)
     document = Document(4, 1, {f"services.{n}": {"text": "x" * 4000} for n in range(400)})
@@ -132,7 +132,7 @@
         assert content(found) == content(expected), f"cut at byte {end}"
 
 
-def test_a_record_that_was_acknowledged_and_cut_at_any_byte_is_refused_now_and_later() -> None:
+def test_an_acknowledged_record_truncated_at_any_byte_is_refused_now_and_later() -> None:
     disk = FaultyFiles(random.Random(1))
     state = opened(disk, create=True)
     segment = max(name for name in disk.now if name.startswith("seg-"))
@@ -212,7 +212,7 @@
 
 
 class DurableCluster(Cluster):
-    """Replicas whose states are also kept on disks."""
+    """Replicas whose state is also written through `DurableState`."""
 
     def __init__(self, names: Iterable[str], keep: int) -> None:
         self.disks = {name: FaultyFiles(random.Random(1)) for name in names}
@@ -225,7 +225,7 @@
         super()._do(node, action)
 
 
-def test_what_replicas_persist_comes_back_through_elections_and_snapshots() -> None:
+def test_state_persisted_through_elections_and_snapshots_is_restored() -> None:
     cluster = DurableCluster(("a", "b", "c"), keep=4)
     for number in range(12):
         leader = cluster.settle()
@@ -245,13 +245,13 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_a_power_cut_at_any_step_loses_nothing_that_was_persisted(
+def test_a_power_loss_at_any_step_loses_nothing_that_was_persisted(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     play_power_cuts(seed, monkeypatch)
 
 
-def test_power_cuts_find_a_disk_that_is_never_synced(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_power_losses_detect_a_disk_that_is_never_synced(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(FaultyHandle, "sync", lambda handle: None)
     found = 0
     for seed in range(10):
@@ -263,12 +263,12 @@
 
 
 def play_power_cuts(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Several power cuts, each at a drawn step, among appends, conflicts, snapshots and checkpoints."""
+    """Several power losses at random steps, among appends, conflicts, snapshots and checkpoints."""
     monkeypatch.setattr("millgw.configuration.durable.MAX_JOURNAL_RECORDS", 12)
     monkeypatch.setattr("millgw.configuration.durable.PIECE_SIZE", 200)
     rng = random.Random(f"power cuts {seed}")
     disk = FaultyFiles(rng)
-    possible = [content(State())]  # what may be found: the last that was persisted, or was under way
+    possible = [content(State())]  # valid states: the last persisted one, or that of the current write
     for _ in range(7):
         disk, possible = run_to_power_cut(rng, disk, possible)
     disk.fault = lambda _, __: None
@@ -278,7 +278,7 @@
 def run_to_power_cut(
     rng: random.Random, disk: FaultyFiles, possible: list[State]
 ) -> tuple[FaultyFiles, list[State]]:
-    """One run on a disk; the disk after the power cut, and what may be found there."""
+    """One run on a disk; returns the disk after the power loss, and the states that it may contain."""
     last_step = disk.steps + rng.randint(1, 250)
     disk.fault = lambda _, step: Crash() if step >= last_step else None
     try:
@@ -294,7 +294,7 @@
 
 
 def created_or_opened(disk: FaultyFiles, may_be_created: bool) -> DurableState:
-    """The state; a power cut while it was made may have left none."""
+    """Open the state, or create it if a power loss interrupted its creation."""
     try:
         return opened(disk)
     except StateMissing:
@@ -303,7 +303,7 @@
 
 
 def drawn(rng: random.Random, state: State) -> Persist:
-    """Something that a replica in such a state may ask for."""
+    """A random write that a replica in this state may request."""
     last = state.snapshot.position + len(state.entries)
     if rng.random() < 0.15 and last > state.committed:
         committed = rng.randint(state.committed + 1, last)
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -1,4 +1,4 @@
-"""Control instances under random faults: parted networks, ends and restarts, while versions are proposed."""
+"""Control instances under random partitions, stops and restarts, while versions are proposed."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 pytestmark = aside
 
-FAULT_TIME = 6.0  # s in which faults come and go
-PROPOSAL_WITHIN = 1.5  # s for one proposal
+FAULT_TIME = 6.0  # s of random faults
+PROPOSAL_WITHIN = 1.5  # s; timeout of one proposal
 
 
 class Proposer:
-    """Proposes numbered entries, one after another, and notes how each ended."""
+    """Proposes numbered entries one after another and records their outcomes."""
 
     def __init__(self, cluster: Cluster, first: int, step: int) -> None:
         self.cluster = cluster
@@ -49,7 +49,7 @@
 
 
 def parts(rng: random.Random, names: list[str]) -> Iterator[list[str]]:
-    """Two parts, of any size, drawn by chance."""
+    """A random partition into two groups."""
     shuffled = rng.sample(names, len(names))
     cut = rng.randrange(1, len(names))
     yield shuffled[:cut]
@@ -57,7 +57,7 @@
 
 
 async def one_fault(rng: random.Random, cluster: Cluster) -> None:
-    """Part the network, make it whole, end an instance or start one again."""
+    """Partition or heal the network, or stop or restart an instance."""
     names = list(cluster.voters)
     ended = [name for name in names if name not in cluster.running]
     match rng.choice(("part", "part", "join", "end", "start", "start")):
@@ -73,7 +73,7 @@
 
 
 async def keep_watching(cluster: Cluster, rng: random.Random, watchers: list[Watcher]) -> None:
-    """Have each watch that ended go on at another instance from the document that it has."""
+    """Reopen each closed watch at a random instance, from the document it has."""
     while True:
         for number, watcher in enumerate(watchers):
             if watcher.ended and cluster.running:
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_whatever_fails_acknowledged_versions_stay_and_none_is_there_twice(seed: int) -> None:
+def test_under_random_faults_acknowledged_versions_are_neither_lost_nor_duplicated(seed: int) -> None:
     async def test() -> None:
         rng = random.Random(seed)
         async with Cluster(5, keep=20) as cluster:
@@ -113,14 +113,14 @@
 
             committed = {number: index for p in proposers for number, index in p.committed.items()}
             unknown = {number for p in proposers for number in p.unknown}
-            print(f"{len(committed)} committed, {len(unknown)} not known, last version {last}")
+            print(f"{len(committed)} committed, {len(unknown)} unknown, last version {last}")
             assert committed
             assert len(set(committed.values())) == len(committed), "each index once"
             document = next(iter(cluster.running.values())).service.history.document
             there = {int(name[1:]) for name in document.entries}
-            assert set(committed) <= there, "none that was acknowledged is lost"
-            assert there <= set(committed) | unknown, "none that was refused is there"
-            assert document.index == len(there), "no version is there twice"
+            assert set(committed) <= there, "no acknowledged version is lost"
+            assert there <= set(committed) | unknown, "no rejected version is present"
+            assert document.index == len(there), "no version is present twice"
             assert {watcher.document.digest() for watcher in watchers} == {document.digest()}
             assert all(not instance.failed.done() for instance in cluster.running.values())
 
@@ -128,7 +128,7 @@
 
 
 async def _settled(cluster: Cluster) -> int:
-    """The version at which all instances are, once a leader has committed one more and nothing is out."""
+    """Wait until all instances have the same committed version and log end; returns that version."""
     leader = await cluster.leader()
 
     def same() -> bool:
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -1,4 +1,4 @@
-"""Control instances on loopback: proposals, watches, parted networks, restarts, bad requests."""
+"""Control instances on loopback: proposals, watches, network partitions, restarts, invalid requests."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 pytestmark = aside
 
 FLEET = 670  # sidecars
-STORM_TIME = 10.0  # s for all of them to be served again, far over what it takes
+STORM_TIME = 10.0  # s; limit until all are served again, far more than needed
 LEAST_DESCRIPTORS = 2 * FLEET + 200
 
 
 async def open_watchers(addresses: Sequence[Address], count: int, **more: Any) -> list[Watcher]:
-    """Watchers by turns at the instances."""
+    """Open watchers, distributed round-robin over the instances."""
     made = [Watcher(f"n{number}", **more) for number in range(count)]
     opening = (w.open(addresses[number % len(addresses)]) for number, w in enumerate(made))
     await asyncio.gather(*opening)
@@ -58,7 +58,10 @@
 
 
 async def propose_until_committed(cluster: Cluster, name: str, value: object, among: Sequence[str]) -> int:
-    """Propose at whoever leads until it is committed, as nothing has changed before; its index."""
+    """Propose to the current leader until the version is committed; returns its index.
+
+    Retries are safe: the accepted error statuses mean that the proposal was rejected without effect.
+    """
     while True:
         leader = await cluster.leader(among)
         answer = await propose(address_of(leader), name, value)
@@ -71,7 +74,7 @@
 
 
 def documents(cluster: Cluster) -> set[tuple[int, str]]:
-    """Index and digest of all running instances' documents."""
+    """Index and digest of the documents of all running instances."""
     histories = [instance.service.history for instance in cluster.running.values()]
     return {(history.index, history.document.digest()) for history in histories}
 
@@ -100,7 +103,7 @@
     run(test)
 
 
-def test_a_proposal_goes_to_the_leader_and_keeps_to_if_index() -> None:
+def test_only_the_leader_accepts_a_proposal_and_if_index_is_checked() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -117,7 +120,7 @@
     run(test)
 
 
-def test_a_watch_begins_at_once_with_what_it_lacks() -> None:
+def test_a_watch_starts_immediately_with_the_changes_it_lacks() -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
             await cluster.leader()
@@ -142,7 +145,7 @@
 # Leaders and quorums
 
 
-def test_a_leader_killed_while_a_proposal_is_out_loses_and_doubles_no_version() -> None:
+def test_killing_a_leader_with_a_pending_proposal_neither_loses_nor_duplicates_a_version() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "before", {"n": 1}, [])
@@ -152,11 +155,11 @@
             rest = [name for name in cluster.voters if name != killed]
             watchers = await open_watchers([cluster.voters[name] for name in rest], 4)
             cluster.stop(killed)
-            with suppress(Exception):  # its connection ends without an answer: the outcome is not known
+            with suppress(Exception):  # its connection closes without a response: the outcome is unknown
                 assert (await out).status == 504
             cluster.network.join()
             index = await propose_until_committed(cluster, "after", {"n": 3}, rest)
-            assert index == 2, "what no majority had is not there"
+            assert index == 2, "the version that no majority had is lost"
             await cluster.restart(killed)
             await cluster.committed(2)
             await until(lambda: all(watcher.index == 2 for watcher in watchers))
@@ -169,7 +172,7 @@
 
 
 async def _propose_to_one_cut_off(cluster: Cluster) -> tuple[Instance, asyncio.Task[Answer]]:
-    """A leader that nobody hears and that has a proposal in its log, and the call that waits for it."""
+    """A partitioned leader that has a proposal in its log, and the call that waits for the outcome."""
     while True:
         cluster.network.join()
         leader = await cluster.leader()
@@ -181,10 +184,10 @@
         while not out.done() and log.last_index == before:
             await asyncio.sleep(0.005)
         if not out.done():
-            return leader, out  # else its lease had ended before the call came: nothing has changed
+            return leader, out  # else its lease expired before the call arrived, and nothing changed
 
 
-def test_a_proposal_that_was_replicated_before_its_leader_died_is_there_once() -> None:
+def test_a_proposal_replicated_before_its_leader_died_is_committed_once() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -206,7 +209,7 @@
     run(test)
 
 
-def test_an_old_leader_that_is_cut_off_accepts_nothing_and_its_watchers_keep_what_they_have() -> None:
+def test_a_partitioned_leader_accepts_nothing_and_its_watchers_keep_their_version() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             old = await cluster.leader()
@@ -233,7 +236,7 @@
     run(test)
 
 
-def test_without_a_majority_nothing_is_accepted_and_watches_are_served_on() -> None:
+def test_without_a_majority_nothing_is_accepted_but_watches_are_served() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "a", {"n": 1}, [])
@@ -256,7 +259,7 @@
     run(test)
 
 
-def test_regions_that_part_while_a_change_is_under_way_agree_once_joined() -> None:
+def test_regions_agree_after_a_partition_during_a_proposal() -> None:
     async def test() -> None:
         async with Cluster(5) as cluster:
             leader = await cluster.leader()
@@ -292,10 +295,10 @@
     return {number for number, name in enumerate(cluster.voters) if name in names}
 
 
-# Instances that come back
+# Restarted instances
 
 
-def test_a_follower_that_was_away_is_brought_up_by_a_snapshot() -> None:
+def test_a_follower_that_was_stopped_catches_up_by_a_snapshot() -> None:
     async def test() -> None:
         async with Cluster(3, keep=8) as cluster:
             leader = await cluster.leader()
@@ -309,7 +312,7 @@
                 await propose_until_committed(cluster, f"e{number % 3}", {"n": number}, [])
             back = await cluster.restart(name)
             await cluster.committed(41)
-            assert back.replica.log.snapshot.position > 8, "it was sent a snapshot"
+            assert back.replica.log.snapshot.position > 8, "it received a snapshot"
             again = await Watcher("n0", document=watcher.document).open(cluster.voters[name])
             await until(lambda: again.index == 41)
             assert again.lines[0].snapshot
@@ -318,7 +321,7 @@
     run(test)
 
 
-def test_an_instance_that_comes_back_with_older_state_is_brought_up_and_takes_no_watcher_back() -> None:
+def test_an_instance_restarted_with_older_state_catches_up_and_sends_no_watcher_older_versions() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -345,7 +348,7 @@
     run(test)
 
 
-def test_a_torn_write_at_the_end_of_a_store_costs_nothing_and_a_lost_one_is_refused(tmp_path: Path) -> None:
+def test_a_torn_last_write_is_harmless_and_a_lost_one_is_refused(tmp_path: Path) -> None:
     async def test() -> None:
         cluster = Cluster(3)
         for name in cluster.voters:
@@ -377,7 +380,7 @@
     run(test)
 
 
-def test_an_instance_whose_disk_fails_ends_and_the_others_go_on() -> None:
+def test_an_instance_whose_disk_fails_stops_and_the_others_continue() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -397,7 +400,7 @@
 # Sidecars
 
 
-def test_a_fleet_that_comes_back_at_once_is_served_the_newest_version() -> None:
+def test_a_fleet_that_reconnects_all_at_once_is_served_the_newest_version() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < LEAST_DESCRIPTORS:
         resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST_DESCRIPTORS, hard))
@@ -431,7 +434,7 @@
     run(test)
 
 
-def test_a_change_that_one_in_ten_refuses_is_reported_so() -> None:
+def test_a_change_refused_by_one_sidecar_in_ten_is_counted_so() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "a", {"n": 1}, [])
@@ -450,7 +453,7 @@
             told = [await status_of(address, "?sidecars=1") for address in addresses]
             total = {key: sum(status["in_force"][key] for status in told) for key in ("applied", "refused")}
             assert total == {"applied": 53, "refused": 6}
-            assert sum(status["in_force"]["behind"] for status in told) == 1, "one has not reported"
+            assert sum(status["in_force"]["behind"] for status in told) == 1, "one sidecar has not reported"
             refusals = [refusal for status in told for refusal in status["refusals"]]
             assert {r["name"] for r in refusals} == {f"n{number}" for number in range(0, 60, 10)}
             assert {(r["index"], r["cause"]) for r in refusals} == {(1, "a.n: over 0")}
@@ -460,7 +463,7 @@
 
 
 class RefusingTarget:
-    """A sidecar's settings: what it goes by, and which value it refuses."""
+    """The settings of a sidecar that refuses one value."""
 
     def __init__(self, refuses: int) -> None:
         self.refuses = refuses
@@ -474,7 +477,7 @@
         self.entries = entries
 
 
-def test_sidecars_own_clients_follow_report_and_move_when_their_instance_dies() -> None:
+def test_sidecar_clients_follow_report_and_move_when_their_instance_dies() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "settings", {"n": 1}, [])
@@ -510,7 +513,9 @@
     run(test)
 
 
-def test_a_watcher_that_does_not_read_is_closed_and_the_others_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watcher_that_does_not_read_is_closed_and_the_others_continue(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr("millgw.configuration.watchers.STALL_TIMEOUT", 0.5)
 
     async def test() -> None:
@@ -535,11 +540,11 @@
     run(test)
 
 
-# Bad requests
+# Invalid requests
 
 
 async def exchange(address: Address, data: bytes, end: bool = False) -> bytes:
-    """All that is answered to some bytes, until the server ends the connection."""
+    """Send bytes; returns everything received until the server closes the connection."""
     reader, writer = await asyncio.open_connection(address.host, address.port)
     writer.write(data)
     if end:
@@ -561,7 +566,7 @@
         (b"POST /v1/configuration/reports HTTP/1.1\r\nContent-Length: 5000\r\n\r\n", 413),
     ],
 )
-def test_what_is_no_request_is_refused_and_its_connection_ends(data: bytes, status: int) -> None:
+def test_an_invalid_request_is_refused_and_its_connection_closed(data: bytes, status: int) -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
             answer = await exchange(cluster.voters["c1"], data)
@@ -572,7 +577,7 @@
     run(test)
 
 
-def test_half_a_request_is_given_up_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millgw.configuration.server.REQUEST_TIMEOUT", 0.3)
 
     async def test() -> None:
@@ -606,7 +611,7 @@
         ("POST", "/v1/replica?from=x", {}, 404),
     ],
 )
-def test_a_call_that_can_t_be_carried_out_is_answered_with_its_cause(
+def test_a_call_that_can_t_be_handled_gets_an_error_with_its_cause(
     method: str, path: str, body: object, status: int
 ) -> None:
     async def test() -> None:
@@ -620,7 +625,7 @@
     run(test)
 
 
-def test_messages_that_can_t_be_read_are_refused_and_harm_nothing() -> None:
+def test_undecodable_messages_are_refused_without_effect() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -634,7 +639,7 @@
     run(test)
 
 
-def test_requests_on_one_connection_are_answered_in_their_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
             await cluster.leader()
@@ -652,7 +657,7 @@
 
 
 @pytest.mark.parametrize(("descriptors", "connections"), [(1024, 896), (100, 1), (20_000, 4096), (-1, 4096)])
-def test_connections_leave_descriptors_for_the_store_and_the_peers(
+def test_the_connection_limit_reserves_descriptors_for_the_store_and_the_peers(
     descriptors: int, connections: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (descriptors, -1))
--- a/tests/test_configuration_messages.py
+++ b/tests/test_configuration_messages.py
@@ -1,4 +1,4 @@
-"""The replicas' messages: there and back, bounds, and errors that name the field."""
+"""Messages between replicas: encoding round trips, size limits, and errors that name the field."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 BOUNDED = settings(
     deadline=None,
     derandomize=True,
-    suppress_health_check=[HealthCheck.too_slow],  # the same verdict on a busy machine
+    suppress_health_check=[HealthCheck.too_slow],  # it would fail on a busy machine
 )
 HEADER = Header(7, 3, 41)
 VERSION = Version(12, 6, (Change("settings", {"retry": {"max": 2}}), Change("old", None)), "ann", "why", 1.5)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("message", ALL, ids=lambda message: type(message).__name__)
-def test_a_message_comes_back_as_it_was(message: Message) -> None:
+def test_a_message_survives_a_round_trip(message: Message) -> None:
     assert decode(encode(message)) == message
 
 
@@ -100,13 +100,13 @@
 
 @settings(BOUNDED, max_examples=150)
 @given(appends)
-def test_any_entries_come_back_as_they_were(message: AppendRequest) -> None:
+def test_any_entries_survive_a_round_trip(message: AppendRequest) -> None:
     assert decode(encode(message)) == message
 
 
 @settings(BOUNDED, max_examples=400)
 @given(st.data())
-def test_bytes_that_are_changed_or_cut_are_a_message_or_a_message_error(data: st.DataObject) -> None:
+def test_corrupted_or_truncated_bytes_decode_or_raise_a_message_error(data: st.DataObject) -> None:
     encoded = bytearray(encode(data.draw(st.sampled_from(ALL))))
     position = data.draw(st.integers(0, len(encoded) - 1))
     if data.draw(st.booleans()):
@@ -120,7 +120,7 @@
 
 
 def changed(message: Message, path: str, value: Any) -> bytes:
-    """A message with another value at a path of names and numbers."""
+    """An encoded message with the value at a path of names and numbers replaced."""
     fields = json.loads(encode(message))
     *before, last = [int(part) if part.isdigit() else part for part in path.split(".")]
     inner = fields
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"\xff", b"[" * 100_000, b'{"kind":"append"'])
-def test_what_is_no_json_object_is_a_message_error(data: bytes) -> None:
+def test_bytes_that_are_not_a_json_object_raise_a_message_error(data: bytes) -> None:
     with pytest.raises(MessageError, match=r"^message: "):
         decode(data)
 
@@ -205,13 +205,13 @@
         (Change("x", {"a": "b" * MAX_CHANGES}), "changes"),
     ],
 )
-def test_what_peers_could_not_read_is_not_proposed(change: Change, cause: str) -> None:
+def test_a_proposal_that_peers_could_not_decode_is_rejected(change: Change, cause: str) -> None:
     with pytest.raises(ProposalError) as raised:
         check_proposal([change], "author", "reason", 1.0)
     assert str(raised.value).startswith(f"{cause}: ")
 
 
-def test_a_proposal_within_the_bounds_is_taken() -> None:
+def test_a_proposal_within_the_limits_is_accepted() -> None:
     assert check_proposal([Change("x", nested(MAX_DEPTH)), Change("y", None)], "a", "r", 1.0) > 0
     for author, reason, at in (("x" * (MAX_TEXT + 1), "", 1.0), ("", "\ud800", 1.0), ("", "", float("inf"))):
         with pytest.raises(ProposalError):
--- a/tests/test_configuration_replica.py
+++ b/tests/test_configuration_replica.py
@@ -1,4 +1,4 @@
-"""The consensus state machine: hard cases by name, random schedules, planted faults that must be found."""
+"""The Raft state machine: edge cases, random schedules, exhaustive search, and injected faults."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return [cluster.replica(name).document.index for name in cluster.running()]
 
 
-# Hard cases
+# Edge cases
 
 
 def test_a_leader_is_elected_and_commits() -> None:
@@ -77,7 +77,7 @@
     assert cluster.replica("a").document.index == 1
 
 
-def test_refusals_tell_why() -> None:
+def test_a_rejected_proposal_gets_its_cause() -> None:
     cluster = Cluster(THREE)
     assert cluster.outcomes[cluster.propose("a", [])] == NoQuorum()
     leader = cluster.settle()
@@ -103,7 +103,7 @@
     assert documents(cluster) == [1, 1, 1]
 
 
-def test_a_leader_that_is_cut_off_accepts_nothing_once_its_lease_is_over() -> None:
+def test_a_partitioned_leader_accepts_nothing_after_its_lease_expired() -> None:
     cluster = Cluster(THREE)
     old = cluster.settle()
     cluster.part([old], others(cluster, old))
@@ -131,7 +131,7 @@
     cluster.part([old], others(cluster, old))
     cluster.network = Network(delay=(1.0, 1.0))
     cluster.heal()
-    cluster.advance(10.0)  # the entry arrives; the replies do not
+    cluster.advance(10.0)  # the entry arrives, the replies do not
     cluster.part([old], others(cluster, old))
     cluster.advance(20_000.0)
     assert cluster.outcomes[key] in (Unknown(), Accepted(1, 1))
@@ -140,7 +140,7 @@
     assert documents(cluster) == [1, 1, 1]
 
 
-def test_without_a_majority_nothing_is_accepted_and_no_epoch_is_begun() -> None:
+def test_without_a_majority_nothing_is_accepted_and_no_epoch_starts() -> None:
     cluster = Cluster(FIVE)
     leader = cluster.settle()
     for name in others(cluster, leader)[:3]:
@@ -157,7 +157,7 @@
     assert documents(cluster) == [0] * 5
 
 
-def test_an_instance_that_was_cut_off_does_not_depose_the_leader() -> None:
+def test_an_instance_that_was_partitioned_does_not_depose_the_leader() -> None:
     cluster = Cluster(THREE)
     leader = cluster.settle()
     follower = others(cluster, leader)[0]
@@ -168,7 +168,7 @@
     assert cluster.replica(leader).epoch == 1
 
 
-def test_regions_are_parted_while_a_change_is_under_way_and_joined_again() -> None:
+def test_regions_agree_after_a_partition_during_a_proposal() -> None:
     cluster = Cluster(FIVE)
     leader = cluster.settle()
     small = [leader, others(cluster, leader)[0]]
@@ -178,7 +178,7 @@
     cluster.until(lambda: any(name in large for name in cluster.leading()), 20_000)
     new = next(name for name in cluster.leading() if name in large)
     second = cluster.propose(new, [change("services.login", 2)])
-    cluster.advance(3 * ELECTION)  # the old leader gives up, and its follower gives up that it is heard
+    cluster.advance(3 * ELECTION)  # the old leader steps down, and its follower forgets it
     assert isinstance(cluster.outcomes[second], Accepted)
     for name in small:
         assert cluster.outcomes[cluster.propose(name, [change("settings", 3)])] == NoQuorum()
@@ -241,7 +241,7 @@
     assert documents(cluster) == [5, 5, 5]
 
 
-def test_an_instance_with_older_state_than_it_acknowledged_counts_for_nothing_until_it_has_all() -> None:
+def test_an_instance_with_older_state_than_it_acknowledged_is_not_counted_until_it_has_caught_up() -> None:
     cluster = Cluster(THREE, keep=4)
     leader = cluster.settle()
     restored, absent = others(cluster, leader)
@@ -259,7 +259,7 @@
     under_way = cluster.propose(leader, [change("settings", 13)])
     cluster.advance(LEASE)
     assert {each.peer for each in cluster.refused} == {restored}
-    assert under_way not in cluster.outcomes, "an acknowledgement of the restored instance counted"
+    assert under_way not in cluster.outcomes, "an acknowledgement of the restored instance was counted"
     assert cluster.outcomes[cluster.propose(leader, [])] == NoQuorum()
     cluster.heal()
     cluster.settle()
@@ -273,7 +273,7 @@
     assert isinstance(cluster.outcomes[again], Accepted)
 
 
-def test_who_has_heard_the_leader_of_an_epoch_votes_for_nobody_else_in_it() -> None:
+def test_an_instance_that_heard_from_the_leader_of_an_epoch_votes_for_no_other_candidate() -> None:
     cluster = Cluster(THREE)
     leader = cluster.settle()
     assert {cluster.nodes[name].state.voted_for for name in THREE} == {leader}
@@ -293,7 +293,7 @@
             Options(**{"name": "a", "voters": THREE, **wrong})  # type: ignore[arg-type]
 
 
-def test_messages_of_strangers_are_ignored_and_the_same_inputs_give_the_same_actions() -> None:
+def test_messages_from_non_voters_are_ignored_and_the_same_inputs_give_the_same_actions() -> None:
     cluster = Cluster(THREE)
     cluster.settle()
     replica = cluster.replica("a")
@@ -309,7 +309,7 @@
 
 
 class Schedules(RuleBasedStateMachine):
-    """Whatever may happen to three or five instances; `Cluster` checks the invariants at every action."""
+    """Random events on three or five instances; `Cluster` checks the invariants at every action."""
 
     make: MakeReplica = Replica
 
@@ -365,7 +365,7 @@
         self.cluster.start_all()
 
     def teardown(self) -> None:
-        """Once all run and reach each other, all agree."""
+        """All instances agree once they run and can reach each other."""
         if not hasattr(self, "cluster"):
             return
         self.cluster.network = Network()
@@ -384,7 +384,7 @@
     deadline=None,
     derandomize=True,
     database=None,
-    suppress_health_check=[HealthCheck.too_slow],  # the same verdict on a busy machine
+    suppress_health_check=[HealthCheck.too_slow],  # it would fail on a busy machine
 )
 
 
@@ -392,7 +392,7 @@
     run_state_machine_as_test(Schedules, settings=BOUNDED)
 
 
-# Planted faults
+# Injected faults
 
 
 class VotesTwice(Replica):
@@ -416,7 +416,7 @@
 
 class ForgetsItsEntries(Replica):
     def _finish(self) -> list[Action]:
-        """Acknowledges first and persists later."""
+        """Acknowledge before the entries are persisted."""
         return sorted(super()._finish(), key=lambda action: isinstance(action, Persist))
 
 
@@ -433,7 +433,7 @@
 class VotesRightAfterItsStart(Replica):
     def __init__(self, options: Options, state: State, seed: int, now: float) -> None:
         super().__init__(options, state, seed, now)
-        self._heard = float("-inf")
+        self._leader_heard_at = float("-inf")
 
 
 class AcceptsWithoutALease(Replica):
@@ -451,7 +451,7 @@
 
 
 @pytest.mark.parametrize("fault", [VotesForAnyLog, SkipsTheLogCheck], ids=lambda fault: fault.__name__)
-def test_random_schedules_find_a_planted_fault(fault: type[Replica]) -> None:
+def test_random_schedules_find_an_injected_fault(fault: type[Replica]) -> None:
     class Faulty(Schedules):
         make = fault
 
@@ -514,7 +514,7 @@
     ],
     ids=lambda value: value.__name__,
 )
-def test_a_schedule_tells_a_planted_fault_from_the_replica(
+def test_a_schedule_passes_for_the_replica_and_fails_for_an_injected_fault(
     schedule: Callable[[MakeReplica], None], fault: type[Replica]
 ) -> None:
     schedule(Replica)
@@ -522,7 +522,7 @@
         schedule(fault)
 
 
-# The exhaustive search
+# Exhaustive search
 
 
 @pytest.mark.parametrize(
@@ -535,7 +535,7 @@
     ],
     ids=["two proposals", "a restart", "two epochs", "messages repeated"],
 )
-def test_no_reachable_state_is_broken(model: Replication, states: int) -> None:
+def test_no_reachable_state_violates_an_invariant(model: Replication, states: int) -> None:
     found = explore(model)
     assert not found.broken, (found.broken, found.trace)
     assert found.whole and found.states > states
@@ -557,7 +557,7 @@
     pass
 
 
-# `a` has an entry that nobody else has, `b` one of epoch 2; `a` leads epoch 3.
+# `a` and `b` (in epoch 2) each append an entry that no other instance has; then `a` leads epoch 3.
 TWO_LONE_ENTRIES = (
     "a proposes",
     "b times out",
@@ -587,6 +587,6 @@
     ],
     ids=["votes twice", "forgets its vote", "votes for any log", "commits earlier epochs"],
 )
-def test_the_search_finds_a_planted_fault(model: Replication, cause: str) -> None:
+def test_exhaustive_search_finds_an_injected_fault(model: Replication, cause: str) -> None:
     found = explore(model, most=150_000)
     assert cause in found.broken
--- a/tests/test_configuration_transport.py
+++ b/tests/test_configuration_transport.py
@@ -1,4 +1,4 @@
-"""Messages between instances: peers that are silent, gone, or answer what is no message."""
+"""Transport between instances: peers that do not answer, are unreachable, or answer with invalid messages."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Peer:
-    """Answers by a function of the message's epoch; None: never."""
+    """A peer whose response is a function of the message's epoch; None: no response."""
 
     def __init__(self, answer: Callable[[int], bytes | None]) -> None:
         self.clock = Clock()
@@ -59,7 +59,7 @@
 
 
 class Received:
-    """What a link's replica is handed."""
+    """Collects the messages that a link receives."""
 
     def __init__(self) -> None:
         self.messages: list[tuple[str, Message]] = []
@@ -72,7 +72,7 @@
         return [message.header.epoch for _, message in self.messages]
 
 
-def test_a_message_is_posted_and_its_reply_handed_on_under_the_peer_s_name() -> None:
+def test_a_message_is_posted_and_its_reply_is_received_under_the_peer_s_name() -> None:
     async def test() -> None:
         peer, received = Peer(answering), Received()
         peer.listener.open()
@@ -92,7 +92,7 @@
     "bad",
     [ok(b"{}"), ok(b"\xff\xfe"), status(204), status(500), b"no HTTP\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\n"],
 )
-def test_an_answer_that_is_no_message_counts_as_lost(bad: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_invalid_response_counts_as_lost(bad: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIMEOUT", 0.2)
 
     async def test() -> None:
@@ -111,7 +111,7 @@
     run(test)
 
 
-def test_a_peer_that_is_silent_is_given_up_and_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_connection_to_a_silent_peer_is_aborted_and_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIMEOUT", 0.2)
 
     async def test() -> None:
@@ -122,19 +122,19 @@
         await until(lambda: peer.epochs == [1])
         for _ in range(10 * MAX_QUEUED):
             link.send(request(1))
-        assert len(link._queue) == MAX_QUEUED, "what waits is bounded"
+        assert len(link._queue) == MAX_QUEUED, "the queue is bounded"
         while not received.messages:
             link.send(request(2))
             await asyncio.sleep(0.05)
         assert received.epochs[0] == 2
-        assert peer.epochs.count(1) == 1, "what waited went with the connection: it was outdated"
+        assert peer.epochs.count(1) == 1, "outdated messages are dropped with the connection"
         link.stop()
         peer.listener.close()
 
     run(test)
 
 
-def test_a_peer_that_is_not_there_is_reached_once_it_is() -> None:
+def test_an_unreachable_peer_is_reached_once_it_listens() -> None:
     async def test() -> None:
         peer, received = Peer(answering), Received()
         link = PeerLink("a", "b", peer.address, received)
@@ -153,7 +153,7 @@
     run(test)
 
 
-def test_a_parted_network_lets_neither_messages_nor_replies_pass() -> None:
+def test_a_partition_blocks_both_messages_and_replies() -> None:
     async def test() -> None:
         closed: set[tuple[str, str]] = {("a", "b")}
         peer, received = Peer(answering), Received()
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -1,4 +1,4 @@
-"""What watches are sent and what sidecars report, without sockets."""
+"""History, watches, sidecar reports and request parsing, without sockets."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 @given(st.integers(0, 12), st.integers(0, 14), st.integers(1, 6))
-def test_what_follows_any_version_leads_to_the_newest_one(count: int, start: int, kept: int) -> None:
+def test_the_changes_after_any_version_lead_to_the_newest_one(count: int, start: int, kept: int) -> None:
     history = history_of(count, max_lines=kept)
     follower = history_of(min(start, count)).document
     for line in lines_of(history.after(start)):
@@ -74,10 +74,10 @@
     assert follower.index == count
     assert follower.digest() == history.document.digest()
     if start >= count:
-        assert not history.after(start), "versions never go back"
+        assert not history.after(start), "a watch never receives an older version"
 
 
-def test_a_line_is_encoded_once_and_a_version_too_old_gets_the_whole() -> None:
+def test_a_line_is_encoded_once_and_a_version_too_old_gets_a_snapshot() -> None:
     history = History(max_lines=2)
     history.append(Version(1, 1, (Change("settings", {"long": "x" * 1000}),)))
     for index in range(2, 6):
@@ -88,7 +88,7 @@
     assert [decode_line(line).index for line in lines_of(history.after(3))] == [4, 5]
 
 
-def test_the_whole_is_sent_where_it_is_shorter_than_what_changed() -> None:
+def test_a_snapshot_is_sent_where_it_is_shorter_than_the_changes() -> None:
     history = history_of(30)
     assert history.after(1) is history.snapshot()
 
@@ -101,7 +101,7 @@
     assert history.after(10) is history.snapshot()
 
 
-def test_a_version_out_of_order_is_refused_and_an_older_document_passed_over() -> None:
+def test_a_version_out_of_order_is_refused_and_an_older_document_ignored() -> None:
     history = history_of(3)
     with pytest.raises(ValueError, match="version 5 does not follow version 3"):
         history.append(version(5))
@@ -112,7 +112,7 @@
     assert history.after(3) is history.snapshot()
 
 
-def test_whoever_asks_without_a_version_gets_the_whole_in_any_case() -> None:
+def test_a_watch_without_a_version_always_gets_a_snapshot() -> None:
     for count in (0, 1, 5):
         history = history_of(count)
         assert history.after(NO_VERSION) is history.snapshot()
@@ -123,7 +123,7 @@
 
 
 class ChannelStub:
-    """Takes bytes, or leaves them unsent."""
+    """Records the bytes written; while `reads` is False they count as unsent."""
 
     def __init__(self) -> None:
         self.taken: list[bytes] = []
@@ -157,7 +157,7 @@
         return self.now
 
 
-def test_all_watches_are_written_the_same_bytes() -> None:
+def test_all_watches_share_the_same_bytes_object() -> None:
     history = history_of(1)
     watchers = Watchers(history, Clock())
     channels = [ChannelStub() for _ in range(30)]
@@ -178,13 +178,13 @@
         watchers.publish()
     for _ in range(HEARTBEAT_GROUPS):
         watchers.send_heartbeats()
-    assert channel.taken == [HEARTBEAT, HEARTBEAT], "its first line comes at once"
+    assert channel.taken == [HEARTBEAT, HEARTBEAT], "its first line is sent immediately"
     history.append(version(5))
     watchers.publish()
     assert [decode_line(line).index for line in lines_of(channel.taken[2])] == [5]
 
 
-def test_a_slow_watch_gets_what_it_missed_in_one_piece_once_it_reads() -> None:
+def test_a_slow_watch_gets_all_missed_changes_in_one_write_once_it_reads() -> None:
     history, clock = history_of(1), Clock()
     watchers = Watchers(history, clock)
     channel = ChannelStub()
@@ -196,13 +196,13 @@
         watchers.publish()
     for _ in range(HEARTBEAT_GROUPS):
         watchers.send_heartbeats()
-    assert len(channel.taken) == 1, "nothing is added while bytes wait"
+    assert len(channel.taken) == 1, "nothing is written while bytes are unsent"
     channel.reads, channel.waiting = True, 0
     watchers.drained(watch)
     assert channel.taken[1] == history.after(2)
 
 
-def test_a_watch_that_takes_nothing_is_closed_and_the_others_go_on() -> None:
+def test_a_watch_that_reads_nothing_is_closed_and_the_others_continue() -> None:
     history, clock = history_of(1), Clock()
     watchers = Watchers(history, clock)
     stuck, other = ChannelStub(), ChannelStub()
@@ -218,7 +218,7 @@
     assert (watchers.count, watchers.closed_slow) == (1, 1)
 
 
-def test_bytes_that_wait_for_slow_watches_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_unsent_bytes_of_all_slow_watches_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("millgw.configuration.watchers.MAX_UNSENT", 1000)
     history = History()
     history.append(version(1, "x" * 300))
@@ -228,7 +228,7 @@
         channel.reads = False
         opened(watchers, channel, "n", 0)
     left = [channel for channel in channels if not channel.closed]
-    assert left == channels[-2:], "those that have waited longest give way"
+    assert left == channels[-2:], "those that were slow longest are closed"
     assert sum(channel.waiting for channel in left) <= 1000 < 3 * left[0].waiting
 
 
@@ -250,7 +250,7 @@
     return Report(name, index, digest, Status.APPLIED)
 
 
-def test_a_summary_tells_who_has_it_who_refused_it_and_who_is_behind() -> None:
+def test_a_summary_counts_who_applied_who_refused_and_who_is_behind() -> None:
     reports = Reports()
     for number in range(10):
         reports.take(0.0, applied(f"n{number}", 42))
@@ -266,40 +266,40 @@
     assert (before.applied, before.refused, before.behind) == (10, 0, 1)
 
 
-def test_a_refusal_is_known_after_the_next_version_is_in_force() -> None:
-    """Otherwise who looks later never learns of it: versions may follow each other at once."""
+def test_a_refusal_is_kept_after_the_next_version_is_applied() -> None:
+    """The next version may follow at once, and a status read after it must still show the refusal."""
     reports = Reports()
     reports.take(0.0, Report("n", 43, "d", Status.REFUSED, "limits.tryLimit: over 9"))
     reports.take(0.1, applied("n", 44))
     sidecar = reports.sidecars["n"]
     assert (sidecar.applied, sidecar.refused, sidecar.cause) == (44, 43, "limits.tryLimit: over 9")
     summary = summarize(reports.sidecars.values(), 44, {44: "d"})
-    assert (summary.applied, summary.refused, summary.refusals) == (1, 0, []), "it has the newest in force"
+    assert (summary.applied, summary.refused, summary.refusals) == (1, 0, []), "it applied the newest"
     reports.take(0.2, applied("n", 42))
-    assert sidecar.refused == 0, "a process that has yet to take the version has not refused it"
+    assert sidecar.refused == 0, "a process that has not received the version yet has not refused it"
 
 
-def test_another_digest_of_the_same_version_is_told() -> None:
+def test_a_different_digest_of_the_same_version_counts_as_diverged() -> None:
     reports = Reports()
     reports.take(0.0, applied("n", 43, "other"))
     assert summarize(reports.sidecars.values(), 43, {43: "d"}).diverged == 1
-    assert summarize(reports.sidecars.values(), 43, {44: "d"}).diverged == 0, "what is not remembered"
+    assert summarize(reports.sidecars.values(), 43, {44: "d"}).diverged == 0, "the digest is no longer known"
 
 
-def test_a_sidecar_that_went_back_is_known_by_its_newest_report() -> None:
+def test_the_newest_report_counts_even_if_its_version_is_older() -> None:
     reports = Reports()
     reports.take(0.0, applied("n", 43))
     reports.take(1.0, applied("n", 42))
     assert summarize(reports.sidecars.values(), 43, {}).behind == 1
 
 
-def test_a_sidecar_is_forgotten_once_its_watch_has_been_away() -> None:
+def test_a_sidecar_is_forgotten_after_its_watch_was_closed_for_long_enough() -> None:
     reports = Reports()
     reports.watch_opened(0.0, "n")
     reports.take(0.0, applied("n", 1))
     reports.forget_old(10 * FORGET_AFTER)
-    assert reports.sidecars, "it watches"
-    reports.watch_opened(10 * FORGET_AFTER, "n")  # its new watch comes before the old one's end
+    assert reports.sidecars, "its watch is open"
+    reports.watch_opened(10 * FORGET_AFTER, "n")  # the new watch opens before the old one is closed
     reports.watch_closed(10 * FORGET_AFTER, "n")
     reports.forget_old(30 * FORGET_AFTER)
     assert reports.sidecars
@@ -320,16 +320,16 @@
     reports.watch_opened(1.0, "c")
     assert len(reports.sidecars) == 2
     reports.take(FORGET_AFTER + 1, applied("c", 1))
-    assert set(reports.sidecars) == {"c"}, "those that are away long enough give way"
+    assert set(reports.sidecars) == {"c"}, "sidecars without a watch for long enough are removed"
 
 
-def test_refusals_named_are_bounded() -> None:
+def test_the_list_of_refusals_is_bounded() -> None:
     sidecars = [Sidecar(f"n{i}", 0.0, refused=3) for i in range(100)]
     summary = summarize(sidecars, 3, {})
     assert summary.refused == 100 and len(summary.refusals) == MAX_REFUSALS
 
 
-def test_merging_takes_the_instance_where_a_sidecar_watches_else_the_newest() -> None:
+def test_merging_prefers_the_instance_a_sidecar_watches_else_the_newest_report() -> None:
     moved = [Sidecar("n", 5.0, watches=0, applied=42), Sidecar("m", 5.0, applied=42)]
     now = [Sidecar("n", 1.0, watches=1, applied=43), Sidecar("m", 4.0, applied=41)]
     for order in ((moved, now), (now, moved)):
@@ -337,7 +337,7 @@
         assert merged == {"n": 43, "m": 42}
 
 
-def test_a_sidecar_s_entry_survives_its_json() -> None:
+def test_a_sidecar_s_entry_survives_a_round_trip_through_json() -> None:
     sidecar = Sidecar("n", 90.0, 1, 43, "d", 44, "why")
     fields = json.loads(json.dumps(encode_sidecar(sidecar, 100.0)))
     assert decode_sidecar(fields, 50.0) == Sidecar("n", 40.0, 1, 43, "d", 44, "why")
@@ -366,7 +366,7 @@
 
 
 @given(st.integers(0, 2**40), st.sampled_from(Status), st.text(max_size=2 * CAUSE_MOST))
-def test_what_a_sidecar_words_is_read_as_it_is_meant(index: int, status: Status, cause: str) -> None:
+def test_a_report_encoded_by_a_sidecar_is_decoded_unchanged(index: int, status: Status, cause: str) -> None:
     worded = follower.Report(index, "d", status, cause).encode("n1")
     assert decode_report(worded) == Report("n1", index, "d", status, cause[:CAUSE_MOST])
 
@@ -382,7 +382,7 @@
 
 
 @given(st.lists(st.integers(0, len(WHOLE)), max_size=6))
-def test_a_request_is_the_same_however_it_comes_in(cuts: list[int]) -> None:
+def test_a_request_is_parsed_the_same_however_it_is_split(cuts: list[int]) -> None:
     reader, found = RequestReader(lambda path: 100), []
     places = [0, *sorted(cuts), len(WHOLE)]
     for start, end in itertools.pairwise(places):
@@ -403,14 +403,14 @@
         (b"GET / HTTP/1.1\r\n\r\n" * 17, 400),
     ],
 )
-def test_what_can_t_be_read_is_refused_with_its_status(data: bytes, status: int) -> None:
+def test_an_invalid_request_is_refused_with_its_status(data: bytes, status: int) -> None:
     with pytest.raises(BadRequestError) as raised:
         read(data)
     assert raised.value.status == status
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_are_parsed_or_refused(data: bytes) -> None:
     try:
         read(data)
     except BadRequestError as error:
