--- a/millgw/configuration/instance.py
+++ b/millgw/configuration/instance.py
@@ -162,7 +162,7 @@
         self._run_step(lambda: self.replica.tick(now_ms()))
 
     def _run_step(self, step: Callable[[], Sequence[Action]], reply_to: str = "") -> list[Message]:
-        """Run one input and execute its actions; messages to `answering` are returned for the response."""
+        """Run one input and execute its actions; messages to `reply_to` are returned for the response."""
         if self._stopped:
             return []
         try:
--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -14,7 +14,7 @@
 from millgw.standins.http import Message
 from millgw.standins.scripted import STREAM, chunk, read_message
 
-HEARTBEAT = 2.0  # s
+HEARTBEAT_INTERVAL = 2.0  # s
 TAKEN = b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
 
 
@@ -31,7 +31,7 @@
         self.by_hand = by_hand
         self.document = Document() if document is None else document
         self.watches: asyncio.Queue[tuple[Message, asyncio.StreamWriter]] = asyncio.Queue()
-        self.open: list[asyncio.StreamWriter] = []
+        self.open_watches: list[asyncio.StreamWriter] = []
         self.asked: list[str] = []  # request target of each watch
         self.reports: list[dict[str, Any]] = []
         self.report_answer = TAKEN
@@ -39,20 +39,20 @@
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._serve, self.address.host, self.address.port)
         if not self.by_hand:
-            self.beating = asyncio.create_task(self._beat())
+            self.heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(HEARTBEAT)
-            for writer in self.open:
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
+            for writer in self.open_watches:
                 writer.write(chunk(b"\n"))
 
     def stop(self) -> None:
         """Close the listener and reset every watch."""
         self.server.close()
-        for writer in self.open:
+        for writer in self.open_watches:
             writer.transport.abort()
-        self.open.clear()
+        self.open_watches.clear()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -63,7 +63,7 @@
                 writer.close()
                 return
             self.asked.append(message.first.split()[1])
-            self.open.append(writer)
+            self.open_watches.append(writer)
             if self.by_hand:
                 self.watches.put_nowait((message, writer))
             else:
@@ -74,6 +74,6 @@
         changes = tuple(Change(name, value) for name, value in entries.items())
         self.document.apply(self.document.index + 1, self.document.epoch if epoch is None else epoch, changes)
         line = Line(self.document.index, self.document.epoch, False, self.document.digest(), changes)
-        for writer in self.open:
+        for writer in self.open_watches:
             writer.write(chunk(encode_line(line)))
         return self.document.index
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -17,8 +17,8 @@
 
 pytestmark = aside
 
-FAULT_TIME = 6.0  # s of random faults
-PROPOSAL_WITHIN = 1.5  # s; timeout of one proposal
+FAULT_DURATION = 6.0  # s of random faults
+PROPOSAL_TIMEOUT = 1.5  # s; timeout of one proposal
 
 
 class Proposer:
@@ -28,7 +28,7 @@
         self.cluster = cluster
         self.numbers = range(first, 1_000_000, step)
         self.committed: dict[int, int] = {}
-        self.unchanged: set[int] = set()
+        self.rejected: set[int] = set()
         self.unknown: set[int] = set()
         self.stopped = False
 
@@ -38,17 +38,17 @@
             if self.stopped:
                 return
             change = Change(f"e{number}", {"n": number})
-            result = await propose(addresses, [change], "a", "", None, PROPOSAL_WITHIN)
+            result = await propose(addresses, [change], "a", "", None, PROPOSAL_TIMEOUT)
             if result.outcome is Outcome.COMMITTED:
                 assert result.index is not None
                 self.committed[number] = result.index
             elif result.outcome is Outcome.UNKNOWN:
                 self.unknown.add(number)
             else:
-                self.unchanged.add(number)
+                self.rejected.add(number)
 
 
-def parts(rng: random.Random, names: list[str]) -> Iterator[list[str]]:
+def random_partition(rng: random.Random, names: list[str]) -> Iterator[list[str]]:
     """A random partition into two groups."""
     shuffled = rng.sample(names, len(names))
     cut = rng.randrange(1, len(names))
@@ -56,13 +56,13 @@
     yield shuffled[cut:]
 
 
-async def one_fault(rng: random.Random, cluster: Cluster) -> None:
+async def inject_fault(rng: random.Random, cluster: Cluster) -> None:
     """Partition or heal the network, or stop or restart an instance."""
     names = list(cluster.voters)
     ended = [name for name in names if name not in cluster.running]
     match rng.choice(("part", "part", "join", "end", "start", "start")):
         case "part":
-            cluster.network.part(*parts(rng, names))
+            cluster.network.part(*random_partition(rng, names))
         case "join":
             cluster.network.join()
         case "end" if len(ended) < 2:
@@ -72,7 +72,7 @@
     await asyncio.sleep(rng.uniform(0.1, 0.8))
 
 
-async def keep_watching(cluster: Cluster, rng: random.Random, watchers: list[Watcher]) -> None:
+async def reopen_watches(cluster: Cluster, rng: random.Random, watchers: list[Watcher]) -> None:
     """Reopen each closed watch at a random instance, from the document it has."""
     while True:
         for number, watcher in enumerate(watchers):
@@ -94,12 +94,12 @@
         async with Cluster(5, keep=20) as cluster:
             await cluster.leader()
             watchers = [await Watcher(f"n{n}").open(at) for n, at in enumerate(cluster.voters.values())]
-            watching = asyncio.create_task(keep_watching(cluster, rng, watchers))
+            watching = asyncio.create_task(reopen_watches(cluster, rng, watchers))
             proposers = [Proposer(cluster, first, 2) for first in (0, 1)]
             proposing = [asyncio.create_task(proposer.run()) for proposer in proposers]
-            end = time.monotonic() + FAULT_TIME
+            end = time.monotonic() + FAULT_DURATION
             while time.monotonic() < end:
-                await one_fault(rng, cluster)
+                await inject_fault(rng, cluster)
             cluster.network.join()
             for name in cluster.voters:
                 if name not in cluster.running:
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -37,9 +37,9 @@
 
 pytestmark = aside
 
-FLEET = 670  # sidecars
-STORM_TIME = 10.0  # s; limit until all are served again, far more than needed
-LEAST_DESCRIPTORS = 2 * FLEET + 200
+FLEET_SIZE = 670  # sidecars
+RECONNECT_LIMIT = 10.0  # s; limit until all are served again, far more than needed
+MIN_DESCRIPTORS = 2 * FLEET_SIZE + 200
 
 
 async def open_watchers(addresses: Sequence[Address], count: int, **more: Any) -> list[Watcher]:
@@ -73,7 +73,7 @@
         await asyncio.sleep(0.02)
 
 
-def documents(cluster: Cluster) -> set[tuple[int, str]]:
+def document_states(cluster: Cluster) -> set[tuple[int, str]]:
     """Index and digest of the documents of all running instances."""
     histories = [instance.service.history for instance in cluster.running.values()]
     return {(history.index, history.document.digest()) for history in histories}
@@ -150,7 +150,7 @@
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "before", {"n": 1}, [])
             await cluster.committed(1)
-            leader, out = await _propose_to_one_cut_off(cluster)
+            leader, out = await _propose_to_partitioned_leader(cluster)
             killed = leader.options.name
             rest = [name for name in cluster.voters if name != killed]
             watchers = await open_watchers([cluster.voters[name] for name in rest], 4)
@@ -163,7 +163,7 @@
             await cluster.restart(killed)
             await cluster.committed(2)
             await until(lambda: all(watcher.index == 2 for watcher in watchers))
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             assert [line.index for line in watchers[0].lines] == [1, 2]
             entries = cluster.running[killed].service.history.document.entries
             assert entries == {"before": {"n": 1}, "after": {"n": 3}}
@@ -171,7 +171,7 @@
     run(test)
 
 
-async def _propose_to_one_cut_off(cluster: Cluster) -> tuple[Instance, asyncio.Task[Answer]]:
+async def _propose_to_partitioned_leader(cluster: Cluster) -> tuple[Instance, asyncio.Task[Answer]]:
     """A partitioned leader that has a proposal in its log, and the call that waits for the outcome."""
     while True:
         cluster.network.join()
@@ -276,13 +276,13 @@
             answers = await asyncio.gather(*out)
             for answer in answers:
                 assert answer.status in (200, 503, 504), answer
-            lone = [watcher for n, watcher in enumerate(watchers) if n % 5 in _places(cluster, small)]
+            lone = [watcher for n, watcher in enumerate(watchers) if n % 5 in _positions(cluster, small)]
             most = max(cluster.running[other].service.history.index for other in small)
             assert all(watcher.index <= most for watcher in lone)
             cluster.network.join()
             await cluster.committed(committed[-1])
             await until(lambda: all(watcher.index == committed[-1] for watcher in watchers))
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             indexes = [line.index for line in watchers[0].lines]
             assert indexes == sorted(set(indexes))
             accepted = [answer.fields["index"] for answer in answers if answer.status == 200]
@@ -291,7 +291,7 @@
     run(test)
 
 
-def _places(cluster: Cluster, names: Sequence[str]) -> set[int]:
+def _positions(cluster: Cluster, names: Sequence[str]) -> set[int]:
     return {number for number, name in enumerate(cluster.voters) if name in names}
 
 
@@ -316,7 +316,7 @@
             again = await Watcher("n0", document=watcher.document).open(cluster.voters[name])
             await until(lambda: again.index == 41)
             assert again.lines[0].snapshot
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
 
     run(test)
 
@@ -342,7 +342,7 @@
             await cluster.committed(4)
             await until(lambda: bool(watcher.lines))
             assert watcher.lines[0].index == 4
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             assert back.replica.role.value != "leader"
 
     run(test)
@@ -364,7 +364,7 @@
             cluster.states["c1"] = DurableState.open([tmp_path / "c1"], "c1")
             await cluster.start("c1")
             await cluster.committed(2)
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             cluster.stop("c1")
             for segment in (tmp_path / "c1").glob("seg-*"):
                 segment.write_bytes(segment.read_bytes()[:-20])
@@ -402,8 +402,8 @@
 
 def test_a_fleet_that_reconnects_all_at_once_is_served_the_newest_version() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < LEAST_DESCRIPTORS:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST_DESCRIPTORS, hard))
+    if soft < MIN_DESCRIPTORS:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, hard))
 
     async def test() -> None:
         async with Cluster(3) as cluster:
@@ -412,11 +412,11 @@
             await cluster.committed(20)
             addresses = list(cluster.voters.values())
             begun = time.monotonic()
-            watchers = await open_watchers(addresses, FLEET)
+            watchers = await open_watchers(addresses, FLEET_SIZE)
             await until(lambda: all(watcher.index == 20 for watcher in watchers))
             took = time.monotonic() - begun
-            assert took < STORM_TIME
-            print(f"{FLEET} watchers served in {took:.2f} s")
+            assert took < RECONNECT_LIMIT
+            print(f"{FLEET_SIZE} watchers served in {took:.2f} s")
             for watcher in watchers:
                 watcher.close()
             again = [Watcher(w.name, document=w.document) for w in watchers]
@@ -424,7 +424,7 @@
             await asyncio.gather(*(w.open(addresses[(number + 1) % 3]) for number, w in enumerate(again)))
             await propose_until_committed(cluster, "after", {"n": 1}, [])
             await until(lambda: all(watcher.index == 21 for watcher in again))
-            print(f"{FLEET} watchers back, and sent a new version, in {time.monotonic() - begun:.2f} s")
+            print(f"{FLEET_SIZE} watchers back, and sent a new version, in {time.monotonic() - begun:.2f} s")
             counts = [
                 len(i.service.watchers.slow) + i.service.watchers.closed_slow
                 for i in cluster.running.values()
--- a/tests/test_configuration_messages.py
+++ b/tests/test_configuration_messages.py
@@ -38,7 +38,7 @@
 
 pytestmark = aside
 
-BOUNDED = settings(
+HYPOTHESIS_SETTINGS = settings(
     deadline=None,
     derandomize=True,
     suppress_health_check=[HealthCheck.too_slow],  # it would fail on a busy machine
@@ -47,7 +47,7 @@
 VERSION = Version(12, 6, (Change("settings", {"retry": {"max": 2}}), Change("old", None)), "ann", "why", 1.5)
 APPEND = AppendRequest(HEADER, 40, 6, 39, 125.25, (Entry(41, 6, VERSION), Entry(42, 7, None)))
 SNAPSHOT = SnapshotRequest(HEADER, 1.0, Snapshot(40, 6, Document(12, 6, {"settings": {"a": [1, None]}})))
-ALL: list[Message] = [
+ALL_MESSAGES: list[Message] = [
     PreVoteRequest(HEADER, 6),
     PreVoteReply(HEADER, 7, True),
     VoteRequest(HEADER, 6),
@@ -59,7 +59,7 @@
 ]
 
 
-@pytest.mark.parametrize("message", ALL, ids=lambda message: type(message).__name__)
+@pytest.mark.parametrize("message", ALL_MESSAGES, ids=lambda message: type(message).__name__)
 def test_a_message_survives_a_round_trip(message: Message) -> None:
     assert decode(encode(message)) == message
 
@@ -98,16 +98,16 @@
 )
 
 
-@settings(BOUNDED, max_examples=150)
+@settings(HYPOTHESIS_SETTINGS, max_examples=150)
 @given(appends)
 def test_any_entries_survive_a_round_trip(message: AppendRequest) -> None:
     assert decode(encode(message)) == message
 
 
-@settings(BOUNDED, max_examples=400)
+@settings(HYPOTHESIS_SETTINGS, max_examples=400)
 @given(st.data())
 def test_corrupted_or_truncated_bytes_decode_or_raise_a_message_error(data: st.DataObject) -> None:
-    encoded = bytearray(encode(data.draw(st.sampled_from(ALL))))
+    encoded = bytearray(encode(data.draw(st.sampled_from(ALL_MESSAGES))))
     position = data.draw(st.integers(0, len(encoded) - 1))
     if data.draw(st.booleans()):
         encoded[position] = data.draw(st.integers(0, 255))
@@ -119,7 +119,7 @@
         assert ":" in str(error)
 
 
-def changed(message: Message, path: str, value: Any) -> bytes:
+def with_value(message: Message, path: str, value: Any) -> bytes:
     """An encoded message with the value at a path of names and numbers replaced."""
     fields = json.loads(encode(message))
     *before, last = [int(part) if part.isdigit() else part for part in path.split(".")]
@@ -158,14 +158,14 @@
         (SNAPSHOT, "snapshot.document.index", None, "snapshot.document.index"),
         (SNAPSHOT, "snapshot.document.entries", [], "snapshot.document.entries"),
         (SNAPSHOT, "snapshot.document.entries.settings", None, "snapshot.document.entries.settings"),
-        (ALL[3], "granted", 1, "granted"),
-        (ALL[5], "success", None, "success"),
-        (ALL[1], "asked", None, "asked"),
+        (ALL_MESSAGES[3], "granted", 1, "granted"),
+        (ALL_MESSAGES[5], "success", None, "success"),
+        (ALL_MESSAGES[1], "asked", None, "asked"),
     ],
 )
 def test_an_error_names_the_field(message: Message, path: str, value: Any, named: str) -> None:
     with pytest.raises(MessageError) as raised:
-        decode(changed(message, path, value))
+        decode(with_value(message, path, value))
     assert str(raised.value).startswith(f"{named}: ")
 
 
@@ -186,7 +186,7 @@
         encode(APPEND)
 
 
-def nested(depth: int) -> dict[str, Any]:
+def nested_object(depth: int) -> dict[str, Any]:
     value: dict[str, Any] = {}
     for _ in range(depth - 1):
         value = {"inner": value}
@@ -201,7 +201,7 @@
         (Change("x", {"a": object()}), "changes[0]"),
         (Change("x", {"a": "\ud800"}), "changes[0]"),
         (Change("x", {"a": float("nan")}), "changes[0]"),
-        (Change("x", nested(MAX_DEPTH + 1)), "changes[0].value"),
+        (Change("x", nested_object(MAX_DEPTH + 1)), "changes[0].value"),
         (Change("x", {"a": "b" * MAX_CHANGES}), "changes"),
     ],
 )
@@ -212,7 +212,7 @@
 
 
 def test_a_proposal_within_the_limits_is_accepted() -> None:
-    assert check_proposal([Change("x", nested(MAX_DEPTH)), Change("y", None)], "a", "r", 1.0) > 0
+    assert check_proposal([Change("x", nested_object(MAX_DEPTH)), Change("y", None)], "a", "r", 1.0) > 0
     for author, reason, at in (("x" * (MAX_TEXT + 1), "", 1.0), ("", "\ud800", 1.0), ("", "", float("inf"))):
         with pytest.raises(ProposalError):
             check_proposal([], author, reason, at)
--- a/tests/test_configuration_replica.py
+++ b/tests/test_configuration_replica.py
@@ -36,20 +36,20 @@
 from millgw.simulation.explore import explore
 from millgw.simulation.models.replication import Replication, UntimedReplica
 from tests.kinds import aside
-from tests.replica_cluster import Cluster, InvariantBroken, MakeReplica, Network, change
+from tests.replica_cluster import Cluster, InvariantViolation, Network, ReplicaFactory, change
 
 pytestmark = aside
 THREE = ("a", "b", "c")
 FIVE = ("a", "b", "c", "d", "e")
 LEASE = Options("a", THREE).lease
-ELECTION = Options("a", THREE).election[1]
+MAX_ELECTION_TIMEOUT = Options("a", THREE).election[1]
 
 
-def others(cluster: Cluster, name: str) -> list[str]:
+def other_instances(cluster: Cluster, name: str) -> list[str]:
     return [each for each in cluster.names if each != name]
 
 
-def documents(cluster: Cluster) -> list[int]:
+def document_indexes(cluster: Cluster) -> list[int]:
     return [cluster.replica(name).document.index for name in cluster.running()]
 
 
@@ -81,11 +81,11 @@
     cluster = Cluster(THREE)
     assert cluster.outcomes[cluster.propose("a", [])] == NoQuorum()
     leader = cluster.settle()
-    follower = others(cluster, leader)[0]
+    follower = other_instances(cluster, leader)[0]
     assert cluster.outcomes[cluster.propose(follower, [])] == NotLeader(leader)
     assert isinstance(cluster.outcomes[cluster.propose(leader, [Change("", {})])], Invalid)
     assert cluster.outcomes[cluster.propose(leader, [], if_index=1)] == Conflict(0)
-    cluster.part([leader], others(cluster, leader))
+    cluster.partition([leader], other_instances(cluster, leader))
     keys = [cluster.propose(leader, [change("settings", number)]) for number in range(65)]
     assert cluster.outcomes == {**cluster.outcomes, keys[-1]: Busy()}
     assert not set(keys[:-1]) & set(cluster.outcomes)
@@ -100,21 +100,21 @@
     later = cluster.propose(leader, [change("settings", 1)], if_index=0)
     assert cluster.outcomes[first] == Accepted(1, 1)
     assert cluster.outcomes[at_once] == cluster.outcomes[later] == Conflict(1)
-    assert documents(cluster) == [1, 1, 1]
+    assert document_indexes(cluster) == [1, 1, 1]
 
 
 def test_a_partitioned_leader_accepts_nothing_after_its_lease_expired() -> None:
     cluster = Cluster(THREE)
     old = cluster.settle()
-    cluster.part([old], others(cluster, old))
+    cluster.partition([old], other_instances(cluster, old))
     under_way = cluster.propose(old, [change("settings", 1)])
     cluster.advance(LEASE + 1)
     assert cluster.replica(old).role is Role.LEADER
     assert cluster.outcomes[cluster.propose(old, [change("settings", 2)])] == NoQuorum()
-    cluster.until(lambda: any(name != old for name in cluster.leading()), 15_000)
-    new = next(name for name in cluster.leading() if name != old)
+    cluster.advance_until(lambda: any(name != old for name in cluster.leaders_with_quorum()), 15_000)
+    new = next(name for name in cluster.leaders_with_quorum() if name != old)
     made = cluster.propose(new, [change("settings", 3)])
-    cluster.advance(ELECTION)
+    cluster.advance(MAX_ELECTION_TIMEOUT)
     assert cluster.outcomes[under_way] == Unknown()
     assert cluster.outcomes[made] == Accepted(1, cluster.replica(new).epoch)
     assert cluster.replica(old).role is not Role.LEADER
@@ -128,25 +128,25 @@
     old = cluster.settle()
     key = cluster.propose(old, [change("settings", 1)])
     cluster.advance(0.5)
-    cluster.part([old], others(cluster, old))
+    cluster.partition([old], other_instances(cluster, old))
     cluster.network = Network(delay=(1.0, 1.0))
     cluster.heal()
     cluster.advance(10.0)  # the entry arrives, the replies do not
-    cluster.part([old], others(cluster, old))
+    cluster.partition([old], other_instances(cluster, old))
     cluster.advance(20_000.0)
     assert cluster.outcomes[key] in (Unknown(), Accepted(1, 1))
     cluster.heal()
     cluster.settle()
-    assert documents(cluster) == [1, 1, 1]
+    assert document_indexes(cluster) == [1, 1, 1]
 
 
 def test_without_a_majority_nothing_is_accepted_and_no_epoch_starts() -> None:
     cluster = Cluster(FIVE)
     leader = cluster.settle()
-    for name in others(cluster, leader)[:3]:
+    for name in other_instances(cluster, leader)[:3]:
         cluster.stop(name)
     cluster.advance(60_000.0)
-    assert cluster.leading() == []
+    assert cluster.leaders_with_quorum() == []
     assert {cluster.replica(name).epoch for name in cluster.running()} == {1}
     for name in cluster.running():
         assert cluster.outcomes[cluster.propose(name, [change("settings", 1)])] == NoQuorum()
@@ -154,14 +154,14 @@
         if name not in cluster.running():
             cluster.start(name)
     cluster.settle()
-    assert documents(cluster) == [0] * 5
+    assert document_indexes(cluster) == [0] * 5
 
 
 def test_an_instance_that_was_partitioned_does_not_depose_the_leader() -> None:
     cluster = Cluster(THREE)
     leader = cluster.settle()
-    follower = others(cluster, leader)[0]
-    cluster.part([follower], others(cluster, follower))
+    follower = other_instances(cluster, leader)[0]
+    cluster.partition([follower], other_instances(cluster, follower))
     cluster.advance(60_000.0)
     cluster.heal()
     assert cluster.settle() == leader
@@ -171,14 +171,14 @@
 def test_regions_agree_after_a_partition_during_a_proposal() -> None:
     cluster = Cluster(FIVE)
     leader = cluster.settle()
-    small = [leader, others(cluster, leader)[0]]
+    small = [leader, other_instances(cluster, leader)[0]]
     large = [name for name in FIVE if name not in small]
     first = cluster.propose(leader, [change("settings", 1)])
-    cluster.part(small, large)
-    cluster.until(lambda: any(name in large for name in cluster.leading()), 20_000)
-    new = next(name for name in cluster.leading() if name in large)
+    cluster.partition(small, large)
+    cluster.advance_until(lambda: any(name in large for name in cluster.leaders_with_quorum()), 20_000)
+    new = next(name for name in cluster.leaders_with_quorum() if name in large)
     second = cluster.propose(new, [change("services.login", 2)])
-    cluster.advance(3 * ELECTION)  # the old leader steps down, and its follower forgets it
+    cluster.advance(3 * MAX_ELECTION_TIMEOUT)  # the old leader steps down, and its follower forgets it
     assert isinstance(cluster.outcomes[second], Accepted)
     for name in small:
         assert cluster.outcomes[cluster.propose(name, [change("settings", 3)])] == NoQuorum()
@@ -192,17 +192,17 @@
 def test_a_slow_follower_gets_a_snapshot() -> None:
     cluster = Cluster(THREE, keep=8)
     leader = cluster.settle()
-    slow = others(cluster, leader)[0]
-    cluster.part([slow], others(cluster, slow))
+    slow = other_instances(cluster, leader)[0]
+    cluster.partition([slow], other_instances(cluster, slow))
     for number in range(60):
         cluster.propose(leader, [change(f"services.{number % 7}", number)])
         cluster.advance(50.0)
     assert len(cluster.replica(leader).log.entries) <= 10
     cluster.heal()
     cluster.settle()
-    assert documents(cluster) == [60, 60, 60]
+    assert document_indexes(cluster) == [60, 60, 60]
     assert cluster.replica(slow).log.snapshot.document.index > 40
-    assert cluster.nodes[slow].watched == cluster.replica(leader).document
+    assert cluster.nodes[slow].watcher_document == cluster.replica(leader).document
     cluster.stop(slow)
     cluster.start(slow)
     assert cluster.replica(slow).document.index > 40
@@ -224,7 +224,7 @@
     cluster.advance(10_000.0)
     cluster.network = Network()
     cluster.settle()
-    assert documents(cluster) == [30, 30, 30]
+    assert document_indexes(cluster) == [30, 30, 30]
 
 
 def test_after_a_restart_the_document_is_not_older_than_what_was_persisted_as_committed() -> None:
@@ -238,15 +238,15 @@
     for name in THREE:
         assert cluster.start(name).document.index >= 4
     cluster.settle()
-    assert documents(cluster) == [5, 5, 5]
+    assert document_indexes(cluster) == [5, 5, 5]
 
 
 def test_an_instance_with_older_state_than_it_acknowledged_is_not_counted_until_it_has_caught_up() -> None:
     cluster = Cluster(THREE, keep=4)
     leader = cluster.settle()
-    restored, absent = others(cluster, leader)
+    restored, absent = other_instances(cluster, leader)
     older = cluster.nodes[restored].state
-    cluster.part([leader, restored], [absent])
+    cluster.partition([leader, restored], [absent])
     for number in range(1, 13):
         cluster.propose(leader, [change("settings", number)])
         cluster.advance(50.0)
@@ -258,7 +258,7 @@
     assert cluster.replica(restored).document.index == 0
     under_way = cluster.propose(leader, [change("settings", 13)])
     cluster.advance(LEASE)
-    assert {each.peer for each in cluster.refused} == {restored}
+    assert {each.peer for each in cluster.refused_peers} == {restored}
     assert under_way not in cluster.outcomes, "an acknowledgement of the restored instance was counted"
     assert cluster.outcomes[cluster.propose(leader, [])] == NoQuorum()
     cluster.heal()
@@ -302,16 +302,16 @@
     assert replica.receive(1e9, "a", request) == []
     again = Cluster(THREE)
     again.settle()
-    assert again.roles == cluster.roles
+    assert again.role_changes == cluster.role_changes
 
 
 # Random schedules
 
 
-class Schedules(RuleBasedStateMachine):
+class RandomSchedules(RuleBasedStateMachine):
     """Random events on three or five instances; `Cluster` checks the invariants at every action."""
 
-    make: MakeReplica = Replica
+    make: ReplicaFactory = Replica
 
     @initialize(
         names=st.sampled_from([THREE, FIVE]),
@@ -343,9 +343,9 @@
         self.cluster.propose(name, [change(f"services.{number}", self.proposed)], if_index)
 
     @rule(inside=st.sets(st.integers(0, 4), min_size=1, max_size=3))
-    def part(self, inside: set[int]) -> None:
+    def partition(self, inside: set[int]) -> None:
         group = {self.name(number) for number in inside}
-        self.cluster.part(group, set(self.cluster.names) - group)
+        self.cluster.partition(group, set(self.cluster.names) - group)
 
     @rule()
     def heal(self) -> None:
@@ -378,7 +378,7 @@
         assert len({self.cluster.replica(name).document.digest() for name in self.cluster.names}) == 1
 
 
-BOUNDED = settings(
+SCHEDULE_SETTINGS = settings(
     max_examples=60,
     stateful_step_count=30,
     deadline=None,
@@ -389,7 +389,7 @@
 
 
 def test_invariants_hold_in_random_schedules() -> None:
-    run_state_machine_as_test(Schedules, settings=BOUNDED)
+    run_state_machine_as_test(RandomSchedules, settings=SCHEDULE_SETTINGS)
 
 
 # Injected faults
@@ -414,13 +414,13 @@
         ]
 
 
-class ForgetsItsEntries(Replica):
+class AcknowledgesBeforePersisting(Replica):
     def _finish(self) -> list[Action]:
         """Acknowledge before the entries are persisted."""
         return sorted(super()._finish(), key=lambda action: isinstance(action, Persist))
 
 
-class SkipsTheLogCheck(Replica):
+class SkipsLogMatching(Replica):
     def _log_matches(self, position: int, epoch: int) -> bool:
         return position <= self.log.last_position
 
@@ -446,54 +446,58 @@
         return True
 
 
-FOUND = (InvariantBroken, ConsensusError, LogError)
-SEARCH = settings(BOUNDED, max_examples=200, phases=[Phase.generate], report_multiple_bugs=False)
+VIOLATIONS = (InvariantViolation, ConsensusError, LogError)
+SEARCH_SETTINGS = settings(
+    SCHEDULE_SETTINGS, max_examples=200, phases=[Phase.generate], report_multiple_bugs=False
+)
 
 
-@pytest.mark.parametrize("fault", [VotesForAnyLog, SkipsTheLogCheck], ids=lambda fault: fault.__name__)
+@pytest.mark.parametrize("fault", [VotesForAnyLog, SkipsLogMatching], ids=lambda fault: fault.__name__)
 def test_random_schedules_find_an_injected_fault(fault: type[Replica]) -> None:
-    class Faulty(Schedules):
+    class Faulty(RandomSchedules):
         make = fault
 
-    with pytest.raises(FOUND):
-        run_state_machine_as_test(Faulty, settings=SEARCH)
+    with pytest.raises(VIOLATIONS):
+        run_state_machine_as_test(Faulty, settings=SEARCH_SETTINGS)
 
 
-def a_follower_is_cut_off_from_the_leader_alone(make: MakeReplica) -> None:
-    cluster = Cluster(THREE, make=make)
+def a_follower_is_cut_off_from_the_leader_alone(make: ReplicaFactory) -> None:
+    cluster = Cluster(THREE, make_replica=make)
     leader = cluster.settle()
-    cluster.cut(leader, others(cluster, leader)[0])
+    cluster.block_link(leader, other_instances(cluster, leader)[0])
     cluster.advance(30_000.0)
-    assert cluster.leading() == [leader]
+    assert cluster.leaders_with_quorum() == [leader]
 
 
-def a_follower_restarts_beside_a_candidate(make: MakeReplica) -> None:
-    cluster = Cluster(THREE, make=make)
+def a_follower_restarts_beside_a_candidate(make: ReplicaFactory) -> None:
+    cluster = Cluster(THREE, make_replica=make)
     leader = cluster.settle()
-    candidate, restarted = others(cluster, leader)
-    cluster.cut(leader, candidate)
+    candidate, restarted = other_instances(cluster, leader)
+    cluster.block_link(leader, candidate)
     cluster.advance(10_000.0)
-    cluster.until(lambda: cluster.nodes[candidate].due(cluster.now) < cluster.now + 20, 5000.0)
+    cluster.advance_until(
+        lambda: cluster.nodes[candidate].next_deadline(cluster.now) < cluster.now + 20, 5000.0
+    )
     cluster.stop(restarted)
     cluster.start(restarted)
     cluster.advance(1000.0)
-    assert cluster.leading() == [leader]
+    assert cluster.leaders_with_quorum() == [leader]
 
 
-def a_proposal_comes_to_a_leader_that_was_cut_off(make: MakeReplica) -> None:
-    cluster = Cluster(THREE, make=make)
+def a_proposal_comes_to_a_leader_that_was_cut_off(make: ReplicaFactory) -> None:
+    cluster = Cluster(THREE, make_replica=make)
     old = cluster.settle()
-    cluster.part([old], others(cluster, old))
-    cluster.until(lambda: max(cluster.leaders) > 1, 10_000.0)
+    cluster.partition([old], other_instances(cluster, old))
+    cluster.advance_until(lambda: max(cluster.leader_by_epoch) > 1, 10_000.0)
     assert cluster.replica(old).role is Role.LEADER
     assert cluster.outcomes[cluster.propose(old, [change("settings", 1)])] == NoQuorum()
 
 
-def a_follower_stops_in_the_middle_of_an_append(make: MakeReplica) -> None:
-    cluster = Cluster(THREE, make=make)
+def a_follower_stops_in_the_middle_of_an_append(make: ReplicaFactory) -> None:
+    cluster = Cluster(THREE, make_replica=make)
     leader = cluster.settle()
-    stopping, cut_off = others(cluster, leader)
-    cluster.part([leader, stopping], [cut_off])
+    stopping, cut_off = other_instances(cluster, leader)
+    cluster.partition([leader, stopping], [cut_off])
     cluster.advance(20.0)
     cluster.propose(leader, [change("settings", 1)])
     cluster.stop_after(stopping, 1)
@@ -510,15 +514,15 @@
         (a_follower_is_cut_off_from_the_leader_alone, IgnoresTheLease),
         (a_follower_restarts_beside_a_candidate, VotesRightAfterItsStart),
         (a_proposal_comes_to_a_leader_that_was_cut_off, AcceptsWithoutALease),
-        (a_follower_stops_in_the_middle_of_an_append, ForgetsItsEntries),
+        (a_follower_stops_in_the_middle_of_an_append, AcknowledgesBeforePersisting),
     ],
     ids=lambda value: value.__name__,
 )
 def test_a_schedule_passes_for_the_replica_and_fails_for_an_injected_fault(
-    schedule: Callable[[MakeReplica], None], fault: type[Replica]
+    schedule: Callable[[ReplicaFactory], None], fault: type[Replica]
 ) -> None:
     schedule(Replica)
-    with pytest.raises(FOUND):
+    with pytest.raises(VIOLATIONS):
         schedule(fault)
 
 
@@ -558,7 +562,7 @@
 
 
 # `a` and `b` (in epoch 2) each append an entry that no other instance has; then `a` leads epoch 3.
-TWO_LONE_ENTRIES = (
+TWO_UNREPLICATED_ENTRIES = (
     "a proposes",
     "b times out",
     "c receives b to c: VoteRequest",
@@ -581,7 +585,9 @@
         ),
         (Replication(epochs=2, proposals=1, replica=ExploredVotesForAnyLog), "committed"),
         (
-            Replication(epochs=4, proposals=2, replica=ExploredCommitsEarlierEpochs, script=TWO_LONE_ENTRIES),
+            Replication(
+                epochs=4, proposals=2, replica=ExploredCommitsEarlierEpochs, script=TWO_UNREPLICATED_ENTRIES
+            ),
             "committed",
         ),
     ],
--- a/tests/test_configuration_transport.py
+++ b/tests/test_configuration_transport.py
@@ -26,7 +26,7 @@
     return VoteReply(Header(epoch, 1, 0), True)
 
 
-class Peer:
+class FakePeer:
     """A peer whose response is a function of the message's epoch; None: no response."""
 
     def __init__(self, answer: Callable[[int], bytes | None]) -> None:
@@ -54,11 +54,11 @@
             connection.answered()
 
 
-def answering(epoch: int) -> bytes:
+def reply_response(epoch: int) -> bytes:
     return ok(encode(reply(epoch)))
 
 
-class Received:
+class ReceivedMessages:
     """Collects the messages that a link receives."""
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
 
 def test_a_message_is_posted_and_its_reply_is_received_under_the_peer_s_name() -> None:
     async def test() -> None:
-        peer, received = Peer(answering), Received()
+        peer, received = FakePeer(reply_response), ReceivedMessages()
         peer.listener.open()
         link = PeerLink("a", "b", peer.address, received)
         for epoch in (1, 2, 3):
@@ -96,7 +96,10 @@
     monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIMEOUT", 0.2)
 
     async def test() -> None:
-        peer, received = Peer(lambda epoch: bad if epoch == 1 else answering(epoch)), Received()
+        peer, received = (
+            FakePeer(lambda epoch: bad if epoch == 1 else reply_response(epoch)),
+            ReceivedMessages(),
+        )
         peer.listener.open()
         link = PeerLink("a", "b", peer.address, received)
         link.send(request(1))
@@ -115,7 +118,10 @@
     monkeypatch.setattr("millgw.configuration.transport.EXCHANGE_TIMEOUT", 0.2)
 
     async def test() -> None:
-        peer, received = Peer(lambda epoch: None if epoch == 1 else answering(epoch)), Received()
+        peer, received = (
+            FakePeer(lambda epoch: None if epoch == 1 else reply_response(epoch)),
+            ReceivedMessages(),
+        )
         peer.listener.open()
         link = PeerLink("a", "b", peer.address, received)
         link.send(request(1))
@@ -136,7 +142,7 @@
 
 def test_an_unreachable_peer_is_reached_once_it_listens() -> None:
     async def test() -> None:
-        peer, received = Peer(answering), Received()
+        peer, received = FakePeer(reply_response), ReceivedMessages()
         link = PeerLink("a", "b", peer.address, received)
         for _ in range(5):
             link.send(request(1))
@@ -156,7 +162,7 @@
 def test_a_partition_blocks_both_messages_and_replies() -> None:
     async def test() -> None:
         closed: set[tuple[str, str]] = {("a", "b")}
-        peer, received = Peer(answering), Received()
+        peer, received = FakePeer(reply_response), ReceivedMessages()
         peer.listener.open()
         link = PeerLink("a", "b", peer.address, received, lambda sender, to: (sender, to) not in closed)
         link.send(request(1))
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -126,24 +126,24 @@
     """Records the bytes written; while `reads` is False they count as unsent."""
 
     def __init__(self) -> None:
-        self.taken: list[bytes] = []
+        self.writes: list[bytes] = []
         self.reads = True
-        self.waiting = 0
+        self.unsent_bytes = 0
         self.closed = False
 
     def write(self, data: bytes) -> None:
-        self.taken.append(data)
+        self.writes.append(data)
         if not self.reads:
-            self.waiting += len(data)
+            self.unsent_bytes += len(data)
 
     def unsent(self) -> int:
-        return self.waiting
+        return self.unsent_bytes
 
     def close(self) -> None:
         self.closed = True
 
 
-def opened(watchers: Watchers, channel: ChannelStub, name: str, position: int) -> Watch:
+def open_watch(watchers: Watchers, channel: ChannelStub, name: str, position: int) -> Watch:
     watch = watchers.add(channel, name, position)
     watchers.begin(watch)
     return watch
@@ -162,44 +162,44 @@
     watchers = Watchers(history, Clock())
     channels = [ChannelStub() for _ in range(30)]
     for number, channel in enumerate(channels):
-        opened(watchers, channel, f"n{number}", 1)
+        open_watch(watchers, channel, f"n{number}", 1)
     history.append(version(2))
     watchers.publish()
-    assert {id(channel.taken[-1]) for channel in channels} == {id(history.after(1))}
+    assert {id(channel.writes[-1]) for channel in channels} == {id(history.after(1))}
 
 
 def test_a_watch_ahead_of_the_instance_gets_only_heartbeats_until_it_has_caught_up() -> None:
     history = history_of(2)
     watchers = Watchers(history, Clock())
     channel = ChannelStub()
-    opened(watchers, channel, "n", 4)
+    open_watch(watchers, channel, "n", 4)
     for index in (3, 4):
         history.append(version(index))
         watchers.publish()
     for _ in range(HEARTBEAT_GROUPS):
         watchers.send_heartbeats()
-    assert channel.taken == [HEARTBEAT, HEARTBEAT], "its first line is sent immediately"
+    assert channel.writes == [HEARTBEAT, HEARTBEAT], "its first line is sent immediately"
     history.append(version(5))
     watchers.publish()
-    assert [decode_line(line).index for line in lines_of(channel.taken[2])] == [5]
+    assert [decode_line(line).index for line in lines_of(channel.writes[2])] == [5]
 
 
 def test_a_slow_watch_gets_all_missed_changes_in_one_write_once_it_reads() -> None:
     history, clock = history_of(1), Clock()
     watchers = Watchers(history, clock)
     channel = ChannelStub()
-    watch = opened(watchers, channel, "n", 1)
-    channel.taken.clear()
+    watch = open_watch(watchers, channel, "n", 1)
+    channel.writes.clear()
     channel.reads = False
     for index in (2, 3, 4):
         history.append(version(index))
         watchers.publish()
     for _ in range(HEARTBEAT_GROUPS):
         watchers.send_heartbeats()
-    assert len(channel.taken) == 1, "nothing is written while bytes are unsent"
-    channel.reads, channel.waiting = True, 0
+    assert len(channel.writes) == 1, "nothing is written while bytes are unsent"
+    channel.reads, channel.unsent_bytes = True, 0
     watchers.drained(watch)
-    assert channel.taken[1] == history.after(2)
+    assert channel.writes[1] == history.after(2)
 
 
 def test_a_watch_that_reads_nothing_is_closed_and_the_others_continue() -> None:
@@ -207,8 +207,8 @@
     watchers = Watchers(history, clock)
     stuck, other = ChannelStub(), ChannelStub()
     stuck.reads = False
-    opened(watchers, stuck, "stuck", 0)
-    opened(watchers, other, "other", 0)
+    open_watch(watchers, stuck, "stuck", 0)
+    open_watch(watchers, other, "other", 0)
     clock.now += STALL_TIMEOUT - 0.1
     watchers.send_heartbeats()
     assert not stuck.closed
@@ -226,21 +226,21 @@
     channels = [ChannelStub() for _ in range(5)]
     for channel in channels:
         channel.reads = False
-        opened(watchers, channel, "n", 0)
+        open_watch(watchers, channel, "n", 0)
     left = [channel for channel in channels if not channel.closed]
     assert left == channels[-2:], "those that were slow longest are closed"
-    assert sum(channel.waiting for channel in left) <= 1000 < 3 * left[0].waiting
+    assert sum(channel.unsent_bytes for channel in left) <= 1000 < 3 * left[0].unsent_bytes
 
 
 def test_watches_are_bounded_and_closing_twice_counts_once() -> None:
     watchers = Watchers(History(), Clock(), max_watches=1)
-    watch = opened(watchers, ChannelStub(), "a", 0)
+    watch = open_watch(watchers, ChannelStub(), "a", 0)
     with pytest.raises(TooManyWatchesError):
-        opened(watchers, ChannelStub(), "b", 0)
+        open_watch(watchers, ChannelStub(), "b", 0)
     watchers.close(watch)
     watchers.close(watch)
     assert watchers.count == 0
-    opened(watchers, ChannelStub(), "b", 0)
+    open_watch(watchers, ChannelStub(), "b", 0)
 
 
 # Reports
@@ -374,19 +374,19 @@
 # Requests
 
 
-def read(data: bytes, limit: int = 100) -> list[Request]:
+def parse(data: bytes, limit: int = 100) -> list[Request]:
     return RequestReader(lambda path: limit).feed(data)
 
 
-WHOLE = b"POST /v1/x?from=3&name=n%201 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
+WHOLE_REQUEST = b"POST /v1/x?from=3&name=n%201 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
 
 
-@given(st.lists(st.integers(0, len(WHOLE)), max_size=6))
+@given(st.lists(st.integers(0, len(WHOLE_REQUEST)), max_size=6))
 def test_a_request_is_parsed_the_same_however_it_is_split(cuts: list[int]) -> None:
     reader, found = RequestReader(lambda path: 100), []
-    places = [0, *sorted(cuts), len(WHOLE)]
+    places = [0, *sorted(cuts), len(WHOLE_REQUEST)]
     for start, end in itertools.pairwise(places):
-        found += reader.feed(WHOLE[start:end])
+        found += reader.feed(WHOLE_REQUEST[start:end])
     assert found == [Request("POST", "/v1/x", {"from": "3", "name": "n 1"}, b"abc", True)]
 
 
@@ -405,13 +405,13 @@
 )
 def test_an_invalid_request_is_refused_with_its_status(data: bytes, status: int) -> None:
     with pytest.raises(BadRequestError) as raised:
-        read(data)
+        parse(data)
     assert raised.value.status == status
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_parsed_or_refused(data: bytes) -> None:
     try:
-        read(data)
+        parse(data)
     except BadRequestError as error:
         assert error.status in (400, 413, 431)
