--- a/millgw/configuration/instance.py
+++ b/millgw/configuration/instance.py
@@ -1,7 +1,7 @@
-"""One control instance that votes: the replica on a clock, a disk and sockets, behind the service's calls.
+"""A voting control instance: drives the replica with a clock, a disk and sockets, and serves the HTTP API.
 
-The replica's actions are carried out in their order, and what must be durable is so before anything behind it
-is done. A write that fails ends the instance: the replica counts on it.
+The replica's actions are executed in order, and a write is durable before any later action is executed. A
+failed write stops the instance, because the replica's state already assumes that it succeeded.
 """
 
 from __future__ import annotations
@@ -35,49 +35,49 @@
 from millgw.configuration.server import Response, Server, error_response, json_response
 from millgw.configuration.service import ControlService, Proposal, Reply, Standing
 from millgw.configuration.state import State
-from millgw.configuration.transport import Filter, PeerLink, allow_all
+from millgw.configuration.transport import LinkFilter, PeerLink, allow_all
 from millgw.log.events import log_event
 from millgw.platform.config import Address
 
-PROPOSAL_TIME = 10.0  # s after which the outcome of a proposal counts as not known
+PROPOSAL_TIMEOUT = 10.0  # s; after this the outcome of a proposal is reported as unknown
 
 
 class StateKeeper(Protocol):
-    """Where a replica's state is kept: `durable.DurableState`, or a stand-in of it."""
+    """Storage of a replica's state: `durable.DurableState`, or a test double."""
 
     def load(self) -> State:
-        """What the replica starts from."""
+        """The state that the replica starts from."""
 
     def persist(self, persist: Persist) -> None:
-        """Make it durable; an OSError tells that it may not be."""
+        """Write to durable storage; raises OSError if that may have failed."""
 
     def close(self) -> None: ...
 
 
 @dataclass(slots=True, frozen=True)
-class Pending:
-    """A proposal whose outcome is not known yet."""
+class PendingProposal:
+    """A proposal that waits for its outcome."""
 
     reply: Reply
     timer: asyncio.TimerHandle
 
 
 class Instance:
-    """One voter. `voters` has the addresses of all, its own among them, by name."""
+    """One voter. `voters` maps the names of all voters, including this one, to their addresses."""
 
     def __init__(
         self,
         options: Options,
         voters: Mapping[str, Address],
-        durable: StateKeeper,
+        storage: StateKeeper,
         seed: int,
-        allowed: Filter = allow_all,
+        allowed: LinkFilter = allow_all,
     ) -> None:
         self.options = options
         self.voters = dict(voters)
-        self.durable = durable
+        self.storage = storage
         self.allowed = allowed
-        self.replica = Replica(options, durable.load(), seed, now_ms())
+        self.replica = Replica(options, storage.load(), seed, now_ms())
         self.service = ControlService(options.name, self)
         self.service.history.replace(self.replica.document)
         self.server = Server(self.service, time.monotonic)
@@ -86,35 +86,35 @@
             peer: PeerLink(options.name, peer, self.voters[peer], self._receive, allowed)
             for peer in options.peers
         }
-        self._pending: dict[int, Pending] = {}
-        self._deadline: asyncio.TimerHandle | None = None
+        self._pending: dict[int, PendingProposal] = {}
+        self._tick_timer: asyncio.TimerHandle | None = None
         self._stopped = False
 
     async def start(self) -> None:
-        """Listen and take part; an OSError tells why that can't be."""
+        """Start to listen and to participate in the cluster; raises OSError if the address can't be bound."""
         await self.server.start(self.voters[self.options.name])
         self.service.start()
         self._schedule()
 
     def stop(self) -> None:
-        """End all connections and let the disk go; proposals that are out are left unanswered."""
+        """Close all connections and the storage; pending proposals get no response."""
         if self._stopped:
             return
         self._stopped = True
-        if self._deadline is not None:
-            self._deadline.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         for pending in self._pending.values():
             pending.timer.cancel()
         for link in self.links.values():
             link.stop()
         self.service.stop()
         self.server.stop()
-        self.durable.close()
+        self.storage.close()
 
-    # Backend of the service
+    # The service's Backend protocol
 
     def standing(self) -> Standing:
-        """What this instance knows of itself and of the others."""
+        """This instance's view of itself and of the cluster."""
         leader = self.replica.leader
         return Standing(
             role=self.replica.role.value,
@@ -125,19 +125,19 @@
         )
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
-        """Propose a version; `reply` gets its outcome, once."""
-        self._advance(lambda: self._propose(proposal, reply))
+        """Propose a version; `reply` is called once, with its outcome."""
+        self._run_step(lambda: self._propose(proposal, reply))
 
     def _propose(self, proposal: Proposal, reply: Reply) -> Sequence[Action]:
         proposed = self.replica.propose(
             now_ms(), proposal.changes, proposal.author, proposal.reason, proposal.if_index, proposal.at
         )
-        timer = asyncio.get_running_loop().call_later(PROPOSAL_TIME, self._expire, proposed.proposal)
-        self._pending[proposed.proposal] = Pending(reply, timer)
+        timer = asyncio.get_running_loop().call_later(PROPOSAL_TIMEOUT, self._expire, proposed.proposal)
+        self._pending[proposed.proposal] = PendingProposal(reply, timer)
         return proposed.actions
 
     def receive(self, sender: str, body: bytes) -> Response:
-        """A peer's message, answered by the reply to it if there is one."""
+        """Process a peer's message; the response carries the reply, if there is one."""
         if sender not in self.links:
             return error_response(404, "not from a voter")
         if not self.allowed(sender, self.options.name):
@@ -146,7 +146,7 @@
             message = decode(body)
         except MessageError as error:
             return error_response(400, str(error))
-        replies = self._advance(lambda: self.replica.receive(now_ms(), sender, message), answering=sender)
+        replies = self._run_step(lambda: self.replica.receive(now_ms(), sender, message), reply_to=sender)
         if not replies or not self.allowed(self.options.name, sender):
             return Response(204)
         for reply in replies[1:]:
@@ -156,37 +156,37 @@
     # The replica
 
     def _receive(self, sender: str, message: Message) -> None:
-        self._advance(lambda: self.replica.receive(now_ms(), sender, message))
+        self._run_step(lambda: self.replica.receive(now_ms(), sender, message))
 
     def _tick(self) -> None:
-        self._advance(lambda: self.replica.tick(now_ms()))
+        self._run_step(lambda: self.replica.tick(now_ms()))
 
-    def _advance(self, step: Callable[[], Sequence[Action]], answering: str = "") -> list[Message]:
-        """Carry out what an input leads to; messages to `answering` are returned, to be its answer."""
+    def _run_step(self, step: Callable[[], Sequence[Action]], reply_to: str = "") -> list[Message]:
+        """Run one input and execute its actions; messages to `reply_to` are returned for the response."""
         if self._stopped:
             return []
         try:
-            return self._carry_out(step(), answering)
-        except Exception as error:  # whatever it was, actions that the replica counts on were not done
+            return self._execute(step(), reply_to)
+        except Exception as error:  # any error: actions that the replica assumes were executed were not
             self._fail(error)
             return []
 
     def _schedule(self) -> None:
-        if self._deadline is not None:
-            self._deadline.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         if not self._stopped:
             after = max(0.0, self.replica.next_deadline() - now_ms()) / 1000
-            self._deadline = asyncio.get_running_loop().call_later(after, self._tick)
+            self._tick_timer = asyncio.get_running_loop().call_later(after, self._tick)
 
-    def _carry_out(self, actions: Sequence[Action], answering: str) -> list[Message]:
-        answers: list[Message] = []
+    def _execute(self, actions: Sequence[Action], reply_to: str) -> list[Message]:
+        replies: list[Message] = []
         before = self.service.history.index
         for action in actions:
             match action:
                 case Persist():
-                    self.durable.persist(action)
-                case Send(to, message) if to == answering:
-                    answers.append(message)
+                    self.storage.persist(action)
+                case Send(to, message) if to == reply_to:
+                    replies.append(message)
                 case Send(to, message):
                     self.links[to].send(message)
                 case Committed(version):
@@ -194,7 +194,7 @@
                 case Installed(document):
                     self.service.history.replace(document)
                 case Decided(proposal, outcome):
-                    self._decided(proposal, outcome)
+                    self._on_decided(proposal, outcome)
                 case RoleChanged(role, epoch, leader):
                     log_event("replica-role", role=role.value, epoch=epoch, leader=leader)
                 case PeerRefused(peer, cause):
@@ -202,10 +202,10 @@
         if self.service.history.index != before:
             self.service.watchers.publish()
         self._schedule()
-        return answers
+        return replies
 
     def _fail(self, error: Exception) -> None:
-        """End the instance: going on could break what it has promised to the others."""
+        """Stop the instance: continuing could violate what it has acknowledged to its peers."""
         log_event("instance-failed", cause=error)
         self.stop()
         if not self.failed.done():
@@ -213,14 +213,14 @@
 
     # Proposals
 
-    def _decided(self, proposal: int, outcome: Outcome) -> None:
+    def _on_decided(self, proposal: int, outcome: Outcome) -> None:
         pending = self._pending.pop(proposal, None)
         if pending is not None:
             pending.timer.cancel()
             pending.reply(self._response(outcome))
 
     def _expire(self, proposal: int) -> None:
-        self._decided(proposal, Unknown())
+        self._on_decided(proposal, Unknown())
 
     def _response(self, outcome: Outcome) -> Response:
         match outcome:
@@ -241,5 +241,5 @@
 
 
 def now_ms() -> float:
-    """The replica's clock."""
+    """The replica's monotonic clock, in ms."""
     return time.monotonic() * 1000
--- a/millgw/configuration/replica.py
+++ b/millgw/configuration/replica.py
@@ -1,23 +1,23 @@
-"""The consensus state machine of one control instance: the Raft rules, without I/O, clock or threads.
-
-The same inputs give the same actions; `actions` says how they are to be carried out. Times are ms on the
-caller's monotonic clock, which need not agree with any other instance's.
-
-Rules beside those of plain Raft:
-
-- Pre-vote: an instance asks whether it would be elected before it begins an epoch, so one that was cut off
-  does not depose a working leader when it comes back.
-- Lease: a follower refuses votes for `election[0]` ms after it heard a leader, and after its own start, as
-  it may have heard one just before. A leader accepts proposals only for `lease` ms after the moment at which
-  it sent the newest requests that a majority answered. Options are refused if clocks whose rates are wrong
-  by `drift` could make the two overlap. No invariant of the log depends on the lease.
-- A leader begins its epoch with a barrier: a log entry without a version. Once it is committed, so is all
-  before it. It takes a position in the log but no document index, so document indexes have no gaps.
-- Compaction: entries further back than `keep` behind the committed position become a snapshot. A follower
-  that needs them is sent the snapshot.
-- A peer that came back with older state than it had acknowledged is refused (see `rollback`): a leader
-  brings it up to date, but nobody counts its votes and acknowledgements until it has started again with all
-  that it had acknowledged.
+"""The Raft state machine of one control instance, without I/O, clock or threads.
+
+It is deterministic: the same inputs give the same actions, which the caller executes as `actions` describes.
+Times are ms on the caller's monotonic clock, which need not agree with the clock of any other instance.
+
+Extensions to basic Raft:
+
+- Pre-vote: before it starts an epoch, an instance asks whether it would be elected. An instance that was
+  partitioned therefore does not depose a working leader when it reconnects.
+- Leader lease: a follower refuses votes for `election[0]` ms after it last heard from a leader, and after its
+  own start, because it may have heard from one just before. A leader accepts proposals only for `lease` ms
+  after it sent the newest requests that a majority answered. Options are rejected if the two periods could
+  overlap with clock rates that are off by `drift`. No invariant of the log depends on the lease.
+- Barrier: a leader starts its epoch with a log entry without a version. Once that entry is committed, so are
+  all entries before it. It has a log position but no document index, so document indexes have no gaps.
+- Compaction: entries more than `keep` positions before the committed one are replaced by a snapshot. The
+  snapshot is sent to followers that need those entries.
+- Rollback detection: a peer that restarted with older state than it had acknowledged is refused (see
+  `rollback`). A leader brings it up to date, but nobody counts its votes and acknowledgements until it has
+  restarted with everything it had acknowledged.
 """
 
 from __future__ import annotations
@@ -68,16 +68,16 @@
 from millgw.configuration.rollback import RollbackDetector
 from millgw.configuration.state import State
 
-KEEP_SLACK = 4  # a compaction is due once the log is longer than `keep` by a part of so many
+COMPACTION_SLACK_DIVISOR = 4  # the log is compacted once it exceeds `keep` by a quarter
 
 
 class ConsensusError(RuntimeError):
-    """An invariant of the protocol does not hold: the process must stop."""
+    """An invariant of the protocol is violated: the process must stop."""
 
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """One instance among the voters; times in ms, `drift` the most by which a clock's rate is wrong."""
+    """Options of one voter. Times are in ms; `drift` is the largest relative error of a clock's rate."""
 
     name: str
     voters: tuple[str, ...]
@@ -91,13 +91,13 @@
     def __post_init__(self) -> None:
         low, high = self.election
         if self.name not in self.voters or len(set(self.voters)) != len(self.voters):
-            raise ValueError("voters: must name this instance, and each one once")
+            raise ValueError("voters: must include this instance, without duplicates")
         if not 0 < self.heartbeat < self.lease:
             raise ValueError("heartbeat: must be over 0 and shorter than the lease")
         if not low < high:
-            raise ValueError("election: the upper bound must be over the lower one")
+            raise ValueError("election: the upper bound must be greater than the lower one")
         if not 0 <= self.drift < 1 or self.lease / (1 - self.drift) > low / (1 + self.drift):
-            raise ValueError("lease: must end before a follower may vote again, with clocks that drift")
+            raise ValueError("lease: must expire before a follower may vote again, at the given clock drift")
         if self.keep < 1 or self.max_proposals < 1:
             raise ValueError("keep, max_proposals: must be 1 or more")
 
@@ -111,7 +111,7 @@
 
 
 class Replica:
-    """One voter. Each input returns the actions that it leads to."""
+    """The state machine of one voter. Each input returns the actions to execute."""
 
     def __init__(self, options: Options, state: State, seed: int, now: float) -> None:
         self.options = options
@@ -126,22 +126,22 @@
         self._random = random.Random(f"{seed} {options.name}")
         self._peers = RollbackDetector()
         self._leadership: Leadership | None = None
-        self._pre_votes: set[str] | None = None  # while a pre-vote is under way
+        self._pre_votes: set[str] | None = None  # granted in the current pre-vote; None if there is none
         self._votes: set[str] = set()
-        self._proposals = 0
+        self._last_proposal = 0
         self._now = now
-        self._heard = now  # a leader may have been heard just before the start
+        self._leader_heard_at = now  # this instance may have heard from a leader just before it started
         self._election_at = self._next_election()
         self._actions: list[Action] = []
-        self._unsaved = False
-        self._unsaved_entries: tuple[Entry, ...] = ()
-        self._unsaved_snapshot: Snapshot | None = None
-        self._told = self._standing()
+        self._persist_due = False
+        self._unpersisted_entries: tuple[Entry, ...] = ()
+        self._unpersisted_snapshot: Snapshot | None = None
+        self._reported_role = self._current_role()
 
     # Inputs
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed; due no later than at `next_deadline`."""
+        """Process timers; must be called at `next_deadline` at the latest."""
         self._begin(now)
         if self._leadership is not None:
             self._tick_leader(self._leadership)
@@ -150,14 +150,14 @@
         return self._finish()
 
     def receive(self, now: float, sender: str, message: Message) -> list[Action]:
-        """A message has come. One from an instance that is no voter is ignored."""
+        """Process a message; messages from instances that are not voters are ignored."""
         self._begin(now)
         if sender in self.options.peers:
             cause = self._peers.check(sender, message)
             if cause is None:
                 self._dispatch(sender, message)
             else:
-                self._on_refused(sender, message, cause)
+                self._on_rolled_back_peer(sender, message, cause)
         return self._finish()
 
     def propose(
@@ -169,30 +169,31 @@
         if_index: int | None,
         at: float,
     ) -> Proposed:
-        """Propose a version. Its outcome comes as one `Decided`, now or from a later input.
+        """Propose a version. Its outcome is one `Decided`, returned by this or by a later input.
 
-        With `if_index` it is refused unless that is the newest version in the leader's log, committed or not.
+        With `if_index`, the proposal is rejected unless that is the index of the newest version in the
+        leader's log, committed or not.
         """
         self._begin(now)
-        self._proposals += 1
-        refusal = self._refusal(changes, author, reason, if_index, at)
-        if refusal is not None:
-            self._emit(Decided(self._proposals, refusal))
+        self._last_proposal += 1
+        rejection = self._rejection(changes, author, reason, if_index, at)
+        if rejection is not None:
+            self._emit(Decided(self._last_proposal, rejection))
         else:
-            self._accept(tuple(changes), author, reason, at)
-        return Proposed(self._proposals, self._finish())
+            self._append_proposal(tuple(changes), author, reason, at)
+        return Proposed(self._last_proposal, self._finish())
 
     def next_deadline(self) -> float:
-        """When `tick` is due at the latest."""
+        """The latest time for the next `tick`."""
         if self._leadership is None:
             return self._election_at
-        return min(self._leadership.heartbeat_at, self._deposed_at(self._leadership))
+        return min(self._leadership.heartbeat_at, self._step_down_at(self._leadership))
 
     def has_quorum(self, now: float) -> bool:
-        """A leader: its lease holds. Others: a leader was heard lately."""
+        """Whether the lease is valid (leader), or a leader was heard from recently (others)."""
         if self._leadership is not None:
-            return now < self._leadership.contact(now) + self.options.lease
-        return self.leader is not None and now < self._heard + self.options.election[1]
+            return now < self._leadership.majority_contact_at(now) + self.options.lease
+        return self.leader is not None and now < self._leader_heard_at + self.options.election[1]
 
     # Actions
 
@@ -201,25 +202,25 @@
         self._actions = []
 
     def _emit(self, action: Action) -> None:
-        """Add an action, behind the persistence of all that it may rest on."""
-        self._save()
+        """Add an action, after a `Persist` of all unsaved state that it may depend on."""
+        self._emit_persist()
         self._actions.append(action)
 
-    def _save(self) -> None:
-        if not self._unsaved:
+    def _emit_persist(self) -> None:
+        if not self._persist_due:
             return
-        entries, snapshot = self._unsaved_entries, self._unsaved_snapshot
-        self._unsaved, self._unsaved_entries, self._unsaved_snapshot = False, (), None
+        entries, snapshot = self._unpersisted_entries, self._unpersisted_snapshot
+        self._persist_due, self._unpersisted_entries, self._unpersisted_snapshot = False, (), None
         self._actions.append(Persist(self.epoch, self.voted_for, self.committed, entries, snapshot))
 
     def _finish(self) -> list[Action]:
-        self._save()
-        if self._told != self._standing():
-            self._told = self._standing()
-            self._actions.append(self._told)
+        self._emit_persist()
+        if self._reported_role != self._current_role():
+            self._reported_role = self._current_role()
+            self._actions.append(self._reported_role)
         return self._actions
 
-    def _standing(self) -> RoleChanged:
+    def _current_role(self) -> RoleChanged:
         return RoleChanged(self.role, self.epoch, self.leader)
 
     def _send(self, to: str, message: Message) -> None:
@@ -251,8 +252,8 @@
 
     # Epochs and roles
 
-    def _adopt(self, epoch: int) -> None:
-        """Enter a higher epoch, without a leader and without a vote in it."""
+    def _enter_epoch(self, epoch: int) -> None:
+        """Enter a higher epoch as a follower, with no known leader and no vote."""
         self._stop_leading()
         self.role, self.leader = Role.FOLLOWER, None
         self._pre_votes = None
@@ -262,21 +263,21 @@
 
     def _set_vote(self, candidate: str) -> None:
         self.voted_for = candidate
-        self._unsaved = True
+        self._persist_due = True
 
-    def _follow(self, leader: str, epoch: int) -> None:
-        """Take note that a leader of this or a higher epoch was heard."""
+    def _follow_leader(self, leader: str, epoch: int) -> None:
+        """Follow a leader that was heard from in this or a higher epoch."""
         if epoch > self.epoch:
-            self._adopt(epoch)
+            self._enter_epoch(epoch)
         if self.role is Role.LEADER:
             raise ConsensusError(f"{leader} and {self.options.name} both lead epoch {epoch}")
         if self.leader not in (None, leader):
             raise ConsensusError(f"{leader} and {self.leader} both lead epoch {epoch}")
         self.role, self.leader = Role.FOLLOWER, leader
         if not self.voted_for:
-            self._set_vote(leader)  # an epoch that has a leader needs no other candidate
+            self._set_vote(leader)  # the epoch has a leader, so no other candidate may get this vote
         self._pre_votes = None
-        self._heard = self._now
+        self._leader_heard_at = self._now
         self._election_at = self._next_election()
 
     def _stop_leading(self) -> None:
@@ -292,10 +293,10 @@
         return self._now + self._random.uniform(*self.options.election)
 
     def _hears_leader(self) -> bool:
-        """Whether a leader may hold its lease: votes are refused then."""
+        """Whether a leader may hold a valid lease, so that votes must be refused."""
         if self._leadership is not None:
             return self.has_quorum(self._now)
-        return self._now < self._heard + self.options.election[0]
+        return self._now < self._leader_heard_at + self.options.election[0]
 
     # Elections
 
@@ -317,8 +318,8 @@
 
     def _on_pre_vote_reply(self, sender: str, reply: PreVoteReply) -> None:
         if reply.header.epoch > self.epoch:
-            self._adopt(reply.header.epoch)
-        elif reply.granted and reply.asked == self.epoch and self._pre_votes is not None:
+            self._enter_epoch(reply.header.epoch)
+        elif reply.granted and reply.request_epoch == self.epoch and self._pre_votes is not None:
             self._pre_votes.add(sender)
             self._count_pre_votes(self._pre_votes)
 
@@ -327,7 +328,7 @@
             self._start_election()
 
     def _start_election(self) -> None:
-        self._adopt(self.epoch + 1)
+        self._enter_epoch(self.epoch + 1)
         self.role = Role.CANDIDATE
         self._set_vote(self.options.name)
         self._votes = {self.options.name}
@@ -340,7 +341,7 @@
             self._send(sender, VoteReply(self._header(), False))
             return
         if request.header.epoch > self.epoch:
-            self._adopt(request.header.epoch)
+            self._enter_epoch(request.header.epoch)
         granted = self._may_vote_for(sender, request)
         if granted and self.voted_for != sender:
             self._set_vote(sender)
@@ -356,12 +357,12 @@
         )
 
     def _is_up_to_date(self, last_epoch: int, last_position: int) -> bool:
-        """Whether a log with such an end holds all that this one may know to be committed."""
+        """Whether a log with this end has every entry that this instance may know to be committed."""
         return (last_epoch, last_position) >= (self.log.last_epoch, self.log.last_position)
 
     def _on_vote_reply(self, sender: str, reply: VoteReply) -> None:
         if reply.header.epoch > self.epoch:
-            self._adopt(reply.header.epoch)
+            self._enter_epoch(reply.header.epoch)
         elif reply.granted and reply.header.epoch == self.epoch and self._is_candidate():
             self._votes.add(sender)
             self._count_votes()
@@ -378,28 +379,28 @@
         self._leadership = Leadership(
             self.options.peers, self.options.majority, self.log.last_position + 1, self._now
         )
-        self._append_own(None)
+        self._append_as_leader(None)
 
     # Leading
 
     def _tick_leader(self, leadership: Leadership) -> None:
-        if self._now >= self._deposed_at(leadership):
+        if self._now >= self._step_down_at(leadership):
             self._stop_leading()
             self._election_at = self._next_election()
         elif self._now >= leadership.heartbeat_at:
             self._send_appends(leadership)
 
-    def _deposed_at(self, leadership: Leadership) -> float:
-        """When a leader gives up that no majority answers."""
-        contact = max(leadership.since, leadership.contact(self._now))
+    def _step_down_at(self, leadership: Leadership) -> float:
+        """When a leader steps down because no majority has answered."""
+        contact = max(leadership.started_at, leadership.majority_contact_at(self._now))
         return contact + self.options.election[1]
 
-    def _append_own(self, version: Version | None) -> None:
-        """Add an entry to the log as the leader, and send it."""
+    def _append_as_leader(self, version: Version | None) -> None:
+        """Append an entry to the log as the leader, and replicate it."""
         assert self._leadership is not None
         entry = Entry(self.log.last_position + 1, self.epoch, version)
         self.log.append(entry)
-        self._unsaved, self._unsaved_entries = True, (*self._unsaved_entries, entry)
+        self._persist_due, self._unpersisted_entries = True, (*self._unpersisted_entries, entry)
         self._send_appends(self._leadership)
         self._advance_commit(self._leadership)
 
@@ -409,7 +410,7 @@
             self._send_append(peer, progress)
 
     def _send_append(self, peer: str, progress: Progress) -> None:
-        """Send what a follower lacks; a heartbeat if that is nothing, or a snapshot is on its way."""
+        """Send a follower its missing entries; a heartbeat if none are missing or a snapshot is in flight."""
         snapshot = self.log.snapshot
         if progress.next <= snapshot.position:
             self._send_snapshot(peer, progress)
@@ -417,7 +418,7 @@
         previous = progress.next - 1
         previous_epoch = self.log.epoch_at(previous)
         assert previous_epoch is not None
-        entries = () if progress.snapshot_sent is not None else self._batch(progress.next)
+        entries = () if progress.snapshot_sent_at is not None else self._batch(progress.next)
         progress.next += len(entries)
         self._send(
             peer,
@@ -425,7 +426,7 @@
         )
 
     def _batch(self, first: int) -> tuple[Entry, ...]:
-        """Entries from a position on, as many as one message may hold."""
+        """Entries from a position on, as many as one message may contain."""
         entries: list[Entry] = []
         size = 0
         for entry in self.log.slice(first, MAX_ENTRIES):
@@ -437,59 +438,59 @@
 
     def _send_snapshot(self, peer: str, progress: Progress) -> None:
         snapshot = self.log.snapshot
-        progress.snapshot_sent = self._now
+        progress.snapshot_sent_at = self._now
         progress.next = snapshot.position + 1
         self._send(peer, SnapshotRequest(self._header(), self._now, snapshot))
 
-    def _progress_of(self, sender: str, header: Header, sent: float) -> Progress | None:
-        """The follower that a reply is of; None if it says that a higher epoch began, or is out of date."""
+    def _update_progress(self, sender: str, header: Header, sent: float) -> Progress | None:
+        """The progress of the follower that replied; None if outdated, or if this is not the leader."""
         if header.epoch > self.epoch:
-            self._adopt(header.epoch)
+            self._enter_epoch(header.epoch)
         if self._leadership is None or header.epoch < self.epoch:
             return None
         progress = self._leadership.followers[sender]
-        progress.contact = max(progress.contact, min(sent, self._now))
+        progress.contact_at = max(progress.contact_at, min(sent, self._now))
         return progress
 
     def _on_append_reply(self, sender: str, reply: AppendReply) -> None:
-        progress = self._progress_of(sender, reply.header, reply.sent)
+        progress = self._update_progress(sender, reply.header, reply.sent)
         if progress is None:
             return
         if reply.success:
-            self._acknowledged(sender, progress, reply.position)
+            self._on_acknowledgement(sender, progress, reply.position)
         elif not self._awaits_snapshot(progress) and progress.reject(reply.position):
             self._send_append(sender, progress)
 
     def _awaits_snapshot(self, progress: Progress) -> bool:
-        """Whether a snapshot was sent lately; the follower rejects all else until it has come."""
-        if progress.snapshot_sent is None:
+        """Whether a snapshot was sent recently; until it arrives the follower rejects all other requests."""
+        if progress.snapshot_sent_at is None:
             return False
-        return self._now < progress.snapshot_sent + self.options.election[1]
+        return self._now < progress.snapshot_sent_at + self.options.election[1]
 
-    def _on_refused(self, sender: str, message: Message, cause: str) -> None:
-        """Bring a peer that lost state up to date, without counting on anything it says."""
+    def _on_rolled_back_peer(self, sender: str, message: Message, cause: str) -> None:
+        """Bring a peer that lost state up to date, without counting its acknowledgements."""
         if cause:
             self._emit(PeerRefused(sender, cause))
         if self._leadership is None or message.header.epoch != self.epoch:
             return
         progress = self._leadership.followers[sender]
-        progress.forget()
+        progress.reset()
         match message:
             case AppendReply(success=False):
                 if not self._awaits_snapshot(progress):
                     progress.reject(message.position)
                     self._send_append(sender, progress)
             case AppendReply() | SnapshotReply():
-                progress.snapshot_sent = None
+                progress.snapshot_sent_at = None
                 if progress.next <= self.log.last_position:
                     self._send_append(sender, progress)
 
     def _on_snapshot_reply(self, sender: str, reply: SnapshotReply) -> None:
-        progress = self._progress_of(sender, reply.header, reply.sent)
+        progress = self._update_progress(sender, reply.header, reply.sent)
         if progress is not None:
-            self._acknowledged(sender, progress, reply.position)
+            self._on_acknowledgement(sender, progress, reply.position)
 
-    def _acknowledged(self, sender: str, progress: Progress, position: int) -> None:
+    def _on_acknowledgement(self, sender: str, progress: Progress, position: int) -> None:
         assert self._leadership is not None
         progress.acknowledge(position)
         self._advance_commit(self._leadership)
@@ -497,18 +498,18 @@
             self._send_append(sender, progress)
 
     def _advance_commit(self, leadership: Leadership) -> None:
-        position = leadership.replicated(self.log.last_position)
+        position = leadership.majority_position(self.log.last_position)
         if position > self.committed and self._may_commit(position):
             self._commit_to(position)
-            self._send_appends(leadership)  # so that followers learn of it before the next heartbeat
+            self._send_appends(leadership)  # followers learn the commit before the next heartbeat
 
     def _may_commit(self, position: int) -> bool:
-        """Entries of earlier epochs are committed only by one of this epoch that follows them."""
+        """Whether the entry is of this epoch; entries of earlier epochs are committed only through it."""
         return self.log.epoch_at(position) == self.epoch
 
     # Proposals
 
-    def _refusal(
+    def _rejection(
         self, changes: Sequence[Change], author: str, reason: str, if_index: int | None, at: float
     ) -> Outcome | None:
         leadership = self._leadership
@@ -522,17 +523,19 @@
             return Busy()
         try:
             size = check_proposal(changes, author, reason, at)
-            under_way = sum(encoded_size(self.log.at(position)) for position in leadership.proposals)
-            check_document(self.document, under_way + size)
+            uncommitted_size = sum(
+                encoded_size(self.log.entry_at(position)) for position in leadership.proposals
+            )
+            check_document(self.document, uncommitted_size + size)
         except ProposalError as error:
             return Invalid(str(error))
         return None
 
-    def _accept(self, changes: tuple[Change, ...], author: str, reason: str, at: float) -> None:
+    def _append_proposal(self, changes: tuple[Change, ...], author: str, reason: str, at: float) -> None:
         assert self._leadership is not None
         version = Version(self.log.last_index + 1, self.epoch, changes, author, reason, at)
-        self._leadership.proposals[self.log.last_position + 1] = self._proposals
-        self._append_own(version)
+        self._leadership.proposals[self.log.last_position + 1] = self._last_proposal
+        self._append_as_leader(version)
 
     # Following
 
@@ -540,32 +543,32 @@
         if request.header.epoch < self.epoch:
             self._send(sender, AppendReply(self._header(), False, 0, request.sent))
             return
-        self._follow(sender, request.header.epoch)
+        self._follow_leader(sender, request.header.epoch)
         if not self._log_matches(request.previous_position, request.previous_epoch):
-            hint = self._agreeing_position(request.previous_position)
+            hint = self._last_possible_match(request.previous_position)
             self._send(sender, AppendReply(self._header(), False, hint, request.sent))
             return
-        self._take_entries(request.entries)
+        self._append_missing(request.entries)
         position = request.previous_position + len(request.entries)
         self._send(sender, AppendReply(self._header(), True, position, request.sent))
         self._commit_to(min(request.committed, position))
 
     def _log_matches(self, position: int, epoch: int) -> bool:
-        """Whether this log agrees with the leader's up to a position. What is compacted is committed."""
+        """Whether this log matches the leader's up to a position; compacted entries always match."""
         return position < self.log.snapshot.position or self.log.epoch_at(position) == epoch
 
-    def _agreeing_position(self, rejected: int) -> int:
-        """Up to where the logs may agree, after they were found not to agree at a position."""
-        if rejected > self.log.last_position:
+    def _last_possible_match(self, mismatch: int) -> int:
+        """The last position where the logs may agree, after a mismatch at `rejected`."""
+        if mismatch > self.log.last_position:
             return self.log.last_position
-        epoch = self.log.epoch_at(rejected)
-        position = rejected - 1
+        epoch = self.log.epoch_at(mismatch)
+        position = mismatch - 1
         while position > self.committed and self.log.epoch_at(position) == epoch:
             position -= 1
         return position
 
-    def _take_entries(self, entries: Sequence[Entry]) -> None:
-        """Put in the log what it lacks; only a conflict drops what it holds, as requests may come late."""
+    def _append_missing(self, entries: Sequence[Entry]) -> None:
+        """Append the missing entries. Requests may arrive late, so only a conflict truncates the log."""
         for number, entry in enumerate(entries):
             if entry.position <= self.log.snapshot.position:
                 continue
@@ -575,15 +578,15 @@
 
     def _replace_from(self, entries: tuple[Entry, ...]) -> None:
         if entries[0].position <= self.committed:
-            raise ConsensusError(f"entry {entries[0].position} is committed and would be replaced")
+            raise ConsensusError(f"entry {entries[0].position} is committed and can't be replaced")
         self.log.replace_from(entries)
-        self._unsaved, self._unsaved_entries = True, entries
+        self._persist_due, self._unpersisted_entries = True, entries
 
     def _on_snapshot_request(self, sender: str, request: SnapshotRequest) -> None:
         if request.header.epoch < self.epoch:
             self._send(sender, AppendReply(self._header(), False, 0, request.sent))
             return
-        self._follow(sender, request.header.epoch)
+        self._follow_leader(sender, request.header.epoch)
         if request.snapshot.position > self.committed:
             self._install(request.snapshot)
         self._send(sender, SnapshotReply(self._header(), request.snapshot.position, request.sent))
@@ -592,7 +595,7 @@
         self.log.compact(snapshot)
         self.committed = snapshot.position
         self.document = snapshot.document.copy()
-        self._unsaved, self._unsaved_snapshot = True, snapshot
+        self._persist_due, self._unpersisted_snapshot = True, snapshot
         self._emit(Installed(self.document.copy()))
 
     # Committing
@@ -600,7 +603,7 @@
     def _commit_to(self, position: int) -> None:
         while self.committed < position:
             self.committed += 1
-            self._apply(self.log.at(self.committed))
+            self._apply(self.log.entry_at(self.committed))
         self._compact()
 
     def _apply(self, entry: Entry) -> None:
@@ -608,7 +611,7 @@
         if version is None:
             return
         if version.index != self.document.index + 1:
-            raise ConsensusError(f"version {version.index} follows version {self.document.index}")
+            raise ConsensusError(f"version {version.index} does not follow version {self.document.index}")
         self.document.apply(version.index, version.epoch, version.changes)
         self._emit(Committed(version))
         if self._leadership is not None and entry.position in self._leadership.proposals:
@@ -617,12 +620,12 @@
 
     def _compact(self) -> None:
         keep = self.options.keep
-        if self.committed - self.log.snapshot.position <= keep + keep // KEEP_SLACK:
+        if self.committed - self.log.snapshot.position <= keep + keep // COMPACTION_SLACK_DIVISOR:
             return
         position = self.committed - keep
         epoch = self.log.epoch_at(position)
         assert epoch is not None
         snapshot = Snapshot(position, epoch, self.log.document_at(position))
-        self._save()
+        self._emit_persist()
         self.log.compact(snapshot)
-        self._unsaved, self._unsaved_snapshot = True, snapshot
+        self._persist_due, self._unpersisted_snapshot = True, snapshot
--- a/millgw/configuration/service.py
+++ b/millgw/configuration/service.py
@@ -1,4 +1,4 @@
-"""The calls of a control instance, whatever stands behind it: a voter (`instance`) or a relay (`relay`)."""
+"""The HTTP API of a control instance, for both a voter (`instance`) and a relay (`relay`)."""
 
 from __future__ import annotations
 
@@ -40,27 +40,27 @@
 CONFIGURATION_PATH = "/v1/configuration"
 REPORTS_PATH = "/v1/configuration/reports"
 STATUS_PATH = "/v1/configuration/status"
-MAX_PROPOSAL = 2 * MAX_CHANGES  # bytes of a proposal's body: its JSON may have blanks and escapes
-MAX_REPORT = 4 * 1024  # bytes of a report's body
-FORGET_INTERVAL = 10.0  # s between two looks for sidecars to be forgotten
+MAX_PROPOSAL = 2 * MAX_CHANGES  # bytes; body of a proposal, whose JSON may have whitespace and escapes
+MAX_REPORT = 4 * 1024  # bytes; body of a report
+FORGET_INTERVAL = 10.0  # s between removals of sidecars that are gone
 
 Reply = Callable[[Response], None]
 
 
 @dataclass(slots=True, frozen=True)
 class Standing:
-    """What an instance knows of itself and of the others."""
+    """An instance's view of itself and of the cluster."""
 
     role: str
     epoch: int
-    leader: str | None  # its address
-    index: int  # of the newest version known, committed or not
+    leader: str | None  # address of the leader
+    index: int  # newest known version, committed or not
     quorum: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Proposal:
-    """A version that somebody proposes; `at` is Unix time in ms."""
+    """A proposed version; `at` is Unix time in ms."""
 
     changes: tuple[Change, ...]
     author: str
@@ -70,19 +70,19 @@
 
 
 class Backend(Protocol):
-    """What the calls of a voter and those of a relay differ in."""
+    """The operations that a voter and a relay implement differently."""
 
     def standing(self) -> Standing: ...
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
-        """Answer by `reply` once the outcome is known."""
+        """Call `reply` once the outcome is known."""
 
     def receive(self, sender: str, body: bytes) -> Response:
-        """A message from another instance."""
+        """Process a message from another instance."""
 
 
 class SidecarStream:
-    """Ties one watch to its connection."""
+    """Forwards the events of a connection to its watch."""
 
     def __init__(self, service: ControlService, watch: Watch) -> None:
         self.service = service
@@ -91,12 +91,12 @@
     def drained(self) -> None:
         self.service.watchers.drained(self.watch)
 
-    def ended(self) -> None:
+    def connection_closed(self) -> None:
         self.service.watch_ended(self.watch)
 
 
 class ControlService:
-    """Serves the committed document, watches, reports and the status; hands the rest to its backend."""
+    """Serves the committed document, watches, reports and the status; the backend handles the rest."""
 
     def __init__(self, name: str, backend: Backend, clock: Callable[[], float] = time.monotonic) -> None:
         self.name = name
@@ -105,23 +105,23 @@
         self.history = History()
         self.watchers = Watchers(self.history, clock)
         self.reports = Reports()
-        self._beat_timer: asyncio.TimerHandle | None = None
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
         self._forget_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin heartbeats and the forgetting of sidecars."""
-        self._beat()
-        self._forget()
+        """Start the timers for heartbeats and for the removal of sidecars that are gone."""
+        self._send_heartbeats()
+        self._forget_sidecars()
 
     def stop(self) -> None:
-        """End all watches."""
-        for timer in (self._beat_timer, self._forget_timer):
+        """Stop the timers and close all watches."""
+        for timer in (self._heartbeat_timer, self._forget_timer):
             if timer is not None:
                 timer.cancel()
         self.watchers.close_all()
 
     def watch_ended(self, watch: Watch) -> None:
-        """A watch's connection is gone."""
+        """A watch's connection was closed or lost."""
         self.watchers.close(watch)
         if watch.name:
             self.reports.watch_closed(self.clock(), watch.name)
@@ -129,25 +129,25 @@
     # Service
 
     def max_body(self, path: str) -> int:
-        """Bytes that the body of a request for this path may have."""
+        """The largest request body for this path, in bytes."""
         return {REPLICA_PATH: MAX_MESSAGE, CONFIGURATION_PATH: MAX_PROPOSAL}.get(path, MAX_REPORT)
 
     def handle(self, request: Request, connection: Connection) -> None:
-        """Answer one request."""
-        calls = self._calls().get(request.path)
-        if calls is None:
+        """Handle one request."""
+        handlers = self._handlers().get(request.path)
+        if handlers is None:
             connection.reply(error_response(404, "no such call"))
             return
-        call = calls.get(request.method)
-        if call is None:
-            connection.reply(Response(405, allow=", ".join(sorted(calls))))
+        handler = handlers.get(request.method)
+        if handler is None:
+            connection.reply(Response(405, allow=", ".join(sorted(handlers))))
             return
         try:
-            call(request, connection)
+            handler(request, connection)
         except DocumentError as error:
             connection.reply(error_response(400, str(error)))
 
-    def _calls(self) -> dict[str, dict[str, Callable[[Request, Connection], None]]]:
+    def _handlers(self) -> dict[str, dict[str, Callable[[Request, Connection], None]]]:
         return {
             CONFIGURATION_PATH: {"GET": self._get, "POST": self._propose},
             REPORTS_PATH: {"POST": self._report},
@@ -155,13 +155,13 @@
             REPLICA_PATH: {"POST": self._receive},
         }
 
-    # Calls
+    # Request handlers
 
     def _get(self, request: Request, connection: Connection) -> None:
         if request.query.get("watch", "0") in ("", "0"):
             connection.reply(Response(200, encode_line(self.history.document.snapshot())))
             return
-        position = _query_count(request, "from", NO_VERSION)
+        position = _query_int(request, "from", NO_VERSION)
         name = request.query.get("name", "")
         if name and not is_sidecar_name(name):
             raise DocumentError("name: not a sidecar's name")
@@ -192,25 +192,25 @@
         connection.reply(self.backend.receive(request.query.get("from", ""), request.body))
 
     def _status(self, request: Request, connection: Connection) -> None:
-        index = _query_count(request, "index", self.history.index)
+        index = _query_int(request, "index", self.history.index)
         with_sidecars = request.query.get("sidecars", "0") not in ("", "0")
         connection.reply(json_response(200, self.status(index, with_sidecars)))
 
     def status(self, index: int, with_sidecars: bool = False) -> dict[str, Any]:
-        """The instance's view, and where version `index` is in force."""
-        standing = self.backend.standing()
+        """The instance's view of the cluster, and which sidecars have applied version `index`."""
+        view = self.backend.standing()
         summary = summarize(self.reports.sidecars.values(), index, self.history.digests)
         fields: dict[str, Any] = {
             "name": self.name,
-            "role": standing.role,
-            "epoch": standing.epoch,
-            "leader": standing.leader,
-            "index": standing.index,
+            "role": view.role,
+            "epoch": view.epoch,
+            "leader": view.leader,
+            "index": view.index,
             "committed": self.history.index,
             "digest": self.history.digests.get(self.history.index, ""),
-            "quorum": standing.quorum,
+            "quorum": view.quorum,
             "watchers": self.watchers.count,
-            "watchers_cut": self.watchers.cut,
+            "watchers_cut": self.watchers.closed_slow,
             "in_force": summary.fields(),
             "refusals": summary.refusal_fields(),
         }
@@ -221,18 +221,18 @@
 
     # Timers
 
-    def _beat(self) -> None:
-        self.watchers.beat()
+    def _send_heartbeats(self) -> None:
+        self.watchers.send_heartbeats()
         after = HEARTBEAT_INTERVAL / HEARTBEAT_GROUPS
-        self._beat_timer = asyncio.get_running_loop().call_later(after, self._beat)
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(after, self._send_heartbeats)
 
-    def _forget(self) -> None:
+    def _forget_sidecars(self) -> None:
         self.reports.forget_old(self.clock())
-        self._forget_timer = asyncio.get_running_loop().call_later(FORGET_INTERVAL, self._forget)
+        self._forget_timer = asyncio.get_running_loop().call_later(FORGET_INTERVAL, self._forget_sidecars)
 
 
 def decode_proposal(body: bytes, at: float) -> Proposal:
-    """A proposal from its JSON; a DocumentError names the field that can't be used."""
+    """Decode a proposal from JSON; a DocumentError names the invalid field."""
     try:
         fields = json.loads(body, parse_constant=_refuse_constant)
     except (ValueError, RecursionError) as error:
@@ -241,7 +241,7 @@
         raise DocumentError("proposal: not an object")
     changes = decode_changes(fields.get("changes"), "changes")
     if not changes:
-        raise DocumentError("changes: there are none")
+        raise DocumentError("changes: the list is empty")
     for name in ("author", "reason"):
         if not isinstance(fields.get(name, ""), str):
             raise DocumentError(f"{name}: not a string")
@@ -250,11 +250,11 @@
 
 
 def _refuse_constant(name: str) -> float:
-    raise ValueError(f"{name} is no JSON")
+    raise ValueError(f"{name} is not valid JSON")
 
 
-def _query_count(request: Request, name: str, default: int) -> int:
-    """A query's whole number of 0 or more."""
+def _query_int(request: Request, name: str, default: int) -> int:
+    """A non-negative integer from the query string."""
     text = request.query.get(name)
     if text is None:
         return default
--- a/millgw/configuration/transport.py
+++ b/millgw/configuration/transport.py
@@ -1,6 +1,7 @@
-"""Messages between instances: each is posted to the other's server, whose answer brings the reply.
+"""HTTP transport for messages between instances: each is a POST request, and the response carries the reply.
 
-One kept connection to each peer and one exchange at a time. Messages may be lost: the replica sends again.
+Each peer has one persistent connection with one exchange at a time. Messages may be lost; the replica sends
+them again.
 """
 
 from __future__ import annotations
@@ -17,28 +18,33 @@
 from millgw.platform.config import Address
 
 REPLICA_PATH = "/v1/replica"
-MAX_QUEUED = 32  # messages that wait for one peer; the oldest go first
-CONNECT_TIME = 1.0  # s for a connection to come up
-EXCHANGE_TIME = 3.0  # s for a message and its answer
-RECONNECT_AFTER = 0.1  # s after a connection could not be had or was lost
+MAX_QUEUED = 32  # messages queued for one peer; the oldest are dropped first
+CONNECT_TIMEOUT = 1.0  # s; timeout for opening a connection
+EXCHANGE_TIMEOUT = 3.0  # s; timeout for a message and its response
+RECONNECT_DELAY = 0.1  # s; delay after a connection failed or was lost
 
-Receive = Callable[[str, Message], None]
-"""Takes a message and the name of its sender."""
+MessageReceiver = Callable[[str, Message], None]
+"""Receives the name of the sender and a message."""
 
-Filter = Callable[[str, str], bool]
-"""Whether a message from one instance may reach another one: tests part the network by it."""
+LinkFilter = Callable[[str, str], bool]
+"""Whether a message from one instance may reach another; tests simulate network partitions with it."""
 
 
 def allow_all(sender: str, receiver: str) -> bool:
-    """The filter of a whole network."""
+    """The filter that lets every message pass."""
     return True
 
 
 class PeerLink:
-    """Messages from one instance to one peer, and the peer's replies."""
+    """Sends messages from one instance to one peer, and receives the peer's replies."""
 
     def __init__(
-        self, name: str, peer: str, address: Address, receive: Receive, allowed: Filter = allow_all
+        self,
+        name: str,
+        peer: str,
+        address: Address,
+        receive: MessageReceiver,
+        allowed: LinkFilter = allow_all,
     ) -> None:
         self.name = name
         self.peer = peer
@@ -46,80 +52,80 @@
         self.receive = receive
         self.allowed = allowed
         self._queue: deque[Message] = deque(maxlen=MAX_QUEUED)
-        self._wire: PeerConnection | None = None
-        self._connecting: asyncio.Task[None] | None = None
-        self._retry: asyncio.TimerHandle | None = None
+        self._connection: PeerConnection | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self._reconnect_timer: asyncio.TimerHandle | None = None
         self._stopped = False
 
     def send(self, message: Message) -> None:
-        """Send a message when its turn comes; it is lost if the peer can't be reached."""
+        """Queue a message; it is lost if the peer can't be reached."""
         if self._stopped or not self.allowed(self.name, self.peer):
             return
         self._queue.append(message)
-        if self._wire is not None:
-            self._wire.next()
-        elif self._connecting is None and self._retry is None:
-            self._connecting = asyncio.get_running_loop().create_task(self._connect())
+        if self._connection is not None:
+            self._connection.send_next()
+        elif self._connect_task is None and self._reconnect_timer is None:
+            self._connect_task = asyncio.get_running_loop().create_task(self._connect())
 
     def stop(self) -> None:
-        """Send nothing more."""
+        """Close the connection and drop queued messages."""
         self._stopped = True
         self._queue.clear()
-        if self._retry is not None:
-            self._retry.cancel()
-        if self._connecting is not None:
-            self._connecting.cancel()
-        if self._wire is not None:
-            self._wire.abort()
-
-    def take(self) -> bytes | None:
-        """The next request to write; None if nothing waits."""
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
+        if self._connection is not None:
+            self._connection.abort()
+
+    def next_request(self) -> bytes | None:
+        """Remove the next message from the queue and return it as a request; None if the queue is empty."""
         while self._queue:
             message = self._queue.popleft()
             try:
                 return self._encode_request(encode(message))
             except MessageError:
-                continue  # too large to be sent
+                continue  # over MAX_MESSAGE
         return None
 
-    def answered(self, status: int, body: bytes) -> None:
-        """The peer has answered a message."""
+    def on_response(self, status: int, body: bytes) -> None:
+        """Process the peer's response to a message."""
         if status != 200 or not self.allowed(self.peer, self.name):
             return
         try:
             message = decode(body)
         except MessageError:
-            return  # as if it were lost
+            return  # treated as a lost reply
         self.receive(self.peer, message)
 
-    def ended(self) -> None:
-        """The connection is gone, and with it whatever waited: it will be outdated."""
-        self._wire = None
+    def on_connection_lost(self) -> None:
+        """The connection failed or was lost. Queued messages are dropped, as they would arrive outdated."""
+        self._connection = None
         self._queue.clear()
         if not self._stopped:
             loop = asyncio.get_running_loop()
-            self._retry = loop.call_later(RECONNECT_AFTER, self._retry_now)
+            self._reconnect_timer = loop.call_later(RECONNECT_DELAY, self._reconnect)
 
-    def _retry_now(self) -> None:
-        self._retry = None
+    def _reconnect(self) -> None:
+        self._reconnect_timer = None
         if self._queue:
-            self._connecting = asyncio.get_running_loop().create_task(self._connect())
+            self._connect_task = asyncio.get_running_loop().create_task(self._connect())
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_TIME):
-                _, wire = await loop.create_connection(
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                _, connection = await loop.create_connection(
                     lambda: PeerConnection(self), self.address.host, self.address.port
                 )
         except (OSError, TimeoutError):
-            self._connecting = None
-            self.ended()
+            self._connect_task = None
+            self.on_connection_lost()
             return
-        self._connecting = None
-        if wire.transport is not None:  # else it was lost at once, and `ended` has been told
-            self._wire = wire
-            wire.next()
+        self._connect_task = None
+        if connection.transport is not None:  # else it was lost at once, and `on_connection_lost` was called
+            self._connection = connection
+            connection.send_next()
 
     def _encode_request(self, body: bytes) -> bytes:
         head = (
@@ -137,19 +143,19 @@
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
-        self.timeout: asyncio.TimerHandle | None = None  # while an exchange is under way
+        self.exchange_timer: asyncio.TimerHandle | None = None  # set while an exchange is in progress
 
-    def next(self) -> None:
-        """Begin the next exchange, if none is under way."""
-        if self.timeout is not None or self.transport is None or self.transport.is_closing():
+    def send_next(self) -> None:
+        """Start the next exchange, if none is in progress."""
+        if self.exchange_timer is not None or self.transport is None or self.transport.is_closing():
             return
-        request = self.link.take()
+        request = self.link.next_request()
         if request is not None:
             self.transport.write(request)
-            self.timeout = asyncio.get_running_loop().call_later(EXCHANGE_TIME, self.abort)
+            self.exchange_timer = asyncio.get_running_loop().call_later(EXCHANGE_TIMEOUT, self.abort)
 
     def abort(self) -> None:
-        """Give the connection up."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -166,10 +172,10 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None
-        self.link.ended()
+        if self.exchange_timer is not None:
+            self.exchange_timer.cancel()
+            self.exchange_timer = None
+        self.link.on_connection_lost()
 
     # httptools
 
@@ -182,8 +188,8 @@
             self.abort()
 
     def on_message_complete(self) -> None:
-        if self.timeout is not None:
-            self.timeout.cancel()
-            self.timeout = None
-        self.link.answered(self.parser.get_status_code(), bytes(self.body))
-        self.next()
+        if self.exchange_timer is not None:
+            self.exchange_timer.cancel()
+            self.exchange_timer = None
+        self.link.on_response(self.parser.get_status_code(), bytes(self.body))
+        self.send_next()
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -1,4 +1,4 @@
-"""Control instances on loopback: proposals, watches, parted networks, restarts, bad requests."""
+"""Control instances on loopback: proposals, watches, network partitions, restarts, invalid requests."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 from millgw.configuration.client import Client
 from millgw.configuration.control_client import fetch_status
 from millgw.configuration.document import Document
-from millgw.configuration.durable import DurableState, StateIncomplete, StateMissing, StateOfAnother
+from millgw.configuration.durable import DurableState, StateIncomplete, StateMissing, StateOfAnotherInstance
 from millgw.configuration.instance import Instance
 from millgw.configuration.messages import MAX_CHANGES
-from millgw.configuration.server import connections_allowed
+from millgw.configuration.server import connection_limit
 from millgw.platform.config import Address
 from tests.configuration_rig import (
     ANSWER_TIME,
@@ -37,13 +37,13 @@
 
 pytestmark = pure_run_only
 
-FLEET = 670  # sidecars
-STORM_TIME = 10.0  # s for all of them to be served again, far over what it takes
-LEAST_DESCRIPTORS = 2 * FLEET + 200
+FLEET_SIZE = 670  # sidecars
+RECONNECT_LIMIT = 10.0  # s; limit until all are served again, far more than needed
+MIN_DESCRIPTORS = 2 * FLEET_SIZE + 200
 
 
 async def open_watchers(addresses: Sequence[Address], count: int, **more: Any) -> list[Watcher]:
-    """Watchers by turns at the instances."""
+    """Open watchers, distributed round-robin over the instances."""
     made = [Watcher(f"n{number}", **more) for number in range(count)]
     opening = (w.open(addresses[number % len(addresses)]) for number, w in enumerate(made))
     await asyncio.gather(*opening)
@@ -58,7 +58,10 @@
 
 
 async def propose_until_committed(cluster: Cluster, name: str, value: object, among: Sequence[str]) -> int:
-    """Propose at whoever leads until it is committed, as nothing has changed before; its index."""
+    """Propose to the current leader until the version is committed; returns its index.
+
+    Retries are safe: the accepted error statuses mean that the proposal was rejected without effect.
+    """
     while True:
         leader = await cluster.leader(among)
         answer = await propose(address_of(leader), name, value)
@@ -70,8 +73,8 @@
         await asyncio.sleep(0.02)
 
 
-def documents(cluster: Cluster) -> set[tuple[int, str]]:
-    """Index and digest of all running instances' documents."""
+def document_states(cluster: Cluster) -> set[tuple[int, str]]:
+    """Index and digest of the documents of all running instances."""
     histories = [instance.service.history for instance in cluster.running.values()]
     return {(history.index, history.document.digest()) for history in histories}
 
@@ -100,7 +103,7 @@
     run(test)
 
 
-def test_a_proposal_goes_to_the_leader_and_keeps_to_if_index() -> None:
+def test_only_the_leader_accepts_a_proposal_and_if_index_is_checked() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -117,7 +120,7 @@
     run(test)
 
 
-def test_a_watch_begins_at_once_with_what_it_lacks() -> None:
+def test_a_watch_starts_immediately_with_the_changes_it_lacks() -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
             await cluster.leader()
@@ -142,25 +145,25 @@
 # Leaders and quorums
 
 
-def test_a_leader_killed_while_a_proposal_is_out_loses_and_doubles_no_version() -> None:
+def test_killing_a_leader_with_a_pending_proposal_neither_loses_nor_duplicates_a_version() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "before", {"n": 1}, [])
             await cluster.committed(1)
-            leader, out = await _propose_to_one_cut_off(cluster)
+            leader, out = await _propose_to_partitioned_leader(cluster)
             killed = leader.options.name
             rest = [name for name in cluster.voters if name != killed]
             watchers = await open_watchers([cluster.voters[name] for name in rest], 4)
             cluster.stop(killed)
-            with suppress(Exception):  # its connection ends without an answer: the outcome is not known
+            with suppress(Exception):  # its connection closes without a response: the outcome is unknown
                 assert (await out).status == 504
             cluster.network.join()
             index = await propose_until_committed(cluster, "after", {"n": 3}, rest)
-            assert index == 2, "what no majority had is not there"
+            assert index == 2, "the version that no majority had is lost"
             await cluster.restart(killed)
             await cluster.committed(2)
             await wait_until(lambda: all(watcher.index == 2 for watcher in watchers))
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             assert [line.index for line in watchers[0].lines] == [1, 2]
             entries = cluster.running[killed].service.history.document.entries
             assert entries == {"before": {"n": 1}, "after": {"n": 3}}
@@ -168,8 +171,8 @@
     run(test)
 
 
-async def _propose_to_one_cut_off(cluster: Cluster) -> tuple[Instance, asyncio.Task[Answer]]:
-    """A leader that nobody hears and that has a proposal in its log, and the call that waits for it."""
+async def _propose_to_partitioned_leader(cluster: Cluster) -> tuple[Instance, asyncio.Task[Answer]]:
+    """A partitioned leader that has a proposal in its log, and the call that waits for the outcome."""
     while True:
         cluster.network.join()
         leader = await cluster.leader()
@@ -181,10 +184,10 @@
         while not out.done() and log.last_index == before:
             await asyncio.sleep(0.005)
         if not out.done():
-            return leader, out  # else its lease had ended before the call came: nothing has changed
+            return leader, out  # else its lease expired before the call arrived, and nothing changed
 
 
-def test_a_proposal_that_was_replicated_before_its_leader_died_is_there_once() -> None:
+def test_a_proposal_replicated_before_its_leader_died_is_committed_once() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -206,7 +209,7 @@
     run(test)
 
 
-def test_an_old_leader_that_is_cut_off_accepts_nothing_and_its_watchers_keep_what_they_have() -> None:
+def test_a_partitioned_leader_accepts_nothing_and_its_watchers_keep_their_version() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             old = await cluster.leader()
@@ -233,7 +236,7 @@
     run(test)
 
 
-def test_without_a_majority_nothing_is_accepted_and_watches_are_served_on() -> None:
+def test_without_a_majority_nothing_is_accepted_but_watches_are_served() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "a", {"n": 1}, [])
@@ -256,7 +259,7 @@
     run(test)
 
 
-def test_regions_that_part_while_a_change_is_under_way_agree_once_joined() -> None:
+def test_regions_agree_after_a_partition_during_a_proposal() -> None:
     async def test() -> None:
         async with Cluster(5) as cluster:
             leader = await cluster.leader()
@@ -273,13 +276,13 @@
             answers = await asyncio.gather(*out)
             for answer in answers:
                 assert answer.status in (200, 503, 504), answer
-            lone = [watcher for n, watcher in enumerate(watchers) if n % 5 in _places(cluster, small)]
+            lone = [watcher for n, watcher in enumerate(watchers) if n % 5 in _positions(cluster, small)]
             most = max(cluster.running[other].service.history.index for other in small)
             assert all(watcher.index <= most for watcher in lone)
             cluster.network.join()
             await cluster.committed(committed[-1])
             await wait_until(lambda: all(watcher.index == committed[-1] for watcher in watchers))
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             indexes = [line.index for line in watchers[0].lines]
             assert indexes == sorted(set(indexes))
             accepted = [answer.fields["index"] for answer in answers if answer.status == 200]
@@ -288,14 +291,14 @@
     run(test)
 
 
-def _places(cluster: Cluster, names: Sequence[str]) -> set[int]:
+def _positions(cluster: Cluster, names: Sequence[str]) -> set[int]:
     return {number for number, name in enumerate(cluster.voters) if name in names}
 
 
-# Instances that come back
+# Restarted instances
 
 
-def test_a_follower_that_was_away_is_brought_up_by_a_snapshot() -> None:
+def test_a_follower_that_was_stopped_catches_up_by_a_snapshot() -> None:
     async def test() -> None:
         async with Cluster(3, keep=8) as cluster:
             leader = await cluster.leader()
@@ -309,16 +312,16 @@
                 await propose_until_committed(cluster, f"e{number % 3}", {"n": number}, [])
             back = await cluster.restart(name)
             await cluster.committed(41)
-            assert back.replica.log.snapshot.position > 8, "it was sent a snapshot"
+            assert back.replica.log.snapshot.position > 8, "it received a snapshot"
             again = await Watcher("n0", document=watcher.document).open(cluster.voters[name])
             await wait_until(lambda: again.index == 41)
             assert again.lines[0].snapshot
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
 
     run(test)
 
 
-def test_an_instance_that_comes_back_with_older_state_is_brought_up_and_takes_no_watcher_back() -> None:
+def test_an_instance_restarted_with_older_state_catches_up_and_sends_no_watcher_older_versions() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -339,13 +342,13 @@
             await cluster.committed(4)
             await wait_until(lambda: bool(watcher.lines))
             assert watcher.lines[0].index == 4
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             assert back.replica.role.value != "leader"
 
     run(test)
 
 
-def test_a_torn_write_at_the_end_of_a_store_costs_nothing_and_a_lost_one_is_refused(tmp_path: Path) -> None:
+def test_a_torn_last_write_is_harmless_and_a_lost_one_is_refused(tmp_path: Path) -> None:
     async def test() -> None:
         cluster = Cluster(3)
         for name in cluster.voters:
@@ -361,14 +364,14 @@
             cluster.states["c1"] = DurableState.open([tmp_path / "c1"], "c1")
             await cluster.start("c1")
             await cluster.committed(2)
-            assert len(documents(cluster)) == 1
+            assert len(document_states(cluster)) == 1
             cluster.stop("c1")
             for segment in (tmp_path / "c1").glob("seg-*"):
                 segment.write_bytes(segment.read_bytes()[:-20])
             with pytest.raises(StateIncomplete):
                 DurableState.open([tmp_path / "c1"], "c1")
             cluster.stop("c2")
-            with pytest.raises(StateOfAnother):
+            with pytest.raises(StateOfAnotherInstance):
                 DurableState.open([tmp_path / "c2"], "c1")
             (tmp_path / "lost").mkdir()
             with pytest.raises(StateMissing):
@@ -377,7 +380,7 @@
     run(test)
 
 
-def test_an_instance_whose_disk_fails_ends_and_the_others_go_on() -> None:
+def test_an_instance_whose_disk_fails_stops_and_the_others_continue() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -397,10 +400,10 @@
 # Sidecars
 
 
-def test_a_fleet_that_comes_back_at_once_is_served_the_newest_version() -> None:
+def test_a_fleet_that_reconnects_all_at_once_is_served_the_newest_version() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft < LEAST_DESCRIPTORS:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (LEAST_DESCRIPTORS, hard))
+    if soft < MIN_DESCRIPTORS:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (MIN_DESCRIPTORS, hard))
 
     async def test() -> None:
         async with Cluster(3) as cluster:
@@ -409,11 +412,11 @@
             await cluster.committed(20)
             addresses = list(cluster.voters.values())
             begun = time.monotonic()
-            watchers = await open_watchers(addresses, FLEET)
+            watchers = await open_watchers(addresses, FLEET_SIZE)
             await wait_until(lambda: all(watcher.index == 20 for watcher in watchers))
             took = time.monotonic() - begun
-            assert took < STORM_TIME
-            print(f"{FLEET} watchers served in {took:.2f} s")
+            assert took < RECONNECT_LIMIT
+            print(f"{FLEET_SIZE} watchers served in {took:.2f} s")
             for watcher in watchers:
                 watcher.close()
             again = [Watcher(w.name, document=w.document) for w in watchers]
@@ -421,14 +424,17 @@
             await asyncio.gather(*(w.open(addresses[(number + 1) % 3]) for number, w in enumerate(again)))
             await propose_until_committed(cluster, "after", {"n": 1}, [])
             await wait_until(lambda: all(watcher.index == 21 for watcher in again))
-            print(f"{FLEET} watchers back, and sent a new version, in {time.monotonic() - begun:.2f} s")
-            counts = [len(i.service.watchers.slow) + i.service.watchers.cut for i in cluster.running.values()]
+            print(f"{FLEET_SIZE} watchers back, and sent a new version, in {time.monotonic() - begun:.2f} s")
+            counts = [
+                len(i.service.watchers.slow) + i.service.watchers.closed_slow
+                for i in cluster.running.values()
+            ]
             assert counts == [0, 0, 0]
 
     run(test)
 
 
-def test_a_change_that_one_in_ten_refuses_is_reported_so() -> None:
+def test_a_change_refused_by_one_sidecar_in_ten_is_counted_so() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "a", {"n": 1}, [])
@@ -447,7 +453,7 @@
             told = [await status_of(address, "?sidecars=1") for address in addresses]
             total = {key: sum(status["in_force"][key] for status in told) for key in ("applied", "refused")}
             assert total == {"applied": 53, "refused": 6}
-            assert sum(status["in_force"]["behind"] for status in told) == 1, "one has not reported"
+            assert sum(status["in_force"]["behind"] for status in told) == 1, "one sidecar has not reported"
             refusals = [refusal for status in told for refusal in status["refusals"]]
             assert {r["name"] for r in refusals} == {f"n{number}" for number in range(0, 60, 10)}
             assert {(r["index"], r["cause"]) for r in refusals} == {(1, "a.n: over 0")}
@@ -457,7 +463,7 @@
 
 
 class RefusingTarget:
-    """A sidecar's settings: what it goes by, and which value it refuses."""
+    """The settings of a sidecar that refuses one value."""
 
     def __init__(self, refuses: int) -> None:
         self.refuses = refuses
@@ -471,7 +477,7 @@
         self.entries = entries
 
 
-def test_sidecars_own_clients_follow_report_and_move_when_their_instance_dies() -> None:
+def test_sidecar_clients_follow_report_and_move_when_their_instance_dies() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "settings", {"n": 1}, [])
@@ -507,8 +513,10 @@
     run(test)
 
 
-def test_a_watcher_that_does_not_read_is_closed_and_the_others_go_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millgw.configuration.watchers.STALLED_AFTER", 0.5)
+def test_a_watcher_that_does_not_read_is_closed_and_the_others_continue(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("millgw.configuration.watchers.STALL_TIMEOUT", 0.5)
 
     async def test() -> None:
         async with Cluster(1) as cluster:
@@ -520,23 +528,23 @@
             (reads,) = await open_watchers([address_of(instance)], 1)
             watchers = instance.service.watchers
             number = 0
-            while not watchers.cut:
+            while not watchers.closed_slow:
                 number += 1
                 await propose_until_committed(cluster, "a", {"n": number, "x": "x" * 200_000}, [])
                 assert all(c.unsent() < 2 * MAX_CHANGES for c in instance.server.connections)
                 await asyncio.sleep(0.01)
-            assert (watchers.cut, watchers.count) == (1, 1)
+            assert (watchers.closed_slow, watchers.count) == (1, 1)
             await wait_until(lambda: reads.index == number)
             stuck.close()
 
     run(test)
 
 
-# Bad requests
+# Invalid requests
 
 
 async def exchange(address: Address, data: bytes, end: bool = False) -> bytes:
-    """All that is answered to some bytes, until the server ends the connection."""
+    """Send bytes; returns everything received until the server closes the connection."""
     reader, writer = await asyncio.open_connection(address.host, address.port)
     writer.write(data)
     if end:
@@ -558,7 +566,7 @@
         (b"POST /v1/configuration/reports HTTP/1.1\r\nContent-Length: 5000\r\n\r\n", 413),
     ],
 )
-def test_what_is_no_request_is_refused_and_its_connection_ends(data: bytes, status: int) -> None:
+def test_an_invalid_request_is_refused_and_its_connection_closed(data: bytes, status: int) -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
             answer = await exchange(cluster.voters["c1"], data)
@@ -569,8 +577,8 @@
     run(test)
 
 
-def test_half_a_request_is_given_up_after_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("millgw.configuration.server.REQUEST_TIME", 0.3)
+def test_an_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("millgw.configuration.server.REQUEST_TIMEOUT", 0.3)
 
     async def test() -> None:
         async with Cluster(1) as cluster:
@@ -603,7 +611,7 @@
         ("POST", "/v1/replica?from=x", {}, 404),
     ],
 )
-def test_a_call_that_can_t_be_carried_out_is_answered_with_its_cause(
+def test_a_call_that_can_t_be_handled_gets_an_error_with_its_cause(
     method: str, path: str, body: object, status: int
 ) -> None:
     async def test() -> None:
@@ -617,7 +625,7 @@
     run(test)
 
 
-def test_messages_that_can_t_be_read_are_refused_and_harm_nothing() -> None:
+def test_undecodable_messages_are_refused_without_effect() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
             leader = await cluster.leader()
@@ -631,7 +639,7 @@
     run(test)
 
 
-def test_requests_on_one_connection_are_answered_in_their_order() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
             await cluster.leader()
@@ -649,11 +657,11 @@
 
 
 @pytest.mark.parametrize(("descriptors", "connections"), [(1024, 896), (100, 1), (20_000, 4096), (-1, 4096)])
-def test_connections_leave_descriptors_for_the_store_and_the_peers(
+def test_the_connection_limit_reserves_descriptors_for_the_store_and_the_peers(
     descriptors: int, connections: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resource, "getrlimit", lambda which: (descriptors, -1))
-    assert connections_allowed() == connections
+    assert connection_limit() == connections
 
 
 def test_connections_are_bounded() -> None:
--- a/tests/test_configuration_messages.py
+++ b/tests/test_configuration_messages.py
@@ -1,4 +1,4 @@
-"""The replicas' messages: there and back, bounds, and errors that name the field."""
+"""Messages between replicas: encoding round trips, size limits, and errors that name the field."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 
 pytestmark = pure_run_only
 
-BOUNDED = settings(
+HYPOTHESIS_SETTINGS = settings(
     deadline=None,
     derandomize=True,
-    suppress_health_check=[HealthCheck.too_slow],  # the same verdict on a busy machine
+    suppress_health_check=[HealthCheck.too_slow],  # it would fail on a busy machine
 )
 HEADER = Header(7, 3, 41)
 VERSION = Version(12, 6, (Change("settings", {"retry": {"max": 2}}), Change("old", None)), "ann", "why", 1.5)
 APPEND = AppendRequest(HEADER, 40, 6, 39, 125.25, (Entry(41, 6, VERSION), Entry(42, 7, None)))
 SNAPSHOT = SnapshotRequest(HEADER, 1.0, Snapshot(40, 6, Document(12, 6, {"settings": {"a": [1, None]}})))
-ALL: list[Message] = [
+ALL_MESSAGES: list[Message] = [
     PreVoteRequest(HEADER, 6),
     PreVoteReply(HEADER, 7, True),
     VoteRequest(HEADER, 6),
@@ -59,8 +59,8 @@
 ]
 
 
-@pytest.mark.parametrize("message", ALL, ids=lambda message: type(message).__name__)
-def test_a_message_comes_back_as_it_was(message: Message) -> None:
+@pytest.mark.parametrize("message", ALL_MESSAGES, ids=lambda message: type(message).__name__)
+def test_a_message_survives_a_round_trip(message: Message) -> None:
     assert decode(encode(message)) == message
 
 
@@ -98,16 +98,16 @@
 )
 
 
-@settings(BOUNDED, max_examples=150)
+@settings(HYPOTHESIS_SETTINGS, max_examples=150)
 @given(appends)
-def test_any_entries_come_back_as_they_were(message: AppendRequest) -> None:
+def test_any_entries_survive_a_round_trip(message: AppendRequest) -> None:
     assert decode(encode(message)) == message
 
 
-@settings(BOUNDED, max_examples=400)
+@settings(HYPOTHESIS_SETTINGS, max_examples=400)
 @given(st.data())
-def test_bytes_that_are_changed_or_cut_are_a_message_or_a_message_error(data: st.DataObject) -> None:
-    encoded = bytearray(encode(data.draw(st.sampled_from(ALL))))
+def test_corrupted_or_truncated_bytes_decode_or_raise_a_message_error(data: st.DataObject) -> None:
+    encoded = bytearray(encode(data.draw(st.sampled_from(ALL_MESSAGES))))
     position = data.draw(st.integers(0, len(encoded) - 1))
     if data.draw(st.booleans()):
         encoded[position] = data.draw(st.integers(0, 255))
@@ -119,8 +119,8 @@
         assert ":" in str(error)
 
 
-def changed(message: Message, path: str, value: Any) -> bytes:
-    """A message with another value at a path of names and numbers."""
+def with_value(message: Message, path: str, value: Any) -> bytes:
+    """An encoded message with the value at a path of names and numbers replaced."""
     fields = json.loads(encode(message))
     *before, last = [int(part) if part.isdigit() else part for part in path.split(".")]
     inner = fields
@@ -158,19 +158,19 @@
         (SNAPSHOT, "snapshot.document.index", None, "snapshot.document.index"),
         (SNAPSHOT, "snapshot.document.entries", [], "snapshot.document.entries"),
         (SNAPSHOT, "snapshot.document.entries.settings", None, "snapshot.document.entries.settings"),
-        (ALL[3], "granted", 1, "granted"),
-        (ALL[5], "success", None, "success"),
-        (ALL[1], "asked", None, "asked"),
+        (ALL_MESSAGES[3], "granted", 1, "granted"),
+        (ALL_MESSAGES[5], "success", None, "success"),
+        (ALL_MESSAGES[1], "asked", None, "asked"),
     ],
 )
 def test_an_error_names_the_field(message: Message, path: str, value: Any, named: str) -> None:
     with pytest.raises(MessageError) as raised:
-        decode(changed(message, path, value))
+        decode(with_value(message, path, value))
     assert str(raised.value).startswith(f"{named}: ")
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"\xff", b"[" * 100_000, b'{"kind":"append"'])
-def test_what_is_no_json_object_is_a_message_error(data: bytes) -> None:
+def test_bytes_that_are_not_a_json_object_raise_a_message_error(data: bytes) -> None:
     with pytest.raises(MessageError, match=r"^message: "):
         decode(data)
 
@@ -186,7 +186,7 @@
         encode(APPEND)
 
 
-def nested(depth: int) -> dict[str, Any]:
+def nested_object(depth: int) -> dict[str, Any]:
     value: dict[str, Any] = {}
     for _ in range(depth - 1):
         value = {"inner": value}
@@ -201,18 +201,18 @@
         (Change("x", {"a": object()}), "changes[0]"),
         (Change("x", {"a": "\ud800"}), "changes[0]"),
         (Change("x", {"a": float("nan")}), "changes[0]"),
-        (Change("x", nested(MAX_DEPTH + 1)), "changes[0].value"),
+        (Change("x", nested_object(MAX_DEPTH + 1)), "changes[0].value"),
         (Change("x", {"a": "b" * MAX_CHANGES}), "changes"),
     ],
 )
-def test_what_peers_could_not_read_is_not_proposed(change: Change, cause: str) -> None:
+def test_a_proposal_that_peers_could_not_decode_is_rejected(change: Change, cause: str) -> None:
     with pytest.raises(ProposalError) as raised:
         check_proposal([change], "author", "reason", 1.0)
     assert str(raised.value).startswith(f"{cause}: ")
 
 
-def test_a_proposal_within_the_bounds_is_taken() -> None:
-    assert check_proposal([Change("x", nested(MAX_DEPTH)), Change("y", None)], "a", "r", 1.0) > 0
+def test_a_proposal_within_the_limits_is_accepted() -> None:
+    assert check_proposal([Change("x", nested_object(MAX_DEPTH)), Change("y", None)], "a", "r", 1.0) > 0
     for author, reason, at in (("x" * (MAX_TEXT + 1), "", 1.0), ("", "\ud800", 1.0), ("", "", float("inf"))):
         with pytest.raises(ProposalError):
             check_proposal([], author, reason, at)
