--- a/millgw/configuration/request_reader.py
+++ b/millgw/configuration/request_reader.py
@@ -53,7 +53,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise BadRequestError(400, "protocol upgrades are not supported") from None
+            raise BadRequestError(400, "no other protocol is spoken here") from None
         except httptools.HttpParserError:
             raise self._error or BadRequestError(400, "not HTTP/1.1") from None
         if not self._head_done and self._received > MAX_HEAD:
--- a/millgw/configuration/service.py
+++ b/millgw/configuration/service.py
@@ -241,7 +241,7 @@
         raise DocumentError("proposal: not an object")
     changes = decode_changes(fields.get("changes"), "changes")
     if not changes:
-        raise DocumentError("changes: the list is empty")
+        raise DocumentError("changes: there are none")
     for name in ("author", "reason"):
         if not isinstance(fields.get(name, ""), str):
             raise DocumentError(f"{name}: not a string")
@@ -250,7 +250,7 @@
 
 
 def _refuse_constant(name: str) -> float:
-    raise ValueError(f"{name} is not valid JSON")
+    raise ValueError(f"{name} is no JSON")
 
 
 def _query_int(request: Request, name: str, default: int) -> int:
