--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -141,7 +141,7 @@
 @pytest.mark.skipif(not COMPILED, reason="needs compiled modules")
 def test_a_changed_source_is_imported_instead_of_its_compiled_module(tmp_path: Path) -> None:
     package = copy_package(tmp_path)
-    source = package / "pool" / "deadlines.py"
+    source = package / "pool" / "timer_queue.py"
     text = source.read_text()
     assert "_compiled" in imported_module(tmp_path)[0] and imported_module(tmp_path)[1].startswith(
         "compiled "
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -170,7 +170,7 @@
         balancer = d.balancer  # type: ignore[attr-defined]
         server = balancer.servers[1]
         balancer.cold.admits(server, d.now + 30.0)  # type: ignore[attr-defined]
-        return float(server.allowance)
+        return float(server.cold_allowance)
 
     assert grown(one) + grown(other) == pytest.approx(grown(alone)) and grown(alone) > 0
 
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -64,7 +64,7 @@
     def clock(self) -> float:
         return time.time() * 1000
 
-    def hear(self, event: PeerReports) -> None:
+    def handle_peer_reports(self, event: PeerReports) -> None:
         self.heard.append(event)
         self.balancer.handle(self.clock(), event)
 
