--- a/millgw/standins/__init__.py
+++ b/millgw/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what stands round a sidecar: endpoints, the discovery server, callers.
+"""Test doubles for the services around a sidecar: endpoints, the discovery server, callers.
 
-All of them run in one process on loopback addresses and keep one `Ledger` on one clock.
+All of them run in one process on loopback addresses and record to one `Ledger` with one clock.
 """
--- a/millgw/standins/address.py
+++ b/millgw/standins/address.py
@@ -1,4 +1,4 @@
-"""Loopback addresses for stand-ins and the sidecars beside them."""
+"""Allocation of loopback addresses for stand-ins and the sidecars under test."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def free_address() -> Address:
-    """A port that nobody else uses: on a loopback address of this process's own, for 62,500 addresses."""
+    """Return an unused port on a loopback address of this process's own.
+
+    The address is derived from the process id and a counter, and repeats after 62,500 calls.
+    """
     n, pid = next(_numbers), os.getpid()
     host = f"127.{1 + pid % 250}.{1 + n % 250}.{1 + (pid // 250 + n // 250) % 250}"
     with socket.socket() as probe:
--- a/millgw/standins/byzantine_peer.py
+++ b/millgw/standins/byzantine_peer.py
@@ -1,4 +1,4 @@
-"""A Byzantine peer: it holds the key, and reports warm endpoints as failing and cold ones as well."""
+"""A Byzantine peer: it has the shared key, and reports warm endpoints as failing and cold ones as healthy."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from millgw.peers.node import Peers, PeerSettings
 from millgw.pool.pool import Pool
 
-CALLS = 1e6  # on which it claims to know
-LONG_AGO = 3_600_000.0  # ms since which it claims that a cold endpoint runs
+CALLS = 1e6  # the number of calls on which it claims that its reports are based
+LONG_AGO = 3_600_000.0  # ms for which it claims that a cold endpoint has been running
 
 
 class ByzantinePool:
-    """A pool's face towards its peers, with nothing behind it.
+    """The part of the `Pool` interface that peers use, with made-up evidence.
 
-    `endpoints` are those of the day, each with whether it is cold.
+    `endpoints` returns all endpoints of the rehearsal, each with whether it is cold.
     """
 
     name = ""
@@ -53,7 +53,7 @@
         ]
 
     def hear(self, event: PeerReports) -> None:
-        """It does not care."""
+        """Ignore the reports of other peers."""
 
 
 def byzantine_peer(
@@ -62,6 +62,6 @@
     endpoints: Callable[[], Iterable[tuple[Endpoint, bool]]],
     seed: int,
 ) -> Peers:
-    """A peer with false reports, to be begun and stopped as any."""
+    """Return a peer that sends false reports; it is started and stopped like any other."""
     face = cast(Pool, ByzantinePool(settings, endpoints))
     return Peers(terms, lambda: [face], seed)
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -1,4 +1,4 @@
-"""Callers of sidecars: one request at a time on a kept connection, more connections when all are busy."""
+"""HTTP client for sidecars: one request at a time per kept connection, a new one when all are busy."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from millgw.standins.ledger import Call, End
 from millgw.standins.request_check import answer_token, filler
 
-PAST = 0.4  # s past its patience for which a caller listens, to tell a late answer from none
-CONNECT_TIME = 2.0  # s for a connection to a sidecar to come up
-PIECE = 1 << 14  # bytes of a long body that are written at once
-READ_TURNS = 20  # turns of the loop, a ms apart, in which bytes that have come are read
-STILL_LOOKS = 5  # looks in a row, `PAST` apart, at which nothing has moved: then a body or answer has stalled
-DOOR_READY = "/-/ready"  # where a sidecar's door says that it can serve
-SERVED = 200  # the status of an answer that an endpoint made
-LONG = 1 << 16  # bytes beyond which an answer's first bytes are timed, and not its last
+PAST = 0.4  # s that a caller listens beyond its time-out, to tell a late answer from a missing one
+CONNECT_TIME = 2.0  # s, time-out for opening a connection to a sidecar
+PIECE = 1 << 14  # bytes of a paced body per write
+READ_TURNS = 20  # iterations, 1 ms apart, in which the event loop may read bytes that the kernel already has
+STILL_LOOKS = 5  # consecutive checks without progress, `PAST` s apart, that make a transfer stalled
+DOOR_READY = "/-/ready"  # path of the readiness check on the port where a sidecar takes requests
+SERVED = 200  # the status of an answer that was produced by an endpoint
+LONG = 1 << 16  # body bytes above which an answer is timed by its first bytes instead of its last
 
 
 def word(call: Call, patience: int) -> bytes:
-    """A request as the protocol page has it."""
+    """Encode a request as the protocol documentation describes it."""
     return http.ask(
         call.method, call.target, call.host, call.trace, call.cls, call.tenant, call.key, patience,
         filler(call.trace, call.body),
@@ -43,28 +43,28 @@
         self.done: asyncio.Future[None] | None = None
         self.asked = 0
         self.any_bytes = False
-        self.met_end = False  # the other side's end had come by the time its request was written
+        self.met_end = False  # the peer had closed by the time that the request was written
         self.closed = False
-        self.came = 0.0  # when the first bytes of the answer came
-        self.arrived = 0.0  # when the last bytes came to this machine
-        self.moved = 0.0  # when bytes went or came last
-        self.moved_before = 0.0  # that, as it was at the last look
-        self.still = 0  # looks in a row since then
+        self.came = 0.0  # when the first bytes of the answer arrived (ms)
+        self.arrived = 0.0  # when the kernel received the last bytes (ms)
+        self.moved = 0.0  # when bytes were last sent or received (ms)
+        self.moved_before = 0.0  # `moved` as it was at the previous stall check
+        self.still = 0  # consecutive stall checks without progress
         self.slowing: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        # What is written leaves at once, and not when a late loop comes to the end of its turn.
+        # Without this, a late event loop may hold written bytes back until the end of its iteration.
         self.transport.set_write_buffer_limits(high=0)
 
     @property
     def usable(self) -> bool:
-        """Whether it is open and nothing has come on it, also as far as only the kernel knows."""
+        """Whether it is open with no unread bytes, including those that are still in the kernel."""
         transport = self.transport
         return not self.closed and transport is not None and not has_unread(transport)
 
     def ask(self, call: Call, data: bytes) -> asyncio.Future[None]:
-        """Write a request; the future ends when the call has."""
+        """Write a request; the returned future is done when the call has ended."""
         assert self.transport is not None
         self.call = self.last = call
         self.any_bytes = self.met_end = False
@@ -80,7 +80,7 @@
         return self.done
 
     async def _write(self, call: Call, data: bytes) -> None:
-        """Write piece by piece at the caller's pace; an answer that comes meanwhile ends it."""
+        """Write in pieces at the caller's rate; stops when the answer arrives before the end."""
         assert self.transport is not None
         for at in range(0, len(data), PIECE):
             while self.transport.get_write_buffer_size() > PIECE and self.call is call:
@@ -94,16 +94,16 @@
 
     @property
     def long(self) -> bool:
-        """Whether what has come of an answer tells that it is a long one, whose first bytes are timed."""
+        """Whether the bytes received so far show a long answer, which is timed by its first bytes."""
         if self.reader is None or not self.any_bytes:
             return False
         told = self.reader.headers.get(b"content-length", b"0")
         return max(len(self.reader.body), int(told)) > LONG
 
     def stalled(self) -> bool:
-        """Whether at one look after the other no byte has gone or come.
+        """Whether no byte was sent or received for `STILL_LOOKS` consecutive checks.
 
-        Looks are counted, not time: however long the rig itself did not run, that is one look.
+        Checks are counted instead of time: a pause of the test process itself counts as one check only.
         """
         if self.moved != self.moved_before or self.slowing is not None:
             self.moved_before, self.still = self.moved, 0
@@ -112,7 +112,7 @@
         return self.still >= STILL_LOOKS
 
     def _slow(self, count: int, pace: float) -> None:
-        """Read no more for as long as so many bytes take."""
+        """Pause reading for as long as `count` bytes take at the rate `pace` (bytes per s)."""
         assert self.transport is not None
         if self.slowing is None:
             self.transport.pause_reading()
@@ -126,12 +126,13 @@
 
     def data_received(self, data: bytes) -> None:
         if self.call is None:
-            # Bytes that nobody asked for: a second answer to the last request, as far as can be told.
+            # Unsolicited bytes are taken for a second answer to the last request.
             if self.last is not None:
                 self.last.extra += 1
             self.abort()
             return
-        age = receive_age(self.transport)  # before the clock: a rig held up between books late, not early
+        # Read before the clock, so that a pause in between makes the recorded time late, never early.
+        age = receive_age(self.transport)
         self.moved = self.desk.clock()
         self.arrived = self.moved - age
         if not self.any_bytes:
@@ -156,7 +157,7 @@
         call.answered = self.came if len(body) > LONG else self.arrived
         call.status, call.token = code, answer_token(body)
         if call.sent is None:
-            call.sent = call.answered  # answered before all of its body had gone
+            call.sent = call.answered  # answered before the whole body was written
             self._end(End.ANSWERED)
             self.abort()
             return
@@ -191,12 +192,12 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.reader = None  # guards against a cycle that would keep both until the collector comes
+        self.reader = None  # the reference cycle would keep both alive until the garbage collector runs
         self.desk.lines.discard(self)
         if self in self.desk.idle:
             self.desk.idle.remove(self)
-        # A kept connection may be closed as a request comes: one that was not read goes once more. So does
-        # the first on a connection whose end had come before its last byte was out.
+        # A server may close an idle kept connection just as a request is sent; such a request is sent again.
+        # So is the first one on a connection that the peer had closed before its last byte was written.
         crossed = (self.asked > 1 or self.met_end) and not self.any_bytes
         self._end(End.CROSSED if crossed else End.BROKEN)
 
@@ -212,10 +213,10 @@
         self.lines: set[Line] = set()
 
     async def ask(self, call: Call, fresh: bool = False) -> None:
-        """Make a call and wait for its end, which stands in the record.
+        """Make a call and wait until it ends; the outcome is stored in `call`.
 
-        `call.patience` (ms) counts from the writing; `fresh` is for one sent again after a crossed close. A
-        planned leaving is by cancellation.
+        `call.patience` (ms) counts from the last byte written. `fresh` forces a new connection, for a request
+        sent again after `End.CROSSED`. Cancel the task to simulate a caller that disconnects.
         """
         line = None if fresh else self._idle()
         if line is None:
@@ -231,7 +232,7 @@
             raise
 
     async def _answer(self, line: Line, call: Call, done: asyncio.Future[None]) -> None:
-        """Wait for the answer in the caller's time, and for the rest of a long one that has begun by then."""
+        """Wait for the answer until the time-out, and for the rest of a long one that has started by then."""
         try:
             if call.sent is None:
                 await self._stream(line, call, done)
@@ -245,7 +246,7 @@
 
     @staticmethod
     async def _read_waiting(line: Line, done: asyncio.Future[None]) -> bool:
-        """Read what has come and this loop, which may be late, has not; tells whether it ends the call."""
+        """Let a late event loop read bytes that the kernel already has; returns whether they end the call."""
         for _ in range(READ_TURNS):
             if done.done() or line.transport is None or not has_unread(line.transport):
                 break
@@ -253,29 +254,29 @@
         return done.done()
 
     async def _stream(self, line: Line, call: Call, done: asyncio.Future[None]) -> None:
-        """Wait for a call whose body goes out by and by; its patience counts from the last byte."""
+        """Wait for a call whose body is written at a limited rate; its time-out starts at the last byte."""
         while call.sent is None and not done.done():
             await asyncio.wait([done], timeout=PAST)
             if line.stalled():
-                call.sent = self.clock()  # all that will ever go: it is the sidecar that takes no more
+                call.sent = self.clock()  # the sidecar has stopped reading: no more will be sent
                 raise TimeoutError
         await self._patiently(call, done)
 
     @staticmethod
     async def _patiently(call: Call, done: asyncio.Future[None]) -> None:
-        # Shielded: a time-out that ended the future itself would let no rest of an answer be waited for.
+        # Shielded, as the time-out would cancel the future and `_rest` could not wait for it any more.
         async with asyncio.timeout(call.patience / 1000 + PAST):
             await asyncio.shield(done)
 
     async def _rest(self, line: Line, done: asyncio.Future[None]) -> None:
-        """Wait for the rest of an answer that has begun, as long as more of it comes."""
+        """Wait for the rest of an answer that has started, as long as more bytes arrive."""
         while not done.done():
             await asyncio.wait([done], timeout=PAST)
             if not done.done() and line.stalled():
                 line.leave(End.BROKEN)
 
     def lately(self, within: float) -> tuple[int, int]:
-        """How many connections have nothing open, and a request of the last so many ms."""
+        """Count connections without an open request, and those with one sent in the last `within` ms."""
         since = self.clock() - within
         idle = [line for line in self.lines if line.call is None]
         calls = [line.call for line in self.lines if line.call is not None]
@@ -300,7 +301,7 @@
         return line
 
     async def hold(self, connections: int) -> None:
-        """Open connections that ask nothing, as a crowd does that comes at once."""
+        """Open idle connections, as a sudden crowd of clients does."""
         made = await asyncio.gather(*(self._connect() for _ in range(connections)))
         self.idle.extend(line for line in made if line is not None and not line.closed)
 
@@ -310,12 +311,12 @@
 
 
 async def ready(address: Address, path: str = "/ready") -> bool:
-    """Whether a sidecar answers GET /ready, or that of its door, with 200."""
+    """Whether a sidecar answers GET with 200 at its readiness path."""
     return await says_yes(address, "GET", path)
 
 
 async def says_yes(address: Address, method: str, path: str) -> bool:
-    """Whether a call without a body is answered 200."""
+    """Whether a request without a body is answered with 200."""
     try:
         async with asyncio.timeout(CONNECT_TIME):
             reader, writer = await asyncio.open_connection(address.host, address.port)
--- a/millgw/standins/capacity.py
+++ b/millgw/standins/capacity.py
@@ -1,6 +1,6 @@
-"""How much an endpoint can do: cores shared by what is at work, slots, a waiting room, a cold start. Pure.
+"""Capacity model of an endpoint: processor sharing, concurrency slots, a bounded queue, a cold start. No I/O.
 
-Work is in core-ms of a yardstick core: a core of speed 2 does 2 of them in a ms. Times are ms.
+Work is in core-ms of a reference core: a core of speed 2 does 2 core-ms per ms. Times are in ms.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from millgw.standins.ledger import Life
 
-STEP = 20.0  # ms for which a capacity that rises or is slowed counts as constant
-SLACK_DEVIATIONS = 2.0  # of the number of requests within a cold endpoint's bound: the slack for chance
-SLACK_REQUESTS = 2.0  # requests of mean work beside that
+STEP = 20.0  # ms, step in which a changing capacity is approximated as constant
+SLACK_DEVIATIONS = 2.0  # standard deviations of the allowed request count that are tolerated as chance
+SLACK_REQUESTS = 2.0  # requests of mean work tolerated in addition
 
 
 class Processor:
-    """Cores that serve all jobs at once, each with an equal part of the capacity and at most one core.
+    """Processor sharing: all jobs run at once, each with an equal share of the capacity, at most one core.
 
-    A job is any hashable; `advance` returns those that ended, in the order of their ends.
+    A job is any hashable; `advance` returns the finished jobs in the order in which they ended.
     """
 
     def __init__(self, life: Life, cores: int) -> None:
@@ -29,17 +29,17 @@
         self.cores = cores
         self.slowness = 1.0
         self.now = life.start
-        self.done = 0.0  # core-ms that each job at work has been given so far
+        self.done = 0.0  # core-ms given to each running job so far: the virtual time of the queue
         self.jobs: list[tuple[float, int, object]] = []
         self.numbers = itertools.count()
 
     def rate(self) -> float:
-        """Core-ms per ms for each job now."""
+        """Return the core-ms per ms that each job gets now."""
         n = max(len(self.jobs), self.cores)
         return self.life.capacity(self.now) * self.cores / self.slowness / n
 
     def add(self, now: float, work: float, job: object) -> list[object]:
-        """Take a job in; returns the jobs that ended before."""
+        """Add a job; returns the jobs that ended before."""
         ended = self.advance(now)
         heapq.heappush(self.jobs, (self.done + max(0.0, work), next(self.numbers), job))
         return ended
@@ -56,7 +56,7 @@
             step = min(step, max(0.0, need))
             self.now += step
             self.done += step * rate
-            # The first job may miss its end by a rounding error, which no further step would make good.
+            # A rounding error may leave the first job just short of its end; no further step would end it.
             while self.jobs and self.jobs[0][0] <= self.done + 1e-9:
                 ended.append(heapq.heappop(self.jobs)[2])
             if step == 0.0 and not ended:
@@ -64,7 +64,7 @@
         return ended
 
     def due(self) -> float | None:
-        """When to call `advance` next: at the first job's end, as far as it can be told now."""
+        """Return when to call `advance` next: at the first job's estimated end, at most `STEP` ms ahead."""
         if not self.jobs:
             return None
         return self.now + min((self.jobs[0][0] - self.done) / self.rate(), STEP)
@@ -74,7 +74,7 @@
 
 
 class Room:
-    """Slots in work and a bounded waiting room, first come first served."""
+    """Concurrency slots with a bounded first-in, first-out queue."""
 
     def __init__(self, slots: int, waiting: int) -> None:
         self.slots = slots
@@ -83,7 +83,7 @@
         self.waiting: deque[object] = deque()
 
     def enter(self, item: object) -> bool | None:
-        """True: to work. False: waits. None: turned away."""
+        """Return True if the item got a slot, False if it is queued, None if it is rejected."""
         if self.working < self.slots:
             self.working += 1
             return True
@@ -93,14 +93,14 @@
         return False
 
     def leave(self) -> object | None:
-        """One has ended; returns the one whose turn it is, if any waits."""
+        """Release a slot; returns the queued item that gets it, if any."""
         if self.waiting:
             return self.waiting.popleft()
         self.working -= 1
         return None
 
     def drop(self, item: object) -> bool:
-        """Take one that waits out of the room; tells whether it was there."""
+        """Remove a queued item; returns whether it was queued."""
         try:
             self.waiting.remove(item)
         except ValueError:
@@ -109,7 +109,7 @@
 
 
 def mean_work(parts: Iterable[tuple[float, float]]) -> float:
-    """The mean work of a request, from each class's share of the requests and its work."""
+    """Return the mean work of a request from each class's (share of requests, work per request)."""
     shares = works = 0.0
     for share, work in parts:
         shares += share
@@ -118,27 +118,27 @@
 
 
 def cold_bound(life: Life, at: float, multiple: float, window: float, mean: float) -> float:
-    """The work that may be sent within the `window` ms that end at `at`, before the endpoint falls over.
+    """Return the work that a cold endpoint withstands within the `window` ms that end at `at`.
 
-    N + 2 x root of N + 2 requests of `mean` work, where N of them are what the multiple of its capacity is.
+    It is N + 2 sqrt(N) + 2 requests of `mean` work, where N requests use `multiple` times its capacity.
     """
     allowed = multiple * life.capacity(at) * window
     return allowed + SLACK_DEVIATIONS * math.sqrt(allowed * mean) + SLACK_REQUESTS * mean
 
 
 class ColdBudget:
-    """Counts the work sent to an endpoint that is cold; past its bound it falls over."""
+    """Sliding-window sum of the work sent to a cold endpoint, which crashes above `cold_bound`."""
 
     def __init__(self, life: Life, multiple: float, window: float, mean: float) -> None:
         self.life = life
         self.multiple = multiple
         self.window = window
-        self.mean = mean  # work of a request
+        self.mean = mean  # mean work of a request, core-ms
         self.sent: deque[tuple[float, float]] = deque()
         self.total = 0.0
 
     def send(self, now: float, work: float) -> bool:
-        """Take one request's work; tells whether the endpoint stands it."""
+        """Add one request's work; returns False when the endpoint crashes of it."""
         if self.life.cold_ms <= 0 or now >= self.life.start + self.life.cold_ms:
             return True
         self.sent.append((now, work))
--- a/millgw/standins/configuration_ledger.py
+++ b/millgw/standins/configuration_ledger.py
@@ -1,4 +1,4 @@
-"""What was seen of distributed configuration, as plain records. No I/O; times are the ledger's."""
+"""Records of distributed configuration as observed in a rehearsal. No I/O; times as in `Ledger`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class ControlLife:
-    """One process of a control instance: its start, its first answer, and its end by SIGKILL."""
+    """One process of a control instance: when it started, first answered, and was ended by SIGKILL."""
 
     instance: str
     start: float
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class ProposedVersion:
-    """A version as it was proposed. `index` is None unless it was answered as committed."""
+    """A proposed configuration version. `index` is None unless the answer said that it was committed."""
 
     at: float
     answered: float
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class VersionLook:
-    """What one process (1, 2, ...) of a sidecar had in force; `refused` is 0 where the newest was not."""
+    """The version in force at process 1, 2, ... of a sidecar; `refused` is 0 if it accepted the newest."""
 
     sidecar: str
     process: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class VersionReport:
-    """What the control instances together know of a sidecar, booked when it changes."""
+    """A sidecar's status as known to the control instances together, recorded when it changes."""
 
     sidecar: str
     at: float
--- a/millgw/standins/cpu.py
+++ b/millgw/standins/cpu.py
@@ -1,4 +1,4 @@
-"""The processor of a stand-in endpoint on the loop's clock: work ends when its share of it is done."""
+"""Simulated CPU of a stand-in endpoint in real time: runs the `Processor` model on the event loop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Cpu:
-    """The processor of one life, with a timer for the job that ends next."""
+    """The CPU of one endpoint life, with a timer for the job that ends next."""
 
     def __init__(self, life: Life, cores: int, slowness: float, clock: Clock) -> None:
         self.clock = clock
@@ -19,25 +19,25 @@
         self.timer: asyncio.TimerHandle | None = None
 
     async def run(self, work: float) -> None:
-        """Take up so many core-ms, and wait until they are done."""
+        """Do `work` core-ms, and wait until they are done."""
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._settle(self.processor.add(self.clock(), work, done))
         self._schedule()
         await done
 
     def add(self, work: float) -> None:
-        """Take up so many core-ms that nobody waits for."""
+        """Start `work` core-ms without waiting for them."""
         self._settle(self.processor.add(self.clock(), work, None))
         self._schedule()
 
     def slow(self, times: float) -> None:
-        """Be so many times as slow from now on."""
+        """Divide the speed by `times` from now on."""
         self._settle(self.processor.advance(self.clock()))
         self.processor.slowness = times
         self._schedule()
 
     def stop(self) -> None:
-        """Drop all work."""
+        """Discard all work."""
         self._cancel_timer()
         self.processor.empty()
 
--- a/millgw/standins/deduplication.py
+++ b/millgw/standins/deduplication.py
@@ -7,13 +7,13 @@
 
 
 class Group:
-    """Endpoints that drop each other's repeats: the keys they have begun, and what came of them."""
+    """Endpoints that share idempotency keys: the keys that any of them has started, with the results."""
 
     def __init__(self) -> None:
         self.runs: dict[str, Run] = {}
 
     def begin(self, key: str, now: float, window: float, trace: str) -> tuple[Run, bool]:
-        """The run of a key; tells also whether it is a repeat of one that is remembered."""
+        """Return the run of a key, and whether the request repeats one that is still remembered."""
         known = self.runs.get(key)
         if known is not None and now < known.until:
             return known, True
@@ -23,7 +23,7 @@
 
 @dataclass(eq=False)
 class Run:
-    """One run of a keyed request. `body` is None where it came to no answer."""
+    """One execution of a keyed request. `body` is None if it produced no answer."""
 
     trace: str
     until: float
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -1,7 +1,7 @@
-"""The stand-in for service discovery: a list with watches, late by seconds, of fixed capacity.
+"""Stand-in service discovery: an endpoint list with watches, delayed by seconds, of limited capacity.
 
-Each sidecar asks at an address of its own, so that the ledger tells what was written to whom. The service
-works through calls and lines in turn; a call that waits too long is answered 503.
+Each sidecar has its own address to ask at, so that the ledger records what was sent to which sidecar. Calls
+and watch lines share one queue; a call that would wait too long in it is answered with 503.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
 from millgw.standins.http import Clock, Listener, Message, ServerConnection, listener, ok, status
 from millgw.standins.ledger import Asked, Change, Ledger, Outage, Word
 
-HEARTBEAT = 2.0  # s between empty lines on a watch
+HEARTBEAT = 2.0  # s between the empty lines that keep a watch alive
 ORDER = {"in_service": 0, "terminating": 1, "terminated": 2}
-DELAY_SEED = "cadastro"  # the former name: a scenario's seed gives the same delays as before
+DELAY_SEED = "cadastro"  # the former name, kept so that a scenario's seed gives the same delays as before
 STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class OutageKind(StrEnum):
-    """What a call meets while the discovery server is down."""
+    """What happens to a call while the discovery server is down."""
 
-    REFUSED = "refused"  # nobody listens
-    RESET = "reset"  # its connection is reset once it was read
+    REFUSED = "refused"  # the connection is refused
+    RESET = "reset"  # its connection is reset after the request was read
     FULL = "full"  # 503 at once
-    LATE_FULL = "late-full"  # 503 after the time that a call may wait
-    SILENT = "silent"  # nothing, also when the server is back
+    LATE_FULL = "late-full"  # 503 after `Capacity.timeout`
+    SILENT = "silent"  # never answered, even after the outage
 
 
 @dataclass(slots=True, frozen=True)
 class Delays:
-    """How late the discovery server knows (ms, drawn from a range), by what happened."""
+    """Delays after which the discovery server notices events: ranges in ms from which they are drawn."""
 
-    notice: tuple[float, float] = (2000.0, 5000.0)  # a process that ends or drains
-    silent: tuple[float, float] = (4700.0, 13000.0)  # a machine that has gone without a word
-    add: tuple[float, float] = (460.0, 2400.0)  # one that starts
+    notice: tuple[float, float] = (2000.0, 5000.0)  # a process ends or drains
+    silent: tuple[float, float] = (4700.0, 13000.0)  # a machine vanishes without a notice
+    add: tuple[float, float] = (460.0, 2400.0)  # a process starts
 
 
 @dataclass(slots=True, frozen=True)
 class Capacity:
-    """What the service can do: lines a second, what a call costs in lines, how long one may wait (ms)."""
+    """Service capacity: lines per second, the cost of a call in lines, the longest wait of a call in ms."""
 
     lines: float = 760.0
     call: float = 40.0
@@ -55,7 +55,7 @@
 
 
 class Window:
-    """Where one sidecar asks: its calls and its watch."""
+    """One sidecar's address at the discovery server, with its calls and watches."""
 
     def __init__(self, discovery_server: DiscoveryServer, sidecar: str, tier: int) -> None:
         self.discovery_server = discovery_server
@@ -106,7 +106,7 @@
             self._answer_full(connection)
 
     def _turn_away(self, connection: ServerConnection) -> None:
-        """What an outage does to a call that it does not refuse."""
+        """Handle a call during an outage that does not refuse connections."""
         kind = self.discovery_server.outage_kind
         if kind is OutageKind.RESET:
             connection.reset()
@@ -136,24 +136,24 @@
 
 
 class Watch:
-    """One watch: what changed, a line at a time, and empty lines in between."""
+    """One watch: a stream of lines with changes, and of empty lines as heartbeats."""
 
     def __init__(self, window: Window, connection: ServerConnection, index: int | None, asked: Asked) -> None:
         self.window = window
         self.connection = connection
         self.index = index
         self.asked = asked
-        self.queued = True  # its first line is on its way
+        self.queued = True  # the first line is already queued
         self.heartbeat: asyncio.TimerHandle | None = None
         self.muted = False
 
     def mute(self) -> None:
-        """Say nothing from now on, and stay open, as behind a cut of the network."""
+        """Send nothing more but keep the connection open, as in a network partition."""
         self.muted = True
         self.end()
 
     def flush(self, first: bool = False) -> None:
-        """Write what has changed since the line before."""
+        """Write what has changed since the previous line."""
         self.queued = False
         discovery_server = self.window.discovery_server
         if self.connection.closed or discovery_server.down or self.muted:
@@ -190,7 +190,7 @@
 
 
 class DiscoveryServer:
-    """The one service; `down` while it has an outage."""
+    """The discovery service of all tiers; `down` is true during an outage."""
 
     def __init__(self, ledger: Ledger, clock: Clock, seed: int, delays: Delays, capacity: Capacity) -> None:
         self.ledger = ledger
@@ -203,13 +203,13 @@
         self.down = False
         self.outage_kind = OutageKind.REFUSED
         self.free_at = 0.0
-        self.ever: dict[str, Entry] = {}  # all that were listed, with the last word on each
+        self.ever: dict[str, Entry] = {}  # the latest entry of every endpoint that was ever listed
 
     def registry(self, tier: int) -> EndpointRegistry:
         return self.registries.setdefault(tier, EndpointRegistry())
 
     def window(self, sidecar: str, tier: int) -> Address:
-        """Where a sidecar asks for the endpoints of a tier; made at the first call."""
+        """Return the address at which a sidecar asks for a tier's endpoints; created on first use."""
         if (sidecar, tier) not in self.windows:
             self.windows[sidecar, tier] = made = Window(self, sidecar, tier)
             if not self.refuses:
@@ -218,13 +218,13 @@
 
     @property
     def refuses(self) -> bool:
-        """Whether connections are refused now."""
+        """Whether connections are refused at the moment."""
         return self.down and self.outage_kind is OutageKind.REFUSED
 
-    # What it knows
+    # Endpoint list
 
     def list(self, entry: Entry) -> None:
-        """Know of a change now."""
+        """Apply a change to the list now."""
         self.ever[entry.name] = entry
         self.ledger.changes.append(Change(entry.name, entry.life, entry.status, self.clock()))
         registry = self.registry(entry.tier)
@@ -236,18 +236,18 @@
                         watch.changed()
 
     def notice(self, entry: Entry, late: tuple[float, float]) -> None:
-        """Know of a change after a time drawn from `late`; a later life's word is not overtaken."""
+        """Apply a change after a delay (ms) drawn from `late`, unless a newer one was applied meanwhile."""
         delay = self.rng.uniform(*late) / 1000
         asyncio.get_running_loop().call_later(delay, self._notice, entry)
 
     def _notice(self, entry: Entry) -> None:
         last = self.ever.get(entry.name)
-        # Otherwise a late notice would undo a later one: of an older life, of a start after its drain.
+        # Otherwise a late notice would undo a newer one: that of an older life, or a start after the drain.
         if last is None or (last.life, ORDER[last.status]) < (entry.life, ORDER[entry.status]):
             self.list(entry)
 
     def update_for(self, window: Window, whole: bool, entries: tuple[Entry, ...]) -> dict[str, object]:
-        """The value of one line or list, booked as written to a sidecar now."""
+        """Build the JSON value of a line or list, and record it as sent to the sidecar now."""
         now, book = self.clock(), self.ledger.words.append
         for entry in entries:
             book(Word(window.sidecar, entry.name, entry.life, entry.status, now))
@@ -262,10 +262,10 @@
             "endpoints": [entry.json() for entry in entries],
         }
 
-    # Its service
+    # Request queue
 
     def queue(self, lines: float, work: Callable[[], None], call: bool = False) -> bool:
-        """Do work in its turn; False for a call that would wait too long."""
+        """Schedule work that costs `lines`; returns False for a call that would wait too long."""
         now = self.clock()
         start = max(now, self.free_at)
         if call and start - now > self.capacity.timeout:
@@ -274,10 +274,10 @@
         asyncio.get_running_loop().call_later((self.free_at - now) / 1000, work)
         return True
 
-    # What can go wrong
+    # Faults
 
     def go_down(self, kind: OutageKind = OutageKind.REFUSED) -> None:
-        """An outage: watches end, new calls meet what its kind says, lines in its turn are lost."""
+        """Start an outage: watches are reset, queued lines are lost, new calls are handled as `kind` says."""
         self.down = True
         self.outage_kind = kind
         self.ledger.outages.append(Outage(self.clock()))
@@ -288,7 +288,10 @@
                 connection.reset()
 
     def come_back(self, history: bool = True) -> None:
-        """Serve again, with all that became known meanwhile; a restart has lost its history of changes."""
+        """End the outage; the list has all changes made meanwhile.
+
+        `history=False` simulates a restart that has lost the history, so that watches get the whole list.
+        """
         if not history:
             for registry in self.registries.values():
                 registry.forget_history()
@@ -301,7 +304,7 @@
             window.listener.open()
 
     def mute(self) -> None:
-        """Have all open watches fall silent; new ones are answered as ever."""
+        """Stop sending on all open watches; new ones are served normally."""
         for window in self.windows.values():
             for watch in window.watches.values():
                 watch.mute()
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -1,8 +1,8 @@
-"""A stand-in server: an HTTP/1.1 endpoint that works, waits, calls the next tier, and fails as told.
+"""A stand-in HTTP/1.1 endpoint that uses CPU, waits, calls the next tier, and fails on demand.
 
-It keeps to what the protocol page says of endpoints: a request begins when its last byte has come, turn-aways
-carry `X-Never-Ran`, the endpoints of one group drop the repeats of a key for the class's window. Which class
-a request is of it knows from its client's record: sidecars are free to leave `X-Qos` out of an attempt.
+It follows the protocol documentation for endpoints: a request begins when its last byte has arrived, rejected
+requests are answered with `X-Never-Ran`, and the endpoints of one group deduplicate a key for its class's
+window. A request's class is looked up in its client's record, as sidecars may omit `X-Qos` in an attempt.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from millgw.standins.ledger import Attempt, Handshake, Ledger, Life, Told
 from millgw.standins.request_check import answer_token, difference, filler
 
-HEAVIEST = 6.0  # times its class's mean that one request may need: the tail that is drawn ends there
-SWEEP = 0.1  # s between two looks for connections that have been idle too long
+HEAVIEST = 6.0  # upper bound of a request's random work, in multiples of its class's mean
+SWEEP = 0.1  # s between checks for connections that have been idle too long
 SPOILT_STALL = 3.0  # s after which a stalled answer's connection is reset
 SPOILS = ("short", "garbled", "doubled", "stalled")
-PIECE = 1 << 16  # bytes of a long answer that are written at once
-LATER = 0.005  # s until the next piece where the reader is slower than that
+PIECE = 1 << 16  # bytes of a long answer per write
+LATER = 0.005  # s between checks whether a slow reader has room for the next write
 
 
-HEALTH = "/health"  # where a probe asks
+HEALTH = "/health"  # path of health probes
 
 NextTier = Callable[[Message, Attempt, Task, float], Awaitable[bool]]
-"""Makes one call to the next tier for an attempt, with the ms left; tells whether it was served."""
+"""Makes one call to the next tier for an attempt, with the ms left; returns whether it succeeded."""
 
 
 class Endpoint:
-    """One stand-in server, through all its lives."""
+    """One stand-in server through all its lives, which are the times between a start and a stop."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.life: Life | None = None
         self.draining = False
         self.quiet = False
-        self.forgets_after = math.inf  # ms idle, after which a box on the way forgets a connection
+        self.forgets_after = math.inf  # ms idle after which a simulated middlebox drops a connection
         self.idle_times: dict[ServerConnection, float] = {}
         self.rng = random.Random(f"idle {seed} {build.name}")
         self.listener = listener(build.address, self)
@@ -76,23 +76,23 @@
         self.sweeper: asyncio.TimerHandle | None = None
         self.mean_work = mean_work((t.share, t.work) for t in tasks.values())
 
-    # Its lives
+    # Lifecycle
 
     @property
     def up(self) -> bool:
         return self.life is not None and not self.quiet
 
     def ledger_life(self) -> Life:
-        """Its life, or the last one it had."""
+        """Return the current life, or else the last one."""
         return self.life or self.last_life
 
     def since_unix_ms(self) -> int:
-        """When its life began as discovery lists it: 0 of one that began warm."""
+        """Return the start of its life as discovery lists it: 0 if it started warm."""
         life = self.ledger_life()
         return self.clock.unix(life.start) if life.cold_ms > 0 else 0
 
     def start(self, cold: bool) -> Life:
-        """Begin a life; what was left of the one before is reset."""
+        """Begin a new life; connections left from the previous one are reset."""
         self.stop()
         b, now = self.build, self.clock()
         self.lives += 1
@@ -108,7 +108,7 @@
         return self.life
 
     def stop(self) -> None:
-        """The process ends: connections are reset, new ones refused, work is gone."""
+        """End the process: connections are reset, new ones refused, running work is lost."""
         self._lose_work()
         self.listener.close()
         for connection in list(self.connections):
@@ -121,7 +121,7 @@
         self.quiet = False
 
     def silence(self) -> None:
-        """The machine vanishes: nothing is answered, new connections don't come up, work is gone."""
+        """Let the machine vanish: nothing is answered, new connections time out, running work is lost."""
         if self.life is not None:
             self.quiet = True
             self._lose_work()
@@ -129,14 +129,14 @@
             self.life.until = self.clock()
 
     def part(self) -> None:
-        """The network to it is cut: as if the machine had vanished, but the process lives on."""
+        """Partition the network: it looks like a vanished machine, but the process keeps running."""
         if self.life is not None:
             self.quiet = True
             self._lose_work()
             self.listener.silence()
 
     def rejoin(self) -> None:
-        """The network is whole again: old connections are reset, and it is as warm as it was."""
+        """End the partition: old connections are reset, and it is as warm as it was."""
         if self.life is None or not self.quiet:
             return
         self.listener.close()
@@ -180,7 +180,7 @@
         self.idle_times.pop(connection, None)
         attempt = self.attempts.pop(connection, None)
         if attempt is None and connection.message is not None:
-            # A request whose last byte never came: what is known of it stands in its headers.
+            # A request whose last byte never arrived: only its headers are known.
             self._record(connection.message, whole=False)
         waiting = self.of_connection.pop(connection, None)
         if waiting is not None and self.build.drops_waiting and self.room.drop(waiting):
@@ -201,7 +201,7 @@
     # Requests
 
     def _record(self, message: Message, whole: bool = True) -> Attempt:
-        """Book an attempt; of one that is not `whole` the line may be unread, and is held against nothing."""
+        """Record an attempt. One that is not `whole` is not checked, as its request line may be missing."""
         headers = message.headers
         trace = headers.get("x-trace-id", "")
         asked = self.ledger.asked_for.get(trace)
@@ -210,7 +210,7 @@
             endpoint=self.build.name,
             life=self.lives,
             cell=self.build.cell,
-            # One that the rig's own clients did not send may be a person's, who looks at a demo.
+            # A request that no simulated client sent may come from a person trying a demo.
             cls=asked.cls if asked is not None else headers.get("x-qos", ""),
             key=headers.get("idempotency-key", ""),
             first=message.first_byte,
@@ -242,7 +242,7 @@
         attempt.work = task.work if task is not None else 0.0
         self.attempts[connection] = attempt
         if not self.up:
-            return  # it has gone silent: what comes on open connections is never answered
+            return  # silent: requests on open connections are never answered
         if not self.budget.send(message.last_byte, attempt.work):
             assert self.life is not None
             self.life.fell = self.clock()
@@ -317,7 +317,7 @@
     async def _answer_of(
         self, message: Message, attempt: Attempt, task: Task, rng: random.Random
     ) -> bytes | None:
-        """The body of a 200, from a run of its own or that of the request it repeats."""
+        """Return the body of a 200, from its own run or that of the request it repeats; None on failure."""
         if not task.keyed:
             return await self._run(message, attempt, task, rng)
         run, repeat = self.group.begin(attempt.key, self.clock(), task.window, attempt.trace)
@@ -354,7 +354,7 @@
         return body + b"." * rng.randrange(16, 400)
 
     def _left(self, message: Message, attempt: Attempt, task: Task) -> float:
-        """The ms left for a request, as told; where that is not told or no number, as its client has it."""
+        """Return the ms left by `X-Expires-In-Ms`, or by the client's record if that is unusable."""
         told = message.headers.get("x-expires-in-ms", "")
         if told.isascii() and told.isdigit():
             return float(told) - (self.clock() - message.last_byte)
@@ -378,7 +378,7 @@
             connection.close()
 
     async def _pour(self, connection: ServerConnection, attempt: Attempt, body: bytes, pace: float) -> None:
-        """Answer piece by piece, as fast as the reader takes it and no faster than the pace."""
+        """Write an answer in pieces, as fast as the reader accepts them but at most `pace` bytes per s."""
         attempt.token = answer_token(body)
         data = ok(body)
         for at in range(0, len(data), PIECE):
@@ -394,7 +394,7 @@
     async def _spoil(self, connection: ServerConnection, attempt: Attempt, body: bytes, how: str) -> None:
         whole = ok(body)
         if how == "doubled":
-            # The first whole answer is right and counts; what is behind it is nobody's.
+            # The first answer is valid and counts; the second one belongs to no request.
             attempt.token = answer_token(body)
             self._tell(connection, attempt, Told.OK, whole + ok(b"nobody's"))
             return
--- a/millgw/standins/endpoint_options.py
+++ b/millgw/standins/endpoint_options.py
@@ -1,4 +1,4 @@
-"""What a stand-in endpoint is made of, what its work costs, and what is wrong with it."""
+"""Parameters of a stand-in endpoint: its capacity, the cost of its work, and its injected faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Task:
-    """What one class costs an endpoint of a tier. `work` in core-ms of the yardstick, times in ms."""
+    """Cost of one class at an endpoint of a tier. `work` is in core-ms of a reference core; times in ms."""
 
     work: float
     wait: float
@@ -18,17 +18,17 @@
     keyed: bool = False
     window: float = 0.0
     calls: float = 0.0  # calls to the next tier for each request, on average
-    answer: int = 0  # bytes of its answers' bodies; 0: a few hundred
-    pace: float = 0.0  # bytes a second at which such an answer is written; 0: as fast as it is taken
-    share: float = 1.0  # of the requests, against the other classes'
+    answer: int = 0  # bytes of an answer's body; 0: a few hundred
+    pace: float = 0.0  # bytes per s at which such an answer is written; 0: as fast as it is read
+    share: float = 1.0  # of the requests, relative to the other classes
 
 
-ONE_ZONE = "sala-caxias"  # of all endpoints on a day without zones
+ONE_ZONE = "sala-caxias"  # the zone of all endpoints in a scenario without zones
 
 
 @dataclass(slots=True, frozen=True)
 class Build:
-    """What an endpoint is made of; the same for each of its lives."""
+    """The fixed parameters of an endpoint, the same in all its lives. Times are in ms."""
 
     name: str
     tier: int
@@ -42,20 +42,20 @@
     handshake_work: float = 1.0  # core-ms
     handshake_ms: float = 0.6
     idle: float = 30_000.0
-    idle_random: bool = False  # each connection draws a part of that
-    uses: int = 0  # answers on a connection, after which it is closed without a word; 0 for no bound
+    idle_random: bool = False  # each connection gets a random part of that
+    uses: int = 0  # answers after which a connection is closed without notice; 0: no limit
     cold_share: float = 0.2
     cold_ms: float = 14_000.0
-    probing: bool = False  # it answers health probes; else it knows nothing of them
-    drains_serving: bool = False  # it serves on while it drains; else it turns calls away then
-    drains_healthy: bool = False  # it answers health probes well while it drains; else 503 then
-    drops_waiting: bool = True  # waiting work whose connection has ended is dropped
+    probing: bool = False  # whether it answers health probes; otherwise with 404
+    drains_serving: bool = False  # whether it keeps serving while it drains; otherwise it rejects calls
+    drains_healthy: bool = False  # whether health probes get 200 while it drains; otherwise 503
+    drops_waiting: bool = True  # whether queued requests are dropped when their connection ends
     zone: str = ONE_ZONE
 
 
 @dataclass(slots=True, frozen=True)
 class ColdRule:
-    """Past `multiple` times its present capacity within `window` ms, a cold endpoint falls over."""
+    """A cold endpoint crashes above `multiple` times its present capacity within `window` ms."""
 
     multiple: float = 2.5
     window: float = 1000.0
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class Ills:
-    """What is wrong with an endpoint now. Shares are of its requests; `slowness` divides its speed."""
+    """Faults of an endpoint at the moment: shares of its requests; `slowness` divides its speed."""
 
     failing: float = 0.0
     resetting: float = 0.0
--- a/millgw/standins/endpoint_registry.py
+++ b/millgw/standins/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The discovery server's list: entries, versions, and what has changed since one. Pure."""
+"""The versioned endpoint list of the discovery server, with a history of changes. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-HISTORY = 4096  # changes that can be told apart from a whole list
+HISTORY = 4096  # changes kept; who asks for changes since an older version gets the whole list
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    """An endpoint as the discovery server lists it; `life` is the rig's own and not written."""
+    """An endpoint as the discovery server lists it; `life` is for the test rig and not sent."""
 
     name: str
     tier: int
@@ -31,7 +31,7 @@
 
 
 class EndpointRegistry:
-    """The list with its version, and the latest changes."""
+    """The list with its version number, and the latest changes."""
 
     def __init__(self, index: int = 1) -> None:
         self.index = index
@@ -39,7 +39,7 @@
         self.history: deque[tuple[int, Entry]] = deque(maxlen=HISTORY)
 
     def change(self, entry: Entry) -> None:
-        """Take a change; one of status `terminated` takes the entry off the list."""
+        """Apply a change; status `terminated` removes the entry from the list."""
         self.index += 1
         if entry.status == "terminated":
             self.entries.pop(entry.name, None)
@@ -48,11 +48,11 @@
         self.history.append((self.index, entry))
 
     def forget_history(self) -> None:
-        """As after a restart: who asks for changes gets the whole list."""
+        """Clear the history, as a restart does: who asks for changes gets the whole list."""
         self.history.clear()
 
     def since(self, index: int | None) -> tuple[bool, tuple[Entry, ...]]:
-        """Whether what follows is the whole list, and the entries: all, or the last word on each."""
+        """Return whether this is the whole list, and the entries: all, or the latest of each changed one."""
         oldest = self.history[0][0] if self.history else self.index + 1
         if index is None or index > self.index or index < oldest - 1:
             return True, tuple(self.entries.values())
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the stand-ins speak it: connections that take requests, and listeners that can fall silent."""
+"""HTTP/1.1 for the stand-ins: server connections, an answer reader, listeners that can stop responding."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from millgw.standins.kernel import receive_age
 
 BACKLOG = 512
-FINAL = 200  # the least status of an answer that ends a request
+FINAL = 200  # the lowest status of a final answer; 1xx answers are interim
 NO_LINGER = struct.pack("ii", 1, 0)
 DROP_ALL = ctypes.create_string_buffer(struct.pack("HBBI", 0x06, 0, 0, 0))  # classic BPF: return 0 bytes
 DROP_FILTER = struct.pack("HP", 1, ctypes.addressof(DROP_ALL))  # struct sock_fprog (socket(7))
 SO_ATTACH_FILTER = 26
-ACCEPTS = 64  # connections accepted in one turn
-FILLERS = 4  # connections that fill the queue of a silent listener at the most; the kernel takes one or two
+ACCEPTS = 64  # connections accepted per event loop iteration
+FILLERS = 4  # most connections that fill a silent listener's accept queue; the kernel takes one or two
 
 
 class Clock:
-    """Milliseconds since the rig began; `unix` is the same moment as the discovery server words it."""
+    """Milliseconds since the test rig started; `unix` converts to Unix ms, as discovery sends them."""
 
     def __init__(self) -> None:
         self.zero = time.monotonic()
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A request as it was read from a socket: its line, its headers by lower-case name, when it came (ms)."""
+    """A message as read from a socket: first line, headers by lower-case name, body, times of arrival (ms)."""
 
     first: str
     headers: dict[str, str] = field(default_factory=dict)
@@ -78,7 +78,7 @@
     patience: int,
     body: bytes,
 ) -> bytes:
-    """A caller's request as the protocol page has it."""
+    """Encode a caller's request as the protocol documentation describes it."""
     keyed = f"Idempotency-Key: {key}\r\n" if key else ""
     head = (
         f"{method} {target} HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: {trace}\r\nX-Qos: {cls}\r\n"
@@ -91,23 +91,23 @@
 
 
 class Site(Protocol):
-    """What stands behind a listener."""
+    """The application that handles a listener's connections."""
 
     clock: Clock
 
     def opened(self, connection: ServerConnection) -> None: ...
 
     def asked(self, connection: ServerConnection, message: Message) -> None:
-        """A whole request has come; none other is handed on until `connection.answered()`."""
+        """Handle a complete request; the next one follows after `connection.answered()`."""
 
     def lost(self, connection: ServerConnection) -> None: ...
 
     def bytes_came(self, connection: ServerConnection) -> bool:
-        """Before bytes are read; False leaves them unread (the connection has been dealt with)."""
+        """Called before received bytes are parsed; False discards them, when the connection was reset."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection to a stand-in: requests in, one at a time; what the site writes goes out."""
+    """One connection to a stand-in: passes requests to the site one at a time, and writes its answers."""
 
     def __init__(self, site: Site) -> None:
         self.site = site
@@ -120,18 +120,19 @@
         self.idle_since = site.clock()
         self.closed = False
         self.forgotten = False
-        self.arrived = self.idle_since  # ms, when the bytes that are being read came to this machine
+        self.arrived = self.idle_since  # ms, when the kernel received the bytes being parsed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        # What is written leaves at once: a loop that is late would otherwise hold it to its turn's end.
+        # Without this, a late event loop may hold written bytes back until the end of its iteration.
         self.transport.set_write_buffer_limits(high=0)
         self.site.opened(self)
 
     def data_received(self, data: bytes) -> None:
         if self.parser is None or not self.site.bytes_came(self):
             return
-        age = receive_age(self.transport)  # before the clock: a rig held up between books late, not early
+        # Read before the clock, so that a pause in between makes the recorded time late, never early.
+        age = receive_age(self.transport)
         self.arrived = self.site.clock() - age
         try:
             self.parser.feed_data(data)
@@ -140,10 +141,10 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.parser = None  # guards against a cycle that would keep both until the collector comes
+        self.parser = None  # the reference cycle would keep both alive until the garbage collector runs
         self.site.lost(self)
 
-    # httptools
+    # Callbacks of httptools
 
     def on_message_begin(self) -> None:
         self.message = Message("", first_byte=self.arrived, reused=self.requests > 0)
@@ -171,7 +172,7 @@
         if not self.busy:
             self._next()
 
-    # The site's side
+    # Methods for the site
 
     def _next(self) -> None:
         if self.waiting and not self.closed:
@@ -179,7 +180,7 @@
             self.site.asked(self, self.waiting.popleft())
 
     def answered(self) -> None:
-        """The one request that was handed on is done with."""
+        """Mark the current request as done, and pass on the next one."""
         self.busy = False
         self.idle_since = self.site.clock()
         self._next()
@@ -190,19 +191,19 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes written that the kernel has not taken yet; none where there is nobody to take them."""
+        """Bytes written that the kernel has not accepted yet; 0 on a closed connection."""
         return 0 if self.transport is None or self.closed else self.transport.get_write_buffer_size()
 
     def reset(self) -> None:
-        """End the connection with a RST: without this option it would be a plain end."""
+        """Reset the connection: without SO_LINGER the kernel would send FIN instead of RST."""
         if self.transport is not None and not self.closed:
             self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             self.transport.abort()
 
     def forget(self) -> None:
-        """Let all that comes from now on vanish, unconfirmed, as a box on the way does that knows it no more.
+        """Drop all that arrives from now on, unacknowledged, like a middlebox that lost its state.
 
-        The kernel drops what comes for the socket before TCP sees it.
+        A socket filter drops the segments before TCP sees them.
         """
         if self.transport is not None and not self.closed:
             sock = self.transport.get_extra_info("socket")
@@ -215,7 +216,7 @@
 
 
 class Listener:
-    """A listening socket that can be closed, opened again, and made silent as a vanished machine is."""
+    """A listening socket that can be closed, reopened, and made unresponsive like a vanished machine."""
 
     def __init__(self, address: Address, make: Callable[[], asyncio.BaseProtocol]) -> None:
         self.address = address
@@ -225,7 +226,7 @@
         self.adopting: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
-        """Listen; after a silence, those that were still coming up are reset."""
+        """Listen; connections that were still pending from a silence are reset."""
         self.close()
         made = socket.socket()
         made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -250,13 +251,13 @@
     async def _adopt(self, connection: socket.socket) -> None:
         try:
             await asyncio.get_running_loop().connect_accepted_socket(self.make, connection)
-        except OSError:  # reset before it was taken up
+        except OSError:  # reset before the transport was made
             connection.close()
 
     def silence(self) -> None:
-        """New connections don't come up from now on: the kernel drops what would join a full queue.
+        """Let new connections time out from now on: the kernel drops SYNs while the accept queue is full.
 
-        The queue is made as short as can be and filled by connections of the stand-in's own.
+        The queue is made as short as possible and filled with connections from this process.
         """
         if self.socket is None:
             return
@@ -267,14 +268,14 @@
             filler.setblocking(False)
             filler.connect_ex((self.address.host, self.address.port))
             self.fillers.append(filler)
-            # `poll`, as `select` takes no descriptor past 1,023 and a large fleet has more.
+            # `poll`, as `select` fails with descriptors above 1,023, which a large fleet exceeds.
             poll = select.poll()
             poll.register(filler, select.POLLOUT)
             if not poll.poll(0):
                 return
 
     def close(self) -> None:
-        """New connections are refused from now on."""
+        """Refuse new connections from now on."""
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
@@ -285,10 +286,10 @@
 
 
 class AnswerReader:
-    """Reads answers from one connection. `done` is called with the status, headers and body of each.
+    """Parses the answers on one connection; `done` is called with the status, headers and body of each.
 
-    Bytes behind an answer, or that can't be read, are the caller's to judge: `feed` tells of the latter.
-    `status` is that of the answer being read, 0 until its head has ended; 1xx answers are passed over.
+    The caller decides about surplus bytes after an answer, and about malformed ones, which `feed` reports.
+    `status` is that of the answer being read, 0 until its head is complete; 1xx answers are skipped.
     """
 
     def __init__(self, done: Callable[[int, dict[bytes, bytes], bytes], None]) -> None:
@@ -299,7 +300,7 @@
         self.body = bytearray()
 
     def feed(self, data: bytes) -> bool:
-        """Read on; tells whether that could be read."""
+        """Parse more bytes; returns False if they are malformed."""
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
--- a/millgw/standins/kernel.py
+++ b/millgw/standins/kernel.py
@@ -1,7 +1,7 @@
-"""What the kernel knows of a connection that the rig's loop, which may be late, has yet to see.
+"""Kernel state of a connection, for a test rig whose event loop may be late.
 
-The stand-ins' records say when something happened on the wire. A loop that comes to it a second later must
-not book that second against the sidecar, nor write to a connection whose end has come.
+The stand-ins record when something happened on the wire. An event loop that handles it a second later must
+not attribute that second to the sidecar, nor write to a connection that the peer has closed.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 from millgw.http.message import seconds_since_received, shut_down_socket
 
-TICK = 10.0  # ms by which the kernel's count of ticks may be over: at least one tick of any usual kernel
+TICK = 10.0  # ms, possible excess of times that the kernel counts in ticks: no usual kernel has longer ticks
 
 
 def receive_age(transport: asyncio.Transport | None) -> float:
-    """For how long (ms) at the least the last bytes of a connection had waited in this machine's kernel."""
+    """Return a lower bound (ms) of how long the connection's last bytes have been in the kernel."""
     if transport is None:
         return 0.0
     return max(0.0, seconds_since_received(transport) * 1000 - TICK)
 
 
 def end_now(transport: asyncio.Transport) -> None:
-    """Have the other side see the end at once: an abort of the transport ends it in the loop's next turn."""
+    """Send FIN at once; aborting the transport would close it in the event loop's next iteration only."""
     shut_down_socket(transport, socket.SHUT_RDWR)
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -1,7 +1,7 @@
-"""What the stand-ins saw, as plain records: the auditor's only source. No I/O.
+"""The event records of the stand-ins, which are the auditor's only source. No I/O.
 
-All times are milliseconds on the rig's one clock, which starts at 0 with the day. A time of `None` means that
-it did not happen. Records are appended as things happen and never taken back.
+All times are in ms on the test rig's one clock, which is 0 at the start of the rehearsal. A time of `None`
+means that the event did not happen. Records are appended as events happen and never removed.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class Told(Enum):
-    """What an endpoint let the sidecar know of an attempt."""
+    """How an endpoint answered an attempt, as the sidecar could see it."""
 
     NOTHING = "nothing"
     OK = "ok"
     ERROR = "error"
     NEVER_RAN = "never-ran"
-    UNUSABLE = "unusable"  # 400: no request that a client sent, or of no class; see `Attempt.why`
+    UNUSABLE = "unusable"  # 400: differs from the client's request, or of an unknown class; see `Attempt.why`
     SPOILT = "spoilt"
     RESET = "reset"
 
@@ -28,19 +28,19 @@
     """How a call ended for its caller."""
 
     ANSWERED = "answered"
-    BROKEN = "broken"  # the connection ended with no whole answer
-    LEFT = "left"  # the caller went away before its time
-    LOST = "lost"  # no answer by the end of the caller's patience, nor shortly after
+    BROKEN = "broken"  # the connection ended without a complete answer
+    LEFT = "left"  # the caller disconnected before its time-out
+    LOST = "lost"  # no answer until the caller's time-out, nor shortly after
     NOT_TAKEN = "not-taken"  # no connection, or it ended before the last byte was written
-    CROSSED = "crossed"  # a kept connection was closed as the request came; sent once more on a new one
+    CROSSED = "crossed"  # a kept connection was closed while the request was sent; sent again on a new one
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request as an endpoint received it. `first` and `last` are its first and last byte.
+    """One request as an endpoint received it. `first` and `last` are when its first and last byte arrived.
 
-    `work` is what its class costs there on average, in core-ms of the yardstick: the work that counts against
-    a cold endpoint. `token` names the answer that the endpoint made, and stands in its body.
+    `work` is the mean work of its class there, in core-ms of a reference core, which counts towards the limit
+    of a cold endpoint. `token` is a digest of the answer's body that identifies the answer.
     """
 
     trace: str
@@ -57,15 +57,15 @@
     told: Told = Told.NOTHING
     told_at: float | None = None
     token: str = ""
-    repeat_of: str = ""  # the trace whose run answered this one, where a group dropped a repeat
-    why: str = ""  # what was wrong with it, where it was answered 400
+    repeat_of: str = ""  # the trace whose run answered this one, if it was deduplicated
+    why: str = ""  # the reason, if it was answered with 400
 
 
 @dataclass(slots=True)
 class Call:
-    """One request as its caller made it, at the sidecar named. `root` is the trace of its first try.
+    """One request as its caller sent it to `sidecar`. `root` is the trace of its first try.
 
-    `due` is when it was to be sent, `sent` when its last byte was written, `patience` the X-Expires-In-Ms.
+    `due` is when it should be sent, `sent` when its last byte was written, `patience` its X-Expires-In-Ms.
     """
 
     trace: str
@@ -81,27 +81,27 @@
     answered: float | None = None
     status: int = 0
     token: str = ""
-    extra: int = 0  # answers, or bytes of them, that came after the one
+    extra: int = 0  # surplus answers, or reads of surplus bytes, after the first answer
     end: End | None = None
     closed: float | None = None  # when its connection ended without an answer
     retry_after: float = 0.0
     method: str = "POST"  # GET for a class that is safe to repeat
-    number: int = 0  # 0 for a first try, then the caller's own retries
+    number: int = 0  # 0 for the first try, then counts the caller's own retries
     host: str = "app.svc"
-    began: float | None = None  # when its first byte was written, where its last one came later
+    began: float | None = None  # when its first byte was written, if the body is sent at a limited rate
     body: int = 0  # bytes of its body
-    begun: float | None = None  # when the first bytes of its 200 came, where the rest came later
-    pace: float = 0.0  # bytes a second that its caller writes and reads; 0: at once
+    begun: float | None = None  # when the first bytes of its 200 arrived
+    pace: float = 0.0  # bytes per s at which its caller writes and reads; 0: no limit
 
     @property
     def target(self) -> str:
-        """Path and query, which sidecars pass on unchanged."""
+        """Path and query, which sidecars forward unchanged."""
         return f"/api?k={self.root}"
 
 
 @dataclass(slots=True)
 class Word:
-    """One line on an endpoint, as the discovery server wrote it to a sidecar."""
+    """An endpoint's status as the discovery server sent it to a sidecar."""
 
     sidecar: str
     endpoint: str
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True)
 class Change:
-    """What became of an endpoint, when the discovery server knew."""
+    """A change of an endpoint's status, at the time when the discovery server noticed it."""
 
     endpoint: str
     life: int
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A sidecar's time of asking and watching at discovery; `until` is None while the watch is open."""
+    """A sidecar's list request or watch at the discovery server; `until` is None while a watch is open."""
 
     sidecar: str
     at: float
@@ -132,7 +132,7 @@
 
 @dataclass(slots=True)
 class Outage:
-    """A time in which the discovery server was down; `until` is None while it is."""
+    """An outage of the discovery server; `until` is None while it lasts."""
 
     at: float
     until: float | None = None
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True)
 class Life:
-    """One life of an endpoint, from a start to an end. `speed` is in core-ms of the yardstick per ms."""
+    """One life of an endpoint, from start to end. `speed` is in core-ms of a reference core per ms."""
 
     endpoint: str
     number: int
@@ -154,7 +154,7 @@
     fell: float | None = None
 
     def capacity(self, at: float) -> float:
-        """The work in core-ms per ms that it can do at a time: rises evenly from the cold share."""
+        """Return the capacity per core at a time, in core-ms per ms: rises linearly from the cold share."""
         if self.cold_ms <= 0 or at >= self.start + self.cold_ms:
             return self.speed
         part = max(0.0, at - self.start) / self.cold_ms
@@ -172,7 +172,7 @@
 
 @dataclass(slots=True)
 class SidecarLife:
-    """One process of a sidecar: its first 200 to /ready, and when the rig sent SIGTERM or SIGKILL."""
+    """One process of a sidecar: its first 200 for /ready, and when the test rig sent SIGTERM or SIGKILL."""
 
     name: str
     stage: int
@@ -182,12 +182,12 @@
     kill: float | None = None
     ended: float | None = None
     code: int | None = None
-    beside: bool = False  # started beside a running process, to take over from it
+    beside: bool = False  # started next to a running process, to replace it
 
 
 @dataclass(slots=True)
 class SidecarPause:
-    """A time in which the rig held a sidecar's process up, by SIGSTOP and SIGCONT."""
+    """A time in which the test rig had stopped a sidecar's process, by SIGSTOP and SIGCONT."""
 
     sidecar: str
     at: float
@@ -196,11 +196,11 @@
 
 @dataclass(slots=True)
 class SentAway:
-    """A sidecar told at its door to send clients away, and what its front and clients saw of that.
+    """A sidecar that was told to send clients away, and how load balancer and clients observed it.
 
-    `no_at`, `yes_at`: its first no at /ready after the call, its first yes after the resume. `idle` and
-    `lately`: connections that it still held 4 s after the call with nothing open, and with a request of the
-    last 2 s.
+    `no_at` is its first failing readiness check after the call, `yes_at` the first successful one after the
+    resume. `idle` and `lately` count the connections that were still open 4 s after the call: those without
+    an open request, and those with a request of the last 2 s.
     """
 
     sidecar: str
@@ -215,7 +215,7 @@
 
 @dataclass(slots=True)
 class Upgrade:
-    """A second process of a sidecar beside the first: its start, its yes, SIGTERM and the old one's end."""
+    """A hot restart of a sidecar: the new process's start and readiness, the old one's SIGTERM and end."""
 
     sidecar: str
     at: float
@@ -226,17 +226,17 @@
 
 @dataclass(slots=True)
 class Sample:
-    """The rig on itself: the loop's lag, what the machine's cores and the sidecars waited for, in ms."""
+    """Measurement of the test rig itself: event loop lag, CPU use, CPU starvation of the sidecars; in ms."""
 
     at: float
     lag: float
-    busy: float = 0.0  # share of all cores in use
-    starved: dict[str, float] = field(default_factory=dict)  # sidecar: ms it waited for a core since before
+    busy: float = 0.0  # fraction of all cores in use
+    starved: dict[str, float] = field(default_factory=dict)  # sidecar: ms without a core since last sample
 
 
 @dataclass(slots=True)
 class InjectedFault:
-    """A fault as it was carried out."""
+    """A fault as it was injected."""
 
     kind: str
     at: float
@@ -247,7 +247,7 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """All records of one day."""
+    """All records of one rehearsal."""
 
     attempts: list[Attempt] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
@@ -267,11 +267,11 @@
     proposed: list[ProposedVersion] = field(default_factory=list)
     version_looks: list[VersionLook] = field(default_factory=list)
     version_reports: list[VersionReport] = field(default_factory=list)
-    late: list[tuple[float, float]] = field(default_factory=list)  # arrivals: when due, ms sent late
-    asked_for: dict[str, Call] = field(default_factory=dict)  # the last call booked under each trace
+    late: list[tuple[float, float]] = field(default_factory=list)  # requests: when due, ms sent late
+    asked_for: dict[str, Call] = field(default_factory=dict)  # the last call recorded for each trace
 
     def book(self, call: Call) -> None:
-        """Take a call in as its caller makes it: endpoints find it by its trace."""
+        """Record a call as it is sent; endpoints look it up by its trace."""
         self.calls.append(call)
         self.asked_for[call.trace] = call
 
@@ -295,11 +295,11 @@
     VersionLook: ("asked", "answered"),
     VersionReport: ("at",),
 }
-"""The fields of each record that are times."""
+"""The fields of each record type that are times."""
 
 
 def shift(ledger: Ledger, by: float) -> None:
-    """Move all times by so many ms: the stand-ins run before the day's 0 is known."""
+    """Shift all times by `by` ms, as the stand-ins start before the rehearsal's time 0 is known."""
     for records in (
         ledger.attempts, ledger.calls, ledger.words, ledger.changes, ledger.asked, ledger.outages,
         ledger.lives, ledger.handshakes, ledger.sidecars, ledger.samples, ledger.injected,
--- a/millgw/standins/network.py
+++ b/millgw/standins/network.py
@@ -1,6 +1,6 @@
-"""A datagram network in virtual time, from a seed: delay, loss, groups that can't reach each other, pauses.
+"""Seeded simulation of a datagram network in virtual time: delay, loss, partitions, paused nodes.
 
-Runs machines that take the time and messages and give messages back, by the thousand in one process.
+Runs thousands of state machines in one process, which map the time and messages to messages to send.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Network(Generic[M]):
-    """`delay` is ms, least and most; `loss` the share of datagrams that never come; `size` weighs one."""
+    """`delay` is a range in ms, `loss` the share of lost datagrams; `size` gives a message's bytes."""
 
     def __init__(
         self,
@@ -43,13 +43,13 @@
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = itertools.count()
         self.paused: dict[str, list[tuple[str, M]]] = {}
-        self.ticks: dict[str, int] = {}  # the number of each node's next tick: others have been overtaken
+        self.ticks: dict[str, int] = {}  # number of each node's next tick; older scheduled ticks are void
         self.groups: list[set[str]] = []
         self.datagrams = 0
         self.bytes = 0
 
     def add(self, node: Node[M], at: float = 0.0) -> None:
-        """A node begins to run; its first tick is then."""
+        """Add a node, with its first tick at the time `at` (ms)."""
         self.nodes[node.name] = node
         self._later(node, at)
 
@@ -58,7 +58,7 @@
         self.paused.pop(name, None)
 
     def pause(self, name: str) -> None:
-        """It does nothing; what comes for it waits."""
+        """Pause a node; datagrams for it are kept until `go_on`."""
         self.paused[name] = []
 
     def go_on(self, name: str) -> None:
@@ -68,14 +68,14 @@
         self._tick(node)
 
     def split(self, *groups: Sequence[str]) -> None:
-        """Only those of one group reach each other; none: all do."""
+        """Partition the network: only nodes of the same group reach each other. No groups: all do."""
         self.groups = [set(group) for group in groups]
 
     def at(self, at: float, do: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (max(at, self.now), next(self.numbers), do))
 
     def run(self, until: float) -> None:
-        """Let time pass until then."""
+        """Process all events until the time `until` (ms)."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, do = heapq.heappop(self.queue)
             do()
--- a/millgw/standins/repeating_clients.py
+++ b/millgw/standins/repeating_clients.py
@@ -1,4 +1,4 @@
-"""Clients that ask again and again at one address, and count what becomes of each request."""
+"""Clients that send requests to one address in a loop, and count the outcomes."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class RepeatingClients:
-    """`word` gives a request, told whether its connection is kept.
+    """`word` returns the bytes of a request; its argument tells whether the connection is kept.
 
-    `seen` counts answers by status, connections `refused`, and requests whose connection was `broken`.
+    `seen` counts answers by status, `refused` connections, and requests with a `broken` connection.
     """
 
     def __init__(self, listen: Address, word: Callable[[bool], bytes]) -> None:
@@ -23,7 +23,10 @@
         self.sent = 0
 
     async def client(self, pause: float, kept: bool = True) -> None:
-        """One of them, until it is cancelled: a connection is kept, or each request has its own."""
+        """Run one client until cancelled, `pause` s between requests.
+
+        It keeps its connection if `kept`; otherwise each request has its own.
+        """
         while True:
             try:
                 reader, writer = await asyncio.open_connection(self.listen.host, self.listen.port)
--- a/millgw/standins/request_check.py
+++ b/millgw/standins/request_check.py
@@ -1,4 +1,4 @@
-"""Whether an attempt is what its client asked; the bodies of requests and answers, and what names them."""
+"""Checks that an attempt equals its client's request; generated bodies and answer digests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def difference(message: Message, asked: Call) -> str:
-    """How an attempt differs from what its client asked; empty where it does not (protocol page)."""
+    """Describe how an attempt differs from its client's request, by the protocol; empty if it does not."""
     method, target = message.first.split()[:2]
     if method != asked.method:
         return f"the method is {method}, the client's {asked.method}"
@@ -23,16 +23,16 @@
 
 
 def filler(trace: str, size: int) -> bytes:
-    """So many bytes that tell whose they are wherever one looks."""
+    """Return `size` bytes that repeat the trace, so that each part shows which request it belongs to."""
     return (trace.encode() * (size // max(1, len(trace)) + 1))[:size]
 
 
 def _shape(target: str) -> str:
-    """A target without its query's values: the same for all requests that are wrong in the same way."""
+    """Strip the query values from a target, so that requests with the same fault give the same message."""
     path, question, query = target.partition("?")
     return path + question + "&".join(part.partition("=")[0] + "=" for part in query.split("&") if part)
 
 
 def answer_token(body: bytes) -> str:
-    """What names an answer: its whole body's digest."""
+    """Return the digest of the whole body, which identifies an answer."""
     return blake2b(body, digest_size=8).hexdigest()
--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -1,4 +1,4 @@
-"""Stand-ins that a test moves by hand: an endpoint whose script makes each answer, a raw discovery server."""
+"""Stand-ins controlled by a test: an endpoint whose script makes each answer, a raw discovery server."""
 
 from __future__ import annotations
 
@@ -36,9 +36,10 @@
 
 @dataclass
 class ScriptedEndpoint:
-    """An endpoint: `script` makes each answer, None resets the connection.
+    """An endpoint whose `script` makes each answer; None resets the connection.
 
-    `cut` tells whether a connection on which so many requests came is reset at the next one's first byte.
+    `cut` is called with the number of requests a connection had, and decides whether it is reset at the
+    first byte of the next one.
     """
 
     name: str
@@ -99,12 +100,12 @@
 
 
 def line(index: int, entries: list[dict[str, Any]], snapshot: bool = False) -> bytes:
-    """One line of a list or watch."""
+    """Encode one line of a list or watch."""
     return json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode() + b"\n"
 
 
 class ScriptedDiscoveryServer:
-    """Discovery by hand: a test takes each call as it comes and writes the bytes of its answer."""
+    """A discovery server whose test takes each call from a queue and writes the bytes of the answer."""
 
     def __init__(self) -> None:
         self.address = free_address()
@@ -114,7 +115,7 @@
         self.server = await asyncio.start_server(self._serve, self.address.host, self.address.port)
 
     def stop(self) -> None:
-        """Listen no longer: calls are refused."""
+        """Stop listening, so that calls are refused."""
         self.server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -123,7 +124,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """The next request or answer that comes, with a body by its Content-Length."""
+    """Read the next request or answer, with a body according to its Content-Length."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {k.lower(): v for k, v in (line.split(": ", 1) for line in head[1:] if line)}
     return Message(head[0], headers, await reader.readexactly(int(headers.get("content-length", "0"))))
