--- a/millgw/standins/byzantine_peer.py
+++ b/millgw/standins/byzantine_peer.py
@@ -11,8 +11,8 @@
 from millgw.peers.node import Peers, PeerSettings
 from millgw.pool.pool import Pool
 
-CALLS = 1e6  # the number of calls on which it claims that its reports are based
-LONG_AGO = 3_600_000.0  # ms for which it claims that a cold endpoint has been running
+CLAIMED_CALLS = 1e6  # the number of calls on which it claims that its reports are based
+CLAIMED_AGE = 3_600_000.0  # ms for which it claims that a cold endpoint has been running
 
 
 class ByzantinePool:
@@ -46,9 +46,9 @@
 
     def evidence(self, now: float, named: set[int] | None = None) -> list[EndpointEvidence]:
         return [
-            EndpointEvidence(e.id, 0.0, 1.0, CALLS, now - LONG_AGO)
+            EndpointEvidence(e.id, 0.0, 1.0, CLAIMED_CALLS, now - CLAIMED_AGE)
             if cold
-            else EndpointEvidence(e.id, 1.0, 99.0, CALLS, now)
+            else EndpointEvidence(e.id, 1.0, 99.0, CLAIMED_CALLS, now)
             for e, cold in self.endpoints()
         ]
 
@@ -57,11 +57,11 @@
 
 
 def byzantine_peer(
-    terms: PeerSettings,
+    peer_settings: PeerSettings,
     settings: Settings,
     endpoints: Callable[[], Iterable[tuple[Endpoint, bool]]],
     seed: int,
 ) -> Peers:
     """Return a peer that sends false reports; it is started and stopped like any other."""
-    face = cast(Pool, ByzantinePool(settings, endpoints))
-    return Peers(terms, lambda: [face], seed)
+    pool = cast(Pool, ByzantinePool(settings, endpoints))
+    return Peers(peer_settings, lambda: [pool], seed)
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -9,48 +9,49 @@
 from millgw.platform.config import Address
 from millgw.standins import http
 from millgw.standins.http import AnswerReader, Clock
-from millgw.standins.kernel import end_now, receive_age
+from millgw.standins.kernel import receive_age, send_fin
 from millgw.standins.ledger import Call, End
-from millgw.standins.request_check import answer_token, filler
-
-PAST = 0.4  # s that a caller listens beyond its time-out, to tell a late answer from a missing one
-CONNECT_TIME = 2.0  # s, time-out for opening a connection to a sidecar
-PIECE = 1 << 14  # bytes of a paced body per write
-READ_TURNS = 20  # iterations, 1 ms apart, in which the event loop may read bytes that the kernel already has
-STILL_LOOKS = 5  # consecutive checks without progress, `PAST` s apart, that make a transfer stalled
+from millgw.standins.request_check import answer_digest, make_body
+
+LATE_ANSWER_TIME = 0.4  # s that a caller listens beyond its time-out, to tell a late answer from none
+CONNECT_TIMEOUT = 2.0  # s, time-out for opening a connection to a sidecar
+WRITE_SIZE = 1 << 14  # bytes of a paced body per write
+READ_ITERATIONS = 20  # event loop iterations, 1 ms apart, given to read bytes that the kernel has
+# Consecutive checks without progress, `LATE_ANSWER_TIME` s apart, that make a transfer stalled.
+STALL_CHECKS = 5
 DOOR_READY = "/-/ready"  # path of the readiness check on the port where a sidecar takes requests
-SERVED = 200  # the status of an answer that was produced by an endpoint
-LONG = 1 << 16  # body bytes above which an answer is timed by its first bytes instead of its last
+STATUS_OK = 200  # the status of an answer that was produced by an endpoint
+LONG_ANSWER = 1 << 16  # body bytes above which an answer is timed by its first bytes instead of its last
 
 
-def word(call: Call, patience: int) -> bytes:
+def encode_call(call: Call, patience: int) -> bytes:
     """Encode a request as the protocol documentation describes it."""
     return http.ask(
         call.method, call.target, call.host, call.trace, call.cls, call.tenant, call.key, patience,
-        filler(call.trace, call.body),
+        make_body(call.trace, call.body),
     )  # fmt: skip
 
 
-class Line(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """One connection to a sidecar."""
 
     def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+        self.client = desk
         self.transport: asyncio.Transport | None = None
-        self.reader: AnswerReader | None = AnswerReader(self._whole)
+        self.reader: AnswerReader | None = AnswerReader(self._on_answer)
         self.call: Call | None = None
-        self.last: Call | None = None
+        self.last_call: Call | None = None
         self.done: asyncio.Future[None] | None = None
-        self.asked = 0
-        self.any_bytes = False
-        self.met_end = False  # the peer had closed by the time that the request was written
+        self.requests = 0
+        self.answer_started = False
+        self.peer_had_closed = False  # the peer had closed by the time that the request was written
         self.closed = False
-        self.came = 0.0  # when the first bytes of the answer arrived (ms)
-        self.arrived = 0.0  # when the kernel received the last bytes (ms)
-        self.moved = 0.0  # when bytes were last sent or received (ms)
-        self.moved_before = 0.0  # `moved` as it was at the previous stall check
-        self.still = 0  # consecutive stall checks without progress
-        self.slowing: asyncio.TimerHandle | None = None
+        self.first_bytes_at = 0.0  # when the first bytes of the answer arrived (ms)
+        self.last_bytes_at = 0.0  # when the kernel received the last bytes (ms)
+        self.progress_at = 0.0  # when bytes were last sent or received (ms)
+        self.checked_progress_at = 0.0  # `progress_at` as it was at the previous stall check
+        self.checks_without_progress = 0  # consecutive stall checks without progress
+        self.read_pause: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -63,99 +64,99 @@
         transport = self.transport
         return not self.closed and transport is not None and not has_unread(transport)
 
-    def ask(self, call: Call, data: bytes) -> asyncio.Future[None]:
+    def send(self, call: Call, data: bytes) -> asyncio.Future[None]:
         """Write a request; the returned future is done when the call has ended."""
         assert self.transport is not None
-        self.call = self.last = call
-        self.any_bytes = self.met_end = False
-        self.asked += 1
+        self.call = self.last_call = call
+        self.answer_started = self.peer_had_closed = False
+        self.requests += 1
         self.done = asyncio.get_running_loop().create_future()
         if call.body and call.pace:
-            call.began = self.desk.clock()
+            call.began = self.client.clock()
             asyncio.get_running_loop().create_task(self._write(call, data))
             return self.done
         self.transport.write(data)
-        call.sent = self.desk.clock()
-        self.met_end = peer_closed(self.transport)
+        call.sent = self.client.clock()
+        self.peer_had_closed = peer_closed(self.transport)
         return self.done
 
     async def _write(self, call: Call, data: bytes) -> None:
         """Write in pieces at the caller's rate; stops when the answer arrives before the end."""
         assert self.transport is not None
-        for at in range(0, len(data), PIECE):
-            while self.transport.get_write_buffer_size() > PIECE and self.call is call:
-                await asyncio.sleep(PIECE / call.pace)
+        for at in range(0, len(data), WRITE_SIZE):
+            while self.transport.get_write_buffer_size() > WRITE_SIZE and self.call is call:
+                await asyncio.sleep(WRITE_SIZE / call.pace)
             if self.call is not call:
                 return
-            self.transport.write(data[at : at + PIECE])
-            self.moved = self.desk.clock()
-            await asyncio.sleep(PIECE / call.pace)
-        call.sent = self.desk.clock()
+            self.transport.write(data[at : at + WRITE_SIZE])
+            self.progress_at = self.client.clock()
+            await asyncio.sleep(WRITE_SIZE / call.pace)
+        call.sent = self.client.clock()
 
     @property
-    def long(self) -> bool:
+    def answer_is_long(self) -> bool:
         """Whether the bytes received so far show a long answer, which is timed by its first bytes."""
-        if self.reader is None or not self.any_bytes:
+        if self.reader is None or not self.answer_started:
             return False
         told = self.reader.headers.get(b"content-length", b"0")
-        return max(len(self.reader.body), int(told)) > LONG
+        return max(len(self.reader.body), int(told)) > LONG_ANSWER
 
-    def stalled(self) -> bool:
-        """Whether no byte was sent or received for `STILL_LOOKS` consecutive checks.
+    def check_stalled(self) -> bool:
+        """Whether no byte was sent or received for `STALL_CHECKS` consecutive checks.
 
         Checks are counted instead of time: a pause of the test process itself counts as one check only.
         """
-        if self.moved != self.moved_before or self.slowing is not None:
-            self.moved_before, self.still = self.moved, 0
+        if self.progress_at != self.checked_progress_at or self.read_pause is not None:
+            self.checked_progress_at, self.checks_without_progress = self.progress_at, 0
         else:
-            self.still += 1
-        return self.still >= STILL_LOOKS
+            self.checks_without_progress += 1
+        return self.checks_without_progress >= STALL_CHECKS
 
-    def _slow(self, count: int, pace: float) -> None:
+    def _pause_reading(self, count: int, pace: float) -> None:
         """Pause reading for as long as `count` bytes take at the rate `pace` (bytes per s)."""
         assert self.transport is not None
-        if self.slowing is None:
+        if self.read_pause is None:
             self.transport.pause_reading()
-            self.slowing = asyncio.get_running_loop().call_later(count / pace, self._read_on)
+            self.read_pause = asyncio.get_running_loop().call_later(count / pace, self._resume_reading)
 
-    def _read_on(self) -> None:
-        self.slowing = None
-        self.moved = self.desk.clock()
+    def _resume_reading(self) -> None:
+        self.read_pause = None
+        self.progress_at = self.client.clock()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
         if self.call is None:
             # Unsolicited bytes are taken for a second answer to the last request.
-            if self.last is not None:
-                self.last.extra += 1
+            if self.last_call is not None:
+                self.last_call.extra += 1
             self.abort()
             return
         # Read before the clock, so that a pause in between makes the recorded time late, never early.
         age = receive_age(self.transport)
-        self.moved = self.desk.clock()
-        self.arrived = self.moved - age
-        if not self.any_bytes:
-            self.any_bytes = True
-            self.came = self.arrived
+        self.progress_at = self.client.clock()
+        self.last_bytes_at = self.progress_at - age
+        if not self.answer_started:
+            self.answer_started = True
+            self.first_bytes_at = self.last_bytes_at
         call = self.call
         if self.reader is None or not self.reader.feed(data):
             self._end(End.BROKEN)
             self.abort()
         elif self.call is call:
-            if self.reader.status == SERVED:
-                call.begun = self.came
-            if call.pace and len(self.reader.body) > LONG:
-                self._slow(len(data), call.pace)
+            if self.reader.status == STATUS_OK:
+                call.begun = self.first_bytes_at
+            if call.pace and len(self.reader.body) > LONG_ANSWER:
+                self._pause_reading(len(data), call.pace)
 
-    def _whole(self, code: int, headers: dict[bytes, bytes], body: bytes) -> None:
+    def _on_answer(self, code: int, headers: dict[bytes, bytes], body: bytes) -> None:
         call = self.call
         if call is None:
-            if self.last is not None:
-                self.last.extra += 1
+            if self.last_call is not None:
+                self.last_call.extra += 1
             return
-        call.answered = self.came if len(body) > LONG else self.arrived
-        call.status, call.token = code, answer_token(body)
+        call.answered = self.first_bytes_at if len(body) > LONG_ANSWER else self.last_bytes_at
+        call.status, call.token = code, answer_digest(body)
         if call.sent is None:
             call.sent = call.answered  # answered before the whole body was written
             self._end(End.ANSWERED)
@@ -166,7 +167,7 @@
         keep = self.reader is not None and self.reader.keep
         self._end(End.ANSWERED)
         if keep:
-            self.desk.idle.append(self)
+            self.client.idle.append(self)
         else:
             self.abort()
 
@@ -174,31 +175,31 @@
         call, self.call = self.call, None
         if call is not None:
             call.end = end
-            call.closed = None if end is End.ANSWERED else self.desk.clock()
+            call.closed = None if end is End.ANSWERED else self.client.clock()
         if self.done is not None and not self.done.done():
             self.done.set_result(None)
 
-    def leave(self, end: End) -> None:
+    def disconnect(self, end: End) -> None:
         if self.transport is not None:
-            end_now(self.transport)
+            send_fin(self.transport)
         self._end(end)
         self.abort()
 
     def abort(self) -> None:
-        if self in self.desk.idle:
-            self.desk.idle.remove(self)
+        if self in self.client.idle:
+            self.client.idle.remove(self)
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
         self.reader = None  # the reference cycle would keep both alive until the garbage collector runs
-        self.desk.lines.discard(self)
-        if self in self.desk.idle:
-            self.desk.idle.remove(self)
+        self.client.connections.discard(self)
+        if self in self.client.idle:
+            self.client.idle.remove(self)
         # A server may close an idle kept connection just as a request is sent; such a request is sent again.
         # So is the first one on a connection that the peer had closed before its last byte was written.
-        crossed = (self.asked > 1 or self.met_end) and not self.any_bytes
+        crossed = (self.requests > 1 or self.peer_had_closed) and not self.answer_started
         self._end(End.CROSSED if crossed else End.BROKEN)
 
 
@@ -209,8 +210,8 @@
         self.name = name
         self.address = address
         self.clock = clock
-        self.idle: list[Line] = []
-        self.lines: set[Line] = set()
+        self.idle: list[ClientConnection] = []
+        self.connections: set[ClientConnection] = set()
 
     async def ask(self, call: Call, fresh: bool = False) -> None:
         """Make a call and wait until it ends; the outcome is stored in `call`.
@@ -218,96 +219,102 @@
         `call.patience` (ms) counts from the last byte written. `fresh` forces a new connection, for a request
         sent again after `End.CROSSED`. Cancel the task to simulate a caller that disconnects.
         """
-        line = None if fresh else self._idle()
-        if line is None:
-            line = await self._connect()
-        if line is None:
+        connection = None if fresh else self._take_idle()
+        if connection is None:
+            connection = await self._connect()
+        if connection is None:
             call.end = End.NOT_TAKEN
             return
-        done = line.ask(call, word(call, max(1, int(call.patience))))
+        done = connection.send(call, encode_call(call, max(1, int(call.patience))))
         try:
-            await self._answer(line, call, done)
+            await self._wait_for_answer(connection, call, done)
         except asyncio.CancelledError:
-            line.leave(End.LEFT)
+            connection.disconnect(End.LEFT)
             raise
 
-    async def _answer(self, line: Line, call: Call, done: asyncio.Future[None]) -> None:
+    async def _wait_for_answer(
+        self, connection: ClientConnection, call: Call, done: asyncio.Future[None]
+    ) -> None:
         """Wait for the answer until the time-out, and for the rest of a long one that has started by then."""
         try:
             if call.sent is None:
-                await self._stream(line, call, done)
+                await self._wait_for_paced_body(connection, call, done)
             else:
-                await self._patiently(call, done)
+                await self._wait_until_timeout(call, done)
         except TimeoutError:
-            if line.long:
-                await self._rest(line, done)
-            elif not await self._read_waiting(line, done):
-                line.leave(End.LOST)
+            if connection.answer_is_long:
+                await self._wait_for_rest(connection, done)
+            elif not await self._read_pending(connection, done):
+                connection.disconnect(End.LOST)
 
     @staticmethod
-    async def _read_waiting(line: Line, done: asyncio.Future[None]) -> bool:
+    async def _read_pending(connection: ClientConnection, done: asyncio.Future[None]) -> bool:
         """Let a late event loop read bytes that the kernel already has; returns whether they end the call."""
-        for _ in range(READ_TURNS):
-            if done.done() or line.transport is None or not has_unread(line.transport):
+        for _ in range(READ_ITERATIONS):
+            if done.done() or connection.transport is None or not has_unread(connection.transport):
                 break
             await asyncio.sleep(0.001)
         return done.done()
 
-    async def _stream(self, line: Line, call: Call, done: asyncio.Future[None]) -> None:
+    async def _wait_for_paced_body(
+        self, connection: ClientConnection, call: Call, done: asyncio.Future[None]
+    ) -> None:
         """Wait for a call whose body is written at a limited rate; its time-out starts at the last byte."""
         while call.sent is None and not done.done():
-            await asyncio.wait([done], timeout=PAST)
-            if line.stalled():
+            await asyncio.wait([done], timeout=LATE_ANSWER_TIME)
+            if connection.check_stalled():
                 call.sent = self.clock()  # the sidecar has stopped reading: no more will be sent
                 raise TimeoutError
-        await self._patiently(call, done)
+        await self._wait_until_timeout(call, done)
 
     @staticmethod
-    async def _patiently(call: Call, done: asyncio.Future[None]) -> None:
-        # Shielded, as the time-out would cancel the future and `_rest` could not wait for it any more.
-        async with asyncio.timeout(call.patience / 1000 + PAST):
+    async def _wait_until_timeout(call: Call, done: asyncio.Future[None]) -> None:
+        # Shielded: the time-out would cancel the future, and `_wait_for_rest` could not wait for it any more.
+        async with asyncio.timeout(call.patience / 1000 + LATE_ANSWER_TIME):
             await asyncio.shield(done)
 
-    async def _rest(self, line: Line, done: asyncio.Future[None]) -> None:
+    async def _wait_for_rest(self, connection: ClientConnection, done: asyncio.Future[None]) -> None:
         """Wait for the rest of an answer that has started, as long as more bytes arrive."""
         while not done.done():
-            await asyncio.wait([done], timeout=PAST)
-            if not done.done() and line.stalled():
-                line.leave(End.BROKEN)
+            await asyncio.wait([done], timeout=LATE_ANSWER_TIME)
+            if not done.done() and connection.check_stalled():
+                connection.disconnect(End.BROKEN)
 
     def lately(self, within: float) -> tuple[int, int]:
         """Count connections without an open request, and those with one sent in the last `within` ms."""
         since = self.clock() - within
-        idle = [line for line in self.lines if line.call is None]
-        calls = [line.call for line in self.lines if line.call is not None]
+        idle = [connection for connection in self.connections if connection.call is None]
+        calls = [connection.call for connection in self.connections if connection.call is not None]
         return len(idle), sum(call.sent is not None and call.sent > since for call in calls)
 
-    def _idle(self) -> Line | None:
+    def _take_idle(self) -> ClientConnection | None:
         while self.idle:
-            line = self.idle.pop()
-            if line.usable:
-                return line
+            connection = self.idle.pop()
+            if connection.usable:
+                return connection
         return None
 
-    async def _connect(self) -> Line | None:
+    async def _connect(self) -> ClientConnection | None:
         try:
-            async with asyncio.timeout(CONNECT_TIME):
-                _, line = await asyncio.get_running_loop().create_connection(
-                    lambda: Line(self), self.address.host, self.address.port
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                _, connection = await asyncio.get_running_loop().create_connection(
+                    lambda: ClientConnection(self), self.address.host, self.address.port
                 )
         except OSError:
             return None
-        self.lines.add(line)
-        return line
+        self.connections.add(connection)
+        return connection
 
     async def hold(self, connections: int) -> None:
         """Open idle connections, as a sudden crowd of clients does."""
-        made = await asyncio.gather(*(self._connect() for _ in range(connections)))
-        self.idle.extend(line for line in made if line is not None and not line.closed)
+        opened = await asyncio.gather(*(self._connect() for _ in range(connections)))
+        self.idle.extend(
+            connection for connection in opened if connection is not None and not connection.closed
+        )
 
     def close(self) -> None:
-        for line in list(self.lines):
-            line.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
 
 async def ready(address: Address, path: str = "/ready") -> bool:
@@ -318,7 +325,7 @@
 async def says_yes(address: Address, method: str, path: str) -> bool:
     """Whether a request without a body is answered with 200."""
     try:
-        async with asyncio.timeout(CONNECT_TIME):
+        async with asyncio.timeout(CONNECT_TIMEOUT):
             reader, writer = await asyncio.open_connection(address.host, address.port)
             try:
                 writer.write(f"{method} {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n".encode())
--- a/millgw/standins/capacity.py
+++ b/millgw/standins/capacity.py
@@ -29,7 +29,7 @@
         self.cores = cores
         self.slowness = 1.0
         self.now = life.start
-        self.done = 0.0  # core-ms given to each running job so far: the virtual time of the queue
+        self.work_per_job = 0.0  # core-ms given to each running job so far: the virtual time of the queue
         self.jobs: list[tuple[float, int, object]] = []
         self.numbers = itertools.count()
 
@@ -41,7 +41,7 @@
     def add(self, now: float, work: float, job: object) -> list[object]:
         """Add a job; returns the jobs that ended before."""
         ended = self.advance(now)
-        heapq.heappush(self.jobs, (self.done + max(0.0, work), next(self.numbers), job))
+        heapq.heappush(self.jobs, (self.work_per_job + max(0.0, work), next(self.numbers), job))
         return ended
 
     def advance(self, now: float) -> list[object]:
@@ -52,12 +52,12 @@
                 break
             rate = self.rate()
             step = min(now - self.now, STEP)
-            need = (self.jobs[0][0] - self.done) / rate
+            need = (self.jobs[0][0] - self.work_per_job) / rate
             step = min(step, max(0.0, need))
             self.now += step
-            self.done += step * rate
+            self.work_per_job += step * rate
             # A rounding error may leave the first job just short of its end; no further step would end it.
-            while self.jobs and self.jobs[0][0] <= self.done + 1e-9:
+            while self.jobs and self.jobs[0][0] <= self.work_per_job + 1e-9:
                 ended.append(heapq.heappop(self.jobs)[2])
             if step == 0.0 and not ended:
                 break
@@ -67,9 +67,9 @@
         """Return when to call `advance` next: at the first job's estimated end, at most `STEP` ms ahead."""
         if not self.jobs:
             return None
-        return self.now + min((self.jobs[0][0] - self.done) / self.rate(), STEP)
+        return self.now + min((self.jobs[0][0] - self.work_per_job) / self.rate(), STEP)
 
-    def empty(self) -> None:
+    def clear(self) -> None:
         self.jobs.clear()
 
 
@@ -78,7 +78,7 @@
 
     def __init__(self, slots: int, waiting: int) -> None:
         self.slots = slots
-        self.most_waiting = waiting
+        self.max_waiting = waiting
         self.working = 0
         self.waiting: deque[object] = deque()
 
@@ -87,7 +87,7 @@
         if self.working < self.slots:
             self.working += 1
             return True
-        if len(self.waiting) >= self.most_waiting:
+        if len(self.waiting) >= self.max_waiting:
             return None
         self.waiting.append(item)
         return False
@@ -108,10 +108,10 @@
         return True
 
 
-def mean_work(parts: Iterable[tuple[float, float]]) -> float:
+def mean_work(classes: Iterable[tuple[float, float]]) -> float:
     """Return the mean work of a request from each class's (share of requests, work per request)."""
     shares = works = 0.0
-    for share, work in parts:
+    for share, work in classes:
         shares += share
         works += share * work
     return works / shares if shares > 0 else 0.0
--- a/millgw/standins/cpu.py
+++ b/millgw/standins/cpu.py
@@ -39,7 +39,7 @@
     def stop(self) -> None:
         """Discard all work."""
         self._cancel_timer()
-        self.processor.empty()
+        self.processor.clear()
 
     @staticmethod
     def _settle(ended: list[object]) -> None:
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -21,9 +21,9 @@
 from millgw.standins.ledger import Asked, Change, Ledger, Outage, Word
 
 HEARTBEAT = 2.0  # s between the empty lines that keep a watch alive
-ORDER = {"in_service": 0, "terminating": 1, "terminated": 2}
+STATUS_ORDER = {"in_service": 0, "terminating": 1, "terminated": 2}
 DELAY_SEED = "cadastro"  # the former name, kept so that a scenario's seed gives the same delays as before
-STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class OutageKind(StrEnum):
@@ -54,7 +54,7 @@
     timeout: float = 3000.0
 
 
-class Window:
+class SidecarPort:
     """One sidecar's address at the discovery server, with its calls and watches."""
 
     def __init__(self, discovery_server: DiscoveryServer, sidecar: str, tier: int) -> None:
@@ -99,13 +99,13 @@
             asked.until = asked.at
         _, entries = self.registry.since(index if watch else None)
         if self.discovery_server.down:
-            self._turn_away(connection)
+            self._handle_outage(connection)
             return
         cost = self.discovery_server.capacity.call + len(entries)
         if not self.discovery_server.queue(cost, lambda: self._answer(connection, watch), call=True):
             self._answer_full(connection)
 
-    def _turn_away(self, connection: ServerConnection) -> None:
+    def _handle_outage(self, connection: ServerConnection) -> None:
         """Handle a call during an outage that does not refuse connections."""
         kind = self.discovery_server.outage_kind
         if kind is OutageKind.RESET:
@@ -125,7 +125,7 @@
         if connection.closed or self.discovery_server.down:
             return
         if watch is not None:
-            connection.write(STREAM)
+            connection.write(WATCH_HEAD)
             watch.flush(first=True)
             return
         body = json.dumps(
@@ -138,53 +138,55 @@
 class Watch:
     """One watch: a stream of lines with changes, and of empty lines as heartbeats."""
 
-    def __init__(self, window: Window, connection: ServerConnection, index: int | None, asked: Asked) -> None:
-        self.window = window
+    def __init__(
+        self, port: SidecarPort, connection: ServerConnection, index: int | None, asked: Asked
+    ) -> None:
+        self.port = port
         self.connection = connection
         self.index = index
         self.asked = asked
         self.queued = True  # the first line is already queued
         self.heartbeat: asyncio.TimerHandle | None = None
-        self.muted = False
+        self.silenced = False
 
-    def mute(self) -> None:
+    def silence(self) -> None:
         """Send nothing more but keep the connection open, as in a network partition."""
-        self.muted = True
+        self.silenced = True
         self.end()
 
     def flush(self, first: bool = False) -> None:
         """Write what has changed since the previous line."""
         self.queued = False
-        discovery_server = self.window.discovery_server
-        if self.connection.closed or discovery_server.down or self.muted:
+        discovery_server = self.port.discovery_server
+        if self.connection.closed or discovery_server.down or self.silenced:
             return
-        whole, entries = self.window.registry.since(self.index)
+        whole, entries = self.port.registry.since(self.index)
         if first or whole or entries:
-            self.index = self.window.registry.index
-            line = json.dumps(discovery_server.update_for(self.window, whole, entries)).encode() + b"\n"
+            self.index = self.port.registry.index
+            line = json.dumps(discovery_server.update_for(self.port, whole, entries)).encode() + b"\n"
             self._write(line)
-        self._beat()
+        self._schedule_heartbeat()
 
     def changed(self) -> None:
         if not self.queued:
             self.queued = True
-            self.window.discovery_server.queue(1.0, self.flush)
+            self.port.discovery_server.queue(1.0, self.flush)
 
-    def _beat(self) -> None:
+    def _schedule_heartbeat(self) -> None:
         if self.heartbeat is not None:
             self.heartbeat.cancel()
-        self.heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT, self._empty)
+        self.heartbeat = asyncio.get_running_loop().call_later(HEARTBEAT, self._send_heartbeat)
 
-    def _empty(self) -> None:
+    def _send_heartbeat(self) -> None:
         self._write(b"\n")
-        self._beat()
+        self._schedule_heartbeat()
 
     def _write(self, line: bytes) -> None:
         self.connection.write(b"%x\r\n%b\r\n" % (len(line), line))
 
     def end(self) -> None:
         if self.asked.until is None:
-            self.asked.until = self.window.clock()
+            self.asked.until = self.port.clock()
         if self.heartbeat is not None:
             self.heartbeat.cancel()
 
@@ -199,22 +201,22 @@
         self.delays = delays
         self.capacity = capacity
         self.registries: dict[int, EndpointRegistry] = {}
-        self.windows: dict[tuple[str, int], Window] = {}
+        self.ports: dict[tuple[str, int], SidecarPort] = {}
         self.down = False
         self.outage_kind = OutageKind.REFUSED
-        self.free_at = 0.0
-        self.ever: dict[str, Entry] = {}  # the latest entry of every endpoint that was ever listed
+        self.busy_until = 0.0
+        self.latest_entries: dict[str, Entry] = {}  # the latest entry of every endpoint that was ever listed
 
     def registry(self, tier: int) -> EndpointRegistry:
         return self.registries.setdefault(tier, EndpointRegistry())
 
     def window(self, sidecar: str, tier: int) -> Address:
         """Return the address at which a sidecar asks for a tier's endpoints; created on first use."""
-        if (sidecar, tier) not in self.windows:
-            self.windows[sidecar, tier] = made = Window(self, sidecar, tier)
+        if (sidecar, tier) not in self.ports:
+            self.ports[sidecar, tier] = port = SidecarPort(self, sidecar, tier)
             if not self.refuses:
-                made.listener.open()
-        return self.windows[sidecar, tier].address
+                port.listener.open()
+        return self.ports[sidecar, tier].address
 
     @property
     def refuses(self) -> bool:
@@ -225,40 +227,40 @@
 
     def list(self, entry: Entry) -> None:
         """Apply a change to the list now."""
-        self.ever[entry.name] = entry
+        self.latest_entries[entry.name] = entry
         self.ledger.changes.append(Change(entry.name, entry.life, entry.status, self.clock()))
         registry = self.registry(entry.tier)
         registry.change(entry)
         if not self.down:
-            for window in self.windows.values():
-                if window.registry is registry:
-                    for watch in window.watches.values():
+            for port in self.ports.values():
+                if port.registry is registry:
+                    for watch in port.watches.values():
                         watch.changed()
 
     def notice(self, entry: Entry, late: tuple[float, float]) -> None:
         """Apply a change after a delay (ms) drawn from `late`, unless a newer one was applied meanwhile."""
         delay = self.rng.uniform(*late) / 1000
-        asyncio.get_running_loop().call_later(delay, self._notice, entry)
+        asyncio.get_running_loop().call_later(delay, self._apply_if_newer, entry)
 
-    def _notice(self, entry: Entry) -> None:
-        last = self.ever.get(entry.name)
+    def _apply_if_newer(self, entry: Entry) -> None:
+        last = self.latest_entries.get(entry.name)
         # Otherwise a late notice would undo a newer one: that of an older life, or a start after the drain.
-        if last is None or (last.life, ORDER[last.status]) < (entry.life, ORDER[entry.status]):
+        if last is None or (last.life, STATUS_ORDER[last.status]) < (entry.life, STATUS_ORDER[entry.status]):
             self.list(entry)
 
-    def update_for(self, window: Window, whole: bool, entries: tuple[Entry, ...]) -> dict[str, object]:
+    def update_for(self, port: SidecarPort, snapshot: bool, entries: tuple[Entry, ...]) -> dict[str, object]:
         """Build the JSON value of a line or list, and record it as sent to the sidecar now."""
-        now, book = self.clock(), self.ledger.words.append
+        now, record = self.clock(), self.ledger.words.append
         for entry in entries:
-            book(Word(window.sidecar, entry.name, entry.life, entry.status, now))
-        if whole:
+            record(Word(port.sidecar, entry.name, entry.life, entry.status, now))
+        if snapshot:
             named = {entry.name for entry in entries}
-            for last in self.ever.values():
-                if last.name not in named and self.registry(last.tier) is window.registry:
-                    book(Word(window.sidecar, last.name, last.life, "terminated", now))
+            for last in self.latest_entries.values():
+                if last.name not in named and self.registry(last.tier) is port.registry:
+                    record(Word(port.sidecar, last.name, last.life, "terminated", now))
         return {
-            "index": window.registry.index,
-            "snapshot": whole,
+            "index": port.registry.index,
+            "snapshot": snapshot,
             "endpoints": [entry.json() for entry in entries],
         }
 
@@ -267,11 +269,11 @@
     def queue(self, lines: float, work: Callable[[], None], call: bool = False) -> bool:
         """Schedule work that costs `lines`; returns False for a call that would wait too long."""
         now = self.clock()
-        start = max(now, self.free_at)
+        start = max(now, self.busy_until)
         if call and start - now > self.capacity.timeout:
             return False
-        self.free_at = start + lines / self.capacity.lines * 1000
-        asyncio.get_running_loop().call_later((self.free_at - now) / 1000, work)
+        self.busy_until = start + lines / self.capacity.lines * 1000
+        asyncio.get_running_loop().call_later((self.busy_until - now) / 1000, work)
         return True
 
     # Faults
@@ -281,10 +283,10 @@
         self.down = True
         self.outage_kind = kind
         self.ledger.outages.append(Outage(self.clock()))
-        for window in self.windows.values():
+        for port in self.ports.values():
             if self.refuses:
-                window.listener.close()
-            for connection in list(window.connections):
+                port.listener.close()
+            for connection in list(port.connections):
                 connection.reset()
 
     def come_back(self, history: bool = True) -> None:
@@ -297,17 +299,17 @@
                 registry.forget_history()
         self.down = False
         self.ledger.outages[-1].until = self.clock()
-        self.free_at = self.clock()
+        self.busy_until = self.clock()
         if self.outage_kind is not OutageKind.REFUSED:
             return
-        for window in self.windows.values():
-            window.listener.open()
+        for port in self.ports.values():
+            port.listener.open()
 
     def mute(self) -> None:
         """Stop sending on all open watches; new ones are served normally."""
-        for window in self.windows.values():
-            for watch in window.watches.values():
-                watch.mute()
+        for port in self.ports.values():
+            for watch in port.watches.values():
+                watch.silence()
 
     def close(self) -> None:
         self.go_down()
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -16,17 +16,17 @@
 from millgw.standins.capacity import ColdBudget, Room, mean_work
 from millgw.standins.cpu import Cpu
 from millgw.standins.deduplication import Group
-from millgw.standins.endpoint_options import Build, ColdRule, Ills, Task
+from millgw.standins.endpoint_options import Build, ColdRule, EndpointFaults, Task
 from millgw.standins.http import NEVER_RAN, Clock, Message, ServerConnection, listener, ok, status
 from millgw.standins.ledger import Attempt, Handshake, Ledger, Life, Told
-from millgw.standins.request_check import answer_token, difference, filler
+from millgw.standins.request_check import answer_digest, describe_difference, make_body
 
-HEAVIEST = 6.0  # upper bound of a request's random work, in multiples of its class's mean
-SWEEP = 0.1  # s between checks for connections that have been idle too long
-SPOILT_STALL = 3.0  # s after which a stalled answer's connection is reset
-SPOILS = ("short", "garbled", "doubled", "stalled")
-PIECE = 1 << 16  # bytes of a long answer per write
-LATER = 0.005  # s between checks whether a slow reader has room for the next write
+MAX_WORK_FACTOR = 6.0  # upper bound of a request's random work, in multiples of its class's mean
+IDLE_CHECK_INTERVAL = 0.1  # s between checks for connections that have been idle too long
+STALLED_ANSWER_TIME = 3.0  # s after which the connection of a stalled answer is closed
+MALFORMATIONS = ("short", "garbled", "doubled", "stalled")
+WRITE_SIZE = 1 << 16  # bytes of a long answer per write
+WRITE_RETRY_DELAY = 0.005  # s between checks whether a slow reader has room for the next write
 
 
 HEALTH = "/health"  # path of health probes
@@ -40,41 +40,41 @@
 
     def __init__(
         self,
-        build: Build,
-        tasks: dict[str, Task],
+        options: Build,
+        class_costs: dict[str, Task],
         group: Group,
         ledger: Ledger,
         clock: Clock,
-        rule: ColdRule,
+        cold_rule: ColdRule,
         seed: int,
         next_tier: NextTier | None = None,
-        fell: Callable[[Endpoint], None] = lambda _: None,
+        on_crash: Callable[[Endpoint], None] = lambda _: None,
     ) -> None:
-        self.build = build
-        self.tasks = tasks
+        self.build = options
+        self.tasks = class_costs
         self.group = group
         self.ledger = ledger
         self.clock = clock
-        self.rule = rule
+        self.rule = cold_rule
         self.seed = seed
         self.next_tier = next_tier
-        self.fell = fell
-        self.ills = Ills()
+        self.on_crash = on_crash
+        self.ills = EndpointFaults()
         self.lives = 0
         self.life: Life | None = None
         self.draining = False
         self.quiet = False
         self.forgets_after = math.inf  # ms idle after which a simulated middlebox drops a connection
         self.idle_times: dict[ServerConnection, float] = {}
-        self.rng = random.Random(f"idle {seed} {build.name}")
-        self.listener = listener(build.address, self)
+        self.rng = random.Random(f"idle {seed} {options.name}")
+        self.listener = listener(options.address, self)
         self.connections: set[ServerConnection] = set()
         self.attempts: dict[ServerConnection, Attempt] = {}
-        self.works: set[asyncio.Task[None]] = set()
-        self.of_connection: dict[ServerConnection, asyncio.Future[None]] = {}
-        self.answers = itertools.count(1)
-        self.sweeper: asyncio.TimerHandle | None = None
-        self.mean_work = mean_work((t.share, t.work) for t in tasks.values())
+        self.work_tasks: set[asyncio.Task[None]] = set()
+        self.queued_turns: dict[ServerConnection, asyncio.Future[None]] = {}
+        self.answer_numbers = itertools.count(1)
+        self.idle_timer: asyncio.TimerHandle | None = None
+        self.mean_work = mean_work((t.share, t.work) for t in class_costs.values())
 
     # Lifecycle
 
@@ -100,21 +100,21 @@
         self.life = self.last_life = Life(b.name, self.lives, b.tier, b.cell, now, b.speed, share, ms)
         self.ledger.lives.append(self.life)
         self.cpu = Cpu(self.life, b.cores, self.ills.slowness, self.clock)
-        self.room = Room(b.slots, b.waiting)
+        self.admission = Room(b.slots, b.waiting)
         self.budget = ColdBudget(self.life, self.rule.multiple, self.rule.window, self.mean_work)
         self.draining = self.quiet = False
         self.listener.open()
-        self.sweeper = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+        self.idle_timer = asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL, self._close_idle)
         return self.life
 
     def stop(self) -> None:
         """End the process: connections are reset, new ones refused, running work is lost."""
-        self._lose_work()
+        self._discard_work()
         self.listener.close()
         for connection in list(self.connections):
             connection.reset()
-        if self.sweeper is not None:
-            self.sweeper.cancel()
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
         if self.life is not None and self.life.until is None:
             self.life.until = self.clock()
         self.life = None
@@ -124,7 +124,7 @@
         """Let the machine vanish: nothing is answered, new connections time out, running work is lost."""
         if self.life is not None:
             self.quiet = True
-            self._lose_work()
+            self._discard_work()
             self.listener.silence()
             self.life.until = self.clock()
 
@@ -132,7 +132,7 @@
         """Partition the network: it looks like a vanished machine, but the process keeps running."""
         if self.life is not None:
             self.quiet = True
-            self._lose_work()
+            self._discard_work()
             self.listener.silence()
 
     def rejoin(self) -> None:
@@ -143,7 +143,7 @@
         for connection in list(self.connections):
             connection.reset()
         self.cpu = Cpu(self.life, self.build.cores, self.ills.slowness, self.clock)
-        self.room = Room(self.build.slots, self.build.waiting)
+        self.admission = Room(self.build.slots, self.build.waiting)
         self.quiet = False
         self.listener.open()
 
@@ -155,11 +155,11 @@
         if self.life is not None:
             self.cpu.slow(times)
 
-    def _lose_work(self) -> None:
-        for work in self.works:
+    def _discard_work(self) -> None:
+        for work in self.work_tasks:
             work.cancel()
-        self.works.clear()
-        self.of_connection.clear()
+        self.work_tasks.clear()
+        self.queued_turns.clear()
         if self.life is not None:
             self.cpu.stop()
 
@@ -181,26 +181,26 @@
         attempt = self.attempts.pop(connection, None)
         if attempt is None and connection.message is not None:
             # A request whose last byte never arrived: only its headers are known.
-            self._record(connection.message, whole=False)
-        waiting = self.of_connection.pop(connection, None)
-        if waiting is not None and self.build.drops_waiting and self.room.drop(waiting):
+            self._record(connection.message, complete=False)
+        waiting = self.queued_turns.pop(connection, None)
+        if waiting is not None and self.build.drops_waiting and self.admission.drop(waiting):
             waiting.cancel()
 
-    def _sweep(self) -> None:
+    def _close_idle(self) -> None:
         now = self.clock()
         for connection in list(self.connections):
-            if connection.busy or connection.message is not None or connection.forgotten:
+            if connection.busy or connection.message is not None or connection.blackholed:
                 continue
             idle = now - connection.idle_since
             if idle > self.forgets_after:
                 connection.forget()
             elif idle > self.idle_times[connection]:
                 connection.close()
-        self.sweeper = asyncio.get_running_loop().call_later(SWEEP, self._sweep)
+        self.idle_timer = asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL, self._close_idle)
 
     # Requests
 
-    def _record(self, message: Message, whole: bool = True) -> Attempt:
+    def _record(self, message: Message, complete: bool = True) -> Attempt:
         """Record an attempt. One that is not `whole` is not checked, as its request line may be missing."""
         headers = message.headers
         trace = headers.get("x-trace-id", "")
@@ -215,10 +215,10 @@
             key=headers.get("idempotency-key", ""),
             first=message.first_byte,
         )
-        if not whole:
+        if not complete:
             attempt.why = ""
         elif asked is not None:
-            attempt.why = difference(message, asked)
+            attempt.why = describe_difference(message, asked)
         elif attempt.cls not in self.tasks:
             attempt.why = "X-Trace-Id is that of no client's request, and X-Qos names no class"
         self.ledger.attempts.append(attempt)
@@ -247,42 +247,42 @@
             assert self.life is not None
             self.life.fell = self.clock()
             self.stop()
-            self.fell(self)
+            self.on_crash(self)
             return
         if task is None or attempt.why:
             attempt.why = attempt.why or f"{attempt.cls!r} is no class of this tier"
-            self._tell(connection, attempt, Told.UNUSABLE, status(400))
-        elif self._turns_away() or len(self.connections) > self.build.connections:
-            self._tell(connection, attempt, Told.NEVER_RAN, status(503, NEVER_RAN))
+            self._send_answer(connection, attempt, Told.UNUSABLE, status(400))
+        elif self._rejects() or len(self.connections) > self.build.connections:
+            self._send_answer(connection, attempt, Told.NEVER_RAN, status(503, NEVER_RAN))
         else:
-            self._take(connection, message, attempt, task)
+            self._admit(connection, message, attempt, task)
 
-    def _turns_away(self) -> bool:
+    def _rejects(self) -> bool:
         return self.draining and not self.build.drains_serving
 
-    def _take(self, connection: ServerConnection, message: Message, attempt: Attempt, task: Task) -> None:
+    def _admit(self, connection: ServerConnection, message: Message, attempt: Attempt, task: Task) -> None:
         rng = random.Random(f"{self.seed} {attempt.trace} {self.build.name}")
-        if self._left(message, attempt, task) <= 0:
-            self._tell(connection, attempt, Told.NEVER_RAN, status(504, NEVER_RAN))
+        if self._time_left(message, attempt, task) <= 0:
+            self._send_answer(connection, attempt, Told.NEVER_RAN, status(504, NEVER_RAN))
         elif rng.random() < self.ills.resetting:
-            self._tell(connection, attempt, Told.RESET, b"")
+            self._send_answer(connection, attempt, Told.RESET, b"")
         elif rng.random() < self.ills.failing:
-            self._tell(connection, attempt, Told.ERROR, status(500))
+            self._send_answer(connection, attempt, Told.ERROR, status(500))
         else:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            entered = self.room.enter(turn)
+            entered = self.admission.enter(turn)
             if entered is None:
-                self._tell(connection, attempt, Told.NEVER_RAN, status(503, NEVER_RAN))
+                self._send_answer(connection, attempt, Told.NEVER_RAN, status(503, NEVER_RAN))
                 return
             if entered:
                 turn.set_result(None)
             else:
-                self.of_connection[connection] = turn
+                self.queued_turns[connection] = turn
             work = asyncio.get_running_loop().create_task(
                 self._work(connection, message, attempt, task, turn, rng)
             )
-            self.works.add(work)
-            work.add_done_callback(self.works.discard)
+            self.work_tasks.add(work)
+            work.add_done_callback(self.work_tasks.discard)
 
     async def _work(
         self,
@@ -296,25 +296,27 @@
         if not message.reused:
             await asyncio.sleep(self.build.handshake_ms / 1000)
         await turn
-        self.of_connection.pop(connection, None)
-        room = self.room
+        self.queued_turns.pop(connection, None)
+        room = self.admission
         try:
-            body = await self._answer_of(message, attempt, task, rng)
+            body = await self._answer_body(message, attempt, task, rng)
         finally:
             following = room.leave()
             if isinstance(following, asyncio.Future) and not following.done():
                 following.set_result(None)
         if body is None:
-            self._tell(connection, attempt, Told.ERROR, status(500))
+            self._send_answer(connection, attempt, Told.ERROR, status(500))
         elif rng.random() < self.ills.spoiling:
-            await self._spoil(connection, attempt, body, rng.choice(SPOILS))
+            await self._send_malformed(connection, attempt, body, rng.choice(MALFORMATIONS))
         elif task.answer:
-            await self._pour(connection, attempt, body + filler(attempt.trace, task.answer), task.pace)
+            await self._send_paced(
+                connection, attempt, body + make_body(attempt.trace, task.answer), task.pace
+            )
         else:
-            attempt.token = answer_token(body)
-            self._tell(connection, attempt, Told.OK, ok(body))
+            attempt.token = answer_digest(body)
+            self._send_answer(connection, attempt, Told.OK, ok(body))
 
-    async def _answer_of(
+    async def _answer_body(
         self, message: Message, attempt: Attempt, task: Task, rng: random.Random
     ) -> bytes | None:
         """Return the body of a 200, from its own run or that of the request it repeats; None on failure."""
@@ -334,14 +336,14 @@
     async def _run(self, message: Message, attempt: Attempt, task: Task, rng: random.Random) -> bytes | None:
         attempt.began = self.clock()
         sigma = math.sqrt(math.log(1 + task.cv**2))
-        work = task.work * min(HEAVIEST, rng.lognormvariate(-sigma * sigma / 2, sigma))
+        work = task.work * min(MAX_WORK_FACTOR, rng.lognormvariate(-sigma * sigma / 2, sigma))
         await self.cpu.run(work / 2)
         await asyncio.sleep(task.wait * rng.uniform(0.5, 1.5) * self.ills.slowness / 1000)
         served = True
         if self.next_tier is not None:
             whole, part = divmod(task.calls, 1.0)
             for _ in range(int(whole) + (rng.random() < part)):
-                left = self._left(message, attempt, task)
+                left = self._time_left(message, attempt, task)
                 if left <= 0 or not await self.next_tier(message, attempt, task, left):
                     served = False
                     break
@@ -350,14 +352,14 @@
         attempt.ended = self.clock()
         if not served:
             return None
-        body = f"{attempt.trace} {self.build.name} {next(self.answers)}\n".encode()
+        body = f"{attempt.trace} {self.build.name} {next(self.answer_numbers)}\n".encode()
         return body + b"." * rng.randrange(16, 400)
 
-    def _left(self, message: Message, attempt: Attempt, task: Task) -> float:
+    def _time_left(self, message: Message, attempt: Attempt, task: Task) -> float:
         """Return the ms left by `X-Expires-In-Ms`, or by the client's record if that is unusable."""
-        told = message.headers.get("x-expires-in-ms", "")
-        if told.isascii() and told.isdigit():
-            return float(told) - (self.clock() - message.last_byte)
+        header = message.headers.get("x-expires-in-ms", "")
+        if header.isascii() and header.isdigit():
+            return float(header) - (self.clock() - message.last_byte)
         asked = self.ledger.asked_for.get(attempt.trace)
         if asked is not None and asked.sent is not None:
             return asked.sent + asked.patience - self.clock()
@@ -365,11 +367,13 @@
 
     # Answers
 
-    def _tell(self, connection: ServerConnection, attempt: Attempt, told: Told, data: bytes) -> None:
+    def _send_answer(
+        self, connection: ServerConnection, attempt: Attempt, outcome: Told, data: bytes
+    ) -> None:
         if self.attempts.pop(connection, None) is None:
             return  # the sidecar has gone
-        attempt.told, attempt.told_at = told, self.clock()
-        if told is Told.RESET:
+        attempt.told, attempt.told_at = outcome, self.clock()
+        if outcome is Told.RESET:
             connection.reset()
             return
         connection.write(data)
@@ -377,26 +381,30 @@
         if self.build.uses and connection.requests >= self.build.uses:
             connection.close()
 
-    async def _pour(self, connection: ServerConnection, attempt: Attempt, body: bytes, pace: float) -> None:
+    async def _send_paced(
+        self, connection: ServerConnection, attempt: Attempt, body: bytes, pace: float
+    ) -> None:
         """Write an answer in pieces, as fast as the reader accepts them but at most `pace` bytes per s."""
-        attempt.token = answer_token(body)
+        attempt.token = answer_digest(body)
         data = ok(body)
-        for at in range(0, len(data), PIECE):
-            while connection.unsent > PIECE:
-                await asyncio.sleep(LATER)
+        for at in range(0, len(data), WRITE_SIZE):
+            while connection.unsent > WRITE_SIZE:
+                await asyncio.sleep(WRITE_RETRY_DELAY)
             if self.attempts.get(connection) is not attempt:
                 return  # the sidecar has gone
-            connection.write(data[at : at + PIECE])
+            connection.write(data[at : at + WRITE_SIZE])
             if pace:
-                await asyncio.sleep(PIECE / pace)
-        self._tell(connection, attempt, Told.OK, b"")
+                await asyncio.sleep(WRITE_SIZE / pace)
+        self._send_answer(connection, attempt, Told.OK, b"")
 
-    async def _spoil(self, connection: ServerConnection, attempt: Attempt, body: bytes, how: str) -> None:
+    async def _send_malformed(
+        self, connection: ServerConnection, attempt: Attempt, body: bytes, how: str
+    ) -> None:
         whole = ok(body)
         if how == "doubled":
             # The first answer is valid and counts; the second one belongs to no request.
-            attempt.token = answer_token(body)
-            self._tell(connection, attempt, Told.OK, whole + ok(b"nobody's"))
+            attempt.token = answer_digest(body)
+            self._send_answer(connection, attempt, Told.OK, whole + ok(b"nobody's"))
             return
         data = {"short": whole[:-5], "garbled": b"HTTP/1.1 2x0 ?\r\n" + whole, "stalled": whole[:-9]}[how]
         if self.attempts.get(connection) is not attempt:
@@ -404,5 +412,5 @@
         attempt.told, attempt.told_at = Told.SPOILT, self.clock()
         connection.write(data)
         if how == "stalled":
-            await asyncio.sleep(SPOILT_STALL)
+            await asyncio.sleep(STALLED_ANSWER_TIME)
         connection.close()
--- a/millgw/standins/endpoint_options.py
+++ b/millgw/standins/endpoint_options.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class Ills:
+class EndpointFaults:
     """Faults of an endpoint at the moment: shares of its requests; `slowness` divides its speed."""
 
     failing: float = 0.0
--- a/millgw/standins/endpoint_registry.py
+++ b/millgw/standins/endpoint_registry.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-HISTORY = 4096  # changes kept; who asks for changes since an older version gets the whole list
+MAX_HISTORY = 4096  # changes kept; who asks for changes since an older version gets the whole list
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,7 +36,7 @@
     def __init__(self, index: int = 1) -> None:
         self.index = index
         self.entries: dict[str, Entry] = {}
-        self.history: deque[tuple[int, Entry]] = deque(maxlen=HISTORY)
+        self.history: deque[tuple[int, Entry]] = deque(maxlen=MAX_HISTORY)
 
     def change(self, entry: Entry) -> None:
         """Apply a change; status `terminated` removes the entry from the list."""
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -20,13 +20,13 @@
 from millgw.standins.kernel import receive_age
 
 BACKLOG = 512
-FINAL = 200  # the lowest status of a final answer; 1xx answers are interim
+MIN_FINAL_STATUS = 200  # the lowest status of a final answer; 1xx answers are interim
 NO_LINGER = struct.pack("ii", 1, 0)
 DROP_ALL = ctypes.create_string_buffer(struct.pack("HBBI", 0x06, 0, 0, 0))  # classic BPF: return 0 bytes
 DROP_FILTER = struct.pack("HP", 1, ctypes.addressof(DROP_ALL))  # struct sock_fprog (socket(7))
 SO_ATTACH_FILTER = 26
-ACCEPTS = 64  # connections accepted per event loop iteration
-FILLERS = 4  # most connections that fill a silent listener's accept queue; the kernel takes one or two
+ACCEPTS_PER_ITERATION = 64  # connections accepted per event loop iteration
+MAX_FILLERS = 4  # most connections that fill a silent listener's accept queue; the kernel takes one or two
 
 
 class Clock:
@@ -34,18 +34,18 @@
 
     def __init__(self) -> None:
         self.zero = time.monotonic()
-        self.began = time.time()
+        self.unix_start = time.time()
 
     def __call__(self) -> float:
         return (time.monotonic() - self.zero) * 1000
 
     def unix(self, at: float) -> int:
-        return int(self.began * 1000 + at)
+        return int(self.unix_start * 1000 + at)
 
 
 @dataclass(slots=True)
 class Message:
-    """A message as read from a socket: first line, headers by lower-case name, body, times of arrival (ms)."""
+    """A message as read from a socket: first line, headers by lower-case name, body, arrival times (ms)."""
 
     first: str
     headers: dict[str, str] = field(default_factory=dict)
@@ -63,8 +63,8 @@
     return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (more.encode(), len(body), body)
 
 
-def status(code: int, more: str = "") -> bytes:
-    return f"HTTP/1.1 {code} X\r\n{more}Content-Length: 0\r\n\r\n".encode()
+def status(code: int, extra_headers: str = "") -> bytes:
+    return f"HTTP/1.1 {code} X\r\n{extra_headers}Content-Length: 0\r\n\r\n".encode()
 
 
 def ask(
@@ -119,8 +119,8 @@
         self.requests = 0
         self.idle_since = site.clock()
         self.closed = False
-        self.forgotten = False
-        self.arrived = self.idle_since  # ms, when the kernel received the bytes being parsed
+        self.blackholed = False
+        self.received_at = self.idle_since  # ms, when the kernel received the bytes being parsed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -133,7 +133,7 @@
             return
         # Read before the clock, so that a pause in between makes the recorded time late, never early.
         age = receive_age(self.transport)
-        self.arrived = self.site.clock() - age
+        self.received_at = self.site.clock() - age
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -147,7 +147,7 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        self.message = Message("", first_byte=self.arrived, reused=self.requests > 0)
+        self.message = Message("", first_byte=self.received_at, reused=self.requests > 0)
 
     def on_url(self, url: bytes) -> None:
         assert self.message is not None
@@ -166,7 +166,7 @@
         message, self.message = self.message, None
         method = self.parser.get_method().decode()
         message.first = f"{method} {message.first} HTTP/{self.parser.get_http_version()}"
-        message.last_byte = self.arrived
+        message.last_byte = self.received_at
         self.requests += 1
         self.waiting.append(message)
         if not self.busy:
@@ -208,7 +208,7 @@
         if self.transport is not None and not self.closed:
             sock = self.transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, DROP_FILTER)
-            self.forgotten = True
+            self.blackholed = True
 
     def close(self) -> None:
         if self.transport is not None:
@@ -220,37 +220,37 @@
 
     def __init__(self, address: Address, make: Callable[[], asyncio.BaseProtocol]) -> None:
         self.address = address
-        self.make = make
+        self.protocol_factory = make
         self.socket: socket.socket | None = None
         self.fillers: list[socket.socket] = []
-        self.adopting: set[asyncio.Task[object]] = set()
+        self.accepting: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
         """Listen; connections that were still pending from a silence are reset."""
         self.close()
-        made = socket.socket()
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        made.setblocking(False)
-        made.bind((self.address.host, self.address.port))
-        made.listen(BACKLOG)
-        self.socket = made
-        asyncio.get_running_loop().add_reader(made, self._accept, made)
+        listening = socket.socket()
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.setblocking(False)
+        listening.bind((self.address.host, self.address.port))
+        listening.listen(BACKLOG)
+        self.socket = listening
+        asyncio.get_running_loop().add_reader(listening, self._accept, listening)
 
     def _accept(self, listening: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        for _ in range(ACCEPTS):
+        for _ in range(ACCEPTS_PER_ITERATION):
             try:
                 connection, _ = listening.accept()
             except OSError:
                 return
             connection.setblocking(False)
-            task = loop.create_task(self._adopt(connection))
-            self.adopting.add(task)
-            task.add_done_callback(self.adopting.discard)
+            task = loop.create_task(self._make_transport(connection))
+            self.accepting.add(task)
+            task.add_done_callback(self.accepting.discard)
 
-    async def _adopt(self, connection: socket.socket) -> None:
+    async def _make_transport(self, connection: socket.socket) -> None:
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(self.make, connection)
+            await asyncio.get_running_loop().connect_accepted_socket(self.protocol_factory, connection)
         except OSError:  # reset before the transport was made
             connection.close()
 
@@ -263,21 +263,21 @@
             return
         asyncio.get_running_loop().remove_reader(self.socket)
         self.socket.listen(0)
-        for _ in range(FILLERS):
-            filler = socket.socket()
-            filler.setblocking(False)
-            filler.connect_ex((self.address.host, self.address.port))
-            self.fillers.append(filler)
+        for _ in range(MAX_FILLERS):
+            connection = socket.socket()
+            connection.setblocking(False)
+            connection.connect_ex((self.address.host, self.address.port))
+            self.fillers.append(connection)
             # `poll`, as `select` fails with descriptors above 1,023, which a large fleet exceeds.
             poll = select.poll()
-            poll.register(filler, select.POLLOUT)
+            poll.register(connection, select.POLLOUT)
             if not poll.poll(0):
                 return
 
     def close(self) -> None:
         """Refuse new connections from now on."""
-        for filler in self.fillers:
-            filler.close()
+        for connection in self.fillers:
+            connection.close()
         self.fillers.clear()
         if self.socket is not None:
             asyncio.get_running_loop().remove_reader(self.socket)
@@ -286,14 +286,14 @@
 
 
 class AnswerReader:
-    """Parses the answers on one connection; `done` is called with the status, headers and body of each.
+    """Parses the answers on one connection; `on_answer` is called with the status, headers and body of each.
 
     The caller decides about surplus bytes after an answer, and about malformed ones, which `feed` reports.
     `status` is that of the answer being read, 0 until its head is complete; 1xx answers are skipped.
     """
 
     def __init__(self, done: Callable[[int, dict[bytes, bytes], bytes], None]) -> None:
-        self.done = done
+        self.on_answer = done
         self.parser = httptools.HttpResponseParser(self)
         self.status = 0
         self.headers: dict[bytes, bytes] = {}
@@ -317,14 +317,14 @@
 
     def on_headers_complete(self) -> None:
         code = self.parser.get_status_code()
-        self.status = code if code >= FINAL else 0
+        self.status = code if code >= MIN_FINAL_STATUS else 0
 
     def on_body(self, body: bytes) -> None:
         self.body += body
 
     def on_message_complete(self) -> None:
         if self.status:
-            self.done(self.status, self.headers, bytes(self.body))
+            self.on_answer(self.status, self.headers, bytes(self.body))
 
     @property
     def keep(self) -> bool:
--- a/millgw/standins/kernel.py
+++ b/millgw/standins/kernel.py
@@ -21,6 +21,6 @@
     return max(0.0, seconds_since_received(transport) * 1000 - TICK)
 
 
-def end_now(transport: asyncio.Transport) -> None:
+def send_fin(transport: asyncio.Transport) -> None:
     """Send FIN at once; aborting the transport would close it in the event loop's next iteration only."""
     shut_down_socket(transport, socket.SHUT_RDWR)
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -276,7 +276,7 @@
         self.asked_for[call.trace] = call
 
 
-TIMES: dict[type, tuple[str, ...]] = {
+TIME_FIELDS: dict[type, tuple[str, ...]] = {
     Attempt: ("first", "last", "began", "ended", "told_at"),
     Call: ("due", "began", "sent", "begun", "answered", "closed"),
     Word: ("at",),
@@ -307,7 +307,7 @@
         ledger.version_reports,
     ):  # fmt: skip
         for record in records:
-            for name in TIMES[type(record)]:
+            for name in TIME_FIELDS[type(record)]:
                 value = getattr(record, name)
                 if value is not None:
                     setattr(record, name, value + by)
--- a/millgw/standins/network.py
+++ b/millgw/standins/network.py
@@ -51,7 +51,7 @@
     def add(self, node: Node[M], at: float = 0.0) -> None:
         """Add a node, with its first tick at the time `at` (ms)."""
         self.nodes[node.name] = node
-        self._later(node, at)
+        self._schedule_tick(node, at)
 
     def kill(self, name: str) -> None:
         self.nodes.pop(name, None)
@@ -71,7 +71,7 @@
         """Partition the network: only nodes of the same group reach each other. No groups: all do."""
         self.groups = [set(group) for group in groups]
 
-    def at(self, at: float, do: Callable[[], None]) -> None:
+    def call_at(self, at: float, do: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (max(at, self.now), next(self.numbers), do))
 
     def run(self, until: float) -> None:
@@ -81,19 +81,19 @@
             do()
         self.now = until
 
-    def _later(self, node: Node[M], at: float) -> None:
+    def _schedule_tick(self, node: Node[M], at: float) -> None:
         number = self.ticks[node.name] = next(self.numbers)
 
         def tick() -> None:
             if self.ticks[node.name] == number and self.nodes.get(node.name) is node:
                 self._tick(node)
 
-        self.at(at, tick)
+        self.call_at(at, tick)
 
     def _tick(self, node: Node[M]) -> None:
         if node.name not in self.paused:
             self._send(node.name, node.tick(self.now))
-            self._later(node, node.due())
+            self._schedule_tick(node, node.due())
 
     def _send(self, sender: str, messages: list[tuple[str, M]]) -> None:
         for name, message in messages:
@@ -101,9 +101,9 @@
             self.bytes += self.size(message)
             apart = any((sender in group) != (name in group) for group in self.groups)
             if not apart and self.rng.random() >= self.loss:
-                self._post(sender, name, message)
+                self._deliver(sender, name, message)
 
-    def _post(self, sender: str, name: str, message: M) -> None:
+    def _deliver(self, sender: str, name: str, message: M) -> None:
         def arrive() -> None:
             node = self.nodes.get(name)
             if node is None:
@@ -113,4 +113,4 @@
             else:
                 self._send(name, node.receive(self.now, sender, message))
 
-        self.at(self.now + self.rng.uniform(*self.delay), arrive)
+        self.call_at(self.now + self.rng.uniform(*self.delay), arrive)
--- a/millgw/standins/repeating_clients.py
+++ b/millgw/standins/repeating_clients.py
@@ -11,14 +11,14 @@
 
 
 class RepeatingClients:
-    """`word` returns the bytes of a request; its argument tells whether the connection is kept.
+    """`make_request` returns the bytes of a request; its argument tells whether the connection is kept.
 
     `seen` counts answers by status, `refused` connections, and requests with a `broken` connection.
     """
 
-    def __init__(self, listen: Address, word: Callable[[bool], bytes]) -> None:
+    def __init__(self, listen: Address, make_request: Callable[[bool], bytes]) -> None:
         self.listen = listen
-        self.word = word
+        self.make_request = make_request
         self.seen: Counter[str] = Counter()
         self.sent = 0
 
@@ -37,7 +37,7 @@
             while again:
                 self.sent += 1
                 try:
-                    writer.write(self.word(kept))
+                    writer.write(self.make_request(kept))
                     answer = await read_message(reader)
                     self.seen[str(answer.status)] += 1
                     again = answer.headers.get("connection") != "close"
--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -57,11 +57,11 @@
         self.listener = listener(self.address, self)
         self.listener.open()
 
-    def entry(self, status: str = "in_service", **more: Any) -> dict[str, Any]:
+    def entry(self, status: str = "in_service", **fields: Any) -> dict[str, Any]:
         """This endpoint as a discovery server lists it."""
         return {
             "name": self.name, "address": str(self.address), "zone": "a", "type": "m", "group": 1,
-            "status": status, "weight": 1.0, "since_ms": 0, **more,
+            "status": status, "weight": 1.0, "since_ms": 0, **fields,
         }  # fmt: skip
 
     def opened(self, connection: ServerConnection) -> None:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins over loopback: what the protocol page says of endpoints, the discovery server and callers."""
+"""Tests of the stand-ins over loopback: endpoints, the discovery server and callers follow the protocol."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
 from millgw.standins.address import free_address
-from millgw.standins.caller import PAST, STILL_LOOKS, Desk, ready
+from millgw.standins.caller import LATE_ANSWER_TIME, STALL_CHECKS, Desk, ready
 from millgw.standins.deduplication import Group
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint
@@ -25,7 +25,7 @@
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock, Listener, Message, ok
 from millgw.standins.ledger import Call, End, Ledger, Told
-from millgw.standins.request_check import answer_token
+from millgw.standins.request_check import answer_digest
 from millgw.standins.scripted import ScriptedEndpoint, answering, read_message, silent
 from tests.kinds import skip_if_pure
 from tests.rig import run, wait_until
@@ -40,15 +40,15 @@
 }
 
 
-class Bench:
-    """One endpoint with its ledger, and a caller that speaks to it as a sidecar would."""
+class EndpointBench:
+    """One endpoint with its ledger, and a client that sends requests as a sidecar would."""
 
-    def __init__(self, group: Group | None = None, ledger: Ledger | None = None, **build: Any) -> None:
+    def __init__(self, group: Group | None = None, ledger: Ledger | None = None, **options: Any) -> None:
         self.ledger = Ledger() if ledger is None else ledger
         self.clock = Clock()
-        made = Build("e1", 1, 0, free_address(), handshake_work=0.0)
+        default = Build("e1", 1, 0, free_address(), handshake_work=0.0)
         self.endpoint = Endpoint(
-            replace(made, **build), TASKS, group or Group(), self.ledger, self.clock, ColdRule(), 1
+            replace(default, **options), TASKS, group or Group(), self.ledger, self.clock, ColdRule(), 1
         )
         self.numbers = iter(range(1, 1000))
 
@@ -56,7 +56,7 @@
         address = self.endpoint.build.address
         return await asyncio.open_connection(address.host, address.port)
 
-    def word(self, cls: str = "codigo", key: str = "", left: int = 4000, trace: str = "") -> bytes:
+    def request(self, cls: str = "codigo", key: str = "", left: int = 4000, trace: str = "") -> bytes:
         trace = trace or f"t{next(self.numbers)}"
         keyed = f"Idempotency-Key: {key}\r\n" if key else ""
         return (
@@ -64,63 +64,63 @@
             f"X-Expires-In-Ms: {left}\r\n{keyed}Content-Length: 0\r\n\r\n"
         ).encode()
 
-    async def ask(self, word: bytes) -> Message:
+    async def send(self, request: bytes) -> Message:
         reader, writer = await self.connect()
-        writer.write(word)
+        writer.write(request)
         try:
             return await read_message(reader)
         finally:
             writer.close()
 
 
-def test_an_endpoint_answers_and_books_what_it_ran() -> None:
+def test_an_endpoint_answers_and_records_what_it_ran() -> None:
     async def test() -> None:
-        bench = Bench()
+        bench = EndpointBench()
         bench.endpoint.start(cold=False)
-        answer = await bench.ask(bench.word(trace="abc"))
+        answer = await bench.send(bench.request(trace="abc"))
         (attempt,) = bench.ledger.attempts
-        assert answer.status == 200 and answer_token(answer.body) == attempt.token
+        assert answer.status == 200 and answer_digest(answer.body) == attempt.token
         assert (attempt.trace, attempt.told, attempt.endpoint) == ("abc", Told.OK, "e1")
         assert attempt.began is not None and attempt.ended is not None and attempt.last is not None
         assert attempt.first <= attempt.last <= attempt.began <= attempt.ended
-        assert (await bench.ask(b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n")).status == 404
-        assert (await bench.ask(b"GET /health HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\n\r\n")).status == 404
+        assert (await bench.send(b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n")).status == 404
+        assert (await bench.send(b"GET /health HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a\r\n\r\n")).status == 404
         assert len(bench.ledger.attempts) == 1
 
     run(test)
 
 
-@pytest.mark.parametrize("why", ["draining", "full", "crowded", "over"])
-def test_what_is_turned_away_says_that_it_never_ran(why: str) -> None:
+@pytest.mark.parametrize("condition", ["draining", "full", "crowded", "over"])
+def test_a_rejected_request_is_answered_with_x_never_ran(condition: str) -> None:
     async def test() -> None:
-        bench = Bench(slots=1, waiting=0, connections=1 if why == "crowded" else 10)
+        bench = EndpointBench(slots=1, waiting=0, connections=1 if condition == "crowded" else 10)
         bench.endpoint.start(cold=False)
         busy = []
-        if why == "draining":
+        if condition == "draining":
             bench.endpoint.drain()
-        if why in ("full", "crowded"):
+        if condition in ("full", "crowded"):
             busy.append(await bench.connect())
-            busy[0][1].write(bench.word("slow"))
+            busy[0][1].write(bench.request("slow"))
             await wait_until(lambda: any(a.began for a in bench.ledger.attempts))
-        answer = await bench.ask(bench.word(left=0 if why == "over" else 4000))
+        answer = await bench.send(bench.request(left=0 if condition == "over" else 4000))
         assert answer.status in (503, 504) and answer.headers["x-never-ran"] == "1"
         assert bench.ledger.attempts[-1].told is Told.NEVER_RAN and bench.ledger.attempts[-1].began is None
 
     run(test)
 
 
-def test_those_that_wait_are_served_in_turn_and_dropped_when_their_caller_leaves() -> None:
+def test_queued_requests_are_served_in_order_and_dropped_when_their_caller_disconnects() -> None:
     async def test() -> None:
-        bench = Bench(slots=1, waiting=2)
+        bench = EndpointBench(slots=1, waiting=2)
         bench.endpoint.start(cold=False)
         first, left, last = [await bench.connect() for _ in range(3)]
-        first[1].write(bench.word("slow", trace="first"))
+        first[1].write(bench.request("slow", trace="first"))
         await wait_until(lambda: len(bench.ledger.attempts) == 1)
-        left[1].write(bench.word(trace="left"))
+        left[1].write(bench.request(trace="left"))
         await wait_until(lambda: len(bench.ledger.attempts) == 2)
         left[1].close()
-        await wait_until(lambda: not bench.endpoint.room.waiting)
-        last[1].write(bench.word(trace="last"))
+        await wait_until(lambda: not bench.endpoint.admission.waiting)
+        last[1].write(bench.request(trace="last"))
         assert (await read_message(last[0])).status == 200
         began = {a.trace: a.began for a in bench.ledger.attempts}
         assert began["left"] is None and began["last"] is not None
@@ -128,21 +128,21 @@
     run(test)
 
 
-def test_a_group_drops_repeats_of_a_key_for_its_window() -> None:
+def test_a_group_deduplicates_a_key_for_its_window() -> None:
     async def test() -> None:
         group, ledger = Group(), Ledger()
-        one, two = Bench(group, ledger), Bench(group, ledger)
+        one, two = EndpointBench(group, ledger), EndpointBench(group, ledger)
         for bench in (one, two):
             bench.endpoint.start(cold=False)
         first, again = await asyncio.gather(
-            one.ask(one.word("campanha", "k", trace="first")),
-            two.ask(two.word("campanha", "k", trace="again")),
+            one.send(one.request("campanha", "k", trace="first")),
+            two.send(two.request("campanha", "k", trace="again")),
         )
         ran = [a for a in ledger.attempts if a.began is not None]
         assert first.body == again.body and len(ran) == 1
         assert {a.repeat_of for a in ledger.attempts} == {"", ran[0].trace}
         await asyncio.sleep(0.35)
-        assert (await two.ask(two.word("campanha", "k"))).status == 200
+        assert (await two.send(two.request("campanha", "k"))).status == 200
         assert len([a for a in ledger.attempts if a.began is not None]) == 2
 
     run(test)
@@ -150,13 +150,13 @@
 
 def test_a_silent_endpoint_holds_its_connections_and_takes_no_new_ones_until_it_is_back() -> None:
     async def test() -> None:
-        bench = Bench(cold_ms=1000.0)
+        bench = EndpointBench(cold_ms=1000.0)
         bench.endpoint.start(cold=False)
         reader, writer = await bench.connect()
-        writer.write(bench.word())
+        writer.write(bench.request())
         assert (await read_message(reader)).status == 200
         bench.endpoint.silence()
-        writer.write(bench.word(trace="unheard"))
+        writer.write(bench.request(trace="unheard"))
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await reader.read(1)
@@ -168,7 +168,7 @@
         life = bench.endpoint.start(cold=True)
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
-        assert (await bench.ask(bench.word())).status == 200
+        assert (await bench.send(bench.request())).status == 200
         assert life.number == 2 and life.capacity(life.start) < life.speed
         assert bench.ledger.lives[0].until is not None
 
@@ -177,10 +177,10 @@
 
 def test_a_stopped_endpoint_resets_and_refuses() -> None:
     async def test() -> None:
-        bench = Bench()
+        bench = EndpointBench()
         bench.endpoint.start(cold=False)
         reader, writer = await bench.connect()
-        writer.write(bench.word("slow"))
+        writer.write(bench.request("slow"))
         await wait_until(lambda: any(a.began for a in bench.ledger.attempts))
         bench.endpoint.stop()
         with pytest.raises(ConnectionResetError):
@@ -192,16 +192,16 @@
     run(test)
 
 
-def test_a_cold_endpoint_that_is_sent_too_much_falls_over_and_stays_down() -> None:
+def test_an_overloaded_cold_endpoint_crashes_and_stays_down() -> None:
     async def test() -> None:
-        bench = Bench(speed=0.05, cold_ms=60_000.0, slots=100)
+        bench = EndpointBench(speed=0.05, cold_ms=60_000.0, slots=100)
         fallen: list[Endpoint] = []
-        bench.endpoint.fell = fallen.append
+        bench.endpoint.on_crash = fallen.append
         bench.endpoint.start(cold=True)
-        with suppress(OSError):  # it is down by then
+        with suppress(OSError):  # connections are refused after the crash
             for _ in range(30):
                 _, writer = await bench.connect()
-                writer.write(bench.word())
+                writer.write(bench.request())
                 await asyncio.sleep(0.001)
         await wait_until(lambda: bool(fallen))
         with pytest.raises(ConnectionRefusedError):
@@ -211,22 +211,22 @@
     run(test)
 
 
-@pytest.mark.parametrize("ill", ["failing", "resetting", "spoiling"])
-def test_ills_are_booked_as_what_the_caller_saw(ill: str) -> None:
+@pytest.mark.parametrize("fault", ["failing", "resetting", "spoiling"])
+def test_faults_are_recorded_as_what_the_caller_saw(fault: str) -> None:
     async def test() -> None:
-        bench = Bench()
-        setattr(bench.endpoint.ills, ill, 1.0)
+        bench = EndpointBench()
+        setattr(bench.endpoint.ills, fault, 1.0)
         bench.endpoint.start(cold=False)
         for _ in range(6):
             with suppress(TimeoutError, asyncio.IncompleteReadError, ConnectionError, ValueError):
                 async with asyncio.timeout(0.2):
-                    await bench.ask(bench.word())
+                    await bench.send(bench.request())
         await wait_until(lambda: all(a.told is not Told.NOTHING for a in bench.ledger.attempts))
         told = {a.told for a in bench.ledger.attempts}
         expected = {"failing": {Told.ERROR}, "resetting": {Told.RESET}, "spoiling": {Told.SPOILT, Told.OK}}[
-            ill
+            fault
         ]
-        # An answer with a second one behind it is spoilt too, but its first is whole and counts.
+        # An answer followed by a second one is malformed too, but the first one is complete and counts.
         assert told <= expected and told - {Told.OK}
 
     run(test)
@@ -234,19 +234,19 @@
 
 def test_idle_connections_are_closed() -> None:
     async def test() -> None:
-        bench = Bench(idle=50.0)
+        bench = EndpointBench(idle=50.0)
         bench.endpoint.start(cold=False)
         reader, writer = await bench.connect()
-        writer.write(bench.word())
+        writer.write(bench.request())
         assert (await read_message(reader)).status == 200
         assert await reader.read() == b""
 
     run(test)
 
 
-def test_idle_times_may_be_random_and_connections_bounded_in_their_answers() -> None:
+def test_idle_timeouts_can_be_random_and_answers_per_connection_limited() -> None:
     async def test() -> None:
-        bench = Bench(idle=400.0, idle_random=True, uses=2)
+        bench = EndpointBench(idle=400.0, idle_random=True, uses=2)
         bench.endpoint.start(cold=False)
         opened = [await bench.connect() for _ in range(20)]
         await asyncio.sleep(0.2)
@@ -256,7 +256,7 @@
             writer.close()
         reader, writer = await bench.connect()
         for _ in range(2):
-            writer.write(bench.word())
+            writer.write(bench.request())
             assert (await read_message(reader)).status == 200
         assert await reader.read() == b""
         assert len(bench.ledger.handshakes) == 21
@@ -264,33 +264,33 @@
     run(test)
 
 
-def test_a_forgotten_connection_takes_nothing_and_confirms_nothing() -> None:
+def test_a_blackholed_connection_receives_and_acknowledges_nothing() -> None:
     async def test() -> None:
-        bench = Bench()
+        bench = EndpointBench()
         bench.endpoint.start(cold=False)
         bench.endpoint.forgets_after = 50.0
         reader, writer = await bench.connect()
-        writer.write(bench.word())
+        writer.write(bench.request())
         assert (await read_message(reader)).status == 200
         assert not has_unacknowledged(writer.transport)  # type: ignore[arg-type]
-        await wait_until(lambda: all(c.forgotten for c in bench.endpoint.connections))
-        writer.write(bench.word(trace="vanishes"))
+        await wait_until(lambda: all(c.blackholed for c in bench.endpoint.connections))
+        writer.write(bench.request(trace="vanishes"))
         await asyncio.sleep(0.1)
         assert has_unacknowledged(writer.transport)  # type: ignore[arg-type]
         assert [a.trace for a in bench.ledger.attempts] == ["t1"]
-        assert (await bench.ask(bench.word())).status == 200  # new ones are not harmed
+        assert (await bench.send(bench.request())).status == 200  # new connections still work
 
     run(test)
 
 
-def test_a_request_that_ends_within_its_head_is_booked_and_held_against_nothing() -> None:
+def test_a_request_cut_off_in_its_head_is_recorded_without_a_fault() -> None:
     async def test() -> None:
-        bench = Bench()
+        bench = EndpointBench()
         bench.endpoint.start(cold=False)
-        word = bench.word(trace="cut")
+        request = bench.request(trace="cut")
         bench.ledger.book(Call("cut", "r", 0, "codigo", "", "", "n", 0.0))
         _, writer = await bench.connect()
-        writer.write(word[:-1])
+        writer.write(request[:-1])
         await asyncio.sleep(0.05)
         writer.close()
         await wait_until(lambda: bool(bench.ledger.attempts))
@@ -300,7 +300,7 @@
     run(test)
 
 
-def test_a_listener_can_be_silenced_and_closed_over_and_over() -> None:
+def test_a_listener_can_be_silenced_and_closed_repeatedly() -> None:
     async def test() -> None:
         listener = Listener(free_address(), asyncio.Protocol)
         address = listener.address
@@ -319,7 +319,7 @@
     run(test)
 
 
-def test_silence_works_past_the_descriptors_that_select_can_take() -> None:
+def test_silence_works_with_descriptors_above_the_limit_of_select() -> None:
     async def test() -> None:
         held = [os.dup(0) for _ in range(1100)]
         try:
@@ -338,14 +338,14 @@
     run(test)
 
 
-# The discovery server
+# Discovery server
 
 
-def entry(name: str, status: str = "in_service", life: int = 1) -> Entry:
+def make_entry(name: str, status: str = "in_service", life: int = 1) -> Entry:
     return Entry(name, 1, life, "127.0.0.1:1", 0, status)
 
 
-class Watching:
+class WatchClient:
     """A sidecar's watch, read line by line."""
 
     def __init__(self, discovery_server: DiscoveryServer, since: int | None = None, name: str = "n0") -> None:
@@ -358,7 +358,7 @@
         self.writer.write(f"GET /v1/endpoints?watch=1{since} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
         return await read_message(self.reader)
 
-    async def line(self) -> dict[str, Any]:
+    async def next_line(self) -> dict[str, Any]:
         while True:
             size = int(await self.reader.readline(), 16)
             data = (await self.reader.readexactly(size + 2)).strip()
@@ -367,32 +367,32 @@
                 return found
 
 
-def discovery_server(**capacity: float) -> DiscoveryServer:
+def make_discovery_server(**capacity: float) -> DiscoveryServer:
     delays = Delays((10.0, 20.0), (10.0, 20.0), (10.0, 20.0))
     return DiscoveryServer(Ledger(), Clock(), 1, delays, replace(Capacity(lines=10_000.0), **capacity))
 
 
-def test_the_discovery_server_lists_watches_and_books_what_it_wrote() -> None:
+def test_the_discovery_server_serves_lists_and_watches_and_records_what_it_sent() -> None:
     async def test() -> None:
-        made = discovery_server()
-        made.list(entry("a"))
-        watching = Watching(made)
-        assert (await watching.start()).status == 200
-        first = await watching.line()
+        server = make_discovery_server()
+        server.list(make_entry("a"))
+        watch = WatchClient(server)
+        assert (await watch.start()).status == 200
+        first = await watch.next_line()
         assert first["snapshot"] and [e["name"] for e in first["endpoints"]] == ["a"]
-        made.notice(entry("a", "terminating"), (10.0, 20.0))
-        second = await watching.line()
+        server.notice(make_entry("a", "terminating"), (10.0, 20.0))
+        second = await watch.next_line()
         assert not second["snapshot"] and second["endpoints"][0]["status"] == "terminating"
-        later = Watching(made, since=first["index"])
+        later = WatchClient(server, since=first["index"])
         await later.start()
-        assert (await later.line())["endpoints"] == second["endpoints"]
-        reader, writer = await asyncio.open_connection(watching.address.host, watching.address.port)
+        assert (await later.next_line())["endpoints"] == second["endpoints"]
+        reader, writer = await asyncio.open_connection(watch.address.host, watch.address.port)
         writer.write(b"GET /v1/endpoints HTTP/1.1\r\nHost: c\r\n\r\n")
         whole = json.loads((await read_message(reader)).body)
         assert whole["snapshot"] and whole["index"] == second["index"]
-        told = [(w.endpoint, w.status) for w in made.ledger.words]
+        told = [(w.endpoint, w.status) for w in server.ledger.words]
         assert told == [("a", "in_service"), ("a", "terminating"), ("a", "terminating"), ("a", "terminating")]
-        assert [(c.endpoint, c.status) for c in made.ledger.changes] == [
+        assert [(c.endpoint, c.status) for c in server.ledger.changes] == [
             ("a", "in_service"),
             ("a", "terminating"),
         ]
@@ -400,51 +400,51 @@
     run(test)
 
 
-def test_an_outage_ends_watches_and_a_restart_tells_the_whole_list() -> None:
+def test_an_outage_ends_watches_and_a_restart_sends_the_whole_list() -> None:
     async def test() -> None:
-        made = discovery_server()
-        made.list(entry("a"))
-        made.list(entry("b"))
-        watching = Watching(made)
-        await watching.start()
-        index = (await watching.line())["index"]
-        made.go_down()
+        server = make_discovery_server()
+        server.list(make_entry("a"))
+        server.list(make_entry("b"))
+        watch = WatchClient(server)
+        await watch.start()
+        index = (await watch.next_line())["index"]
+        server.go_down()
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError, ValueError)):
-            await watching.line()
+            await watch.next_line()
         with pytest.raises(ConnectionRefusedError):
-            await watching.start()
-        made.list(entry("a", "terminated"))
-        made.come_back(history=False)
-        again = Watching(made, since=index)
+            await watch.start()
+        server.list(make_entry("a", "terminated"))
+        server.come_back(history=False)
+        again = WatchClient(server, since=index)
         await again.start()
-        line = await again.line()
+        line = await again.next_line()
         assert line["snapshot"] and [e["name"] for e in line["endpoints"]] == ["b"]
-        gone = [w for w in made.ledger.words if w.status == "terminated"]
-        assert [w.endpoint for w in gone] == ["a"], "what a whole list leaves out is told gone"
-        assert made.ledger.outages[0].until is not None
+        gone = [w for w in server.ledger.words if w.status == "terminated"]
+        assert [w.endpoint for w in gone] == ["a"], "endpoints missing from a whole list count as terminated"
+        assert server.ledger.outages[0].until is not None
 
     run(test)
 
 
-def test_late_word_of_an_older_life_or_of_a_start_is_not_believed_over_a_newer_one() -> None:
+def test_a_late_notice_does_not_override_a_newer_life_or_status() -> None:
     async def test() -> None:
-        made = discovery_server()
-        made.list(entry("a", life=2))
-        for stale in (entry("a", "terminated", life=1), entry("a", life=2)):
-            made.notice(stale, (0.0, 0.0))
-        made.notice(entry("a", "terminating", life=2), (5.0, 5.0))
-        await wait_until(lambda: len(made.ledger.changes) == 2)
-        assert [c.status for c in made.ledger.changes] == ["in_service", "terminating"]
+        server = make_discovery_server()
+        server.list(make_entry("a", life=2))
+        for stale in (make_entry("a", "terminated", life=1), make_entry("a", life=2)):
+            server.notice(stale, (0.0, 0.0))
+        server.notice(make_entry("a", "terminating", life=2), (5.0, 5.0))
+        await wait_until(lambda: len(server.ledger.changes) == 2)
+        assert [c.status for c in server.ledger.changes] == ["in_service", "terminating"]
 
     run(test)
 
 
-def test_calls_wait_their_turn_and_are_turned_away_when_that_takes_too_long() -> None:
+def test_calls_are_queued_and_rejected_when_the_wait_is_too_long() -> None:
     async def test() -> None:
-        made = discovery_server(lines=100.0, call=20.0, timeout=300.0)
-        watches = [Watching(made, name=f"n{i}") for i in range(4)]
+        server = make_discovery_server(lines=100.0, call=20.0, timeout=300.0)
+        watches = [WatchClient(server, name=f"n{i}") for i in range(4)]
         answers = await asyncio.gather(*(w.start() for w in watches))
-        # Each takes 200 ms of its time: the third and fourth would wait for longer than they may.
+        # Each call takes 200 ms of service time: the third and fourth would wait longer than 300 ms.
         assert [a.status for a in answers].count(503) == 2
 
     run(test)
@@ -453,7 +453,7 @@
 # Callers
 
 
-def call(patience: float = 400.0) -> Call:
+def make_call(patience: float = 400.0) -> Call:
     return Call("t", "t", 0, "codigo", "acme", "", "n0", 0.0, patience=patience)
 
 
@@ -466,32 +466,32 @@
         (b"nonsense\r\n\r\n", End.BROKEN, 0),
     ],
 )
-def test_a_caller_books_how_its_call_ended(answer: bytes | None, end: End, status: int) -> None:
+def test_a_caller_records_how_its_call_ended(answer: bytes | None, end: End, status: int) -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e", answering(answer))
         await endpoint.start()
-        desk, made = Desk("n0", endpoint.address, Clock()), call()
-        await desk.ask(made)
-        assert (made.end, made.status) == (end, status) and made.sent is not None
+        client, request = Desk("n0", endpoint.address, Clock()), make_call()
+        await client.ask(request)
+        assert (request.end, request.status) == (end, status) and request.sent is not None
 
     run(test)
 
 
-def test_an_answer_broken_off_by_its_endpoint_at_its_first_bytes_is_not_held_against_the_sidecar() -> None:
-    """The endpoint ends after the first piece, of which the head is a part: under 64 KiB of the body come."""
+def test_the_sidecar_is_not_blamed_for_an_answer_that_its_endpoint_cut_off_at_the_first_bytes() -> None:
+    """The endpoint stops after its first 64 KiB write, which includes the head: less of the body arrives."""
 
     async def test() -> None:
-        bench = Bench()
+        bench = EndpointBench()
         bench.endpoint.start(cold=False)
-        desk = Desk("n0", bench.endpoint.build.address, bench.clock)
-        made = call(patience=5000.0)
-        made.cls = "report"
-        bench.ledger.book(made)
-        asking = asyncio.create_task(desk.ask(made))
-        await wait_until(lambda: any(line.any_bytes for line in desk.lines))
+        client = Desk("n0", bench.endpoint.build.address, bench.clock)
+        request = make_call(patience=5000.0)
+        request.cls = "report"
+        bench.ledger.book(request)
+        call_task = asyncio.create_task(client.ask(request))
+        await wait_until(lambda: any(connection.answer_started for connection in client.connections))
         bench.endpoint.stop()
-        await asking
-        assert made.end is End.BROKEN and made.begun is not None
+        await call_task
+        assert request.end is End.BROKEN and request.begun is not None
         (answers, *_) = audit(bench.ledger, AuditRules({"report": ClassRules(Repeats.RETRYABLE)})).findings
         assert answers.checked == 1 and not answers.broken, answers.evidence
 
@@ -499,56 +499,58 @@
 
 
 class LongAnswer:
-    """A caller whose patience is over, with the first bytes of a long answer and minutes of it to come."""
+    """A caller whose time-out expires after the first bytes of a long answer, minutes before its end."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.bench, self.waits_on = Bench(), asyncio.Event()
+        self.bench, self.timed_out = EndpointBench(), asyncio.Event()
         self.bench.endpoint.start(cold=False)
-        self.desk = Desk("n0", self.bench.endpoint.build.address, self.bench.clock)
-        self.call = call()
+        self.client = Desk("n0", self.bench.endpoint.build.address, self.bench.clock)
+        self.call = make_call()
         self.call.cls = "report"
         self.bench.ledger.book(self.call)
-        monkeypatch.setattr(self.desk, "_patiently", self._out_of_patience)
-        self.asking = asyncio.create_task(self.desk.ask(self.call))
+        monkeypatch.setattr(self.client, "_wait_until_timeout", self._time_out)
+        self.call_task = asyncio.create_task(self.client.ask(self.call))
 
-    async def _out_of_patience(self, made: Call, _: asyncio.Future[None]) -> None:
-        await wait_until(lambda: made.begun is not None)
-        self.waits_on.set()
+    async def _time_out(self, request: Call, _: asyncio.Future[None]) -> None:
+        await wait_until(lambda: request.begun is not None)
+        self.timed_out.set()
         raise TimeoutError
 
 
-def test_a_caller_that_leaves_in_the_rest_of_a_long_answer_is_booked_as_having_left(
+def test_a_caller_that_disconnects_during_a_long_answer_is_recorded_as_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """As at the end of a day, when the rig ends what is still out."""
+    """This happens at the end of a rehearsal, when the test rig cancels open calls."""
 
     async def test() -> None:
         long = LongAnswer(monkeypatch)
-        await long.waits_on.wait()
-        long.asking.cancel()
-        long.desk.close()
+        await long.timed_out.wait()
+        long.call_task.cancel()
+        long.client.close()
         with pytest.raises(asyncio.CancelledError):
-            await long.asking
-        await wait_until(lambda: not long.desk.lines)
+            await long.call_task
+        await wait_until(lambda: not long.client.connections)
         assert long.call.end is End.LEFT
 
     run(test)
 
 
-def test_a_pause_of_the_rig_is_no_stall_of_an_answer_and_a_stall_is(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stalled_answer_is_distinguished_from_a_pause_of_the_test_process(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def test() -> None:
         long = LongAnswer(monkeypatch)
-        await long.waits_on.wait()
-        time.sleep(STILL_LOOKS * PAST + 0.5)  # the rig gets no core
-        await asyncio.sleep(PAST / 2)
+        await long.timed_out.wait()
+        time.sleep(STALL_CHECKS * LATE_ANSWER_TIME + 0.5)  # simulates a test process that gets no CPU time
+        await asyncio.sleep(LATE_ANSWER_TIME / 2)
         assert long.call.end is None
-        await long.asking
+        await long.call_task
         assert long.call.end is End.BROKEN
 
     run(test)
 
 
-def test_a_caller_tells_late_from_lost_and_a_second_answer_from_none() -> None:
+def test_a_caller_distinguishes_late_lost_and_surplus_answers() -> None:
     async def test() -> None:
         async def late(_: Message, __: ScriptedEndpoint) -> bytes:
             await asyncio.sleep(0.25)
@@ -556,34 +558,34 @@
 
         endpoint = ScriptedEndpoint("e", late)
         await endpoint.start()
-        desk, made = Desk("n0", endpoint.address, Clock()), call(100.0)
-        await desk.ask(made)
-        assert made.end is End.ANSWERED and made.sent is not None and made.answered is not None
-        assert made.answered > made.sent + made.patience
+        client, request = Desk("n0", endpoint.address, Clock()), make_call(100.0)
+        await client.ask(request)
+        assert request.end is End.ANSWERED and request.sent is not None and request.answered is not None
+        assert request.answered > request.sent + request.patience
         endpoint.script = answering(ok(b"x") + ok(b"x"))
-        twice = call()
-        await desk.ask(twice)
+        twice = make_call()
+        await client.ask(twice)
         await wait_until(lambda: twice.extra > 0)
         endpoint.script = silent
-        lost = call(50.0)
-        await desk.ask(lost)
+        lost = make_call(50.0)
+        await client.ask(lost)
         assert lost.end is End.LOST
 
     run(test)
 
 
-def test_a_close_that_crosses_a_request_is_told_from_a_lost_one() -> None:
+def test_a_close_that_crosses_a_request_is_distinguished_from_a_lost_answer() -> None:
     async def test() -> None:
         cut: Callable[[int], bool] = lambda requests: requests > 0  # noqa: E731
         endpoint = ScriptedEndpoint("e", cut=cut)
         await endpoint.start()
-        desk = Desk("n0", endpoint.address, Clock())
-        first, second, third = call(), call(), call()
-        await desk.ask(first)
-        await desk.ask(second)
-        await desk.ask(third, fresh=True)
+        client = Desk("n0", endpoint.address, Clock())
+        first, second, third = make_call(), make_call(), make_call()
+        await client.ask(first)
+        await client.ask(second)
+        await client.ask(third, fresh=True)
         assert [c.end for c in (first, second, third)] == [End.ANSWERED, End.CROSSED, End.ANSWERED]
-        nobody = call()
+        nobody = make_call()
         await Desk("n0", free_address(), Clock()).ask(nobody)
         assert nobody.end is End.NOT_TAKEN and not await ready(free_address())
 
