--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -35,8 +35,8 @@
 class ClientConnection(asyncio.Protocol):
     """One connection to a sidecar."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.client = desk
+    def __init__(self, client: Desk) -> None:
+        self.client = client
         self.transport: asyncio.Transport | None = None
         self.reader: AnswerReader | None = AnswerReader(self._on_answer)
         self.call: Call | None = None
@@ -98,8 +98,8 @@
         """Whether the bytes received so far show a long answer, which is timed by its first bytes."""
         if self.reader is None or not self.answer_started:
             return False
-        told = self.reader.headers.get(b"content-length", b"0")
-        return max(len(self.reader.body), int(told)) > LONG_ANSWER
+        length = self.reader.headers.get(b"content-length", b"0")
+        return max(len(self.reader.body), int(length)) > LONG_ANSWER
 
     def check_stalled(self) -> bool:
         """Whether no byte was sent or received for `STALL_CHECKS` consecutive checks.
@@ -193,7 +193,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.reader = None  # the reference cycle would keep both alive until the garbage collector runs
+        self.reader = None  # breaks a reference cycle, which would keep both alive until a garbage collection
         self.client.connections.discard(self)
         if self in self.client.idle:
             self.client.idle.remove(self)
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -160,10 +160,10 @@
         discovery_server = self.port.discovery_server
         if self.connection.closed or discovery_server.down or self.silenced:
             return
-        whole, entries = self.port.registry.since(self.index)
-        if first or whole or entries:
+        snapshot, entries = self.port.registry.since(self.index)
+        if first or snapshot or entries:
             self.index = self.port.registry.index
-            line = json.dumps(discovery_server.update_for(self.port, whole, entries)).encode() + b"\n"
+            line = json.dumps(discovery_server.update_for(self.port, snapshot, entries)).encode() + b"\n"
             self._write(line)
         self._schedule_heartbeat()
 
@@ -254,9 +254,9 @@
         for entry in entries:
             record(Word(port.sidecar, entry.name, entry.life, entry.status, now))
         if snapshot:
-            named = {entry.name for entry in entries}
+            names = {entry.name for entry in entries}
             for last in self.latest_entries.values():
-                if last.name not in named and self.registry(last.tier) is port.registry:
+                if last.name not in names and self.registry(last.tier) is port.registry:
                     record(Word(port.sidecar, last.name, last.life, "terminated", now))
         return {
             "index": port.registry.index,
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -201,24 +201,24 @@
     # Requests
 
     def _record(self, message: Message, complete: bool = True) -> Attempt:
-        """Record an attempt. One that is not `whole` is not checked, as its request line may be missing."""
+        """Record an attempt. An incomplete one is not checked, as its request line may be missing."""
         headers = message.headers
         trace = headers.get("x-trace-id", "")
-        asked = self.ledger.asked_for.get(trace)
+        call = self.ledger.asked_for.get(trace)
         attempt = Attempt(
             trace=trace,
             endpoint=self.build.name,
             life=self.lives,
             cell=self.build.cell,
             # A request that no simulated client sent may come from a person trying a demo.
-            cls=asked.cls if asked is not None else headers.get("x-qos", ""),
+            cls=call.cls if call is not None else headers.get("x-qos", ""),
             key=headers.get("idempotency-key", ""),
             first=message.first_byte,
         )
         if not complete:
             attempt.why = ""
-        elif asked is not None:
-            attempt.why = describe_difference(message, asked)
+        elif call is not None:
+            attempt.why = describe_difference(message, call)
         elif attempt.cls not in self.tasks:
             attempt.why = "X-Trace-Id is that of no client's request, and X-Qos names no class"
         self.ledger.attempts.append(attempt)
@@ -228,8 +228,8 @@
         path, trace = message.first.split()[1], message.headers.get("x-trace-id", "")
         if path == HEALTH and self.build.probing:
             if self.up:
-                ill = self.draining and not self.build.drains_healthy
-                connection.write(status(503) if ill else ok())
+                unhealthy = self.draining and not self.build.drains_healthy
+                connection.write(status(503) if unhealthy else ok())
                 connection.answered()
             return
         if not trace or not path.startswith("/api"):
@@ -297,11 +297,11 @@
             await asyncio.sleep(self.build.handshake_ms / 1000)
         await turn
         self.queued_turns.pop(connection, None)
-        room = self.admission
+        admission = self.admission
         try:
             body = await self._answer_body(message, attempt, task, rng)
         finally:
-            following = room.leave()
+            following = admission.leave()
             if isinstance(following, asyncio.Future) and not following.done():
                 following.set_result(None)
         if body is None:
@@ -360,9 +360,9 @@
         header = message.headers.get("x-expires-in-ms", "")
         if header.isascii() and header.isdigit():
             return float(header) - (self.clock() - message.last_byte)
-        asked = self.ledger.asked_for.get(attempt.trace)
-        if asked is not None and asked.sent is not None:
-            return asked.sent + asked.patience - self.clock()
+        call = self.ledger.asked_for.get(attempt.trace)
+        if call is not None and call.sent is not None:
+            return call.sent + call.patience - self.clock()
         return task.deadline - (self.clock() - message.last_byte)
 
     # Answers
@@ -371,7 +371,7 @@
         self, connection: ServerConnection, attempt: Attempt, outcome: Told, data: bytes
     ) -> None:
         if self.attempts.pop(connection, None) is None:
-            return  # the sidecar has gone
+            return  # the sidecar has closed the connection
         attempt.told, attempt.told_at = outcome, self.clock()
         if outcome is Told.RESET:
             connection.reset()
@@ -391,7 +391,7 @@
             while connection.unsent > WRITE_SIZE:
                 await asyncio.sleep(WRITE_RETRY_DELAY)
             if self.attempts.get(connection) is not attempt:
-                return  # the sidecar has gone
+                return  # the sidecar has closed the connection
             connection.write(data[at : at + WRITE_SIZE])
             if pace:
                 await asyncio.sleep(WRITE_SIZE / pace)
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -141,7 +141,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.parser = None  # the reference cycle would keep both alive until the garbage collector runs
+        self.parser = None  # breaks a reference cycle, which would keep both alive until a garbage collection
         self.site.lost(self)
 
     # Callbacks of httptools
@@ -218,9 +218,9 @@
 class Listener:
     """A listening socket that can be closed, reopened, and made unresponsive like a vanished machine."""
 
-    def __init__(self, address: Address, make: Callable[[], asyncio.BaseProtocol]) -> None:
+    def __init__(self, address: Address, protocol_factory: Callable[[], asyncio.BaseProtocol]) -> None:
         self.address = address
-        self.protocol_factory = make
+        self.protocol_factory = protocol_factory
         self.socket: socket.socket | None = None
         self.fillers: list[socket.socket] = []
         self.accepting: set[asyncio.Task[object]] = set()
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -390,8 +390,8 @@
         writer.write(b"GET /v1/endpoints HTTP/1.1\r\nHost: c\r\n\r\n")
         whole = json.loads((await read_message(reader)).body)
         assert whole["snapshot"] and whole["index"] == second["index"]
-        told = [(w.endpoint, w.status) for w in server.ledger.words]
-        assert told == [("a", "in_service"), ("a", "terminating"), ("a", "terminating"), ("a", "terminating")]
+        sent = [(w.endpoint, w.status) for w in server.ledger.words]
+        assert sent == [("a", "in_service"), ("a", "terminating"), ("a", "terminating"), ("a", "terminating")]
         assert [(c.endpoint, c.status) for c in server.ledger.changes] == [
             ("a", "in_service"),
             ("a", "terminating"),
