--- a/millgw/standins/deduplication.py
+++ b/millgw/standins/deduplication.py
@@ -7,25 +7,25 @@
 
 
 class Group:
-    """Endpoints that drop each other's repeats: the keys they have begun, and what came of them."""
+    """Endpoints that share idempotency keys: the keys that any of them has started, with the results."""
 
     def __init__(self) -> None:
-        self.runs: dict[str, Run] = {}
+        self.runs: dict[str, KeyedRun] = {}
 
-    def begin(self, key: str, now: float, window: float, trace: str) -> tuple[Run, bool]:
-        """The run of a key; tells also whether it is a repeat of one that is remembered."""
+    def begin(self, key: str, now: float, window: float, trace: str) -> tuple[KeyedRun, bool]:
+        """Return the run of a key, and whether the request repeats one that is still remembered."""
         known = self.runs.get(key)
-        if known is not None and now < known.until:
+        if known is not None and now < known.remembered_until:
             return known, True
-        self.runs[key] = run = Run(trace, now + window)
+        self.runs[key] = run = KeyedRun(trace, now + window)
         return run, False
 
 
 @dataclass(eq=False)
-class Run:
-    """One run of a keyed request. `body` is None where it came to no answer."""
+class KeyedRun:
+    """One execution of a keyed request. `body` is None if it produced no answer."""
 
     trace: str
-    until: float
+    remembered_until: float
     ended: asyncio.Event = field(default_factory=asyncio.Event)
     body: bytes | None = None
--- a/millgw/standins/network.py
+++ b/millgw/standins/network.py
@@ -1,6 +1,6 @@
-"""A datagram network in virtual time, from a seed: delay, loss, groups that can't reach each other, pauses.
+"""Seeded simulation of a datagram network in virtual time: delay, loss, partitions, paused nodes.
 
-Runs machines that take the time and messages and give messages back, by the thousand in one process.
+Runs thousands of state machines in one process, which map the time and messages to messages to send.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Network(Generic[M]):
-    """`delay` is ms, least and most; `loss` the share of datagrams that never come; `size` weighs one."""
+    """`delay` is a range in ms, `loss` the share of lost datagrams; `size` gives a message's bytes."""
 
     def __init__(
         self,
@@ -43,22 +43,22 @@
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.numbers = itertools.count()
         self.paused: dict[str, list[tuple[str, M]]] = {}
-        self.ticks: dict[str, int] = {}  # the number of each node's next tick: others have been overtaken
+        self.ticks: dict[str, int] = {}  # number of each node's next tick; older scheduled ticks are void
         self.groups: list[set[str]] = []
         self.datagrams = 0
         self.bytes = 0
 
     def add(self, node: Node[M], at: float = 0.0) -> None:
-        """A node begins to run; its first tick is then."""
+        """Add a node, with its first tick at the time `at` (ms)."""
         self.nodes[node.name] = node
-        self._later(node, at)
+        self._schedule_tick(node, at)
 
     def kill(self, name: str) -> None:
         self.nodes.pop(name, None)
         self.paused.pop(name, None)
 
     def pause(self, name: str) -> None:
-        """It does nothing; what comes for it waits."""
+        """Pause a node; datagrams for it are kept until `go_on`."""
         self.paused[name] = []
 
     def go_on(self, name: str) -> None:
@@ -68,32 +68,32 @@
         self._tick(node)
 
     def split(self, *groups: Sequence[str]) -> None:
-        """Only those of one group reach each other; none: all do."""
+        """Partition the network: only nodes of the same group reach each other. No groups: all do."""
         self.groups = [set(group) for group in groups]
 
-    def at(self, at: float, do: Callable[[], None]) -> None:
+    def call_at(self, at: float, do: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (max(at, self.now), next(self.numbers), do))
 
     def run(self, until: float) -> None:
-        """Let time pass until then."""
+        """Process all events until the time `until` (ms)."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, do = heapq.heappop(self.queue)
             do()
         self.now = until
 
-    def _later(self, node: Node[M], at: float) -> None:
+    def _schedule_tick(self, node: Node[M], at: float) -> None:
         number = self.ticks[node.name] = next(self.numbers)
 
         def tick() -> None:
             if self.ticks[node.name] == number and self.nodes.get(node.name) is node:
                 self._tick(node)
 
-        self.at(at, tick)
+        self.call_at(at, tick)
 
     def _tick(self, node: Node[M]) -> None:
         if node.name not in self.paused:
             self._send(node.name, node.tick(self.now))
-            self._later(node, node.due())
+            self._schedule_tick(node, node.due())
 
     def _send(self, sender: str, messages: list[tuple[str, M]]) -> None:
         for name, message in messages:
@@ -101,9 +101,9 @@
             self.bytes += self.size(message)
             apart = any((sender in group) != (name in group) for group in self.groups)
             if not apart and self.rng.random() >= self.loss:
-                self._post(sender, name, message)
+                self._deliver(sender, name, message)
 
-    def _post(self, sender: str, name: str, message: M) -> None:
+    def _deliver(self, sender: str, name: str, message: M) -> None:
         def arrive() -> None:
             node = self.nodes.get(name)
             if node is None:
@@ -113,4 +113,4 @@
             else:
                 self._send(name, node.receive(self.now, sender, message))
 
-        self.at(self.now + self.rng.uniform(*self.delay), arrive)
+        self.call_at(self.now + self.rng.uniform(*self.delay), arrive)
