--- a/millgw/rehearsal/audit/__init__.py
+++ b/millgw/rehearsal/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The auditor: judges a day's ledger by the four rules. Pure."""
+"""Audits the ledger of a day against the four rules. No I/O."""
--- a/millgw/rehearsal/audit/answers.py
+++ b/millgw/rehearsal/audit/answers.py
@@ -1,34 +1,36 @@
-"""Rule 1: each request that is taken gets exactly one final answer, in time.
+"""Rule 1: each accepted request gets exactly one final answer, before its deadline.
 
-What lateness of the rig can fake, of each kind of breach:
+False breaches that a delayed rig (the process that runs stand-ins and callers) could report, by kind:
 
-- "answered late", "no answer in the caller's time": nothing. A request is written past the loop, the kernel
-  tells when its answer came, and what waits to be read is read before a call counts as lost. Of a body that
-  is written at a pace the loop writes the last piece, so that the rig's lag is taken off. For how long the
-  rig held the sidecar up past the caller's time is taken off an answer's lateness: it can't answer then.
+- "answered late", "no answer in the caller's time": none. A request is written without waiting for the event
+  loop, the answer's time is the kernel's receive timestamp, and pending input is read before a call counts as
+  lost. The last piece of a body that is written at a limited rate is written by the loop, so the rig's lag is
+  subtracted there. While the rig holds the sidecar stopped past the deadline it can't answer, so that time is
+  subtracted from the answer's lateness.
 - "sent on after its caller had left", "sent after its final answer": the first byte of an attempt that is
-  read late may be booked as late as its last one, so the lag is taken off. The caller's end and the answer
-  are the kernel's times.
-- "its connection ended with no whole answer", "taken, then its connection closed": nothing. The kernel is
-  asked for an end before a request is written and after; what an end was there for goes once more.
-- "more than one answer", "a 200 that no endpoint made", an exit code: nothing, no time is in them.
+  read late may be recorded as late as its last byte, so the lag is subtracted. The times at which the caller
+  left and at which the answer came are the kernel's.
+- "its connection ended with no whole answer", "taken, then its connection closed": none. The kernel is
+  asked whether the connection has ended before a request is written and after it; a request whose connection
+  had ended is sent once more.
+- "more than one answer", "a 200 that no endpoint made", an exit code: none, as they depend on no time.
 """
 
 from __future__ import annotations
 
 import math
 
-from millgw.rehearsal.audit.day_records import SOCKET_MARGIN, DayRecords
+from millgw.rehearsal.audit.day_records import SOCKET_MARGIN_MS, DayRecords
 from millgw.rehearsal.audit.findings import Evidence, Finding
 from millgw.standins.ledger import Attempt, Call, End, SentAway
 
-CROSSING = 100.0  # ms after a request's writing by which a close that crossed it has come
-LEFT_MARGIN = 100.0  # ms after a caller left while its request waited, in which that may still be sent
-KILL_SOON = 700.0  # ms after SIGTERM within which a SIGKILL excuses what was open
+MAX_CROSSED_CLOSE_MS = 100.0  # within which a close that crossed a request arrives after its writing
+CANCEL_MARGIN_MS = 100.0  # after a caller left, in which its queued request may still be sent on
+MAX_TERM_TO_KILL_MS = 700.0  # a SIGKILL so soon after SIGTERM excuses the requests in flight
 
 
 def audit_answers(records: DayRecords) -> Finding:
-    """Each request taken gets exactly one final answer, in time, an endpoint's own; nothing follows."""
+    """Audit that each accepted request gets one final answer in time, made by an endpoint, and none after."""
     finding = Finding(1, "no request is lost")
     for life in records.ledger.sidecars:
         if life.ended is not None and life.kill is None and (life.term is None or life.code):
@@ -38,41 +40,41 @@
     for call in records.ledger.calls:
         if call.sent is not None and call.end is not End.NOT_TAKEN:
             finding.checked += 1
-            _answer(records, finding, call, call.sent)
+            _audit_call(records, finding, call, call.sent)
     for away in records.ledger.sent_away:
-        _sent_away(records, finding, away)
+        _audit_client_drain(records, finding, away)
     return finding
 
 
-def _sent_away(records: DayRecords, finding: Finding, away: SentAway) -> None:
-    """A sidecar that was told to send its clients away has done so in time."""
+def _audit_client_drain(records: DayRecords, finding: Finding, away: SentAway) -> None:
+    """Audit that a sidecar that was ordered to drain its clients has done so in time."""
     if away.judged is None:
-        return  # the day ended before
+        return  # the day ended before the limit
     finding.checked += 1
-    over = away.judged
-    if away.no_at is None or away.no_at > over:
+    judged_at = away.judged
+    if away.no_at is None or away.no_at > judged_at:
         what = "still says yes though it was to send clients away (ms)"
-        said = (away.no_at or over) - away.at
-        late = Evidence(what, over, sidecar=away.sidecar, figure=said, bound=over - away.at)
-        records.add_timed(finding, late, SOCKET_MARGIN, away.at, away.sidecar)
+        took = (away.no_at or judged_at) - away.at
+        evidence = Evidence(what, judged_at, sidecar=away.sidecar, figure=took, bound=judged_at - away.at)
+        records.add_timed(finding, evidence, SOCKET_MARGIN_MS, away.at, away.sidecar)
     for count, what in (
         (away.idle, "still holds idle connections of clients that it was to send away"),
         (away.lately, "still takes requests of clients that it was to send away"),
     ):
         if count:
-            late = Evidence(what, over, sidecar=away.sidecar, figure=count, bound=0.0)
-            records.add_timed(finding, late, SOCKET_MARGIN, away.at, away.sidecar)
+            evidence = Evidence(what, judged_at, sidecar=away.sidecar, figure=count, bound=0.0)
+            records.add_timed(finding, evidence, SOCKET_MARGIN_MS, away.at, away.sidecar)
 
 
-def _answer(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
+def _audit_call(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
     if call.end is End.CROSSED:
-        _crossed(records, finding, call, sent)
+        _audit_crossed(records, finding, call, sent)
     elif call.end in (End.BROKEN, End.LOST):
-        _not_answered(records, finding, call, sent)
+        _audit_unanswered(records, finding, call, sent)
     elif call.end is End.LEFT and call.closed is not None:
-        _left(records, finding, call, call.closed)
+        _audit_abandoned(records, finding, call, call.closed)
     else:
-        _answered(records, finding, call, sent)
+        _audit_answered(records, finding, call, sent)
 
 
 def _evidence(
@@ -81,11 +83,11 @@
     return Evidence(what, at, call.trace, "", call.sidecar, figure, bound)
 
 
-def _crossed(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
-    """A close that crossed the request is the caller's to mend, unless the sidecar had read it."""
-    if _killed(records, call, sent):
+def _audit_crossed(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
+    """A close that crossed the request is for the caller to retry, unless the sidecar had read it."""
+    if _sidecar_was_killed(records, call, sent):
         return
-    resent = _resent(records, call)
+    resent = _resent_at(records, call)
     before = [attempt for attempt in records.attempts.get(call.trace, ()) if attempt.first <= resent]
     if before:
         what = "taken, then its connection closed with no answer"
@@ -93,43 +95,43 @@
     elif call.closed is not None:
         what = "its connection closed with no answer (ms)"
         late = _evidence(call, what, call.closed, call.closed - sent, 0.0)
-        excess = call.closed - sent - CROSSING
+        excess = call.closed - sent - MAX_CROSSED_CLOSE_MS
         if excess > 0:
             records.add_timed(finding, late, excess, sent, call.sidecar)
 
 
-def _not_answered(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
-    """The connection ended, or nothing came in the caller's time."""
-    if _killed(records, call, sent):
+def _audit_unanswered(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
+    """Audit a call whose connection ended, or that got no answer before its deadline."""
+    if _sidecar_was_killed(records, call, sent):
         return
     if call.end is End.LOST:
         lost = _evidence(call, "no answer in the caller's time", sent + call.patience)
-        records.add_timed(finding, lost, SOCKET_MARGIN, sent, call.sidecar, kernel_timed=not call.pace)
-    elif not _broken_off(records, call):
+        records.add_timed(finding, lost, SOCKET_MARGIN_MS, sent, call.sidecar, kernel_timed=not call.pace)
+    elif not _endpoint_ended_midway(records, call):
         finding.add(_evidence(call, "its connection ended with no whole answer", sent))
 
 
-def _left(records: DayRecords, finding: Finding, call: Call, left: float) -> None:
-    """Nothing is sent on for a caller that has left."""
+def _audit_abandoned(records: DayRecords, finding: Finding, call: Call, left: float) -> None:
+    """Audit that nothing is sent on for a caller that has left."""
     for attempt in records.attempts.get(call.trace, ()):
-        for_nobody = Evidence(
+        evidence = Evidence(
             "sent on after its caller had left (ms)", attempt.first, call.trace, attempt.endpoint,
-            call.sidecar, attempt.first - left, LEFT_MARGIN,
+            call.sidecar, attempt.first - left, CANCEL_MARGIN_MS,
         )  # fmt: skip
-        excess = attempt.first - left - LEFT_MARGIN
+        excess = attempt.first - left - CANCEL_MARGIN_MS
         if excess > 0:
-            records.add_timed(finding, for_nobody, excess, left, call.sidecar)
+            records.add_timed(finding, evidence, excess, left, call.sidecar)
 
 
-def _answered(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
-    """One answer, in time, that an endpoint made; nothing is sent after it."""
+def _audit_answered(records: DayRecords, finding: Finding, call: Call, sent: float) -> None:
+    """Audit for one answer, in time and made by an endpoint, with no attempt after it."""
     if call.extra:
         finding.add(_evidence(call, "more than one answer", call.answered or sent, 1 + call.extra, 1))
     if call.answered is None:
         return
     deadline = sent + call.patience
     paused = records.paused_across(deadline, call.answered, call.sidecar)
-    excess = call.answered - deadline - paused - SOCKET_MARGIN
+    excess = call.answered - deadline - paused - SOCKET_MARGIN_MS
     if excess > 0:
         late = _evidence(call, "answered late (ms)", call.answered, call.answered - sent, call.patience)
         records.add_timed(finding, late, excess, sent, call.sidecar, kernel_timed=not call.pace)
@@ -137,11 +139,13 @@
     if call.status == 200 and call.token not in {attempt.token for attempt in attempts if attempt.token}:
         finding.add(_evidence(call, "a 200 that no endpoint made for this request", call.answered))
     for attempt in attempts:
-        _sent_after(records, finding, call, attempt, call.answered)
+        _audit_attempt_after_answer(records, finding, call, attempt, call.answered)
 
 
-def _sent_after(records: DayRecords, finding: Finding, call: Call, attempt: Attempt, answered: float) -> None:
-    excess = attempt.first - answered - SOCKET_MARGIN
+def _audit_attempt_after_answer(
+    records: DayRecords, finding: Finding, call: Call, attempt: Attempt, answered: float
+) -> None:
+    excess = attempt.first - answered - SOCKET_MARGIN_MS
     if excess > 0:
         sent_after = Evidence(
             "sent after its final answer (ms)", attempt.first, call.trace, attempt.endpoint,
@@ -150,15 +154,16 @@
         records.add_timed(finding, sent_after, excess, answered, call.sidecar)
 
 
-def _broken_off(records: DayRecords, call: Call) -> bool:
-    """Whether an answer that had begun to come ended before its end because its endpoint did.
+def _endpoint_ended_midway(records: DayRecords, call: Call) -> bool:
+    """Whether an answer was truncated because its endpoint ended while sending it.
 
-    It has failed and is not lost (protocol page, Figures), however little of it had come by then. Only an
-    endpoint that had made an answer can have begun one: one that ended before that breaks off nothing.
+    Such a request has failed and is not lost (protocol page, Figures), however few bytes of the answer had
+    arrived. Only an endpoint that had produced an answer can have begun to send one: an endpoint that ended
+    before that truncates nothing.
     """
     closed = call.closed or math.inf
     return call.begun is not None and any(
-        attempt.first <= life.until <= closed + SOCKET_MARGIN
+        attempt.first <= life.until <= closed + SOCKET_MARGIN_MS
         for attempt in records.attempts.get(call.trace, ())
         if attempt.token
         for life in records.lives.get(attempt.endpoint, ())
@@ -166,8 +171,8 @@
     )
 
 
-def _resent(records: DayRecords, call: Call) -> float:
-    """When a call that was crossed was written again, or the end of its patience."""
+def _resent_at(records: DayRecords, call: Call) -> float:
+    """When a call that crossed a close was sent again, or its deadline."""
     later = [
         c.sent
         for c in records.calls.get(call.trace, ())
@@ -176,13 +181,13 @@
     return min(later, default=(call.sent or 0) + call.patience)
 
 
-def _killed(records: DayRecords, call: Call, sent: float) -> bool:
-    """Whether the rig killed the sidecar while it held the call: it is the client's to retry then."""
+def _sidecar_was_killed(records: DayRecords, call: Call, sent: float) -> bool:
+    """Whether the rig killed the sidecar while it held the call: the client has to retry then."""
     for life in records.sidecars.get(call.sidecar, ()):
-        if life.kill is None or not life.start <= sent <= life.kill + SOCKET_MARGIN:
+        if life.kill is None or not life.start <= sent <= life.kill + SOCKET_MARGIN_MS:
             continue
-        if life.kill > sent + call.patience + SOCKET_MARGIN:
+        if life.kill > sent + call.patience + SOCKET_MARGIN_MS:
             continue
-        if life.term is None or life.kill < life.term + KILL_SOON:
+        if life.term is None or life.kill < life.term + MAX_TERM_TO_KILL_MS:
             return True
     return False
--- a/millgw/rehearsal/audit/auditor.py
+++ b/millgw/rehearsal/audit/auditor.py
@@ -1,9 +1,9 @@
-"""The auditor of the four rules: ledgers in, a verdict for each rule with evidence out. Pure.
+"""Audits a day's ledger: a verdict with evidence for each of the four rules. No I/O.
 
-Days with a distributed configuration have a fifth finding beside them.
+Days with a distributed configuration have a fifth finding.
 
-It believes only what stand-ins saw. A rule that a day never put to the test is `not exercised`, not held.
-Where the rig's own lateness could explain a breach of a time limit, it is counted as excused, not as broken.
+Only what stand-ins observed counts. A rule that a day never tested is `not exercised`, not held. A breach of
+a time limit that the rig's own delays could explain counts as excused, not as broken.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from millgw.rehearsal.audit.rules import AuditRules
 from millgw.standins.ledger import End, Ledger, Told
 
-LEAST_SERVED = 0.02  # of the requests, below which a day puts nothing to the test
+MIN_SERVED_SHARE = 0.02  # of the requests; a day that serves less tests no rule
 
 
 def audit(ledger: Ledger, rules: AuditRules) -> Audit:
-    """The verdict on one day."""
+    """Audit one day."""
     records = DayRecords(ledger, rules)
     findings: tuple[Finding, ...] = (
         audit_answers(records),
@@ -34,28 +34,28 @@
     )
     if rules.distributed:
         findings += (audit_configuration(records),)
-    return Audit(findings, records.lateness.measure(), _why_unserved(records))
+    return Audit(findings, records.lateness.measure(), _unserved_reason(records))
 
 
-def _why_unserved(records: DayRecords) -> str:
-    """Why next to nothing was served; empty where enough was, or nothing was asked.
+def _unserved_reason(records: DayRecords) -> str:
+    """Why almost nothing was served; empty if enough was served or there were no requests.
 
-    Otherwise a day reads as held because nothing ever came to an endpoint.
+    Without it a day on which no request reaches an endpoint would be reported as held.
     """
     firsts = {c.root for c in records.ledger.calls if c.stage == 0}
     served = {c.root for c in records.ledger.calls if c.stage == 0 and c.status == 200}
-    if not firsts or len(served) >= LEAST_SERVED * len(firsts):
+    if not firsts or len(served) >= MIN_SERVED_SHARE * len(firsts):
         return ""
-    told = f"{len(served)} of {len(firsts)} requests were served"
-    whys = Counter(a.why for a in records.ledger.attempts if a.told is Told.UNUSABLE)
-    if whys:
-        why, count = whys.most_common(1)[0]
-        return f"{told}: endpoints answered {whys.total()} attempts with 400, {count} as {why}"
+    served_text = f"{len(served)} of {len(firsts)} requests were served"
+    causes = Counter(a.why for a in records.ledger.attempts if a.told is Told.UNUSABLE)
+    if causes:
+        cause, count = causes.most_common(1)[0]
+        return f"{served_text}: endpoints answered {causes.total()} attempts with 400, {count} as {cause}"
     ends = Counter(
         f"{c.status}" if c.end is End.ANSWERED else c.end.value if c.end is not None else "no end"
         for c in records.ledger.calls
         if c.stage == 0 and c.status != 200
     )
-    came = len(records.ledger.attempts)
+    attempts = len(records.ledger.attempts)
     most = ", ".join(f"{n} x {what}" for what, n in ends.most_common(3))
-    return f"{told}: callers got {most}; {came} attempts came to endpoints"
+    return f"{served_text}: callers got {most}; {attempts} attempts came to endpoints"
--- a/millgw/rehearsal/audit/cold_endpoints.py
+++ b/millgw/rehearsal/audit/cold_endpoints.py
@@ -1,8 +1,8 @@
-"""Rule 4: all sidecars together stay within what a cold endpoint can take.
+"""Rule 4: all sidecars together stay within the capacity of a cold endpoint.
 
-What lateness of the rig can fake: nothing for as long as requests are booked by their arrival in the
-kernel. A rig so late that a connection's next bytes come before it read the last ones books both at the
-later time; a day on which it lags so much is inconclusive, but a fall that was seen is said to be one.
+A delayed rig reports no false breach as long as requests are recorded at their arrival in the kernel. If it
+is so late that a connection's next bytes arrive before it has read the previous ones, it records both at the
+later time. A day with so much lag is inconclusive, but an overload that was observed is still reported.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 def audit_cold_endpoints(records: DayRecords) -> Finding:
-    """All sidecars together stay within what a cold endpoint stands, in every window.
+    """Audit that all sidecars together stay within a cold endpoint's capacity in every window.
 
-    Also those that nobody told of its start, which the operators' term leaves out.
+    This includes sidecars that were not notified of its start, which the operators' rule exempts.
     """
     finding = Finding(4, "a cold endpoint is not pushed over")
     sent: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
@@ -27,7 +27,7 @@
             sent[attempt.endpoint, attempt.life].append(attempt)
     for life in records.ledger.lives:
         window: deque[tuple[float, float]] = deque()
-        total, cold = 0.0, 0
+        total, attempts_while_cold = 0.0, 0
         until = (
             life.start + life.cold_ms if life.until is None else min(life.start + life.cold_ms, life.until)
         )
@@ -35,7 +35,7 @@
             at = attempt.last or 0.0
             if at >= until and life.fell is None:
                 break
-            cold += 1
+            attempts_while_cold += 1
             window.append((at, attempt.work))
             total += attempt.work
             while window[0][0] <= at - records.rules.fall_window:
@@ -49,5 +49,5 @@
                 what = "work sent to a cold endpoint within a window (core-ms)"
                 finding.add(Evidence(what, at, attempt.trace, life.endpoint, "", total, bound))
                 break
-        finding.checked += cold > 0
+        finding.checked += attempts_while_cold > 0
     return finding
--- a/millgw/rehearsal/audit/configuration_versions.py
+++ b/millgw/rehearsal/audit/configuration_versions.py
@@ -1,11 +1,12 @@
-"""The finding on distributed configuration: committed versions are in force everywhere, and none goes back.
+"""Audits distributed configuration: committed versions are in force everywhere, and none is rolled back.
 
-What is in force is what a sidecar's door tells at each look, held against the other sidecars' digests of the
-same version, against the proposals that were answered, and against what control was told.
+The version in force is the one that a sidecar's control endpoint reports at each look (a poll by the rig). It
+is compared with the other sidecars' digests of the same version, with the proposals that were answered, and
+with what was reported to the control instances.
 
-What lateness of the rig can fake: how late a version or a refusal came, as both are seen by looks of its
-loop; the lag is taken off. A state that is over between two looks is not seen at all. Order, contents and
-who refuses carry no time.
+A delayed rig can make a version or a refusal appear later than it was, since its loop does the polling; the
+lag is subtracted. A state that ends between two looks is not seen at all. The order and content of versions
+and which sidecars refuse them don't depend on time.
 """
 
 from __future__ import annotations
@@ -15,35 +16,35 @@
 from dataclasses import dataclass
 
 from millgw.rehearsal.audit.control_history import ControlHistory
-from millgw.rehearsal.audit.day_records import SOCKET_MARGIN, DayRecords
+from millgw.rehearsal.audit.day_records import SOCKET_MARGIN_MS, DayRecords
 from millgw.rehearsal.audit.findings import Evidence, Finding
 from millgw.standins.configuration_ledger import VersionLook
 from millgw.standins.ledger import SidecarLife
 
-NUMBER = 5
+RULE_NUMBER = 5
 TITLE = "committed versions are in force"
 IN_FORCE_WITHIN = 5000.0  # ms from a commit, while a majority of the control instances runs
-LOOK_MARGIN = 300.0  # ms between two looks at a sidecar, and a little
-READY_WITHIN = 10_000.0  # ms in which a sidecar is ready that is started while control is away
-KEPT_WITHIN = 1000.0  # ms in which a version in force is on a sidecar's disk
+LOOK_MARGIN_MS = 300.0  # the interval between two looks at a sidecar, plus a margin
+READY_WITHIN = 10_000.0  # ms until a sidecar is ready that starts while no control instance runs
+KEPT_WITHIN = 1000.0  # ms within which a version in force is stored on a sidecar's disk
 
 
 @dataclass(slots=True)
 class ProcessLooks:
-    """One process of a sidecar (1, 2, ...), until it was told to end or followed, and the looks at it."""
+    """One process of a sidecar (1, 2, ...) and the looks at it, until it was ended or replaced."""
 
     life: SidecarLife
     number: int
     until: float
     looks: list[VersionLook]
 
-    def reached(self, index: int) -> VersionLook | None:
+    def first_look_at(self, index: int) -> VersionLook | None:
         """The first look at which a version, or a newer one, was in force or refused."""
         return next((look for look in self.looks if max(look.index, look.refused) >= index), None)
 
 
 def processes(records: DayRecords) -> Iterator[ProcessLooks]:
-    """All processes of all sidecars, each sidecar's in the order of their starts."""
+    """All processes of all sidecars, those of each sidecar in order of their start."""
     looks: dict[tuple[str, int], list[VersionLook]] = {}
     for look in sorted(records.ledger.version_looks, key=lambda look: look.answered):
         looks.setdefault((look.sidecar, look.process), []).append(look)
@@ -57,21 +58,23 @@
 
 
 def audit_configuration(records: DayRecords) -> Finding:
-    """Whether versions spread in time, never went back, and were refused in order."""
-    finding = Finding(NUMBER, TITLE)
+    """Audit that versions spread in time, are never rolled back, and are refused only where expected."""
+    finding = Finding(RULE_NUMBER, TITLE)
     history = ControlHistory(records.ledger.control)
     found = list(processes(records))
     for process in found:
-        _spread(records, finding, history, process)
-        _refusals(records, finding, history, process)
-        _start_without_control(records, finding, history, process)
-    _order(finding, found)
-    _digests(finding, found)
+        _audit_propagation(records, finding, history, process)
+        _audit_refusals(records, finding, history, process)
+        _audit_start_without_control(records, finding, history, process)
+    _audit_order(finding, found)
+    _audit_digests(finding, found)
     return finding
 
 
-def _spread(records: DayRecords, finding: Finding, history: ControlHistory, process: ProcessLooks) -> None:
-    """Each version that was answered as committed is in force, or refused, in time."""
+def _audit_propagation(
+    records: DayRecords, finding: Finding, history: ControlHistory, process: ProcessLooks
+) -> None:
+    """Audit that each committed version is in force, or refused, in time."""
     if process.life.ready is None:
         return
     for version in records.ledger.proposed:
@@ -79,12 +82,14 @@
             continue
         since = max(version.answered, process.life.ready)
         deadline = history.deadline(since, IN_FORCE_WITHIN)
-        look = process.reached(version.index)
-        if deadline is None or (look is None and deadline + LOOK_MARGIN + SOCKET_MARGIN > process.until):
+        look = process.first_look_at(version.index)
+        if deadline is None or (
+            look is None and deadline + LOOK_MARGIN_MS + SOCKET_MARGIN_MS > process.until
+        ):
             continue
         finding.checked += 1
         at = process.until if look is None else look.answered
-        excess = at - deadline - LOOK_MARGIN - SOCKET_MARGIN
+        excess = at - deadline - LOOK_MARGIN_MS - SOCKET_MARGIN_MS
         if excess > 0:
             what = "a committed version never came" if look is None else "a committed version came late"
             begun = deadline - IN_FORCE_WITHIN
@@ -94,8 +99,10 @@
             records.add_timed(finding, evidence, excess, begun, process.life.name)
 
 
-def _refusals(records: DayRecords, finding: Finding, history: ControlHistory, process: ProcessLooks) -> None:
-    """Who refuses is one that must, the former version goes on there, and control is told of it."""
+def _audit_refusals(
+    records: DayRecords, finding: Finding, history: ControlHistory, process: ProcessLooks
+) -> None:
+    """Audit that only sidecars that must refuse do, keep the former version, and report the refusal."""
     name = process.life.name
     seen: set[int] = set()
     for look in process.looks:
@@ -109,19 +116,19 @@
             finding.add(Evidence(what, look.answered, version, "", name))
         if look.index >= look.refused:
             finding.add(Evidence("a refused version is in force", look.answered, version, "", name))
-        _told(records, finding, history, process, look)
+        _audit_refusal_report(records, finding, history, process, look)
 
 
-def _told(
+def _audit_refusal_report(
     records: DayRecords,
     finding: Finding,
     history: ControlHistory,
     process: ProcessLooks,
     look: VersionLook,
 ) -> None:
-    """Control knows of a refusal, or of what came after it, in time."""
+    """Audit that the control instances learn of a refusal, or of a later version, in time."""
     deadline = history.deadline(look.answered, IN_FORCE_WITHIN)
-    if deadline is None or deadline + LOOK_MARGIN + SOCKET_MARGIN > process.until:
+    if deadline is None or deadline + LOOK_MARGIN_MS + SOCKET_MARGIN_MS > process.until:
         return
     reports = (
         report.at
@@ -129,7 +136,7 @@
         if report.sidecar == look.sidecar and max(report.applied, report.refused) >= look.refused
     )
     at = min(reports, default=process.until)
-    excess = at - deadline - LOOK_MARGIN - SOCKET_MARGIN
+    excess = at - deadline - LOOK_MARGIN_MS - SOCKET_MARGIN_MS
     if excess > 0:
         begun = deadline - IN_FORCE_WITHIN
         what = "control was not told of a refusal in time"
@@ -139,10 +146,10 @@
         records.add_timed(finding, evidence, excess, begun, look.sidecar)
 
 
-def _start_without_control(
+def _audit_start_without_control(
     records: DayRecords, finding: Finding, history: ControlHistory, process: ProcessLooks
 ) -> None:
-    """A sidecar that is started while no instance runs is ready all the same."""
+    """Audit that a sidecar that starts while no control instance runs still becomes ready."""
     life = process.life
     if not history.away(life.start):
         return
@@ -157,8 +164,8 @@
         records.add_timed(finding, evidence, excess, life.start, life.name)
 
 
-def _order(finding: Finding, found: Sequence[ProcessLooks]) -> None:
-    """No version goes back: within a process at all, and in a new one behind what must have been on disk."""
+def _audit_order(finding: Finding, found: Sequence[ProcessLooks]) -> None:
+    """Audit that no process rolls a version back, nor starts with one older than must be on disk."""
     kept: dict[str, int] = {}
     for process in found:
         name, newest = process.life.name, kept.get(process.life.name, 0)
@@ -173,15 +180,15 @@
         kept[name] = max([kept.get(name, 0), *on_disk])
 
 
-def _digests(finding: Finding, found: Sequence[ProcessLooks]) -> None:
-    """A version is the same everywhere."""
+def _audit_digests(finding: Finding, found: Sequence[ProcessLooks]) -> None:
+    """Audit that a version has the same content at all sidecars."""
     digests: dict[int, str] = {}
-    told: set[tuple[str, int]] = set()
+    reported: set[tuple[str, int]] = set()
     for process in found:
         for look in process.looks:
             differs = digests.setdefault(look.index, look.digest) != look.digest
-            if differs and (look.sidecar, look.index) not in told:
-                told.add((look.sidecar, look.index))
+            if differs and (look.sidecar, look.index) not in reported:
+                reported.add((look.sidecar, look.index))
                 what = "a version has another content than elsewhere"
                 version = f"version {look.index}"
                 finding.add(Evidence(what, look.answered, version, "", look.sidecar))
@@ -189,7 +196,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Distribution:
-    """What became of the versions proposed. `delays` (ms): from each commit to the last sidecar's look."""
+    """How versions spread. `delays` (ms): from each commit until it was seen at the last sidecar."""
 
     proposed: int
     committed: int
@@ -197,14 +204,14 @@
 
 
 def distribution(records: DayRecords) -> Distribution:
-    """The figures of a day. A version counts for the sidecars that were ready at its commit and saw it."""
+    """Compute a day's figures. A delay covers the sidecars that were ready at the commit and got it."""
     committed = [version for version in records.ledger.proposed if version.index is not None]
     found = list(processes(records))
     delays: list[float] = []
     for version in committed:
         assert version.index is not None
         reached = (
-            process.reached(version.index)
+            process.first_look_at(version.index)
             for process in found
             if process.life.ready is not None and process.life.ready <= version.answered <= process.until
         )
--- a/millgw/rehearsal/audit/control_history.py
+++ b/millgw/rehearsal/audit/control_history.py
@@ -1,4 +1,4 @@
-"""When a majority of control instances ran, and when none did. Pure."""
+"""When a majority of the control instances ran, and when none did. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ControlHistory:
-    """How many control instances ran at each moment of a day; one runs from its first answer to its end."""
+    """How many control instances ran at each moment; one runs from its first answer until it is killed."""
 
     def __init__(self, lives: Sequence[ControlLife]) -> None:
         self.majority = len({life.instance for life in lives}) // 2 + 1
@@ -20,7 +20,7 @@
                 if life.kill is not None:
                     steps.append((life.kill, -1))
         steps.sort()
-        self.spans: list[tuple[float, float, int]] = []  # from, until, how many run
+        self.spans: list[tuple[float, float, int]] = []  # from (ms), until (ms), how many run
         running = 0
         for position, (at, step) in enumerate(steps):
             running += step
@@ -28,7 +28,7 @@
             self.spans.append((at, until, running))
 
     def deadline(self, since: float, within: float) -> float | None:
-        """The end of the first time of so many ms after `since` in which a majority ran all along, if any."""
+        """The end of the first `within` ms after `since` during which a majority ran throughout, if any."""
         begun: float | None = None
         for start, until, running in self.spans:
             if running < self.majority:
--- a/millgw/rehearsal/audit/drains.py
+++ b/millgw/rehearsal/audit/drains.py
@@ -1,10 +1,10 @@
-"""Rule 3: an endpoint of whose drain or end a sidecar was notified gets nothing new from it.
+"""Rule 3: a sidecar sends nothing new to an endpoint after being told of its drain or end.
 
-What lateness of the rig can fake: the discovery server that the rig plays is as late as its loop, and each
-step of a call there (accept, read, queue, write) waits for another turn. A change that was never written
-counts as told only as long as discovery could be reached, so all of the loop's lag meanwhile is taken off.
-When a line was written, and when a request came, are the kernel's times; the longest lag is taken off all
-the same, for a first byte that is booked as late as its request's last one.
+What a delayed rig can distort: the discovery server runs in the rig's event loop and is as late as the loop,
+and each step of a call there (accept, read, queue, write) waits for another iteration. A change that was
+never written counts as told only while discovery could be reached, so all of the loop's lag meanwhile is
+subtracted. The times at which a line was written and at which a request arrived are the kernel's; the longest
+lag is subtracted all the same, since a first byte may be recorded as late as its request's last byte.
 """
 
 from __future__ import annotations
@@ -14,40 +14,40 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from millgw.rehearsal.audit.day_records import SOCKET_MARGIN, DayRecords
+from millgw.rehearsal.audit.day_records import SOCKET_MARGIN_MS, DayRecords
 from millgw.rehearsal.audit.findings import Evidence, Finding
 from millgw.standins.ledger import Attempt, Call, Change
 
 
 @dataclass(slots=True, frozen=True)
 class Ban:
-    """From when until when (ms) a sidecar may not send to an endpoint.
+    """The time (ms) in which a sidecar may not send to an endpoint.
 
-    `unwritten`: its end was never written to the sidecar, and counts as told all the same.
+    `inferred`: the endpoint's end was never written to the sidecar, but the sidecar should have asked for it.
     """
 
-    told: float
+    since: float
     until: float
-    unwritten: bool
+    inferred: bool
 
 
 def audit_drains(records: DayRecords) -> Finding:
-    """Nothing new goes to an endpoint past the grace after its sidecar was told of its end."""
+    """Audit that no sidecar sends to an endpoint once its drain grace is over."""
     finding = Finding(3, "drains are kept")
     bans = _bans(records)
     finding.checked = sum(len(spans) for spans in bans.values())
     for trace, attempts in records.attempts.items():
         for attempt in attempts:
-            call = _sender(records, trace, attempt.first)
+            call = _sending_call(records, trace, attempt.first)
             for ban in bans.get((call.sidecar, attempt.endpoint), ()) if call else ():
                 if call is not None:
-                    _judge(records, finding, ban, attempt, call.sidecar)
+                    _audit_attempt(records, finding, ban, attempt, call.sidecar)
     return finding
 
 
-def _judge(records: DayRecords, finding: Finding, ban: Ban, attempt: Attempt, sidecar: str) -> None:
-    bound = records.rules.drain_grace + SOCKET_MARGIN
-    after = attempt.first - ban.told
+def _audit_attempt(records: DayRecords, finding: Finding, ban: Ban, attempt: Attempt, sidecar: str) -> None:
+    bound = records.rules.drain_grace + SOCKET_MARGIN_MS
+    after = attempt.first - ban.since
     if after <= bound or attempt.first >= ban.until:
         return
     what = "sent to an endpoint after word of its drain or end (ms)"
@@ -55,36 +55,36 @@
         what, attempt.first, attempt.trace, attempt.endpoint, sidecar, after, records.rules.drain_grace
     )
     unreachable = 0.0
-    if ban.unwritten:
-        unreachable = records.lateness.total_lag(ban.told - records.rules.ask_within, attempt.first)
+    if ban.inferred:
+        unreachable = records.lateness.total_lag(ban.since - records.rules.ask_within, attempt.first)
     if after - bound <= unreachable:
         finding.excused += 1
     else:
-        records.add_timed(finding, late, after - bound, ban.told, sidecar)
+        records.add_timed(finding, late, after - bound, ban.since, sidecar)
 
 
-def _sender(records: DayRecords, trace: str, at: float) -> Call | None:
-    """The call whose sidecar made an attempt: the last one written before it."""
-    calls = [c for c in records.calls.get(trace, ()) if _began(c) <= at + SOCKET_MARGIN]
+def _sending_call(records: DayRecords, trace: str, at: float) -> Call | None:
+    """The call whose sidecar made an attempt: the last one sent before it."""
+    calls = [c for c in records.calls.get(trace, ()) if _first_byte_at(c) <= at + SOCKET_MARGIN_MS]
     return calls[-1] if calls else None
 
 
 def _bans(records: DayRecords) -> dict[tuple[str, str], list[Ban]]:
-    """For each sidecar and endpoint: when it was told of an end, until when it was told of a start."""
+    """For each sidecar and endpoint: the times from a reported drain or end until a reported start."""
     words: dict[tuple[str, str], list[tuple[float, bool, bool]]] = defaultdict(list)
     for word in records.ledger.words:
         words[word.sidecar, word.endpoint].append((word.at, word.status != "in_service", False))
-    for sidecar, endpoint, at in list(_unheard(records, words)):
+    for sidecar, endpoint, at in list(_unwritten_changes(records, words)):
         words[sidecar, endpoint].append((at, True, True))
     bans: dict[tuple[str, str], list[Ban]] = defaultdict(list)
     for key, told in words.items():
-        # A process that has just started was told the list as it is, and nothing of what was before it;
-        # one beside another is one sidecar with it, and bound by what that was told.
+        # A new process gets the current list and nothing of what was reported before its start. A process
+        # that takes over from a running one is the same sidecar, and bound by what that one was told.
         told += [(life.start, False, False) for life in records.sidecars.get(key[0], ()) if not life.beside]
         since: tuple[float, bool] | None = None
-        for at, ends, unwritten in sorted(told):
+        for at, ends, inferred in sorted(told):
             if ends and since is None:
-                since = (at, unwritten)
+                since = (at, inferred)
             elif not ends and since is not None:
                 bans[key].append(Ban(since[0], at, since[1]))
                 since = None
@@ -93,49 +93,49 @@
     return bans
 
 
-def _unheard(
+def _unwritten_changes(
     records: DayRecords, words: Mapping[tuple[str, str], Sequence[tuple[float, bool, bool]]]
 ) -> Iterator[tuple[str, str, float]]:
-    """Changes that were not written to a sidecar by the time at which they count as told all the same.
+    """Changes that count as told to a sidecar although they were not written to it by the time limit.
 
-    `words` are those that were, by sidecar and endpoint, their times first.
-    A call that was refused, turned away or never answered in between delays that by nothing.
+    `words` are the changes that were written, by sidecar and endpoint, each starting with its time.
+    A discovery call that was refused, rejected or never answered in between does not extend the limit.
     """
     asked = {(record.sidecar, record.tier) for record in records.ledger.asked}
     tiers = {life.endpoint: life.tier for life in records.ledger.lives}
     for change in records.ledger.changes:
         if change.status == "in_service":
             continue
-        since = _told_from(records, change.at)
+        since = _reachable_from(records, change.at)
         due = since + records.rules.ask_within
-        if _followed_by_a_start(records, change, due):
+        if _back_in_service(records, change, due):
             continue
         for name, lives in records.sidecars.items():
             tier = tiers.get(change.endpoint, 0)
             if lives[0].stage + 1 != tier and (name, tier) not in asked:
-                continue  # its list never named it
+                continue  # its list never held this endpoint
             alive = any(life.start <= since and (life.ended is None or life.ended >= due) for life in lives)
             if alive and not any(change.at <= at <= due for at, *_ in words.get((name, change.endpoint), ())):
                 yield name, change.endpoint, due
 
 
-def _followed_by_a_start(records: DayRecords, change: Change, by: float) -> bool:
-    """Whether the endpoint is in service again by then."""
+def _back_in_service(records: DayRecords, change: Change, by: float) -> bool:
+    """Whether the endpoint is in service again at `by`."""
     return any(
         later.endpoint == change.endpoint and later.status == "in_service" and change.at <= later.at <= by
         for later in records.ledger.changes
     )
 
 
-def _told_from(records: DayRecords, at: float) -> float:
-    """From when discovery could tell of a change and be asked, for as long as a sidecar may wait."""
+def _reachable_from(records: DayRecords, at: float) -> float:
+    """The first time after a change from which discovery stays reachable for `ask_within` ms."""
     for outage in sorted(records.ledger.outages, key=lambda o: o.at):
         if outage.at <= at + records.rules.ask_within and (outage.until is None or outage.until > at):
             at = float("inf") if outage.until is None else outage.until
     return at
 
 
-def _began(call: Call) -> float:
-    """When its first byte was written, if it ever was."""
+def _first_byte_at(call: Call) -> float:
+    """When the first byte of a call was written; infinity if none was."""
     began = call.sent if call.began is None else call.began
     return math.inf if began is None else began
--- a/millgw/rehearsal/audit/findings.py
+++ b/millgw/rehearsal/audit/findings.py
@@ -1,4 +1,4 @@
-"""What an audit comes to: a verdict on each rule, with the evidence of breaches."""
+"""The result of an audit: a verdict on each rule, with evidence of breaches."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from millgw.rehearsal.audit.lateness import Self
+from millgw.rehearsal.audit.lateness import RigMeasurements
 
-MOST_EVIDENCE = 50  # pieces kept for each rule; all are counted
+MAX_EVIDENCE_PER_RULE = 50  # further breaches are only counted
 
 
 class Verdict(Enum):
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Evidence:
-    """One breach: what, whose, when (ms of the day), the figure and its bound."""
+    """One breach: what, when (ms of the day), of which request, endpoint and sidecar, figure and bound."""
 
     what: str
     at: float
@@ -39,9 +39,10 @@
 
 @dataclass(slots=True)
 class Finding:
-    """The verdict on one rule. `checked` counts what it was judged by; `excused` what lateness explains.
+    """The verdict on one rule. `checked` counts the cases that were checked, `excused` the breaches that the
+    rig's delays can explain.
 
-    `nearest` is how much of a rule's bound was used up at the most, of 1, where it has one.
+    `nearest` is the largest share of the rule's bound that was used, for a rule that has one.
     """
 
     rule: int
@@ -63,19 +64,19 @@
     def add(self, evidence: Evidence) -> None:
         self.broken += 1
         self.kinds[evidence.what] += 1
-        if len(self.evidence) < MOST_EVIDENCE:
+        if len(self.evidence) < MAX_EVIDENCE_PER_RULE:
             self.evidence.append(evidence)
 
 
 @dataclass(slots=True, frozen=True)
 class Audit:
-    """All findings, and what the rig says of itself.
+    """All findings, and the rig's measurements of itself.
 
-    `unserved` tells why next to nothing was served, where that is so: such a day put no rule to the test.
+    `unserved` says why almost nothing was served, if that is so: such a day tested no rule.
     """
 
     findings: tuple[Finding, ...]
-    rig: Self
+    rig: RigMeasurements
     unserved: str = ""
 
     @property
@@ -84,12 +85,12 @@
 
     @property
     def inconclusive(self) -> bool:
-        """No rule is seen broken, but the rig was too late, or too little served, to say that they held."""
+        """No breach was seen, but the rig was too late, or too little was served, to call the rules held."""
         return not self.broken and (bool(self.reasons) or any(f.excused for f in self.findings))
 
     @property
     def reasons(self) -> tuple[str, ...]:
-        """Why the day can't be judged; empty where it can."""
+        """Why the day can't be judged; empty if it can."""
         return (*self.rig.reasons, self.unserved) if self.unserved else self.rig.reasons
 
     @property
--- a/millgw/rehearsal/audit/lateness.py
+++ b/millgw/rehearsal/audit/lateness.py
@@ -1,7 +1,7 @@
-"""How late the rig itself was, and what that excuses. Pure.
+"""How late the rig itself was, and which breaches that can explain. No I/O.
 
-A rig that is late sees answers late, and a sidecar that got no core is late through no fault of its own. Both
-are measured all along; what such lateness explains is never held against a sidecar.
+A late rig sees answers late, and a sidecar that waited for a CPU core is late through no fault of its own.
+Both are measured throughout the day, and a breach that they can explain does not count against a sidecar.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 from millgw.standins.ledger import Sample
 
-LAG_BOUND = 100.0  # ms that the rig's loop may lag, for all but LATE_SHARE of the samples
-ARRIVAL_BOUND = 100.0  # ms that an arrival may be sent late, for all but LATE_SHARE of them
-STARVED_BOUND = 0.25  # of its time that a sidecar may wait for a core, on average over all
+LAG_BOUND = 100.0  # ms that the rig's loop may lag, in all but LATE_SHARE of the samples
+MAX_ARRIVAL_DELAY_MS = 100.0  # how late an arrival may be sent, in all but LATE_SHARE of them
+MAX_CORE_WAIT_SHARE = 0.25  # that sidecars may wait for a core, on average over all
 LATE_SHARE = 0.01
-BEFORE = 1000.0  # ms before a moment in which lateness may have caused what is seen then
-AFTER = 300.0  # ms after it: a sample tells of the time since the one before
+WINDOW_BEFORE_MS = 1000.0  # delays so long before an observation may have caused it
+WINDOW_AFTER_MS = 300.0  # and after it: a sample covers the time since the previous one
 
 
 @dataclass(slots=True, frozen=True)
-class Self:
-    """The rig's measure of itself: lags and arrivals sent late in ms, shares of time."""
+class RigMeasurements:
+    """The rig's delays: lag of its loop and lateness of arrivals in ms, core use as shares."""
 
     lag_p99: float
     lag_most: float
@@ -30,11 +30,11 @@
     arrival_most: float
     busy: float  # share of all cores in use, on average
     starved: float  # share of their time that sidecars waited for a core
-    reasons: tuple[str, ...]  # why the day can't be judged; empty where it can
+    reasons: tuple[str, ...]  # why the day can't be judged; empty if it can
 
 
 def quantile(values: Sequence[float], q: float) -> float:
-    """The value that `q` of the values don't exceed; 0 for none."""
+    """The value that a share `q` of the values don't exceed; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -42,35 +42,35 @@
 
 
 class Lateness:
-    """All that was measured on the rig, and what it explains."""
+    """The measured delays of the rig, and how much of an observation they can explain."""
 
     def __init__(self, samples: Sequence[Sample], late: Sequence[tuple[float, float]]) -> None:
         self.samples = sorted(samples, key=lambda s: s.at)
         self.times = [s.at for s in self.samples]
-        self.late = [ms for _, ms in late]
+        self.arrival_delays = [ms for _, ms in late]
 
-    def around(self, start: float, end: float, sidecar: str = "") -> float:
-        """How late (ms) the rig, or a sidecar's lack of a core, may have made what lies in between."""
-        lag = max((sample.lag for sample in self._within(start, end)), default=0.0)
-        return lag + self.starved(start, end, sidecar)
+    def possible_delay(self, start: float, end: float, sidecar: str = "") -> float:
+        """By how many ms the rig's lag and a sidecar's wait for a core may have delayed it in this time."""
+        lag = max((sample.lag for sample in self._samples_around(start, end)), default=0.0)
+        return lag + self.core_wait(start, end, sidecar)
 
     def total_lag(self, start: float, end: float) -> float:
-        """For how long in between (ms) the rig's loop was late; lags within the bound are none."""
-        return sum(sample.lag for sample in self._within(start, end) if sample.lag > LAG_BOUND)
+        """For how many ms of this time the rig's loop lagged; lags within the bound don't count."""
+        return sum(sample.lag for sample in self._samples_around(start, end) if sample.lag > LAG_BOUND)
 
-    def starved(self, start: float, end: float, sidecar: str) -> float:
-        """How long (ms) a sidecar waited for a core around what lies in between."""
-        return sum(sample.starved.get(sidecar, 0.0) for sample in self._within(start, end))
+    def core_wait(self, start: float, end: float, sidecar: str) -> float:
+        """How many ms a sidecar waited for a core around this time."""
+        return sum(sample.starved.get(sidecar, 0.0) for sample in self._samples_around(start, end))
 
-    def _within(self, start: float, end: float) -> list[Sample]:
-        first = bisect.bisect_left(self.times, start - BEFORE)
-        last = bisect.bisect_right(self.times, end + AFTER)
-        # What a sidecar waited is measured now and then: the first measure after the end tells of it too.
+    def _samples_around(self, start: float, end: float) -> list[Sample]:
+        first = bisect.bisect_left(self.times, start - WINDOW_BEFORE_MS)
+        last = bisect.bisect_right(self.times, end + WINDOW_AFTER_MS)
+        # Core waits are in some samples only: the first such sample after the end covers this time too.
         while 0 < last < len(self.samples) and not self.samples[last - 1].starved:
             last += 1
         return self.samples[first:last]
 
-    def measure(self) -> Self:
+    def measure(self) -> RigMeasurements:
         lags = [s.lag for s in self.samples]
         span = self.times[-1] - self.times[0] if len(self.times) > 1 else 0.0
         waits: dict[str, float] = {}
@@ -79,17 +79,25 @@
                 waits[name] = waits.get(name, 0.0) + ms
         starved = sum(waits.values()) / (len(waits) * span) if waits and span > 0 else 0.0
         busy = sum(s.busy for s in self.samples) / len(self.samples) if self.samples else 0.0
-        lag, arrival = quantile(lags, 1 - LATE_SHARE), quantile(self.late, 1 - LATE_SHARE)
+        lag, arrival = quantile(lags, 1 - LATE_SHARE), quantile(self.arrival_delays, 1 - LATE_SHARE)
         reasons = []
         if lag > LAG_BOUND:
             reasons.append(f"the rig's loop lagged {lag:.0f} ms (p99; bound {LAG_BOUND:.0f})")
-        if arrival > ARRIVAL_BOUND:
-            reasons.append(f"arrivals were sent {arrival:.0f} ms late (p99; bound {ARRIVAL_BOUND:.0f})")
-        if starved > STARVED_BOUND:
+        if arrival > MAX_ARRIVAL_DELAY_MS:
             reasons.append(
-                f"sidecars waited for a core {starved:.0%} of the time (bound {STARVED_BOUND:.0%}):"
+                f"arrivals were sent {arrival:.0f} ms late (p99; bound {MAX_ARRIVAL_DELAY_MS:.0f})"
+            )
+        if starved > MAX_CORE_WAIT_SHARE:
+            reasons.append(
+                f"sidecars waited for a core {starved:.0%} of the time (bound {MAX_CORE_WAIT_SHARE:.0%}):"
                 " cores are short"
             )
-        return Self(
-            lag, max(lags, default=0.0), arrival, max(self.late, default=0.0), busy, starved, tuple(reasons)
+        return RigMeasurements(
+            lag,
+            max(lags, default=0.0),
+            arrival,
+            max(self.arrival_delays, default=0.0),
+            busy,
+            starved,
+            tuple(reasons),
         )
--- a/millgw/rehearsal/audit/rules.py
+++ b/millgw/rehearsal/audit/rules.py
@@ -1,4 +1,4 @@
-"""The figures of the four rules, which a day is judged by."""
+"""The limits of the four rules that a day is audited by."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from millgw.rehearsal.scenario import Scenario, refusing_sidecars
 from millgw.standins.capacity import mean_work
 
-TOLD_WITHIN = 6000.0  # ms after which a change counts as told at the latest, whatever the settings
+MAX_NOTIFICATION_DELAY_MS = 6000.0  # a change counts as told by then, whatever the settings
 
 
 class Repeats(Enum):
-    """How far a class may be repeated, in the operators' words."""
+    """How far requests of a class may be repeated, by the operators' names."""
 
     RETRYABLE = "retryable"
     DEDUP = "dedup"
@@ -22,37 +22,40 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassRules:
-    """`window` (ms): how long a group knows a key again. `all_drop`: a whole tier is one group."""
+    """How a class may be repeated. `window` (ms): how long a group recognizes a repeated key.
+
+    `tier_is_one_group`: all endpoints of a tier drop each other's repeats.
+    """
 
     repeat: Repeats
     window: float = 0.0
-    all_drop: bool = False
+    tier_is_one_group: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class AuditRules:
-    """The rules' figures. Times are ms; `mean_work` is the mean core-ms of a request by tier."""
+    """The rules' limits. Times are in ms; `mean_work` is the mean core-ms of a request by tier."""
 
     classes: Mapping[str, ClassRules]
     drain_grace: float = 500.0
     fall_multiple: float = 2.5
     fall_window: float = 1000.0
-    ask_within: float = TOLD_WITHIN
-    most_attempts: int = 3
+    ask_within: float = MAX_NOTIFICATION_DELAY_MS
+    max_attempts: int = 3
     mean_work: Mapping[int, float] = field(default_factory=dict)
     distributed: bool = False  # whether sidecars follow a distributed configuration
     refusing: frozenset[str] = frozenset()  # sidecars that can't apply some of its versions
 
 
 def audit_rules(scenario: Scenario) -> AuditRules:
-    """The figures that a scenario sets."""
+    """The limits that a scenario sets."""
     return AuditRules(
         classes={c.name: ClassRules(Repeats(c.repeat), c.window_ms) for c in scenario.classes},
         drain_grace=scenario.rules.drain_grace_ms,
         fall_multiple=scenario.rules.fall_multiple,
         fall_window=scenario.rules.fall_ms,
-        ask_within=min(scenario.rules.ask_within_ms, TOLD_WITHIN),
-        most_attempts=scenario.limits.attempts,
+        ask_within=min(scenario.rules.ask_within_ms, MAX_NOTIFICATION_DELAY_MS),
+        max_attempts=scenario.limits.attempts,
         mean_work={
             tier: mean_work(
                 (scenario.request_share(cls, tier), cls.work_ms * part) for cls in scenario.classes
--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""The command `rehearse`: lists, plays and searches scenarios, and reports."""
+"""The command `rehearse`: lists and plays scenarios, searches for harmful ones, and reports."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
 from millgw.rehearsal.sidecars import DEFAULT_RUN, NotReady
 from millgw.rehearsal.soak import VERDICTS, Soak, SoakOutcome
-from millgw.rehearsal.soak_schedules import OUTAGE
+from millgw.rehearsal.soak_schedules import OUTAGE_LENGTH_S
 from millgw.rehearsal.testbed import Testbed
 
 
-class Telling(click.Group):
-    """Names bad input in one line, and tells a rig that failed from a rule that broke."""
+class RehearseGroup(click.Group):
+    """Reports bad input in one line, and gives a failure of the rig another exit code than a broken rule."""
 
     def invoke(self, ctx: click.Context) -> Any:
         try:
@@ -47,7 +47,7 @@
         except (ScenarioError, NotReady, OSError) as error:
             raise BadInput(str(error)) from None
         except ExceptionGroup as group:
-            first = _first(group)
+            first = _first_leaf(group)
             if not isinstance(first, ScenarioError | NotReady | OSError):
                 traceback.print_exception(first)
                 return FAULT
@@ -55,12 +55,12 @@
         except asyncio.CancelledError:
             print("millgw: interrupted; all that was started has ended", file=sys.stderr)
             return INTERRUPTED
-        except Exception:  # guards against a rig that fails and ends with the code of a broken rule
+        except Exception:  # otherwise a failure of the rig would exit with the code of a broken rule
             traceback.print_exc()
             return FAULT
 
 
-@click.group(cls=Telling)
+@click.group(cls=RehearseGroup)
 def rehearse() -> None:
     """Play failures on stand-ins and audit the four rules.
 
@@ -71,7 +71,7 @@
     """
 
 
-OPTIONS = (
+DAY_OPTIONS = (
     click.option("--seed", type=SEED, help="Of arrivals, fleet and targets (the scenario's own)."),
     click.option("--seconds", type=Duration(1e-3), help="The day's length; faults keep their places in it."),
     click.option("--sidecars", type=COUNT, help="All of them, with those that belong to endpoints."),
@@ -82,14 +82,14 @@
     click.option("--html", metavar="FILE", help="One self-contained page."),
     click.option("--logs", metavar="DIR", type=DIRECTORY, help="Keep the sidecars' logs."),
 )
-RUN = click.option("--run", metavar="CMD", help="How a sidecar is started (this project's daemon).")
-INTO = click.option(
+RUN_OPTION = click.option("--run", metavar="CMD", help="How a sidecar is started (this project's daemon).")
+OUT_OPTION = click.option(
     "--out", "into", default="found", show_default=True, metavar="DIR", type=DIRECTORY, help="For files."
 )
 
 
-def _days(command: Callable[..., int]) -> Callable[..., int]:
-    for option in reversed((*OPTIONS, RUN)):
+def _with_day_options(command: Callable[..., int]) -> Callable[..., int]:
+    for option in reversed((*DAY_OPTIONS, RUN_OPTION)):
         command = option(command)
     return command
 
@@ -103,14 +103,14 @@
 
 @rehearse.command("run", cls=FileReporting, examples=["rehearse run calm --seconds 5"])
 @click.argument("scenarios", nargs=-1, required=True, type=SCENARIO, metavar="NAME-OR-FILE...")
-@_days
+@_with_day_options
 def run_(out: Out, scenarios: Sequence[str], **given: Any) -> int:
     """Play scenarios by name or file."""
     return _play(out, scenarios, SimpleNamespace(**given))
 
 
 @rehearse.command("all", cls=FileReporting, examples=["rehearse all --seconds 5 --json report.json"])
-@_days
+@_with_day_options
 def all_(out: Out, **given: Any) -> int:
     """Play all shipped scenarios."""
     return _play(out, list(shipped()), SimpleNamespace(**given))
@@ -121,9 +121,9 @@
 @click.option("--count", type=COUNT, default=20, show_default=True, help="Schedules.")
 @click.option("--jobs", type=COUNT, default=3, show_default=True, help="Days at once.")
 @click.option("--steps", type=COUNT, default=40, show_default=True, help="Tried to shrink one at the most.")
-@INTO
+@OUT_OPTION
 @click.option("--base", type=SCENARIO, help="The day to draw into (a small fleet).")
-@RUN
+@RUN_OPTION
 def search(out: Out, **given: Any) -> int:
     """Draw overlapping faults, play them, shrink what does harm."""
     return _search(out, SimpleNamespace(**given))
@@ -134,10 +134,14 @@
 @click.option("--seeds", type=COUNT, default=10, show_default=True, help="Days, one a seed.")
 @click.option("--jobs", type=COUNT, default=3, show_default=True, help="Days at once.")
 @click.option(
-    "--longest", type=Duration(1e-3), default=OUTAGE[1], show_default=True, help="Outage of discovery."
+    "--longest",
+    type=Duration(1e-3),
+    default=OUTAGE_LENGTH_S[1],
+    show_default=True,
+    help="Outage of discovery.",
 )
-@INTO
-@RUN
+@OUT_OPTION
+@RUN_OPTION
 def soak(out: Out, **given: Any) -> int:
     """Play long days of outages and drains, one a seed; keep what broke."""
     return _soak(out, SimpleNamespace(**given))
@@ -154,7 +158,7 @@
     return out.end(exit_code(days), to_json(days), show=lambda: show(days))
 
 
-def _first(error: BaseException) -> BaseException:
+def _first_leaf(error: BaseException) -> BaseException:
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
@@ -175,7 +179,7 @@
         days: list[Day] = []
         for name, scenario in todo:
             logs = Path(args.logs) / name if args.logs else None
-            work = _one(name, scenario, args.run or DEFAULT_RUN, logs)
+            work = _play_day(name, scenario, args.run or DEFAULT_RUN, logs)
             days.append(uvloop.run(cancel_on_signals(work)))
         if page_to is not None:
             page_to.write(page(days))
@@ -185,8 +189,8 @@
     return out.end(exit_code(days), to_json(days), show=lambda: show(days))
 
 
-async def _one(name: str, scenario: Scenario, run: str, logs: Path | None) -> Day:
-    """Play one day with its progress on standard error."""
+async def _play_day(name: str, scenario: Scenario, run: str, logs: Path | None) -> Day:
+    """Play one day and show its progress on standard error."""
     console = Console(stderr=True)
     columns = (
         TextColumn("{task.description}"),
@@ -214,8 +218,8 @@
     return judge(name, scenario, ledger, facts)
 
 
-def _say(what: str) -> None:
-    """Tell how far a long command is."""
+def _print_progress(what: str) -> None:
+    """Print the progress of a long command."""
     print(what, file=sys.stderr, flush=True)
 
 
@@ -223,16 +227,16 @@
     base = load(args.base)[1] if args.base else SMALL
 
     async def search() -> SearchOutcome:
-        fault_search = FaultSearch(base, args.run, args.jobs, Path(args.into), args.steps, _say)
+        fault_search = FaultSearch(base, args.run, args.jobs, Path(args.into), args.steps, _print_progress)
         return await cancel_on_signals(fault_search.search(args.seed, args.count))
 
     outcome = asyncio.run(search())
     if not outcome.played:
         raise NotReady(f"no schedule could be played: {outcome.unplayed[-1]}")
-    told = {
+    report = {
         name: getattr(outcome, name) for name in ("played", "plays", "inconclusive", "unplayed", "services")
     }
-    told |= {"kinds": dict(outcome.kinds), "found": [asdict(f) for f in outcome.found]}
+    report |= {"kinds": dict(outcome.kinds), "found": [asdict(f) for f in outcome.found]}
     low, mid = quantile(outcome.services, 0.0), quantile(outcome.services, 0.5)
     lines = [
         f"{outcome.played} schedules in {outcome.plays} plays: {len(outcome.found)} do harm,"
@@ -242,12 +246,12 @@
     for found in outcome.found:
         lines.append(f"  seed {found.seed}: {found.why}")
         lines.append(f"    {found.faults} faults are enough: {found.path}")
-    return out.end(NOT_HELD if outcome.found else HELD, told, lines)
+    return out.end(NOT_HELD if outcome.found else HELD, report, lines)
 
 
 def _soak(out: Out, args: SimpleNamespace) -> int:
     async def run() -> SoakOutcome:
-        played = Soak(args.run, args.jobs, args.longest, Path(args.into), _say)
+        played = Soak(args.run, args.jobs, args.longest, Path(args.into), _print_progress)
         return await cancel_on_signals(played.run(args.first, args.seeds))
 
     outcome = asyncio.run(run())
@@ -258,6 +262,6 @@
         low, mid = quantile(services, 0.0), quantile(services, 0.5)
         lines[0] += f"; service {mid:.3f} in the middle, {low:.3f} at the least"
     lines += [f"  seed {day.seed}: {day.first}: {day.kept}" for day in outcome.days if day.rules]
-    told = {"counts": counts, "days": [asdict(day) for day in outcome.days], "unplayed": outcome.unplayed}
+    report = {"counts": counts, "days": [asdict(day) for day in outcome.days], "unplayed": outcome.unplayed}
     code = NOT_HELD if counts["BROKEN"] else HELD if counts["held"] else INCONCLUSIVE
-    return out.end(code, told, lines)
+    return out.end(code, report, lines)
--- a/millgw/rehearsal/fault_plan.py
+++ b/millgw/rehearsal/fault_plan.py
@@ -1,4 +1,4 @@
-"""Which targets each fault hits and when: a scenario's faults drawn out from a seed. Pure."""
+"""Plans which targets each fault of a scenario hits and when, drawn from a seed. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlannedFault:
-    """One fault on one target, in ms of the day. `target` is empty for what hits the whole."""
+    """One fault on one target, in ms of the day. `target` is empty for a fault of the whole deployment."""
 
     kind: str
     at: float
@@ -38,9 +38,9 @@
     seed: int,
     zones: Mapping[str, str] = NO_ZONES,
 ) -> tuple[PlannedFault, ...]:
-    """All faults of a day, in time. `endpoints` are names with their tiers (1, 2, ...), `front` sidecars.
+    """All faults of a day in order of time. `endpoints` are names with their tiers (1, 2, ...).
 
-    `zones` are those of the endpoints, on a day that has some.
+    `front` are the front sidecars, `zones` the zones of the endpoints, on a day that has some.
 
     A fault hits at least one target and spares at least one, unless its share is 1.
     """
@@ -52,9 +52,9 @@
             tiers = sorted({tier for _, tier in endpoints if fault.tier in (0, tier)})
             hit = [(name, t) for name, t in endpoints if fault.zone in (None, zones.get(name))]
             for tier in tiers:
-                targets += _some(rng, [name for name, t in hit if t == tier], fault.share)
+                targets += _sample_targets(rng, [name for name, t in hit if t == tier], fault.share)
         elif fault.kind in ON_SIDECARS:
-            targets = _some(rng, list(front), fault.share)
+            targets = _sample_targets(rng, list(front), fault.share)
         else:
             targets = [fault.service or ""]
         for i, target in enumerate(targets):
@@ -65,7 +65,7 @@
     return tuple(sorted(planned, key=lambda fault: (fault.at, fault.number, fault.target)))
 
 
-def _some(rng: random.Random, names: list[str], share: float) -> list[str]:
+def _sample_targets(rng: random.Random, names: list[str], share: float) -> list[str]:
     count = round(share * len(names))
     if share < 1:
         count = min(count, len(names) - 1)
@@ -73,12 +73,12 @@
 
 
 def crowds(scenario: Scenario) -> tuple[Crowd, ...]:
-    """The flash crowds of all classes, which are the traffic's own."""
+    """The flash crowds of all classes together, which change the traffic itself."""
     return tuple(_crowd(f) for f in scenario.faults if f.kind == "crowd" and f.cls is None)
 
 
 def floods(scenario: Scenario) -> tuple[tuple[str, Crowd], ...]:
-    """The crowds of one class each, with its name."""
+    """The flash crowds of a single class, each with the class's name."""
     return tuple((f.cls, _crowd(f)) for f in scenario.faults if f.kind == "crowd" and f.cls is not None)
 
 
--- a/millgw/rehearsal/fault_schedules.py
+++ b/millgw/rehearsal/fault_schedules.py
@@ -1,4 +1,4 @@
-"""Random fault schedules, and the smallest part of one that still does harm. No I/O."""
+"""Draws random fault schedules, and shrinks one to the smallest that still does harm. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from millgw.rehearsal.scenario import Discovery, Fault, FaultKind, Fleet, Scenario, Traffic
 from millgw.rehearsal.scenario_checks import check
 
-KINDS: tuple[FaultKind, ...] = (
+DRAWN_KINDS: tuple[FaultKind, ...] = (
     "silence", "restart", "fast-failure", "slowdown", "resets", "spoilt", "drain", "replaced", "flapping",
     "discovery-outage", "discovery-restart", "sidecar-killed", "sidecar-restart", "crowd", "connections",
 )  # fmt: skip
@@ -23,9 +23,9 @@
     "crowd": (1.5, 3.0),
     "connections": (50, 400),
 }
-FEWEST, MOST = 3, 5  # faults of a drawn schedule
-LEAST_LENGTH = 0.5  # s to which a length is shrunk at the least
-LEAST_SECONDS = 2.0  # s of a day at the least
+FEWEST, MAX_FAULTS = 3, 5  # faults in a drawn schedule
+MIN_LENGTH_S = 0.5  # the shortest fault that shrinking tries
+MIN_DAY_S = 2.0  # the shortest day that shrinking tries
 
 SMALL = Scenario(
     about="",
@@ -36,16 +36,16 @@
     traffic=Traffic(rate=32.0),
     discovery=Discovery(notice_s=(0.2, 1.5), silent_s=(1.0, 3.0), add_s=(0.1, 0.6)),
 )
-"""The day that schedules are drawn into: a small fleet in two tiers, discovery not late for long."""
+"""The day that schedules are drawn into: a small fleet in two tiers, with short delays of discovery."""
 
 
 def draw(base: Scenario, seed: int) -> Scenario:
-    """The base day with three to five faults in an order of chance, all of them on at one moment."""
+    """The base day with three to five random faults that all overlap at one moment."""
     rng = random.Random(f"search {seed}")
     pivot = base.seconds * rng.uniform(0.3, 0.6)
     faults = []
-    for _ in range(rng.randint(FEWEST, MOST)):
-        kind = rng.choice(KINDS)
+    for _ in range(rng.randint(FEWEST, MAX_FAULTS)):
+        kind = rng.choice(DRAWN_KINDS)
         before, after = rng.uniform(0.05, 0.28) * base.seconds, rng.uniform(0.05, 0.3) * base.seconds
         start = max(0.2, pivot - before)
         low, high = SIZES.get(kind, (0.0, 0.0))
@@ -64,7 +64,7 @@
 
 
 def one_at_a_time(scenario: Scenario) -> Scenario:
-    """The same faults one after another, in a day that is longer by as much."""
+    """The same faults one after another, each in its own copy of the day's length."""
     part, at = scenario.seconds, 0.0
     faults = []
     for fault in scenario.faults:
@@ -75,21 +75,21 @@
 
 
 def simpler(scenario: Scenario) -> Iterator[Scenario]:
-    """Days that are a step simpler, the greatest steps first."""
+    """Scenarios that are one step simpler, the largest steps first."""
     faults = scenario.faults
     for i in range(len(faults)):
         yield replace(scenario, faults=faults[:i] + faults[i + 1 :])
     for i, fault in enumerate(faults):
-        if fault.length_s > 2 * LEAST_LENGTH:
-            yield _with(scenario, i, replace(fault, length_s=round(fault.length_s / 2, 2)))
+        if fault.length_s > 2 * MIN_LENGTH_S:
+            yield _with_fault(scenario, i, replace(fault, length_s=round(fault.length_s / 2, 2)))
         if fault.share > 0.1 and fault.share < 1:
-            yield _with(scenario, i, replace(fault, share=round(max(0.1, fault.share / 2), 2)))
+            yield _with_fault(scenario, i, replace(fault, share=round(max(0.1, fault.share / 2), 2)))
     end = max((f.until_s for f in faults), default=0.0) + 1.0
-    if LEAST_SECONDS <= end < scenario.seconds - 0.5:
+    if MIN_DAY_S <= end < scenario.seconds - 0.5:
         yield replace(scenario, seconds=round(end, 2))
 
 
-def _with(scenario: Scenario, at: int, fault: Fault) -> Scenario:
+def _with_fault(scenario: Scenario, at: int, fault: Fault) -> Scenario:
     faults = list(scenario.faults)
     faults[at] = fault
     return replace(scenario, faults=tuple(faults))
@@ -98,10 +98,11 @@
 async def shrink(
     scenario: Scenario, harms: Callable[[Scenario], Awaitable[bool]], most: int = 40, at_once: int = 1
 ) -> tuple[Scenario, int]:
-    """The least that still does harm, found by asking `harms` at most so often; and how often that was.
+    """The smallest scenario found that still does harm, and how many candidates were tried.
 
-    Each step is kept only where `harms` says so, so that the result harms like the first one did. Steps are
-    tried `at_once` together, and of those that harm the greatest is taken.
+    At most `most` candidates are tried. A step is kept only if `harms` confirms it, so that the result does
+    the same harm as the first scenario. `at_once` steps are tried together, and the largest of those that do
+    harm is kept.
     """
     asked, again = 0, True
     while again:
--- a/millgw/rehearsal/fault_search.py
+++ b/millgw/rehearsal/fault_search.py
@@ -1,4 +1,4 @@
-"""Plays drawn schedules in processes of their own, several at once, and shrinks those that do harm."""
+"""Plays drawn fault schedules in separate processes, several at once, and shrinks the harmful ones."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from millgw.rehearsal.scenario import Scenario
 from millgw.rehearsal.scenario_files import to_toml
 
-LOW_SERVICE = 0.75  # service of a day below which it is held against the same faults one at a time
-FAR_BELOW = 0.2  # of service that overlap alone must cost to be worth a file
-TRIES = 2  # plays of a schedule that must all do harm: harm by chance does not count
+LOW_SERVICE = 0.75  # below it a day is compared with the same faults one at a time
+MIN_OVERLAP_COST = 0.2  # loss of service by overlap alone from which a schedule is written
+CONFIRMING_PLAYS = 2  # plays that must all do harm: harm by chance does not count
 
 
 @dataclass(slots=True, frozen=True)
 class HarmfulSchedule:
-    """A schedule that does harm, as it was drawn and shrunk, and where the file stands."""
+    """A schedule that does harm: its seed, the harm, its file, its size once shrunk and the steps tried."""
 
     seed: int
     why: str
@@ -34,19 +34,19 @@
 
 @dataclass(slots=True)
 class SearchOutcome:
-    """A whole search."""
+    """The result of a whole search."""
 
     played: int = 0
     plays: int = 0
     inconclusive: int = 0
-    unplayed: list[str] = field(default_factory=list)  # why
+    unplayed: list[str] = field(default_factory=list)  # the reasons
     services: list[float] = field(default_factory=list)
     kinds: Counter[str] = field(default_factory=Counter)
     found: list[HarmfulSchedule] = field(default_factory=list)
 
 
 class FaultSearch:
-    """One search: `jobs` days at once, harmful schedules written to `out`."""
+    """A search that plays `jobs` days at once and writes harmful schedules to `out`."""
 
     def __init__(
         self, base: Scenario, run: str | None, jobs: int, out: Path, steps: int, say: Callable[[str], None]
@@ -60,15 +60,15 @@
         self.outcome = SearchOutcome()
 
     async def search(self, seed: int, count: int) -> SearchOutcome:
-        """Play `count` schedules drawn from the seeds that follow `seed`."""
+        """Play `count` schedules, drawn from `seed` and the seeds that follow it."""
         async with asyncio.TaskGroup() as group:
             for number in range(count):
-                group.create_task(self._one(seed + number))
+                group.create_task(self._search_seed(seed + number))
         self.outcome.found.sort(key=lambda f: f.seed)
         self.outcome.plays, self.outcome.unplayed = self.days.plays, self.days.unplayed
         return self.outcome
 
-    async def _one(self, seed: int) -> None:
+    async def _search_seed(self, seed: int) -> None:
         scenario = draw(self.base, seed)
         played = await self.days.play(scenario)
         if played is UNPLAYED:
@@ -84,10 +84,10 @@
             why = f"rule {rule} broke: {played.first}"
 
             async def harms(candidate: Scenario) -> bool:
-                return await self._always(candidate, lambda p: rule in p.broken)
+                return await self._every_play(candidate, lambda p: rule in p.broken)
         elif played.code == 0 and played.service < LOW_SERVICE:
             alone = (await self.days.play(one_at_a_time(scenario))).service
-            if alone - played.service < FAR_BELOW:
+            if alone - played.service < MIN_OVERLAP_COST:
                 return
             why = f"service {played.service:.3f}, where the same faults one at a time leave {alone:.3f}"
 
@@ -98,17 +98,19 @@
                     await self.days.play(candidate),
                     await self.days.play(one_at_a_time(candidate)),
                 )
-                return together.code == 0 and single.service - together.service >= FAR_BELOW
+                return together.code == 0 and single.service - together.service >= MIN_OVERLAP_COST
         else:
             return
         if not await harms(scenario):
-            self.say(f"{seed}: {why}; not again, so it is left")
+            self.say(f"{seed}: {why}; not reproduced, so it is dropped")
             return
         least, plays = await shrink(scenario, harms, self.steps, self.jobs)
         self._write(seed, why, scenario, least, plays)
 
-    async def _always(self, scenario: Scenario, holds: Callable[[PlayResult], bool]) -> bool:
-        return all(map(holds, await asyncio.gather(*(self.days.play(scenario) for _ in range(TRIES)))))
+    async def _every_play(self, scenario: Scenario, holds: Callable[[PlayResult], bool]) -> bool:
+        return all(
+            map(holds, await asyncio.gather(*(self.days.play(scenario) for _ in range(CONFIRMING_PLAYS))))
+        )
 
     def _write(self, seed: int, why: str, drawn: Scenario, least: Scenario, plays: int) -> None:
         self.out.mkdir(parents=True, exist_ok=True)
@@ -119,4 +121,4 @@
         )
         path.write_text(to_toml(replace(least, about=f"found by a search: {about}"), comment))
         self.outcome.found.append(HarmfulSchedule(seed, why, str(path), len(least.faults), plays))
-        self.say(f"{seed}: {why}; the least that does it is in {path}")
+        self.say(f"{seed}: {why}; the smallest schedule that does it is in {path}")
--- a/millgw/rehearsal/faults/__init__.py
+++ b/millgw/rehearsal/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults of a day, injected into its stand-ins and sidecars."""
+"""Injects the faults of a day into its stand-ins and sidecars."""
--- a/millgw/rehearsal/faults/control.py
+++ b/millgw/rehearsal/faults/control.py
@@ -1,4 +1,4 @@
-"""Faults of the control instances."""
+"""Injects faults into the control instances."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from millgw.rehearsal.control_instances import ControlInstances
 from millgw.rehearsal.fault_plan import PlannedFault
-from millgw.rehearsal.faults.targets import FaultTargets, Injection, rest
+from millgw.rehearsal.faults.targets import FaultTargets, Injection, wait_for_end
 
 
 class ControlFaults:
@@ -16,7 +16,7 @@
         self.targets = targets
 
     def injections(self) -> dict[str, Injection]:
-        """What injects each kind."""
+        """The injection of each kind of fault."""
         return {
             "control-instance-lost": self._control_instance_lost,
             "control-all-lost": self._control_all_lost,
@@ -24,20 +24,20 @@
 
     @property
     def _control(self) -> ControlInstances:
-        assert self.targets.control is not None  # the scenario's check
+        assert self.targets.control is not None  # checked when the scenario was loaded
         return self.targets.control
 
     async def _control_instance_lost(self, fault: PlannedFault) -> None:
-        """The leader is killed, and started again later on the store that it had."""
+        """Kill the leader, and start it again on its store when the fault is over."""
         leader = await self._control.leader()
-        if leader is None:  # there is none to lose: another fault took it, or an election is on
+        if leader is None:  # another fault killed it, or an election is running
             return
         await self._control.kill(leader)
-        await rest(fault)
+        await wait_for_end(fault)
         await self._control.start(leader)
 
     async def _control_all_lost(self, fault: PlannedFault) -> None:
-        """All instances are killed, and start again later on the stores that they had."""
+        """Kill all instances, and start them again on their stores when the fault is over."""
         killed = await self._control.kill_all()
-        await rest(fault)
+        await wait_for_end(fault)
         await asyncio.gather(*(self._control.start(name) for name in killed))
--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -1,4 +1,4 @@
-"""Faults of endpoints: machines that vanish, processes that end, networks that are cut, answers that fail."""
+"""Injects faults into endpoints: lost machines, ended processes, cut networks, failed answers."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from dataclasses import dataclass, replace
 
 from millgw.rehearsal.fault_plan import PlannedFault
-from millgw.rehearsal.faults.targets import FaultTargets, Injection, rest
+from millgw.rehearsal.faults.targets import FaultTargets, Injection, wait_for_end
 from millgw.standins.endpoint import Endpoint
 
-SEED_PREFIX = "blows"  # the former name: a scenario's seed gives the same replacements as before
-RETURN_AFTER_DRAIN = 1.0  # s from the end of a drained process to its next start
-FLAP = 1.0  # s between two words on a flapping endpoint
+SEED_PREFIX = "blows"  # kept from an earlier version: a scenario's seed must give the same names
+RESTART_AFTER_DRAIN_S = 1.0  # from the end of a drained process to its next start
+FLAP_INTERVAL_S = 1.0  # between two status changes of a flapping endpoint
 
 
 @dataclass(slots=True)
 class Degradation:
-    """The sizes of all faults of each kind that degrade an endpoint now."""
+    """The sizes of all faults of each kind that currently degrade an endpoint."""
 
     failing: list[float]
     resetting: list[float]
@@ -45,7 +45,7 @@
         self.degraded: dict[str, Degradation] = {}
 
     def injections(self) -> dict[str, Injection]:
-        """What injects each kind."""
+        """The injection of each kind of fault."""
         return {
             "silence": self._silence,
             "restart": self._restart,
@@ -53,57 +53,60 @@
             "replaced": self._replaced,
             "flapping": self._flapping,
             "middlebox": self._middlebox,
-            "parted": self._parted,
+            "parted": self._cut_network,
             **dict.fromkeys(DEGRADATION_FIELDS, self._degrade),
         }
 
-    async def _away(
-        self, fault: PlannedFault, go: Callable[[Endpoint], None], status: str, late: tuple[float, float]
+    async def _take_down(
+        self, fault: PlannedFault, action: Callable[[Endpoint], None], status: str, delay: tuple[float, float]
     ) -> Endpoint | None:
-        """Let an endpoint go, and rest; None if it was not up, or another fault hit it meanwhile."""
+        """Take an endpoint down with `action`, and wait until the fault is over.
+
+        Returns None if the endpoint was not up, or another fault restarted it meanwhile.
+        """
         endpoint = self.targets.endpoints[fault.target]
         if not endpoint.up:
             return None
         life = endpoint.lives
-        go(endpoint)
-        self.targets.notice(endpoint, status, late)
-        await rest(fault)
+        action(endpoint)
+        self.targets.notice(endpoint, status, delay)
+        await wait_for_end(fault)
         return endpoint if endpoint.lives == life else None
 
     async def _silence(self, fault: PlannedFault) -> None:
-        """A machine vanishes and comes back cold."""
-        endpoint = await self._away(fault, self.targets.vanish, "terminated", self.targets.delays.silent)
+        """A machine stops answering, and comes back cold."""
+        endpoint = await self._take_down(fault, self.targets.vanish, "terminated", self.targets.delays.silent)
         if endpoint is not None and endpoint.quiet:
             await self.targets.revive(endpoint)
 
     async def _restart(self, fault: PlannedFault) -> None:
-        """A process ends, and a cold one takes its place."""
-        endpoint = await self._away(fault, self.targets.end, "terminated", self.targets.delays.notice)
+        """A process ends, and a cold one replaces it."""
+        endpoint = await self._take_down(fault, self.targets.end, "terminated", self.targets.delays.notice)
         if endpoint is not None:
             await self.targets.revive(endpoint)
 
     async def _drain(self, fault: PlannedFault) -> None:
         """An endpoint drains, ends, and comes back as a cold process."""
-        endpoint = await self._away(fault, Endpoint.drain, "terminating", self.targets.delays.notice)
+        endpoint = await self._take_down(fault, Endpoint.drain, "terminating", self.targets.delays.notice)
         if endpoint is None or not endpoint.up:
             return
         life = endpoint.lives
         self.targets.end(endpoint)
         self.targets.notice(endpoint, "terminated", self.targets.delays.notice)
-        await asyncio.sleep(RETURN_AFTER_DRAIN)
+        await asyncio.sleep(RESTART_AFTER_DRAIN_S)
         if endpoint.lives == life:
             await self.targets.revive(endpoint)
 
     async def _replaced(self, fault: PlannedFault) -> None:
-        """A machine vanishes; another one starts cold, under a name of its own, at the same address."""
-        endpoint = await self._away(fault, self.targets.vanish, "terminated", self.targets.delays.silent)
+        """A machine stops answering; another one starts cold at the same address, with a name of its own."""
+        endpoint = await self._take_down(fault, self.targets.vanish, "terminated", self.targets.delays.silent)
         if endpoint is not None and endpoint.quiet:
             endpoint.stop()
             build = replace(endpoint.build, name=f"s-{self.rng.getrandbits(32):08x}")
             await self.targets.revive(self.targets.replace(endpoint, build))
 
     async def _flapping(self, fault: PlannedFault) -> None:
-        """Discovery takes an endpoint off the list and on again, over and over, while it serves on."""
+        """Discovery repeatedly removes an endpoint that keeps serving from its list, and adds it again."""
         endpoint = self.targets.endpoints[fault.target]
         life, listed = endpoint.lives, True
         end = self.loop.time() + (fault.until - fault.at) / 1000
@@ -113,39 +116,39 @@
             listed = not listed
             entry = self.targets.entry(endpoint, "in_service" if listed else "terminated")
             self.targets.discovery_server.list(entry)
-            await asyncio.sleep(FLAP)
+            await asyncio.sleep(FLAP_INTERVAL_S)
 
-    async def _parted(self, fault: PlannedFault) -> None:
-        """The network to an endpoint is cut for a while; nobody is told, and it goes on living."""
+    async def _cut_network(self, fault: PlannedFault) -> None:
+        """The network to an endpoint is cut for a while; it keeps running, and discovery reports nothing."""
         endpoint = self.targets.endpoints[fault.target]
         if not endpoint.up:
             return
         life = endpoint.lives
         endpoint.part()
-        await rest(fault)
+        await wait_for_end(fault)
         if endpoint.lives == life:
             endpoint.rejoin()
 
     async def _middlebox(self, fault: PlannedFault) -> None:
-        """A box on the way forgets connections idle for `size` s: what is written to them vanishes."""
+        """A middlebox drops the state of connections idle for `size` s: what is written to them is lost."""
         endpoint = self.targets.endpoints[fault.target]
         endpoint.forgets_after = fault.size * 1000
-        await rest(fault)
+        await wait_for_end(fault)
         endpoint.forgets_after = math.inf
 
     async def _degrade(self, fault: PlannedFault) -> None:
-        """Failures, resets and spoilt answers for a share of the requests; slowness. The worst counts."""
+        """Fail, reset or spoil a share of the requests, or slow them; the worst fault of a kind counts."""
         endpoint = self.targets.endpoints[fault.target]
         degradation = self.degraded.setdefault(fault.target, Degradation([], [], [], []))
         sizes: list[float] = getattr(degradation, DEGRADATION_FIELDS[fault.kind])
         sizes.append(fault.size)
-        self._apply(endpoint, degradation)
-        await rest(fault)
+        self._apply_degradation(endpoint, degradation)
+        await wait_for_end(fault)
         sizes.remove(fault.size)
-        self._apply(endpoint, degradation)
+        self._apply_degradation(endpoint, degradation)
 
     @staticmethod
-    def _apply(endpoint: Endpoint, degradation: Degradation) -> None:
+    def _apply_degradation(endpoint: Endpoint, degradation: Degradation) -> None:
         endpoint.ills.failing = max(degradation.failing, default=0.0)
         endpoint.ills.resetting = max(degradation.resetting, default=0.0)
         endpoint.ills.spoiling = max(degradation.spoiling, default=0.0)
--- a/millgw/rehearsal/faults/injector.py
+++ b/millgw/rehearsal/faults/injector.py
@@ -1,4 +1,4 @@
-"""Injects the planned faults into the stand-ins, and ends each when its time is over."""
+"""Injects the planned faults into the stand-ins, and ends each after its duration."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from millgw.rehearsal.faults.targets import FaultTargets, Injection
 from millgw.standins.ledger import InjectedFault
 
-KINDS = (EndpointFaults, DiscoveryFaults, CoordinatorFaults, ControlFaults, SidecarFaults)
+FAULT_GROUPS = (EndpointFaults, DiscoveryFaults, CoordinatorFaults, ControlFaults, SidecarFaults)
 
 
 class FaultInjector:
-    """The faults of one day as they happen."""
+    """Schedules and runs the faults of one day."""
 
     def __init__(self, targets: FaultTargets) -> None:
         self.targets = targets
@@ -24,25 +24,25 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.handles: list[asyncio.TimerHandle] = []
         self.injections: dict[str, Injection] = {}
-        for kind in KINDS:
+        for kind in FAULT_GROUPS:
             self.injections |= kind(targets).injections()
 
     def schedule(self, faults: tuple[PlannedFault, ...]) -> None:
-        """Inject each fault at its time, counted from now; the ledger gets one record for each number."""
+        """Inject each fault at its time, counted from now; record one entry per fault of the scenario."""
         by_number: dict[int, list[PlannedFault]] = {}
         zero = self.targets.clock()
         for fault in faults:
             by_number.setdefault(fault.number, []).append(fault)
             if fault.kind in self.injections:
                 self.handles.append(self.loop.call_later(fault.at / 1000, self._inject, fault))
-        for some in by_number.values():
+        for group in by_number.values():
             self.targets.ledger.injected.append(
                 InjectedFault(
-                    some[0].kind,
-                    zero + min(fault.at for fault in some),
-                    zero + max(fault.until for fault in some),
-                    tuple(fault.target for fault in some if fault.target),
-                    some[0].size,
+                    group[0].kind,
+                    zero + min(fault.at for fault in group),
+                    zero + max(fault.until for fault in group),
+                    tuple(fault.target for fault in group if fault.target),
+                    group[0].size,
                 )
             )
 
@@ -50,9 +50,9 @@
         self.targets.say(f"{fault.kind} {fault.target}".strip())
         task = self.loop.create_task(self.injections[fault.kind](fault))
         self.tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.targets.failed(error)
--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -1,4 +1,4 @@
-"""Faults of those who tell of endpoints: the discovery server and the coordinator."""
+"""Injects faults into the sources of endpoint lists: the discovery server and the coordinator."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from millgw.rehearsal.coordination import Coordination
 from millgw.rehearsal.fault_plan import PlannedFault
-from millgw.rehearsal.faults.targets import FaultTargets, Injection, rest
+from millgw.rehearsal.faults.targets import FaultTargets, Injection, wait_for_end
 
 
 class DiscoveryFaults:
@@ -17,23 +17,23 @@
         self.outages = 0
 
     def injections(self) -> dict[str, Injection]:
-        """What injects each kind."""
+        """The injection of each kind of fault."""
         return {
             "discovery-outage": self._outage,
             "discovery-restart": self._outage,
-            "watches-silent": self._mute,
+            "watches-silent": self._silence_watches,
         }
 
     async def _outage(self, fault: PlannedFault) -> None:
-        """It is down for a while; after a restart it has lost its history of changes."""
+        """The server is down for a while; after a restart it has lost its history of changes."""
         self.outages += 1
         self.targets.discovery_server.go_down(fault.outage)
-        await rest(fault)
+        await wait_for_end(fault)
         self.outages -= 1
         if not self.outages:
             self.targets.discovery_server.come_back(history=fault.kind == "discovery-outage")
 
-    async def _mute(self, fault: PlannedFault) -> None:
+    async def _silence_watches(self, fault: PlannedFault) -> None:
         self.targets.discovery_server.mute()
 
 
@@ -44,7 +44,7 @@
         self.targets = targets
 
     def injections(self) -> dict[str, Injection]:
-        """What injects each kind."""
+        """The injection of each kind of fault."""
         return {
             "zk-expire": self._expire,
             "zk-lag": self._lag,
@@ -55,53 +55,53 @@
 
     @property
     def _coordination(self) -> Coordination:
-        assert self.targets.coordination is not None  # the scenario's check
+        assert self.targets.coordination is not None  # checked when the scenario was loaded
         return self.targets.coordination
 
     async def _expire(self, fault: PlannedFault) -> None:
-        """Its session expires while it serves; it registers again when the fault is over."""
+        """An endpoint's session expires while it serves; it registers again when the fault is over."""
         endpoint = self.targets.endpoints[fault.target]
         self._coordination.expire(endpoint)
-        await rest(fault)
-        self._again_registered(fault.target)
+        await wait_for_end(fault)
+        self._register_again(fault.target)
 
-    def _again_registered(self, name: str) -> None:
-        """Whoever serves under a name by now, and has no session, registers."""
+    def _register_again(self, name: str) -> None:
+        """Register the endpoint that now serves under a name, unless it has a session."""
         endpoint = self.targets.endpoints[name]
         if endpoint.up and not endpoint.draining and name not in self._coordination.sessions:
             self._coordination.serve(endpoint, self.targets.entry(endpoint, "in_service"))
 
     async def _lag(self, fault: PlannedFault) -> None:
-        """The first face follows no more: its clients hear nothing, and read what was."""
+        """The first server stops following the others: its clients get no updates and read stale data."""
         face = self._coordination.ensemble.faces[0]
         face.lag(True)
-        await rest(fault)
+        await wait_for_end(fault)
         face.lag(False)
         face.drop()
 
     async def _drop(self, fault: PlannedFault) -> None:
-        """All connections end at once and new ones are refused for a while."""
+        """All connections are closed at once, and new ones are refused for a while."""
         faces = self._coordination.ensemble.faces
         for face in faces:
             face.ills.refusing = True
             face.drop()
-        await rest(fault)
+        await wait_for_end(fault)
         for face in faces:
             face.ills.refusing = False
 
     async def _freeze(self, fault: PlannedFault) -> None:
-        """Connections stay open and nothing is answered."""
+        """Connections stay open, but nothing is answered."""
         faces = self._coordination.ensemble.faces
         for face in faces:
             face.freeze(True)
-        await rest(fault)
+        await wait_for_end(fault)
         for face in faces:
             face.freeze(False)
 
     async def _restart_empty(self, fault: PlannedFault) -> None:
-        """Nodes, sessions and the order of changes are lost; who serves registers again, one by one."""
+        """Nodes, sessions and the order of changes are lost; serving endpoints register one after another."""
         self._coordination.forget_all()
         serving = [n for n, e in self.targets.endpoints.items() if e.up and not e.draining]
         for name in serving:
             await asyncio.sleep((fault.until - fault.at) / 1000 / len(serving))
-            self._again_registered(name)
+            self._register_again(name)
--- a/millgw/rehearsal/faults/targets.py
+++ b/millgw/rehearsal/faults/targets.py
@@ -1,4 +1,4 @@
-"""What faults are injected into, and what each kind of them comes to."""
+"""The interfaces of fault injection: the targets of faults, and an injection."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from millgw.standins.ledger import Ledger
 
 Injection = Callable[[PlannedFault], Coroutine[Any, Any, None]]
-"""Injects one planned fault, and ends it when its time is over."""
+"""Injects one planned fault, and ends it after its duration."""
 
 
 class FaultTargets(Protocol):
-    """What faults are injected into: the parts of a day, and what can be done to them."""
+    """The parts of a day that faults are injected into, and the operations on them."""
 
     scenario: Scenario
     clock: Clock
@@ -55,6 +55,6 @@
     def replace(self, old: Endpoint, build: Build) -> Endpoint: ...
 
 
-async def rest(fault: PlannedFault) -> None:
-    """Wait for as long as a fault lasts."""
+async def wait_for_end(fault: PlannedFault) -> None:
+    """Wait for the duration of a fault."""
     await asyncio.sleep((fault.until - fault.at) / 1000)
--- a/millgw/rehearsal/page.py
+++ b/millgw/rehearsal/page.py
@@ -1,4 +1,4 @@
-"""The page: one self-contained HTML file with the faults over what callers got, second by second. Pure."""
+"""Renders days as one HTML file without outside references: faults over outcomes by second. No I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from millgw.rehearsal.audit.findings import Verdict
 from millgw.rehearsal.report import Day
-from millgw.rehearsal.summary import Second
+from millgw.rehearsal.summary import SecondFigures
 from millgw.standins.ledger import InjectedFault
 
-WIDTH, LEFT, RIGHT = 1080, 64, 16
-PANEL, GAP, LANE = 120, 30, 18
+WIDTH, LEFT, RIGHT = 1080, 64, 16  # px of a chart and its margins
+PANEL, GAP, LANE = 120, 30, 18  # px: heights of a diagram, of the space between two, of a row for a fault
 STYLE = """
 body{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:1120px;padding:0 1em;color:#1c2430;
 background:#fff}
@@ -24,18 +24,18 @@
 text{font:11px system-ui,sans-serif;fill:#465261}.title{font-weight:600;fill:#1c2430;font-size:12px}
 .legend span{margin-right:1.2em}.swatch{display:inline-block;width:.8em;height:.8em;margin-right:.35em}
 """
-PARTS: tuple[tuple[str, str, Callable[[Second], float]], ...] = (
+OUTCOMES: tuple[tuple[str, str, Callable[[SecondFigures], float]], ...] = (
     ("served in time", "#2f9e62", lambda s: s.in_time),
     ("served late", "#e0a526", lambda s: s.late),
     ("refused", "#5b7fc7", lambda s: s.refused),
     ("failed", "#c8323c", lambda s: s.failed),
 )
-CLASSES = {Verdict.HELD: "held", Verdict.BROKEN: "broken", Verdict.NOT_EXERCISED: "not"}
+CSS_CLASSES = {Verdict.HELD: "held", Verdict.BROKEN: "broken", Verdict.NOT_EXERCISED: "not"}
 
 
 def page(days: Sequence[Day], title: str = "Rehearsal") -> str:
-    """The whole document."""
-    body = "".join(_day(day) for day in days)
+    """Render the whole document."""
+    body = "".join(_day_section(day) for day in days)
     return (
         "<!doctype html><html lang=en><meta charset=utf-8>"
         "<meta name=viewport content='width=device-width,initial-scale=1'>"
@@ -48,11 +48,11 @@
     rows = "".join(
         f"<tr><td><a href='#{escape(d.name)}'>{escape(d.name)}</a>"
         + "".join(
-            f"<td class={CLASSES[f.verdict]}>{f.verdict.value}{f' ({f.broken})' if f.broken else ''}"
+            f"<td class={CSS_CLASSES[f.verdict]}>{f.verdict.value}{f' ({f.broken})' if f.broken else ''}"
             for f in d.audit.findings
         )
         + "<td>" * (len(judged) - len(d.audit.findings))
-        + f"<td class=num>{d.summary.service:.3f}<td class=num>{d.summary.worst:.3f}"
+        + f"<td class=num>{d.summary.service:.3f}<td class=num>{d.summary.worst_service:.3f}"
         f"<td>{escape(d.conclusion)}"
         for d in days
     )
@@ -60,7 +60,7 @@
     return f"<table><tr><th>day{heads}<th>service<th>worst 5 s<th>{rows}</table>"
 
 
-def _day(day: Day) -> str:
+def _day_section(day: Day) -> str:
     s = day.summary
     rig = day.audit.rig
     facts = (
@@ -71,7 +71,7 @@
     )
     legend = "".join(
         f"<span><span class=swatch style='background:{colour}'></span>{name}</span>"
-        for name, colour, _ in PARTS
+        for name, colour, _ in OUTCOMES
     )
     return (
         f"<h2 id='{escape(day.name)}'>{escape(day.name)}: {escape(day.conclusion)}</h2>"
@@ -92,7 +92,7 @@
     return "".join(out)
 
 
-def _chart(seconds: Sequence[Second], faults: Sequence[InjectedFault]) -> str:
+def _chart(seconds: Sequence[SecondFigures], faults: Sequence[InjectedFault]) -> str:
     span = max(1, len(seconds))
     lanes = len(faults)
     top = LANE * lanes + GAP
@@ -113,14 +113,14 @@
             f"<text x={min(a + 4, WIDTH - 170):.1f} y={lane + 11} style='fill:#fff'>"
             f"{escape(fault.kind)}{size}{count}</text>"
         )
-    stacks = [[part(s) for _, _, part in PARTS] for s in seconds]
+    stacks = [[part(s) for _, _, part in OUTCOMES] for s in seconds]
     most = max([sum(stack) for stack in stacks] + [s.asked for s in seconds] + [1])
     y = float(top)
-    parts.append(_frame(y, f"tries by outcome, a second (line: requests asked, most {most:.0f})", most, ""))
+    parts.append(_panel(y, f"tries by outcome, a second (line: requests asked, most {most:.0f})", most, ""))
     bar = (WIDTH - LEFT - RIGHT) / span
     for i, stack in enumerate(stacks):
         base = y + PANEL
-        for (_, colour, _), value in zip(PARTS, stack, strict=True):
+        for (_, colour, _), value in zip(OUTCOMES, stack, strict=True):
             high = PANEL * value / most
             base -= high
             if value:
@@ -129,23 +129,23 @@
                     f"fill='{colour}'/>"
                 )
     parts.append(
-        _line([(x(i + 0.5), y + PANEL * (1 - s.asked / most)) for i, s in enumerate(seconds)], "#1c2430")
+        _polyline([(x(i + 0.5), y + PANEL * (1 - s.asked / most)) for i, s in enumerate(seconds)], "#1c2430")
     )
     y += PANEL + GAP
     slowest = max([s.p99 for s in seconds] + [1.0])
-    parts.append(_frame(y, "latency of served tries from the time they were due: p50, p99", slowest, " ms"))
+    parts.append(_panel(y, "latency of served tries from the time they were due: p50, p99", slowest, " ms"))
     for colour, figure in (("#2f9e62", "p50"), ("#c8323c", "p99")):
         points = [
             (x(i + 0.5), y + PANEL * (1 - getattr(s, figure) / slowest))
             for i, s in enumerate(seconds)
             if s.latencies
         ]
-        parts.append(_line(points, colour))
+        parts.append(_polyline(points, colour))
     y += PANEL + GAP
     attempts = max([s.attempts for s in seconds] + [1])
-    parts.append(_frame(y, "attempts at endpoints of all tiers, a second", attempts, ""))
+    parts.append(_panel(y, "attempts at endpoints of all tiers, a second", attempts, ""))
     points = [(x(i + 0.5), y + PANEL * (1 - s.attempts / attempts)) for i, s in enumerate(seconds)]
-    parts.append(_line(points, "#5b7fc7"))
+    parts.append(_polyline(points, "#5b7fc7"))
     step = max(1, span // 12)
     parts += [
         f"<text x={x(t):.1f} y={height - 12} text-anchor=middle>{t} s</text>"
@@ -154,7 +154,7 @@
     return "".join(parts) + "</svg>"
 
 
-def _frame(y: float, title: str, most: float, unit: str) -> str:
+def _panel(y: float, title: str, most: float, unit: str) -> str:
     return (
         f"<text class=title x={LEFT} y={y - 6:.0f}>{escape(title)}</text>"
         f"<line x1={LEFT} x2={WIDTH - RIGHT} y1={y + PANEL:.0f} y2={y + PANEL:.0f} stroke='#9aa5b1' />"
@@ -163,6 +163,6 @@
     )
 
 
-def _line(points: Sequence[tuple[float, float]], colour: str) -> str:
+def _polyline(points: Sequence[tuple[float, float]], colour: str) -> str:
     joined = " ".join(f"{a:.1f},{b:.1f}" for a, b in points)
     return f"<polyline points='{joined}' fill=none stroke='{colour}' stroke-width=1.6 />"
--- a/millgw/rehearsal/report.py
+++ b/millgw/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""A day's report: as a table on a terminal and as JSON."""
+"""Reports days as a table on a terminal and as JSON."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from millgw.rehearsal.audit.auditor import audit
-from millgw.rehearsal.audit.configuration_versions import NUMBER, Distribution, distribution
+from millgw.rehearsal.audit.configuration_versions import RULE_NUMBER, Distribution, distribution
 from millgw.rehearsal.audit.day_records import DayRecords
 from millgw.rehearsal.audit.findings import Audit, Verdict
 from millgw.rehearsal.audit.lateness import quantile
@@ -22,13 +22,13 @@
 from millgw.standins.ledger import InjectedFault, Ledger, SentAway, Upgrade
 
 COLOURS = {Verdict.HELD: "green", Verdict.BROKEN: "bold red", Verdict.NOT_EXERCISED: "dim"}
-LEAST_WIDTH = 118  # columns of a table that goes to a file
-SHOWN = 5  # pieces of evidence for each rule on a terminal
+MIN_TABLE_WIDTH = 118  # columns of a table that is written to a file
+EVIDENCE_SHOWN = 5  # breaches printed for each rule on a terminal
 
 
 @dataclass(slots=True, frozen=True)
 class Day:
-    """One day played and judged."""
+    """One day that was played and audited."""
 
     name: str
     about: str
@@ -51,7 +51,7 @@
 
 
 def judge(name: str, scenario: Scenario, ledger: Ledger, facts: Facts) -> Day:
-    """The day that a ledger tells of."""
+    """Audit and summarize the day that a ledger records."""
     worths = {c.name: Worth(c.aim_ms, c.deadline_ms, c.worth, c.late_worth) for c in scenario.classes}
     rules = audit_rules(scenario)
     verdict = audit(ledger, rules)
@@ -63,15 +63,15 @@
 
 
 def show(days: Sequence[Day]) -> None:
-    """A row a day, then what was seen of each broken rule and of the rig itself."""
+    """Print a row for each day, then details of broken rules and of the rig itself."""
     console = Console()
     if not console.is_terminal:
-        console = Console(width=LEAST_WIDTH)
+        console = Console(width=MIN_TABLE_WIDTH)
     table = Table()
     table.add_column("day", no_wrap=True)
     titles = ["1 answers", "2 effects", "3 drains", "4 cold"]
     if any(day.distribution is not None for day in days):
-        titles.append(f"{NUMBER} versions")
+        titles.append(f"{RULE_NUMBER} versions")
     for title in titles:
         table.add_column(title)
     for title in ("service", "worst 5 s", "tries", "attempts", "p99 ms"):
@@ -85,16 +85,16 @@
         cells += [""] * (len(titles) - len(cells))
         latencies = [ms for c in s.classes.values() for ms in c.latencies]
         table.add_row(
-            day.name, *cells, f"{s.service:.3f}", f"{s.worst:.3f}", str(s.tries),
+            day.name, *cells, f"{s.service:.3f}", f"{s.worst_service:.3f}", str(s.tries),
             str(sum(n for of in s.attempts.values() for n in of.values())),
             f"{quantile(latencies, 0.99):.0f}",
         )  # fmt: skip
     console.print(table)
     for day in days:
-        _remarks(day, console)
+        _print_details(day, console)
 
 
-def _remarks(day: Day, console: Console) -> None:
+def _print_details(day: Day, console: Console) -> None:
     for finding in day.audit.findings:
         if finding.broken:
             console.print(
@@ -102,7 +102,7 @@
             )
             for what, count in finding.kinds.most_common():
                 console.print(f"  {count} x {what}", markup=False)
-            for evidence in finding.evidence[:SHOWN]:
+            for evidence in finding.evidence[:EVIDENCE_SHOWN]:
                 console.print(f"    {evidence}", markup=False, highlight=False)
         elif finding.excused:
             console.print(
@@ -124,9 +124,9 @@
             markup=False,
         )
     if day.distribution is not None:
-        console.print(f"{day.name}: {_distributed(day.distribution)}", markup=False)
+        console.print(f"{day.name}: {_distribution_text(day.distribution)}", markup=False)
     for away in day.sent_away:
-        console.print(f"{day.name}: {_worded(away)}", markup=False)
+        console.print(f"{day.name}: {_client_drain_text(away)}", markup=False)
     if day.facts.sidecar_memory > day.scenario.limits.memory_mb * 1024:
         console.print(
             f"[bold red]{day.name}: a sidecar held {day.facts.sidecar_memory / 1024:.0f} MB"
@@ -136,30 +136,30 @@
         console.print(f"{day.name}: the rig can't vouch for this day: {reason}", markup=False)
 
 
-def _distributed(found: Distribution) -> str:
-    """What became of the versions that were proposed."""
-    told = f"{found.committed} of {found.proposed} versions were committed"
+def _distribution_text(found: Distribution) -> str:
+    """How many of the proposed versions were committed, and how fast they spread."""
+    committed = f"{found.committed} of {found.proposed} versions were committed"
     if not found.delays:
-        return told
+        return committed
     return (
-        f"{told}; in force at the last sidecar after {quantile(found.delays, 0.5):.0f} ms (median),"
+        f"{committed}; in force at the last sidecar after {quantile(found.delays, 0.5):.0f} ms (median),"
         f" {max(found.delays):.0f} ms (worst)"
     )
 
 
-def _worded(away: SentAway) -> str:
-    """How long a sidecar took to say no, and to say yes again."""
+def _client_drain_text(away: SentAway) -> str:
+    """How long a sidecar took to report that it is not ready, and that it is ready again."""
     no = "never" if away.no_at is None else f"after {away.no_at - away.at:.0f} ms"
     yes = "never" if away.yes_at is None or away.until is None else f"after {away.yes_at - away.until:.0f} ms"
     return f"{away.sidecar} was told to send clients away: no {no}, yes again {yes}"
 
 
 def to_json(days: Sequence[Day]) -> dict[str, Any]:
-    """All of it, for other programs. `exit` is what the command ends with."""
-    return {"exit": exit_code(days), "days": [_day(day) for day in days]}
+    """The whole report for other programs. `exit` is the exit code of the command."""
+    return {"exit": exit_code(days), "days": [_day_json(day) for day in days]}
 
 
-def _day(day: Day) -> dict[str, Any]:
+def _day_json(day: Day) -> dict[str, Any]:
     s = day.summary
     return {
         "name": day.name,
@@ -171,7 +171,7 @@
         "reasons": list(day.audit.reasons),
         "unusable": s.unusable,
         "service": s.service,
-        "worst_5s": s.worst,
+        "worst_5s": s.worst_service,
         "asked": s.asked,
         "tries": s.tries,
         "served": s.served,
@@ -213,6 +213,6 @@
 
 
 def exit_code(days: Sequence[Day]) -> int:
-    """1 if a rule broke on any day, else 3 if any can't be judged, else 0."""
+    """1 if a rule broke on any day, else 3 if any day can't be judged, else 0."""
     codes = {day.audit.exit_code for day in days}
     return 1 if 1 in codes else 3 if 3 in codes else 0
--- a/millgw/rehearsal/soak.py
+++ b/millgw/rehearsal/soak.py
@@ -1,4 +1,4 @@
-"""Plays drawn days one seed after the other, and keeps what broke: the schedule and its sidecars' logs."""
+"""Plays days drawn from consecutive seeds; saves the scenario and sidecar logs of those that broke a rule."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SoakedDay:
-    """One seed: what was drawn and what came of it; `kept` is where a day that broke was written."""
+    """The day of one seed and its result; `kept` is the folder of a day that broke a rule."""
 
     seed: int
     about: str
@@ -31,17 +31,17 @@
 
 @dataclass(slots=True)
 class SoakOutcome:
-    """A whole soak, by seed."""
+    """The result of a whole soak, by seed."""
 
     days: list[SoakedDay] = field(default_factory=list)
-    unplayed: list[str] = field(default_factory=list)  # why
+    unplayed: list[str] = field(default_factory=list)  # the reasons
 
     def count(self, verdict: str) -> int:
         return sum(day.verdict == verdict for day in self.days)
 
 
 class Soak:
-    """`jobs` days at once with outages of at most `longest_s`; what broke is kept in `out`."""
+    """Plays `jobs` days at once with outages of at most `longest_s`; saves those that break a rule."""
 
     def __init__(
         self, run: str | None, jobs: int, longest_s: float, out: Path, say: Callable[[str], None]
@@ -53,20 +53,20 @@
         self.outcome = SoakOutcome()
 
     async def run(self, first: int, count: int) -> SoakOutcome:
-        """Play the seeds from `first` on."""
+        """Play `count` seeds from `first` on."""
         async with asyncio.TaskGroup() as group:
             for seed in range(first, first + count):
-                group.create_task(self._one(seed))
+                group.create_task(self._play_seed(seed))
         self.outcome.days.sort(key=lambda day: day.seed)
         self.outcome.unplayed = self.player.unplayed
         return self.outcome
 
-    async def _one(self, seed: int) -> None:
+    async def _play_seed(self, seed: int) -> None:
         scenario = draw_soak(seed, self.longest_s)
         with tempfile.TemporaryDirectory(prefix="millgw-soak-") as folder:
             logs = Path(folder) / "logs"
             played = await self.player.play(scenario, logs)
-            kept = self._keep(seed, scenario, played, logs) if played.broken else ""
+            kept = self._save(seed, scenario, played, logs) if played.broken else ""
         verdict = VERDICTS[played.code]
         day = SoakedDay(
             seed, scenario.about, verdict, played.service, tuple(sorted(played.broken)), played.first, kept
@@ -75,7 +75,7 @@
         why = f", {day.first}" if day.first else ""
         self.say(f"{seed}: {verdict}, service {day.service:.3f}: {day.about}{why}")
 
-    def _keep(self, seed: int, scenario: Scenario, played: PlayResult, logs: Path) -> str:
+    def _save(self, seed: int, scenario: Scenario, played: PlayResult, logs: Path) -> str:
         folder = self.out / f"soak-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "day.toml").write_text(to_toml(scenario, f"Seed {seed} of a soak: {played.first}"))
--- a/millgw/rehearsal/summary.py
+++ b/millgw/rehearsal/summary.py
@@ -1,4 +1,4 @@
-"""What a day came to, in figures: service, outcomes, latency, attempts; in all and by second. Pure."""
+"""The figures of a day: service, outcomes, latency and attempts, in total and by second. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Worth:
-    """What an answer of a class earns. Times are ms from the request's due time."""
+    """The value of an answer of a class. Times are ms from the request's due time.
+
+    It is `worth` up to `aim`, and `worth * late_worth` from there up to `deadline`.
+    """
 
     aim: float
     deadline: float
@@ -21,8 +24,8 @@
 
 
 @dataclass(slots=True)
-class Second:
-    """One second of the day, by when requests were due (attempts: by their last byte)."""
+class SecondFigures:
+    """The figures of one second: requests by their due time, attempts by their last byte."""
 
     asked: int = 0
     in_time: int = 0
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True)
 class ClassFigures:
-    """One class over the day: first tries and what became of them, ms from the time they were due."""
+    """The first tries of one class over the day and their results. Latencies are ms from the due time."""
 
     asked: int = 0
     in_time: int = 0
@@ -59,9 +62,10 @@
 
 @dataclass(slots=True)
 class Summary:
-    """The whole day. `service` is the worth answered in time over the worth asked for.
+    """The figures of the whole day. `service` is the earned part of the worth of all requests.
 
-    `refused` and `failed` count tries; `attempts` all that reached endpoints, by tier and what came of them.
+    `refused` and `failed` count tries; `attempts` counts all attempts that reached endpoints, by tier and
+    outcome.
     """
 
     service: float
@@ -72,25 +76,25 @@
     failed: int
     attempts: dict[int, dict[str, int]]
     classes: dict[str, ClassFigures]
-    seconds: list[Second]
-    worst: float  # the service of the worst five seconds
-    unusable: dict[str, int] = field(default_factory=dict)  # attempts answered 400, by cause
+    seconds: list[SecondFigures]
+    worst_service: float  # the service of the worst five consecutive seconds
+    unusable: dict[str, int] = field(default_factory=dict)  # attempts answered with 400, by cause
     handshakes: int = 0  # at all endpoints, over the day
-    cold_handshakes: int = 0  # at the most at one endpoint, within one second while it was cold
-    hit_by_upgrades: int = 0  # requests; see the function of that name
+    cold_handshakes: int = 0  # most at one cold endpoint within one second
+    hit_by_upgrades: int = 0  # requests; see the function `hit_by_upgrades`
 
 
-WORST_SPAN = 5
+WORST_SPAN_S = 5
 
 
 def summarize(ledger: Ledger, worths: Mapping[str, Worth]) -> Summary:
-    """The figures of a ledger whose day began at 0."""
+    """Compute the figures of a ledger whose day begins at 0."""
     by_root: dict[str, list[Call]] = {}
     for call in ledger.calls:
         if call.stage == 0:
             by_root.setdefault(call.root, []).append(call)
     last = max((calls[0].due for calls in by_root.values()), default=0.0)
-    seconds = [Second() for _ in range(int(last / 1000) + 1)]
+    seconds = [SecondFigures() for _ in range(int(last / 1000) + 1)]
     earned, offered = [0.0] * len(seconds), [0.0] * len(seconds)
     classes = {name: ClassFigures() for name in worths}
     summary = Summary(1.0, len(by_root), 0, 0, 0, 0, {}, classes, seconds, 1.0)
@@ -126,24 +130,24 @@
                 summary.failed += 1
         figures.earned += gained
         earned[at] += gained
-    _attempts(ledger, summary)
+    _count_attempts(ledger, summary)
     summary.handshakes = sum(h.at >= 0 for h in ledger.handshakes)
-    summary.cold_handshakes = most_while_cold(ledger)
+    summary.cold_handshakes = max_cold_handshakes(ledger)
     summary.hit_by_upgrades = hit_by_upgrades(ledger)
     if sum(offered) > 0:
         summary.service = sum(earned) / sum(offered)
-    spans = range(max(1, len(seconds) - WORST_SPAN + 1))
+    spans = range(max(1, len(seconds) - WORST_SPAN_S + 1))
     parts = [
-        sum(earned[i : i + WORST_SPAN]) / sum(offered[i : i + WORST_SPAN])
+        sum(earned[i : i + WORST_SPAN_S]) / sum(offered[i : i + WORST_SPAN_S])
         for i in spans
-        if sum(offered[i : i + WORST_SPAN]) > 0
+        if sum(offered[i : i + WORST_SPAN_S]) > 0
     ]
-    summary.worst = min(parts, default=1.0)
+    summary.worst_service = min(parts, default=1.0)
     return summary
 
 
-def most_while_cold(ledger: Ledger) -> int:
-    """The most handshakes that one cold endpoint was asked for within one second."""
+def max_cold_handshakes(ledger: Ledger) -> int:
+    """The most handshakes at one cold endpoint within one second."""
     cold = {(x.endpoint, x.number): x.start + x.cold_ms for x in ledger.lives if x.cold_ms > 0}
     by_life: dict[tuple[str, int], list[float]] = {}
     for handshake in ledger.handshakes:
@@ -162,9 +166,9 @@
 
 
 def hit_by_upgrades(ledger: Ledger) -> int:
-    """Requests that met a refused, reset or unread connection while two processes of a sidecar ran.
+    """Count requests that met a refused, reset or unread connection while two processes of a sidecar ran.
 
-    A caller who left by itself is not hit.
+    A caller that left by itself does not count.
     """
     spans: dict[str, list[tuple[float, float]]] = {}
     for upgrade in ledger.upgrades:
@@ -178,7 +182,7 @@
     return hit
 
 
-def _attempts(ledger: Ledger, summary: Summary) -> None:
+def _count_attempts(ledger: Ledger, summary: Summary) -> None:
     tiers = {life.endpoint: life.tier for life in ledger.lives}
     for attempt in ledger.attempts:
         of_tier = summary.attempts.setdefault(tiers.get(attempt.endpoint, 0), {t.value: 0 for t in Told})
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -48,7 +48,7 @@
 CELLS = {"a": 0, "b": 0, "c": 1, "d": 1}
 
 
-class Books:
+class LedgerWriter:
     """Writes a ledger as a day would in which every sidecar does right."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -124,9 +124,9 @@
         return call
 
 
-def books(seed: int, requests: int) -> Books:
+def correct_ledger(seed: int, requests: int) -> LedgerWriter:
     rng = random.Random(seed)
-    made = Books(rng)
+    made = LedgerWriter(rng)
     for number in range(requests):
         if rng.random() < 0.2:
             sidecar, endpoint = rng.choice(SIDECARS), rng.choice(tuple(CELLS))
@@ -135,23 +135,23 @@
     return made
 
 
-def verdict(ledger: Ledger, rules: AuditRules = RULES) -> Audit:
+def run_audit(ledger: Ledger, rules: AuditRules = RULES) -> Audit:
     return audit(ledger, rules)
 
 
-def broken(ledger: Ledger) -> set[int]:
-    return {f.rule for f in verdict(ledger).findings if f.verdict is Verdict.BROKEN}
+def broken_rules(ledger: Ledger) -> set[int]:
+    return {f.rule for f in run_audit(ledger).findings if f.verdict is Verdict.BROKEN}
 
 
 @given(st.integers(0, 10**9), st.integers(1, 40))
 @settings(max_examples=150, deadline=None)
 def test_books_that_keep_the_rules_are_never_blamed(seed: int, requests: int) -> None:
-    found = verdict(books(seed, requests).ledger)
+    found = run_audit(correct_ledger(seed, requests).ledger)
     assert not found.broken, [str(e) for f in found.findings for e in f.evidence]
     assert found.exit_code == (3 if found.unserved else 0) and found.findings[0].checked == requests
 
 
-def plain(made: Books, cls: str, sidecar: str = "n0") -> Call:
+def answered_call(made: LedgerWriter, cls: str, sidecar: str = "n0") -> Call:
     """A call that was answered 502 with no attempt, to plant a breach on."""
     made.now += 50.0
     trace = f"planted-{cls}"
@@ -163,155 +163,155 @@
     return call
 
 
-def close(made: Books, call: Call, status: int = 502, token: str = "") -> None:
+def answer_call(made: LedgerWriter, call: Call, status: int = 502, token: str = "") -> None:
     made.now += 1.0
     call.answered, call.status, call.token = made.now, status, token
 
 
-def no_answer(made: Books) -> None:
-    plain(made, "status").end = End.LOST
+def no_answer(made: LedgerWriter) -> None:
+    answered_call(made, "status").end = End.LOST
 
 
-def cut_off(made: Books) -> None:
-    plain(made, "status").end = End.BROKEN
+def cut_off(made: LedgerWriter) -> None:
+    answered_call(made, "status").end = End.BROKEN
 
 
-def late(made: Books) -> None:
-    call = plain(made, "status")
-    close(made, call)
+def answered_late(made: LedgerWriter) -> None:
+    call = answered_call(made, "status")
+    answer_call(made, call)
     call.answered = (call.sent or 0) + call.patience + 60.0
 
 
-def two_answers(made: Books) -> None:
-    call = plain(made, "status")
-    close(made, call)
+def two_answers(made: LedgerWriter) -> None:
+    call = answered_call(made, "status")
+    answer_call(made, call)
     call.extra = 1
 
 
-def made_up(made: Books) -> None:
-    close(made, plain(made, "status"), 200, "nobody's")
+def answer_of_no_endpoint(made: LedgerWriter) -> None:
+    answer_call(made, answered_call(made, "status"), 200, "nobody's")
 
 
-def another_requests_answer(made: Books) -> None:
-    first = plain(made, "status")
+def another_requests_answer(made: LedgerWriter) -> None:
+    first = answered_call(made, "status")
     token = made.attempt(first, "a", Told.OK).token
-    close(made, first, 200, token)
-    second = plain(made, "codigo")
-    close(made, second, 200, token)
+    answer_call(made, first, 200, token)
+    second = answered_call(made, "codigo")
+    answer_call(made, second, 200, token)
 
 
-def sent_afterwards(made: Books) -> None:
-    call = plain(made, "status")
-    close(made, call)
+def sent_afterwards(made: LedgerWriter) -> None:
+    call = answered_call(made, "status")
+    answer_call(made, call)
     made.now += 80.0
     made.attempt(call, "a", Told.OK)
 
 
-def crashed(made: Books) -> None:
+def sidecar_crashed(made: LedgerWriter) -> None:
     life = made.ledger.sidecars[0]
     life.ended, life.code = made.now, 1
 
 
-def fragile_again(made: Books) -> None:
-    call = plain(made, "codigo")
+def fragile_again(made: LedgerWriter) -> None:
+    call = answered_call(made, "codigo")
     made.attempt(call, "a", Told.ERROR)
     made.attempt(call, "b", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
 
 
-def fragile_again_after_silence(made: Books) -> None:
-    call = plain(made, "codigo")
+def fragile_again_after_silence(made: LedgerWriter) -> None:
+    call = answered_call(made, "codigo")
     made.attempt(call, "a", Told.NOTHING, answered=False)
     token = made.attempt(call, "b", Told.OK).token
-    close(made, call, 200, token)
+    answer_call(made, call, 200, token)
 
 
-def turned_away_only_later(made: Books) -> None:
-    call = plain(made, "codigo")
+def rejection_known_only_later(made: LedgerWriter) -> None:
+    call = answered_call(made, "codigo")
     first = made.attempt(call, "a", Told.NEVER_RAN)
     second = made.attempt(call, "b", Told.ERROR)
     first.told_at = (second.last or 0.0) + 1.0
-    close(made, call)
+    answer_call(made, call)
 
 
-def keyed_elsewhere(made: Books) -> None:
-    call = plain(made, "campanha")
+def keyed_elsewhere(made: LedgerWriter) -> None:
+    call = answered_call(made, "campanha")
     made.attempt(call, "a", Told.ERROR)
     made.attempt(call, "c", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
 
 
-def keyed_too_late(made: Books) -> None:
-    call = plain(made, "campanha")
+def keyed_too_late(made: LedgerWriter) -> None:
+    call = answered_call(made, "campanha")
     made.attempt(call, "a", Told.ERROR)
     made.now += 2100.0
     made.attempt(call, "a", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
 
 
-def refused_what_may_have_run(made: Books) -> None:
-    call = plain(made, "codigo")
+def refused_what_may_have_run(made: LedgerWriter) -> None:
+    call = answered_call(made, "codigo")
     made.attempt(call, "a", Told.RESET)
-    close(made, call, 503)
+    answer_call(made, call, 503)
 
 
-def too_many(made: Books) -> None:
-    call = plain(made, "status")
+def too_many(made: LedgerWriter) -> None:
+    call = answered_call(made, "status")
     for _ in range(4):
         made.attempt(call, "a", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
 
 
-def after_a_drain(made: Books) -> None:
-    call = plain(made, "status")
+def after_a_drain(made: LedgerWriter) -> None:
+    call = answered_call(made, "status")
     made.ledger.words.append(Word("n0", "a", 1, "terminating", made.now))
     made.now += 600.0
     made.attempt(call, "a", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
 
 
-def drain_never_asked_for(made: Books) -> None:
+def drain_never_asked_for(made: LedgerWriter) -> None:
     """A sidecar that neither watches nor asks counts as told after its time."""
     made.ledger.asked[0].until = made.now
     made.ledger.changes.append(Change("a", 1, "terminating", made.now + 1.0))
     made.now += 6700.0
-    call = plain(made, "status")
+    call = answered_call(made, "status")
     made.attempt(call, "a", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
 
 
-def never_says_no(made: Books) -> None:
+def never_says_no(made: LedgerWriter) -> None:
     made.ledger.sent_away.append(SentAway("n0", made.now, None, made.now + 8000.0, judged=made.now + 4000.0))
 
 
-def keeps_idle_clients(made: Books) -> None:
+def keeps_idle_clients(made: LedgerWriter) -> None:
     now = made.now
     made.ledger.sent_away.append(SentAway("n0", now, now + 5.0, None, judged=now + 4000.0, idle=1))
 
 
-def still_takes_requests(made: Books) -> None:
+def still_takes_requests(made: LedgerWriter) -> None:
     now = made.now
     made.ledger.sent_away.append(SentAway("n0", now, now + 5.0, None, judged=now + 4000.0, lately=2))
 
 
-def long_answer_cut_off_by_the_sidecar(made: Books) -> None:
-    call = plain(made, "status")
+def long_answer_cut_off_by_the_sidecar(made: LedgerWriter) -> None:
+    call = answered_call(made, "status")
     made.attempt(call, "a", Told.NOTHING, answered=False).token = "half"
     call.begun, call.closed = made.now, made.now + 100.0
     call.status, call.end, call.answered = 0, End.BROKEN, None
 
 
-def after_a_drain_that_the_process_before_was_told(made: Books) -> None:
+def after_a_drain_that_the_process_before_was_told(made: LedgerWriter) -> None:
     made.ledger.words.append(Word("n0", "a", 1, "terminating", made.now))
     made.now += 400.0
     made.ledger.sidecars.append(SidecarLife("n0", 0, made.now, made.now + 100.0, beside=True))
     made.now += 200.0
-    call = plain(made, "status")
+    call = answered_call(made, "status")
     made.attempt(call, "a", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
 
 
-def push(made: Books, count: int) -> None:
+def overload_cold_endpoint(made: LedgerWriter, count: int) -> None:
     """So many requests within a window to an endpoint that stays at a tenth of its capacity."""
     made.ledger.lives.append(Life("e", 1, 1, 0, made.now, 1.0, 0.1, 1e9))
     for i in range(count):
@@ -323,18 +323,19 @@
         made.ledger.attempts.append(attempt)
         made.ledger.calls.append(call)
         call.end = End.ANSWERED
-        close(made, call)
+        answer_call(made, call)
 
 
-def pushed_over(made: Books) -> None:
-    push(made, 22)
+def cold_endpoint_overloaded(made: LedgerWriter) -> None:
+    overload_cold_endpoint(made, 22)
 
 
-PLANTED: dict[Callable[[Books], None], int] = {
-    no_answer: 1, cut_off: 1, late: 1, two_answers: 1, made_up: 1, another_requests_answer: 1,
-    sent_afterwards: 1, crashed: 1, fragile_again: 2, fragile_again_after_silence: 2,
-    turned_away_only_later: 2, keyed_elsewhere: 2, keyed_too_late: 2, refused_what_may_have_run: 2,
-    too_many: 2, after_a_drain: 3, drain_never_asked_for: 3, pushed_over: 4,
+PLANTED: dict[Callable[[LedgerWriter], None], int] = {
+    no_answer: 1, cut_off: 1, answered_late: 1, two_answers: 1, answer_of_no_endpoint: 1,
+    another_requests_answer: 1, sent_afterwards: 1, sidecar_crashed: 1,
+    fragile_again: 2, fragile_again_after_silence: 2,
+    rejection_known_only_later: 2, keyed_elsewhere: 2, keyed_too_late: 2, refused_what_may_have_run: 2,
+    too_many: 2, after_a_drain: 3, drain_never_asked_for: 3, cold_endpoint_overloaded: 4,
     never_says_no: 1, keeps_idle_clients: 1, still_takes_requests: 1, long_answer_cut_off_by_the_sidecar: 1,
     after_a_drain_that_the_process_before_was_told: 3,
 }  # fmt: skip
@@ -344,15 +345,15 @@
 @given(seed=st.integers(0, 10**9), requests=st.integers(0, 15))
 @settings(max_examples=20, deadline=None)
 def test_a_planted_breach_is_found_as_what_it_is(
-    plant: Callable[[Books], None], seed: int, requests: int
+    plant: Callable[[LedgerWriter], None], seed: int, requests: int
 ) -> None:
-    made = books(seed, requests)
+    made = correct_ledger(seed, requests)
     made.now += 1000.0
     for sidecar in SIDECARS:
         for endpoint in CELLS:
             made.word(sidecar, endpoint, "in_service")
     plant(made)
-    assert broken(made.ledger) == {PLANTED[plant]}
+    assert broken_rules(made.ledger) == {PLANTED[plant]}
 
 
 def test_a_killed_sidecars_calls_are_their_clients_to_retry_but_a_slow_end_after_sigterm_is_not() -> None:
@@ -362,29 +363,29 @@
         (50.0, 900.0, True),
         (None, 5000.0, True),
     ):
-        made = Books(random.Random(1))
-        call = plain(made, "codigo")
+        made = LedgerWriter(random.Random(1))
+        call = answered_call(made, "codigo")
         call.end = End.BROKEN
         sent = call.sent or 0.0
         life = made.ledger.sidecars[0]
         life.term, life.kill = None if term is None else sent + term, sent + kill
         life.ended = life.kill
-        assert (broken(made.ledger) == {1}) is blamed, (term, kill)
+        assert (broken_rules(made.ledger) == {1}) is blamed, (term, kill)
 
 
 def test_a_long_answer_that_its_endpoint_broke_off_is_not_held_against_the_sidecar() -> None:
-    made = books(3, 5)
+    made = correct_ledger(3, 5)
     made.now += 1000.0
     long_answer_cut_off_by_the_sidecar(made)
     (life,) = (x for x in made.ledger.lives if x.endpoint == "a")
     life.until = (made.ledger.calls[-1].closed or 0.0) - 10.0
-    assert broken(made.ledger) == set()
+    assert broken_rules(made.ledger) == set()
     life.until = (made.ledger.calls[-1].closed or 0.0) + 500.0
-    assert broken(made.ledger) == {1}
+    assert broken_rules(made.ledger) == {1}
 
 
 def test_an_answer_is_not_broken_off_by_an_endpoint_that_had_not_begun_one() -> None:
-    made = books(3, 5)
+    made = correct_ledger(3, 5)
     made.now += 1000.0
     long_answer_cut_off_by_the_sidecar(made)
     call = made.ledger.calls[-1]
@@ -393,66 +394,66 @@
     (life,) = (x for x in made.ledger.lives if x.endpoint == "a")
     life.until = (call.closed or 0.0) - 10.0
     call.closed = made.now
-    assert broken(made.ledger) == {1}
+    assert broken_rules(made.ledger) == {1}
 
 
 def test_a_crossed_close_is_the_callers_to_mend_unless_the_sidecar_had_read_the_request() -> None:
     for read, after, blamed in ((False, 5.0, False), (True, 5.0, True), (False, 500.0, True)):
-        made = Books(random.Random(1))
-        call = plain(made, "status")
+        made = LedgerWriter(random.Random(1))
+        call = answered_call(made, "status")
         call.end, call.closed = End.CROSSED, (call.sent or 0.0) + after
         if read:
             made.attempt(call, "a", Told.ERROR)
         resent = Call(call.trace, call.root, 0, "status", "t", "", "n0", call.due, made.now + 30.0, 3000.0)
         resent.end, resent.status, resent.answered = End.ANSWERED, 502, made.now + 40.0
         made.ledger.calls.append(resent)
-        assert (broken(made.ledger) == {1}) is blamed, (read, after)
+        assert (broken_rules(made.ledger) == {1}) is blamed, (read, after)
 
 
 def test_what_a_process_was_told_does_not_bind_the_next_one_of_its_name() -> None:
     for restarted in (False, True):
-        made = Books(random.Random(1))
+        made = LedgerWriter(random.Random(1))
         made.ledger.words.append(Word("n0", "a", 1, "terminated", 100.0))
         if restarted:
             made.ledger.sidecars[0].kill = made.ledger.sidecars[0].ended = 200.0
             made.ledger.sidecars.append(SidecarLife("n0", 0, 300.0, 400.0))
         made.now = 1000.0
-        call = plain(made, "status")
+        call = answered_call(made, "status")
         made.attempt(call, "a", Told.ERROR)
-        close(made, call)
-        assert broken(made.ledger) == (set() if restarted else {3})
+        answer_call(made, call)
+        assert broken_rules(made.ledger) == (set() if restarted else {3})
 
 
 def test_a_drain_told_during_an_outage_counts_from_its_end() -> None:
-    made = Books(random.Random(1))
+    made = LedgerWriter(random.Random(1))
     made.ledger.asked[0].until = 0.0
     made.ledger.outages.append(Outage(0.0, 20_000.0))
     made.ledger.changes.append(Change("a", 1, "terminating", 1000.0))
     made.now = 25_000.0
-    call = plain(made, "status")
+    call = answered_call(made, "status")
     made.attempt(call, "a", Told.ERROR)
-    close(made, call)
-    assert not broken(made.ledger)
+    answer_call(made, call)
+    assert not broken_rules(made.ledger)
     made.now = 27_000.0
-    after = plain(made, "codigo")
+    after = answered_call(made, "codigo")
     made.attempt(after, "a", Told.ERROR)
-    close(made, after)
-    assert broken(made.ledger) == {3}
+    answer_call(made, after)
+    assert broken_rules(made.ledger) == {3}
 
 
 @pytest.mark.parametrize("returned", [False, True])
 def test_a_call_that_discovery_turned_away_delays_no_drain(returned: bool) -> None:
-    made = Books(random.Random(1))
+    made = LedgerWriter(random.Random(1))
     made.ledger.asked[0].until = 0.0
     made.ledger.asked.append(Asked("n0", 3000.0, 5000.0))
     made.ledger.changes.append(Change("a", 1, "terminating", 1000.0))
     if returned:
         made.ledger.changes.append(Change("a", 2, "in_service", 4000.0))
     made.now = 8000.0
-    call = plain(made, "status")
+    call = answered_call(made, "status")
     made.attempt(call, "a", Told.ERROR)
-    close(made, call)
-    assert broken(made.ledger) == (set() if returned else {3})
+    answer_call(made, call)
+    assert broken_rules(made.ledger) == (set() if returned else {3})
 
 
 @pytest.mark.parametrize("lag", [20.0, 1500.0])
@@ -460,46 +461,46 @@
     lag: float,
 ) -> None:
     """The rig plays discovery: nobody can ask there while its loop stands still for more than its bound."""
-    made = Books(random.Random(1))
+    made = LedgerWriter(random.Random(1))
     made.ledger.asked[0].until = 0.0
     made.ledger.changes.append(Change("a", 1, "terminating", 1000.0))
     made.now = 12_000.0
-    call = plain(made, "status")
+    call = answered_call(made, "status")
     made.attempt(call, "a", Told.ERROR)
-    close(made, call)
+    answer_call(made, call)
     made.ledger.samples = [Sample(at, lag) for at in range(0, 14_000, 1550)]
-    found = verdict(made.ledger)
+    found = run_audit(made.ledger)
     assert found.broken == (lag < LAG_BOUND) and found.findings[2].excused == (lag > LAG_BOUND)
 
 
 def test_lateness_of_the_rig_excuses_what_its_loop_timed_and_nothing_else() -> None:
-    made = Books(random.Random(1))
+    made = LedgerWriter(random.Random(1))
     left_before_an_attempt(made, 150.0)
     for sample in made.ledger.samples:
         sample.lag = 80.0
-    found = verdict(made.ledger)
+    found = run_audit(made.ledger)
     assert not found.broken and found.findings[0].excused == 1 and found.exit_code == 3
     fragile_again(made)
-    assert broken(made.ledger) == {2}
+    assert broken_rules(made.ledger) == {2}
 
 
 def test_no_lateness_of_the_rig_excuses_a_late_answer() -> None:
     """Both its times are the kernel's: otherwise a late sidecar would hide behind a late rig."""
-    made = Books(random.Random(1))
-    late(made)
+    made = LedgerWriter(random.Random(1))
+    answered_late(made)
     for sample in made.ledger.samples:
         sample.lag = 5000.0
-    assert broken(made.ledger) == {1}
+    assert broken_rules(made.ledger) == {1}
 
 
 def test_a_sidecar_without_a_core_is_not_blamed_for_its_lateness() -> None:
-    made = Books(random.Random(1))
-    late(made)
+    made = LedgerWriter(random.Random(1))
+    answered_late(made)
     at = made.ledger.calls[-1].answered or 0.0
     next(s for s in made.ledger.samples if s.at >= at).starved = {"n1": 500.0}
-    assert broken(made.ledger) == {1}
+    assert broken_rules(made.ledger) == {1}
     next(s for s in made.ledger.samples if s.at >= at).starved = {"n0": 500.0}
-    assert not broken(made.ledger)
+    assert not broken_rules(made.ledger)
 
 
 @pytest.mark.parametrize(
@@ -517,42 +518,42 @@
 def test_a_pause_allows_an_answer_right_after_it_and_no_later_one(
     sidecar: str, begins: float, lasts: float, answered: float, wrong: bool
 ) -> None:
-    made = Books(random.Random(1))
-    late(made)
+    made = LedgerWriter(random.Random(1))
+    answered_late(made)
     call = made.ledger.calls[-1]
     deadline = (call.sent or 0.0) + call.patience
     call.answered = deadline + answered
     made.ledger.pauses.append(SidecarPause(sidecar, deadline + begins, deadline + begins + lasts))
-    assert broken(made.ledger) == ({1} if wrong else set())
+    assert broken_rules(made.ledger) == ({1} if wrong else set())
 
 
 def test_a_rig_that_lags_says_so_and_is_inconclusive() -> None:
-    made = books(3, 5)
-    assert verdict(made.ledger).exit_code == 0
+    made = correct_ledger(3, 5)
+    assert run_audit(made.ledger).exit_code == 0
     for sample in made.ledger.samples[::20]:
         sample.lag = LAG_BOUND + 1
-    found = verdict(made.ledger)
+    found = run_audit(made.ledger)
     assert found.exit_code == 3 and "lagged" in found.rig.reasons[0]
     made.ledger.samples = [Sample(t * 50.0, 1.0) for t in range(100)]
     made.ledger.late = [(t * 10.0, 400.0 if t % 20 == 0 else 1.0) for t in range(100)]
-    assert "arrivals" in verdict(made.ledger).rig.reasons[0]
+    assert "arrivals" in run_audit(made.ledger).rig.reasons[0]
     made.ledger.late.clear()
     for sample in made.ledger.samples:
         sample.starved = {"n0": 30.0, "n1": 30.0}
-    assert "cores are short" in verdict(made.ledger).rig.reasons[0]
+    assert "cores are short" in run_audit(made.ledger).rig.reasons[0]
 
 
 def test_what_was_not_seen_is_not_held() -> None:
-    found = verdict(Ledger())
+    found = run_audit(Ledger())
     assert {f.verdict for f in found.findings} == {Verdict.NOT_EXERCISED}
 
 
 @pytest.mark.parametrize("count", [21, 22])
 def test_a_cold_endpoint_stands_its_part_and_the_slack_for_chance(count: int) -> None:
     """N is 12.5 requests of mean work, so N + 2 x root of N + 2 is 21.6."""
-    made = Books(random.Random(1))
-    push(made, count)
-    assert broken(made.ledger) == (set() if count == 21 else {4})
+    made = LedgerWriter(random.Random(1))
+    overload_cold_endpoint(made, count)
+    assert broken_rules(made.ledger) == (set() if count == 21 else {4})
 
 
 @given(st.lists(st.tuples(st.floats(0.1, 400.0), st.floats(1.0, 40.0)), max_size=60))
@@ -567,19 +568,19 @@
         if not budget.send(now, work):
             life.fell = life.until = now
             break
-    assert (4 in broken(ledger)) is (life.fell is not None)
+    assert (4 in broken_rules(ledger)) is (life.fell is not None)
 
 
-def left_before_an_attempt(made: Books, late: float) -> None:
+def left_before_an_attempt(made: LedgerWriter, late: float) -> None:
     """A caller that left so many ms before an attempt of its request began."""
-    call = plain(made, "status")
+    call = answered_call(made, "status")
     attempt = made.attempt(call, "a", Told.OK)
     call.end, call.closed, call.answered, call.status = End.LEFT, attempt.first - late, None, 0
 
 
 @pytest.mark.parametrize("late", [90.0, 110.0])
 def test_what_is_sent_on_after_its_caller_had_left_is_found(late: float) -> None:
-    made = Books(random.Random(1))
+    made = LedgerWriter(random.Random(1))
     left_before_an_attempt(made, late)
     finding = audit(made.ledger, RULES).findings[0]
     found = [e for e in finding.evidence if "had left" in e.what]
--- a/tests/test_rehearsal_command.py
+++ b/tests/test_rehearsal_command.py
@@ -40,13 +40,13 @@
 """
 
 
-def day(folder: Path, text: str = TINY) -> str:
+def write_scenario(folder: Path, text: str = TINY) -> str:
     path = folder / "day.toml"
     path.write_text(text)
     return str(path)
 
 
-def rehearse(*words: str) -> subprocess.Popen[str]:
+def start_rehearse(*words: str) -> subprocess.Popen[str]:
     return subprocess.Popen(
         [sys.executable, "-m", "millgw", "rehearse", *words],
         stdout=subprocess.PIPE,
@@ -99,7 +99,7 @@
 def test_bad_input_ends_with_2_and_one_line(
     words: list[str], says: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    bad = day(tmp_path, "\nsecnds = 3\n")
+    bad = write_scenario(tmp_path, "\nsecnds = 3\n")
     assert main(["rehearse", *(bad if w == "DAY" else w for w in words)]) == 2
     errors = [line for line in capsys.readouterr().err.splitlines() if line.startswith("millgw:")]
     assert len(errors) == 1 and says in errors[0]
@@ -125,7 +125,7 @@
         [
             "rehearse",
             "run",
-            day(tmp_path, text),
+            write_scenario(tmp_path, text),
             "--json",
             str(report),
             "--html",
@@ -189,7 +189,7 @@
 
 
 def test_the_demo_prints_a_line_that_works_as_pasted_and_ends_with_the_verdict(tmp_path: Path) -> None:
-    demo = rehearse("demo", "--once", "--port", "17070", "--json", str(tmp_path / "demo.json"))
+    demo = start_rehearse("demo", "--once", "--port", "17070", "--json", str(tmp_path / "demo.json"))
     assert demo.stdout is not None
     line = next(line for line in demo.stdout if line.startswith("curl "))
     answer = subprocess.run(["/bin/sh", "-c", line], capture_output=True, text=True, timeout=LIMIT)
@@ -203,8 +203,8 @@
 
 
 def test_a_search_plays_drawn_schedules_and_reports(tmp_path: Path) -> None:
-    search = rehearse(
-        "search", "--base", day(tmp_path), "--count", "2", "--jobs", "2", "--seed", "5",
+    search = start_rehearse(
+        "search", "--base", write_scenario(tmp_path), "--count", "2", "--jobs", "2", "--seed", "5",
         "--steps", "1", "--out", str(tmp_path), "--json", str(tmp_path / "s.json"),
     )  # fmt: skip
     said, errors = search.communicate(timeout=240)
@@ -222,7 +222,7 @@
     base.write_text(TINY.replace("rate = 20.0", "rate = 60.0").replace("2.0\n[fleet]", "3.0\n[fleet]", 1))
     days = ((seed, draw(parse(base.read_text(), "base"), seed)) for seed in range(100))
     seed, drawn = next((s, d) for s, d in days if "resets" in [f.kind for f in d.faults])
-    search = rehearse(
+    search = start_rehearse(
         "search", "--base", str(base), "--count", "1", "--jobs", "6", "--seed", str(seed),
         "--out", str(tmp_path / "out"), "--steps", "6",
         "--run", f"exec {sys.executable} {script} refuses",
