--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -72,10 +72,10 @@
 
 
 DAY_OPTIONS = (
-    click.option("--seed", type=SEED, help="Of arrivals, fleet and targets (the scenario's own)."),
+    click.option("--seed", type=SEED, help="Seed of arrivals, fleet and targets (the scenario's)."),
     click.option("--seconds", type=Duration(1e-3), help="The day's length; faults keep their places in it."),
-    click.option("--sidecars", type=COUNT, help="All of them, with those that belong to endpoints."),
-    click.option("--endpoints", type=COUNT, help="In the first tier; the others follow."),
+    click.option("--sidecars", type=COUNT, help="All sidecars, with those of endpoints."),
+    click.option("--endpoints", type=COUNT, help="Of the first tier; the other tiers scale along."),
     click.option("--rate", type=RATE, help="First tries a second."),
     click.option("--scale", type=click.Choice(sorted(SCALES)), help="The deployment's size."),
     click.option("--without", multiple=True, type=click.Choice(OPTIONAL), help="Leave a table out."),
@@ -117,15 +117,17 @@
 
 
 @rehearse.command("search", cls=FileReporting, examples=["rehearse search --count 20 --out found"])
-@click.option("--seed", type=SEED, default=1, show_default=True, help="Of the first schedule.")
+@click.option("--seed", type=SEED, default=1, show_default=True, help="Seed of the first schedule.")
 @click.option("--count", type=COUNT, default=20, show_default=True, help="Schedules.")
 @click.option("--jobs", type=COUNT, default=3, show_default=True, help="Days at once.")
-@click.option("--steps", type=COUNT, default=40, show_default=True, help="Tried to shrink one at the most.")
+@click.option(
+    "--steps", type=COUNT, default=40, show_default=True, help="Most steps tried to shrink a schedule."
+)
 @OUT_OPTION
-@click.option("--base", type=SCENARIO, help="The day to draw into (a small fleet).")
+@click.option("--base", type=SCENARIO, help="The day that faults are drawn into (a small fleet).")
 @RUN_OPTION
 def search(out: Out, **given: Any) -> int:
-    """Draw overlapping faults, play them, shrink what does harm."""
+    """Draw overlapping faults, play them, shrink those that do harm."""
     return _search(out, SimpleNamespace(**given))
 
 
@@ -138,12 +140,12 @@
     type=Duration(1e-3),
     default=OUTAGE_LENGTH_S[1],
     show_default=True,
-    help="Outage of discovery.",
+    help="Longest outage of discovery.",
 )
 @OUT_OPTION
 @RUN_OPTION
 def soak(out: Out, **given: Any) -> int:
-    """Play long days of outages and drains, one a seed; keep what broke."""
+    """Play long days of outages and drains, one per seed; keep broken ones."""
     return _soak(out, SimpleNamespace(**given))
 
 
@@ -153,7 +155,7 @@
     "--port", type=click.IntRange(1, 65535), default=7070, show_default=True, help="Of the sidecar."
 )
 def demo_(out: Out, once: bool, port: int) -> int:
-    """A small fleet to look at: a curl line, one fault, a verdict."""
+    """A small fleet to try out: a curl line, one fault, a verdict."""
     days = [demo.play(once, port)]
     return out.end(exit_code(days), to_json(days), show=lambda: show(days))
 
@@ -237,11 +239,11 @@
         name: getattr(outcome, name) for name in ("played", "plays", "inconclusive", "unplayed", "services")
     }
     report |= {"kinds": dict(outcome.kinds), "found": [asdict(f) for f in outcome.found]}
-    low, mid = quantile(outcome.services, 0.0), quantile(outcome.services, 0.5)
+    minimum, median = quantile(outcome.services, 0.0), quantile(outcome.services, 0.5)
     lines = [
         f"{outcome.played} schedules in {outcome.plays} plays: {len(outcome.found)} do harm,"
         f" {outcome.inconclusive} inconclusive, {len(outcome.unplayed)} not played;"
-        f" service {mid:.3f} in the middle, {low:.3f} at the least"
+        f" service {median:.3f} (median), {minimum:.3f} (minimum)"
     ]
     for found in outcome.found:
         lines.append(f"  seed {found.seed}: {found.why}")
@@ -259,8 +261,8 @@
     services = [day.service for day in outcome.days if day.verdict == VERDICTS[0]]
     lines = [", ".join(f"{count} {verdict}" for verdict, count in counts.items())]
     if services:
-        low, mid = quantile(services, 0.0), quantile(services, 0.5)
-        lines[0] += f"; service {mid:.3f} in the middle, {low:.3f} at the least"
+        minimum, median = quantile(services, 0.0), quantile(services, 0.5)
+        lines[0] += f"; service {median:.3f} (median), {minimum:.3f} (minimum)"
     lines += [f"  seed {day.seed}: {day.first}: {day.kept}" for day in outcome.days if day.rules]
     report = {"counts": counts, "days": [asdict(day) for day in outcome.days], "unplayed": outcome.unplayed}
     code = NOT_HELD if counts["BROKEN"] else HELD if counts["held"] else INCONCLUSIVE
--- a/millgw/rehearsal/report.py
+++ b/millgw/rehearsal/report.py
@@ -115,7 +115,7 @@
     if day.scenario.connections is not None:
         console.print(
             f"{day.name}: {day.summary.handshakes} handshakes; at a cold endpoint"
-            f" {day.summary.cold_handshakes} in a second at the most",
+            f" at most {day.summary.cold_handshakes} in a second",
             markup=False,
         )
     if day.upgrades:
@@ -133,7 +133,7 @@
             f" of {day.scenario.limits.memory_mb:.0f}"
         )
     for reason in day.audit.reasons:
-        console.print(f"{day.name}: the rig can't vouch for this day: {reason}", markup=False)
+        console.print(f"{day.name}: this day can't be judged: {reason}", markup=False)
 
 
 def _distribution_text(found: Distribution) -> str:
--- a/tests/test_rehearsal_command.py
+++ b/tests/test_rehearsal_command.py
@@ -1,4 +1,4 @@
-"""The command as a person or script meets it: exit codes, reports, and that nothing is left behind."""
+"""The command `rehearse`: exit codes, reports, and that no processes or files are left behind."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 def processes(tmp: Path) -> list[int]:
-    """Those whose environment names this folder: the rig, its keeper and all sidecars."""
+    """Processes whose environment names this folder: the rig, its keeper and all sidecars."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -171,7 +171,7 @@
 @pytest.mark.parametrize("end", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_nothing_is_left_running_or_on_disk_however_the_rig_ends(end: signal.Signals, tmp_path: Path) -> None:
     environ = os.environ | {"TMPDIR": str(tmp_path)}
-    # Not `exec`: the shell's child is what must not be left.
+    # No `exec`: the child process of the shell must not be left running either.
     run = f"{sys.executable} -B -m millgw.sidecar; true"
     rig = subprocess.Popen(
         [sys.executable, "-m", "millgw", "rehearse", "run", "calm", "--run", run],
@@ -209,14 +209,14 @@
     )  # fmt: skip
     said, errors = search.communicate(timeout=240)
     told = json.loads((tmp_path / "s.json").read_text())
-    # How far service falls is the machine's matter too; a rule must not break.
+    # How far service falls depends on the machine too, but no rule may break.
     assert search.returncode == (1 if told["found"] else 0), said + errors
     assert not any(found["why"].startswith("rule") for found in told["found"])
     assert told["played"] == 2 and sum(told["kinds"].values()) >= 6 and "2 schedules" in said
 
 
 def test_a_search_finds_shrinks_and_writes_what_breaks_a_rule(tmp_path: Path) -> None:
-    """The planted sidecar answers 503 for what may have run: any failing endpoint brings it out."""
+    """The faulty sidecar answers 503 for requests that may have run, which any failing endpoint reveals."""
     script = ROOT / "tests" / "wrong" / "sidecar.py"
     base = tmp_path / "base.toml"
     base.write_text(TINY.replace("rate = 20.0", "rate = 60.0").replace("2.0\n[fleet]", "3.0\n[fleet]", 1))
