--- a/tests/test_rehearsal_command.py
+++ b/tests/test_rehearsal_command.py
@@ -1,4 +1,4 @@
-"""The command as a person or script meets it: exit codes, reports, and that nothing is left behind."""
+"""The command `rehearse`: exit codes, reports, and that no processes or files are left behind."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 """
 
 
-def day(folder: Path, text: str = TINY) -> str:
+def write_scenario(folder: Path, text: str = TINY) -> str:
     path = folder / "day.toml"
     path.write_text(text)
     return str(path)
 
 
-def rehearse(*words: str) -> subprocess.Popen[str]:
+def start_rehearse(*words: str) -> subprocess.Popen[str]:
     return subprocess.Popen(
         [sys.executable, "-m", "millgw", "rehearse", *words],
         stdout=subprocess.PIPE,
@@ -58,7 +58,7 @@
 
 
 def processes(tmp: Path) -> list[int]:
-    """Those whose environment names this folder: the rig, its keeper and all sidecars."""
+    """Processes whose environment names this folder: the rig, its keeper and all sidecars."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -99,7 +99,7 @@
 def test_bad_input_ends_with_2_and_one_line(
     words: list[str], says: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    bad = day(tmp_path, "\nsecnds = 3\n")
+    bad = write_scenario(tmp_path, "\nsecnds = 3\n")
     assert main(["rehearse", *(bad if w == "DAY" else w for w in words)]) == 2
     errors = [line for line in capsys.readouterr().err.splitlines() if line.startswith("millgw:")]
     assert len(errors) == 1 and says in errors[0]
@@ -125,7 +125,7 @@
         [
             "rehearse",
             "run",
-            day(tmp_path, text),
+            write_scenario(tmp_path, text),
             "--json",
             str(report),
             "--html",
@@ -171,7 +171,7 @@
 @pytest.mark.parametrize("end", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_nothing_is_left_running_or_on_disk_however_the_rig_ends(end: signal.Signals, tmp_path: Path) -> None:
     environ = os.environ | {"TMPDIR": str(tmp_path)}
-    # Not `exec`: the shell's child is what must not be left.
+    # No `exec`: the child process of the shell must not be left running either.
     run = f"{sys.executable} -B -m millgw.sidecar; true"
     rig = subprocess.Popen(
         [sys.executable, "-m", "millgw", "rehearse", "run", "calm", "--run", run],
@@ -189,7 +189,7 @@
 
 
 def test_the_demo_prints_a_line_that_works_as_pasted_and_ends_with_the_verdict(tmp_path: Path) -> None:
-    demo = rehearse("demo", "--once", "--port", "17070", "--json", str(tmp_path / "demo.json"))
+    demo = start_rehearse("demo", "--once", "--port", "17070", "--json", str(tmp_path / "demo.json"))
     assert demo.stdout is not None
     line = next(line for line in demo.stdout if line.startswith("curl "))
     answer = subprocess.run(["/bin/sh", "-c", line], capture_output=True, text=True, timeout=TEST_TIMEOUT)
@@ -203,26 +203,26 @@
 
 
 def test_a_search_plays_drawn_schedules_and_reports(tmp_path: Path) -> None:
-    search = rehearse(
-        "search", "--base", day(tmp_path), "--count", "2", "--jobs", "2", "--seed", "5",
+    search = start_rehearse(
+        "search", "--base", write_scenario(tmp_path), "--count", "2", "--jobs", "2", "--seed", "5",
         "--steps", "1", "--out", str(tmp_path), "--json", str(tmp_path / "s.json"),
     )  # fmt: skip
     said, errors = search.communicate(timeout=240)
     told = json.loads((tmp_path / "s.json").read_text())
-    # How far service falls is the machine's matter too; a rule must not break.
+    # How far service falls depends on the machine too, but no rule may break.
     assert search.returncode == (1 if told["found"] else 0), said + errors
     assert not any(found["why"].startswith("rule") for found in told["found"])
     assert told["played"] == 2 and sum(told["kinds"].values()) >= 6 and "2 schedules" in said
 
 
 def test_a_search_finds_shrinks_and_writes_what_breaks_a_rule(tmp_path: Path) -> None:
-    """The planted sidecar answers 503 for what may have run: any failing endpoint brings it out."""
+    """The faulty sidecar answers 503 for requests that may have run, which any failing endpoint reveals."""
     script = ROOT / "tests" / "wrong" / "sidecar.py"
     base = tmp_path / "base.toml"
     base.write_text(TINY.replace("rate = 20.0", "rate = 60.0").replace("2.0\n[fleet]", "3.0\n[fleet]", 1))
     days = ((seed, draw(parse(base.read_text(), "base"), seed)) for seed in range(100))
     seed, drawn = next((s, d) for s, d in days if "resets" in [f.kind for f in d.faults])
-    search = rehearse(
+    search = start_rehearse(
         "search", "--base", str(base), "--count", "1", "--jobs", "6", "--seed", str(seed),
         "--out", str(tmp_path / "out"), "--steps", "6",
         "--run", f"exec {sys.executable} {script} refuses",
