--- a/millgw/store/mark.py
+++ b/millgw/store/mark.py
@@ -12,7 +12,7 @@
 
 from crc32c import crc32c
 
-NAMES = ("mark-0", "mark-1")
+FILE_NAMES = ("mark-0", "mark-1")
 FIXED_PART = struct.Struct("<8sQ16sQQQI")
 CRC = struct.Struct("<I")
 MAGIC = b"ottermrk"
--- a/millgw/store/recovery.py
+++ b/millgw/store/recovery.py
@@ -50,13 +50,13 @@
 def inspect_directory(files: Mapping[str, bytes]) -> DirectoryState:
     """Evaluate the files of one directory, by name. Raises FormatError for a file of a newer format."""
     state = DirectoryState()
-    read_marks = [marks.decode(files[name]) for name in marks.NAMES if name in files]
+    read_marks = [marks.decode(files[name]) for name in marks.FILE_NAMES if name in files]
     state.mark = max((m for m in read_marks if m is not None), key=lambda m: m.generation, default=None)
     scans: dict[str, SegmentScan] = {}
     for name in sorted(files):
         match = SEGMENT_NAME.match(name)
         if match is None:
-            if name not in (*marks.NAMES, clocks.FILE_NAME, clocks.TEMPORARY_NAME):
+            if name not in (*marks.FILE_NAMES, clocks.FILE_NAME, clocks.TEMPORARY_NAME):
                 state.unused_files.append(name)
             continue
         number, _, compaction = (int(n) for n in match.groups())
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -183,7 +183,7 @@
         )
         clean = identical and not any(f.torn or f.unused_files or f.lost or f.damaged for f in found)
         for files in self.mirrors:
-            self.mark_handles.append([files.open(name) for name in marks.NAMES])
+            self.mark_handles.append([files.open(name) for name in marks.FILE_NAMES])
         try:
             if non_empty and not clean:
                 self._rewrite()
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -22,7 +22,7 @@
 from millgw.configuration.log import Entry, Snapshot
 from millgw.configuration.state import State
 from millgw.store.faulty import Crash, FaultyFiles, FaultyHandle, Inode
-from millgw.store.mark import NAMES
+from millgw.store.mark import FILE_NAMES
 from tests.kinds import pure_run_only
 from tests.replica_cluster import Cluster, Node
 
@@ -126,7 +126,7 @@
     before = state.load()
     segment = max(name for name in disk.now if name.startswith("seg-"))
     start = len(disk.now[segment].now)
-    marks = {name: bytes(disk.now[name].now) for name in NAMES}
+    marks = {name: bytes(disk.now[name].now) for name in FILE_NAMES}
     state.persist(persist(entry(3, "torn"), entry(4), epoch=2, committed=2))
     whole = bytes(disk.now[segment].now)
     assert len(whole) - start > 100
