--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -26,7 +26,7 @@
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.store.files import RealFiles
 from millgw.store.record import RECORD_SIZE
-from millgw.store.store import STEP, Item, Options, Standing, Store
+from millgw.store.store import COMPACTION_STEP_BYTES, Item, Options, Standing, Store
 from millgw.store.writer import Sync, Writer
 
 SECONDS = 2.0
@@ -165,7 +165,7 @@
             wrote += 1000
         wrote += 1000
         if store.compacting is not None or store.wants_compaction():
-            store.compact(64 * STEP)
+            store.compact(64 * COMPACTION_STEP_BYTES)
         most = max(most, sum(p.stat().st_size for p in folder.iterdir()))
     live = sum(RECORD_SIZE + len(key) + len(entry.value) for key, entry in store.entries())
     while not store.compact():
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -39,7 +39,7 @@
 COMPACTION_FILE = "compact.new"
 MAX_DEAD_SHARE = 0.5  # of the log's records: a larger share of dead ones makes compaction worthwhile
 MIN_DEAD_RECORDS = 1000  # records; with fewer dead ones it is not worthwhile
-STEP = 64 * 1024  # bytes that one step of a compaction writes
+COMPACTION_STEP_BYTES = 64 * 1024  # bytes that one step of a compaction writes
 MAX_UNSYNCED_BYTES = 1024 * 1024  # of a compaction: a single sync of all of it would delay an append
 
 
@@ -215,7 +215,7 @@
         """Write the whole index to one segment that replaces all others."""
         self.compacting = Compaction(self, self.segment_number + 1)
         self.segment_number += 1
-        while not self.compacting.step(STEP):
+        while not self.compacting.step(COMPACTION_STEP_BYTES):
             pass
         self.compacting = None
 
@@ -357,7 +357,7 @@
         dead = self.record_count - len(self.index)
         return self.compacting is None and dead > max(MIN_DEAD_RECORDS, MAX_DEAD_SHARE * self.record_count)
 
-    def compact(self, max_bytes: int = STEP) -> bool:
+    def compact(self, max_bytes: int = COMPACTION_STEP_BYTES) -> bool:
         """Write about `max_bytes` more of a compaction, up to a record over; returns whether it is done."""
         if self.failure is not None:
             raise StoreFailed(f"it has failed: {self.failure}")
