--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -26,7 +26,7 @@
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.store.files import RealFiles
 from millgw.store.record import RECORD_SIZE
-from millgw.store.store import COMPACTION_STEP_BYTES, Item, Options, Standing, Store
+from millgw.store.store import COMPACTION_STEP_BYTES, Item, KeyState, Options, Store
 from millgw.store.writer import Sync, Writer
 
 SECONDS = 2.0
@@ -193,7 +193,7 @@
 
     def look() -> list[bool]:
         store = opened(folder)
-        return [store.standing(key) is not Standing.UNSENT for key in KEYS]
+        return [store.standing(key) is not KeyState.UNSENT for key in KEYS]
 
     return look
 
--- a/millgw/intents/registry.py
+++ b/millgw/intents/registry.py
@@ -18,7 +18,7 @@
 from enum import Enum
 from typing import Protocol
 
-from millgw.store.store import Standing
+from millgw.store.store import KeyState
 
 WriteCallback = Callable[[bool], None]
 
@@ -26,7 +26,7 @@
 class MarkLog(Protocol):
     """Durable storage of marks."""
 
-    def standing(self, key: bytes) -> Standing: ...
+    def standing(self, key: bytes) -> KeyState: ...
 
     def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
         """Write marks for these keys; later calls `done` with whether they are durable."""
@@ -157,8 +157,8 @@
             if key in self.pending_removals:
                 continue  # no attempt ran; the mark in the log is being removed
             standing = self.log.standing(key)
-            if standing is not Standing.UNSENT:
-                return Refusal.SENT if standing is Standing.SENT else Refusal.UNPROVEN
+            if standing is not KeyState.UNSENT:
+                return Refusal.SENT if standing is KeyState.SENT else Refusal.UNPROVEN
         return None
 
     def intent_ended(self, intent: Intent) -> None:
--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -16,7 +16,7 @@
 from millgw.log.events import log_event
 from millgw.store.files import Locked, RealFiles, boot_id
 from millgw.store.record import FormatError
-from millgw.store.store import Item, Options, Standing, Store
+from millgw.store.store import Item, KeyState, Options, Store
 from millgw.store.writer import Sync, Writer
 
 REOPEN_DELAY = 0.05  # s between attempts to open a store that another process of this sidecar has locked
@@ -46,7 +46,7 @@
         self.keep_ms = keep_ms
         self.loop = loop
 
-    def standing(self, key: bytes) -> Standing:
+    def standing(self, key: bytes) -> KeyState:
         return self.writer.standing(key)
 
     def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -64,7 +64,7 @@
     """The store holds the maximum number of keys."""
 
 
-class Standing(Enum):
+class KeyState(Enum):
     """What the store can prove about a key."""
 
     SENT = "sent"
@@ -258,11 +258,11 @@
         entry = self.index.get(key)
         return None if entry is None or (entry.expires and entry.expires <= self.now()) else entry
 
-    def standing(self, key: bytes) -> Standing:
+    def standing(self, key: bytes) -> KeyState:
         """Whether a key was written, as far as can be proven."""
         if self.get(key) is not None:
-            return Standing.SENT
-        return Standing.UNPROVEN if self.now() < self.unproven else Standing.UNSENT
+            return KeyState.SENT
+        return KeyState.UNPROVEN if self.now() < self.unproven else KeyState.UNSENT
 
     def entries(self, after: int = 0) -> Iterator[tuple[bytes, Entry]]:
         """A snapshot of the entries with sequence numbers above `after`, in order."""
--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -15,7 +15,7 @@
 from concurrent.futures import Future
 from enum import Enum
 
-from millgw.store.store import Item, Standing, Store, StoreFailed
+from millgw.store.store import Item, KeyState, Store, StoreFailed
 
 MAX_GROUP_RECORDS = 1000  # records written with one sync
 IDLE_COMPACTION_PAUSE = 0.005  # s between two compaction steps while nothing is written
@@ -60,19 +60,19 @@
         self.thread = threading.Thread(target=self._run, name="store", daemon=True)
         self.thread.start()
 
-    def claim(self, item: Item) -> Standing | asyncio.Future[int]:
+    def claim(self, item: Item) -> KeyState | asyncio.Future[int]:
         """Write a key that was not written before: a future that ends once it is durable, else its state.
 
         Of two concurrent claims of one key, the second gets SENT.
         """
         standing = self.standing(item.key)
-        if standing is not Standing.UNSENT:
+        if standing is not KeyState.UNSENT:
             return standing
         return asyncio.wrap_future(self.put(item))
 
-    def standing(self, key: bytes) -> Standing:
+    def standing(self, key: bytes) -> KeyState:
         """What the store can prove about a key; a key that is being written counts as sent."""
-        return Standing.SENT if key in self.pending_keys else self.store.standing(key)
+        return KeyState.SENT if key in self.pending_keys else self.store.standing(key)
 
     def put(self, item: Item) -> Future[int]:
         """Queue an item; the future yields the last sequence number of its group, or 0 with `INTERVAL`."""
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -21,7 +21,7 @@
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedEndpoint
 from millgw.store.files import RealFiles
-from millgw.store.store import Item, Options, Standing, Store
+from millgw.store.store import Item, KeyState, Options, Store
 from millgw.store.writer import Sync, Writer
 from tests.outside import loaded, refused
 from tests.rig import EXPIRES_IN, OperatorSidecar, operator_sidecar, request, run
@@ -37,10 +37,10 @@
         self.pending: list[tuple[bool, tuple[bytes, ...], WriteCallback]] = []
         self.unproven = False
 
-    def standing(self, key: bytes) -> Standing:
+    def standing(self, key: bytes) -> KeyState:
         if key in self.durable:
-            return Standing.SENT
-        return Standing.UNPROVEN if self.unproven else Standing.UNSENT
+            return KeyState.SENT
+        return KeyState.UNPROVEN if self.unproven else KeyState.UNSENT
 
     def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
         self.pending.append((True, tuple(keys), done))
