--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -26,7 +26,7 @@
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.store.files import RealFiles
 from millgw.store.record import RECORD_SIZE
-from millgw.store.store import COMPACTION_STEP_BYTES, Item, KeyState, Options, Store
+from millgw.store.store import COMPACTION_STEP_BYTES, Item, KeyState, Store, StoreOptions
 from millgw.store.writer import Sync, Writer
 
 SECONDS = 2.0
@@ -36,7 +36,7 @@
 def opened(*folders: Path) -> Store:
     return Store(
         [RealFiles(f) for f in folders],
-        Options(),
+        StoreOptions(),
         lambda: time.time() * 1000,
         lambda: time.monotonic() * 1000,
     )
--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -16,7 +16,7 @@
 from millgw.log.events import log_event
 from millgw.store.files import Locked, RealFiles, boot_id
 from millgw.store.record import FormatError
-from millgw.store.store import Item, KeyState, Options, Store
+from millgw.store.store import Item, KeyState, Store, StoreOptions
 from millgw.store.writer import Sync, Writer
 
 REOPEN_DELAY = 0.05  # s between attempts to open a store that another process of this sidecar has locked
@@ -137,7 +137,7 @@
         for directory in self.settings.directories:
             Path(directory).mkdir(parents=True, exist_ok=True)
             directories.append(RealFiles(Path(directory)))
-        options = Options(window=self.settings.keep_ms, most=self.settings.max_marks)
+        options = StoreOptions(window=self.settings.keep_ms, most=self.settings.max_marks)
         return Store(
             directories, options, lambda: time.time() * 1000, lambda: time.monotonic() * 1000, boot=boot_id()
         )
--- a/millgw/store/command.py
+++ b/millgw/store/command.py
@@ -17,7 +17,7 @@
 from millgw.store.files import Files, RealFiles, boot_id
 from millgw.store.record import FormatError
 from millgw.store.recovery import DirectoryState, inspect_directory
-from millgw.store.store import Item, Options, Store, StoreDamaged, StoreError
+from millgw.store.store import Item, Store, StoreDamaged, StoreError, StoreOptions
 
 DIRECTORIES = click.argument("directories", nargs=-1, required=True, type=DIRECTORY, metavar="DIR...")
 WINDOW_OPTION = click.option(
@@ -99,7 +99,7 @@
     return NOT_HELD if state.lost or state.damaged else HELD
 
 
-def _open(directories: Sequence[str], options: Options, repair: bool = False) -> Store:
+def _open(directories: Sequence[str], options: StoreOptions, repair: bool = False) -> Store:
     mirrors: list[Files] = [RealFiles(Path(d)) for d in directories]
     return Store(
         mirrors, options, lambda: time.time() * 1000, lambda: time.monotonic() * 1000, repair, boot=boot_id()
@@ -110,7 +110,7 @@
     for directory in directories:
         if not Path(directory).is_dir():
             raise StoreError(f"{directory}: is not a directory")
-    return _open(directories, Options(window=window_h * 3_600_000), repair)
+    return _open(directories, StoreOptions(window=window_h * 3_600_000), repair)
 
 
 def _report_contents(out: Out, store: Store, code: int) -> int:
@@ -154,7 +154,7 @@
     with tempfile.TemporaryDirectory() as folder:
         for group in (1, 10, 100):
             targets = [str(Path(d) / f"g{group}") for d in directories or [folder]]
-            opened = _open(targets, Options())
+            opened = _open(targets, StoreOptions())
             durations, written, end = [], 0, time.monotonic() + 2.0
             while time.monotonic() < end:
                 items = [Item(b"%016x" % (written + i), b"v" * 16) for i in range(group)]
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Options:
+class StoreOptions:
     """`window` (ms) is the longest lifetime of an entry; `most` is the maximum number of keys."""
 
     window: float = 24 * 3_600_000.0
@@ -107,7 +107,7 @@
     def __init__(
         self,
         mirrors: Sequence[Files],
-        options: Options,
+        options: StoreOptions,
         wall_clock: Callable[[], float],
         monotonic_clock: Callable[[], float],
         repair: bool = False,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -111,10 +111,10 @@
 
     def __init__(self, folder: Path) -> None:
         from millgw.store.files import RealFiles
-        from millgw.store.store import Item, Options, Store
+        from millgw.store.store import Item, Store, StoreOptions
 
         (folder / "store").mkdir()
-        store = Store([RealFiles(folder / "store")], Options(), lambda: 0.0, lambda: 0.0)
+        store = Store([RealFiles(folder / "store")], StoreOptions(), lambda: 0.0, lambda: 0.0)
         store.append([Item(b"k", b"v")])
         store.close()
         (folder / "o.toml").write_text("")
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -21,7 +21,7 @@
 from millgw.standins.http import Message
 from millgw.standins.scripted import ScriptedEndpoint
 from millgw.store.files import RealFiles
-from millgw.store.store import Item, KeyState, Options, Store
+from millgw.store.store import Item, KeyState, Store, StoreOptions
 from millgw.store.writer import Sync, Writer
 from tests.outside import loaded, refused
 from tests.rig import EXPIRES_IN, OperatorSidecar, operator_sidecar, request, run
@@ -62,7 +62,7 @@
     """With `sync = "interval"` a call may be answered long before its mark is written to the disk."""
 
     async def test() -> None:
-        store = Store([RealFiles(tmp_path)], Options(), lambda: 0.0, lambda: 0.0)
+        store = Store([RealFiles(tmp_path)], StoreOptions(), lambda: 0.0, lambda: 0.0)
         writer = Writer(store, Sync.INTERVAL, interval=0.2)
         book = IntentRegistry(store_log.StoreMarkLog(writer, 1000.0, asyncio.get_running_loop()))
         first = book.take((b"a",))
@@ -295,7 +295,7 @@
         await endpoint.start()
         folder = tmp_path / "store"
         folder.mkdir()
-        other = Store([RealFiles(folder)], Options(), lambda: 1e12, lambda: 0.0)
+        other = Store([RealFiles(folder)], StoreOptions(), lambda: 1e12, lambda: 0.0)
         async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             assert (await ask_once_listening(node, "aa01", "read"))[0] == 200
             status, _ = await ask_once_listening(node, "aa02", patience=400)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -37,12 +37,12 @@
 from millgw.store.store import (
     Item,
     KeyState,
-    Options,
     Store,
     StoreDamaged,
     StoreError,
     StoreFailed,
     StoreFull,
+    StoreOptions,
 )
 from millgw.store.writer import Sync, Writer
 from tests.kinds import pure_run_only
@@ -52,7 +52,7 @@
 TIMEOUT = 10.0  # s
 START_MS = 1_800_000_000_000.0
 WINDOW = 60_000.0
-SMALL = Options(window=WINDOW, segment_bytes=300)
+SMALL = StoreOptions(window=WINDOW, segment_bytes=300)
 
 
 class ManualClocks:
@@ -75,7 +75,7 @@
 def open_store(
     disks: list[FaultyFiles],
     clocks: ManualClocks | None = None,
-    options: Options = SMALL,
+    options: StoreOptions = SMALL,
     repair: bool = False,
 ) -> Store:
     clocks = clocks or ManualClocks()
@@ -432,7 +432,7 @@
 
 def test_the_number_of_keys_is_bounded_and_expired_entries_free_space() -> None:
     disks, at = faulty_mirrors(1, 1), ManualClocks()
-    store = open_store(disks, at, Options(window=WINDOW, most=3))
+    store = open_store(disks, at, StoreOptions(window=WINDOW, most=3))
     store.append([Item(b"%d" % i, expires=int(START_MS + 10 * (i + 1))) for i in range(3)])
     with pytest.raises(StoreFull):
         store.append([Item(b"more")])
@@ -585,7 +585,7 @@
     tmp_path: Path,
 ) -> None:
     at = ManualClocks()
-    options = Options(window=WINDOW, most=3)
+    options = StoreOptions(window=WINDOW, most=3)
     store = Store([RealFiles(tmp_path)], options, lambda: at.wall_ms, lambda: at.monotonic_ms)
     writer = Writer(store, Sync.INTERVAL, interval=0.01)
     acked: list[bytes] = []
