--- a/millgw/configuration/durable.py
+++ b/millgw/configuration/durable.py
@@ -47,7 +47,7 @@
 from millgw.store.store import Item, Store, StoreError, StoreOptions
 
 NEVER_FORGET = 100 * 365 * 24 * 3_600_000.0  # ms; the store must never stop reporting records it has lost
-STORE_OPTIONS = StoreOptions(window=NEVER_FORGET)
+STORE_OPTIONS = StoreOptions(window_ms=NEVER_FORGET)
 PIECE_SIZE = 512 * 1024  # bytes; largest body stored in one record
 MAX_JOURNAL_RECORDS = 4096  # records in a half before a new checkpoint is written
 PIECE_KEY = struct.Struct(">BI")  # half, slot
--- a/millgw/store/command.py
+++ b/millgw/store/command.py
@@ -110,7 +110,7 @@
     for directory in directories:
         if not Path(directory).is_dir():
             raise StoreError(f"{directory}: is not a directory")
-    return _open(directories, StoreOptions(window=window_h * 3_600_000), repair)
+    return _open(directories, StoreOptions(window_ms=window_h * 3_600_000), repair)
 
 
 def _report_contents(out: Out, store: Store, code: int) -> int:
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -76,7 +76,7 @@
 class StoreOptions:
     """`window` (ms) is the longest lifetime of an entry; `most` is the maximum number of keys."""
 
-    window: float = 24 * 3_600_000.0
+    window_ms: float = 24 * 3_600_000.0
     segment_bytes: int = 16 * 2**20  # size at which a new segment is started
     most: int = 20_000_000
 
@@ -163,7 +163,7 @@
         self.time_at_open = max([self._current_time_at_open(), *(m.time for m in read_marks)])
         self.unproven = max((m.unproven_until for m in read_marks), default=0)
         if lost:
-            self.unproven = max(self.unproven, int(self.now() + self.options.window) + 1)
+            self.unproven = max(self.unproven, int(self.now() + self.options.window_ms) + 1)
             self.notes.append("unknown keys count as sent until their window has passed")
         by_seq = {r.seq: r for f in chosen for r in (*f.records, *f.salvaged)}
         for seq in sorted(by_seq):
