--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -137,7 +137,7 @@
         for directory in self.settings.directories:
             Path(directory).mkdir(parents=True, exist_ok=True)
             directories.append(RealFiles(Path(directory)))
-        options = StoreOptions(window_ms=self.settings.keep_ms, most=self.settings.max_marks)
+        options = StoreOptions(window_ms=self.settings.keep_ms, max_keys=self.settings.max_marks)
         return Store(
             directories, options, lambda: time.time() * 1000, lambda: time.monotonic() * 1000, boot=boot_id()
         )
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -78,7 +78,7 @@
 
     window_ms: float = 24 * 3_600_000.0
     segment_bytes: int = 16 * 2**20  # size at which a new segment is started
-    most: int = 20_000_000
+    max_keys: int = 20_000_000
 
 
 @dataclass(slots=True, frozen=True)
@@ -278,8 +278,8 @@
         if self.failure is not None:
             raise StoreFailed(f"it has failed: {self.failure}")
         self._remove_expired()
-        if len(self.index) + sum(x.value is not None for x in items) > self.options.most:
-            raise StoreFull(f"it holds {len(self.index)} keys of at most {self.options.most}")
+        if len(self.index) + sum(x.value is not None for x in items) > self.options.max_keys:
+            raise StoreFull(f"it holds {len(self.index)} keys of at most {self.options.max_keys}")
         records = self._to_records(items)
         data = b"".join(encode_record(r) for r in records)
         try:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -432,7 +432,7 @@
 
 def test_the_number_of_keys_is_bounded_and_expired_entries_free_space() -> None:
     disks, at = faulty_mirrors(1, 1), ManualClocks()
-    store = open_store(disks, at, StoreOptions(window_ms=WINDOW, most=3))
+    store = open_store(disks, at, StoreOptions(window_ms=WINDOW, max_keys=3))
     store.append([Item(b"%d" % i, expires=int(START_MS + 10 * (i + 1))) for i in range(3)])
     with pytest.raises(StoreFull):
         store.append([Item(b"more")])
@@ -585,7 +585,7 @@
     tmp_path: Path,
 ) -> None:
     at = ManualClocks()
-    options = StoreOptions(window_ms=WINDOW, most=3)
+    options = StoreOptions(window_ms=WINDOW, max_keys=3)
     store = Store([RealFiles(tmp_path)], options, lambda: at.wall_ms, lambda: at.monotonic_ms)
     writer = Writer(store, Sync.INTERVAL, interval=0.01)
     acked: list[bytes] = []
