--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -139,7 +139,11 @@
             directories.append(RealFiles(Path(directory)))
         options = StoreOptions(window_ms=self.settings.keep_ms, max_keys=self.settings.max_marks)
         return Store(
-            directories, options, lambda: time.time() * 1000, lambda: time.monotonic() * 1000, boot=boot_id()
+            directories,
+            options,
+            lambda: time.time() * 1000,
+            lambda: time.monotonic() * 1000,
+            boot_id=boot_id(),
         )
 
     def stop(self) -> None:
--- a/millgw/store/command.py
+++ b/millgw/store/command.py
@@ -102,7 +102,12 @@
 def _open(directories: Sequence[str], options: StoreOptions, repair: bool = False) -> Store:
     mirrors: list[Files] = [RealFiles(Path(d)) for d in directories]
     return Store(
-        mirrors, options, lambda: time.time() * 1000, lambda: time.monotonic() * 1000, repair, boot=boot_id()
+        mirrors,
+        options,
+        lambda: time.time() * 1000,
+        lambda: time.monotonic() * 1000,
+        repair,
+        boot_id=boot_id(),
     )
 
 
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -112,14 +112,14 @@
         monotonic_clock: Callable[[], float],
         repair: bool = False,
         new_store_id: bytes = b"",
-        boot: bytes = b"",
+        boot_id: bytes = b"",
     ) -> None:
         """Open the store and load its contents. Raises StoreError or FormatError if that is impossible."""
         self.mirrors = list(mirrors)
         self.options = options
         self.wall_clock = wall_clock
         self.monotonic_clock = monotonic_clock
-        self.boot_id = boot
+        self.boot_id = boot_id
         self.index: dict[bytes, Entry] = {}
         self.expiry: list[tuple[int, bytes]] = []
         self.failure: OSError | None = None
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -379,7 +379,7 @@
         lambda: clocks.wall_ms,
         lambda: clocks.monotonic_ms,
         new_store_id=b"0123456789abcdef",
-        boot=boot_id,
+        boot_id=boot_id,
     )
 
 
