--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -164,7 +164,7 @@
             store.append([Item(b"%016x" % (i + n - standing), None) for n in range(1000)])
             wrote += 1000
         wrote += 1000
-        if store.compacting is not None or store.wants_compaction():
+        if store.compaction is not None or store.wants_compaction():
             store.compact(64 * COMPACTION_STEP_BYTES)
         most = max(most, sum(p.stat().st_size for p in folder.iterdir()))
     live = sum(RECORD_SIZE + len(key) + len(entry.value) for key, entry in store.entries())
--- a/millgw/configuration/durable.py
+++ b/millgw/configuration/durable.py
@@ -177,7 +177,7 @@
             raise DurableStateError(f"the state can't be written: {error}") from error
 
     def _compact_store(self) -> None:
-        if self._store.compacting is None and not self._store.wants_compaction():
+        if self._store.compaction is None and not self._store.wants_compaction():
             return
         try:
             self._store.compact()
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -129,7 +129,7 @@
         self.record_count = 0  # in the log, including dead ones
         self.durable_generation = 0  # of the last durable mark
         self.notes: list[str] = []  # what recovery found, for operators
-        self.compacting: Compaction | None = None
+        self.compaction: Compaction | None = None
         try:
             for files in self.mirrors:
                 files.lock()
@@ -213,11 +213,11 @@
 
     def _rewrite(self) -> None:
         """Write the whole index to one segment that replaces all others."""
-        self.compacting = Compaction(self, self.segment_number + 1)
+        self.compaction = Compaction(self, self.segment_number + 1)
         self.segment_number += 1
-        while not self.compacting.step(COMPACTION_STEP_BYTES):
+        while not self.compaction.step(COMPACTION_STEP_BYTES):
             pass
-        self.compacting = None
+        self.compaction = None
 
     # Time
 
@@ -355,25 +355,25 @@
 
     def wants_compaction(self) -> bool:
         dead = self.record_count - len(self.index)
-        return self.compacting is None and dead > max(MIN_DEAD_RECORDS, MAX_DEAD_SHARE * self.record_count)
+        return self.compaction is None and dead > max(MIN_DEAD_RECORDS, MAX_DEAD_SHARE * self.record_count)
 
     def compact(self, max_bytes: int = COMPACTION_STEP_BYTES) -> bool:
         """Write about `max_bytes` more of a compaction, up to a record over; returns whether it is done."""
         if self.failure is not None:
             raise StoreFailed(f"it has failed: {self.failure}")
         try:
-            if self.compacting is None:
+            if self.compaction is None:
                 last_segment = self.segment_number
                 self._remove_expired()
                 compaction = Compaction(self, last_segment)
                 self._start_segment()
-                self.compacting = compaction
-            done = self.compacting.step(max_bytes)
+                self.compaction = compaction
+            done = self.compaction.step(max_bytes)
         except OSError as error:
             self.failure = error
             raise StoreFailed(f"a compaction failed: {error}") from error
         if done:
-            self.compacting = None
+            self.compaction = None
         return done
 
     # After a failure
@@ -402,9 +402,9 @@
     def _close_segments(self) -> None:
         """Close the current segment and abandon a compaction in progress."""
         close_all(self.segment_handles)
-        if self.compacting is not None:
-            close_all(self.compacting.handles)
-            self.compacting = None
+        if self.compaction is not None:
+            close_all(self.compaction.handles)
+            self.compaction = None
 
     def _remove_unfinished(self) -> None:
         """Free the disk space that a failed recovery has used."""
--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -138,7 +138,7 @@
         """How long (s) to wait for an item."""
         if self.stuck:
             return max(0.0, self.next_recovery_at - time.monotonic())
-        if self.store.compacting is not None or self.store.wants_compaction():
+        if self.store.compaction is not None or self.store.wants_compaction():
             return IDLE_COMPACTION_PAUSE
         return 1.0
 
@@ -184,7 +184,7 @@
 
     def _maintain(self) -> None:
         if self.store.failure is None and (
-            self.store.compacting is not None or self.store.wants_compaction()
+            self.store.compaction is not None or self.store.wants_compaction()
         ):
             try:
                 self.store.compact()
