--- a/millgw/configuration/durable.py
+++ b/millgw/configuration/durable.py
@@ -187,7 +187,7 @@
     # Reading
 
     def _check_complete(self) -> None:
-        if self._store.unproven:
+        if self._store.unproven_until:
             notes = "; ".join(self._store.notes) or "acknowledged records were missing at an earlier start"
             raise StateIncomplete(f"the state of {self._instance} is incomplete: {notes}")
 
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -161,9 +161,9 @@
             self.notes += [place for f in non_empty for place in (*f.damaged, *f.lost)]
         self.monotonic_at_open = self.monotonic_clock()
         self.time_at_open = max([self._current_time_at_open(), *(m.time for m in read_marks)])
-        self.unproven = max((m.unproven_until for m in read_marks), default=0)
+        self.unproven_until = max((m.unproven_until for m in read_marks), default=0)
         if lost:
-            self.unproven = max(self.unproven, int(self.now() + self.options.window_ms) + 1)
+            self.unproven_until = max(self.unproven_until, int(self.now() + self.options.window_ms) + 1)
             self.notes.append("unknown keys count as sent until their window has passed")
         by_seq = {r.seq: r for f in chosen for r in (*f.records, *f.salvaged)}
         for seq in sorted(by_seq):
@@ -262,7 +262,7 @@
         """Whether a key was written, as far as can be proven."""
         if self.get(key) is not None:
             return KeyState.SENT
-        return KeyState.UNPROVEN if self.now() < self.unproven else KeyState.UNSENT
+        return KeyState.UNPROVEN if self.now() < self.unproven_until else KeyState.UNSENT
 
     def entries(self, after: int = 0) -> Iterator[tuple[bytes, Entry]]:
         """A snapshot of the entries with sequence numbers above `after`, in order."""
@@ -318,7 +318,7 @@
                 self.store_id,
                 self.last_seq,
                 int(self.now()),
-                int(self.unproven),
+                int(self.unproven_until),
                 tuple(self.segment_numbers),
             )
         )
