--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -193,7 +193,7 @@
 
     def look() -> list[bool]:
         store = opened(folder)
-        return [store.standing(key) is not KeyState.UNSENT for key in KEYS]
+        return [store.key_state(key) is not KeyState.UNSENT for key in KEYS]
 
     return look
 
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -258,7 +258,7 @@
         entry = self.index.get(key)
         return None if entry is None or (entry.expires and entry.expires <= self.now()) else entry
 
-    def standing(self, key: bytes) -> KeyState:
+    def key_state(self, key: bytes) -> KeyState:
         """Whether a key was written, as far as can be proven."""
         if self.get(key) is not None:
             return KeyState.SENT
--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -72,7 +72,7 @@
 
     def standing(self, key: bytes) -> KeyState:
         """What the store can prove about a key; a key that is being written counts as sent."""
-        return KeyState.SENT if key in self.pending_keys else self.store.standing(key)
+        return KeyState.SENT if key in self.pending_keys else self.store.key_state(key)
 
     def put(self, item: Item) -> Future[int]:
         """Queue an item; the future yields the last sequence number of its group, or 0 with `INTERVAL`."""
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -122,7 +122,7 @@
     disks, keys = make_filled_disks(20)
     store = open_store(disks)
     assert set(store.index) == keys and not store.notes
-    assert store.get(b"key-000") is not None and store.standing(b"key-004") is KeyState.UNSENT
+    assert store.get(b"key-000") is not None and store.key_state(b"key-004") is KeyState.UNSENT
     assert [e.seq for _, e in store.entries()] == sorted(e.seq for e in store.index.values())
 
 
@@ -136,14 +136,14 @@
             for size in range(len(data)):
                 some = [copy_disk(d, name, data[:size]) if d is disk else copy_disk(d) for d in disks]
                 store = open_store(some)
-                standings = {store.standing(key) for key in keys}
+                standings = {store.key_state(key) for key in keys}
                 assert KeyState.UNSENT not in standings, (number, name, size, store.notes)
                 if mirrors == 2:
-                    assert standings == {KeyState.SENT} and store.standing(b"never") is KeyState.UNSENT
+                    assert standings == {KeyState.SENT} and store.key_state(b"never") is KeyState.UNSENT
                 # The salvaged store accepts writes and opens again.
                 store.append([Item(b"more")])
                 again = open_store([copy_disk(d) for d in some])
-                assert {again.standing(k) for k in (*keys, b"more")} <= {KeyState.SENT, KeyState.UNPROVEN}
+                assert {again.key_state(k) for k in (*keys, b"more")} <= {KeyState.SENT, KeyState.UNPROVEN}
                 cuts += 1
     assert cuts > 900 * mirrors
 
@@ -156,12 +156,12 @@
     at.advance(1000.0)
     some = [copy_disk(disk, name, bytes(disk.now[name].now)[:-3])]
     store = open_store(some, at)
-    assert store.notes and store.standing(b"key-005") is KeyState.UNPROVEN
+    assert store.notes and store.key_state(b"key-005") is KeyState.UNPROVEN
     at.advance(WINDOW / 2)
     store = open_store([copy_disk(some[0])], at)  # the mark keeps this over another restart
-    assert store.standing(b"never") is KeyState.UNPROVEN
+    assert store.key_state(b"never") is KeyState.UNPROVEN
     at.advance(WINDOW / 2 + 2)
-    assert store.standing(b"never") is KeyState.UNSENT
+    assert store.key_state(b"never") is KeyState.UNSENT
 
 
 def append_and_compact(store: Store, rng: random.Random, acked: set[bytes], steps: int) -> None:
@@ -192,7 +192,7 @@
                 append_and_compact(open_store_in_boot(BOOT, disks, ManualClocks()), rng, acked, 40)
             disks = [disk.crash() for disk in disks]
         store = open_store_in_boot(BOOT, disks, ManualClocks())
-        assert all(store.standing(key) is KeyState.SENT for key in acked), seed
+        assert all(store.key_state(key) is KeyState.SENT for key in acked), seed
         assert not store.notes, (seed, store.notes)
         files = disks[0].names()
         assert sum(n.startswith("seg-") for n in files) == len(store.segment_numbers), (seed, files)
@@ -225,7 +225,7 @@
                 store.compact()
         disks[0].fault = lambda *_: None
         again = open_store([disks[0].crash()])
-        assert all(again.standing(key) is KeyState.SENT for key in acked), seed
+        assert all(again.key_state(key) is KeyState.SENT for key in acked), seed
 
 
 def make_random_faults(
@@ -267,10 +267,10 @@
                     with suppress(StoreFailed):
                         store.recover()
                         recoveries += 1
-        assert {store.standing(key) for key in acked} <= {KeyState.SENT}, seed
+        assert {store.key_state(key) for key in acked} <= {KeyState.SENT}, seed
         again = open_store([disk.crash() for disk in disks])
-        assert all(again.standing(key) is KeyState.SENT for key in acked), (seed, again.notes)
-        assert again.standing(b"never") is KeyState.UNSENT, (seed, again.notes)
+        assert all(again.key_state(key) is KeyState.SENT for key in acked), (seed, again.notes)
+        assert again.key_state(b"never") is KeyState.UNSENT, (seed, again.notes)
     assert recoveries > 250
 
 
@@ -293,7 +293,7 @@
         assert "compact.new" not in files.names(), "the unfinished file would keep a full disk full"
     store.recover()
     store.append([Item(b"after")])
-    assert [store.standing(k) for k in (b"before", b"meanwhile", b"after")] == [SENT, UNSENT, SENT]
+    assert [store.key_state(k) for k in (b"before", b"meanwhile", b"after")] == [SENT, UNSENT, SENT]
     store.close()
 
 
@@ -302,7 +302,7 @@
     some = [copy_disk(d) for d in disks]
     some[0].fault = lambda kind, _: OSError(errno.EIO, "bad sector") if kind == "read" else None
     store = open_store(some)
-    assert {store.standing(k) for k in keys} == {KeyState.SENT} and "can't be read" in store.notes[0]
+    assert {store.key_state(k) for k in keys} == {KeyState.SENT} and "can't be read" in store.notes[0]
 
 
 def test_damage_in_the_middle_is_refused_with_its_offset_and_salvaged_only_by_repair() -> None:
@@ -319,8 +319,8 @@
         n: bytes(data) if n == name else bytes(i.now) for n, i in disk.now.items()
     }  # a refused open changes no file
     store = open_store([broken], repair=True)
-    assert all(store.standing(k) is not KeyState.UNSENT for k in keys)
-    assert sum(store.standing(k) is KeyState.SENT for k in keys) >= len(keys) - 3
+    assert all(store.key_state(k) is not KeyState.UNSENT for k in keys)
+    assert sum(store.key_state(k) is KeyState.SENT for k in keys) >= len(keys) - 3
     assert not open_store([copy_disk(broken)]).notes
 
 
@@ -360,12 +360,12 @@
     store.append([Item(b"a", expires=int(START_MS + 1000))])
     at.advance(5000.0)
     store.append([Item(b"b", expires=int(START_MS + 6000))])
-    assert store.standing(b"a") is KeyState.UNSENT
+    assert store.key_state(b"a") is KeyState.UNSENT
     at.wall_ms -= 3_600_000.0
     store = open_store(disks, at)
-    assert store.standing(b"b") is KeyState.SENT and store.now() >= START_MS + 5000
+    assert store.key_state(b"b") is KeyState.SENT and store.now() >= START_MS + 5000
     at.advance(1001.0)
-    assert store.standing(b"b") is KeyState.UNSENT  # the store's time still advances
+    assert store.key_state(b"b") is KeyState.UNSENT  # the store's time still advances
 
 
 BOOT, ANOTHER_BOOT = b"b" * 16, b"c" * 16
@@ -395,11 +395,11 @@
     for _ in range(2):
         at.advance(WINDOW / 2 - 100.0)
         store = open_store_in_boot(BOOT, disks, at)
-        assert store.standing(b"a") is KeyState.SENT and not store.notes
+        assert store.key_state(b"a") is KeyState.SENT and not store.notes
         store.close()
     at.advance(300.0)
     store = open_store_in_boot(BOOT, disks, at)
-    assert store.standing(b"a") is KeyState.UNSENT
+    assert store.key_state(b"a") is KeyState.UNSENT
 
 
 @pytest.mark.parametrize("kept", ["nothing", "noise", "another boot"])
@@ -414,7 +414,7 @@
         disks[0].remove("clock")
     at.wall_ms += WINDOW + 1.0
     at.monotonic_ms = 5.0
-    assert open_store_in_boot(BOOT, disks, at).standing(b"a") is KeyState.UNSENT
+    assert open_store_in_boot(BOOT, disks, at).key_state(b"a") is KeyState.UNSENT
 
 
 @pytest.mark.parametrize("step", [3_600_000.0, -3_600_000.0])
@@ -425,9 +425,9 @@
     store.append([Item(b"a", expires=int(store.now() + WINDOW))])
     at.wall_ms += step
     at.advance(WINDOW - 1)
-    assert store.standing(b"a") is KeyState.SENT
+    assert store.key_state(b"a") is KeyState.SENT
     at.advance(2.0)
-    assert store.standing(b"a") is KeyState.UNSENT
+    assert store.key_state(b"a") is KeyState.UNSENT
 
 
 def test_the_number_of_keys_is_bounded_and_expired_entries_free_space() -> None:
@@ -467,7 +467,7 @@
             at.advance(300.0)
         for k in (b"%d" % i for i in range(7)):
             alive = k in model and at.wall_ms < model[k]
-            assert (store.standing(k) is KeyState.SENT) is alive
+            assert (store.key_state(k) is KeyState.SENT) is alive
 
 
 @pytest.mark.parametrize("mirrors", [1, 2])
@@ -661,7 +661,7 @@
         acked |= {int(line) for line in child.stdout.read().split("\n")[:-1]}
         child.wait()
     store = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
-    assert len(acked) > 200 and all(store.standing(b"%d" % n) is KeyState.SENT for n in acked)
+    assert len(acked) > 200 and all(store.key_state(b"%d" % n) is KeyState.SENT for n in acked)
     store.close()
 
 
