--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -27,7 +27,7 @@
 from millgw.store.files import RealFiles
 from millgw.store.record import RECORD_SIZE
 from millgw.store.store import COMPACTION_STEP_BYTES, Item, KeyState, Store, StoreOptions
-from millgw.store.writer import Sync, Writer
+from millgw.store.writer import SyncPolicy, Writer
 
 SECONDS = 2.0
 VALUE = b"v" * 16
@@ -74,7 +74,7 @@
         print(f"| {name} | {writers} | {rate:.0f} | {cells} |", flush=True)
 
     for writers in (1, 16, 64):
-        for sync in (Sync.EACH, Sync.GROUP):
+        for sync in (SyncPolicy.EACH, SyncPolicy.GROUP):
             writer = Writer(opened(root / f"{sync.value}{writers}"), sync)
             row(sync.value, writers, lambda key, w=writer: (w.put(Item(key, VALUE)).result(), None)[1])  # type: ignore[misc]
             writer.close()
--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -17,7 +17,7 @@
 from millgw.store.files import Locked, RealFiles, boot_id
 from millgw.store.record import FormatError
 from millgw.store.store import Item, KeyState, Store, StoreOptions
-from millgw.store.writer import Sync, Writer
+from millgw.store.writer import SyncPolicy, Writer
 
 REOPEN_DELAY = 0.05  # s between attempts to open a store that another process of this sidecar has locked
 MEMORY_SHARE = 1 / 4  # share of the sidecar's memory limit for marks
@@ -32,7 +32,7 @@
     the header with a client's own key (lower case, may be empty), and the maximum number of marks."""
 
     directories: tuple[str, ...]
-    sync: Sync
+    sync: SyncPolicy
     keep_ms: float
     key_header: bytes
     max_marks: int
--- a/millgw/services/builders.py
+++ b/millgw/services/builders.py
@@ -165,11 +165,11 @@
         return None
     # Imported here: without a store these modules must not be loaded.
     from millgw.intents.store_log import MARK_BYTES, MEMORY_SHARE, Intents, IntentSettings
-    from millgw.store.writer import Sync
+    from millgw.store.writer import SyncPolicy
 
     keep, most = table.keep_h * 3_600_000.0, int(MEMORY_SHARE * memory / MARK_BYTES)
     return Intents(
-        IntentSettings(table.directories, Sync(table.sync), keep, table.key.lower().encode(), most)
+        IntentSettings(table.directories, SyncPolicy(table.sync), keep, table.key.lower().encode(), most)
     )
 
 
--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -25,7 +25,7 @@
 )  # s between two attempts to recover a failed store; doubles
 
 
-class Sync(Enum):
+class SyncPolicy(Enum):
     EACH = "each"
     GROUP = "group"
     INTERVAL = "interval"
@@ -42,7 +42,7 @@
     def __init__(
         self,
         store: Store,
-        sync: Sync = Sync.GROUP,
+        sync: SyncPolicy = SyncPolicy.GROUP,
         interval: float = 0.1,
         recovered: Callable[[float, int], None] = lambda _, __: None,
     ) -> None:
@@ -81,7 +81,7 @@
             future.set_exception(StoreFailed(f"it has failed: {self.store.failure or 'it is full'}"))
             return future
         self.pending_keys.add(item.key)
-        if self.sync is Sync.INTERVAL:
+        if self.sync is SyncPolicy.INTERVAL:
             future.set_result(0)
             self.queue.put((item, Future()))
         else:
@@ -120,9 +120,9 @@
         if first is None:
             return [], True
         group = [first]
-        if self.sync is Sync.EACH:
+        if self.sync is SyncPolicy.EACH:
             return group, False
-        if self.sync is Sync.INTERVAL:
+        if self.sync is SyncPolicy.INTERVAL:
             time.sleep(self.interval_s)
         while len(group) < MAX_GROUP_RECORDS:
             try:
@@ -170,7 +170,7 @@
         try:
             last_seq = self.store.append([item for item, _ in group])
         except OSError as error:
-            if self.sync is Sync.INTERVAL:
+            if self.sync is SyncPolicy.INTERVAL:
                 self.unwritten += [item for item, _ in group]
                 return
             failed = error
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -44,7 +44,7 @@
     StoreFull,
     StoreOptions,
 )
-from millgw.store.writer import Sync, Writer
+from millgw.store.writer import SyncPolicy, Writer
 from tests.kinds import pure_run_only
 
 pytestmark = pure_run_only
@@ -551,8 +551,10 @@
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("sync", list(Sync))
-def test_a_writer_whose_disk_was_full_for_a_while_writes_again_by_itself(tmp_path: Path, sync: Sync) -> None:
+@pytest.mark.parametrize("sync", list(SyncPolicy))
+def test_a_writer_whose_disk_was_full_for_a_while_writes_again_by_itself(
+    tmp_path: Path, sync: SyncPolicy
+) -> None:
     told: list[tuple[float, int]] = []
     store = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
     writer = Writer(store, sync, interval=0.01, recovered=lambda *seen: told.append(seen))
@@ -577,7 +579,7 @@
     again = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: 0.0)
     assert {b"before", b"after"} <= set(again.index) and b"refused at once" not in again.index
     # With INTERVAL an item is acknowledged before it is written, so it must be written after the outage.
-    assert (b"meanwhile" in again.index) == (sync is Sync.INTERVAL)
+    assert (b"meanwhile" in again.index) == (sync is SyncPolicy.INTERVAL)
     again.close()
 
 
@@ -587,7 +589,7 @@
     at = ManualClocks()
     options = StoreOptions(window_ms=WINDOW, max_keys=3)
     store = Store([RealFiles(tmp_path)], options, lambda: at.wall_ms, lambda: at.monotonic_ms)
-    writer = Writer(store, Sync.INTERVAL, interval=0.01)
+    writer = Writer(store, SyncPolicy.INTERVAL, interval=0.01)
     acked: list[bytes] = []
     end = time.monotonic() + TIMEOUT
     while not writer.stuck:
@@ -606,8 +608,8 @@
     writer.close()
 
 
-@pytest.mark.parametrize("sync", list(Sync))
-def test_every_sync_policy_writes_all_items(tmp_path: Path, sync: Sync) -> None:
+@pytest.mark.parametrize("sync", list(SyncPolicy))
+def test_every_sync_policy_writes_all_items(tmp_path: Path, sync: SyncPolicy) -> None:
     store = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
     writer = Writer(store, sync, interval=0.01)
     futures = [writer.put(Item(b"%d" % i)) for i in range(50)]
