--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -43,12 +43,12 @@
         self,
         store: Store,
         sync: SyncPolicy = SyncPolicy.GROUP,
-        interval: float = 0.1,
+        interval_s: float = 0.1,
         recovered: Callable[[float, int], None] = lambda _, __: None,
     ) -> None:
         self.store = store
         self.sync = sync
-        self.interval_s = interval
+        self.interval_s = interval_s
         self.queue: queue.SimpleQueue[tuple[Item, Future[int]] | None] = queue.SimpleQueue()
         self.pending_keys: set[bytes] = set()  # keys whose write is not durable yet
         self.group_count = 0
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -63,7 +63,7 @@
 
     async def test() -> None:
         store = Store([RealFiles(tmp_path)], StoreOptions(), lambda: 0.0, lambda: 0.0)
-        writer = Writer(store, SyncPolicy.INTERVAL, interval=0.2)
+        writer = Writer(store, SyncPolicy.INTERVAL, interval_s=0.2)
         book = IntentRegistry(store_log.StoreMarkLog(writer, 1000.0, asyncio.get_running_loop()))
         first = book.take((b"a",))
         assert isinstance(first, Intent)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -557,7 +557,7 @@
 ) -> None:
     told: list[tuple[float, int]] = []
     store = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
-    writer = Writer(store, sync, interval=0.01, recovered=lambda *seen: told.append(seen))
+    writer = Writer(store, sync, interval_s=0.01, recovered=lambda *seen: told.append(seen))
     writer.put(Item(b"before")).result(10)
     with pytest.MonkeyPatch.context() as broken:
         broken.setattr(RealHandle, "write", raise_disk_full)
@@ -589,7 +589,7 @@
     at = ManualClocks()
     options = StoreOptions(window_ms=WINDOW, max_keys=3)
     store = Store([RealFiles(tmp_path)], options, lambda: at.wall_ms, lambda: at.monotonic_ms)
-    writer = Writer(store, SyncPolicy.INTERVAL, interval=0.01)
+    writer = Writer(store, SyncPolicy.INTERVAL, interval_s=0.01)
     acked: list[bytes] = []
     end = time.monotonic() + TIMEOUT
     while not writer.stuck:
@@ -611,7 +611,7 @@
 @pytest.mark.parametrize("sync", list(SyncPolicy))
 def test_every_sync_policy_writes_all_items(tmp_path: Path, sync: SyncPolicy) -> None:
     store = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
-    writer = Writer(store, sync, interval=0.01)
+    writer = Writer(store, sync, interval_s=0.01)
     futures = [writer.put(Item(b"%d" % i)) for i in range(50)]
     for future in futures:
         future.result(10)
