--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -118,7 +118,7 @@
             return True
         for note in store.notes:
             log_event("store-recovered", note=note)
-        self.writer = Writer(store, self.settings.sync, recovered=_log_recovery)
+        self.writer = Writer(store, self.settings.sync, on_recovered=_log_recovery)
         loop = asyncio.get_running_loop()
         self.registry = IntentRegistry(StoreMarkLog(self.writer, self.settings.keep_ms, loop))
         log_event(
--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -44,7 +44,7 @@
         store: Store,
         sync: SyncPolicy = SyncPolicy.GROUP,
         interval_s: float = 0.1,
-        recovered: Callable[[float, int], None] = lambda _, __: None,
+        on_recovered: Callable[[float, int], None] = lambda _, __: None,
     ) -> None:
         self.store = store
         self.sync = sync
@@ -53,7 +53,7 @@
         self.pending_keys: set[bytes] = set()  # keys whose write is not durable yet
         self.group_count = 0
         self.unwritten: list[Item] = []  # acknowledged but not written: the store has failed or is full
-        self.on_recovered = recovered
+        self.on_recovered = on_recovered
         self.failed_at = 0.0  # monotonic s, while it is stuck
         self.recovery_attempts = 0  # since then
         self.next_recovery_at = 0.0
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -557,7 +557,7 @@
 ) -> None:
     told: list[tuple[float, int]] = []
     store = Store([RealFiles(tmp_path)], SMALL, lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
-    writer = Writer(store, sync, interval_s=0.01, recovered=lambda *seen: told.append(seen))
+    writer = Writer(store, sync, interval_s=0.01, on_recovered=lambda *seen: told.append(seen))
     writer.put(Item(b"before")).result(10)
     with pytest.MonkeyPatch.context() as broken:
         broken.setattr(RealHandle, "write", raise_disk_full)
