--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -47,7 +47,7 @@
         self.loop = loop
 
     def standing(self, key: bytes) -> KeyState:
-        return self.writer.standing(key)
+        return self.writer.key_state(key)
 
     def mark(self, keys: Sequence[bytes], done: WriteCallback) -> None:
         expires = int(self.writer.store.now() + self.keep_ms)
--- a/millgw/store/writer.py
+++ b/millgw/store/writer.py
@@ -65,12 +65,12 @@
 
         Of two concurrent claims of one key, the second gets SENT.
         """
-        standing = self.standing(item.key)
+        standing = self.key_state(item.key)
         if standing is not KeyState.UNSENT:
             return standing
         return asyncio.wrap_future(self.put(item))
 
-    def standing(self, key: bytes) -> KeyState:
+    def key_state(self, key: bytes) -> KeyState:
         """What the store can prove about a key; a key that is being written counts as sent."""
         return KeyState.SENT if key in self.pending_keys else self.store.key_state(key)
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -599,7 +599,7 @@
         if future.exception() is None:
             acked.append(key)
         time.sleep(0.005)
-    assert {writer.standing(key) for key in acked} == {SENT}
+    assert {writer.key_state(key) for key in acked} == {SENT}
     at.advance(WINDOW + 1.0)
     while writer.stuck:
         assert time.monotonic() < end
