--- a/millgw/intents/store_log.py
+++ b/millgw/intents/store_log.py
@@ -14,7 +14,7 @@
 from millgw.http.request import Head
 from millgw.intents.registry import Intent, IntentRegistry, Refusal, WriteCallback
 from millgw.log.events import log_event
-from millgw.store.files import Locked, RealFiles, boot_id
+from millgw.store.files import RealFiles, StoreLocked, boot_id
 from millgw.store.record import FormatError
 from millgw.store.store import Item, KeyState, Store, StoreOptions
 from millgw.store.writer import SyncPolicy, Writer
@@ -106,7 +106,7 @@
         """Try to open the store; False if it is locked and has to be tried again."""
         try:
             store = await asyncio.to_thread(self._make_store)
-        except Locked as error:
+        except StoreLocked as error:
             log_event("store-locked", cause=error)
             return False
         except (OSError, FormatError) as error:
--- a/millgw/store/files.py
+++ b/millgw/store/files.py
@@ -15,7 +15,7 @@
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
-class Locked(OSError):
+class StoreLocked(OSError):
     """Another process has locked the store."""
 
 
@@ -37,7 +37,7 @@
     """One directory of the store."""
 
     def lock(self) -> None:
-        """Lock the directory until `close`; raises `Locked` if another process holds the lock."""
+        """Lock the directory until `close`; raises `StoreLocked` if another process holds the lock."""
 
     def names(self) -> list[str]: ...
 
@@ -126,7 +126,7 @@
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(fd)
-            raise Locked(11, "another process has locked the store", str(self.path)) from None
+            raise StoreLocked(11, "another process has locked the store", str(self.path)) from None
         self.lock_fd = fd
 
     def names(self) -> list[str]:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,7 +21,7 @@
 from millgw.store import mark as marks
 from millgw.store import store as store_module
 from millgw.store.faulty import Crash, FaultyFiles, Inode, faulty_mirrors
-from millgw.store.files import DirectoryContents, Locked, RealFiles, RealHandle
+from millgw.store.files import DirectoryContents, RealFiles, RealHandle, StoreLocked
 from millgw.store.record import (
     HEADER_SIZE,
     PUT,
@@ -624,7 +624,7 @@
         return Store([RealFiles(tmp_path)], SMALL, lambda: START_MS, lambda: 0.0)
 
     store = make()
-    with pytest.raises(Locked):
+    with pytest.raises(StoreLocked):
         make()
     store.close()
     make().close()
