--- a/millgw/store/faulty.py
+++ b/millgw/store/faulty.py
@@ -24,18 +24,18 @@
 class Inode:
     """The bytes of a file: as reads see them, as they are on the disk, and the pages not yet on the disk."""
 
-    now: bytearray = field(default_factory=bytearray)
+    content: bytearray = field(default_factory=bytearray)
     durable: bytes = b""
     dirty_pages: set[int] = field(default_factory=set)  # page numbers
 
     def write(self, at: int, data: bytes) -> None:
-        if len(self.now) < at + len(data):
-            self.now.extend(bytes(at + len(data) - len(self.now)))
-        self.now[at : at + len(data)] = data
+        if len(self.content) < at + len(data):
+            self.content.extend(bytes(at + len(data) - len(self.content)))
+        self.content[at : at + len(data)] = data
         self.dirty_pages |= set(range(at // PAGE_BYTES, (at + max(1, len(data)) - 1) // PAGE_BYTES + 1))
 
     def sync(self) -> None:
-        self.durable = bytes(self.now)
+        self.durable = bytes(self.content)
         self.dirty_pages.clear()
 
     def drop_dirty_pages(self) -> None:
@@ -44,17 +44,17 @@
 
     def after_power_cut(self, rng: random.Random) -> Inode:
         """The file as it is found after a power cut."""
-        low, high = sorted((len(self.durable), len(self.now)))
+        low, high = sorted((len(self.durable), len(self.content)))
         out = bytearray(self.durable)
         size = (
             rng.randint(low, high)
-            if len(self.now) > len(self.durable) and self.dirty_pages
+            if len(self.content) > len(self.durable) and self.dirty_pages
             else len(self.durable)
         )
         out.extend(bytes(max(0, size - len(out))))
         for page in self.dirty_pages:
             if rng.random() < 0.5:
-                part = self.now[page * PAGE_BYTES : (page + 1) * PAGE_BYTES]
+                part = self.content[page * PAGE_BYTES : (page + 1) * PAGE_BYTES]
                 end = min(page * PAGE_BYTES + len(part), len(out))
                 out[page * PAGE_BYTES : end] = part[: max(0, end - page * PAGE_BYTES)]
         found = Inode(bytearray(out))
@@ -71,9 +71,9 @@
         fault = self.disk.step("write")
         if fault is not None:
             part = data[: self.disk.rng.randrange(len(data) + 1)]
-            self.inode.write(len(self.inode.now), part)
+            self.inode.write(len(self.inode.content), part)
             raise fault
-        self.inode.write(len(self.inode.now), data)
+        self.inode.write(len(self.inode.content), data)
 
     def overwrite(self, data: bytes) -> None:
         fault = self.disk.step("write")
@@ -150,7 +150,7 @@
             raise fault
         if name not in self.now:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return bytes(self.now[name].now)
+        return bytes(self.now[name].content)
 
     def create(self, name: str) -> FaultyHandle:
         inode = Inode()
