--- a/millgw/store/faulty.py
+++ b/millgw/store/faulty.py
@@ -99,7 +99,7 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.now: dict[str, Inode] = {}
+        self.inodes: dict[str, Inode] = {}
         self.durable: dict[str, Inode] = {}
         self.pending_changes: list[Callable[[dict[str, Inode]], object]] = []
         self.steps = 0
@@ -119,7 +119,7 @@
         fault = self.step("names")
         if fault is not None:
             raise fault
-        change(self.now)
+        change(self.inodes)
         self.pending_changes.append(change)
 
     def crash(self) -> FaultyFiles:
@@ -132,8 +132,8 @@
         for name, inode in names.items():
             if id(inode) not in survivors:
                 survivors[id(inode)] = inode.after_power_cut(self.rng)
-            out.now[name] = survivors[id(inode)]
-        out.durable = dict(out.now)
+            out.inodes[name] = survivors[id(inode)]
+        out.durable = dict(out.inodes)
         return out
 
     # The interface `Files`
@@ -142,15 +142,15 @@
         """Does nothing: the simulation has one process only."""
 
     def names(self) -> list[str]:
-        return sorted(self.now)
+        return sorted(self.inodes)
 
     def read(self, name: str) -> bytes:
         fault = self.step("read")
         if fault is not None:
             raise fault
-        if name not in self.now:
+        if name not in self.inodes:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        return bytes(self.now[name].content)
+        return bytes(self.inodes[name].content)
 
     def create(self, name: str) -> FaultyHandle:
         inode = Inode()
@@ -158,9 +158,9 @@
         return FaultyHandle(self, inode)
 
     def open(self, name: str) -> FaultyHandle:
-        if name not in self.now:
+        if name not in self.inodes:
             return self.create(name)
-        return FaultyHandle(self, self.now[name])
+        return FaultyHandle(self, self.inodes[name])
 
     def rename(self, old: str, new: str) -> None:
         self._change_names(lambda names: names.__setitem__(new, names.pop(old)) if old in names else None)
@@ -172,7 +172,7 @@
         fault = self.step("sync")
         if fault is not None:
             raise fault
-        self.durable = dict(self.now)
+        self.durable = dict(self.inodes)
         self.pending_changes.clear()
 
     def close(self) -> None:
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -51,10 +51,10 @@
 def copy_disk(disk: FaultyFiles, **other: bytes) -> FaultyFiles:
     """A copy of the files with their current content; `other` overrides the content of some."""
     made = FaultyFiles(random.Random(1))
-    for name, inode in disk.now.items():
-        made.now[name] = Inode(bytearray(other.get(name, inode.content)))
-        made.now[name].sync()
-    made.durable = dict(made.now)
+    for name, inode in disk.inodes.items():
+        made.inodes[name] = Inode(bytearray(other.get(name, inode.content)))
+        made.inodes[name].sync()
+    made.durable = dict(made.inodes)
     return made
 
 
@@ -116,7 +116,7 @@
         state.persist(persist(epoch=epoch))
     assert open_state(copy_disk(disk)).load().epoch == 2999
     assert len(list(state._store.entries())) <= 2 * 60
-    assert sum(len(inode.content) for inode in disk.now.values()) < 500_000
+    assert sum(len(inode.content) for inode in disk.inodes.values()) < 500_000
 
 
 def test_a_write_torn_at_any_byte_leaves_the_state_before_it_or_after_it() -> None:
@@ -124,11 +124,11 @@
     state = open_state(disk, create=True)
     state.persist(persist(entry(1), entry(2), committed=1))
     before = state.load()
-    segment = max(name for name in disk.now if name.startswith("seg-"))
-    start = len(disk.now[segment].content)
-    marks = {name: bytes(disk.now[name].content) for name in FILE_NAMES}
+    segment = max(name for name in disk.inodes if name.startswith("seg-"))
+    start = len(disk.inodes[segment].content)
+    marks = {name: bytes(disk.inodes[name].content) for name in FILE_NAMES}
     state.persist(persist(entry(3, "torn"), entry(4), epoch=2, committed=2))
-    whole = bytes(disk.now[segment].content)
+    whole = bytes(disk.inodes[segment].content)
     assert len(whole) - start > 100
     for end in range(start, len(whole) + 1):
         found = open_state(copy_disk(disk, **{segment: whole[:end]}, **marks)).load()
@@ -139,10 +139,10 @@
 def test_an_acknowledged_record_truncated_at_any_byte_is_refused_now_and_later() -> None:
     disk = FaultyFiles(random.Random(1))
     state = open_state(disk, create=True)
-    segment = max(name for name in disk.now if name.startswith("seg-"))
-    start = len(disk.now[segment].content)
+    segment = max(name for name in disk.inodes if name.startswith("seg-"))
+    start = len(disk.inodes[segment].content)
     state.persist(persist(entry(1), entry(2), committed=1))
-    whole = bytes(disk.now[segment].content)
+    whole = bytes(disk.inodes[segment].content)
     for end in range(start, len(whole)):
         cut = copy_disk(disk, **{segment: whole[:end]})
         with pytest.raises(StateIncomplete):
@@ -158,8 +158,8 @@
     state = open_state(disk, create=True)
     for position in range(1, 6):
         state.persist(persist(entry(position)))
-    segment = max(name for name in disk.now if name.startswith("seg-"))
-    damaged = bytearray(disk.now[segment].content)
+    segment = max(name for name in disk.inodes if name.startswith("seg-"))
+    damaged = bytearray(disk.inodes[segment].content)
     damaged[len(damaged) // 2] ^= 1
     with pytest.raises(StateIncomplete, match="can't be read"):
         open_state(copy_disk(disk, **{segment: bytes(damaged)}))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -92,11 +92,11 @@
 def copy_disk(disk: FaultyFiles, name: str = "", data: bytes = b"") -> FaultyFiles:
     """A copy of the disk as it reads now, with other contents for one file."""
     disk_copy = FaultyFiles(random.Random(1))
-    for known, inode in disk.now.items():
+    for known, inode in disk.inodes.items():
         copy = Inode(bytearray(data if known == name else inode.content))
         copy.sync()
-        disk_copy.now[known] = copy
-    disk_copy.durable = dict(disk_copy.now)
+        disk_copy.inodes[known] = copy
+    disk_copy.durable = dict(disk_copy.inodes)
     return disk_copy
 
 
@@ -132,7 +132,7 @@
     cuts = 0
     for number, disk in enumerate(disks):
         for name in disk.names():
-            data = bytes(disk.now[name].content)
+            data = bytes(disk.inodes[name].content)
             for size in range(len(data)):
                 some = [copy_disk(d, name, data[:size]) if d is disk else copy_disk(d) for d in disks]
                 store = open_store(some)
@@ -152,11 +152,11 @@
     disks, _ = make_filled_disks(6, compact=False)
     disk = disks[0]
     name = max(
-        n for n in disk.names() if n.startswith("seg-") and len(disk.now[n].content) > HEADER_SIZE + 20
+        n for n in disk.names() if n.startswith("seg-") and len(disk.inodes[n].content) > HEADER_SIZE + 20
     )
     at = ManualClocks()
     at.advance(1000.0)
-    some = [copy_disk(disk, name, bytes(disk.now[name].content)[:-3])]
+    some = [copy_disk(disk, name, bytes(disk.inodes[name].content)[:-3])]
     store = open_store(some, at)
     assert store.notes and store.key_state(b"key-005") is KeyState.UNPROVEN
     at.advance(WINDOW / 2)
@@ -310,15 +310,15 @@
 def test_damage_in_the_middle_is_refused_with_its_offset_and_salvaged_only_by_repair() -> None:
     disks, keys = make_filled_disks(12, compact=False)
     disk = disks[0]
-    name = next(n for n in disk.names() if n.startswith("seg-") and len(disk.now[n].content) > 250)
-    data = bytearray(disk.now[name].content)
+    name = next(n for n in disk.names() if n.startswith("seg-") and len(disk.inodes[n].content) > 250)
+    data = bytearray(disk.inodes[name].content)
     data[HEADER_SIZE + 30] ^= 1
     broken = copy_disk(disk, name, bytes(data))
     with pytest.raises(StoreDamaged) as caught:
         open_store([broken])
     assert f"{name}: byte {HEADER_SIZE}" in str(caught.value) and caught.value.readable > 5
-    assert {n: bytes(i.content) for n, i in broken.now.items()} == {
-        n: bytes(data) if n == name else bytes(i.content) for n, i in disk.now.items()
+    assert {n: bytes(i.content) for n, i in broken.inodes.items()} == {
+        n: bytes(data) if n == name else bytes(i.content) for n, i in disk.inodes.items()
     }  # a refused open changes no file
     store = open_store([broken], repair=True)
     assert all(store.key_state(k) is not KeyState.UNSENT for k in keys)
@@ -330,7 +330,7 @@
     disks, _ = make_filled_disks(30, compact=False)
     _, middle, _, *_ = sorted(n for n in disks[0].names() if n.startswith("seg-"))
     less = copy_disk(disks[0])
-    del less.now[middle]
+    del less.inodes[middle]
     with pytest.raises(StoreDamaged) as caught:
         open_store([less])
     assert "missing" in str(caught.value)
@@ -494,7 +494,7 @@
     for i in range(100):
         store.append([Item(b"key-%d" % i, bytes(100))])
     while not store.compact(100):
-        making = disks[0].now[store_module.COMPACTION_FILE]
+        making = disks[0].inodes[store_module.COMPACTION_FILE]
         assert len(making.content) - len(making.durable) < 500 + 250, (
             "at most a step and one record over the limit"
         )
