--- a/millgw/store/faulty.py
+++ b/millgw/store/faulty.py
@@ -100,7 +100,7 @@
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.inodes: dict[str, Inode] = {}
-        self.durable: dict[str, Inode] = {}
+        self.durable_inodes: dict[str, Inode] = {}
         self.pending_changes: list[Callable[[dict[str, Inode]], object]] = []
         self.steps = 0
         self.fault: Callable[[str, int], BaseException | None] = lambda _, __: None
@@ -125,7 +125,7 @@
     def crash(self) -> FaultyFiles:
         """The disk as it is found once the power is back."""
         out = FaultyFiles(self.rng)
-        names = dict(self.durable)
+        names = dict(self.durable_inodes)
         for change in self.pending_changes[: self.rng.randint(0, len(self.pending_changes))]:
             change(names)
         survivors: dict[int, Inode] = {}
@@ -133,7 +133,7 @@
             if id(inode) not in survivors:
                 survivors[id(inode)] = inode.after_power_cut(self.rng)
             out.inodes[name] = survivors[id(inode)]
-        out.durable = dict(out.inodes)
+        out.durable_inodes = dict(out.inodes)
         return out
 
     # The interface `Files`
@@ -172,7 +172,7 @@
         fault = self.step("sync")
         if fault is not None:
             raise fault
-        self.durable = dict(self.inodes)
+        self.durable_inodes = dict(self.inodes)
         self.pending_changes.clear()
 
     def close(self) -> None:
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -54,7 +54,7 @@
     for name, inode in disk.inodes.items():
         made.inodes[name] = Inode(bytearray(other.get(name, inode.content)))
         made.inodes[name].sync()
-    made.durable = dict(made.inodes)
+    made.durable_inodes = dict(made.inodes)
     return made
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -96,7 +96,7 @@
         copy = Inode(bytearray(data if known == name else inode.content))
         copy.sync()
         disk_copy.inodes[known] = copy
-    disk_copy.durable = dict(disk_copy.inodes)
+    disk_copy.durable_inodes = dict(disk_copy.inodes)
     return disk_copy
 
 
