--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -279,7 +279,7 @@
 
     def up(self, fresh: bool, doubtful: bool) -> None:
         self.storm.ups.append(time.monotonic())
-        self.client.ask(Ask(Kind.CHILDREN, PATH))
+        self.client.send(Ask(Kind.CHILDREN, PATH))
 
     def down(self) -> None: ...
 
--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -95,7 +95,7 @@
         except (OSError, TimeoutError) as error:
             connection.end(str(error) or "connection timed out")
 
-    def ask(self, request: Ask) -> None:
+    def send(self, request: Ask) -> None:
         """Send a request if a session is established; otherwise drop it, as `down` has already reported."""
         if self.connected and self.connection is not None:
             self.connection.write(self.protocol.request(request))
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -189,7 +189,7 @@
 
     def _send(self, requests: list[Ask]) -> None:
         for request in requests:
-            self.client.ask(request)
+            self.client.send(request)
 
 
 @click.command(cls=Reporting, examples=["members --connect 127.0.0.1:2181 --path /services/api"])
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -127,7 +127,7 @@
 
     def _send(self, requests: list[Ask]) -> None:
         for request in requests:
-            self.client.ask(request)
+            self.client.send(request)
         state = self.registration.state
         _set_event(self.registered, state is NodeState.SERVES)
         _set_event(self.drained, state in (NodeState.DRAINS, NodeState.LEFT))
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -131,7 +131,7 @@
 
     def _send(self, requests: list[Ask]) -> None:
         for request in requests:
-            self.client.ask(request)
+            self.client.send(request)
 
     # Decisions
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -578,7 +578,7 @@
         self.client: Client
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        self.client.ask(Ask(Kind.CHILDREN, PATH))
+        self.client.send(Ask(Kind.CHILDREN, PATH))
 
     def down(self) -> None: ...
 
