--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -29,7 +29,7 @@
 
 from benchmarks.connections import SETTINGS
 from millgw.membership.client import Client
-from millgw.membership.judge import Terms
+from millgw.membership.judge import DepartureSettings
 from millgw.membership.protocol import Ask, Fired, Kind, Reply
 from millgw.membership.servers import read_connect
 from millgw.membership.source import Directory, Where
@@ -181,7 +181,9 @@
     def __init__(self, connect: str) -> None:
         servers, _ = read_connect(connect)
         self.known = 0
-        self.directory = Directory(Where(servers, PATH, 10_000.0, Terms()), (), 1, self, self.changed)
+        self.directory = Directory(
+            Where(servers, PATH, 10_000.0, DepartureSettings()), (), 1, self, self.changed
+        )
 
     def changed(self, ready: dict[int, ListedEndpoint], drains: dict[int, ListedEndpoint]) -> None:
         self.known = len(ready)
--- a/millgw/membership/judge.py
+++ b/millgw/membership/judge.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Terms:
+class DepartureSettings:
     """The operator's settings. Times in ms."""
 
     share: float = 0.15
@@ -150,7 +150,7 @@
 class MembershipTracker:
     """Members of one directory. `update` takes a complete list; `decide` acts on time and own evidence."""
 
-    def __init__(self, settings: Terms, rng: random.Random, evidence: EvidenceLookup) -> None:
+    def __init__(self, settings: DepartureSettings, rng: random.Random, evidence: EvidenceLookup) -> None:
         self.settings = settings
         self.rng = rng
         self.evidence = evidence
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -18,7 +18,13 @@
 from millgw.log.events import log_event
 from millgw.membership.client import Client
 from millgw.membership.follower import DirectoryFollower
-from millgw.membership.judge import EndpointEvidence, MemberNode, MembershipTracker, MemberState, Terms
+from millgw.membership.judge import (
+    DepartureSettings,
+    EndpointEvidence,
+    MemberNode,
+    MembershipTracker,
+    MemberState,
+)
 from millgw.membership.merge import COORDINATOR, DISCOVERY, Merger, changes
 from millgw.membership.nodes import NodeData, read_node
 from millgw.membership.protocol import Ask, Code, Fired, Reply
@@ -42,7 +48,7 @@
     servers: tuple[Address, ...]
     path: str
     timeout: float
-    terms: Terms
+    terms: DepartureSettings
     port: str = ""
 
 
--- a/millgw/services/builders.py
+++ b/millgw/services/builders.py
@@ -26,7 +26,7 @@
     from millgw.connections.manager import ConnectionManager
     from millgw.connections.settings import ConnectionSettings
     from millgw.intents.store_log import Intents
-    from millgw.membership.judge import Terms as JudgeTerms
+    from millgw.membership.judge import DepartureSettings as JudgeTerms
     from millgw.membership.source import Where
     from millgw.peers.node import Peers
 
@@ -97,11 +97,11 @@
     service: Service, coordinator: Coordinator, config: Config, seed: int
 ) -> Callable[[UpdateCallback, EndpointObserver], EndpointSource]:
     # Imported here: without a coordinator these modules must not be loaded.
-    from millgw.membership.judge import Terms
+    from millgw.membership.judge import DepartureSettings
     from millgw.membership.merge import Merger, Mode
     from millgw.membership.source import BothSources, CoordinatorSource
 
-    terms = Terms(
+    terms = DepartureSettings(
         share=coordinator.mass_share,
         window=coordinator.window_s * 1000,
         hold=coordinator.hold_s * 1000,
@@ -149,7 +149,7 @@
     if table.coordinator is not None:
         from millgw.membership import judge
 
-        meeting = _coordinator_directory(table.coordinator, judge.Terms())
+        meeting = _coordinator_directory(table.coordinator, judge.DepartureSettings())
     join = tuple(map(read_address, table.join))
     terms = PeerSettings(read_address(table.listen), join, table.keys, table.within_ms, meeting)
     try:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
 from millgw.membership import jute
 from millgw.membership.client import Client
 from millgw.membership.follower import MAX_NODES
-from millgw.membership.judge import Terms
+from millgw.membership.judge import DepartureSettings
 from millgw.membership.protocol import Ask, Fired, Kind, Reply
 from millgw.membership.registrar import Entry, Registrar
 from millgw.membership.source import Directory, Where
@@ -56,13 +56,15 @@
 class FollowedDirectory:
     """Follows one directory as a pool does; `views` is the only evidence on its endpoints."""
 
-    def __init__(self, made: Ensemble, timeout: float = 4000.0, terms: Terms | None = None) -> None:
+    def __init__(
+        self, made: Ensemble, timeout: float = 4000.0, terms: DepartureSettings | None = None
+    ) -> None:
         servers = tuple(face.address for face in made.faces)
         self.names: dict[int, str] = {}
         self.ready: set[str] = set()
         self.draining: set[str] = set()
         self.times_changed = 0
-        where = Where(servers, PATH, timeout, terms or Terms())
+        where = Where(servers, PATH, timeout, terms or DepartureSettings())
         self.directory = Directory(where, (), 1, self, self.on_change)
         self.views: dict[str, tuple[float, float, float, float]] = {}
 
@@ -83,7 +85,7 @@
 
 @asynccontextmanager
 async def followed_directory(
-    made: Ensemble, names: str, timeout: float = 4000.0, terms: Terms | None = None
+    made: Ensemble, names: str, timeout: float = 4000.0, terms: DepartureSettings | None = None
 ) -> AsyncIterator[tuple[FollowedDirectory, dict[str, int]]]:
     """Follow a directory whose members have these names; yields the rig and each member's session."""
     rig = FollowedDirectory(made, timeout, terms)
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -20,11 +20,11 @@
 from millgw.membership.judge import (
     ASIDE_AFTER,
     FLAPS,
+    DepartureSettings,
     EndpointEvidence,
     MemberNode,
     MembershipTracker,
     MemberState,
-    Terms,
 )
 from millgw.membership.jute import BadRecord, Stat
 from millgw.membership.merge import COORDINATOR, DISCOVERY, Merger, Mode, changes
@@ -464,13 +464,15 @@
 class Fleet:
     """Members of one directory, and a sidecar's own evidence on them."""
 
-    def __init__(self, count: int, terms: Terms | None = None, since: float = 0.0) -> None:
+    def __init__(self, count: int, terms: DepartureSettings | None = None, since: float = 0.0) -> None:
         self.now = 1_000_000.0
         self.zxid = 0
         self.nodes: dict[str, MemberNode] = {}
         self.evidence: dict[str, EndpointEvidence] = {}
         self.tracker = MembershipTracker(
-            terms or Terms(), random.Random(1), lambda name: self.evidence.get(name, EndpointEvidence())
+            terms or DepartureSettings(),
+            random.Random(1),
+            lambda name: self.evidence.get(name, EndpointEvidence()),
         )
         for i in range(count):
             self.create(f"m{i}", since=since)
@@ -598,7 +600,7 @@
 
 
 def test_a_hold_ends_few_at_a_time_and_at_last_for_all() -> None:
-    fleet = Fleet(20, Terms(hold=2000.0, hold_most=8000.0, window=1000.0))
+    fleet = Fleet(20, DepartureSettings(hold=2000.0, hold_most=8000.0, window=1000.0))
     quiet = {f"m{i}" for i in range(10)}
     fleet.nodes.clear()
     fleet.update()
@@ -780,7 +782,7 @@
         if gap:
             fleet.update()
             fleet.wait(gap)
-        if fleet.now > 1_000_000.0 + Terms().window:
+        if fleet.now > 1_000_000.0 + DepartureSettings().window:
             break
     fleet.update()
     fleet.wait(1000.0)
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -344,7 +344,7 @@
     async def test() -> None:
         async with ensemble() as zk, fleet(tmp_path) as fleet_of_peers:
             servers, _ = read_connect(zk.connect_string)
-            directory = Where(servers, "/sidecars", 4000.0, judge.Terms())
+            directory = Where(servers, "/sidecars", 4000.0, judge.DepartureSettings())
             first, _ = await fleet_of_peers.start(coordinator=directory)
             assert first.peer_discovery is not None
             await first.peer_discovery.registrar.registered.wait()
@@ -362,7 +362,7 @@
 def test_an_unreachable_coordinator_does_not_delay_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path) as fleet_of_peers:
-            directory = Where((free_address(),), "/sidecars", 4000.0, judge.Terms())
+            directory = Where((free_address(),), "/sidecars", 4000.0, judge.DepartureSettings())
             peers, _ = fleet_of_peers.make(within=50.0, coordinator=directory)
             await peers.start()
             assert peers.snapshots == 0
