--- a/millgw/membership/follower.py
+++ b/millgw/membership/follower.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from millgw.membership.jute import Stat
-from millgw.membership.protocol import Ask, Code, EventType, Fired, Kind, Reply
+from millgw.membership.protocol import Ask, Code, EventType, Fired, Operation, Reply
 
 DRAINING = "draining"
 MIN_READ_INTERVAL = 100.0  # ms between two reads of one node, whose data may change 100 times a second
@@ -110,9 +110,9 @@
     def on_reply(self, now: float, reply: Reply) -> list[Ask]:
         """Handle the reply to one of its requests."""
         path = reply.request.path
-        if reply.request.operation is Kind.EXISTS:
+        if reply.request.operation is Operation.EXISTS:
             return [self._list_request(self.path)] if reply.code == Code.OK else []
-        if reply.request.operation is Kind.READ:
+        if reply.request.operation is Operation.READ:
             return self._handle_read(now, path.rpartition("/")[2], reply)
         self.lists_in_flight.pop(path, None)
         if path == self.path:
@@ -154,7 +154,7 @@
 
     def _list_request(self, path: str) -> Ask:
         self.lists_in_flight[path] = None
-        return Ask(Kind.CHILDREN, path)
+        return Ask(Operation.CHILDREN, path)
 
     def _handle_list(self, now: float, reply: Reply) -> list[Ask]:
         state = self.state
@@ -163,7 +163,7 @@
             state.missing, state.complete = True, True
             state.nodes.clear()
             self.child_names = frozenset()
-            return [Ask(Kind.EXISTS, self.path)]
+            return [Ask(Operation.EXISTS, self.path)]
         if reply.code != Code.OK:
             return []
         self.too_many = len(reply.names) if len(reply.names) > MAX_NODES else 0
@@ -197,7 +197,7 @@
                 continue
             self.reads_in_flight[name] = None
             self.read_at[name] = now
-            requests.append(Ask(Kind.READ, f"{self.path}/{name}"))
+            requests.append(Ask(Operation.READ, f"{self.path}/{name}"))
         return requests
 
     def _handle_read(self, now: float, name: str, reply: Reply) -> list[Ask]:
--- a/millgw/membership/protocol.py
+++ b/millgw/membership/protocol.py
@@ -52,7 +52,7 @@
     CHILDREN = 4
 
 
-class Kind(IntEnum):
+class Operation(IntEnum):
     """The operations that the client requests."""
 
     CREATE = CREATE
@@ -67,7 +67,7 @@
 class Ask:
     """One request. Reads also set a watch; a created node is ephemeral unless `persistent`."""
 
-    operation: Kind
+    operation: Operation
     path: str
     data: bytes = b""
     version: int = -1
@@ -75,14 +75,14 @@
 
     def payload(self) -> bytes:
         path = jute.write_string(self.path)
-        if self.operation is Kind.CREATE:
+        if self.operation is Operation.CREATE:
             anyone = jute.write_string("world") + jute.write_string("anyone")
             access = jute.write_int(1) + jute.write_int(ALL_PERMISSIONS) + anyone
             flags = jute.write_int(0 if self.persistent else EPHEMERAL)
             return path + jute.write_buffer(self.data) + access + flags
-        if self.operation is Kind.WRITE:
+        if self.operation is Operation.WRITE:
             return path + jute.write_buffer(self.data) + jute.write_int(self.version)
-        if self.operation is Kind.DELETE:
+        if self.operation is Operation.DELETE:
             return path + jute.write_int(self.version)
         return path + jute.write_bool(True)
 
@@ -232,12 +232,12 @@
 def _reply(request: Ask, code: int, reader: Reader) -> Reply:
     if code != Code.OK:
         return Reply(request, code)
-    if request.operation is Kind.CHILDREN:
+    if request.operation is Operation.CHILDREN:
         names = tuple(reader.read_strings())
         return Reply(request, code, names, stat=read_stat(reader))
-    if request.operation is Kind.READ:
+    if request.operation is Operation.READ:
         data = reader.read_buffer()
         return Reply(request, code, data=data, stat=read_stat(reader))
-    if request.operation in (Kind.EXISTS, Kind.WRITE):
+    if request.operation in (Operation.EXISTS, Operation.WRITE):
         return Reply(request, code, stat=read_stat(reader))
     return Reply(request, code)
--- a/millgw/membership/registration.py
+++ b/millgw/membership/registration.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from millgw.membership.protocol import Ask, Code, Fired, Kind, Reply
+from millgw.membership.protocol import Ask, Code, Fired, Operation, Reply
 
 
 class DesiredState(Enum):
@@ -95,21 +95,21 @@
             return []
         self.in_flight = None
         kind, code = reply.request.operation, reply.code
-        if kind is Kind.READ:
+        if kind is Operation.READ:
             self._handle_read(reply)
-        elif kind is Kind.CREATE and reply.request.path != self.path:
+        elif kind is Operation.CREATE and reply.request.path != self.path:
             self.refusal = code if code not in (Code.OK, Code.NODE_EXISTS) else 0
-        elif kind is Kind.CREATE and code == Code.OK:
+        elif kind is Operation.CREATE and code == Code.OK:
             self.times_created += 1
             self.version = 0
             as_serving = reply.request.data == self.encode(DesiredState.SERVE)
             self.state = NodeState.SERVES if as_serving else NodeState.DRAINS
-        elif kind is Kind.CREATE and code == Code.NO_NODE:
+        elif kind is Operation.CREATE and code == Code.NO_NODE:
             return self._create_parents()
-        elif kind is Kind.WRITE and code == Code.OK:
+        elif kind is Operation.WRITE and code == Code.OK:
             self.version += 1
             self.state = NodeState.DRAINS
-        elif kind is Kind.DELETE and code in (Code.OK, Code.NO_NODE):
+        elif kind is Operation.DELETE and code in (Code.OK, Code.NO_NODE):
             self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.ABSENT
         elif code in (Code.NODE_EXISTS, Code.NO_NODE, Code.BAD_VERSION):
             self.state = NodeState.UNKNOWN
@@ -139,7 +139,7 @@
         """Create the parent directories, top down; creating one that exists is refused, which is harmless."""
         parts = self.path.strip("/").split("/")[:-1]
         parents = ["/" + "/".join(parts[: i + 1]) for i in range(len(parts))]
-        requests = [Ask(Kind.CREATE, path, persistent=True) for path in parents]
+        requests = [Ask(Operation.CREATE, path, persistent=True) for path in parents]
         self.state = NodeState.ABSENT
         self.in_flight = requests[-1] if requests else None
         return requests
@@ -149,20 +149,20 @@
             return []
         request: Ask | None = None
         if self.state is NodeState.UNKNOWN:
-            request = Ask(Kind.READ, self.path)
+            request = Ask(Operation.READ, self.path)
         elif self.state is NodeState.ABSENT:
             if self.desired is DesiredState.SERVE:
-                request = Ask(Kind.CREATE, self.path, self.encode(DesiredState.SERVE))
+                request = Ask(Operation.CREATE, self.path, self.encode(DesiredState.SERVE))
             else:
                 # It was never registered, or its node has gone: nothing to drain.
                 self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.DRAINS
         elif self.desired is DesiredState.DRAIN and self.state is NodeState.SERVES:
-            request = Ask(Kind.WRITE, self.path, self.encode(DesiredState.DRAIN), self.version)
+            request = Ask(Operation.WRITE, self.path, self.encode(DesiredState.DRAIN), self.version)
         elif self.desired is DesiredState.LEAVE and self.state is NodeState.TAKEN:
             self.state = NodeState.LEFT  # the node belongs to another process
         elif self.state is NodeState.OLD or (
             self.desired is DesiredState.LEAVE and self.state is not NodeState.LEFT
         ):
-            request = Ask(Kind.DELETE, self.path, version=self.version)
+            request = Ask(Operation.DELETE, self.path, version=self.version)
         self.in_flight = request
         return [] if request is None else [request]
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -35,7 +35,7 @@
     Code,
     EventType,
     Fired,
-    Kind,
+    Operation,
     Reply,
     SessionEstablished,
     SessionExpired,
@@ -84,7 +84,7 @@
     ])  # fmt: skip
     protocol = ClientProtocol(4000.0)
     protocol.connect()
-    requests = [Ask(Kind.CHILDREN, "/s"), Ask(Kind.READ, "/s/a"), Ask(Kind.READ, "/s/b")]
+    requests = [Ask(Operation.CHILDREN, "/s"), Ask(Operation.READ, "/s/a"), Ask(Operation.READ, "/s/b")]
     for ask in requests:
         protocol.request(ask)
     events = []
@@ -103,7 +103,7 @@
 def test_arbitrary_bytes_are_parsed_or_rejected(data: bytes, up: bool) -> None:
     protocol = ClientProtocol(4000.0)
     protocol.connect()
-    protocol.request(Ask(Kind.CHILDREN, "/s"))
+    protocol.request(Ask(Operation.CHILDREN, "/s"))
     try:
         protocol.receive((handshake() if up else b"") + data)
         protocol.receive(jute.frame(data))
@@ -126,8 +126,8 @@
 def test_malformed_replies_end_the_connection(data: bytes, message: str) -> None:
     protocol = ClientProtocol(4000.0)
     protocol.connect()
-    protocol.request(Ask(Kind.CHILDREN, "/s"))
-    protocol.request(Ask(Kind.EXISTS, "/s"))
+    protocol.request(Ask(Operation.CHILDREN, "/s"))
+    protocol.request(Ask(Operation.EXISTS, "/s"))
     protocol.receive(handshake())
     with pytest.raises(BadRecord, match=message):
         protocol.receive(data)
@@ -291,11 +291,11 @@
     def answer(self) -> None:
         ask = self.requests.pop(0)
         try:
-            if ask.operation is Kind.CHILDREN:
+            if ask.operation is Operation.CHILDREN:
                 names, stat = self.tree.children(ask.path)
                 self.watched.add(("children", ask.path))
                 self.in_flight.append(Reply(ask, 0, tuple(names), stat=stat))
-            elif ask.operation is Kind.READ:
+            elif ask.operation is Operation.READ:
                 data, stat = self.tree.read(ask.path)
                 self.watched.add(("data", ask.path))
                 self.in_flight.append(Reply(ask, 0, data=data, stat=stat))
@@ -413,7 +413,7 @@
     deliver_next(server, follower, 1.0)
     server.answer()
     deliver_next(server, follower, 1.0)
-    assert server.requests == [Ask(Kind.READ, "/s/a")]
+    assert server.requests == [Ask(Operation.READ, "/s/a")]
     server.requests = follower.on_connected(2.0, False)
     run_until_idle(server, follower, 2.0)
     assert_state_matches_tree(server, follower)
@@ -887,13 +887,13 @@
 
     def execute(ask: Ask) -> Reply:
         try:
-            if ask.operation is Kind.CREATE:
+            if ask.operation is Operation.CREATE:
                 tree.create(ask.path, ask.data, 0 if ask.persistent else 1, session, 0.0)
                 return Reply(ask, 0)
-            if ask.operation is Kind.READ:
+            if ask.operation is Operation.READ:
                 data, stat = tree.read(ask.path)
                 return Reply(ask, 0, data=data, stat=stat)
-            if ask.operation is Kind.WRITE:
+            if ask.operation is Operation.WRITE:
                 return Reply(ask, 0, stat=tree.write(ask.path, ask.data, ask.version, 0.0)[0])
             before = tree.nodes.get(ask.path)
             assert before is None or entry.is_own(before.data), "another process's node must not be deleted"
