--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -30,7 +30,7 @@
 from benchmarks.connections import SETTINGS
 from millgw.membership.client import Client
 from millgw.membership.judge import DepartureSettings
-from millgw.membership.protocol import Ask, Fired, Operation, Reply
+from millgw.membership.protocol import Fired, Operation, Reply, Request
 from millgw.membership.servers import read_connect
 from millgw.membership.source import Directory, Where
 from millgw.platform.config import Address
@@ -281,7 +281,7 @@
 
     def up(self, fresh: bool, doubtful: bool) -> None:
         self.storm.ups.append(time.monotonic())
-        self.client.send(Ask(Operation.CHILDREN, PATH))
+        self.client.send(Request(Operation.CHILDREN, PATH))
 
     def down(self) -> None: ...
 
--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -15,7 +15,14 @@
 
 from millgw.log.events import log_event
 from millgw.membership.jute import BadRecord
-from millgw.membership.protocol import Ask, ClientProtocol, Fired, Reply, SessionEstablished, SessionExpired
+from millgw.membership.protocol import (
+    ClientProtocol,
+    Fired,
+    Reply,
+    Request,
+    SessionEstablished,
+    SessionExpired,
+)
 from millgw.membership.servers import NextConnect, ServerSelector
 from millgw.platform.config import Address
 
@@ -95,7 +102,7 @@
         except (OSError, TimeoutError) as error:
             connection.end(str(error) or "connection timed out")
 
-    def send(self, request: Ask) -> None:
+    def send(self, request: Request) -> None:
         """Send a request if a session is established; otherwise drop it, as `down` has already reported."""
         if self.connected and self.connection is not None:
             self.connection.write(self.protocol.request(request))
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -22,7 +22,7 @@
 from millgw.membership.client import Client
 from millgw.membership.follower import DRAINING, DirectoryFollower
 from millgw.membership.nodes import read_node
-from millgw.membership.protocol import Ask, Fired, Reply
+from millgw.membership.protocol import Fired, Reply, Request
 from millgw.membership.registrar import LAYOUTS, Entry, Registrar
 from millgw.membership.servers import check_path, read_connect
 from millgw.platform.config import Address
@@ -187,7 +187,7 @@
     def fired(self, event: Fired) -> None:
         self._send(self.follower.on_watch_event(time.monotonic() * 1000, event))
 
-    def _send(self, requests: list[Ask]) -> None:
+    def _send(self, requests: list[Request]) -> None:
         for request in requests:
             self.client.send(request)
 
--- a/millgw/membership/follower.py
+++ b/millgw/membership/follower.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from millgw.membership.jute import Stat
-from millgw.membership.protocol import Ask, Code, EventType, Fired, Operation, Reply
+from millgw.membership.protocol import Code, EventType, Fired, Operation, Reply, Request
 
 DRAINING = "draining"
 MIN_READ_INTERVAL = 100.0  # ms between two reads of one node, whose data may change 100 times a second
@@ -66,7 +66,7 @@
 
     # Events
 
-    def on_connected(self, now: float, fresh: bool) -> list[Ask]:
+    def on_connected(self, now: float, fresh: bool) -> list[Request]:
         """A connection is established: reads everything on a fresh session, else what was in flight."""
         lost = list(self.reads_in_flight)
         lists = [self.path] if fresh else list(self.lists_in_flight)
@@ -91,7 +91,7 @@
         lists = [self.path, *([f"{self.path}/{DRAINING}"] if DRAINING in self.child_names else [])]
         return [f"{self.path}/{name}" for name in self.state.nodes], [], lists
 
-    def on_watch_event(self, now: float, event: Fired) -> list[Ask]:
+    def on_watch_event(self, now: float, event: Fired) -> list[Request]:
         """Handle a watch event."""
         if event.path in (self.path, f"{self.path}/{DRAINING}"):
             return [self._list_request(event.path)] if event.path not in self.lists_in_flight else []
@@ -107,7 +107,7 @@
         self.to_read[name] = None
         return self._next_reads(now)
 
-    def on_reply(self, now: float, reply: Reply) -> list[Ask]:
+    def on_reply(self, now: float, reply: Reply) -> list[Request]:
         """Handle the reply to one of its requests."""
         path = reply.request.path
         if reply.request.operation is Operation.EXISTS:
@@ -122,7 +122,7 @@
         self._check_complete()
         return []
 
-    def tick(self, now: float) -> list[Ask]:
+    def tick(self, now: float) -> list[Request]:
         """Return the requests that are due; `next_tick` gives the time of the next."""
         while self.delayed_reads and self.delayed_reads[0][0] <= now:
             name = heapq.heappop(self.delayed_reads)[1]
@@ -152,18 +152,18 @@
 
     # Reading
 
-    def _list_request(self, path: str) -> Ask:
+    def _list_request(self, path: str) -> Request:
         self.lists_in_flight[path] = None
-        return Ask(Operation.CHILDREN, path)
+        return Request(Operation.CHILDREN, path)
 
-    def _handle_list(self, now: float, reply: Reply) -> list[Ask]:
+    def _handle_list(self, now: float, reply: Reply) -> list[Request]:
         state = self.state
         if reply.code == Code.NO_NODE:
             self.revision += 1
             state.missing, state.complete = True, True
             state.nodes.clear()
             self.child_names = frozenset()
-            return [Ask(Operation.EXISTS, self.path)]
+            return [Request(Operation.EXISTS, self.path)]
         if reply.code != Code.OK:
             return []
         self.too_many = len(reply.names) if len(reply.names) > MAX_NODES else 0
@@ -188,7 +188,7 @@
         self._check_complete()
         return requests
 
-    def _next_reads(self, now: float) -> list[Ask]:
+    def _next_reads(self, now: float) -> list[Request]:
         requests = []
         while self.to_read and len(self.reads_in_flight) < MAX_READS_IN_FLIGHT:
             name = next(iter(self.to_read))
@@ -197,10 +197,10 @@
                 continue
             self.reads_in_flight[name] = None
             self.read_at[name] = now
-            requests.append(Ask(Operation.READ, f"{self.path}/{name}"))
+            requests.append(Request(Operation.READ, f"{self.path}/{name}"))
         return requests
 
-    def _handle_read(self, now: float, name: str, reply: Reply) -> list[Ask]:
+    def _handle_read(self, now: float, name: str, reply: Reply) -> list[Request]:
         self.reads_in_flight.pop(name, None)
         if reply.code == Code.OK and reply.stat is not None:
             node = Node(reply.data, reply.stat)
--- a/millgw/membership/protocol.py
+++ b/millgw/membership/protocol.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class Request:
     """One request. Reads also set a watch; a created node is ephemeral unless `persistent`."""
 
     operation: Operation
@@ -115,9 +115,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """The reply to an `Ask`; fields that do not apply to its kind are empty."""
+    """The reply to an `Request`; fields that do not apply to its kind are empty."""
 
-    request: Ask
+    request: Request
     code: int
     names: tuple[str, ...] = ()
     data: bytes = b""
@@ -138,7 +138,7 @@
         self.last_zxid = 0
         self.session_up = False
         self.xid = 0
-        self.pending: deque[tuple[int, Ask | None]] = deque()
+        self.pending: deque[tuple[int, Request | None]] = deque()
         self.frames = FrameSplitter(MAX_RESPONSE_FRAME)
 
     def connect(self) -> bytes:
@@ -156,7 +156,7 @@
         """Start over without a session or a last zxid, after the coordinator has lost committed changes."""
         self.session, self.password, self.last_zxid = 0, NO_PASSWORD, 0
 
-    def request(self, request: Ask) -> bytes:
+    def request(self, request: Request) -> bytes:
         """The bytes of a request; raises BadRecord if too many requests are unanswered."""
         if len(self.pending) >= MAX_PENDING:
             raise BadRecord(f"{len(self.pending)} requests without a reply")
@@ -229,7 +229,7 @@
             events.append(_reply(request, code, reader))
 
 
-def _reply(request: Ask, code: int, reader: Reader) -> Reply:
+def _reply(request: Request, code: int, reader: Reader) -> Reply:
     if code != Code.OK:
         return Reply(request, code)
     if request.operation is Operation.CHILDREN:
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -21,7 +21,7 @@
 
 from millgw.log.events import log_event
 from millgw.membership.client import Client
-from millgw.membership.protocol import Ask, Fired, Reply
+from millgw.membership.protocol import Fired, Reply, Request
 from millgw.membership.registration import DesiredState, NodeState, Registration
 from millgw.platform.config import Address, read_address
 
@@ -125,7 +125,7 @@
         await self.client.close()
         return deleted
 
-    def _send(self, requests: list[Ask]) -> None:
+    def _send(self, requests: list[Request]) -> None:
         for request in requests:
             self.client.send(request)
         state = self.registration.state
--- a/millgw/membership/registration.py
+++ b/millgw/membership/registration.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from millgw.membership.protocol import Ask, Code, Fired, Operation, Reply
+from millgw.membership.protocol import Code, Fired, Operation, Reply, Request
 
 
 class DesiredState(Enum):
@@ -51,14 +51,14 @@
         self.desired = DesiredState.SERVE
         self.state = NodeState.UNKNOWN
         self.session = 0
-        self.in_flight: Ask | None = None
+        self.in_flight: Request | None = None
         self.version = 0
         self.times_created = 0  # how often the node was created
         self.refusal = 0  # error code of the last refusal, until the next tick; 0 for none
 
     # Events; each returns the requests to send
 
-    def on_connected(self, session: int) -> list[Ask]:
+    def on_connected(self, session: int) -> list[Request]:
         """A session is established on a connection."""
         self.session = session
         self.in_flight = None
@@ -72,25 +72,25 @@
         if self.state is not NodeState.LEFT:
             self.state = NodeState.UNKNOWN
 
-    def set_desired(self, desired: DesiredState) -> list[Ask]:
+    def set_desired(self, desired: DesiredState) -> list[Request]:
         """Set the desired state, which only moves forward: serve, drain, leave."""
         order = list(DesiredState)
         if order.index(desired) > order.index(self.desired):
             self.desired = desired
         return self._next_request() if self.session else []
 
-    def on_watch_event(self, event: Fired) -> list[Ask]:
+    def on_watch_event(self, event: Fired) -> list[Request]:
         """Handle a watch event: the node or its owner changed."""
         if event.path == self.path and self.state is not NodeState.LEFT:
             self.state = NodeState.UNKNOWN
         return self._next_request()
 
-    def tick(self) -> list[Ask]:
+    def tick(self) -> list[Request]:
         """Retry what was refused; to be called from time to time."""
         self.refusal = 0
         return self._next_request() if self.session else []
 
-    def on_reply(self, reply: Reply) -> list[Ask]:
+    def on_reply(self, reply: Reply) -> list[Request]:
         if reply.request is not self.in_flight:
             return []
         self.in_flight = None
@@ -135,34 +135,34 @@
         else:
             self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.TAKEN
 
-    def _create_parents(self) -> list[Ask]:
+    def _create_parents(self) -> list[Request]:
         """Create the parent directories, top down; creating one that exists is refused, which is harmless."""
         parts = self.path.strip("/").split("/")[:-1]
         parents = ["/" + "/".join(parts[: i + 1]) for i in range(len(parts))]
-        requests = [Ask(Operation.CREATE, path, persistent=True) for path in parents]
+        requests = [Request(Operation.CREATE, path, persistent=True) for path in parents]
         self.state = NodeState.ABSENT
         self.in_flight = requests[-1] if requests else None
         return requests
 
-    def _next_request(self) -> list[Ask]:
+    def _next_request(self) -> list[Request]:
         if self.in_flight is not None or self.refusal or not self.session:
             return []
-        request: Ask | None = None
+        request: Request | None = None
         if self.state is NodeState.UNKNOWN:
-            request = Ask(Operation.READ, self.path)
+            request = Request(Operation.READ, self.path)
         elif self.state is NodeState.ABSENT:
             if self.desired is DesiredState.SERVE:
-                request = Ask(Operation.CREATE, self.path, self.encode(DesiredState.SERVE))
+                request = Request(Operation.CREATE, self.path, self.encode(DesiredState.SERVE))
             else:
                 # It was never registered, or its node has gone: nothing to drain.
                 self.state = NodeState.LEFT if self.desired is DesiredState.LEAVE else NodeState.DRAINS
         elif self.desired is DesiredState.DRAIN and self.state is NodeState.SERVES:
-            request = Ask(Operation.WRITE, self.path, self.encode(DesiredState.DRAIN), self.version)
+            request = Request(Operation.WRITE, self.path, self.encode(DesiredState.DRAIN), self.version)
         elif self.desired is DesiredState.LEAVE and self.state is NodeState.TAKEN:
             self.state = NodeState.LEFT  # the node belongs to another process
         elif self.state is NodeState.OLD or (
             self.desired is DesiredState.LEAVE and self.state is not NodeState.LEFT
         ):
-            request = Ask(Operation.DELETE, self.path, version=self.version)
+            request = Request(Operation.DELETE, self.path, version=self.version)
         self.in_flight = request
         return [] if request is None else [request]
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -27,7 +27,7 @@
 )
 from millgw.membership.merge import COORDINATOR, DISCOVERY, Merger, changes
 from millgw.membership.nodes import NodeData, read_node
-from millgw.membership.protocol import Ask, Code, Fired, Reply
+from millgw.membership.protocol import Code, Fired, Reply, Request
 from millgw.membership.servers import JitterBackoff
 from millgw.platform.config import Address
 from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, endpoint_id, with_condition
@@ -135,7 +135,7 @@
     def fired(self, event: Fired) -> None:
         self._send(self.follower.on_watch_event(self.now(), event))
 
-    def _send(self, requests: list[Ask]) -> None:
+    def _send(self, requests: list[Request]) -> None:
         for request in requests:
             self.client.send(request)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
 from millgw.membership.client import Client
 from millgw.membership.follower import MAX_NODES
 from millgw.membership.judge import DepartureSettings
-from millgw.membership.protocol import Ask, Fired, Operation, Reply
+from millgw.membership.protocol import Fired, Operation, Reply, Request
 from millgw.membership.registrar import Entry, Registrar
 from millgw.membership.source import Directory, Where
 from millgw.operator.file import OperatorError, parse
@@ -580,7 +580,7 @@
         self.client: Client
 
     def up(self, fresh: bool, doubtful: bool) -> None:
-        self.client.send(Ask(Operation.CHILDREN, PATH))
+        self.client.send(Request(Operation.CHILDREN, PATH))
 
     def down(self) -> None: ...
 
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -30,13 +30,13 @@
 from millgw.membership.merge import COORDINATOR, DISCOVERY, Merger, Mode, changes
 from millgw.membership.nodes import NodeData, read_node
 from millgw.membership.protocol import (
-    Ask,
     ClientProtocol,
     Code,
     EventType,
     Fired,
     Operation,
     Reply,
+    Request,
     SessionEstablished,
     SessionExpired,
 )
@@ -84,7 +84,11 @@
     ])  # fmt: skip
     protocol = ClientProtocol(4000.0)
     protocol.connect()
-    requests = [Ask(Operation.CHILDREN, "/s"), Ask(Operation.READ, "/s/a"), Ask(Operation.READ, "/s/b")]
+    requests = [
+        Request(Operation.CHILDREN, "/s"),
+        Request(Operation.READ, "/s/a"),
+        Request(Operation.READ, "/s/b"),
+    ]
     for ask in requests:
         protocol.request(ask)
     events = []
@@ -103,7 +107,7 @@
 def test_arbitrary_bytes_are_parsed_or_rejected(data: bytes, up: bool) -> None:
     protocol = ClientProtocol(4000.0)
     protocol.connect()
-    protocol.request(Ask(Operation.CHILDREN, "/s"))
+    protocol.request(Request(Operation.CHILDREN, "/s"))
     try:
         protocol.receive((handshake() if up else b"") + data)
         protocol.receive(jute.frame(data))
@@ -126,8 +130,8 @@
 def test_malformed_replies_end_the_connection(data: bytes, message: str) -> None:
     protocol = ClientProtocol(4000.0)
     protocol.connect()
-    protocol.request(Ask(Operation.CHILDREN, "/s"))
-    protocol.request(Ask(Operation.EXISTS, "/s"))
+    protocol.request(Request(Operation.CHILDREN, "/s"))
+    protocol.request(Request(Operation.EXISTS, "/s"))
     protocol.receive(handshake())
     with pytest.raises(BadRecord, match=message):
         protocol.receive(data)
@@ -273,7 +277,7 @@
         self.tree = Tree()
         self.owner = self.tree.open(1e9, 0.0).id
         self.watched: set[tuple[str, str]] = set()
-        self.requests: list[Ask] = []
+        self.requests: list[Request] = []
         self.in_flight: list[Reply | Fired] = []
         self.lose_watches = False
 
@@ -413,7 +417,7 @@
     deliver_next(server, follower, 1.0)
     server.answer()
     deliver_next(server, follower, 1.0)
-    assert server.requests == [Ask(Operation.READ, "/s/a")]
+    assert server.requests == [Request(Operation.READ, "/s/a")]
     server.requests = follower.on_connected(2.0, False)
     run_until_idle(server, follower, 2.0)
     assert_state_matches_tree(server, follower)
@@ -885,7 +889,7 @@
     session = tree.open(1e9, 0.0).id
     asked = node.on_connected(session)
 
-    def execute(ask: Ask) -> Reply:
+    def execute(ask: Request) -> Reply:
         try:
             if ask.operation is Operation.CREATE:
                 tree.create(ask.path, ask.data, 0 if ask.persistent else 1, session, 0.0)
