--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -30,7 +30,7 @@
 from benchmarks.connections import SETTINGS
 from millgw.membership.client import Client
 from millgw.membership.judge import DepartureSettings
-from millgw.membership.protocol import Fired, Operation, Reply, Request
+from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.servers import read_connect
 from millgw.membership.source import Directory, Where
 from millgw.platform.config import Address
@@ -287,7 +287,7 @@
 
     def reply(self, reply: Reply) -> None: ...
 
-    def fired(self, fired: Fired) -> None: ...
+    def fired(self, fired: WatchEvent) -> None: ...
 
 
 class Storm:
--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -17,11 +17,11 @@
 from millgw.membership.jute import BadRecord
 from millgw.membership.protocol import (
     ClientProtocol,
-    Fired,
     Reply,
     Request,
     SessionEstablished,
     SessionExpired,
+    WatchEvent,
 )
 from millgw.membership.servers import NextConnect, ServerSelector
 from millgw.platform.config import Address
@@ -43,7 +43,7 @@
 
     def reply(self, reply: Reply) -> None: ...
 
-    def fired(self, event: Fired) -> None: ...
+    def fired(self, event: WatchEvent) -> None: ...
 
 
 class Client:
@@ -152,7 +152,7 @@
                     connection.expired = True
                     log_event("session-expired", server=connection.server)
                     connection.end("session expired")
-                elif isinstance(event, Fired):
+                elif isinstance(event, WatchEvent):
                     self.listener.fired(event)
                 else:
                     self.listener.reply(event)
--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -22,7 +22,7 @@
 from millgw.membership.client import Client
 from millgw.membership.follower import DRAINING, DirectoryFollower
 from millgw.membership.nodes import read_node
-from millgw.membership.protocol import Fired, Reply, Request
+from millgw.membership.protocol import Reply, Request, WatchEvent
 from millgw.membership.registrar import LAYOUTS, Entry, Registrar
 from millgw.membership.servers import check_path, read_connect
 from millgw.platform.config import Address
@@ -184,7 +184,7 @@
         if self.follower.state.complete:
             self.done.set()
 
-    def fired(self, event: Fired) -> None:
+    def fired(self, event: WatchEvent) -> None:
         self._send(self.follower.on_watch_event(time.monotonic() * 1000, event))
 
     def _send(self, requests: list[Request]) -> None:
--- a/millgw/membership/follower.py
+++ b/millgw/membership/follower.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, field
 
 from millgw.membership.jute import Stat
-from millgw.membership.protocol import Code, EventType, Fired, Operation, Reply, Request
+from millgw.membership.protocol import Code, EventType, Operation, Reply, Request, WatchEvent
 
 DRAINING = "draining"
 MIN_READ_INTERVAL = 100.0  # ms between two reads of one node, whose data may change 100 times a second
@@ -91,7 +91,7 @@
         lists = [self.path, *([f"{self.path}/{DRAINING}"] if DRAINING in self.child_names else [])]
         return [f"{self.path}/{name}" for name in self.state.nodes], [], lists
 
-    def on_watch_event(self, now: float, event: Fired) -> list[Request]:
+    def on_watch_event(self, now: float, event: WatchEvent) -> list[Request]:
         """Handle a watch event."""
         if event.path in (self.path, f"{self.path}/{DRAINING}"):
             return [self._list_request(event.path)] if event.path not in self.lists_in_flight else []
--- a/millgw/membership/protocol.py
+++ b/millgw/membership/protocol.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fired:
+class WatchEvent:
     """A watch event: something changed at a path. The watch is no longer set."""
 
     event_type: int
@@ -124,7 +124,7 @@
     stat: Stat | None = None
 
 
-Event = SessionEstablished | SessionExpired | Fired | Reply
+Event = SessionEstablished | SessionExpired | WatchEvent | Reply
 
 
 class ClientProtocol:
@@ -208,7 +208,7 @@
         if xid == XID_WATCH:
             change = reader.read_int()
             reader.read_int()
-            events.append(Fired(change, reader.read_string()))
+            events.append(WatchEvent(change, reader.read_string()))
             return
         if xid != XID_PING and (not self.pending or self.pending[0][0] != xid):
             # Checked first: an invalid reply must not raise the zxid, or every server would reject us.
--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -21,7 +21,7 @@
 
 from millgw.log.events import log_event
 from millgw.membership.client import Client
-from millgw.membership.protocol import Fired, Reply, Request
+from millgw.membership.protocol import Reply, Request, WatchEvent
 from millgw.membership.registration import DesiredState, NodeState, Registration
 from millgw.platform.config import Address, read_address
 
@@ -154,7 +154,7 @@
         if self.registration.times_created > times_created:
             log_event("registered", node=self.registration.path, times=self.registration.times_created)
 
-    def fired(self, event: Fired) -> None:
+    def fired(self, event: WatchEvent) -> None:
         self._send(self.registration.on_watch_event(event))
 
 
--- a/millgw/membership/registration.py
+++ b/millgw/membership/registration.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from millgw.membership.protocol import Code, Fired, Operation, Reply, Request
+from millgw.membership.protocol import Code, Operation, Reply, Request, WatchEvent
 
 
 class DesiredState(Enum):
@@ -79,7 +79,7 @@
             self.desired = desired
         return self._next_request() if self.session else []
 
-    def on_watch_event(self, event: Fired) -> list[Request]:
+    def on_watch_event(self, event: WatchEvent) -> list[Request]:
         """Handle a watch event: the node or its owner changed."""
         if event.path == self.path and self.state is not NodeState.LEFT:
             self.state = NodeState.UNKNOWN
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -27,7 +27,7 @@
 )
 from millgw.membership.merge import COORDINATOR, DISCOVERY, Merger, changes
 from millgw.membership.nodes import NodeData, read_node
-from millgw.membership.protocol import Code, Fired, Reply, Request
+from millgw.membership.protocol import Code, Reply, Request, WatchEvent
 from millgw.membership.servers import JitterBackoff
 from millgw.platform.config import Address
 from millgw.platform.discovery import Discovery, ListedEndpoint, UpdateCallback, endpoint_id, with_condition
@@ -132,7 +132,7 @@
         if self.follower.revision != before or self.follower.too_many:
             self._update()
 
-    def fired(self, event: Fired) -> None:
+    def fired(self, event: WatchEvent) -> None:
         self._send(self.follower.on_watch_event(self.now(), event))
 
     def _send(self, requests: list[Request]) -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,7 +22,7 @@
 from millgw.membership.client import Client
 from millgw.membership.follower import MAX_NODES
 from millgw.membership.judge import DepartureSettings
-from millgw.membership.protocol import Fired, Operation, Reply, Request
+from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.registrar import Entry, Registrar
 from millgw.membership.source import Directory, Where
 from millgw.operator.file import OperatorError, parse
@@ -587,7 +587,7 @@
     def reply(self, reply: Reply) -> None:
         self.replies += 1
 
-    def fired(self, fired: Fired) -> None: ...
+    def fired(self, fired: WatchEvent) -> None: ...
 
 
 def test_closing_ends_the_session_at_once() -> None:
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -33,12 +33,12 @@
     ClientProtocol,
     Code,
     EventType,
-    Fired,
     Operation,
     Reply,
     Request,
     SessionEstablished,
     SessionExpired,
+    WatchEvent,
 )
 from millgw.membership.registrar import Entry
 from millgw.membership.registration import DesiredState, Registration
@@ -96,7 +96,7 @@
         events += protocol.receive(data[start:end])
     assert events == [
         SessionEstablished(9, 4000.0, True, False),
-        Reply(requests[0], 0, ("a", "b"), stat=SOME_STAT), Fired(EventType.DATA, "/s/a"),
+        Reply(requests[0], 0, ("a", "b"), stat=SOME_STAT), WatchEvent(EventType.DATA, "/s/a"),
         Reply(requests[1], 0, data=b"x", stat=SOME_STAT), Reply(requests[2], Code.NO_NODE),
     ]  # fmt: skip
     assert protocol.last_zxid == 8
@@ -278,7 +278,7 @@
         self.owner = self.tree.open(1e9, 0.0).id
         self.watched: set[tuple[str, str]] = set()
         self.requests: list[Request] = []
-        self.in_flight: list[Reply | Fired] = []
+        self.in_flight: list[Reply | WatchEvent] = []
         self.lose_watches = False
 
     def fire_watches(self, events: list[ChangeEvent]) -> None:
@@ -290,7 +290,7 @@
             found = {(k, one.path) for k in kinds} & self.watched
             self.watched -= found
             if found and not self.lose_watches:
-                self.in_flight.append(Fired(one.event_type, one.path))
+                self.in_flight.append(WatchEvent(one.event_type, one.path))
 
     def answer(self) -> None:
         ask = self.requests.pop(0)
@@ -383,7 +383,7 @@
                 for each in paths:
                     server.watched.add((kind, each))
                     server.in_flight.append(
-                        Fired(EventType.CHILDREN if kind == "children" else EventType.DATA, each)
+                        WatchEvent(EventType.CHILDREN if kind == "children" else EventType.DATA, each)
                     )
             server.requests += follower.on_connected(now, False)
         else:
@@ -933,10 +933,10 @@
             asked = node.on_connected(session)
         elif step == "other" and "/s/x" in tree.nodes and "/s/x/a" not in tree.nodes:
             tree.create("/s/x/a", b"{}", 1, stranger, 0.0)
-            asked += node.on_watch_event(Fired(EventType.CREATED, "/s/x/a"))
+            asked += node.on_watch_event(WatchEvent(EventType.CREATED, "/s/x/a"))
         elif step == "other-goes" and "/s/x/a" in tree.nodes and tree.nodes["/s/x/a"].owner == stranger:
             tree.delete("/s/x/a")
-            asked += node.on_watch_event(Fired(EventType.DELETED, "/s/x/a"))
+            asked += node.on_watch_event(WatchEvent(EventType.DELETED, "/s/x/a"))
         elif step in ("drain", "leave"):
             if step == "leave" and node.desired is DesiredState.SERVE:
                 settle()
