--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -92,7 +92,7 @@
         self.client = Client(servers, timeout, rng or random.Random(), self, writes=True)
         self.registered = asyncio.Event()
         self.drained = asyncio.Event()
-        self.left = asyncio.Event()
+        self.removed = asyncio.Event()
         self.retry_timer: asyncio.TimerHandle | None = None
         self.name_taken = False
 
@@ -119,7 +119,7 @@
     async def withdraw(self) -> bool:
         """Delete the node now and close the session; whether the node is deleted."""
         self._send(self.registration.set_desired(DesiredState.LEAVE))
-        deleted = await _confirmed(self.left)
+        deleted = await _confirmed(self.removed)
         if self.retry_timer is not None:
             self.retry_timer.cancel()
         await self.client.close()
@@ -131,7 +131,7 @@
         state = self.registration.state
         _set_event(self.registered, state is NodeState.SERVES)
         _set_event(self.drained, state in (NodeState.DRAINS, NodeState.LEFT))
-        _set_event(self.left, state is NodeState.LEFT)
+        _set_event(self.removed, state is NodeState.LEFT)
         if state is NodeState.TAKEN and not self.name_taken:
             log_event("name-taken", node=self.registration.path)
         self.name_taken = state is NodeState.TAKEN
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -354,7 +354,7 @@
             assert second.peer_discovery is not None
             await second.peer_discovery.registrar.registered.wait()
             second.stop()
-            await second.peer_discovery.registrar.left.wait()
+            await second.peer_discovery.registrar.removed.wait()
 
     run(test)
 
