--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,7 +32,7 @@
 from millgw.membership.judge import DepartureSettings
 from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.servers import read_connect
-from millgw.membership.source import Directory, Where
+from millgw.membership.source import Directory, DirectoryLocation
 from millgw.platform.config import Address
 from millgw.platform.discovery import ListedEndpoint
 from millgw.standins.address import free_address
@@ -182,7 +182,7 @@
         servers, _ = read_connect(connect)
         self.known = 0
         self.directory = Directory(
-            Where(servers, PATH, 10_000.0, DepartureSettings()), (), 1, self, self.changed
+            DirectoryLocation(servers, PATH, 10_000.0, DepartureSettings()), (), 1, self, self.changed
         )
 
     def changed(self, ready: dict[int, ListedEndpoint], drains: dict[int, ListedEndpoint]) -> None:
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Where:
+class DirectoryLocation:
     """Directory of a coordinator; `timeout`: session timeout (ms), `port`: name of a serverset's endpoint."""
 
     servers: tuple[Address, ...]
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        location: Where,
+        location: DirectoryLocation,
         zones: tuple[str, ...],
         seed: int,
         connections: EndpointObserver,
@@ -251,7 +251,7 @@
 
     def __init__(
         self,
-        location: Where,
+        location: DirectoryLocation,
         zones: tuple[str, ...],
         seed: int,
         connections: EndpointObserver,
@@ -293,7 +293,7 @@
 
     def __init__(
         self,
-        location: Where,
+        location: DirectoryLocation,
         merger: Merger,
         discovery: Address,
         own_discovery: bool,
--- a/millgw/peers/node.py
+++ b/millgw/peers/node.py
@@ -21,7 +21,7 @@
 from millgw.pool.pool import Pool
 
 if TYPE_CHECKING:
-    from millgw.membership.source import Where
+    from millgw.membership.source import DirectoryLocation
     from millgw.peers.peer_discovery import CoordinatorDiscovery
 
 MAX_PEERS_ASKED = 3  # peers that a starting sidecar asks for a snapshot
@@ -44,7 +44,7 @@
     join: tuple[Address, ...]
     keys: tuple[str, ...]
     start_timeout: float
-    coordinator: Where | None = None
+    coordinator: DirectoryLocation | None = None
 
 
 def _now_ms() -> float:
--- a/millgw/peers/peer_discovery.py
+++ b/millgw/peers/peer_discovery.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 
 from millgw.membership.registrar import Entry, Registrar
-from millgw.membership.source import Directory, Where
+from millgw.membership.source import Directory, DirectoryLocation
 from millgw.platform.discovery import ListedEndpoint
 
 OnFound = Callable[[list[str]], None]
@@ -30,7 +30,7 @@
 class CoordinatorDiscovery:
     """Registers this sidecar below the path of `where` and reports the others registered there."""
 
-    def __init__(self, where: Where, name: str, seed: int, on_found: OnFound) -> None:
+    def __init__(self, where: DirectoryLocation, name: str, seed: int, on_found: OnFound) -> None:
         self.name = name
         self.on_found = on_found
         self.directory_read = asyncio.Event()
--- a/millgw/services/builders.py
+++ b/millgw/services/builders.py
@@ -27,7 +27,7 @@
     from millgw.connections.settings import ConnectionSettings
     from millgw.intents.store_log import Intents
     from millgw.membership.judge import DepartureSettings as JudgeTerms
-    from millgw.membership.source import Where
+    from millgw.membership.source import DirectoryLocation
     from millgw.peers.node import Peers
 
 
@@ -117,12 +117,12 @@
     )
 
 
-def _coordinator_directory(directory: Directory, terms: JudgeTerms, port: str = "") -> Where:
+def _coordinator_directory(directory: Directory, terms: JudgeTerms, port: str = "") -> DirectoryLocation:
     """The coordinator and directory that the operator's file names."""
-    from millgw.membership.source import Where
+    from millgw.membership.source import DirectoryLocation
 
     servers, root = read_connect(directory.connect)
-    return Where(servers, root + directory.path, directory.session_s * 1000, terms, port)
+    return DirectoryLocation(servers, root + directory.path, directory.session_s * 1000, terms, port)
 
 
 def attach_connection_manager(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -24,7 +24,7 @@
 from millgw.membership.judge import DepartureSettings
 from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.registrar import Entry, Registrar
-from millgw.membership.source import Directory, Where
+from millgw.membership.source import Directory, DirectoryLocation
 from millgw.operator.file import OperatorError, parse
 from millgw.platform.config import Address
 from millgw.platform.discovery import ListedEndpoint, endpoint_id
@@ -64,7 +64,7 @@
         self.ready: set[str] = set()
         self.draining: set[str] = set()
         self.times_changed = 0
-        where = Where(servers, PATH, timeout, terms or DepartureSettings())
+        where = DirectoryLocation(servers, PATH, timeout, terms or DepartureSettings())
         self.directory = Directory(where, (), 1, self, self.on_change)
         self.views: dict[str, tuple[float, float, float, float]] = {}
 
