--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -32,7 +32,7 @@
 from millgw.membership.judge import DepartureSettings
 from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.servers import read_connect
-from millgw.membership.source import Directory, DirectoryLocation
+from millgw.membership.source import DirectoryLocation, WatchedDirectory
 from millgw.platform.config import Address
 from millgw.platform.discovery import ListedEndpoint
 from millgw.standins.address import free_address
@@ -181,7 +181,7 @@
     def __init__(self, connect: str) -> None:
         servers, _ = read_connect(connect)
         self.known = 0
-        self.directory = Directory(
+        self.directory = WatchedDirectory(
             DirectoryLocation(servers, PATH, 10_000.0, DepartureSettings()), (), 1, self, self.changed
         )
 
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -56,7 +56,7 @@
 """Takes the complete lists of ready and of draining endpoints, by id."""
 
 
-class Directory:
+class WatchedDirectory:
     """Follows one directory and passes its endpoints to `on_change`, from the first complete read on."""
 
     def __init__(
@@ -258,7 +258,7 @@
         on_list: UpdateCallback,
     ) -> None:
         self.on_list = on_list
-        self.directory = Directory(location, zones, seed, connections, self._changed)
+        self.directory = WatchedDirectory(location, zones, seed, connections, self._changed)
         self.notifier = ChangeNotifier(on_list)
         self.started = False
 
@@ -306,7 +306,7 @@
         self.on_list = on_list
         self.own_discovery = own_discovery
         self.merger = merger
-        self.directory = Directory(location, zones, seed, connections, self._on_coordinator_lists)
+        self.directory = WatchedDirectory(location, zones, seed, connections, self._on_coordinator_lists)
         self.discovery = Discovery(discovery, zones, self._on_discovery_list)
         rng = random.Random(f"both {seed}")
         self.backoff = JitterBackoff(SUBSCRIBE_BASE_PART * ask_within, SUBSCRIBE_CAP_PART * ask_within, rng)
--- a/millgw/peers/peer_discovery.py
+++ b/millgw/peers/peer_discovery.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 
 from millgw.membership.registrar import Entry, Registrar
-from millgw.membership.source import Directory, DirectoryLocation
+from millgw.membership.source import DirectoryLocation, WatchedDirectory
 from millgw.platform.discovery import ListedEndpoint
 
 OnFound = Callable[[list[str]], None]
@@ -34,7 +34,7 @@
         self.name = name
         self.on_found = on_found
         self.directory_read = asyncio.Event()
-        self.directory = Directory(where, (), seed, NoWitness(), self._changed)
+        self.directory = WatchedDirectory(where, (), seed, NoWitness(), self._changed)
         node = Entry(name.replace(":", "-"), name)  # no colons in the path component, as other tools expect
         self.registrar = Registrar(where.servers, where.path, node, where.timeout, random.Random(seed))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -24,7 +24,7 @@
 from millgw.membership.judge import DepartureSettings
 from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.registrar import Entry, Registrar
-from millgw.membership.source import Directory, DirectoryLocation
+from millgw.membership.source import DirectoryLocation, WatchedDirectory
 from millgw.operator.file import OperatorError, parse
 from millgw.platform.config import Address
 from millgw.platform.discovery import ListedEndpoint, endpoint_id
@@ -65,7 +65,7 @@
         self.draining: set[str] = set()
         self.times_changed = 0
         where = DirectoryLocation(servers, PATH, timeout, terms or DepartureSettings())
-        self.directory = Directory(where, (), 1, self, self.on_change)
+        self.directory = WatchedDirectory(where, (), 1, self, self.on_change)
         self.views: dict[str, tuple[float, float, float, float]] = {}
 
     def add_names(self, *names: str) -> None:
