--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -288,7 +288,7 @@
         return self.directory.figures()
 
 
-class BothSources:
+class MergedSource:
     """Endpoint source of a pool: a coordinator and a discovery service, merged."""
 
     def __init__(
--- a/millgw/services/builders.py
+++ b/millgw/services/builders.py
@@ -99,7 +99,7 @@
     # Imported here: without a coordinator these modules must not be loaded.
     from millgw.membership.judge import DepartureSettings
     from millgw.membership.merge import Merger, Mode
-    from millgw.membership.source import BothSources, CoordinatorSource
+    from millgw.membership.source import CoordinatorSource, MergedSource
 
     terms = DepartureSettings(
         share=coordinator.mass_share,
@@ -112,7 +112,7 @@
         return lambda on_list, witness: CoordinatorSource(where, config.zones, seed, witness, on_list)
     mode, own = Mode(service.membership), service.discovery is not None
     address = config.discovery if service.discovery is None else read_address(service.discovery)
-    return lambda on_list, witness: BothSources(
+    return lambda on_list, witness: MergedSource(
         where, Merger(mode), address, own, config.settings.ask_within, config.zones, seed, witness, on_list
     )
 
