--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -311,7 +311,7 @@
         told = [face.count.connections for face in zk.faces]
         start = time.monotonic()
         for face in zk.faces:
-            face.ills.refusing = refusing > 0
+            face.faults.refusing = refusing > 0
             face.drop()
         seen, last = Counter[int](), sum(told)
         back = start + refusing
@@ -322,7 +322,7 @@
             last = now
             if time.monotonic() >= back:
                 for face in zk.faces:
-                    face.ills.refusing = False
+                    face.faults.refusing = False
         done = time.monotonic() - start
         half = statistics.median(made.ups) - start
         when = f"after {refusing:g} s" if refusing else "at once"
--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -83,11 +83,11 @@
         """All connections are closed at once, and new ones are refused for a while."""
         faces = self._coordination.ensemble.faces
         for face in faces:
-            face.ills.refusing = True
+            face.faults.refusing = True
             face.drop()
         await wait_for_end(fault)
         for face in faces:
-            face.ills.refusing = False
+            face.faults.refusing = False
 
     async def _freeze(self, fault: PlannedFault) -> None:
         """Connections stay open, but nothing is answered."""
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -122,7 +122,7 @@
 
 
 def _set_fault(name: str, value: object) -> Callable[[EnsembleServer, float], None]:
-    return lambda server, _: setattr(server.ills, name, value)
+    return lambda server, _: setattr(server.faults, name, value)
 
 
 SERVER_COMMANDS: dict[str, Callable[[EnsembleServer, float], None]] = {
@@ -135,6 +135,6 @@
     "accept": _set_fault("refusing", False),
     "read-only": _set_fault("read_only", True),
     "writable": _set_fault("read_only", False),
-    "delay-watches": lambda server, ms: setattr(server.ills, "watch_delay", ms),
-    "lose-watches": lambda server, count: setattr(server.ills, "lose_watches", int(count)),
+    "delay-watches": lambda server, ms: setattr(server.faults, "watch_delay", ms),
+    "lose-watches": lambda server, count: setattr(server.faults, "lose_watches", int(count)),
 }
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -66,7 +66,7 @@
     def __init__(self, ensemble: Ensemble, address: Address) -> None:
         self.ensemble = ensemble
         self.address = address
-        self.ills = Faults()
+        self.faults = Faults()
         self.count = ServerCounts()
         self.connections: set[Connection] = set()
         self.listeners: list[asyncio.Server] = []
@@ -96,19 +96,19 @@
 
     def freeze(self, on: bool) -> None:
         """Stop answering, or resume and answer what is queued."""
-        self.ills.frozen = on
+        self.faults.frozen = on
         if not on:
             for connection in list(self.connections):
                 connection.process_queued()
 
     def lag(self, on: bool) -> None:
         """Serve reads from a copy of the current tree until switched off; writes go to the shared tree."""
-        self.ills.lagging_tree = copy.deepcopy(self.ensemble.tree) if on else None
+        self.faults.lagging_tree = copy.deepcopy(self.ensemble.tree) if on else None
 
     @property
     def tree(self) -> Tree:
         """The tree that reads are served from."""
-        return self.ills.lagging_tree or self.ensemble.tree
+        return self.faults.lagging_tree or self.ensemble.tree
 
     def fire_watches(self, events: list[ChangeEvent]) -> None:
         """Fire the watches of this server's clients."""
@@ -164,7 +164,7 @@
     def publish(self, events: list[ChangeEvent]) -> None:
         """Fire watches for changes on all servers except those that lag."""
         for server in self.faces:
-            if server.ills.lagging_tree is None:
+            if server.faults.lagging_tree is None:
                 server.fire_watches(events)
 
     # Commands
@@ -191,7 +191,7 @@
         """Lose all nodes and sessions; zxids start over."""
         self.tree.clear()
         for server in self.faces:
-            server.ills.lagging_tree = None
+            server.faults.lagging_tree = None
             server.drop()
 
     def put(self, path: str, data: bytes = b"") -> None:
@@ -266,7 +266,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.server.count.connections += 1
         self.server.connections.add(self)
-        if self.server.ills.refusing:
+        if self.server.faults.refusing:
             self.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -286,7 +286,7 @@
 
     def process_queued(self) -> None:
         """Answer the queued requests, unless the server is frozen."""
-        while self.queued and not self.server.ills.frozen:
+        while self.queued and not self.server.faults.frozen:
             payload = self.queued.pop(0)
             try:
                 if self.session is None:
@@ -312,7 +312,7 @@
             reader.read_buffer(),
         )
         takes_read_only = reader.read_bool() if reader.remaining else False
-        if self.server.ills.read_only and not takes_read_only:
+        if self.server.faults.read_only and not takes_read_only:
             self.abort()
             return
         now, tree = self.ensemble.clock(), self.ensemble.tree
@@ -333,7 +333,7 @@
         self.session = session
         self._send(
             jute.write_int(0) + jute.write_int(int(session.timeout)) + jute.write_long(session.id)
-            + jute.write_buffer(session.password) + jute.write_bool(self.server.ills.read_only)
+            + jute.write_buffer(session.password) + jute.write_bool(self.server.faults.read_only)
         )  # fmt: skip
 
     def _close_other_connections(self, session: Session) -> None:
@@ -347,7 +347,7 @@
         """Send a watch event if the change is watched, subject to the server's faults."""
         if not self.watches.trigger(change.event_type, change.path):
             return
-        faults = self.server.ills
+        faults = self.server.faults
         if faults.lose_watches > 0:
             faults.lose_watches -= 1
             return
@@ -369,7 +369,7 @@
         code, body, events = Code.OK, b"", list[ChangeEvent]()
         if session.id not in tree.sessions:
             code = Code.SESSION_EXPIRED
-        elif kind in WRITE_OPS and self.server.ills.read_only:
+        elif kind in WRITE_OPS and self.server.faults.read_only:
             code = Code.NOT_READ_ONLY
         elif kind == CLOSE:
             events = tree.end(session.id)
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -181,7 +181,7 @@
         stale = made.client(face=0)
         assert stale.get_children("/s") == ["a"] and client.get_children("/s") == ["a", "b"]
         client.set_hosts(made.ensemble.connect_string)
-        made.run(lambda: setattr(ahead.ills, "refusing", True))
+        made.run(lambda: setattr(ahead.faults, "refusing", True))
         made.run(lambda: ahead.drop())
         wait_until(lambda: behind.count.connections > 2)
         assert not client.connected, "a server that is behind the client must not accept it"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -225,14 +225,14 @@
     async def test() -> None:
         async with ensemble(2) as zk, followed_directory(zk, "abcdef") as (rig, _):
             for face in zk.faces:
-                face.ills.refusing = True
+                face.faults.refusing = True
             zk.expire(rig.directory.client.protocol.session)
             zk.write(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000), "terminating"))
             zk.remove(f"{PATH}/b")
             await asyncio.sleep(0.1)
             assert rig.ready == set("abcdef"), "nothing is decided while the coordinator is unreachable"
             for face in zk.faces:
-                face.ills.refusing = False
+                face.faults.refusing = False
             await wait_until(lambda: rig.ready == set("cdef") and rig.draining == {"a"})
             zk.put(f"{PATH}/draining/c")
             await wait_until(lambda: rig.draining == {"a", "c"})
@@ -245,7 +245,7 @@
 def test_a_read_only_server_is_not_trusted_on_removed_nodes() -> None:
     async def test() -> None:
         async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
-            zk.faces[0].ills.read_only = True
+            zk.faces[0].faults.read_only = True
             zk.faces[0].drop()
             await wait_until(lambda: rig.directory.distrust_until > 0)
             zk.remove(f"{PATH}/a")
@@ -278,7 +278,7 @@
 def test_a_node_re_created_before_a_delayed_watch_event_is_a_new_start() -> None:
     async def test() -> None:
         async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
-            zk.faces[0].ills.watch_delay = 200.0
+            zk.faces[0].faults.watch_delay = 200.0
             before = rig.directory.tracker.members["a"].started_at
             zk.remove(f"{PATH}/a")
             data = json.dumps({"name": "a", "address": "127.0.0.1:1000", "status": "in_service"}).encode()
@@ -299,11 +299,11 @@
             if serving is behind:
                 behind.drop()
             await wait_until(lambda: rig.ready == set("bcdef"))
-            ahead.ills.refusing = True
+            ahead.faults.refusing = True
             ahead.drop()
             await wait_until(lambda: behind.count.connections > 1)
             assert rig.ready == set("bcdef"), "an older list does not bring back a removed member"
-            ahead.ills.refusing = False
+            ahead.faults.refusing = False
             zk.restart_empty()
             await wait_until(lambda: rig.directory.tracker.counts.held == 5)
             assert rig.ready == set("bcdef") and rig.directory.follower.state.missing
@@ -416,13 +416,13 @@
             assert await registrar.leave(0.05)
             await other.registered.wait()
             assert json.loads(zk.tree.nodes[f"{PATH}/a"].data)["address"] == "127.0.0.1:2000"
-            zk.faces[0].ills.read_only = zk.faces[1].ills.read_only = True
+            zk.faces[0].faults.read_only = zk.faces[1].faults.read_only = True
             leaving = asyncio.create_task(other.leave(0.0))
             await wait_until(lambda: bool(other.registration.refusal))
             for face in zk.faces:
                 face.drop()
             await wait_until(lambda: not other.client.connected)
-            zk.faces[0].ills.read_only = zk.faces[1].ills.read_only = False
+            zk.faces[0].faults.read_only = zk.faces[1].faults.read_only = False
             assert await leaving and f"{PATH}/a" not in zk.tree.nodes
 
     run(test)
