--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -308,7 +308,7 @@
         await asyncio.sleep(0.01)
     for refusing in (0.0, 3.0):
         made.ups.clear()
-        told = [face.count.connections for face in zk.faces]
+        told = [face.counts.connections for face in zk.faces]
         start = time.monotonic()
         for face in zk.faces:
             face.faults.refusing = refusing > 0
@@ -317,7 +317,7 @@
         back = start + refusing
         while len(made.ups) < count:
             await asyncio.sleep(0.01)
-            now = sum(face.count.connections for face in zk.faces)
+            now = sum(face.counts.connections for face in zk.faces)
             seen[int((time.monotonic() - start) * 10)] += now - last
             last = now
             if time.monotonic() >= back:
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -67,7 +67,7 @@
         self.ensemble = ensemble
         self.address = address
         self.faults = Faults()
-        self.count = ServerCounts()
+        self.counts = ServerCounts()
         self.connections: set[Connection] = set()
         self.listeners: list[asyncio.Server] = []
 
@@ -264,7 +264,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.server.count.connections += 1
+        self.server.counts.connections += 1
         self.server.connections.add(self)
         if self.server.faults.refusing:
             self.abort()
@@ -329,7 +329,7 @@
         if id:
             self._close_other_connections(session)
         else:
-            self.server.count.sessions += 1
+            self.server.counts.sessions += 1
         self.session = session
         self._send(
             jute.write_int(0) + jute.write_int(int(session.timeout)) + jute.write_long(session.id)
@@ -351,7 +351,7 @@
         if faults.lose_watches > 0:
             faults.lose_watches -= 1
             return
-        self.server.count.watches += 1
+        self.server.counts.watches += 1
         event = jute.write_int(change.event_type) + jute.write_int(CONNECTED) + jute.write_string(change.path)
         payload = jute.write_int(XID_WATCH) + jute.write_long(-1) + jute.write_int(0) + event
         if faults.watch_delay > 0:
@@ -365,7 +365,7 @@
         xid, kind = reader.read_int(), reader.read_int()
         tree = self.ensemble.tree
         session.last_heard = self.ensemble.clock()
-        self.server.count.requests += 1
+        self.server.counts.requests += 1
         code, body, events = Code.OK, b"", list[ChangeEvent]()
         if session.id not in tree.sessions:
             code = Code.SESSION_EXPIRED
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -183,7 +183,7 @@
         client.set_hosts(made.ensemble.connect_string)
         made.run(lambda: setattr(ahead.faults, "refusing", True))
         made.run(lambda: ahead.drop())
-        wait_until(lambda: behind.count.connections > 2)
+        wait_until(lambda: behind.counts.connections > 2)
         assert not client.connected, "a server that is behind the client must not accept it"
         made.run(lambda: behind.lag(False))
         wait_until(lambda: bool(client.connected))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -301,7 +301,7 @@
             await wait_until(lambda: rig.ready == set("bcdef"))
             ahead.faults.refusing = True
             ahead.drop()
-            await wait_until(lambda: behind.count.connections > 1)
+            await wait_until(lambda: behind.counts.connections > 1)
             assert rig.ready == set("bcdef"), "an older list does not bring back a removed member"
             ahead.faults.refusing = False
             zk.restart_empty()
