--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -312,7 +312,7 @@
         start = time.monotonic()
         for face in zk.faces:
             face.faults.refusing = refusing > 0
-            face.drop()
+            face.drop_connections()
         seen, last = Counter[int](), sum(told)
         back = start + refusing
         while len(made.ups) < count:
--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -77,14 +77,14 @@
         face.lag(True)
         await wait_for_end(fault)
         face.lag(False)
-        face.drop()
+        face.drop_connections()
 
     async def _drop(self, fault: PlannedFault) -> None:
         """All connections are closed at once, and new ones are refused for a while."""
         faces = self._coordination.ensemble.faces
         for face in faces:
             face.faults.refusing = True
-            face.drop()
+            face.drop_connections()
         await wait_for_end(fault)
         for face in faces:
             face.faults.refusing = False
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -126,7 +126,7 @@
 
 
 SERVER_COMMANDS: dict[str, Callable[[EnsembleServer, float], None]] = {
-    "drop": lambda server, _: server.drop(),
+    "drop": lambda server, _: server.drop_connections(),
     "freeze": lambda server, _: server.freeze(True),
     "thaw": lambda server, _: server.freeze(False),
     "lag": lambda server, _: server.lag(True),
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -87,9 +87,9 @@
         for server in self.listeners:
             server.close()
         self.listeners.clear()
-        self.drop()
+        self.drop_connections()
 
-    def drop(self) -> None:
+    def drop_connections(self) -> None:
         """Close all connections; their sessions live on."""
         for connection in list(self.connections):
             connection.abort()
@@ -192,7 +192,7 @@
         self.tree.clear()
         for server in self.faces:
             server.faults.lagging_tree = None
-            server.drop()
+            server.drop_connections()
 
     def put(self, path: str, data: bytes = b"") -> None:
         """Create a persistent node and its parents, or replace its data."""
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -141,7 +141,7 @@
     with threaded_ensemble() as made:
         owner, other = made.client(), made.client()
         owner.create("/up", ephemeral=True)
-        made.run(lambda: made.ensemble.faces[0].drop())
+        made.run(lambda: made.ensemble.faces[0].drop_connections())
         # A request made while the connection is being dropped fails; callers of the client are to retry it.
         assert other.retry(other.exists, "/up") is not None, "its session lives on"
         assert owner.retry(owner.exists, "/up") is not None
@@ -182,7 +182,7 @@
         assert stale.get_children("/s") == ["a"] and client.get_children("/s") == ["a", "b"]
         client.set_hosts(made.ensemble.connect_string)
         made.run(lambda: setattr(ahead.faults, "refusing", True))
-        made.run(lambda: ahead.drop())
+        made.run(lambda: ahead.drop_connections())
         wait_until(lambda: behind.counts.connections > 2)
         assert not client.connected, "a server that is behind the client must not accept it"
         made.run(lambda: behind.lag(False))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -246,7 +246,7 @@
     async def test() -> None:
         async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
             zk.faces[0].faults.read_only = True
-            zk.faces[0].drop()
+            zk.faces[0].drop_connections()
             await wait_until(lambda: rig.directory.distrust_until > 0)
             zk.remove(f"{PATH}/a")
             zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
@@ -263,7 +263,7 @@
             session = rig.directory.client.protocol.session
             for _ in range(2):
                 for face in zk.faces:
-                    face.drop()
+                    face.drop_connections()
                 zk.remove(f"{PATH}/a")
                 zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
                 zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
@@ -297,10 +297,10 @@
             zk.remove(f"{PATH}/a")
             serving = next(f for f in zk.faces if f.connections)
             if serving is behind:
-                behind.drop()
+                behind.drop_connections()
             await wait_until(lambda: rig.ready == set("bcdef"))
             ahead.faults.refusing = True
-            ahead.drop()
+            ahead.drop_connections()
             await wait_until(lambda: behind.counts.connections > 1)
             assert rig.ready == set("bcdef"), "an older list does not bring back a removed member"
             ahead.faults.refusing = False
@@ -402,7 +402,7 @@
                     zk.expire(registrar.client.protocol.session)
                 else:
                     for face in zk.faces:
-                        face.drop()
+                        face.drop_connections()
                     if turn == 2:  # the client starts over while its old session and node still exist
                         registrar.client.protocol.forget()
                 await wait_until(lambda: not registrar.registered.is_set())
@@ -420,7 +420,7 @@
             leaving = asyncio.create_task(other.leave(0.0))
             await wait_until(lambda: bool(other.registration.refusal))
             for face in zk.faces:
-                face.drop()
+                face.drop_connections()
             await wait_until(lambda: not other.client.connected)
             zk.faces[0].faults.read_only = zk.faces[1].faults.read_only = False
             assert await leaving and f"{PATH}/a" not in zk.tree.nodes
