--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -308,20 +308,20 @@
         await asyncio.sleep(0.01)
     for refusing in (0.0, 3.0):
         made.ups.clear()
-        told = [face.counts.connections for face in zk.faces]
+        told = [face.counts.connections for face in zk.servers]
         start = time.monotonic()
-        for face in zk.faces:
+        for face in zk.servers:
             face.faults.refusing = refusing > 0
             face.drop_connections()
         seen, last = Counter[int](), sum(told)
         back = start + refusing
         while len(made.ups) < count:
             await asyncio.sleep(0.01)
-            now = sum(face.counts.connections for face in zk.faces)
+            now = sum(face.counts.connections for face in zk.servers)
             seen[int((time.monotonic() - start) * 10)] += now - last
             last = now
             if time.monotonic() >= back:
-                for face in zk.faces:
+                for face in zk.servers:
                     face.faults.refusing = False
         done = time.monotonic() - start
         half = statistics.median(made.ups) - start
--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -73,7 +73,7 @@
 
     async def _lag(self, fault: PlannedFault) -> None:
         """The first server stops following the others: its clients get no updates and read stale data."""
-        face = self._coordination.ensemble.faces[0]
+        face = self._coordination.ensemble.servers[0]
         face.lag(True)
         await wait_for_end(fault)
         face.lag(False)
@@ -81,7 +81,7 @@
 
     async def _drop(self, fault: PlannedFault) -> None:
         """All connections are closed at once, and new ones are refused for a while."""
-        faces = self._coordination.ensemble.faces
+        faces = self._coordination.ensemble.servers
         for face in faces:
             face.faults.refusing = True
             face.drop_connections()
@@ -91,7 +91,7 @@
 
     async def _freeze(self, fault: PlannedFault) -> None:
         """Connections stay open, but nothing is answered."""
-        faces = self._coordination.ensemble.faces
+        faces = self._coordination.ensemble.servers
         for face in faces:
             face.freeze(True)
         await wait_for_end(fault)
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -90,7 +90,7 @@
     command, *rest = words
     try:
         if command in SERVER_COMMANDS:
-            server = ensemble.faces[int(rest[0])]
+            server = ensemble.servers[int(rest[0])]
             SERVER_COMMANDS[command](server, float(rest[1]) if len(rest) > 1 else 0.0)
             return {"done": command}
         if command == "nodes":
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -129,31 +129,31 @@
     ) -> None:
         self.tree = Tree(seed)
         self.clock: Callable[[], float] = lambda: clock() * 1000  # ms
-        self.faces = [EnsembleServer(self, a) for a in addresses or [free_address() for _ in range(faces)]]
+        self.servers = [EnsembleServer(self, a) for a in addresses or [free_address() for _ in range(faces)]]
         self.expiry_timer: asyncio.TimerHandle | None = None
         self.told: ReadObserver | None = None
 
     @property
     def connect_string(self) -> str:
         """The servers' addresses, as clients accept them."""
-        return ",".join(str(server.address) for server in self.faces)
+        return ",".join(str(server.address) for server in self.servers)
 
     async def start(self) -> None:
-        for server in self.faces:
+        for server in self.servers:
             await server.start()
         self._expire_overdue()
 
     async def window(self, client: str) -> str:
         """Listen on separate addresses for one client, as a connect string; `told` then reports its name."""
-        addresses = [free_address() for _ in self.faces]
-        for server, address in zip(self.faces, addresses, strict=True):
+        addresses = [free_address() for _ in self.servers]
+        for server, address in zip(self.servers, addresses, strict=True):
             await server.listen(address, client)
         return ",".join(map(str, addresses))
 
     async def stop(self) -> None:
         if self.expiry_timer is not None:
             self.expiry_timer.cancel()
-        for server in self.faces:
+        for server in self.servers:
             await server.stop()
 
     def _expire_overdue(self) -> None:
@@ -163,7 +163,7 @@
 
     def publish(self, events: list[ChangeEvent]) -> None:
         """Fire watches for changes on all servers except those that lag."""
-        for server in self.faces:
+        for server in self.servers:
             if server.faults.lagging_tree is None:
                 server.fire_watches(events)
 
@@ -173,7 +173,7 @@
         """Expire a session now: its ephemeral nodes are deleted and its connection is closed."""
         events = self.tree.end(session)
         self.publish(events)
-        for server in self.faces:
+        for server in self.servers:
             for connection in list(server.connections):
                 if connection.session is not None and connection.session.id == session:
                     connection.abort()
@@ -190,7 +190,7 @@
     def restart_empty(self) -> None:
         """Lose all nodes and sessions; zxids start over."""
         self.tree.clear()
-        for server in self.faces:
+        for server in self.servers:
             server.faults.lagging_tree = None
             server.drop_connections()
 
@@ -338,7 +338,7 @@
 
     def _close_other_connections(self, session: Session) -> None:
         """Close the session's older connection: a session has only one."""
-        for server in self.ensemble.faces:
+        for server in self.ensemble.servers:
             for other in list(server.connections):
                 if other is not self and other.session is session:
                     other.abort()
--- a/tests/test_coordinator.py
+++ b/tests/test_coordinator.py
@@ -58,7 +58,7 @@
         return asyncio.run_coroutine_threadsafe(call(), self.loop).result(TIMEOUT)
 
     def client(self, timeout: float = 4.0, face: int | None = None) -> Any:
-        hosts = self.ensemble.connect_string if face is None else str(self.ensemble.faces[face].address)
+        hosts = self.ensemble.connect_string if face is None else str(self.ensemble.servers[face].address)
         quick = KazooRetry(max_tries=-1, delay=0.02, max_delay=0.1)
         made = KazooClient(hosts=hosts, timeout=timeout, connection_retry=quick, command_retry=quick)
         made.start(TIMEOUT)
@@ -141,7 +141,7 @@
     with threaded_ensemble() as made:
         owner, other = made.client(), made.client()
         owner.create("/up", ephemeral=True)
-        made.run(lambda: made.ensemble.faces[0].drop_connections())
+        made.run(lambda: made.ensemble.servers[0].drop_connections())
         # A request made while the connection is being dropped fails; callers of the client are to retry it.
         assert other.retry(other.exists, "/up") is not None, "its session lives on"
         assert owner.retry(owner.exists, "/up") is not None
@@ -173,7 +173,7 @@
 
 def test_sessions_move_between_servers_and_a_lagging_server_refuses_a_newer_client() -> None:
     with threaded_ensemble(faces=2) as made:
-        behind, ahead = made.ensemble.faces
+        behind, ahead = made.ensemble.servers
         made.run(lambda: made.ensemble.put("/s/a", b"1"))
         client = made.client(face=1)
         made.run(lambda: behind.lag(True))
@@ -195,7 +195,7 @@
 
 def test_faults_on_command_freeze_delay_lose_read_only_and_empty() -> None:
     with threaded_ensemble() as made:
-        face = made.ensemble.faces[0]
+        face = made.ensemble.servers[0]
         client = made.client()
         client.ensure_path("/s")
         events: list[str] = []
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -59,7 +59,7 @@
     def __init__(
         self, made: Ensemble, timeout: float = 4000.0, terms: DepartureSettings | None = None
     ) -> None:
-        servers = tuple(face.address for face in made.faces)
+        servers = tuple(face.address for face in made.servers)
         self.names: dict[int, str] = {}
         self.ready: set[str] = set()
         self.draining: set[str] = set()
@@ -224,14 +224,14 @@
 def test_a_drain_during_expiry_of_the_sidecar_s_session_is_applied() -> None:
     async def test() -> None:
         async with ensemble(2) as zk, followed_directory(zk, "abcdef") as (rig, _):
-            for face in zk.faces:
+            for face in zk.servers:
                 face.faults.refusing = True
             zk.expire(rig.directory.client.protocol.session)
             zk.write(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000), "terminating"))
             zk.remove(f"{PATH}/b")
             await asyncio.sleep(0.1)
             assert rig.ready == set("abcdef"), "nothing is decided while the coordinator is unreachable"
-            for face in zk.faces:
+            for face in zk.servers:
                 face.faults.refusing = False
             await wait_until(lambda: rig.ready == set("cdef") and rig.draining == {"a"})
             zk.put(f"{PATH}/draining/c")
@@ -245,8 +245,8 @@
 def test_a_read_only_server_is_not_trusted_on_removed_nodes() -> None:
     async def test() -> None:
         async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
-            zk.faces[0].faults.read_only = True
-            zk.faces[0].drop_connections()
+            zk.servers[0].faults.read_only = True
+            zk.servers[0].drop_connections()
             await wait_until(lambda: rig.directory.distrust_until > 0)
             zk.remove(f"{PATH}/a")
             zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
@@ -262,7 +262,7 @@
         async with ensemble(3) as zk, followed_directory(zk, "abcdef") as (rig, _):
             session = rig.directory.client.protocol.session
             for _ in range(2):
-                for face in zk.faces:
+                for face in zk.servers:
                     face.drop_connections()
                 zk.remove(f"{PATH}/a")
                 zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
@@ -278,7 +278,7 @@
 def test_a_node_re_created_before_a_delayed_watch_event_is_a_new_start() -> None:
     async def test() -> None:
         async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
-            zk.faces[0].faults.watch_delay = 200.0
+            zk.servers[0].faults.watch_delay = 200.0
             before = rig.directory.tracker.members["a"].started_at
             zk.remove(f"{PATH}/a")
             data = json.dumps({"name": "a", "address": "127.0.0.1:1000", "status": "in_service"}).encode()
@@ -292,10 +292,10 @@
 def test_a_face_that_lags_and_a_coordinator_that_restarts_empty_take_out_nobody() -> None:
     async def test() -> None:
         async with ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=1000.0) as (rig, _):
-            behind, ahead = zk.faces
+            behind, ahead = zk.servers
             behind.lag(True)
             zk.remove(f"{PATH}/a")
-            serving = next(f for f in zk.faces if f.connections)
+            serving = next(f for f in zk.servers if f.connections)
             if serving is behind:
                 behind.drop_connections()
             await wait_until(lambda: rig.ready == set("bcdef"))
@@ -356,7 +356,9 @@
             rig = FollowedDirectory(zk)
             rig.add_names("a")
             zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
-            rig.directory.client = Client((*faulty, zk.faces[0].address), 4000.0, NoShuffle(), rig.directory)
+            rig.directory.client = Client(
+                (*faulty, zk.servers[0].address), 4000.0, NoShuffle(), rig.directory
+            )
             rig.directory.start()
             await wait_until(lambda: rig.ready == {"a"})
             assert len(reached) == len(replies)
@@ -376,9 +378,9 @@
 def test_a_frozen_server_is_detected_and_no_member_is_removed() -> None:
     async def test() -> None:
         async with ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=600.0) as (rig, _):
-            frozen = next(f for f in zk.faces if f.connections)
+            frozen = next(f for f in zk.servers if f.connections)
             frozen.freeze(True)
-            await wait_until(lambda: bool(next(f for f in zk.faces if f is not frozen).connections))
+            await wait_until(lambda: bool(next(f for f in zk.servers if f is not frozen).connections))
             await wait_until(lambda: rig.directory.client.connected)
             assert rig.ready == set("abcdef")
             zk.remove(f"{PATH}/a")
@@ -393,7 +395,7 @@
 def test_a_registrar_keeps_one_node_through_expiry_drops_and_its_old_session(tmp_path: Path) -> None:
     async def test() -> None:
         async with ensemble(2) as zk:
-            servers = tuple(face.address for face in zk.faces)
+            servers = tuple(face.address for face in zk.servers)
             registrar = Registrar(servers, PATH, Entry("a", "127.0.0.1:1000"), 4000.0, random.Random(1))
             registrar.start()
             await registrar.registered.wait()
@@ -401,7 +403,7 @@
                 if turn == 0:
                     zk.expire(registrar.client.protocol.session)
                 else:
-                    for face in zk.faces:
+                    for face in zk.servers:
                         face.drop_connections()
                     if turn == 2:  # the client starts over while its old session and node still exist
                         registrar.client.protocol.forget()
@@ -416,13 +418,13 @@
             assert await registrar.leave(0.05)
             await other.registered.wait()
             assert json.loads(zk.tree.nodes[f"{PATH}/a"].data)["address"] == "127.0.0.1:2000"
-            zk.faces[0].faults.read_only = zk.faces[1].faults.read_only = True
+            zk.servers[0].faults.read_only = zk.servers[1].faults.read_only = True
             leaving = asyncio.create_task(other.leave(0.0))
             await wait_until(lambda: bool(other.registration.refusal))
-            for face in zk.faces:
+            for face in zk.servers:
                 face.drop_connections()
             await wait_until(lambda: not other.client.connected)
-            zk.faces[0].faults.read_only = zk.faces[1].faults.read_only = False
+            zk.servers[0].faults.read_only = zk.servers[1].faults.read_only = False
             assert await leaving and f"{PATH}/a" not in zk.tree.nodes
 
     run(test)
@@ -594,7 +596,7 @@
     async def test() -> None:
         async with ensemble() as zk:
             listener = ListingListener()
-            listener.client = Client((zk.faces[0].address,), 4000.0, random.Random(1), listener)
+            listener.client = Client((zk.servers[0].address,), 4000.0, random.Random(1), listener)
             listener.client.start()
             await wait_until(lambda: listener.replies == 1)
             assert len(zk.tree.sessions) == 1
