--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -31,7 +31,7 @@
         self.ledger = ledger
         self.clock = clock
         self.ensemble = Ensemble(faces=terms.faces, seed=seed)
-        self.ensemble.told = self._told
+        self.ensemble.on_read = self._told
         self.sessions: dict[str, int] = {}
         self.lives: dict[str, int] = {}  # by node
         self.known: dict[tuple[str, str], set[str]] = {}  # by sidecar and directory
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -131,7 +131,7 @@
         self.clock: Callable[[], float] = lambda: clock() * 1000  # ms
         self.servers = [EnsembleServer(self, a) for a in addresses or [free_address() for _ in range(faces)]]
         self.expiry_timer: asyncio.TimerHandle | None = None
-        self.told: ReadObserver | None = None
+        self.on_read: ReadObserver | None = None
 
     @property
     def connect_string(self) -> str:
@@ -430,8 +430,8 @@
         raise OperationError(Code.UNIMPLEMENTED)
 
     def _report_read(self, path: str, names: tuple[str, ...] | None, data: bytes) -> None:
-        if self.client and self.ensemble.told is not None:
-            self.ensemble.told(self.client, path, names, data)
+        if self.client and self.ensemble.on_read is not None:
+            self.ensemble.on_read(self.client, path, names, data)
 
     def _set_watches(self, reader: Reader) -> None:
         """Restore a reconnected client's watches; changes since its last zxid fire them at once."""
