--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -44,7 +44,7 @@
         for tier in range(1, tiers + 1):
             self.ensemble.put(directory(tier))
         for sidecar in sidecars:
-            self.connects[sidecar] = await self.ensemble.window(sidecar)
+            self.connects[sidecar] = await self.ensemble.listen_for(sidecar)
 
     async def stop(self) -> None:
         for handle in self.handles:
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -143,7 +143,7 @@
             await server.start()
         self._expire_overdue()
 
-    async def window(self, client: str) -> str:
+    async def listen_for(self, client: str) -> str:
         """Listen on separate addresses for one client, as a connect string; `told` then reports its name."""
         addresses = [free_address() for _ in self.servers]
         for server, address in zip(self.servers, addresses, strict=True):
