--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -93,7 +93,7 @@
     zk = Ensemble(faces=3)
     await zk.start()
     spots = {f"e{i}": Spot(f"e{i}") for i in range(count)}
-    sessions = {n: zk.own(f"{PATH}/{n}", data(n, s.address)) for n, s in spots.items()}
+    sessions = {n: zk.create_ephemeral(f"{PATH}/{n}", data(n, s.address)) for n, s in spots.items()}
     with tempfile.TemporaryDirectory() as folder:
         listen = free_address()
         daemon = _daemon(Path(folder), listen, zk.connect_string)
@@ -122,7 +122,7 @@
                     turn += 1
                     again = f"{name.partition('-')[0]}-{turn}"
                     spots[again] = spot = spots.pop(name)
-                    sessions[again] = zk.own(f"{PATH}/{again}", data(again, spot.address))
+                    sessions[again] = zk.create_ephemeral(f"{PATH}/{again}", data(again, spot.address))
                 await asyncio.sleep(0.3)
             calls.cancel()
         finally:
--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -73,7 +73,7 @@
             self.ensemble.expire(old)
         self.lapsed.discard(node)
         self.lives[node] = entry.life
-        self.sessions[endpoint.build.name] = self.ensemble.own(node, self._data(entry))
+        self.sessions[endpoint.build.name] = self.ensemble.create_ephemeral(node, self._data(entry))
 
     def drain(self, endpoint: Endpoint, entry: Entry) -> None:
         node = self._node(endpoint)
--- a/millgw/standins/coordinator/command.py
+++ b/millgw/standins/coordinator/command.py
@@ -103,7 +103,7 @@
         if command == "put":
             ensemble.put(rest[0], " ".join(rest[1:]).encode())
         elif command == "own":
-            return {"session": ensemble.own(rest[0], " ".join(rest[1:]).encode())}
+            return {"session": ensemble.create_ephemeral(rest[0], " ".join(rest[1:]).encode())}
         elif command == "remove":
             ensemble.remove(rest[0])
         elif command == "expire":
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -204,7 +204,7 @@
         if self.tree.nodes[path].data != data:
             self.publish(self.tree.write(path, data, -1, now)[1])
 
-    def own(self, path: str, data: bytes) -> int:
+    def create_ephemeral(self, path: str, data: bytes) -> int:
         """Create an ephemeral node with its own session, which only a command ends; returns its id."""
         parent = path.rpartition("/")[0]
         if parent and parent not in self.tree.nodes:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -92,7 +92,7 @@
     rig.add_names(*names, "x", "y")
     sessions = {}
     for i, name in enumerate(names):
-        sessions[name] = made.own(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
+        sessions[name] = made.create_ephemeral(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
     rig.directory.start()
     await wait_until(lambda: rig.ready == set(names))
     try:
@@ -112,7 +112,7 @@
         async with ensemble() as zk:
             for e in made:
                 await e.start()
-                zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
+                zk.create_ephemeral(f"{PATH}/{e.name}", entry(e.name, e.address))
             async with operator_sidecar(tmp_path, service_config(zk)) as node:
                 await wait_for_endpoints(node, 3)
                 # Concurrent calls: sequential ones might all go to endpoints that answered quickly.
@@ -142,7 +142,7 @@
         async with ensemble() as zk:
             for e in made:
                 await e.start()
-                zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
+                zk.create_ephemeral(f"{PATH}/{e.name}", entry(e.name, e.address))
             async with operator_sidecar(tmp_path, service_config(zk)) as node:
                 await wait_for_endpoints(node, 6)
                 for _ in range(40):
@@ -159,7 +159,7 @@
                     asked = [node.ask(request("read")) for _ in range(12)]
                     assert all(answer.status == 200 for answer in await asyncio.gather(*asked))
                 for e in made[1:]:
-                    zk.own(f"{PATH}/{e.name}", entry(e.name, e.address))
+                    zk.create_ephemeral(f"{PATH}/{e.name}", entry(e.name, e.address))
                 await wait_for_endpoints(node, 5)
                 zk.remove(f"{PATH}/e1")
                 await wait_for_endpoints(node, 4)
@@ -197,8 +197,8 @@
         async with ensemble() as zk:
             for e in (a, b, c):
                 await e.start()
-            zk.own(f"{PATH}/a", entry("a", a.address))
-            zk.own(f"{PATH}/b", entry("b", b.address))
+            zk.create_ephemeral(f"{PATH}/a", entry("a", a.address))
+            zk.create_ephemeral(f"{PATH}/b", entry("b", b.address))
             text = service_config(zk, 'membership = "union"')
             async with operator_sidecar(tmp_path, text, str(discovery_server.address)) as node:
                 _, writer = await discovery_server.calls.get()
@@ -265,7 +265,7 @@
                 for face in zk.servers:
                     face.drop_connections()
                 zk.remove(f"{PATH}/a")
-                zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
+                zk.create_ephemeral(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
                 zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001), "terminating"))
                 await wait_until(lambda: rig.ready == set("acdef"))
                 zk.write(f"{PATH}/b", entry("b", Address("127.0.0.1", 1001)))
@@ -282,7 +282,7 @@
             before = rig.directory.tracker.members["a"].started_at
             zk.remove(f"{PATH}/a")
             data = json.dumps({"name": "a", "address": "127.0.0.1:1000", "status": "in_service"}).encode()
-            zk.own(f"{PATH}/a", data)
+            zk.create_ephemeral(f"{PATH}/a", data)
             await wait_until(lambda: rig.directory.tracker.members["a"].started_at > before)
             assert rig.ready == set("abcdef")
 
@@ -308,7 +308,7 @@
             await wait_until(lambda: rig.directory.tracker.counts.held == 5)
             assert rig.ready == set("bcdef") and rig.directory.follower.state.missing
             for i, name in enumerate("abcdef"):
-                zk.own(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
+                zk.create_ephemeral(f"{PATH}/{name}", entry(name, Address("127.0.0.1", 1000 + i)))
             await wait_until(lambda: rig.ready == set("abcdef"))
             assert rig.directory.tracker.states()["held"] == 0
 
@@ -355,7 +355,7 @@
             ]
             rig = FollowedDirectory(zk)
             rig.add_names("a")
-            zk.own(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
+            zk.create_ephemeral(f"{PATH}/a", entry("a", Address("127.0.0.1", 1000)))
             rig.directory.client = Client(
                 (*faulty, zk.servers[0].address), 4000.0, NoShuffle(), rig.directory
             )
