--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -33,7 +33,7 @@
 class Listener(Protocol):
     """Callbacks for the events of a session, in order."""
 
-    def up(self, fresh: bool, doubtful: bool) -> None:
+    def on_connected(self, fresh: bool, doubtful: bool) -> None:
         """A session is established. `fresh`: it is new and has no watches. `doubtful`: the coordinator has
         lost changes it had committed, or this server is partitioned from the others.
         """
@@ -147,7 +147,7 @@
                     log_event("coordinator-up", server=connection.server, fresh=event.fresh)
                     if event.read_only:
                         connection.leave_after(READ_ONLY_STAY)
-                    self.listener.up(event.fresh, started_over or event.read_only)
+                    self.listener.on_connected(event.fresh, started_over or event.read_only)
                 elif isinstance(event, SessionExpired):
                     connection.expired = True
                     log_event("session-expired", server=connection.server)
