--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -173,7 +173,7 @@
         self.follower = DirectoryFollower(path)
         self.done = asyncio.Event()
 
-    def up(self, fresh: bool, doubtful: bool) -> None:
+    def on_connected(self, fresh: bool, doubtful: bool) -> None:
         self._send(self.follower.on_connected(time.monotonic() * 1000, True))
 
     def down(self) -> None:
