--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -141,7 +141,7 @@
 
     # Callbacks of the client (`Listener`)
 
-    def up(self, fresh: bool, doubtful: bool) -> None:
+    def on_connected(self, fresh: bool, doubtful: bool) -> None:
         self._send(self.registration.on_connected(self.client.protocol.session))
 
     def down(self) -> None:
