--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -112,7 +112,7 @@
 
     # Callbacks of the client (`Listener`)
 
-    def up(self, fresh: bool, doubtful: bool) -> None:
+    def on_connected(self, fresh: bool, doubtful: bool) -> None:
         now = self.now()
         if doubtful:
             self.distrust_until = now + DISTRUST_TIME
