--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -581,7 +581,7 @@
         self.replies = 0
         self.client: Client
 
-    def up(self, fresh: bool, doubtful: bool) -> None:
+    def on_connected(self, fresh: bool, doubtful: bool) -> None:
         self.client.send(Request(Operation.CHILDREN, PATH))
 
     def down(self) -> None: ...
