--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -279,7 +279,7 @@
         self.storm = storm
         self.client = Client(storm.servers, 4000.0, random.Random(seed), self)
 
-    def up(self, fresh: bool, doubtful: bool) -> None:
+    def on_connected(self, fresh: bool, doubtful: bool) -> None:
         self.storm.ups.append(time.monotonic())
         self.client.send(Request(Operation.CHILDREN, PATH))
 
