--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -38,7 +38,7 @@
         lost changes it had committed, or this server is partitioned from the others.
         """
 
-    def down(self) -> None:
+    def on_disconnected(self) -> None:
         """The connection is lost, and with it every unanswered request."""
 
     def reply(self, reply: Reply) -> None: ...
@@ -121,7 +121,7 @@
             return
         log_event("coordinator-lost", server=connection.server, cause=reason)
         if served:
-            self.listener.down()
+            self.listener.on_disconnected()
         if connection.expired:
             self._schedule_connect(self.selector.on_session_expired())
         else:
