--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -176,7 +176,7 @@
     def on_connected(self, fresh: bool, doubtful: bool) -> None:
         self._send(self.follower.on_connected(time.monotonic() * 1000, True))
 
-    def down(self) -> None:
+    def on_disconnected(self) -> None:
         """The next connection reads the directory from the start."""
 
     def reply(self, reply: Reply) -> None:
