--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -144,7 +144,7 @@
     def on_connected(self, fresh: bool, doubtful: bool) -> None:
         self._send(self.registration.on_connected(self.client.protocol.session))
 
-    def down(self) -> None:
+    def on_disconnected(self) -> None:
         self.registration.on_disconnected()
         self._send([])
 
