--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -120,7 +120,7 @@
             self.client.set_watches(*self.follower.watches())
         self._send(self.follower.on_connected(now, fresh))
 
-    def down(self) -> None:
+    def on_disconnected(self) -> None:
         self.down_since = self.now()
 
     def reply(self, reply: Reply) -> None:
