--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -584,7 +584,7 @@
     def on_connected(self, fresh: bool, doubtful: bool) -> None:
         self.client.send(Request(Operation.CHILDREN, PATH))
 
-    def down(self) -> None: ...
+    def on_disconnected(self) -> None: ...
 
     def reply(self, reply: Reply) -> None:
         self.replies += 1
