--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -41,7 +41,7 @@
     def on_disconnected(self) -> None:
         """The connection is lost, and with it every unanswered request."""
 
-    def reply(self, reply: Reply) -> None: ...
+    def on_reply(self, reply: Reply) -> None: ...
 
     def fired(self, event: WatchEvent) -> None: ...
 
@@ -155,7 +155,7 @@
                 elif isinstance(event, WatchEvent):
                     self.listener.fired(event)
                 else:
-                    self.listener.reply(event)
+                    self.listener.on_reply(event)
         except BadRecord as error:
             connection.end(str(error))
 
