--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -179,7 +179,7 @@
     def on_disconnected(self) -> None:
         """The next connection reads the directory from the start."""
 
-    def reply(self, reply: Reply) -> None:
+    def on_reply(self, reply: Reply) -> None:
         self._send(self.follower.on_reply(time.monotonic() * 1000, reply))
         if self.follower.state.complete:
             self.done.set()
