--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -148,7 +148,7 @@
         self.registration.on_disconnected()
         self._send([])
 
-    def reply(self, reply: Reply) -> None:
+    def on_reply(self, reply: Reply) -> None:
         times_created = self.registration.times_created
         self._send(self.registration.on_reply(reply))
         if self.registration.times_created > times_created:
