--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -123,7 +123,7 @@
     def on_disconnected(self) -> None:
         self.down_since = self.now()
 
-    def reply(self, reply: Reply) -> None:
+    def on_reply(self, reply: Reply) -> None:
         if reply.code not in (Code.OK, Code.NO_NODE):
             # Keeps what is known; the next recheck reads again.
             log_event("coordinator-refused", path=reply.request.path, code=reply.code)
