--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -586,7 +586,7 @@
 
     def on_disconnected(self) -> None: ...
 
-    def reply(self, reply: Reply) -> None:
+    def on_reply(self, reply: Reply) -> None:
         self.replies += 1
 
     def fired(self, fired: WatchEvent) -> None: ...
