--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -43,7 +43,7 @@
 
     def on_reply(self, reply: Reply) -> None: ...
 
-    def fired(self, event: WatchEvent) -> None: ...
+    def on_watch_event(self, event: WatchEvent) -> None: ...
 
 
 class Client:
@@ -153,7 +153,7 @@
                     log_event("session-expired", server=connection.server)
                     connection.end("session expired")
                 elif isinstance(event, WatchEvent):
-                    self.listener.fired(event)
+                    self.listener.on_watch_event(event)
                 else:
                     self.listener.on_reply(event)
         except BadRecord as error:
