--- a/millgw/membership/command.py
+++ b/millgw/membership/command.py
@@ -184,7 +184,7 @@
         if self.follower.state.complete:
             self.done.set()
 
-    def fired(self, event: WatchEvent) -> None:
+    def on_watch_event(self, event: WatchEvent) -> None:
         self._send(self.follower.on_watch_event(time.monotonic() * 1000, event))
 
     def _send(self, requests: list[Request]) -> None:
