--- a/millgw/membership/registrar.py
+++ b/millgw/membership/registrar.py
@@ -154,7 +154,7 @@
         if self.registration.times_created > times_created:
             log_event("registered", node=self.registration.path, times=self.registration.times_created)
 
-    def fired(self, event: WatchEvent) -> None:
+    def on_watch_event(self, event: WatchEvent) -> None:
         self._send(self.registration.on_watch_event(event))
 
 
