--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -132,7 +132,7 @@
         if self.follower.revision != before or self.follower.too_many:
             self._update()
 
-    def fired(self, event: WatchEvent) -> None:
+    def on_watch_event(self, event: WatchEvent) -> None:
         self._send(self.follower.on_watch_event(self.now(), event))
 
     def _send(self, requests: list[Request]) -> None:
