--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -589,7 +589,7 @@
     def on_reply(self, reply: Reply) -> None:
         self.replies += 1
 
-    def fired(self, fired: WatchEvent) -> None: ...
+    def on_watch_event(self, fired: WatchEvent) -> None: ...
 
 
 def test_closing_ends_the_session_at_once() -> None:
