--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -39,7 +39,7 @@
 
 
 @asynccontextmanager
-async def ensemble(faces: int = 1) -> AsyncIterator[Ensemble]:
+async def running_ensemble(faces: int = 1) -> AsyncIterator[Ensemble]:
     made = Ensemble(faces=faces)
     await made.start()
     try:
@@ -109,7 +109,7 @@
 def test_the_daemon_sends_to_registered_endpoints_until_they_drain_or_end(tmp_path: Path) -> None:
     async def test() -> None:
         made = [ScriptedEndpoint(name) for name in "abc"]
-        async with ensemble() as zk:
+        async with running_ensemble() as zk:
             for e in made:
                 await e.start()
                 zk.create_ephemeral(f"{PATH}/{e.name}", entry(e.name, e.address))
@@ -139,7 +139,7 @@
 def test_members_whose_sessions_expire_serve_on_and_a_dead_one_is_removed(tmp_path: Path) -> None:
     async def test() -> None:
         made = [ScriptedEndpoint(f"e{i}") for i in range(6)]
-        async with ensemble() as zk:
+        async with running_ensemble() as zk:
             for e in made:
                 await e.start()
                 zk.create_ephemeral(f"{PATH}/{e.name}", entry(e.name, e.address))
@@ -194,7 +194,7 @@
         a, b, c = (ScriptedEndpoint(name) for name in "abc")
         discovery_server = ScriptedDiscoveryServer()
         await discovery_server.start()
-        async with ensemble() as zk:
+        async with running_ensemble() as zk:
             for e in (a, b, c):
                 await e.start()
             zk.create_ephemeral(f"{PATH}/a", entry("a", a.address))
@@ -223,7 +223,7 @@
 
 def test_a_drain_during_expiry_of_the_sidecar_s_session_is_applied() -> None:
     async def test() -> None:
-        async with ensemble(2) as zk, followed_directory(zk, "abcdef") as (rig, _):
+        async with running_ensemble(2) as zk, followed_directory(zk, "abcdef") as (rig, _):
             for face in zk.servers:
                 face.faults.refusing = True
             zk.expire(rig.directory.client.protocol.session)
@@ -244,7 +244,7 @@
 
 def test_a_read_only_server_is_not_trusted_on_removed_nodes() -> None:
     async def test() -> None:
-        async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
+        async with running_ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
             zk.servers[0].faults.read_only = True
             zk.servers[0].drop_connections()
             await wait_until(lambda: rig.directory.distrust_until > 0)
@@ -259,7 +259,7 @@
 
 def test_a_session_that_moves_misses_nothing() -> None:
     async def test() -> None:
-        async with ensemble(3) as zk, followed_directory(zk, "abcdef") as (rig, _):
+        async with running_ensemble(3) as zk, followed_directory(zk, "abcdef") as (rig, _):
             session = rig.directory.client.protocol.session
             for _ in range(2):
                 for face in zk.servers:
@@ -277,7 +277,7 @@
 
 def test_a_node_re_created_before_a_delayed_watch_event_is_a_new_start() -> None:
     async def test() -> None:
-        async with ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
+        async with running_ensemble() as zk, followed_directory(zk, "abcdef") as (rig, _):
             zk.servers[0].faults.watch_delay = 200.0
             before = rig.directory.tracker.members["a"].started_at
             zk.remove(f"{PATH}/a")
@@ -291,7 +291,7 @@
 
 def test_a_face_that_lags_and_a_coordinator_that_restarts_empty_take_out_nobody() -> None:
     async def test() -> None:
-        async with ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=1000.0) as (rig, _):
+        async with running_ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=1000.0) as (rig, _):
             behind, ahead = zk.servers
             behind.lag(True)
             zk.remove(f"{PATH}/a")
@@ -319,7 +319,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def test() -> None:
-        async with ensemble() as zk, followed_directory(zk, "abc") as (rig, _):
+        async with running_ensemble() as zk, followed_directory(zk, "abc") as (rig, _):
             zk.put(f"{PATH}/odd", b"{")
             zk.put(f"{PATH}/x", entry("x", Address("127.0.0.1", 2000)))
             await wait_until(lambda: rig.ready == set("abcx"))
@@ -347,7 +347,7 @@
             await reader.read()
             writer.close()
 
-        async with ensemble() as zk:
+        async with running_ensemble() as zk:
             faulty = [free_address() for _ in replies]
             servers = [
                 await asyncio.start_server(partial(serve, i), liar.host, liar.port)
@@ -377,7 +377,7 @@
 
 def test_a_frozen_server_is_detected_and_no_member_is_removed() -> None:
     async def test() -> None:
-        async with ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=600.0) as (rig, _):
+        async with running_ensemble(2) as zk, followed_directory(zk, "abcdef", timeout=600.0) as (rig, _):
             frozen = next(f for f in zk.servers if f.connections)
             frozen.freeze(True)
             await wait_until(lambda: bool(next(f for f in zk.servers if f is not frozen).connections))
@@ -394,7 +394,7 @@
 
 def test_a_registrar_keeps_one_node_through_expiry_drops_and_its_old_session(tmp_path: Path) -> None:
     async def test() -> None:
-        async with ensemble(2) as zk:
+        async with running_ensemble(2) as zk:
             servers = tuple(face.address for face in zk.servers)
             registrar = Registrar(servers, PATH, Entry("a", "127.0.0.1:1000"), 4000.0, random.Random(1))
             registrar.start()
@@ -447,7 +447,7 @@
     async def test() -> None:
         address = free_address()
         log: list[tuple[int, str, int]] = []
-        async with ensemble() as zk:
+        async with running_ensemble() as zk:
             publish_original = zk.publish
 
             def publish(changes: list[ChangeEvent]) -> None:
@@ -594,7 +594,7 @@
 
 def test_closing_ends_the_session_at_once() -> None:
     async def test() -> None:
-        async with ensemble() as zk:
+        async with running_ensemble() as zk:
             listener = ListingListener()
             listener.client = Client((zk.servers[0].address,), 4000.0, random.Random(1), listener)
             listener.client.start()
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -39,7 +39,7 @@
 from tests.kinds import skip_if_pure
 from tests.outside import loaded, refused
 from tests.rig import run, wait_until
-from tests.test_membership import ensemble
+from tests.test_membership import running_ensemble
 
 pytestmark = skip_if_pure
 KEY, OTHER = b"0123456789abcdef", b"fedcba9876543210"
@@ -342,7 +342,7 @@
 
 def test_peers_that_know_only_a_coordinator_find_each_other_and_leave_no_node(tmp_path: Path) -> None:
     async def test() -> None:
-        async with ensemble() as zk, fleet(tmp_path) as fleet_of_peers:
+        async with running_ensemble() as zk, fleet(tmp_path) as fleet_of_peers:
             servers, _ = read_connect(zk.connect_string)
             directory = DirectoryLocation(servers, "/sidecars", 4000.0, judge.DepartureSettings())
             first, _ = await fleet_of_peers.start(coordinator=directory)
