--- a/millgw/configuration/replica.py
+++ b/millgw/configuration/replica.py
@@ -124,7 +124,7 @@
         self.leader: str | None = None
         self._incarnation = state.incarnation
         self._random = random.Random(f"{seed} {options.name}")
-        self._peers = RollbackDetector()
+        self._rollback_detector = RollbackDetector()
         self._leadership: Leadership | None = None
         self._pre_votes: set[str] | None = None  # granted in the current pre-vote; None if there is none
         self._votes: set[str] = set()
@@ -153,7 +153,7 @@
         """Process a message; messages from instances that are not voters are ignored."""
         self._begin(now)
         if sender in self.options.peers:
-            cause = self._peers.check(sender, message)
+            cause = self._rollback_detector.check(sender, message)
             if cause is None:
                 self._dispatch(sender, message)
             else:
--- a/millgw/simulation/models/replication.py
+++ b/millgw/simulation/models/replication.py
@@ -69,7 +69,7 @@
         made.log.entries = self.log.entries.copy()
         made.document = self.document.copy()
         made._pre_votes, made._votes = None, self._votes.copy()
-        made._peers = self._peers.copy()
+        made._rollback_detector = self._rollback_detector.copy()
         made._leadership = None if self._leadership is None else self._leadership.copy()
         return made
 
