--- a/millgw/configuration/leadership.py
+++ b/millgw/configuration/leadership.py
@@ -11,7 +11,7 @@
 class Progress:
     """One follower: `next` is the next position to send, `match` the last one known to be on its disk."""
 
-    next: int
+    next_position: int
     contact_at: float  # leader's clock (ms) when it sent the newest request that was answered
     match: int = 0
     snapshot_sent_at: float | None = None  # leader's clock (ms); None if no snapshot is in flight
@@ -19,7 +19,7 @@
     def acknowledge(self, position: int) -> None:
         """The follower's log agrees with the leader's up to a position."""
         self.match = max(self.match, position)
-        self.next = max(self.next, self.match + 1)
+        self.next_position = max(self.next_position, self.match + 1)
         self.snapshot_sent_at = None
 
     def reset(self) -> None:
@@ -31,7 +31,7 @@
         """The follower requests the entries after a position; False if the request is outdated."""
         if position < self.match:
             return False
-        self.next = min(self.next, position + 1)
+        self.next_position = min(self.next_position, position + 1)
         return True
 
 
--- a/millgw/configuration/replica.py
+++ b/millgw/configuration/replica.py
@@ -412,14 +412,14 @@
     def _send_append(self, peer: str, progress: Progress) -> None:
         """Send a follower its missing entries; a heartbeat if none are missing or a snapshot is in flight."""
         snapshot = self.log.snapshot
-        if progress.next <= snapshot.position:
+        if progress.next_position <= snapshot.position:
             self._send_snapshot(peer, progress)
             return
-        previous = progress.next - 1
+        previous = progress.next_position - 1
         previous_epoch = self.log.epoch_at(previous)
         assert previous_epoch is not None
-        entries = () if progress.snapshot_sent_at is not None else self._batch(progress.next)
-        progress.next += len(entries)
+        entries = () if progress.snapshot_sent_at is not None else self._batch(progress.next_position)
+        progress.next_position += len(entries)
         self._send(
             peer,
             AppendRequest(self._header(), previous, previous_epoch, self.committed, self._now, entries),
@@ -439,7 +439,7 @@
     def _send_snapshot(self, peer: str, progress: Progress) -> None:
         snapshot = self.log.snapshot
         progress.snapshot_sent_at = self._now
-        progress.next = snapshot.position + 1
+        progress.next_position = snapshot.position + 1
         self._send(peer, SnapshotRequest(self._header(), self._now, snapshot))
 
     def _update_progress(self, sender: str, header: Header, sent: float) -> Progress | None:
@@ -482,7 +482,7 @@
                     self._send_append(sender, progress)
             case AppendReply() | SnapshotReply():
                 progress.snapshot_sent_at = None
-                if progress.next <= self.log.last_position:
+                if progress.next_position <= self.log.last_position:
                     self._send_append(sender, progress)
 
     def _on_snapshot_reply(self, sender: str, reply: SnapshotReply) -> None:
@@ -494,7 +494,7 @@
         assert self._leadership is not None
         progress.acknowledge(position)
         self._advance_commit(self._leadership)
-        if progress.next <= self.log.last_position:
+        if progress.next_position <= self.log.last_position:
             self._send_append(sender, progress)
 
     def _advance_commit(self, leadership: Leadership) -> None:
