--- a/millgw/configuration/leadership.py
+++ b/millgw/configuration/leadership.py
@@ -13,23 +13,23 @@
 
     next_position: int
     contact_at: float  # leader's clock (ms) when it sent the newest request that was answered
-    match: int = 0
+    matched_position: int = 0
     snapshot_sent_at: float | None = None  # leader's clock (ms); None if no snapshot is in flight
 
     def acknowledge(self, position: int) -> None:
         """The follower's log agrees with the leader's up to a position."""
-        self.match = max(self.match, position)
-        self.next_position = max(self.next_position, self.match + 1)
+        self.matched_position = max(self.matched_position, position)
+        self.next_position = max(self.next_position, self.matched_position + 1)
         self.snapshot_sent_at = None
 
     def reset(self) -> None:
         """Discard the follower's acknowledgements and contact time."""
-        self.match = 0
+        self.matched_position = 0
         self.contact_at = float("-inf")
 
     def reject(self, position: int) -> bool:
         """The follower requests the entries after a position; False if the request is outdated."""
-        if position < self.match:
+        if position < self.matched_position:
             return False
         self.next_position = min(self.next_position, position + 1)
         return True
@@ -60,6 +60,7 @@
     def majority_position(self, leader_position: int) -> int:
         """The last position on the disks of a majority, given that the leader has all entries up to `own`."""
         matches = sorted(
-            [leader_position, *(progress.match for progress in self.followers.values())], reverse=True
+            [leader_position, *(progress.matched_position for progress in self.followers.values())],
+            reverse=True,
         )
         return matches[self.majority - 1]
--- a/millgw/simulation/models/replication.py
+++ b/millgw/simulation/models/replication.py
@@ -57,7 +57,7 @@
                 return message.granted and self.role is Role.CANDIDATE
             case AppendReply(success=True):
                 return self._leadership is not None and (
-                    message.position > self._leadership.followers[sender].match
+                    message.position > self._leadership.followers[sender].matched_position
                 )
             case _:
                 return True
@@ -78,7 +78,7 @@
         leadership = None
         if self._leadership is not None:
             followers = self._leadership.followers.values()
-            leadership = tuple((progress.next_position, progress.match) for progress in followers)
+            leadership = tuple((progress.next_position, progress.matched_position) for progress in followers)
         entries = tuple((entry.epoch, entry.version) for entry in self.log.entries)
         votes = frozenset(self._votes) if self.role is Role.CANDIDATE else None
         return (self.epoch, self.voted_for, self.role, self.committed, entries, votes, leadership)
