--- a/millgw/configuration/durable.py
+++ b/millgw/configuration/durable.py
@@ -142,7 +142,7 @@
 
     def persist(self, persist: Persist) -> None:
         """Write to disk. After a DurableStateError the instance must stop: the content on disk is unknown."""
-        state = self._state.after(persist)
+        state = self._state.with_persisted(persist)
         if persist.snapshot is not None or self._slot >= MAX_JOURNAL_RECORDS:
             self._checkpoint(state)
         else:
@@ -219,7 +219,7 @@
         try:
             state = _read_state(self._instance, _decode_object(bodies[0]))
             for body in bodies[1:]:
-                state = state.after(_read_persist(_decode_object(body)))
+                state = state.with_persisted(_read_persist(_decode_object(body)))
         except (DocumentError, LogError, ValueError) as error:
             raise StateIncomplete(f"the state of {self._instance} can't be read: {error}") from error
         return state
--- a/millgw/configuration/state.py
+++ b/millgw/configuration/state.py
@@ -23,7 +23,7 @@
     snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: tuple[Entry, ...] = ()
 
-    def after(self, persist: Persist) -> State:
+    def with_persisted(self, persist: Persist) -> State:
         """The state after a `Persist` was applied to it."""
         entries = self.entries
         if persist.entries:
--- a/millgw/simulation/models/replication.py
+++ b/millgw/simulation/models/replication.py
@@ -209,7 +209,7 @@
         for action in actions:
             match action:
                 case Persist():
-                    disk = disk.after(action)
+                    disk = disk.with_persisted(action)
                 case Send(to, message):
                     travelling[f"{name} to {to}: {type(message).__name__}"] = Travelling(name, to, message)
                 case RoleChanged(Role.LEADER, epoch, _):
--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -54,7 +54,7 @@
     def persist(self, persist: Persist) -> None:
         if self.error is not None:
             raise self.error
-        self.state = self.state.after(persist)
+        self.state = self.state.with_persisted(persist)
 
     def close(self) -> None:
         pass
--- a/tests/replica_cluster.py
+++ b/tests/replica_cluster.py
@@ -268,7 +268,7 @@
     def _execute(self, node: Node, action: Action) -> None:
         match action:
             case Persist():
-                node.state = node.state.after(action)
+                node.state = node.state.with_persisted(action)
             case Send(to, message):
                 self._send(node.name, to, message)
             case Committed(version):
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -295,7 +295,10 @@
         assert without_incarnation(state.load()) in possible
         while True:
             action = random_persist(rng, state.load())
-            possible = [without_incarnation(state.load()), without_incarnation(state.load().after(action))]
+            possible = [
+                without_incarnation(state.load()),
+                without_incarnation(state.load().with_persisted(action)),
+            ]
             state.persist(action)
             possible = possible[1:]
     except Crash:
