--- a/millgw/configuration/instance.py
+++ b/millgw/configuration/instance.py
@@ -42,7 +42,7 @@
 PROPOSAL_TIMEOUT = 10.0  # s; after this the outcome of a proposal is reported as unknown
 
 
-class StateKeeper(Protocol):
+class StateStorage(Protocol):
     """Storage of a replica's state: `durable.DurableState`, or a test double."""
 
     def load(self) -> State:
@@ -69,7 +69,7 @@
         self,
         options: Options,
         voters: Mapping[str, Address],
-        storage: StateKeeper,
+        storage: StateStorage,
         seed: int,
         allowed: LinkFilter = allow_all,
     ) -> None:
--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -12,7 +12,7 @@
 
 from millgw.configuration.actions import Persist, Role
 from millgw.configuration.document import Change, Document, Line, decode_line
-from millgw.configuration.instance import Instance, StateKeeper
+from millgw.configuration.instance import Instance, StateStorage
 from millgw.configuration.replica import Options
 from millgw.configuration.state import State
 from millgw.platform.config import Address
@@ -85,7 +85,7 @@
         self.voters = {f"c{number}": free_address() for number in range(1, count + 1)}
         self.network = Network()
         self.keep = keep
-        self.states: dict[str, StateKeeper] = {name: MemoryState() for name in self.voters}
+        self.states: dict[str, StateStorage] = {name: MemoryState() for name in self.voters}
         self.running: dict[str, Instance] = {}
 
     async def __aenter__(self) -> Cluster:
