--- a/millgw/configuration/instance.py
+++ b/millgw/configuration/instance.py
@@ -33,7 +33,7 @@
 from millgw.configuration.messages import Message, MessageError, decode, encode
 from millgw.configuration.replica import Options, Replica
 from millgw.configuration.server import Response, Server, error_response, json_response
-from millgw.configuration.service import ControlService, Proposal, Reply, Standing
+from millgw.configuration.service import ControlService, InstanceView, Proposal, Reply
 from millgw.configuration.state import State
 from millgw.configuration.transport import LinkFilter, PeerLink, allow_all
 from millgw.log.events import log_event
@@ -113,10 +113,10 @@
 
     # The service's Backend protocol
 
-    def standing(self) -> Standing:
+    def standing(self) -> InstanceView:
         """This instance's view of itself and of the cluster."""
         leader = self.replica.leader
-        return Standing(
+        return InstanceView(
             role=self.replica.role.value,
             epoch=self.replica.epoch,
             leader=None if leader is None else str(self.voters[leader]),
--- a/millgw/configuration/relay.py
+++ b/millgw/configuration/relay.py
@@ -15,7 +15,7 @@
 from millgw.configuration.history import History
 from millgw.configuration.last_good import LastGood
 from millgw.configuration.server import Response, Server, error_response, json_response
-from millgw.configuration.service import ControlService, Proposal, Reply, Standing
+from millgw.configuration.service import ControlService, InstanceView, Proposal, Reply
 from millgw.platform.config import Address
 
 ROLE = "relay"
@@ -62,11 +62,13 @@
 
     # Backend of the service
 
-    def standing(self) -> Standing:
+    def standing(self) -> InstanceView:
         """State of the relay; `quorum` is whether a watch is up, as a relay knows no more."""
         follower = self.client.follower
         followed = follower.instance if self.client.connected else None
-        return Standing(ROLE, follower.latest.epoch, followed, follower.latest.index, self.client.connected)
+        return InstanceView(
+            ROLE, follower.latest.epoch, followed, follower.latest.index, self.client.connected
+        )
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
         """Redirect to the followed instance, which knows the leader; a relay accepts no proposals."""
--- a/millgw/configuration/service.py
+++ b/millgw/configuration/service.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Standing:
+class InstanceView:
     """An instance's view of itself and of the cluster."""
 
     role: str
@@ -72,7 +72,7 @@
 class Backend(Protocol):
     """The operations that a voter and a relay implement differently."""
 
-    def standing(self) -> Standing: ...
+    def standing(self) -> InstanceView: ...
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
         """Call `reply` once the outcome is known."""
