--- a/millgw/configuration/instance.py
+++ b/millgw/configuration/instance.py
@@ -113,7 +113,7 @@
 
     # The service's Backend protocol
 
-    def standing(self) -> InstanceView:
+    def view(self) -> InstanceView:
         """This instance's view of itself and of the cluster."""
         leader = self.replica.leader
         return InstanceView(
--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -126,7 +126,7 @@
             found[:] = [
                 instance
                 for name, instance in self.running.items()
-                if name in names and instance.replica.role is Role.LEADER and instance.standing().quorum
+                if name in names and instance.replica.role is Role.LEADER and instance.view().quorum
             ]
             return len(found) == 1
 
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -109,7 +109,7 @@
             leader = await cluster.leader()
             await propose_until_committed(cluster, "a", {}, [])
             others = [instance for instance in cluster.running.values() if instance is not leader]
-            await wait_until(lambda: all(other.standing().leader for other in others))
+            await wait_until(lambda: all(other.view().leader for other in others))
             for other in others:
                 answer = await propose(address_of(other), "b", {})
                 assert answer == Answer(421, {"leader": str(address_of(leader))})
@@ -220,7 +220,7 @@
             (watcher,) = await open_watchers([address_of(old)], 1)
             await wait_until(lambda: watcher.index == 1)
             cluster.network.part([name], rest)
-            await wait_until(lambda: not old.standing().quorum)
+            await wait_until(lambda: not old.view().quorum)
             refused = await propose(address_of(old), "lost", {"n": 2})
             assert refused == Answer(503, {"cause": "no quorum"})
             assert await propose_until_committed(cluster, "b", {"n": 3}, rest) == 2
@@ -245,7 +245,7 @@
             cluster.stop("c2")
             cluster.stop("c3")
             alone = cluster.running["c1"]
-            await wait_until(lambda: not alone.standing().quorum)
+            await wait_until(lambda: not alone.view().quorum)
             assert await propose(address_of(alone), "b", {}) == Answer(503, {"cause": "no quorum"})
             (fresh,) = await open_watchers([address_of(alone)], 1)
             heard = before.heartbeats
