--- a/millgw/configuration/service.py
+++ b/millgw/configuration/service.py
@@ -72,7 +72,7 @@
 class Backend(Protocol):
     """The operations that a voter and a relay implement differently."""
 
-    def standing(self) -> InstanceView: ...
+    def view(self) -> InstanceView: ...
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
         """Call `reply` once the outcome is known."""
@@ -198,7 +198,7 @@
 
     def status(self, index: int, with_sidecars: bool = False) -> dict[str, Any]:
         """The instance's view of the cluster, and which sidecars have applied version `index`."""
-        view = self.backend.standing()
+        view = self.backend.view()
         summary = summarize(self.reports.sidecars.values(), index, self.history.digests)
         fields: dict[str, Any] = {
             "name": self.name,
