--- a/millgw/configuration/relay.py
+++ b/millgw/configuration/relay.py
@@ -62,7 +62,7 @@
 
     # Backend of the service
 
-    def standing(self) -> InstanceView:
+    def view(self) -> InstanceView:
         """State of the relay; `quorum` is whether a watch is up, as a relay knows no more."""
         follower = self.client.follower
         followed = follower.instance if self.client.connected else None
@@ -72,7 +72,7 @@
 
     def propose(self, proposal: Proposal, reply: Reply) -> None:
         """Redirect to the followed instance, which knows the leader; a relay accepts no proposals."""
-        reply(json_response(421, {"leader": self.standing().leader}))
+        reply(json_response(421, {"leader": self.view().leader}))
 
     def receive(self, sender: str, body: bytes) -> Response:
         """Reject the message, as a relay takes no part in the replication."""
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -99,7 +99,7 @@
             await wait_until(lambda: watcher.index == 2)
             for name in list(cluster.running):
                 cluster.stop(name)
-            await wait_until(lambda: not relay.standing().quorum)
+            await wait_until(lambda: not relay.view().quorum)
             assert await propose(address, "c", {}) == Answer(421, {"leader": None})
             await wait_until(
                 lambda: relay.client.last_good is not None and relay.client.last_good.write_task is None
