--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -15,7 +15,7 @@
 from millgw.standins.scripted import STREAM, chunk, read_message
 
 HEARTBEAT_INTERVAL = 2.0  # s
-TAKEN = b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
+NO_CONTENT_RESPONSE = b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
 
 
 def whole(document: Document) -> bytes:
@@ -34,7 +34,7 @@
         self.open_watches: list[asyncio.StreamWriter] = []
         self.asked: list[str] = []  # request target of each watch
         self.reports: list[dict[str, Any]] = []
-        self.report_answer = TAKEN
+        self.report_answer = NO_CONTENT_RESPONSE
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._serve, self.address.host, self.address.port)
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -20,7 +20,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import status
 from millgw.standins.scripted import STREAM, chunk
-from tests.control_instance import TAKEN, ControlInstance, whole
+from tests.control_instance import NO_CONTENT_RESPONSE, ControlInstance, whole
 from tests.rig import run, wait_until
 
 
@@ -91,9 +91,9 @@
         await wait_until(lambda: client.traffic.reports == len(control.reports))
         figures = client.figures()
         assert figures["index"] == 5 and figures["digest"] == VERSIONS[5].digest()
-        assert figures["bytes_in"] == len(data) + len(chunk(encode_delta(VERSIONS[5]))) + len(TAKEN) * len(
-            control.reports
-        )
+        assert figures["bytes_in"] == len(data) + len(chunk(encode_delta(VERSIONS[5]))) + len(
+            NO_CONTENT_RESPONSE
+        ) * len(control.reports)
         client.stop()
 
     run(test)
