--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -18,7 +18,7 @@
 NO_CONTENT_RESPONSE = b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
 
 
-def whole(document: Document) -> bytes:
+def snapshot_line(document: Document) -> bytes:
     """The document as a snapshot line."""
     return encode_line(document.snapshot())
 
@@ -67,7 +67,7 @@
             if self.by_hand:
                 self.watches.put_nowait((message, writer))
             else:
-                writer.write(STREAM + chunk(whole(self.document)))
+                writer.write(STREAM + chunk(snapshot_line(self.document)))
 
     def commit(self, entries: Mapping[str, Mapping[str, Any] | None], epoch: int | None = None) -> int:
         """Commit a version and send it to every watch; returns its index."""
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -20,7 +20,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import status
 from millgw.standins.scripted import STREAM, chunk
-from tests.control_instance import NO_CONTENT_RESPONSE, ControlInstance, whole
+from tests.control_instance import NO_CONTENT_RESPONSE, ControlInstance, snapshot_line
 from tests.rig import run, wait_until
 
 
@@ -75,7 +75,12 @@
         client, target = make_client(control, name="n 3/é")
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
-        data = STREAM + chunk(b"\n") + chunk(whole(VERSIONS[4])[:20]) + chunk(whole(VERSIONS[4])[20:])
+        data = (
+            STREAM
+            + chunk(b"\n")
+            + chunk(snapshot_line(VERSIONS[4])[:20])
+            + chunk(snapshot_line(VERSIONS[4])[20:])
+        )
         for at in range(len(data)):
             writer.write(data[at : at + 1])
             await asyncio.sleep(0)
@@ -106,7 +111,7 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
-        writer.write(STREAM + chunk(whole(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9]))))
+        writer.write(STREAM + chunk(snapshot_line(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9]))))
         await beginning
         assert target.ticks == [8]
         client.stop()
@@ -121,10 +126,12 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
-        writer.write(STREAM + chunk(whole(VERSIONS[6])))
+        writer.write(STREAM + chunk(snapshot_line(VERSIONS[6])))
         await beginning
         writer.write(
-            chunk(whole(VERSIONS[2])) + chunk(encode_delta(VERSIONS[5])) + chunk(encode_delta(VERSIONS[7]))
+            chunk(snapshot_line(VERSIONS[2]))
+            + chunk(encode_delta(VERSIONS[5]))
+            + chunk(encode_delta(VERSIONS[7]))
         )
         await wait_until(lambda: target.ticks == [6, 7])
         assert client.follower.contradictions == 0 and len(control.asked) == 1
@@ -166,7 +173,7 @@
         client, target = make_client(wrong, good)
         beginning = asyncio.create_task(client.begin())
         _, writer = await wrong.watches.get()
-        corrupted = whole(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
+        corrupted = snapshot_line(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
         writer.write(STREAM + chunk(corrupted))
         await beginning
         await wait_until(lambda: target.ticks == [4])
@@ -182,14 +189,14 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
         _, writer = await control.watches.get()
-        writer.write(STREAM + chunk(whole(VERSIONS[4])))
+        writer.write(STREAM + chunk(snapshot_line(VERSIONS[4])))
         await beginning
         missed = VERSIONS[5].copy()
         missed.apply(6, 1, [Change("other", {"x": 1})])
         writer.write(chunk(encode_line(Line(6, 1, False, missed.digest(), (Change("other", {"x": 1}),)))))
         _, writer = await control.watches.get()
         assert "from=" not in control.asked[-1]
-        writer.write(STREAM + chunk(whole(missed)))
+        writer.write(STREAM + chunk(snapshot_line(missed)))
         await wait_until(lambda: target.ticks == [4, 5])
         client.stop()
 
@@ -400,7 +407,7 @@
 
 
 def last_good_content(document: Document, name: str = "n3") -> bytes:
-    return json.dumps({"sidecar": name, "documents": [json.loads(whole(document))]}).encode()
+    return json.dumps({"sidecar": name, "documents": [json.loads(snapshot_line(document))]}).encode()
 
 
 @pytest.mark.parametrize(
