--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -24,11 +24,11 @@
 
 
 class ControlInstance:
-    """Accepts reports, and answers a watch with its document; with `by_hand`, the test answers it."""
+    """Accepts reports, and answers a watch with its document; with `manual`, the test answers it."""
 
     def __init__(self, by_hand: bool = False, document: Document | None = None) -> None:
         self.address: Address = free_address()
-        self.by_hand = by_hand
+        self.manual = by_hand
         self.document = Document() if document is None else document
         self.watches: asyncio.Queue[tuple[Message, asyncio.StreamWriter]] = asyncio.Queue()
         self.open_watches: list[asyncio.StreamWriter] = []
@@ -38,7 +38,7 @@
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._serve, self.address.host, self.address.port)
-        if not self.by_hand:
+        if not self.manual:
             self.heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     async def _send_heartbeats(self) -> None:
@@ -64,7 +64,7 @@
                 return
             self.asked.append(message.first.split()[1])
             self.open_watches.append(writer)
-            if self.by_hand:
+            if self.manual:
                 self.watches.put_nowait((message, writer))
             else:
                 writer.write(STREAM + chunk(snapshot_line(self.document)))
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -361,7 +361,7 @@
         control.stop()
         again, target = make_client(control, last_good=last_good)
         assert (await again.begin())["settings"] == {"tick": 3}, "no instance is reachable"
-        control.by_hand = True
+        control.manual = True
         await control.start()
         _, writer = await control.watches.get()
         assert "from=3&" in control.asked[-1]
