--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -26,9 +26,9 @@
 class ControlInstance:
     """Accepts reports, and answers a watch with its document; with `manual`, the test answers it."""
 
-    def __init__(self, by_hand: bool = False, document: Document | None = None) -> None:
+    def __init__(self, manual: bool = False, document: Document | None = None) -> None:
         self.address: Address = free_address()
-        self.manual = by_hand
+        self.manual = manual
         self.document = Document() if document is None else document
         self.watches: asyncio.Queue[tuple[Message, asyncio.StreamWriter]] = asyncio.Queue()
         self.open_watches: list[asyncio.StreamWriter] = []
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -744,7 +744,7 @@
     """Control accepts the connection but stays silent, sends only a response head, or is not there."""
 
     async def test() -> None:
-        login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance(by_hand=True)
+        login, campaign, control = ScriptedEndpoint("l"), ScriptedEndpoint("c"), ControlInstance(manual=True)
         text = await operator_text(control, await two_services(login, campaign))
         if answers is None:
             control.stop()
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -70,7 +70,7 @@
 
 def test_a_fragmented_line_a_heartbeat_and_a_change_are_processed_and_reported() -> None:
     async def test() -> None:
-        control = ControlInstance(by_hand=True)
+        control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control, name="n 3/é")
         beginning = asyncio.create_task(client.begin())
@@ -106,7 +106,7 @@
 
 def test_many_lines_in_one_read_are_applied_once_as_the_newest() -> None:
     async def test() -> None:
-        control = ControlInstance(by_hand=True)
+        control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
@@ -121,7 +121,7 @@
 
 def test_versions_older_than_the_applied_one_change_nothing() -> None:
     async def test() -> None:
-        control = ControlInstance(by_hand=True)
+        control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
@@ -167,7 +167,7 @@
 
 def test_a_snapshot_with_a_wrong_digest_is_ignored_and_another_instance_is_tried() -> None:
     async def test() -> None:
-        wrong, good = ControlInstance(by_hand=True), ControlInstance(document=VERSIONS[4].copy())
+        wrong, good = ControlInstance(manual=True), ControlInstance(document=VERSIONS[4].copy())
         await wrong.start()
         await good.start()
         client, target = make_client(wrong, good)
@@ -184,7 +184,7 @@
 
 def test_a_change_that_does_not_follow_causes_a_request_for_a_snapshot() -> None:
     async def test() -> None:
-        control = ControlInstance(by_hand=True)
+        control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control)
         beginning = asyncio.create_task(client.begin())
@@ -227,7 +227,7 @@
     monkeypatch.setattr(client_module, "START_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        bad, good = ControlInstance(by_hand=True), ControlInstance(document=VERSIONS[3].copy())
+        bad, good = ControlInstance(manual=True), ControlInstance(document=VERSIONS[3].copy())
         await bad.start()
         await good.start()
         client, target = make_client(bad, good)
@@ -332,7 +332,7 @@
 
 def test_a_start_waits_a_limited_time_for_a_control_that_never_answers() -> None:
     async def test() -> None:
-        control = ControlInstance(by_hand=True)
+        control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control)
         begun = asyncio.get_running_loop().time()
