--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -32,7 +32,7 @@
         self.document = Document() if document is None else document
         self.watches: asyncio.Queue[tuple[Message, asyncio.StreamWriter]] = asyncio.Queue()
         self.open_watches: list[asyncio.StreamWriter] = []
-        self.asked: list[str] = []  # request target of each watch
+        self.watch_targets: list[str] = []  # request target of each watch
         self.reports: list[dict[str, Any]] = []
         self.report_answer = NO_CONTENT_RESPONSE
 
@@ -62,7 +62,7 @@
                 writer.write(self.report_answer)
                 writer.close()
                 return
-            self.asked.append(message.first.split()[1])
+            self.watch_targets.append(message.first.split()[1])
             self.open_watches.append(writer)
             if self.manual:
                 self.watches.put_nowait((message, writer))
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -88,7 +88,7 @@
         await wait_until(lambda: target.ticks == [4])
         writer.write(chunk(encode_delta(VERSIONS[5])))
         await wait_until(lambda: target.ticks == [4, 5])
-        assert control.asked == ["/v1/configuration?watch=1&name=n%203%2F%C3%A9"]
+        assert control.watch_targets == ["/v1/configuration?watch=1&name=n%203%2F%C3%A9"]
         await wait_until(lambda: bool(control.reports) and control.reports[-1]["index"] == 5)
         assert control.reports[-1] == {
             "name": "n 3/é", "index": 5, "digest": VERSIONS[5].digest(), "status": "applied",
@@ -134,7 +134,7 @@
             + chunk(encode_delta(VERSIONS[7]))
         )
         await wait_until(lambda: target.ticks == [6, 7])
-        assert client.follower.contradictions == 0 and len(control.asked) == 1
+        assert client.follower.contradictions == 0 and len(control.watch_targets) == 1
         client.stop()
 
     run(test)
@@ -150,7 +150,7 @@
         await client.begin()
         assert target.ticks == [5]
         good.stop()
-        await wait_until(lambda: bool(old.asked) and client.follower.contradictions > 0)
+        await wait_until(lambda: bool(old.watch_targets) and client.follower.contradictions > 0)
         assert target.ticks == [5], "versions of an older epoch are not newer"
         await wait_until(lambda: bool(old.reports))
         found = next(r for r in old.reports if r["status"] == "refused")
@@ -195,7 +195,7 @@
         missed.apply(6, 1, [Change("other", {"x": 1})])
         writer.write(chunk(encode_line(Line(6, 1, False, missed.digest(), (Change("other", {"x": 1}),)))))
         _, writer = await control.watches.get()
-        assert "from=" not in control.asked[-1]
+        assert "from=" not in control.watch_targets[-1]
         writer.write(STREAM + chunk(snapshot_line(missed)))
         await wait_until(lambda: target.ticks == [4, 5])
         client.stop()
@@ -239,7 +239,7 @@
             writer.write(end)
         await beginning
         await wait_until(lambda: target.ticks == [3])
-        assert len(bad.asked) == 1 and client.follower.instance == str(good.address)
+        assert len(bad.watch_targets) == 1 and client.follower.instance == str(good.address)
         client.stop()
 
     run(test)
@@ -364,7 +364,7 @@
         control.manual = True
         await control.start()
         _, writer = await control.watches.get()
-        assert "from=3&" in control.asked[-1]
+        assert "from=3&" in control.watch_targets[-1]
         writer.write(STREAM + chunk(encode_delta(VERSIONS[5])))
         await wait_until(lambda: target.ticks == [3, 5])
         await wait_saved(last_good, 5)
@@ -482,6 +482,6 @@
         client.stop()
         control.commit({"settings": {"tick": 9}})
         await asyncio.sleep(0.1)
-        assert target.ticks == [3] and len(control.asked) == 1
+        assert target.ticks == [3] and len(control.watch_targets) == 1
 
     run(test)
