--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -252,7 +252,9 @@
         raise RefusedVersionError(operator_message(error)) from None
 
 
-def plan_service(files: LoadedFiles, name: str, pool: Pool, tended: ConnectionManager | None) -> PoolChange:
+def plan_service_change(
+    files: LoadedFiles, name: str, pool: Pool, tended: ConnectionManager | None
+) -> PoolChange:
     """Plan the change of one service's pool to files that already include the document's entries."""
     service, config = files.operator.services[name], service_config(files, name)
     two_sources = service.coordinator is not None and service.membership is not None
--- a/millgw/services/sidecar.py
+++ b/millgw/services/sidecar.py
@@ -201,10 +201,10 @@
 
         Raises RefusedVersionError, naming what can't be used or changed; nothing has changed then.
         """
-        from millgw.configuration.apply import plan_service
+        from millgw.configuration.apply import plan_service_change
 
         overlaid, allotments = self._prepare(entries)
-        plans = [plan_service(overlaid, n, s.pool, s.tended) for n, s in self.running.items()]
+        plans = [plan_service_change(overlaid, n, s.pool, s.tended) for n, s in self.running.items()]
         for plan in plans:
             plan.carry_out()
         if _limits_by_service(overlaid.operator) != _limits_by_service(self.operator):
