--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -193,7 +193,7 @@
     config: Config
     terms: ConnectionSettings | None
 
-    def carry_out(self) -> None:
+    def apply(self) -> None:
         """Apply the change to the pool and its connections."""
         self.pool.reconfigure(self.config)
         if self.tended is None or self.terms is None:
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -44,7 +44,7 @@
 
     def reconfigure(self, entries: Entries) -> None:
         """Apply these entries as overrides of the files; changes nothing if it raises RefusedVersionError."""
-        self._plan(self.files, entries).carry_out()
+        self._plan(self.files, entries).apply()
         self.entries = entries
 
     def _plan(self, files: LoadedFiles, entries: Entries) -> PoolChange:
@@ -63,7 +63,7 @@
         for field in ("peers", "store", "configuration", "places", "services"):
             if getattr(files.operator, field) != getattr(self.files.operator, field):
                 log_event("reload-takes-restart", field=field)
-        change.carry_out()
+        change.apply()
         self.files = files
         log_event("reloaded")
         self.apply_other_changes(config)
--- a/millgw/services/sidecar.py
+++ b/millgw/services/sidecar.py
@@ -206,7 +206,7 @@
         overlaid, allotments = self._prepare(entries)
         plans = [plan_service_change(overlaid, n, s.pool, s.tended) for n, s in self.running.items()]
         for plan in plans:
-            plan.carry_out()
+            plan.apply()
         if _limits_by_service(overlaid.operator) != _limits_by_service(self.operator):
             self._replace_allotments(allotments)
         self.config, self.operator, self.entries = overlaid.config, overlaid.operator, entries
