--- a/millgw/configuration/apply.py
+++ b/millgw/configuration/apply.py
@@ -65,7 +65,7 @@
         super().__init__(f"takes a restart: {field}")
 
 
-def overlay(files: LoadedFiles, entries: Entries) -> LoadedFiles:
+def override_files(files: LoadedFiles, entries: Entries) -> LoadedFiles:
     """Return the files overridden by a document's entries.
 
     Raises RefusedVersionError, naming the field, for entries that can't be used.
--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -5,7 +5,13 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
-from millgw.configuration.apply import Entries, PoolChange, RefusedVersionError, overlay, plan_pool_change
+from millgw.configuration.apply import (
+    Entries,
+    PoolChange,
+    RefusedVersionError,
+    override_files,
+    plan_pool_change,
+)
 from millgw.log.events import log_event
 from millgw.operator.file import OperatorError, load
 from millgw.operator.loaded_files import LoadedFiles
@@ -40,7 +46,7 @@
 
     def check(self, entries: Entries) -> None:
         """Check that the sidecar could start with these entries; raises RefusedVersionError otherwise."""
-        overlay(self.files, entries)
+        override_files(self.files, entries)
 
     def reconfigure(self, entries: Entries) -> None:
         """Apply these entries as overrides of the files; changes nothing if it raises RefusedVersionError."""
@@ -48,7 +54,7 @@
         self.entries = entries
 
     def _plan(self, files: LoadedFiles, entries: Entries) -> PoolChange:
-        after = overlay(files, entries)
+        after = override_files(files, entries)
         return plan_pool_change("", self.pool, self.tended, after.config, after.operator.connection_terms())
 
     def reload(self) -> None:
--- a/millgw/services/sidecar.py
+++ b/millgw/services/sidecar.py
@@ -188,7 +188,7 @@
         # Imported here: without distributed configuration these modules must not be loaded.
         from millgw.configuration import apply
 
-        overlaid = apply.overlay(self.files, entries)
+        overlaid = apply.override_files(self.files, entries)
         for name in overlaid.operator.services:
             apply.service_config(overlaid, name)
         try:
@@ -222,10 +222,10 @@
         """The files with the distributed entries overlaid; raises ConfigError if they don't fit together."""
         if not self.entries:
             return files
-        from millgw.configuration.apply import RefusedVersionError, overlay
+        from millgw.configuration.apply import RefusedVersionError, override_files
 
         try:
-            return overlay(files, self.entries)
+            return override_files(files, self.entries)
         except RefusedVersionError as error:
             raise ConfigError(f"with the distributed configuration over it: {error}") from None
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -16,7 +16,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from millgw.configuration.apply import RefusedVersionError, live_settings, one_line, overlay
+from millgw.configuration.apply import RefusedVersionError, live_settings, one_line, override_files
 from millgw.configuration.client import START_TIMEOUT_S
 from millgw.configuration.last_good import LastGood
 from millgw.connections.manager import ConnectionManager
@@ -399,7 +399,7 @@
         "something.else": {"x": []},
     }
     original = files()
-    after = overlay(original, entries)
+    after = override_files(original, entries)
     assert after.config.idle == 8000 and after.config.settings.tenants == (Tenant("acme", 7.0),)
     login = pool_config("login", after.operator.services["login"], after.config, after.settings)
     campaign = pool_config("campaign", after.operator.services["campaign"], after.config, after.settings)
@@ -407,7 +407,7 @@
     assert (login.settings.retry_after_most, campaign.settings.retry_after_most) == (100.0, 2000.0)
     assert after.operator.services["login"].connections == Connections(keep_least=3, open_most=9)
     assert after.operator.services["campaign"].limits == Limits(calls=0.25, bodies=0.5)
-    assert overlay(original, {}) == original, "without entries nothing changes"
+    assert override_files(original, {}) == original, "without entries nothing changes"
 
 
 def override(entry: str = "settings", **fields: Any) -> dict[str, dict[str, Any]]:
@@ -449,7 +449,7 @@
     entries: dict[str, dict[str, Any]], cause: str
 ) -> None:
     with pytest.raises(RefusedVersionError) as caught:
-        after = overlay(files(), entries)
+        after = override_files(files(), entries)
         for name, service in after.operator.services.items():
             try:
                 pool_config(name, service, after.config, after.settings)
@@ -508,7 +508,7 @@
 )
 def test_any_entries_are_refused_with_a_cause_or_usable(entries: dict[str, dict[str, Any]]) -> None:
     with suppress(RefusedVersionError):
-        after = overlay(files(), entries)
+        after = override_files(files(), entries)
         live_settings("settings", files().config.settings, after.config.settings)
 
 
