--- a/millgw/configuration/client.py
+++ b/millgw/configuration/client.py
@@ -91,7 +91,7 @@
 
     # Start and end
 
-    async def begin(self) -> Entries:
+    async def start(self) -> Entries:
         """Start following; return the entries to start with, none if no version can be used.
 
         Without a usable version on disk it waits up to `START_TIMEOUT_S` seconds for the first one.
--- a/millgw/configuration/relay.py
+++ b/millgw/configuration/relay.py
@@ -40,7 +40,7 @@
 
         Raises OSError if it can't listen.
         """
-        await self.client.begin()
+        await self.client.start()
         await self.server.start(self.address)
         self.service.start()
 
--- a/millgw/sidecar/assembly.py
+++ b/millgw/sidecar/assembly.py
@@ -139,7 +139,7 @@
     client = make_configuration_client(node.operator, config, single or node)
     assert client is not None, "the operator file has a [configuration] table"
     try:
-        entries = await client.begin()
+        entries = await client.start()
         node.start_with(entries)
         if single is None:
             parts = _assemble_services(node, lifecycle)
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -73,7 +73,7 @@
         control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control, name="n 3/é")
-        beginning = asyncio.create_task(client.begin())
+        beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
         data = (
             STREAM
@@ -109,7 +109,7 @@
         control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control)
-        beginning = asyncio.create_task(client.begin())
+        beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
         writer.write(STREAM + chunk(snapshot_line(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9]))))
         await beginning
@@ -124,7 +124,7 @@
         control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control)
-        beginning = asyncio.create_task(client.begin())
+        beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
         writer.write(STREAM + chunk(snapshot_line(VERSIONS[6])))
         await beginning
@@ -147,7 +147,7 @@
         await good.start()
         await old.start()
         client, target = make_client(good, old)
-        await client.begin()
+        await client.start()
         assert target.ticks == [5]
         good.stop()
         await wait_until(lambda: bool(old.watch_targets) and client.follower.contradictions > 0)
@@ -171,7 +171,7 @@
         await wrong.start()
         await good.start()
         client, target = make_client(wrong, good)
-        beginning = asyncio.create_task(client.begin())
+        beginning = asyncio.create_task(client.start())
         _, writer = await wrong.watches.get()
         corrupted = snapshot_line(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
         writer.write(STREAM + chunk(corrupted))
@@ -187,7 +187,7 @@
         control = ControlInstance(manual=True)
         await control.start()
         client, target = make_client(control)
-        beginning = asyncio.create_task(client.begin())
+        beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
         writer.write(STREAM + chunk(snapshot_line(VERSIONS[4])))
         await beginning
@@ -231,7 +231,7 @@
         await bad.start()
         await good.start()
         client, target = make_client(bad, good)
-        beginning = asyncio.create_task(client.begin())
+        beginning = asyncio.create_task(client.start())
         _, writer = await bad.watches.get()
         if end is None:
             writer.transport.abort()
@@ -250,7 +250,7 @@
         control = ControlInstance(document=VERSIONS[2].copy())
         await control.start()
         client, target = make_client(control)
-        await client.begin()
+        await client.start()
         control.commit({"settings": {"tick": -1}})
         await wait_until(lambda: any(r["status"] == "refused" for r in control.reports))
         found = control.reports[-1]
@@ -272,7 +272,7 @@
         control.report_answer = status(503)
         await control.start()
         client, _ = make_client(control)
-        await client.begin()
+        await client.start()
         await wait_until(lambda: len(control.reports) == 1)
         control.report_answer = ControlInstance().report_answer
         await wait_until(lambda: len(control.reports) == 2)
@@ -292,7 +292,7 @@
         await control.start()
         fleet = [make_client(control, name=f"n{i}") for i in range(10)]
         for client, _ in fleet:
-            await client.begin()
+            await client.start()
 
         def refuse(entries: Mapping[str, Mapping[str, Any]]) -> None:
             raise RefusedVersionError("takes a restart: settings.classes")
@@ -321,7 +321,7 @@
         control = ControlInstance(document=VERSIONS[3].copy())
         client, target = make_client(control)
         begun = asyncio.get_running_loop().time()
-        await client.begin()
+        await client.start()
         assert asyncio.get_running_loop().time() - begun < 0.9 and target.applied == []
         await control.start()
         await wait_until(lambda: target.ticks == [3])
@@ -336,7 +336,7 @@
         await control.start()
         client, target = make_client(control)
         begun = asyncio.get_running_loop().time()
-        await client.begin()
+        await client.start()
         assert 0.9 < asyncio.get_running_loop().time() - begun < 3.0 and target.applied == []
         client.stop()
 
@@ -353,14 +353,14 @@
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
         client, target = make_client(control, last_good=last_good)
-        await client.begin()
+        await client.start()
         control.commit({"settings": {"tick": -4}})
         await wait_until(lambda: client.follower.refused == 4)
         await wait_saved(last_good, 3)
         client.stop()
         control.stop()
         again, target = make_client(control, last_good=last_good)
-        assert (await again.begin())["settings"] == {"tick": 3}, "no instance is reachable"
+        assert (await again.start())["settings"] == {"tick": 3}, "no instance is reachable"
         control.manual = True
         await control.start()
         _, writer = await control.watches.get()
@@ -380,7 +380,7 @@
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
         client, target = make_client(control, last_good=last_good)
-        await client.begin()
+        await client.start()
         client.serving = True
 
         def refuse(entries: Mapping[str, Mapping[str, Any]]) -> None:
@@ -394,13 +394,13 @@
         client.stop()
         control.stop()
         again, _ = make_client(control, last_good=last_good)
-        assert (await again.begin())["settings"] == {"tick": 40} and again.follower.applied == 4
+        assert (await again.start())["settings"] == {"tick": 40} and again.follower.applied == 4
         again.stop()
         # If a start can't use it either, the last good version is used.
         last_good.write((make_versions(5)[5], VERSIONS[3]))
         restarted, target = make_client(control, last_good=last_good)
         target.check = lambda entries: refuse(entries) if entries["settings"]["tick"] == 5 else None  # type: ignore[method-assign]
-        assert (await restarted.begin())["settings"] == {"tick": 3} and restarted.follower.applied == 3
+        assert (await restarted.start())["settings"] == {"tick": 3} and restarted.follower.applied == 3
         restarted.stop()
 
     run(test)
@@ -436,7 +436,7 @@
         control = ControlInstance(document=VERSIONS[6].copy())
         await control.start()
         client, target = make_client(control, last_good=last_good)
-        await client.begin()
+        await client.start()
         assert target.ticks == [6]
         await wait_saved(last_good, 6)
         client.stop()
@@ -459,7 +459,7 @@
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
         client, target = make_client(control, last_good=LastGood(tmp_path / "taken", "n3"))
-        await client.begin()
+        await client.start()
         await wait_until(lambda: "last-good-unwritten" in caplog.text)
         assert target.ticks == [3]
         client.stop()
@@ -478,7 +478,7 @@
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
         client, target = make_client(control, str(free_address()))
-        await client.begin()
+        await client.start()
         client.stop()
         control.commit({"settings": {"tick": 9}})
         await asyncio.sleep(0.1)
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -489,7 +489,7 @@
             ]
             for client in clients:
                 client.serving = True
-                await client.begin()
+                await client.start()
             assert await propose_until_committed(cluster, "settings", {"n": 2}, []) == 2
             await wait_until(lambda: clients[0].follower.refused == clients[10].follower.refused == 2)
             await wait_until(lambda: sum(target.entries["settings"]["n"] == 2 for target in targets) == 18)
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -150,7 +150,7 @@
             target = Target()
             client = Client("n1", (str(address),), None, 1, target)
             client.serving = True
-            await client.begin()
+            await client.start()
             await commit_change(cluster, "settings", {"n": 1})
             await wait_until(lambda: target.entries == {"settings": {"n": 1}})
             sidecars = relay.service.reports.sidecars
