--- a/millgw/configuration/client.py
+++ b/millgw/configuration/client.py
@@ -24,7 +24,7 @@
     Report,
     SendReport,
 )
-from millgw.configuration.last_good import LastGood
+from millgw.configuration.last_good import LastGoodFile
 from millgw.log.events import log_event
 from millgw.platform.config import read_address
 
@@ -69,7 +69,7 @@
     descriptors = FILE_DESCRIPTORS
 
     def __init__(
-        self, name: str, instances: tuple[str, ...], last_good: LastGood | None, seed: int, target: Target
+        self, name: str, instances: tuple[str, ...], last_good: LastGoodFile | None, seed: int, target: Target
     ) -> None:
         self.name = name
         self.instances = instances
--- a/millgw/configuration/last_good.py
+++ b/millgw/configuration/last_good.py
@@ -21,7 +21,7 @@
 MAX_NAME_BYTES = 64  # of the sidecar's name that appear in the file name
 
 
-class LastGood:
+class LastGoodFile:
     """The last-good file of one sidecar; written in a thread, skipping superseded documents."""
 
     def __init__(self, directory: Path, name: str) -> None:
--- a/millgw/configuration/relay.py
+++ b/millgw/configuration/relay.py
@@ -13,7 +13,7 @@
 from millgw.configuration.client import Client
 from millgw.configuration.document import Change, Document, Version
 from millgw.configuration.history import History
-from millgw.configuration.last_good import LastGood
+from millgw.configuration.last_good import LastGoodFile
 from millgw.configuration.server import Response, Server, error_response, json_response
 from millgw.configuration.service import ControlService, InstanceView, Proposal, Reply
 from millgw.platform.config import Address
@@ -32,7 +32,7 @@
         self.service = ControlService(name, self)
         self.server = Server(self.service, time.monotonic)
         followed = tuple(str(instance) for instance in instances)
-        self.client = Client(name, followed, LastGood(directory, name), seed, self)
+        self.client = Client(name, followed, LastGoodFile(directory, name), seed, self)
         self.client.serving = True  # a version is served as soon as it arrives
 
     async def start(self) -> None:
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -18,7 +18,7 @@
 
 from millgw.configuration.apply import RefusedVersionError, live_settings, one_line, override_files
 from millgw.configuration.client import START_TIMEOUT_S
-from millgw.configuration.last_good import LastGood
+from millgw.configuration.last_good import LastGoodFile
 from millgw.connections.manager import ConnectionManager
 from millgw.decide import Balancer
 from millgw.hot_restart.learned import export_learned
@@ -661,7 +661,7 @@
             assert (await client.ask(request("bulk", Host="login.example.org"))).status == 400
             assert (await client.ask(request("pay", Host="login.example.org"))).status == 200
             if kept:
-                stored = LastGood(tmp_path / "state", "n1")
+                stored = LastGoodFile(tmp_path / "state", "n1")
                 await wait_until(lambda: [document.index for document in stored.read()] == [2])
         if kept:
             control.stop()
@@ -885,7 +885,7 @@
             stop.set()
             await asyncio.gather(*callers)
             assert set(statuses) == {200}, "no call was lost"
-            assert [document.index for document in LastGood(tmp_path, "n3").read()] == [bad - 1]
+            assert [document.index for document in LastGoodFile(tmp_path, "n3").read()] == [bad - 1]
         finally:
             process.terminate()
             await asyncio.to_thread(process.wait)
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -16,7 +16,7 @@
 from millgw.configuration.apply import RefusedVersionError, RestartRequiredError
 from millgw.configuration.client import MAX_LINE_BYTES, Client, percent_encoded
 from millgw.configuration.document import Change, Document, Line, encode_line
-from millgw.configuration.last_good import LastGood
+from millgw.configuration.last_good import LastGoodFile
 from millgw.standins.address import free_address
 from millgw.standins.http import status
 from millgw.standins.scripted import STREAM, chunk
@@ -61,7 +61,7 @@
 
 
 def make_client(
-    *instances: ControlInstance | str, last_good: LastGood | None = None, name: str = "n3"
+    *instances: ControlInstance | str, last_good: LastGoodFile | None = None, name: str = "n3"
 ) -> tuple[Client, RecordingTarget]:
     addresses = tuple(i if isinstance(i, str) else str(i.address) for i in instances)
     target = RecordingTarget()
@@ -343,13 +343,13 @@
     run(test)
 
 
-async def wait_saved(last_good: LastGood, index: int) -> None:
+async def wait_saved(last_good: LastGoodFile, index: int) -> None:
     await wait_until(lambda: [document.index for document in last_good.read()] == [index])
 
 
 def test_a_restart_with_no_control_begins_with_the_last_good_version(tmp_path: Path) -> None:
     async def test() -> None:
-        last_good = LastGood(tmp_path / "state", "n3")
+        last_good = LastGoodFile(tmp_path / "state", "n3")
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
         client, target = make_client(control, last_good=last_good)
@@ -376,7 +376,7 @@
 
 def test_the_next_start_uses_a_version_that_takes_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        last_good = LastGood(tmp_path, "n3")
+        last_good = LastGoodFile(tmp_path, "n3")
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
         client, target = make_client(control, last_good=last_good)
@@ -425,7 +425,7 @@
 def test_a_damaged_or_foreign_file_is_ignored_and_logged(
     corrupt: Callable[[bytes], bytes], tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    last_good = LastGood(tmp_path, "n3")
+    last_good = LastGoodFile(tmp_path, "n3")
     last_good.path.write_bytes(last_good_content(VERSIONS[4]))
     assert last_good.read() == (VERSIONS[4],)
     corrupted = corrupt(last_good_content(VERSIONS[4]))
@@ -446,7 +446,7 @@
 
 
 def test_a_missing_file_is_not_logged(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    assert LastGood(tmp_path / "none", "n3").read() == ()
+    assert LastGoodFile(tmp_path / "none", "n3").read() == ()
     assert caplog.text == ""
 
 
@@ -458,7 +458,7 @@
     async def test() -> None:
         control = ControlInstance(document=VERSIONS[3].copy())
         await control.start()
-        client, target = make_client(control, last_good=LastGood(tmp_path / "taken", "n3"))
+        client, target = make_client(control, last_good=LastGoodFile(tmp_path / "taken", "n3"))
         await client.start()
         await wait_until(lambda: "last-good-unwritten" in caplog.text)
         assert target.ticks == [3]
@@ -469,7 +469,7 @@
 
 def test_names_are_escaped_in_a_query_and_a_file_name(tmp_path: Path) -> None:
     assert percent_encoded("n-3.a~b_c") == "n-3.a~b_c" and percent_encoded("a&b=/") == "a%26b%3D%2F"
-    path = LastGood(tmp_path, "../../etc/x").path
+    path = LastGoodFile(tmp_path, "../../etc/x").path
     assert path.parent == tmp_path
 
 
