--- a/millgw/configuration/single.py
+++ b/millgw/configuration/single.py
@@ -31,7 +31,7 @@
         self.path = path
         self.entries: Entries = {}
 
-    def serve(
+    def attach_pool(
         self,
         entries: Entries,
         pool: Pool,
--- a/millgw/sidecar/assembly.py
+++ b/millgw/sidecar/assembly.py
@@ -146,7 +146,7 @@
         else:
             parts = _assemble_node_pool(node, node.config, environ, lifecycle)
             assert isinstance(parts.reload, Reload)
-            single.serve(entries, parts.pools()[0], node.tended, parts.reload.move_discovery)
+            single.attach_pool(entries, parts.pools()[0], node.tended, parts.reload.move_discovery)
             parts = replace(parts, reload=single.reload)
     except (ConfigError, OSError):
         client.stop()
