--- a/millgw/configuration/follower.py
+++ b/millgw/configuration/follower.py
@@ -34,7 +34,7 @@
 REPORT_INTERVAL_MS = 1000.0  # ms between two reports
 REPORT_JITTER_MS = 200.0  # ms before the first report of a version, as all sidecars receive it at once
 MAX_DIGESTS = 64  # of earlier versions, to distinguish a repeated line from a conflicting one
-CAUSE_MOST = 300  # characters; longer causes are cut off in a report
+MAX_CAUSE_LENGTH = 300  # characters; longer causes are cut off in a report
 
 
 class Status(Enum):
@@ -68,9 +68,9 @@
             "status": self.status.value,
         }
         if self.cause:
-            fields["cause"] = self.cause[:CAUSE_MOST]
+            fields["cause"] = self.cause[:MAX_CAUSE_LENGTH]
         if self.refused:
-            fields |= {"refused": self.refused, "refused_cause": self.refused_cause[:CAUSE_MOST]}
+            fields |= {"refused": self.refused, "refused_cause": self.refused_cause[:MAX_CAUSE_LENGTH]}
         return json.dumps(fields, separators=(",", ":")).encode()
 
 
--- a/millgw/configuration/reports.py
+++ b/millgw/configuration/reports.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from millgw.configuration.document import DocumentError, decode_count
-from millgw.configuration.follower import CAUSE_MOST as MAX_CAUSE
+from millgw.configuration.follower import MAX_CAUSE_LENGTH as MAX_CAUSE
 from millgw.configuration.follower import Status
 
 MAX_SIDECARS = 4096
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -11,7 +11,7 @@
 
 from millgw.configuration import follower
 from millgw.configuration.document import Change, Document, DocumentError, Version, decode_line
-from millgw.configuration.follower import CAUSE_MOST, Status
+from millgw.configuration.follower import MAX_CAUSE_LENGTH, Status
 from millgw.configuration.history import NO_VERSION, History
 from millgw.configuration.reports import (
     FORGET_AFTER,
@@ -314,7 +314,7 @@
     reports = Reports(max_sidecars=2)
     reports.take(0.0, applied("a", 1))
     reports.take(0.0, Report("b", 1, "", Status.REFUSED, "x" * 5000))
-    assert len(reports.sidecars["b"].cause) == CAUSE_MOST
+    assert len(reports.sidecars["b"].cause) == MAX_CAUSE_LENGTH
     with pytest.raises(ReportsFullError):
         reports.take(1.0, applied("c", 1))
     reports.watch_opened(1.0, "c")
@@ -365,10 +365,10 @@
         decode_report(data)
 
 
-@given(st.integers(0, 2**40), st.sampled_from(Status), st.text(max_size=2 * CAUSE_MOST))
+@given(st.integers(0, 2**40), st.sampled_from(Status), st.text(max_size=2 * MAX_CAUSE_LENGTH))
 def test_a_report_encoded_by_a_sidecar_is_decoded_unchanged(index: int, status: Status, cause: str) -> None:
     worded = follower.Report(index, "d", status, cause).encode("n1")
-    assert decode_report(worded) == Report("n1", index, "d", status, cause[:CAUSE_MOST])
+    assert decode_report(worded) == Report("n1", index, "d", status, cause[:MAX_CAUSE_LENGTH])
 
 
 # Requests
