--- a/millgw/configuration/follower.py
+++ b/millgw/configuration/follower.py
@@ -118,7 +118,7 @@
     WATCHING = "watching"
 
 
-def preference(name: str, near: Sequence[str], others: Sequence[str]) -> tuple[str, ...]:
+def preferred_order(name: str, near: Sequence[str], others: Sequence[str]) -> tuple[str, ...]:
     """Order the instances by a sidecar's preference: near ones first, each group by rendezvous hashing.
 
     The hashing spreads many sidecars evenly over the instances, and those of a lost instance evenly over all
--- a/millgw/services/builders.py
+++ b/millgw/services/builders.py
@@ -197,11 +197,11 @@
         return None
     # Imported here: without distributed configuration these modules must not be loaded.
     from millgw.configuration.client import Client
-    from millgw.configuration.follower import preference
+    from millgw.configuration.follower import preferred_order
     from millgw.configuration.last_good import LastGoodFile
 
     name = table.name or config.name
-    instances = preference(name, table.relays.get(table.zone, ()), table.instances)
+    instances = preferred_order(name, table.relays.get(table.zone, ()), table.instances)
     last_good = LastGoodFile(Path(table.directory), name) if table.directory else None
     return Client(name, instances, last_good, pool_seed(config.seed, f"configuration {name}"), target)
 
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -32,7 +32,7 @@
     Report,
     SendReport,
     Status,
-    preference,
+    preferred_order,
 )
 from millgw.configuration.reports import Report as Reported
 from millgw.configuration.reports import decode_report
@@ -275,16 +275,16 @@
 
 def test_sidecars_are_spread_evenly_and_those_of_a_lost_instance_over_all_others() -> None:
     instances = [f"10.0.0.{i}:7300" for i in range(6)]
-    first = Counter(preference(f"n{i}", (), instances)[0] for i in range(670))
+    first = Counter(preferred_order(f"n{i}", (), instances)[0] for i in range(670))
     assert max(first.values()) < 1.3 * 670 / 6 and min(first.values()) > 0.7 * 670 / 6
     second = Counter(
-        order[1] for i in range(670) if (order := preference(f"n{i}", (), instances))[0] == instances[0]
+        order[1] for i in range(670) if (order := preferred_order(f"n{i}", (), instances))[0] == instances[0]
     )
     assert len(second) == 5 and max(second.values()) < 0.4 * first[instances[0]]
 
 
 def test_the_relays_of_the_own_zone_come_first() -> None:
-    order = preference("n1", ("r1:1", "r2:1"), ("a:1", "b:1", "r1:1"))
+    order = preferred_order("n1", ("r1:1", "r2:1"), ("a:1", "b:1", "r1:1"))
     assert set(order[:2]) == {"r1:1", "r2:1"} and set(order[2:]) == {"a:1", "b:1"}
 
 
@@ -292,7 +292,7 @@
     instances = [f"10.0.0.{i}:7300" for i in range(6)]
     when: list[float] = []
     for i in range(670):
-        follower = Follower(preference(f"n{i}", (), instances), i)
+        follower = Follower(preferred_order(f"n{i}", (), instances), i)
         run_actions(follower, 0.0)
         follower.handle_line(1.0, b"\n")
         follower.line_deadline = 1e9
