--- a/millgw/configuration/follower.py
+++ b/millgw/configuration/follower.py
@@ -166,7 +166,7 @@
         self.disconnect_after_report = False  # close the watch once its conflict has been reported
         self.connects = 0
         self.contradictions = 0
-        self.pending: Report | None = None
+        self.pending_report: Report | None = None
         self.next_report_at = 0.0  # earliest time of the next report
         self.last_report: Report | None = None
 
@@ -188,11 +188,11 @@
         if now >= self.preferred_retry_at:
             self._schedule_connect(now, wait=0.0, choice=0)
             return Disconnect("trying the preferred instance again")
-        if self.pending is not None and now >= self.next_report_at:
-            report, self.pending = self.pending, None
+        if self.pending_report is not None and now >= self.next_report_at:
+            report, self.pending_report = self.pending_report, None
             self.next_report_at = now + REPORT_INTERVAL_MS
             return SendReport(report)
-        if self.disconnect_after_report and self.pending is None:
+        if self.disconnect_after_report and self.pending_report is None:
             return self._abandon(now, "its versions conflict with those of this sidecar")
         return None
 
@@ -202,7 +202,7 @@
             return self.connect_at
         if self.phase is Phase.CONNECTING:
             return self.line_deadline
-        if self.pending is not None:
+        if self.pending_report is not None:
             return min(self.line_deadline, self.preferred_retry_at, self.next_report_at)
         return (
             self.connect_started
@@ -272,7 +272,7 @@
                 self.preferred_retry_at = now + PREFERRED_RETRY_MS * self.rng.uniform(
                     1 - PREFERRED_RETRY_JITTER, 1 + PREFERRED_RETRY_JITTER
                 )
-            self.pending = self.last_report
+            self.pending_report = self.last_report
         self.line_deadline = now + WATCH_SILENCE_MS
 
     def _handle_version(self, now: float, line: Line) -> LineOutcome:
@@ -333,13 +333,13 @@
         self._queue_report(now, Report(self.latest.index, self.latest_digest, Status.REFUSED, cause))
 
     def _queue_report(self, now: float, report: Report) -> None:
-        fresh = self.pending is None
-        self.last_report = self.pending = report
+        fresh = self.pending_report is None
+        self.last_report = self.pending_report = report
         if fresh:
             self.next_report_at = max(self.next_report_at, now + self.rng.uniform(0.0, REPORT_JITTER_MS))
 
     def report_failed(self, now: float, report: Report) -> None:
         """Schedule a report that failed to be sent again, unless there is a newer one."""
-        if self.last_report == report and self.pending is None:
-            self.pending = report
+        if self.last_report == report and self.pending_report is None:
+            self.pending_report = report
             self.next_report_at = max(self.next_report_at, now + REPORT_INTERVAL_MS)
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -493,7 +493,7 @@
             assert await propose_until_committed(cluster, "settings", {"n": 2}, []) == 2
             await wait_until(lambda: clients[0].follower.refused == clients[10].follower.refused == 2)
             await wait_until(lambda: sum(target.entries["settings"]["n"] == 2 for target in targets) == 18)
-            await wait_until(lambda: all(client.follower.pending is None for client in clients))
+            await wait_until(lambda: all(client.follower.pending_report is None for client in clients))
 
             async def counts() -> tuple[int, int, int]:
                 fleet = await fetch_status(list(cluster.voters.values()), ANSWER_TIME)
