--- a/millgw/configuration/command.py
+++ b/millgw/configuration/command.py
@@ -30,7 +30,7 @@
     fetch_status,
     propose,
 )
-from millgw.configuration.document import MAX_NAME, Change
+from millgw.configuration.document import MAX_NAME_LENGTH, Change
 from millgw.configuration.durable import DurableState, DurableStateError
 from millgw.configuration.instance import Instance
 from millgw.configuration.replica import Options
@@ -273,7 +273,7 @@
     if not proposed:
         raise BadInput("nothing to change: give NAME=JSON or --remove NAME")
     for name in names:
-        if not 0 < len(name) <= MAX_NAME or names.count(name) > 1:
+        if not 0 < len(name) <= MAX_NAME_LENGTH or names.count(name) > 1:
             raise BadInput(f"{name!r} is not a valid entry name or is given twice")
     result = run_interruptible(propose(instances, proposed, author or _user_name(), reason, if_index, within))
     if result.outcome is Outcome.INVALID:
--- a/millgw/configuration/document.py
+++ b/millgw/configuration/document.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 DIGEST_BYTES = 16
-MAX_NAME = 256  # characters of an entry's name
+MAX_NAME_LENGTH = 256  # characters of an entry's name
 
 
 class DocumentError(ValueError):
@@ -139,8 +139,8 @@
     if not isinstance(item, dict):
         raise DocumentError(f"{path}: not an object")
     name = item.get("name")
-    if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME:
-        raise DocumentError(f"{path}.name: not a string of 1 to {MAX_NAME} characters")
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_NAME_LENGTH:
+        raise DocumentError(f"{path}.name: not a string of 1 to {MAX_NAME_LENGTH} characters")
     value = item.get("value")
     if "value" not in item or not (value is None or isinstance(value, dict)):
         raise DocumentError(f"{path}.value: neither an object nor null")
--- a/millgw/configuration/proposal.py
+++ b/millgw/configuration/proposal.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from millgw.configuration.document import MAX_NAME, Change, Document, canonical
+from millgw.configuration.document import MAX_NAME_LENGTH, Change, Document, canonical
 from millgw.configuration.encoding import MAX_TEXT
 from millgw.configuration.messages import MAX_CHANGES, MAX_DOCUMENT
 
@@ -29,8 +29,8 @@
     size = 0
     for number, change in enumerate(changes):
         path = f"changes[{number}]"
-        if not 0 < len(change.name) <= MAX_NAME:
-            raise ProposalError(f"{path}.name: not a string of 1 to {MAX_NAME} characters")
+        if not 0 < len(change.name) <= MAX_NAME_LENGTH:
+            raise ProposalError(f"{path}.name: not a string of 1 to {MAX_NAME_LENGTH} characters")
         if _deeper_than(change.value, MAX_DEPTH):
             raise ProposalError(f"{path}.value: nested deeper than {MAX_DEPTH}")
         size += len(_canonical_json(path, [change.name, change.value]))
--- a/tests/test_configuration_messages.py
+++ b/tests/test_configuration_messages.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from millgw.configuration import messages
-from millgw.configuration.document import MAX_NAME, Change, Document, Version
+from millgw.configuration.document import MAX_NAME_LENGTH, Change, Document, Version
 from millgw.configuration.encoding import MAX_TEXT
 from millgw.configuration.log import Entry, Snapshot
 from millgw.configuration.messages import (
@@ -66,7 +66,7 @@
 
 counts = st.integers(0, 2**53)
 headers = st.builds(Header, counts, counts, counts)
-names = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=MAX_NAME)
+names = st.text(st.characters(exclude_categories=["Cs"]), min_size=1, max_size=MAX_NAME_LENGTH)
 values = st.dictionaries(
     names,
     st.recursive(
@@ -197,7 +197,7 @@
     ("change", "cause"),
     [
         (Change("", {}), "changes[0].name"),
-        (Change("x" * (MAX_NAME + 1), {}), "changes[0].name"),
+        (Change("x" * (MAX_NAME_LENGTH + 1), {}), "changes[0].name"),
         (Change("x", {"a": object()}), "changes[0]"),
         (Change("x", {"a": "\ud800"}), "changes[0]"),
         (Change("x", {"a": float("nan")}), "changes[0]"),
