--- a/millgw/configuration/document.py
+++ b/millgw/configuration/document.py
@@ -64,7 +64,7 @@
 
     def digest(self) -> str:
         """BLAKE2b over the canonical JSON of all entries, in hexadecimal."""
-        return blake2b(canonical(self.entries), digest_size=DIGEST_BYTES).hexdigest()
+        return blake2b(canonical_json(self.entries), digest_size=DIGEST_BYTES).hexdigest()
 
     def apply(self, index: int, epoch: int, changes: Iterable[Change]) -> None:
         """Apply the changes of one version, or of several at once."""
@@ -92,7 +92,7 @@
         return Line(self.index, self.epoch, True, self.digest(), changes)
 
 
-def canonical(value: Any) -> bytes:
+def canonical_json(value: Any) -> bytes:
     """Canonical JSON: equal values are encoded as the same bytes."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
 
@@ -107,7 +107,7 @@
         "digest": line.digest,
         "entries": entries,
     }
-    return canonical(fields) + b"\n"
+    return canonical_json(fields) + b"\n"
 
 
 def decode_line(data: bytes) -> Line:
--- a/millgw/configuration/durable.py
+++ b/millgw/configuration/durable.py
@@ -31,7 +31,7 @@
 from typing import Any
 
 from millgw.configuration.actions import Persist
-from millgw.configuration.document import DocumentError, canonical, decode_count
+from millgw.configuration.document import DocumentError, canonical_json, decode_count
 from millgw.configuration.encoding import (
     EncodingError,
     entry_fields,
@@ -146,7 +146,7 @@
         if persist.snapshot is not None or self._slot >= MAX_JOURNAL_RECORDS:
             self._checkpoint(state)
         else:
-            self._write(False, canonical(_persist_fields(persist)))
+            self._write(False, canonical_json(_persist_fields(persist)))
             self._state = state
         self._compact_store()
 
@@ -160,7 +160,7 @@
         self._generation += 1
         self._half = 1 - self._half
         self._slot = 0
-        self._write(True, canonical(_state_fields(self._instance, state)))
+        self._write(True, canonical_json(_state_fields(self._instance, state)))
         self._state = state
 
     def _write(self, checkpoint: bool, data: bytes) -> None:
--- a/millgw/configuration/encoding.py
+++ b/millgw/configuration/encoding.py
@@ -13,7 +13,7 @@
     Document,
     DocumentError,
     Version,
-    canonical,
+    canonical_json,
     decode_changes,
     decode_count,
 )
@@ -42,7 +42,7 @@
 
 def encoded_size(entry: Entry) -> int:
     """The size of an entry as JSON, in bytes."""
-    return len(canonical(entry_fields(entry)))
+    return len(canonical_json(entry_fields(entry)))
 
 
 def _version_fields(version: Version) -> dict[str, Any]:
--- a/millgw/configuration/last_good.py
+++ b/millgw/configuration/last_good.py
@@ -14,7 +14,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from millgw.configuration.document import Document, DocumentError, canonical, decode_line, encode_line
+from millgw.configuration.document import Document, DocumentError, canonical_json, decode_line, encode_line
 from millgw.log.events import log_event
 
 MAX_FILE_BYTES = 21 * 1024 * 1024  # bytes: two lines of maximum length and the object around them
@@ -76,7 +76,7 @@
     def write(self, documents: Sequence[Document]) -> None:
         """Replace the file atomically, and return once it is durable."""
         lines = [json.loads(encode_line(document.snapshot())) for document in documents]
-        data = canonical({"sidecar": self.name, "documents": lines}) + b"\n"
+        data = canonical_json({"sidecar": self.name, "documents": lines}) + b"\n"
         self.directory.mkdir(parents=True, exist_ok=True)
         temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         try:
@@ -97,7 +97,7 @@
 
 
 def _decode_document(fields: object) -> Document:
-    line = decode_line(canonical(fields))
+    line = decode_line(canonical_json(fields))
     if not line.snapshot:
         raise DocumentError("snapshot: the file has no full snapshot")
     document = Document()
--- a/millgw/configuration/messages.py
+++ b/millgw/configuration/messages.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from millgw.configuration.document import DocumentError, canonical, decode_count
+from millgw.configuration.document import DocumentError, canonical_json, decode_count
 from millgw.configuration.encoding import (
     Fields,
     entry_fields,
@@ -133,7 +133,7 @@
 
 def encode(message: Message) -> bytes:
     """Encode a message as JSON; raises MessageError if it is larger than MAX_MESSAGE."""
-    data = canonical(
+    data = canonical_json(
         {"kind": KINDS[type(message)], **_header_fields(message.header), **_body_fields(message)}
     )
     if len(data) > MAX_MESSAGE:
--- a/millgw/configuration/proposal.py
+++ b/millgw/configuration/proposal.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from millgw.configuration.document import MAX_NAME_LENGTH, Change, Document, canonical
+from millgw.configuration.document import MAX_NAME_LENGTH, Change, Document, canonical_json
 from millgw.configuration.encoding import MAX_TEXT
 from millgw.configuration.messages import MAX_CHANGES, MAX_DOCUMENT
 
@@ -41,7 +41,7 @@
 
 def check_document(document: Document, added: int) -> None:
     """Raise ProposalError if the document plus `added` bytes may exceed the limit for a whole document."""
-    size = len(canonical(document.entries)) + added
+    size = len(canonical_json(document.entries)) + added
     if size > MAX_DOCUMENT:
         raise ProposalError(f"changes: a document of {size} bytes may be over {MAX_DOCUMENT}")
 
@@ -49,7 +49,7 @@
 def _canonical_json(path: str, value: Any) -> bytes:
     try:
         json.dumps(value, allow_nan=False)  # NaN and the infinities are not JSON
-        return canonical(value)
+        return canonical_json(value)
     except (TypeError, ValueError) as error:
         raise ProposalError(f"{path}: {error}") from None
 
