--- a/millgw/configuration/control_client.py
+++ b/millgw/configuration/control_client.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import Any
 
-from millgw.configuration.document import Change, DocumentError, Line, decode_count, decode_line
+from millgw.configuration.document import Change, DocumentError, WatchLine, decode_count, decode_line
 from millgw.configuration.messages import MAX_DOCUMENT
 from millgw.configuration.reports import Sidecar, Summary, decode_sidecar, merge, summarize
 from millgw.platform.config import Address, read_address
@@ -132,9 +132,11 @@
 # The document
 
 
-async def fetch_document(instances: Sequence[Address], within: float) -> tuple[Line | None, dict[str, str]]:
+async def fetch_document(
+    instances: Sequence[Address], within: float
+) -> tuple[WatchLine | None, dict[str, str]]:
     """The newest document that any instance has, and the errors of the others by address."""
-    lines: list[Line] = []
+    lines: list[WatchLine] = []
     errors: dict[str, str] = {}
 
     async def fetch(instance: Address) -> None:
--- a/millgw/configuration/document.py
+++ b/millgw/configuration/document.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
+class WatchLine:
     """One line of a watch: the whole document (`snapshot`) or the changes since the previous line."""
 
     index: int
@@ -76,7 +76,7 @@
         self.index = index
         self.epoch = epoch
 
-    def load(self, line: Line) -> None:
+    def load(self, line: WatchLine) -> None:
         """Apply a line of a watch; raises DocumentError, changing nothing, if its digest does not match."""
         after = Document() if line.snapshot else self.copy()
         after.apply(line.index, line.epoch, line.changes)
@@ -86,10 +86,10 @@
         self.index = after.index
         self.epoch = after.epoch
 
-    def snapshot(self) -> Line:
+    def snapshot(self) -> WatchLine:
         """The whole document as a line."""
         changes = tuple(Change(name, self.entries[name]) for name in sorted(self.entries))
-        return Line(self.index, self.epoch, True, self.digest(), changes)
+        return WatchLine(self.index, self.epoch, True, self.digest(), changes)
 
 
 def canonical_json(value: Any) -> bytes:
@@ -97,7 +97,7 @@
     return json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False).encode()
 
 
-def encode_line(line: Line) -> bytes:
+def encode_line(line: WatchLine) -> bytes:
     """Encode a line of a watch, including its line feed."""
     entries = [{"name": change.name, "value": change.value} for change in line.changes]
     fields = {
@@ -110,7 +110,7 @@
     return canonical_json(fields) + b"\n"
 
 
-def decode_line(data: bytes) -> Line:
+def decode_line(data: bytes) -> WatchLine:
     """Decode a line of a watch; raises DocumentError naming an invalid field."""
     try:
         fields = json.loads(data)
@@ -125,7 +125,7 @@
     if not isinstance(digest, str):
         raise DocumentError("digest: not a string")
     changes = decode_changes(fields.get("entries"), "entries")
-    return Line(decode_count(fields, "index"), decode_count(fields, "epoch"), snapshot, digest, changes)
+    return WatchLine(decode_count(fields, "index"), decode_count(fields, "epoch"), snapshot, digest, changes)
 
 
 def decode_changes(value: Any, path: str) -> tuple[Change, ...]:
--- a/millgw/configuration/follower.py
+++ b/millgw/configuration/follower.py
@@ -19,7 +19,7 @@
 from enum import Enum
 from hashlib import blake2b
 
-from millgw.configuration.document import Document, DocumentError, Line, decode_line
+from millgw.configuration.document import Document, DocumentError, WatchLine, decode_line
 
 WATCH_SILENCE_MS = 5000.0  # ms without a line after which a watch counts as broken; heartbeats come every 2 s
 FIRST_LINE_TIMEOUT_MS = 3000.0  # ms from the start of a connect to its first line
@@ -275,7 +275,7 @@
             self.pending_report = self.last_report
         self.line_deadline = now + WATCH_SILENCE_MS
 
-    def _handle_version(self, now: float, line: Line) -> LineOutcome:
+    def _handle_version(self, now: float, line: WatchLine) -> LineOutcome:
         if line.index <= self.latest.index:
             known = self.known_digests.get(line.index)
             if known is None or known == line.digest:
@@ -305,7 +305,7 @@
         self._queue_report(now, Report(self.latest.index, self.latest_digest, Status.REFUSED, cause))
         return LineOutcome.CONTRADICTS
 
-    def _handle_gap(self, now: float, line: Line) -> LineOutcome:
+    def _handle_gap(self, now: float, line: WatchLine) -> LineOutcome:
         """Request a snapshot: at once from this instance, or from the next one if this did not help."""
         self.consecutive_gaps += 1
         self.needs_snapshot = True
--- a/millgw/configuration/history.py
+++ b/millgw/configuration/history.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from millgw.configuration.document import Document, Line, Version, encode_line
+from millgw.configuration.document import Document, Version, WatchLine, encode_line
 
 MAX_LINES = 256  # versions whose changes are kept for watches that reconnect
 MAX_LINE_BYTES = 1024 * 1024  # bytes, the total size of these lines
@@ -33,7 +33,7 @@
             raise ValueError(f"version {version.index} does not follow version {self.index}")
         self.document.apply(version.index, version.epoch, version.changes)
         digest = self.document.digest()
-        line = Line(version.index, version.epoch, False, digest, version.changes)
+        line = WatchLine(version.index, version.epoch, False, digest, version.changes)
         chunk = encode_chunk(encode_line(line))
         self._snapshot = None
         self._chunks[version.index] = chunk
--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -11,7 +11,7 @@
 import httptools
 
 from millgw.configuration.actions import Persist, Role
-from millgw.configuration.document import Change, Document, Line, decode_line
+from millgw.configuration.document import Change, Document, WatchLine, decode_line
 from millgw.configuration.instance import Instance, StateStorage
 from millgw.configuration.replica import Options
 from millgw.configuration.state import State
@@ -172,11 +172,11 @@
         self.name = name
         self.document = document or Document()
         self.position = position
-        self.lines: list[Line] = []
+        self.lines: list[WatchLine] = []
         self.heartbeats = 0
         self.ended = False
         self.received = 0  # bytes
-        self.on_line: Callable[[Line], None] | None = None
+        self.on_line: Callable[[WatchLine], None] | None = None
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._rest = b""
--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from typing import Any
 
-from millgw.configuration.document import Change, Document, Line, encode_line
+from millgw.configuration.document import Change, Document, WatchLine, encode_line
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from millgw.standins.http import Message
@@ -73,7 +73,7 @@
         """Commit a version and send it to every watch; returns its index."""
         changes = tuple(Change(name, value) for name, value in entries.items())
         self.document.apply(self.document.index + 1, self.document.epoch if epoch is None else epoch, changes)
-        line = Line(self.document.index, self.document.epoch, False, self.document.digest(), changes)
+        line = WatchLine(self.document.index, self.document.epoch, False, self.document.digest(), changes)
         for writer in self.open_watches:
             writer.write(chunk(encode_line(line)))
         return self.document.index
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -15,7 +15,7 @@
 from millgw.configuration import follower as follower_module
 from millgw.configuration.apply import RefusedVersionError, RestartRequiredError
 from millgw.configuration.client import MAX_LINE_BYTES, Client, percent_encoded
-from millgw.configuration.document import Change, Document, Line, encode_line
+from millgw.configuration.document import Change, Document, WatchLine, encode_line
 from millgw.configuration.last_good import LastGoodFile
 from millgw.standins.address import free_address
 from millgw.standins.http import status
@@ -54,7 +54,7 @@
 
 def encode_delta(after: Document) -> bytes:
     changes = tuple(Change(name, value) for name, value in after.entries.items())
-    return encode_line(Line(after.index, after.epoch, False, after.digest(), changes))
+    return encode_line(WatchLine(after.index, after.epoch, False, after.digest(), changes))
 
 
 VERSIONS = make_versions(9)
@@ -193,7 +193,9 @@
         await beginning
         missed = VERSIONS[5].copy()
         missed.apply(6, 1, [Change("other", {"x": 1})])
-        writer.write(chunk(encode_line(Line(6, 1, False, missed.digest(), (Change("other", {"x": 1}),)))))
+        writer.write(
+            chunk(encode_line(WatchLine(6, 1, False, missed.digest(), (Change("other", {"x": 1}),))))
+        )
         _, writer = await control.watches.get()
         assert "from=" not in control.watch_targets[-1]
         writer.write(STREAM + chunk(snapshot_line(missed)))
--- a/tests/test_configuration_document.py
+++ b/tests/test_configuration_document.py
@@ -10,7 +10,7 @@
     Change,
     Document,
     DocumentError,
-    Line,
+    WatchLine,
     decode_line,
     encode_line,
 )
@@ -26,7 +26,7 @@
     follower = Document()
     for index, changes in enumerate(versions, 1):
         leader.apply(index, 1, changes)
-        line = Line(index, 1, False, leader.digest(), changes)
+        line = WatchLine(index, 1, False, leader.digest(), changes)
         follower.load(decode_line(encode_line(line)))
     fresh = Document()
     fresh.load(decode_line(encode_line(leader.snapshot())))
@@ -39,7 +39,7 @@
     document.apply(1, 1, [Change("settings", {"tick": 5})])
     before = document.copy()
     with pytest.raises(DocumentError, match="digest"):
-        document.load(Line(3, 1, False, Document().digest(), (Change("settings", {"tick": 6}),)))
+        document.load(WatchLine(3, 1, False, Document().digest(), (Change("settings", {"tick": 6}),)))
     assert document == before
 
 
--- a/tests/test_configuration_follower.py
+++ b/tests/test_configuration_follower.py
@@ -11,7 +11,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from millgw.configuration.document import Change, Document, Line, encode_line
+from millgw.configuration.document import Change, Document, WatchLine, encode_line
 from millgw.configuration.follower import (
     FIRST_LINE_TIMEOUT_MS,
     MAX_RETRY_DELAY_MS,
@@ -58,7 +58,7 @@
 
 def encode_delta(before: Document, after: Document) -> bytes:
     changes = [Change(n, v) for n, v in after.entries.items() if before.entries.get(n) != v]
-    return encode_line(Line(after.index, after.epoch, False, after.digest(), tuple(changes)))
+    return encode_line(WatchLine(after.index, after.epoch, False, after.digest(), tuple(changes)))
 
 
 def encode_snapshot(document: Document) -> bytes:
@@ -141,7 +141,7 @@
     assert follower.handle_line(100.0, encode_delta(VERSIONS[6], VERSIONS[7])) is LineOutcome.GAP
     assert follower.latest == VERSIONS[4], "none of it was applied"
     assert run_actions(follower, 100.0) == [Connect("a:1", None)], "a snapshot at once from the same instance"
-    wrong = Line(7, 1, True, "0" * 32, ())
+    wrong = WatchLine(7, 1, True, "0" * 32, ())
     assert follower.handle_line(110.0, encode_line(wrong)) is LineOutcome.GAP
     assert run_actions(follower, 110.0) == [] and follower.connect_at > 110.0
     assert run_actions(follower, follower.connect_at) == [Connect("b:1", None)]
@@ -206,7 +206,7 @@
         case "junk", [bytes(data)]:
             return data.replace(b"\n", b"?") + b"?"
         case "wrong digest", [int(index)]:
-            return encode_line(Line(index, 1, True, "0" * 32, ()))
+            return encode_line(WatchLine(index, 1, True, "0" * 32, ()))
         case "other history", [int(index), int(epoch)]:
             other = make_history(index, epoch)[index]
             other.apply(index, epoch, [Change("settings", {"tick": -index})])
