--- a/millgw/configuration/history.py
+++ b/millgw/configuration/history.py
@@ -58,7 +58,7 @@
             self._snapshot = encode_chunk(encode_line(self.document.snapshot()))
         return self._snapshot
 
-    def after(self, index: int) -> bytes:
+    def chunks_after(self, index: int) -> bytes:
         """What a watch needs after version `index`: changes or a snapshot; nothing if it is not behind.
 
         After `NO_VERSION` always the snapshot, as a client that sends no version may hold any document.
--- a/millgw/configuration/watchers.py
+++ b/millgw/configuration/watchers.py
@@ -82,7 +82,7 @@
 
     def send_missing(self, watch: Watch) -> bool:
         """Send a watch the changes it lacks; False if there are none."""
-        missing = self.history.after(watch.position)
+        missing = self.history.chunks_after(watch.position)
         if not missing:
             return False
         watch.position = self.history.index
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -48,7 +48,7 @@
         add_document(history, Document(index, 1, dict(entries)))
         assert (history.index, history.document.entries) == (index, entries)
         assert history.digests[index] == history.document.digest()
-        assert (step == 1) == (history.after(index - 1) is not history.snapshot())
+        assert (step == 1) == (history.chunks_after(index - 1) is not history.snapshot())
 
 
 def test_changes_between_documents_are_ordered_by_name() -> None:
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -69,12 +69,12 @@
 def test_the_changes_after_any_version_lead_to_the_newest_one(count: int, start: int, kept: int) -> None:
     history = history_of(count, max_lines=kept)
     follower = history_of(min(start, count)).document
-    for line in lines_of(history.after(start)):
+    for line in lines_of(history.chunks_after(start)):
         follower.load(decode_line(line))
     assert follower.index == count
     assert follower.digest() == history.document.digest()
     if start >= count:
-        assert not history.after(start), "a watch never receives an older version"
+        assert not history.chunks_after(start), "a watch never receives an older version"
 
 
 def test_a_line_is_encoded_once_and_a_version_too_old_gets_a_snapshot() -> None:
@@ -82,23 +82,23 @@
     history.append(Version(1, 1, (Change("settings", {"long": "x" * 1000}),)))
     for index in range(2, 6):
         history.append(version(index))
-    assert history.after(4) is history.after(4)
-    assert history.after(0) is history.snapshot() is history.after(2)
+    assert history.chunks_after(4) is history.chunks_after(4)
+    assert history.chunks_after(0) is history.snapshot() is history.chunks_after(2)
     assert len(history.digests) == 2
-    assert [decode_line(line).index for line in lines_of(history.after(3))] == [4, 5]
+    assert [decode_line(line).index for line in lines_of(history.chunks_after(3))] == [4, 5]
 
 
 def test_a_snapshot_is_sent_where_it_is_shorter_than_the_changes() -> None:
     history = history_of(30)
-    assert history.after(1) is history.snapshot()
+    assert history.chunks_after(1) is history.snapshot()
 
 
 def test_the_lines_kept_are_bounded_in_bytes() -> None:
     history = History(max_bytes=1000)
     for index in range(1, 20):
         history.append(version(index, "x" * 200))
-    assert lines_of(history.after(18))
-    assert history.after(10) is history.snapshot()
+    assert lines_of(history.chunks_after(18))
+    assert history.chunks_after(10) is history.snapshot()
 
 
 def test_a_version_out_of_order_is_refused_and_an_older_document_ignored() -> None:
@@ -109,13 +109,13 @@
     assert history.index == 3 and history.document.entries
     history.replace(Document(9, 2, {"services.a": {}}))
     assert history.index == 9
-    assert history.after(3) is history.snapshot()
+    assert history.chunks_after(3) is history.snapshot()
 
 
 def test_a_watch_without_a_version_always_gets_a_snapshot() -> None:
     for count in (0, 1, 5):
         history = history_of(count)
-        assert history.after(NO_VERSION) is history.snapshot()
+        assert history.chunks_after(NO_VERSION) is history.snapshot()
         assert decode_line(lines_of(history.snapshot())[0]).snapshot
 
 
@@ -165,7 +165,7 @@
         open_watch(watchers, channel, f"n{number}", 1)
     history.append(version(2))
     watchers.publish()
-    assert {id(channel.writes[-1]) for channel in channels} == {id(history.after(1))}
+    assert {id(channel.writes[-1]) for channel in channels} == {id(history.chunks_after(1))}
 
 
 def test_a_watch_ahead_of_the_instance_gets_only_heartbeats_until_it_has_caught_up() -> None:
@@ -199,7 +199,7 @@
     assert len(channel.writes) == 1, "nothing is written while bytes are unsent"
     channel.reads, channel.unsent_bytes = True, 0
     watchers.drained(watch)
-    assert channel.writes[1] == history.after(2)
+    assert channel.writes[1] == history.chunks_after(2)
 
 
 def test_a_watch_that_reads_nothing_is_closed_and_the_others_continue() -> None:
