--- a/millgw/configuration/reports.py
+++ b/millgw/configuration/reports.py
@@ -102,7 +102,7 @@
         self.forget_after = forget_after
         self.sidecars: dict[str, Sidecar] = {}
 
-    def take(self, now: float, report: Report) -> None:
+    def record(self, now: float, report: Report) -> None:
         """Record a report, replacing the sidecar's previous one."""
         sidecar = self._sidecar(now, report.name)
         sidecar.last_seen = now
--- a/millgw/configuration/service.py
+++ b/millgw/configuration/service.py
@@ -182,7 +182,7 @@
     def _report(self, request: Request, connection: Connection) -> None:
         report = decode_report(request.body)
         try:
-            self.reports.take(self.clock(), report)
+            self.reports.record(self.clock(), report)
         except ReportsFullError as error:
             connection.reply(error_response(503, str(error)))
             return
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -253,10 +253,10 @@
 def test_a_summary_counts_who_applied_who_refused_and_who_is_behind() -> None:
     reports = Reports()
     for number in range(10):
-        reports.take(0.0, applied(f"n{number}", 42))
+        reports.record(0.0, applied(f"n{number}", 42))
     for number in range(8):
-        reports.take(1.0, applied(f"n{number}", 43))
-    reports.take(1.0, Report("n8", 43, "d", Status.REFUSED, "limits.tryLimit: over 9"))
+        reports.record(1.0, applied(f"n{number}", 43))
+    reports.record(1.0, Report("n8", 43, "d", Status.REFUSED, "limits.tryLimit: over 9"))
     reports.watch_opened(1.0, "silent")
     summary = summarize(reports.sidecars.values(), 43, {42: "d", 43: "d"})
     assert (summary.applied, summary.refused, summary.behind, summary.diverged) == (8, 1, 2, 0)
@@ -269,34 +269,34 @@
 def test_a_refusal_is_kept_after_the_next_version_is_applied() -> None:
     """The next version may follow at once, and a status read after it must still show the refusal."""
     reports = Reports()
-    reports.take(0.0, Report("n", 43, "d", Status.REFUSED, "limits.tryLimit: over 9"))
-    reports.take(0.1, applied("n", 44))
+    reports.record(0.0, Report("n", 43, "d", Status.REFUSED, "limits.tryLimit: over 9"))
+    reports.record(0.1, applied("n", 44))
     sidecar = reports.sidecars["n"]
     assert (sidecar.applied, sidecar.refused, sidecar.cause) == (44, 43, "limits.tryLimit: over 9")
     summary = summarize(reports.sidecars.values(), 44, {44: "d"})
     assert (summary.applied, summary.refused, summary.refusals) == (1, 0, []), "it applied the newest"
-    reports.take(0.2, applied("n", 42))
+    reports.record(0.2, applied("n", 42))
     assert sidecar.refused == 0, "a process that has not received the version yet has not refused it"
 
 
 def test_a_different_digest_of_the_same_version_counts_as_diverged() -> None:
     reports = Reports()
-    reports.take(0.0, applied("n", 43, "other"))
+    reports.record(0.0, applied("n", 43, "other"))
     assert summarize(reports.sidecars.values(), 43, {43: "d"}).diverged == 1
     assert summarize(reports.sidecars.values(), 43, {44: "d"}).diverged == 0, "the digest is no longer known"
 
 
 def test_the_newest_report_counts_even_if_its_version_is_older() -> None:
     reports = Reports()
-    reports.take(0.0, applied("n", 43))
-    reports.take(1.0, applied("n", 42))
+    reports.record(0.0, applied("n", 43))
+    reports.record(1.0, applied("n", 42))
     assert summarize(reports.sidecars.values(), 43, {}).behind == 1
 
 
 def test_a_sidecar_is_forgotten_after_its_watch_was_closed_for_long_enough() -> None:
     reports = Reports()
     reports.watch_opened(0.0, "n")
-    reports.take(0.0, applied("n", 1))
+    reports.record(0.0, applied("n", 1))
     reports.forget_old(10 * FORGET_AFTER)
     assert reports.sidecars, "its watch is open"
     reports.watch_opened(10 * FORGET_AFTER, "n")  # the new watch opens before the old one is closed
@@ -312,14 +312,14 @@
 
 def test_reports_are_bounded_in_number_and_length() -> None:
     reports = Reports(max_sidecars=2)
-    reports.take(0.0, applied("a", 1))
-    reports.take(0.0, Report("b", 1, "", Status.REFUSED, "x" * 5000))
+    reports.record(0.0, applied("a", 1))
+    reports.record(0.0, Report("b", 1, "", Status.REFUSED, "x" * 5000))
     assert len(reports.sidecars["b"].cause) == MAX_CAUSE_LENGTH
     with pytest.raises(ReportsFullError):
-        reports.take(1.0, applied("c", 1))
+        reports.record(1.0, applied("c", 1))
     reports.watch_opened(1.0, "c")
     assert len(reports.sidecars) == 2
-    reports.take(FORGET_AFTER + 1, applied("c", 1))
+    reports.record(FORGET_AFTER + 1, applied("c", 1))
     assert set(reports.sidecars) == {"c"}, "sidecars without a watch for long enough are removed"
 
 
