--- a/millgw/configuration/control_client.py
+++ b/millgw/configuration/control_client.py
@@ -12,7 +12,7 @@
 
 from millgw.configuration.document import Change, DocumentError, WatchLine, decode_count, decode_line
 from millgw.configuration.messages import MAX_DOCUMENT
-from millgw.configuration.reports import Sidecar, Summary, decode_sidecar, merge, summarize
+from millgw.configuration.reports import Sidecar, Summary, decode_sidecar, merge_sidecars, summarize
 from millgw.platform.config import Address, read_address
 from millgw.top.door import Trouble, ask
 
@@ -199,7 +199,7 @@
     def summary(self, index: int) -> Summary:
         """Count the sidecars at which a version is in force."""
         digests = {instance.committed: instance.digest for instance in self.instances}
-        sidecars = merge(instance.sidecars for instance in self.instances)
+        sidecars = merge_sidecars(instance.sidecars for instance in self.instances)
         return summarize(sidecars, index, digests)
 
     def split_versions(self) -> list[int]:
--- a/millgw/configuration/reports.py
+++ b/millgw/configuration/reports.py
@@ -170,7 +170,7 @@
     return summary
 
 
-def merge(instances: Iterable[Iterable[Sidecar]]) -> list[Sidecar]:
+def merge_sidecars(instances: Iterable[Iterable[Sidecar]]) -> list[Sidecar]:
     """Merge the sidecars known to several instances, one entry each: where it watches, else was last seen.
 
     All `last_seen` must be times of the same clock.
--- a/millgw/rehearsal/configuration_looks.py
+++ b/millgw/rehearsal/configuration_looks.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from millgw.configuration.reports import merge
+from millgw.configuration.reports import merge_sidecars
 from millgw.rehearsal.control_instances import ControlInstances
 from millgw.rehearsal.sidecars import Sidecar
 from millgw.standins.configuration_ledger import VersionLook, VersionReport
@@ -60,7 +60,7 @@
 
     async def _control(self) -> None:
         status = await self.control.status()
-        for sidecar in merge(instance.sidecars for instance in status.instances):
+        for sidecar in merge_sidecars(instance.sidecars for instance in status.instances):
             seen = (sidecar.applied, sidecar.refused)
             if self.reported.get(sidecar.name) != seen:
                 self.reported[sidecar.name] = seen
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -23,7 +23,7 @@
     decode_report,
     decode_sidecar,
     encode_sidecar,
-    merge,
+    merge_sidecars,
     summarize,
 )
 from millgw.configuration.request_reader import BadRequestError, Request, RequestReader
@@ -333,7 +333,7 @@
     moved = [Sidecar("n", 5.0, watches=0, applied=42), Sidecar("m", 5.0, applied=42)]
     now = [Sidecar("n", 1.0, watches=1, applied=43), Sidecar("m", 4.0, applied=41)]
     for order in ((moved, now), (now, moved)):
-        merged = {sidecar.name: sidecar.applied for sidecar in merge(order)}
+        merged = {sidecar.name: sidecar.applied for sidecar in merge_sidecars(order)}
         assert merged == {"n": 43, "m": 42}
 
 
