--- a/millgw/configuration/reports.py
+++ b/millgw/configuration/reports.py
@@ -17,7 +17,7 @@
 MAX_SIDECARS = 4096
 MAX_SIDECAR_NAME = 128  # characters
 MAX_REFUSALS = 20  # listed in a summary
-FORGET_AFTER = 300.0  # s without a watch and without a report
+FORGET_AFTER_S = 300.0  # s without a watch and without a report
 
 
 class ReportsFullError(Exception):
@@ -97,7 +97,7 @@
 class Reports:
     """The newest report of each sidecar. Times are in s of any monotonic clock."""
 
-    def __init__(self, max_sidecars: int = MAX_SIDECARS, forget_after: float = FORGET_AFTER) -> None:
+    def __init__(self, max_sidecars: int = MAX_SIDECARS, forget_after: float = FORGET_AFTER_S) -> None:
         self.max_sidecars = max_sidecars
         self.forget_after = forget_after
         self.sidecars: dict[str, Sidecar] = {}
--- a/tests/test_configuration_watches.py
+++ b/tests/test_configuration_watches.py
@@ -14,7 +14,7 @@
 from millgw.configuration.follower import MAX_CAUSE_LENGTH, Status
 from millgw.configuration.history import NO_VERSION, History
 from millgw.configuration.reports import (
-    FORGET_AFTER,
+    FORGET_AFTER_S,
     MAX_REFUSALS,
     Report,
     Reports,
@@ -297,16 +297,16 @@
     reports = Reports()
     reports.watch_opened(0.0, "n")
     reports.record(0.0, applied("n", 1))
-    reports.forget_old(10 * FORGET_AFTER)
+    reports.forget_old(10 * FORGET_AFTER_S)
     assert reports.sidecars, "its watch is open"
-    reports.watch_opened(10 * FORGET_AFTER, "n")  # the new watch opens before the old one is closed
-    reports.watch_closed(10 * FORGET_AFTER, "n")
-    reports.forget_old(30 * FORGET_AFTER)
+    reports.watch_opened(10 * FORGET_AFTER_S, "n")  # the new watch opens before the old one is closed
+    reports.watch_closed(10 * FORGET_AFTER_S, "n")
+    reports.forget_old(30 * FORGET_AFTER_S)
     assert reports.sidecars
-    reports.watch_closed(30 * FORGET_AFTER, "n")
-    reports.forget_old(31 * FORGET_AFTER - 1)
+    reports.watch_closed(30 * FORGET_AFTER_S, "n")
+    reports.forget_old(31 * FORGET_AFTER_S - 1)
     assert reports.sidecars
-    reports.forget_old(31 * FORGET_AFTER)
+    reports.forget_old(31 * FORGET_AFTER_S)
     assert not reports.sidecars
 
 
@@ -319,7 +319,7 @@
         reports.record(1.0, applied("c", 1))
     reports.watch_opened(1.0, "c")
     assert len(reports.sidecars) == 2
-    reports.record(FORGET_AFTER + 1, applied("c", 1))
+    reports.record(FORGET_AFTER_S + 1, applied("c", 1))
     assert set(reports.sidecars) == {"c"}, "sidecars without a watch for long enough are removed"
 
 
