--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -35,7 +35,7 @@
         self.state = State()
         self.error: OSError | None = None
 
-    def reopened(self) -> MemoryState:
+    def after_restart(self) -> MemoryState:
         """The state that a restarted instance finds."""
         restarted = MemoryState()
         restarted.state = State(
@@ -114,7 +114,7 @@
         """Restart an instance with its durable state."""
         state = self.states[name]
         assert isinstance(state, MemoryState)
-        self.states[name] = state.reopened()
+        self.states[name] = state.after_restart()
         return await self.start(name)
 
     async def leader(self, among: Iterable[str] = ()) -> Instance:
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -328,7 +328,7 @@
             name = next(other for other in cluster.voters if other != leader.options.name)
             state = cluster.states[name]
             assert isinstance(state, MemoryState)
-            older = state.reopened()
+            older = state.after_restart()
             for number in range(3):
                 await propose_until_committed(cluster, "e", {"n": number}, [])
             await cluster.committed(3)
