--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -66,7 +66,7 @@
     def __init__(self) -> None:
         self.partitions: list[frozenset[str]] = []
 
-    def part(self, *partitions: Iterable[str]) -> None:
+    def partition(self, *partitions: Iterable[str]) -> None:
         """Split the network into partitions."""
         self.partitions = [frozenset(part) for part in partitions]
 
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -62,7 +62,7 @@
     ended = [name for name in names if name not in cluster.running]
     match rng.choice(("part", "part", "join", "end", "start", "start")):
         case "part":
-            cluster.network.part(*random_partition(rng, names))
+            cluster.network.partition(*random_partition(rng, names))
         case "join":
             cluster.network.join()
         case "end" if len(ended) < 2:
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -179,7 +179,7 @@
         name = leader.options.name
         log = leader.replica.log
         before = log.last_index
-        cluster.network.part([name], [other for other in cluster.voters if other != name])
+        cluster.network.partition([name], [other for other in cluster.voters if other != name])
         out = asyncio.create_task(propose(address_of(leader), "out", {"n": 2}))
         while not out.done() and log.last_index == before:
             await asyncio.sleep(0.005)
@@ -219,7 +219,7 @@
             await cluster.committed(1)
             (watcher,) = await open_watchers([address_of(old)], 1)
             await wait_until(lambda: watcher.index == 1)
-            cluster.network.part([name], rest)
+            cluster.network.partition([name], rest)
             await wait_until(lambda: not old.view().quorum)
             refused = await propose(address_of(old), "lost", {"n": 2})
             assert refused == Answer(503, {"cause": "no quorum"})
@@ -271,7 +271,7 @@
             small, large = [name, others[0]], others[1:]
             out = [asyncio.create_task(propose(address_of(leader), "out", {"n": n})) for n in range(3)]
             await wait_until(lambda: leader.replica.log.last_index > 1)
-            cluster.network.part(small, large)
+            cluster.network.partition(small, large)
             committed = [await propose_until_committed(cluster, f"e{n}", {"n": n}, large) for n in (1, 2)]
             answers = await asyncio.gather(*out)
             for answer in answers:
