--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -70,7 +70,7 @@
         """Split the network into partitions."""
         self.partitions = [frozenset(part) for part in partitions]
 
-    def join(self) -> None:
+    def heal(self) -> None:
         """Remove all partitions."""
         self.partitions = []
 
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -64,7 +64,7 @@
         case "part":
             cluster.network.partition(*random_partition(rng, names))
         case "join":
-            cluster.network.join()
+            cluster.network.heal()
         case "end" if len(ended) < 2:
             cluster.stop(rng.choice(sorted(cluster.running)))
         case "start" if ended:
@@ -100,7 +100,7 @@
             end = time.monotonic() + FAULT_DURATION
             while time.monotonic() < end:
                 await inject_fault(rng, cluster)
-            cluster.network.join()
+            cluster.network.heal()
             for name in cluster.voters:
                 if name not in cluster.running:
                     await cluster.restart(name)
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -157,7 +157,7 @@
             cluster.stop(killed)
             with suppress(Exception):  # its connection closes without a response: the outcome is unknown
                 assert (await out).status == 504
-            cluster.network.join()
+            cluster.network.heal()
             index = await propose_until_committed(cluster, "after", {"n": 3}, rest)
             assert index == 2, "the version that no majority had is lost"
             await cluster.restart(killed)
@@ -174,7 +174,7 @@
 async def _propose_to_partitioned_leader(cluster: Cluster) -> tuple[Instance, asyncio.Task[Answer]]:
     """A partitioned leader that has a proposal in its log, and the call that waits for the outcome."""
     while True:
-        cluster.network.join()
+        cluster.network.heal()
         leader = await cluster.leader()
         name = leader.options.name
         log = leader.replica.log
@@ -229,7 +229,7 @@
             heard = watcher.heartbeats
             await wait_until(lambda: watcher.heartbeats > heard)
             assert watcher.index == 1 and not (await status_of(old))["quorum"]
-            cluster.network.join()
+            cluster.network.heal()
             await wait_until(lambda: watcher.index == 2)
             assert watcher.document.entries == {"a": {"n": 1}, "b": {"n": 3}}
 
@@ -279,7 +279,7 @@
             lone = [watcher for n, watcher in enumerate(watchers) if n % 5 in _positions(cluster, small)]
             most = max(cluster.running[other].service.history.index for other in small)
             assert all(watcher.index <= most for watcher in lone)
-            cluster.network.join()
+            cluster.network.heal()
             await cluster.committed(committed[-1])
             await wait_until(lambda: all(watcher.index == committed[-1] for watcher in watchers))
             assert len(document_states(cluster)) == 1
