--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -25,7 +25,7 @@
     400.0,
     (500.0, 1000.0),
 )  # ms: short, but far longer than one iteration of the event loop
-ANSWER_TIME = 15.0  # s for a response, far more than one takes
+RESPONSE_TIMEOUT_S = 15.0  # s for a response, far more than one takes
 
 
 class MemoryState:
@@ -155,7 +155,7 @@
 async def call(address: Address, method: str, path: str, body: object = None) -> Answer:
     """Send one HTTP request with a JSON body."""
     data = b"" if body is None else json.dumps(body).encode()
-    status, answer = await ask(address, path, ANSWER_TIME, method, data)
+    status, answer = await ask(address, path, RESPONSE_TIMEOUT_S, method, data)
     return Answer(status, json.loads(answer) if answer else {})
 
 
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -23,7 +23,7 @@
 from millgw.configuration.server import connection_limit
 from millgw.platform.config import Address
 from tests.configuration_rig import (
-    ANSWER_TIME,
+    RESPONSE_TIMEOUT_S,
     Answer,
     Cluster,
     MemoryState,
@@ -496,7 +496,7 @@
             await wait_until(lambda: all(client.follower.pending_report is None for client in clients))
 
             async def counts() -> tuple[int, int, int]:
-                fleet = await fetch_status(list(cluster.voters.values()), ANSWER_TIME)
+                fleet = await fetch_status(list(cluster.voters.values()), RESPONSE_TIMEOUT_S)
                 summary = fleet.summary(fleet.committed)
                 return summary.applied, summary.refused, summary.behind
 
