--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -145,21 +145,21 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """Status and JSON fields of a response."""
 
     status: int
     fields: dict[str, Any]
 
 
-async def call(address: Address, method: str, path: str, body: object = None) -> Answer:
+async def call(address: Address, method: str, path: str, body: object = None) -> Response:
     """Send one HTTP request with a JSON body."""
     data = b"" if body is None else json.dumps(body).encode()
     status, answer = await ask(address, path, RESPONSE_TIMEOUT_S, method, data)
-    return Answer(status, json.loads(answer) if answer else {})
+    return Response(status, json.loads(answer) if answer else {})
 
 
-async def propose(address: Address, name: str, value: object, **more: object) -> Answer:
+async def propose(address: Address, name: str, value: object, **more: object) -> Response:
     """Propose a version that sets one entry."""
     body = {"changes": [{"name": name, "value": value}], "author": "a", "reason": "r", **more}
     return await call(address, "POST", "/v1/configuration", body)
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -24,9 +24,9 @@
 from millgw.platform.config import Address
 from tests.configuration_rig import (
     RESPONSE_TIMEOUT_S,
-    Answer,
     Cluster,
     MemoryState,
+    Response,
     Watcher,
     address_of,
     call,
@@ -112,7 +112,7 @@
             await wait_until(lambda: all(other.view().leader for other in others))
             for other in others:
                 answer = await propose(address_of(other), "b", {})
-                assert answer == Answer(421, {"leader": str(address_of(leader))})
+                assert answer == Response(421, {"leader": str(address_of(leader))})
             conflict = await propose(address_of(leader), "b", {}, if_index=0)
             assert (conflict.status, conflict.fields["index"]) == (409, 1)
             assert (await propose(address_of(leader), "b", {}, if_index=1)).fields["index"] == 2
@@ -171,7 +171,7 @@
     run(test)
 
 
-async def _propose_to_partitioned_leader(cluster: Cluster) -> tuple[Instance, asyncio.Task[Answer]]:
+async def _propose_to_partitioned_leader(cluster: Cluster) -> tuple[Instance, asyncio.Task[Response]]:
     """A partitioned leader that has a proposal in its log, and the call that waits for the outcome."""
     while True:
         cluster.network.heal()
@@ -222,10 +222,10 @@
             cluster.network.partition([name], rest)
             await wait_until(lambda: not old.view().quorum)
             refused = await propose(address_of(old), "lost", {"n": 2})
-            assert refused == Answer(503, {"cause": "no quorum"})
+            assert refused == Response(503, {"cause": "no quorum"})
             assert await propose_until_committed(cluster, "b", {"n": 3}, rest) == 2
             refused = await propose(address_of(old), "lost", {"n": 2})
-            assert refused == Answer(503, {"cause": "no quorum"})
+            assert refused == Response(503, {"cause": "no quorum"})
             heard = watcher.heartbeats
             await wait_until(lambda: watcher.heartbeats > heard)
             assert watcher.index == 1 and not (await status_of(old))["quorum"]
@@ -246,7 +246,7 @@
             cluster.stop("c3")
             alone = cluster.running["c1"]
             await wait_until(lambda: not alone.view().quorum)
-            assert await propose(address_of(alone), "b", {}) == Answer(503, {"cause": "no quorum"})
+            assert await propose(address_of(alone), "b", {}) == Response(503, {"cause": "no quorum"})
             (fresh,) = await open_watchers([address_of(alone)], 1)
             heard = before.heartbeats
             await wait_until(lambda: fresh.index == 1 and before.heartbeats > heard)
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -15,7 +15,7 @@
 from millgw.configuration.relay import Relay, add_document, changes_between
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
-from tests.configuration_rig import Answer, Cluster, Watcher, address_of, call, propose
+from tests.configuration_rig import Cluster, Response, Watcher, address_of, call, propose
 from tests.kinds import pure_run_only
 from tests.rig import run, wait_until
 
@@ -77,7 +77,7 @@
             assert status["in_force"]["applied"] == 1
             followed = status["leader"]
             assert followed in map(str, cluster.voters.values())
-            assert await propose(address, "c", {}) == Answer(421, {"leader": followed})
+            assert await propose(address, "c", {}) == Response(421, {"leader": followed})
             assert (await call(address, "POST", "/v1/replica?from=c1", {})).status == 404
             relay.stop()
 
@@ -100,7 +100,7 @@
             for name in list(cluster.running):
                 cluster.stop(name)
             await wait_until(lambda: not relay.view().quorum)
-            assert await propose(address, "c", {}) == Answer(421, {"leader": None})
+            assert await propose(address, "c", {}) == Response(421, {"leader": None})
             await wait_until(
                 lambda: relay.client.last_good is not None and relay.client.last_good.write_task is None
             )
