--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -152,7 +152,7 @@
     fields: dict[str, Any]
 
 
-async def call(address: Address, method: str, path: str, body: object = None) -> Response:
+async def send_request(address: Address, method: str, path: str, body: object = None) -> Response:
     """Send one HTTP request with a JSON body."""
     data = b"" if body is None else json.dumps(body).encode()
     status, answer = await ask(address, path, RESPONSE_TIMEOUT_S, method, data)
@@ -162,7 +162,7 @@
 async def propose(address: Address, name: str, value: object, **more: object) -> Response:
     """Propose a version that sets one entry."""
     body = {"changes": [{"name": name, "value": value}], "author": "a", "reason": "r", **more}
-    return await call(address, "POST", "/v1/configuration", body)
+    return await send_request(address, "POST", "/v1/configuration", body)
 
 
 class Watcher(asyncio.Protocol):
--- a/tests/test_configuration_command.py
+++ b/tests/test_configuration_command.py
@@ -32,7 +32,7 @@
 from millgw.configuration.reports import Sidecar
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
-from tests.configuration_rig import call
+from tests.configuration_rig import send_request
 from tests.kinds import pure_run_only
 from tests.rig import TEST_TIMEOUT
 
@@ -132,7 +132,7 @@
     address: Address, name: str, index: int, digest: str, status: str = "applied", cause: str = ""
 ) -> None:
     body = {"name": name, "index": index, "digest": digest, "status": status, "cause": cause}
-    answer = asyncio.run(call(address, "POST", "/v1/configuration/reports", body))
+    answer = asyncio.run(send_request(address, "POST", "/v1/configuration/reports", body))
     assert answer.status == 204
 
 
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -29,8 +29,8 @@
     Response,
     Watcher,
     address_of,
-    call,
     propose,
+    send_request,
 )
 from tests.kinds import pure_run_only
 from tests.rig import run, wait_until
@@ -52,7 +52,7 @@
 
 async def status_of(instance: Instance | Address, query: str = "") -> dict[str, Any]:
     address = address_of(instance) if isinstance(instance, Instance) else instance
-    answer = await call(address, "GET", f"/v1/configuration/status{query}")
+    answer = await send_request(address, "GET", f"/v1/configuration/status{query}")
     assert answer.status == 200
     return answer.fields
 
@@ -94,7 +94,7 @@
             await wait_until(lambda: all(watcher.index == 1 for watcher in watchers))
             assert all(watcher.document.entries == {"services.login": value} for watcher in watchers)
             await cluster.committed(1)
-            whole = await call(cluster.voters["c1"], "GET", "/v1/configuration")
+            whole = await send_request(cluster.voters["c1"], "GET", "/v1/configuration")
             assert whole.fields["entries"] == [{"name": "services.login", "value": value}]
             removed = await propose(address_of(leader), "services.login", None, if_index=1)
             assert removed.fields["index"] == 2
@@ -446,7 +446,7 @@
             async def report(number: int, refuses: bool) -> None:
                 body = {"name": f"n{number}", "index": 1, "digest": watchers[number].lines[-1].digest}
                 body |= {"status": "refused", "cause": "a.n: over 0"} if refuses else {"status": "applied"}
-                answer = await call(addresses[number % 3], "POST", "/v1/configuration/reports", body)
+                answer = await send_request(addresses[number % 3], "POST", "/v1/configuration/reports", body)
                 assert answer.status == 204
 
             await asyncio.gather(*(report(number, number % 10 == 0) for number in range(59)))
@@ -617,7 +617,7 @@
     async def test() -> None:
         async with Cluster(1) as cluster:
             await cluster.leader()
-            answer = await call(cluster.voters["c1"], method, path, body)
+            answer = await send_request(cluster.voters["c1"], method, path, body)
             assert answer.status == status
             assert status == 405 or answer.fields["cause"]
             assert cluster.running["c1"].service.history.index == 0
@@ -632,7 +632,9 @@
             bodies: list[object] = [{}, [], {"kind": "vote"}, {"kind": "append", "epoch": 10**30}]
             for body in bodies:
                 for sender in cluster.voters:
-                    answer = await call(address_of(leader), "POST", f"/v1/replica?from={sender}", body)
+                    answer = await send_request(
+                        address_of(leader), "POST", f"/v1/replica?from={sender}", body
+                    )
                     assert answer.status in (400, 404)
             assert await propose_until_committed(cluster, "a", {"n": 1}, []) == 1
 
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -15,7 +15,7 @@
 from millgw.configuration.relay import Relay, add_document, changes_between
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
-from tests.configuration_rig import Cluster, Response, Watcher, address_of, call, propose
+from tests.configuration_rig import Cluster, Response, Watcher, address_of, propose, send_request
 from tests.kinds import pure_run_only
 from tests.rig import run, wait_until
 
@@ -71,14 +71,14 @@
             assert not watcher.lines[-1].snapshot, "a single version is sent as changes"
             assert watcher.document.entries == {"a": {"n": 1}, "b": {"n": 2}}
             report = {"name": "n1", "index": 2, "digest": watcher.lines[-1].digest, "status": "applied"}
-            assert (await call(address, "POST", "/v1/configuration/reports", report)).status == 204
-            status = (await call(address, "GET", "/v1/configuration/status")).fields
+            assert (await send_request(address, "POST", "/v1/configuration/reports", report)).status == 204
+            status = (await send_request(address, "GET", "/v1/configuration/status")).fields
             assert (status["role"], status["committed"], status["quorum"]) == ("relay", 2, True)
             assert status["in_force"]["applied"] == 1
             followed = status["leader"]
             assert followed in map(str, cluster.voters.values())
             assert await propose(address, "c", {}) == Response(421, {"leader": followed})
-            assert (await call(address, "POST", "/v1/replica?from=c1", {})).status == 404
+            assert (await send_request(address, "POST", "/v1/replica?from=c1", {})).status == 404
             relay.stop()
 
     run(test)
