--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -133,7 +133,7 @@
         await wait_until(elected)
         return found[0]
 
-    async def committed(self, index: int, among: Iterable[str] = ()) -> None:
+    async def wait_committed(self, index: int, among: Iterable[str] = ()) -> None:
         """Wait until a version is committed at all running instances, or at those in `among`."""
         names = set(among) or set(self.running)
         await wait_until(lambda: all(self.running[name].service.history.index >= index for name in names))
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -93,7 +93,7 @@
             assert (done.status, done.fields["index"]) == (200, 1)
             await wait_until(lambda: all(watcher.index == 1 for watcher in watchers))
             assert all(watcher.document.entries == {"services.login": value} for watcher in watchers)
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             whole = await send_request(cluster.voters["c1"], "GET", "/v1/configuration")
             assert whole.fields["entries"] == [{"name": "services.login", "value": value}]
             removed = await propose(address_of(leader), "services.login", None, if_index=1)
@@ -149,7 +149,7 @@
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "before", {"n": 1}, [])
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             leader, out = await _propose_to_partitioned_leader(cluster)
             killed = leader.options.name
             rest = [name for name in cluster.voters if name != killed]
@@ -161,7 +161,7 @@
             index = await propose_until_committed(cluster, "after", {"n": 3}, rest)
             assert index == 2, "the version that no majority had is lost"
             await cluster.restart(killed)
-            await cluster.committed(2)
+            await cluster.wait_committed(2)
             await wait_until(lambda: all(watcher.index == 2 for watcher in watchers))
             assert len(document_states(cluster)) == 1
             assert [line.index for line in watchers[0].lines] == [1, 2]
@@ -193,7 +193,7 @@
             leader = await cluster.leader()
             name = leader.options.name
             rest = [other for other in cluster.voters if other != name]
-            await cluster.committed(0)
+            await cluster.wait_committed(0)
             out = asyncio.create_task(propose(address_of(leader), "out", {"n": 1}))
             held = [cluster.running[other].replica.log for other in rest]
             await wait_until(lambda: any(log.last_index == 1 for log in held))
@@ -202,7 +202,7 @@
                 assert (await out).status in (200, 504)
             index = await propose_until_committed(cluster, "after", {"n": 2}, rest)
             assert index == 2
-            await cluster.committed(2)
+            await cluster.wait_committed(2)
             entries = cluster.running[rest[0]].service.history.document.entries
             assert entries == {"out": {"n": 1}, "after": {"n": 2}}
 
@@ -216,7 +216,7 @@
             name = old.options.name
             rest = [other for other in cluster.voters if other != name]
             await propose_until_committed(cluster, "a", {"n": 1}, [])
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             (watcher,) = await open_watchers([address_of(old)], 1)
             await wait_until(lambda: watcher.index == 1)
             cluster.network.partition([name], rest)
@@ -240,7 +240,7 @@
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "a", {"n": 1}, [])
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             (before,) = await open_watchers([cluster.voters["c1"]], 1)
             cluster.stop("c2")
             cluster.stop("c3")
@@ -264,7 +264,7 @@
         async with Cluster(5) as cluster:
             leader = await cluster.leader()
             await propose_until_committed(cluster, "e0", {"n": 0}, [])
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             watchers = await open_watchers(list(cluster.voters.values()), 10)
             name = leader.options.name
             others = [other for other in cluster.voters if other != name]
@@ -280,7 +280,7 @@
             most = max(cluster.running[other].service.history.index for other in small)
             assert all(watcher.index <= most for watcher in lone)
             cluster.network.heal()
-            await cluster.committed(committed[-1])
+            await cluster.wait_committed(committed[-1])
             await wait_until(lambda: all(watcher.index == committed[-1] for watcher in watchers))
             assert len(document_states(cluster)) == 1
             indexes = [line.index for line in watchers[0].lines]
@@ -304,14 +304,14 @@
             leader = await cluster.leader()
             name = next(other for other in cluster.voters if other != leader.options.name)
             await propose_until_committed(cluster, "e", {"n": -1}, [])
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             (watcher,) = await open_watchers([cluster.voters[name]], 1)
             await wait_until(lambda: watcher.index == 1)
             cluster.stop(name)
             for number in range(40):
                 await propose_until_committed(cluster, f"e{number % 3}", {"n": number}, [])
             back = await cluster.restart(name)
-            await cluster.committed(41)
+            await cluster.wait_committed(41)
             assert back.replica.log.snapshot.position > 8, "it received a snapshot"
             again = await Watcher("n0", document=watcher.document).open(cluster.voters[name])
             await wait_until(lambda: again.index == 41)
@@ -331,7 +331,7 @@
             older = state.after_restart()
             for number in range(3):
                 await propose_until_committed(cluster, "e", {"n": number}, [])
-            await cluster.committed(3)
+            await cluster.wait_committed(3)
             cluster.stop(name)
             cluster.states[name] = older
             back = await cluster.restart(name)
@@ -339,7 +339,7 @@
                 [cluster.voters[name]], 1, document=Document(3, 1, {"e": {"n": 2}})
             )
             assert await propose_until_committed(cluster, "e", {"n": 3}, []) == 4
-            await cluster.committed(4)
+            await cluster.wait_committed(4)
             await wait_until(lambda: bool(watcher.lines))
             assert watcher.lines[0].index == 4
             assert len(document_states(cluster)) == 1
@@ -356,14 +356,14 @@
             cluster.states[name] = DurableState.open([tmp_path / name], name, create=True)
         async with cluster:
             await propose_until_committed(cluster, "a", {"n": 1}, [])
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             cluster.stop("c1")
             last = max((tmp_path / "c1").glob("seg-*"))
             last.write_bytes(last.read_bytes() + b"\x40\x00\x00\x00half a record")
             await propose_until_committed(cluster, "b", {"n": 2}, [])
             cluster.states["c1"] = DurableState.open([tmp_path / "c1"], "c1")
             await cluster.start("c1")
-            await cluster.committed(2)
+            await cluster.wait_committed(2)
             assert len(document_states(cluster)) == 1
             cluster.stop("c1")
             for segment in (tmp_path / "c1").glob("seg-*"):
@@ -409,7 +409,7 @@
         async with Cluster(3) as cluster:
             for number in range(20):
                 await propose_until_committed(cluster, f"e{number % 5}", {"n": number}, [])
-            await cluster.committed(20)
+            await cluster.wait_committed(20)
             addresses = list(cluster.voters.values())
             begun = time.monotonic()
             watchers = await open_watchers(addresses, FLEET_SIZE)
@@ -438,7 +438,7 @@
     async def test() -> None:
         async with Cluster(3) as cluster:
             await propose_until_committed(cluster, "a", {"n": 1}, [])
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             addresses = list(cluster.voters.values())
             watchers = await open_watchers(addresses, 60)
             await wait_until(lambda: all(watcher.index == 1 for watcher in watchers))
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -89,7 +89,7 @@
         async with Cluster(3) as cluster:
             address = free_address()
             await commit_change(cluster, "a", {"n": 1})
-            await cluster.committed(1)
+            await cluster.wait_committed(1)
             relay = await start_relay(address, cluster, tmp_path)
             watcher = await Watcher("n1").open(address)
             await wait_until(lambda: watcher.index == 1)
