--- a/tests/configuration_rig.py
+++ b/tests/configuration_rig.py
@@ -117,7 +117,7 @@
         self.states[name] = state.after_restart()
         return await self.start(name)
 
-    async def leader(self, among: Iterable[str] = ()) -> Instance:
+    async def wait_leader(self, among: Iterable[str] = ()) -> Instance:
         """Wait for exactly one instance (of `among`) to lead with a quorum, and return it."""
         names = set(among) or set(self.voters)
         found: list[Instance] = []
--- a/tests/test_configuration_faults.py
+++ b/tests/test_configuration_faults.py
@@ -92,7 +92,7 @@
     async def test() -> None:
         rng = random.Random(seed)
         async with Cluster(5, keep=20) as cluster:
-            await cluster.leader()
+            await cluster.wait_leader()
             watchers = [await Watcher(f"n{n}").open(at) for n, at in enumerate(cluster.voters.values())]
             watching = asyncio.create_task(reopen_watches(cluster, rng, watchers))
             proposers = [Proposer(cluster, first, 2) for first in (0, 1)]
@@ -129,7 +129,7 @@
 
 async def _settled(cluster: Cluster) -> int:
     """Wait until all instances have the same committed version and log end; returns that version."""
-    leader = await cluster.leader()
+    leader = await cluster.wait_leader()
 
     def same() -> bool:
         histories = [instance.service.history for instance in cluster.running.values()]
--- a/tests/test_configuration_instance.py
+++ b/tests/test_configuration_instance.py
@@ -63,7 +63,7 @@
     Retries are safe: the accepted error statuses mean that the proposal was rejected without effect.
     """
     while True:
-        leader = await cluster.leader(among)
+        leader = await cluster.wait_leader(among)
         answer = await propose(address_of(leader), name, value)
         if answer.status == 200:
             index = answer.fields["index"]
@@ -86,7 +86,7 @@
 def test_a_version_reaches_the_watchers_of_every_instance(count: int) -> None:
     async def test() -> None:
         async with Cluster(count) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             watchers = await open_watchers(list(cluster.voters.values()), count)
             value = {"retry": {"maxAttempts": 2}}
             done = await propose(address_of(leader), "services.login", value)
@@ -106,7 +106,7 @@
 def test_only_the_leader_accepts_a_proposal_and_if_index_is_checked() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             await propose_until_committed(cluster, "a", {}, [])
             others = [instance for instance in cluster.running.values() if instance is not leader]
             await wait_until(lambda: all(other.view().leader for other in others))
@@ -123,7 +123,7 @@
 def test_a_watch_starts_immediately_with_the_changes_it_lacks() -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
-            await cluster.leader()
+            await cluster.wait_leader()
             for number in range(4):
                 await propose_until_committed(cluster, f"e{number}", {"n": "x" * 300}, [])
             fresh = await Watcher("fresh").open(cluster.voters["c1"])
@@ -175,7 +175,7 @@
     """A partitioned leader that has a proposal in its log, and the call that waits for the outcome."""
     while True:
         cluster.network.heal()
-        leader = await cluster.leader()
+        leader = await cluster.wait_leader()
         name = leader.options.name
         log = leader.replica.log
         before = log.last_index
@@ -190,7 +190,7 @@
 def test_a_proposal_replicated_before_its_leader_died_is_committed_once() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             name = leader.options.name
             rest = [other for other in cluster.voters if other != name]
             await cluster.wait_committed(0)
@@ -212,7 +212,7 @@
 def test_a_partitioned_leader_accepts_nothing_and_its_watchers_keep_their_version() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
-            old = await cluster.leader()
+            old = await cluster.wait_leader()
             name = old.options.name
             rest = [other for other in cluster.voters if other != name]
             await propose_until_committed(cluster, "a", {"n": 1}, [])
@@ -262,7 +262,7 @@
 def test_regions_agree_after_a_partition_during_a_proposal() -> None:
     async def test() -> None:
         async with Cluster(5) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             await propose_until_committed(cluster, "e0", {"n": 0}, [])
             await cluster.wait_committed(1)
             watchers = await open_watchers(list(cluster.voters.values()), 10)
@@ -301,7 +301,7 @@
 def test_a_follower_that_was_stopped_catches_up_by_a_snapshot() -> None:
     async def test() -> None:
         async with Cluster(3, keep=8) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             name = next(other for other in cluster.voters if other != leader.options.name)
             await propose_until_committed(cluster, "e", {"n": -1}, [])
             await cluster.wait_committed(1)
@@ -324,7 +324,7 @@
 def test_an_instance_restarted_with_older_state_catches_up_and_sends_no_watcher_older_versions() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             name = next(other for other in cluster.voters if other != leader.options.name)
             state = cluster.states[name]
             assert isinstance(state, MemoryState)
@@ -383,7 +383,7 @@
 def test_an_instance_whose_disk_fails_stops_and_the_others_continue() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             name = leader.options.name
             state = cluster.states[name]
             assert isinstance(state, MemoryState)
@@ -502,7 +502,7 @@
 
             while await counts() != (18, 2, 0):
                 await asyncio.sleep(0.05)
-            cluster.stop((await cluster.leader()).options.name)
+            cluster.stop((await cluster.wait_leader()).options.name)
             assert await propose_until_committed(cluster, "settings", {"n": 3}, list(cluster.running)) == 3
             await wait_until(lambda: all(target.entries["settings"]["n"] == 3 for target in targets))
             while await counts() != (20, 0, 0):
@@ -520,7 +520,7 @@
 
     async def test() -> None:
         async with Cluster(1) as cluster:
-            instance = await cluster.leader()
+            instance = await cluster.wait_leader()
             stuck = socket.socket()
             stuck.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             stuck.connect((address_of(instance).host, address_of(instance).port))
@@ -616,7 +616,7 @@
 ) -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
-            await cluster.leader()
+            await cluster.wait_leader()
             answer = await send_request(cluster.voters["c1"], method, path, body)
             assert answer.status == status
             assert status == 405 or answer.fields["cause"]
@@ -628,7 +628,7 @@
 def test_undecodable_messages_are_refused_without_effect() -> None:
     async def test() -> None:
         async with Cluster(3) as cluster:
-            leader = await cluster.leader()
+            leader = await cluster.wait_leader()
             bodies: list[object] = [{}, [], {"kind": "vote"}, {"kind": "append", "epoch": 10**30}]
             for body in bodies:
                 for sender in cluster.voters:
@@ -644,7 +644,7 @@
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
-            await cluster.leader()
+            await cluster.wait_leader()
             body = b'{"changes":[{"name":"a","value":{"n":1}}]}'
             post = b"POST /v1/configuration HTTP/1.1\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
             get = b"GET /v1/configuration HTTP/1.1\r\nHost: c\r\n\r\n"
@@ -669,7 +669,7 @@
 def test_connections_are_bounded() -> None:
     async def test() -> None:
         async with Cluster(1) as cluster:
-            instance = await cluster.leader()
+            instance = await cluster.wait_leader()
             instance.server.max_connections = 2
             held = await open_watchers([address_of(instance)], 2)
             await wait_until(lambda: all(watcher.heartbeats for watcher in held))
--- a/tests/test_configuration_relay.py
+++ b/tests/test_configuration_relay.py
@@ -31,7 +31,7 @@
 
 
 async def commit_change(cluster: Cluster, name: str, value: object) -> int:
-    answer = await propose(address_of(await cluster.leader()), name, value)
+    answer = await propose(address_of(await cluster.wait_leader()), name, value)
     assert answer.status == 200
     index = answer.fields["index"]
     assert isinstance(index, int)
