--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -98,7 +98,7 @@
                 f"l{time.time_ns():x}", "k", 0, "login", "", "", "n", 0.0, patience=4000.0, method="GET",
                 host="login.example.org",
             )  # fmt: skip
-            await desk.ask(call)
+            await desk.send_call(call)
             served = call.end is End.ANSWERED and call.status == 200
             return (time.perf_counter() - asked) * 1000 if served else None
 
--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -163,9 +163,9 @@
             patience=2000.0, method="GET" if CLASSES[cls] == "retryable" else "POST",
         )  # fmt: skip
         ledger.book(call)
-        await desk.ask(call)
+        await desk.send_call(call)
         if call.end is End.CROSSED:
-            await desk.ask(call, fresh=True)
+            await desk.send_call(call, fresh=True)
         if call.end is End.ANSWERED and call.status == 200:
             run.took.append(clock() - due)
         else:
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -192,12 +192,12 @@
     """Make a call; one that a close has crossed goes once more. Returns the last record of it."""
     call.sidecar = desk.name
     ledger.book(call)
-    await desk.ask(call)
+    await desk.send_call(call)
     if call.end is not End.CROSSED:
         return call
     again = copy(call, call.due, call.patience)
     ledger.book(again)
-    await desk.ask(again, fresh=True)
+    await desk.send_call(again, fresh=True)
     return again
 
 
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -213,7 +213,7 @@
         self.idle: list[ClientConnection] = []
         self.connections: set[ClientConnection] = set()
 
-    async def ask(self, call: Call, fresh: bool = False) -> None:
+    async def send_call(self, call: Call, fresh: bool = False) -> None:
         """Make a call and wait until it ends; the outcome is stored in `call`.
 
         `call.patience` (ms) counts from the last byte written. `fresh` forces a new connection, for a request
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -471,7 +471,7 @@
         endpoint = ScriptedEndpoint("e", answering(answer))
         await endpoint.start()
         client, request = Desk("n0", endpoint.address, Clock()), make_call()
-        await client.ask(request)
+        await client.send_call(request)
         assert (request.end, request.status) == (end, status) and request.sent is not None
 
     run(test)
@@ -487,7 +487,7 @@
         request = make_call(patience=5000.0)
         request.cls = "report"
         bench.ledger.book(request)
-        call_task = asyncio.create_task(client.ask(request))
+        call_task = asyncio.create_task(client.send_call(request))
         await wait_until(lambda: any(connection.answer_started for connection in client.connections))
         bench.endpoint.stop()
         await call_task
@@ -509,7 +509,7 @@
         self.call.cls = "report"
         self.bench.ledger.book(self.call)
         monkeypatch.setattr(self.client, "_wait_until_timeout", self._time_out)
-        self.call_task = asyncio.create_task(self.client.ask(self.call))
+        self.call_task = asyncio.create_task(self.client.send_call(self.call))
 
     async def _time_out(self, request: Call, _: asyncio.Future[None]) -> None:
         await wait_until(lambda: request.begun is not None)
@@ -559,16 +559,16 @@
         endpoint = ScriptedEndpoint("e", late)
         await endpoint.start()
         client, request = Desk("n0", endpoint.address, Clock()), make_call(100.0)
-        await client.ask(request)
+        await client.send_call(request)
         assert request.end is End.ANSWERED and request.sent is not None and request.answered is not None
         assert request.answered > request.sent + request.patience
         endpoint.script = answering(ok(b"x") + ok(b"x"))
         twice = make_call()
-        await client.ask(twice)
+        await client.send_call(twice)
         await wait_until(lambda: twice.extra > 0)
         endpoint.script = silent
         lost = make_call(50.0)
-        await client.ask(lost)
+        await client.send_call(lost)
         assert lost.end is End.LOST
 
     run(test)
@@ -581,12 +581,12 @@
         await endpoint.start()
         client = Desk("n0", endpoint.address, Clock())
         first, second, third = make_call(), make_call(), make_call()
-        await client.ask(first)
-        await client.ask(second)
-        await client.ask(third, fresh=True)
+        await client.send_call(first)
+        await client.send_call(second)
+        await client.send_call(third, fresh=True)
         assert [c.end for c in (first, second, third)] == [End.ANSWERED, End.CROSSED, End.ANSWERED]
         nobody = make_call()
-        await Desk("n0", free_address(), Clock()).ask(nobody)
+        await Desk("n0", free_address(), Clock()).send_call(nobody)
         assert nobody.end is End.NOT_TAKEN and not await ready(free_address())
 
     run(test)
