--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -139,4 +139,4 @@
 
     async def _open_idle_connections(self, fault: PlannedFault) -> None:
         """Open many connections at once that send no request at first, and are used later on."""
-        await self.targets.sidecars[fault.target].desk.hold(int(fault.size))
+        await self.targets.sidecars[fault.target].desk.open_idle(int(fault.size))
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -305,7 +305,7 @@
         self.connections.add(connection)
         return connection
 
-    async def hold(self, connections: int) -> None:
+    async def open_idle(self, connections: int) -> None:
         """Open idle connections, as a sudden crowd of clients does."""
         opened = await asyncio.gather(*(self._connect() for _ in range(connections)))
         self.idle.extend(
