--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -93,7 +93,7 @@
         try:
             await asyncio.sleep(CLIENT_DRAIN_LIMIT_S)
             seen.judged = self.targets.clock()
-            seen.idle, seen.lately = sidecar.desk.lately(RECENT_REQUEST_MS)
+            seen.idle, seen.lately = sidecar.desk.count_recent(RECENT_REQUEST_MS)
             await asyncio.sleep(max(0.0, (fault.until - fault.at) / 1000 - CLIENT_DRAIN_LIMIT_S))
             if sidecar.current.door is not None:
                 await says_yes(sidecar.current.door, "PUT", "/-/resume")
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -280,7 +280,7 @@
             if not done.done() and connection.check_stalled():
                 connection.disconnect(End.BROKEN)
 
-    def lately(self, within: float) -> tuple[int, int]:
+    def count_recent(self, within: float) -> tuple[int, int]:
         """Count connections without an open request, and those with one sent in the last `within` ms."""
         since = self.clock() - within
         idle = [connection for connection in self.connections if connection.call is None]
