--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -30,7 +30,7 @@
 from millgw.rehearsal.scenario import Fault
 from millgw.rehearsal.scenario_files import load, to_toml
 from millgw.standins.address import free_address
-from millgw.standins.caller import Desk
+from millgw.standins.caller import SidecarClient
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End
 
@@ -86,7 +86,7 @@
     """One caller at LOGINS calls a second, open loop: ms from when each was sent, and how many failed."""
 
     async def ask() -> tuple[list[float], int]:
-        desk, took, unserved = Desk("n", listen, Clock()), [], 0
+        desk, took, unserved = SidecarClient("n", listen, Clock()), [], 0
         loop = asyncio.get_running_loop()
         start, calls = time.perf_counter() + 1.0, []
 
--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -43,7 +43,7 @@
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.rehearsal.scenario_files import load, to_toml
 from millgw.standins.address import free_address
-from millgw.standins.caller import Desk, ready
+from millgw.standins.caller import SidecarClient, ready
 from millgw.standins.deduplication import Group
 from millgw.standins.endpoint import Endpoint
 from millgw.standins.endpoint_options import Build, ColdRule, Task
@@ -155,7 +155,7 @@
     run: Run, ledger: Ledger, clock: Clock, listen: Address, seconds: float, rate: float, rng: random.Random
 ) -> None:
     """Poisson arrivals; each call counts from when it was due."""
-    desk, calls = Desk("n", listen, clock), set[asyncio.Task[None]]()
+    desk, calls = SidecarClient("n", listen, clock), set[asyncio.Task[None]]()
 
     async def one(number: int, cls: str, due: float) -> None:
         call = Call(
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -10,7 +10,7 @@
 from millgw.load.arrivals import Arrival
 from millgw.rehearsal.scenario import Class
 from millgw.rehearsal.sidecars import Sidecar
-from millgw.standins.caller import Desk, ready
+from millgw.standins.caller import SidecarClient, ready
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End, Ledger, SentAway
 
@@ -28,15 +28,15 @@
 
     def __init__(self, sidecars: Sequence[Sidecar], seed: int) -> None:
         self.rng = random.Random(f"front {seed}")
-        self.taking: list[Desk] = [s.desk for s in sidecars]
-        self.leaving: list[Desk] = []
-        self.dead: set[Desk] = set()
+        self.taking: list[SidecarClient] = [s.desk for s in sidecars]
+        self.leaving: list[SidecarClient] = []
+        self.dead: set[SidecarClient] = set()
 
     def died(self, sidecar: Sidecar) -> None:
         self.dead.add(sidecar.desk)
         self._later(NOTICE, lambda: self._notice(sidecar.desk))
 
-    def _notice(self, desk: Desk) -> None:
+    def _notice(self, desk: SidecarClient) -> None:
         """Otherwise one that is back before it was missed would never be put back."""
         if desk in self.dead:
             self._drop(desk)
@@ -62,11 +62,11 @@
                 self.back(sidecar)
             await asyncio.sleep(LOOK_EVERY)
 
-    def _heed(self, desk: Desk, seen: SentAway) -> None:
+    def _heed(self, desk: SidecarClient, seen: SentAway) -> None:
         if seen.yes_at is None:
             self._drop(desk)
 
-    def _drop(self, desk: Desk) -> None:
+    def _drop(self, desk: SidecarClient) -> None:
         if desk in self.taking:
             self.taking.remove(desk)
 
@@ -80,7 +80,7 @@
     def _later(self, after: tuple[float, float], do: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(self.rng.uniform(*after), do)
 
-    def pick(self) -> Desk | None:
+    def pick(self) -> SidecarClient | None:
         """Where the next request goes."""
         held = [d for d in self.leaving if d.idle and d not in self.taking]
         among = self.taking + held
@@ -188,7 +188,7 @@
                 handle.cancel()
 
 
-async def ask(desk: Desk, call: Call, ledger: Ledger) -> Call:
+async def ask(desk: SidecarClient, call: Call, ledger: Ledger) -> Call:
     """Make a call; one that a close has crossed goes once more. Returns the last record of it."""
     call.sidecar = desk.name
     ledger.book(call)
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -20,7 +20,7 @@
 from millgw.rehearsal.processes import spawn
 from millgw.rehearsal.scenario import Scenario
 from millgw.standins.address import free_address
-from millgw.standins.caller import DOOR_READY, Desk, ready
+from millgw.standins.caller import DOOR_READY, SidecarClient, ready
 from millgw.standins.endpoint_options import ONE_ZONE
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock
@@ -135,7 +135,7 @@
     def listen_at(self, address: Address) -> None:
         """Where callers find it; before its first start."""
         self.listen = address
-        self.desk = Desk(self.name, address, self.clock)
+        self.desk = SidecarClient(self.name, address, self.clock)
 
     async def start(self) -> None:
         """Start a process and wait until it serves; a NotReady tells why it does not."""
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -35,7 +35,7 @@
 class ClientConnection(asyncio.Protocol):
     """One connection to a sidecar."""
 
-    def __init__(self, client: Desk) -> None:
+    def __init__(self, client: SidecarClient) -> None:
         self.client = client
         self.transport: asyncio.Transport | None = None
         self.reader: AnswerReader | None = AnswerReader(self._on_answer)
@@ -203,7 +203,7 @@
         self._end(End.CROSSED if crossed else End.BROKEN)
 
 
-class Desk:
+class SidecarClient:
     """All connections of callers to one sidecar."""
 
     def __init__(self, name: str, address: Address, clock: Clock) -> None:
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -17,7 +17,7 @@
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
 from millgw.standins.address import free_address
-from millgw.standins.caller import LATE_ANSWER_TIME, STALL_CHECKS, Desk, ready
+from millgw.standins.caller import LATE_ANSWER_TIME, STALL_CHECKS, SidecarClient, ready
 from millgw.standins.deduplication import Group
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint
@@ -470,7 +470,7 @@
     async def test() -> None:
         endpoint = ScriptedEndpoint("e", answering(answer))
         await endpoint.start()
-        client, request = Desk("n0", endpoint.address, Clock()), make_call()
+        client, request = SidecarClient("n0", endpoint.address, Clock()), make_call()
         await client.send_call(request)
         assert (request.end, request.status) == (end, status) and request.sent is not None
 
@@ -483,7 +483,7 @@
     async def test() -> None:
         bench = EndpointBench()
         bench.endpoint.start(cold=False)
-        client = Desk("n0", bench.endpoint.build.address, bench.clock)
+        client = SidecarClient("n0", bench.endpoint.build.address, bench.clock)
         request = make_call(patience=5000.0)
         request.cls = "report"
         bench.ledger.book(request)
@@ -504,7 +504,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.bench, self.timed_out = EndpointBench(), asyncio.Event()
         self.bench.endpoint.start(cold=False)
-        self.client = Desk("n0", self.bench.endpoint.build.address, self.bench.clock)
+        self.client = SidecarClient("n0", self.bench.endpoint.build.address, self.bench.clock)
         self.call = make_call()
         self.call.cls = "report"
         self.bench.ledger.book(self.call)
@@ -558,7 +558,7 @@
 
         endpoint = ScriptedEndpoint("e", late)
         await endpoint.start()
-        client, request = Desk("n0", endpoint.address, Clock()), make_call(100.0)
+        client, request = SidecarClient("n0", endpoint.address, Clock()), make_call(100.0)
         await client.send_call(request)
         assert request.end is End.ANSWERED and request.sent is not None and request.answered is not None
         assert request.answered > request.sent + request.patience
@@ -579,14 +579,14 @@
         cut: Callable[[int], bool] = lambda requests: requests > 0  # noqa: E731
         endpoint = ScriptedEndpoint("e", cut=cut)
         await endpoint.start()
-        client = Desk("n0", endpoint.address, Clock())
+        client = SidecarClient("n0", endpoint.address, Clock())
         first, second, third = make_call(), make_call(), make_call()
         await client.send_call(first)
         await client.send_call(second)
         await client.send_call(third, fresh=True)
         assert [c.end for c in (first, second, third)] == [End.ANSWERED, End.CROSSED, End.ANSWERED]
         nobody = make_call()
-        await Desk("n0", free_address(), Clock()).send_call(nobody)
+        await SidecarClient("n0", free_address(), Clock()).send_call(nobody)
         assert nobody.end is End.NOT_TAKEN and not await ready(free_address())
 
     run(test)
