--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -34,7 +34,7 @@
 from millgw.platform.config import Address
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.standins.address import free_address
-from millgw.standins.caller import DOOR_READY, ready
+from millgw.standins.caller import REQUEST_PORT_READY, ready
 from millgw.standins.repeating_clients import RepeatingClients
 from millgw.standins.scripted import (
     STREAM,
@@ -103,7 +103,7 @@
         if core is not None:
             os.sched_setaffinity(process.pid, {core})
         self.running.append(process)
-        while not await ready(door, DOOR_READY):
+        while not await ready(door, REQUEST_PORT_READY):
             if process.poll() is not None:
                 raise SystemExit(f"daily: the daemon ended with code {process.returncode}")
             await asyncio.sleep(0.02)
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -20,7 +20,7 @@
 from millgw.rehearsal.processes import spawn
 from millgw.rehearsal.scenario import Scenario
 from millgw.standins.address import free_address
-from millgw.standins.caller import DOOR_READY, SidecarClient, ready
+from millgw.standins.caller import REQUEST_PORT_READY, SidecarClient, ready
 from millgw.standins.endpoint_options import ONE_ZONE
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock
@@ -154,7 +154,7 @@
         self.before, self.current = old, new
         assert new.door is not None
         door = new.door
-        await self._until(new, lambda: ready(door, DOOR_READY))
+        await self._until(new, lambda: ready(door, REQUEST_PORT_READY))
         upgrade.yes_at = self.clock()
         old.life.term = upgrade.term = upgrade.yes_at
         self._signal(old, signal.SIGTERM)
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -19,7 +19,7 @@
 READ_ITERATIONS = 20  # event loop iterations, 1 ms apart, given to read bytes that the kernel has
 # Consecutive checks without progress, `LATE_ANSWER_TIME` s apart, that make a transfer stalled.
 STALL_CHECKS = 5
-DOOR_READY = "/-/ready"  # path of the readiness check on the port where a sidecar takes requests
+REQUEST_PORT_READY = "/-/ready"  # path of the readiness check on the port where a sidecar takes requests
 STATUS_OK = 200  # the status of an answer that was produced by an endpoint
 LONG_ANSWER = 1 << 16  # body bytes above which an answer is timed by its first bytes instead of its last
 
