--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -8,7 +8,7 @@
 from millgw.rehearsal.fault_plan import PlannedFault
 from millgw.rehearsal.faults.targets import FaultTargets, Injection, wait_for_end
 from millgw.rehearsal.sidecars import NotReady
-from millgw.standins.caller import says_yes
+from millgw.standins.caller import answers_ok
 from millgw.standins.ledger import Sample, SentAway, SidecarPause, Upgrade
 
 MAX_DEADLINE_WAIT_S = 3.0  # the part of a deadline that is waited for between SIGTERM and SIGKILL
@@ -85,7 +85,7 @@
         if sidecar.pid is None or sidecar.current is None or sidecar.current.door is None:
             return
         seen = SentAway(sidecar.name, self.targets.clock())
-        if not await says_yes(sidecar.current.door, "PUT", "/-/drain"):
+        if not await answers_ok(sidecar.current.door, "PUT", "/-/drain"):
             self.targets.failed(NotReady(f"{sidecar.name} rejects a drain"))
             return
         self.targets.ledger.sent_away.append(seen)
@@ -96,7 +96,7 @@
             seen.idle, seen.lately = sidecar.desk.count_recent(RECENT_REQUEST_MS)
             await asyncio.sleep(max(0.0, (fault.until - fault.at) / 1000 - CLIENT_DRAIN_LIMIT_S))
             if sidecar.current.door is not None:
-                await says_yes(sidecar.current.door, "PUT", "/-/resume")
+                await answers_ok(sidecar.current.door, "PUT", "/-/resume")
             seen.until = self.targets.clock()
             await watching
         finally:
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -319,10 +319,10 @@
 
 async def ready(address: Address, path: str = "/ready") -> bool:
     """Whether a sidecar answers GET with 200 at its readiness path."""
-    return await says_yes(address, "GET", path)
+    return await answers_ok(address, "GET", path)
 
 
-async def says_yes(address: Address, method: str, path: str) -> bool:
+async def answers_ok(address: Address, method: str, path: str) -> bool:
     """Whether a request without a body is answered with 200."""
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT):
