--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -13,7 +13,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from millgw.standins.capacity import ColdBudget, Room, mean_work
+from millgw.standins.capacity import AdmissionQueue, ColdBudget, mean_work
 from millgw.standins.cpu import Cpu
 from millgw.standins.deduplication import Group
 from millgw.standins.endpoint_options import Build, ColdRule, EndpointFaults, Task
@@ -100,7 +100,7 @@
         self.life = self.last_life = Life(b.name, self.lives, b.tier, b.cell, now, b.speed, share, ms)
         self.ledger.lives.append(self.life)
         self.cpu = Cpu(self.life, b.cores, self.ills.slowness, self.clock)
-        self.admission = Room(b.slots, b.waiting)
+        self.admission = AdmissionQueue(b.slots, b.waiting)
         self.budget = ColdBudget(self.life, self.rule.multiple, self.rule.window, self.mean_work)
         self.draining = self.quiet = False
         self.listener.open()
@@ -143,7 +143,7 @@
         for connection in list(self.connections):
             connection.reset()
         self.cpu = Cpu(self.life, self.build.cores, self.ills.slowness, self.clock)
-        self.admission = Room(self.build.slots, self.build.waiting)
+        self.admission = AdmissionQueue(self.build.slots, self.build.waiting)
         self.quiet = False
         self.listener.open()
 
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -23,7 +23,7 @@
 from millgw.rehearsal.soak_schedules import AFTER, draw_soak
 from millgw.rehearsal.summary import Worth, hit_by_upgrades, summarize
 from millgw.rehearsal.traffic import schedule
-from millgw.standins.capacity import Processor, Room
+from millgw.standins.capacity import AdmissionQueue, Processor
 from millgw.standins.discovery_server import OutageKind
 from millgw.standins.endpoint_registry import EndpointRegistry, Entry
 from millgw.standins.ledger import Attempt, Call, End, InjectedFault, Ledger, Life, Told, Upgrade, shift
@@ -259,7 +259,7 @@
 def test_a_room_holds_no_more_than_it_may_and_forgets_nobody(
     steps: list[str], slots: int, waiting: int
 ) -> None:
-    room, inside = Room(slots, waiting), 0
+    room, inside = AdmissionQueue(slots, waiting), 0
     outside: list[int] = []
     for number, step in enumerate(steps):
         if step == "enter":
