--- a/millgw/standins/capacity.py
+++ b/millgw/standins/capacity.py
@@ -99,7 +99,7 @@
         self.working -= 1
         return None
 
-    def drop(self, item: object) -> bool:
+    def remove(self, item: object) -> bool:
         """Remove a queued item; returns whether it was queued."""
         try:
             self.waiting.remove(item)
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -183,7 +183,7 @@
             # A request whose last byte never arrived: only its headers are known.
             self._record(connection.message, complete=False)
         waiting = self.queued_turns.pop(connection, None)
-        if waiting is not None and self.build.drops_waiting and self.admission.drop(waiting):
+        if waiting is not None and self.build.drops_waiting and self.admission.remove(waiting):
             waiting.cancel()
 
     def _close_idle(self) -> None:
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -276,7 +276,7 @@
             else:
                 assert following == outside.pop(0)
         elif step == "drop" and outside:
-            assert room.drop(outside.pop()) and not room.drop("nobody")
+            assert room.remove(outside.pop()) and not room.remove("nobody")
         assert room.working == inside <= slots and list(room.waiting) == outside
 
 
