--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -44,7 +44,7 @@
 from millgw.rehearsal.scenario_files import load, to_toml
 from millgw.standins.address import free_address
 from millgw.standins.caller import SidecarClient, ready
-from millgw.standins.deduplication import Group
+from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.endpoint import Endpoint
 from millgw.standins.endpoint_options import Build, ColdRule, Task
 from millgw.standins.http import Clock
@@ -104,7 +104,7 @@
             Build(f"e{i}", 1, 0, free_address(), handshake_work=0.2, slots=200, idle=TOLD_IDLE),
             **regime.build,
         )
-        endpoint = Endpoint(build, tasks, Group(), ledger, clock, rule, seed)
+        endpoint = Endpoint(build, tasks, DeduplicationGroup(), ledger, clock, rule, seed)
         endpoint.start(cold=False)
         if regime.forgets is not None:
             endpoint.forgets_after = regime.forgets
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -28,7 +28,7 @@
 from millgw.rehearsal.scenario import AT_THE_DOOR, Scenario, refusing_sidecars
 from millgw.rehearsal.sidecars import DEFAULT_RUN, NotReady, Sidecar, settings, with_class_of_its_own
 from millgw.rehearsal.traffic import schedule
-from millgw.standins.deduplication import Group
+from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint, NextTier
 from millgw.standins.endpoint_options import Build, ColdRule, Task
@@ -174,10 +174,10 @@
         scenario = self.scenario
         tasks = tasks_of_tier(scenario, tier)
         rule = ColdRule(scenario.rules.fall_multiple, scenario.rules.fall_ms)
-        groups: dict[int, Group] = {}
+        groups: dict[int, DeduplicationGroup] = {}
         made = []
         for build in builds_of_tier(scenario, tier, size):
-            group = groups.setdefault(build.cell, Group())
+            group = groups.setdefault(build.cell, DeduplicationGroup())
             caller = None if is_last_tier(scenario, tier) else self._caller(build.name, tier)
             endpoint = Endpoint(
                 build, tasks, group, self.ledger, self.clock, rule, scenario.seed, caller, self._fell
--- a/millgw/standins/deduplication.py
+++ b/millgw/standins/deduplication.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 
-class Group:
+class DeduplicationGroup:
     """Endpoints that share idempotency keys: the keys that any of them has started, with the results."""
 
     def __init__(self) -> None:
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -15,7 +15,7 @@
 
 from millgw.standins.capacity import AdmissionQueue, ColdBudget, mean_work
 from millgw.standins.cpu import Cpu
-from millgw.standins.deduplication import Group
+from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.endpoint_options import Build, ColdRule, EndpointFaults, Task
 from millgw.standins.http import NEVER_RAN, Clock, Message, ServerConnection, listener, ok, status
 from millgw.standins.ledger import Attempt, Handshake, Ledger, Life, Told
@@ -42,7 +42,7 @@
         self,
         options: Build,
         class_costs: dict[str, Task],
-        group: Group,
+        group: DeduplicationGroup,
         ledger: Ledger,
         clock: Clock,
         cold_rule: ColdRule,
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -18,7 +18,7 @@
 from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
 from millgw.standins.address import free_address
 from millgw.standins.caller import LATE_ANSWER_TIME, STALL_CHECKS, SidecarClient, ready
-from millgw.standins.deduplication import Group
+from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint
 from millgw.standins.endpoint_options import Build, ColdRule, Task
@@ -43,12 +43,20 @@
 class EndpointBench:
     """One endpoint with its ledger, and a client that sends requests as a sidecar would."""
 
-    def __init__(self, group: Group | None = None, ledger: Ledger | None = None, **options: Any) -> None:
+    def __init__(
+        self, group: DeduplicationGroup | None = None, ledger: Ledger | None = None, **options: Any
+    ) -> None:
         self.ledger = Ledger() if ledger is None else ledger
         self.clock = Clock()
         default = Build("e1", 1, 0, free_address(), handshake_work=0.0)
         self.endpoint = Endpoint(
-            replace(default, **options), TASKS, group or Group(), self.ledger, self.clock, ColdRule(), 1
+            replace(default, **options),
+            TASKS,
+            group or DeduplicationGroup(),
+            self.ledger,
+            self.clock,
+            ColdRule(),
+            1,
         )
         self.numbers = iter(range(1, 1000))
 
@@ -130,7 +138,7 @@
 
 def test_a_group_deduplicates_a_key_for_its_window() -> None:
     async def test() -> None:
-        group, ledger = Group(), Ledger()
+        group, ledger = DeduplicationGroup(), Ledger()
         one, two = EndpointBench(group, ledger), EndpointBench(group, ledger)
         for bench in (one, two):
             bench.endpoint.start(cold=False)
