--- a/benchmarks/services_of_one.py
+++ b/benchmarks/services_of_one.py
@@ -84,7 +84,7 @@
     }  # fmt: skip
     lines = []
     for tier, name in enumerate(names, 1):
-        lines += [f"[services.{name}]", f'discovery = "{fleet.server.window("n", tier)}"']
+        lines += [f"[services.{name}]", f'discovery = "{fleet.server.address_for("n", tier)}"']
         lines += [f'classes = ["{name}"]', "[[routes]]", f'to = "{name}"', f'host = "{name}.example"']
     (folder / "config.json").write_text(json.dumps(config))
     (folder / "operator.toml").write_text("\n".join(lines))
--- a/millgw/rehearsal/operator_files.py
+++ b/millgw/rehearsal/operator_files.py
@@ -59,7 +59,7 @@
         ]
         for tier, service in enumerate(self.scenario.services, 1):
             if service.name != without:
-                address = self.discovery_server.window(sidecar.name, tier)
+                address = self.discovery_server.address_for(sidecar.name, tier)
                 classes = ", ".join(f'"{name}"' for name in service.classes)
                 lines += [f"[services.{service.name}]", f'discovery = "{address}"', f"classes = [{classes}]"]
                 lines += ["[[routes]]", f'to = "{service.name}"', f'host = "{service.name}.{DOMAIN}"']
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -145,7 +145,7 @@
             for index in range(siblings):
                 name = f"n{stage}-{index}"
                 sidecar = Sidecar(
-                    name, stage, self.discovery_server.window(name, stage + 1),
+                    name, stage, self.discovery_server.address_for(name, stage + 1),
                     settings(scenario, stage, index, siblings), scenario, self._known(stage + 1), self.run,
                     folder, keeper, self.ledger, self.clock,
                 )  # fmt: skip
--- a/millgw/scale/servers.py
+++ b/millgw/scale/servers.py
@@ -39,7 +39,7 @@
         self.tiers = {service: number for number, service in enumerate(services)}
         self.change(opening.endpoints)
         self.addresses = {
-            sidecar: str(self.server.window(sidecar, self.tiers[service]))
+            sidecar: str(self.server.address_for(sidecar, self.tiers[service]))
             for sidecar, service in opening.watchers.items()
         }
 
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -210,7 +210,7 @@
     def registry(self, tier: int) -> EndpointRegistry:
         return self.registries.setdefault(tier, EndpointRegistry())
 
-    def window(self, sidecar: str, tier: int) -> Address:
+    def address_for(self, sidecar: str, tier: int) -> Address:
         """Return the address at which a sidecar asks for a tier's endpoints; created on first use."""
         if (sidecar, tier) not in self.ports:
             self.ports[sidecar, tier] = port = SidecarPort(self, sidecar, tier)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -357,7 +357,7 @@
     """A sidecar's watch, read line by line."""
 
     def __init__(self, discovery_server: DiscoveryServer, since: int | None = None, name: str = "n0") -> None:
-        self.address = discovery_server.window(name, 1)
+        self.address = discovery_server.address_for(name, 1)
         self.since = since
 
     async def start(self) -> Message:
