--- a/benchmarks/services_of_one.py
+++ b/benchmarks/services_of_one.py
@@ -57,7 +57,7 @@
             for i in range(endpoints)
         ]
         for entry in self.entries:
-            self.server.list(entry)
+            self.server.apply_change(entry)
 
     async def replace_each_second(self, services: int) -> None:
         """One endpoint of each service has started anew, once a second."""
@@ -66,7 +66,7 @@
                 old = self.rng.choice([e for e in self.entries if e.tier == tier])
                 new = replace(old, life=old.life + 1, since_ms=int(time.time() * 1000))
                 self.entries[self.entries.index(old)] = new
-                self.server.list(new)
+                self.server.apply_change(new)
             await asyncio.sleep(1.0)
 
 
--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -115,7 +115,7 @@
                 return
             listed = not listed
             entry = self.targets.entry(endpoint, "in_service" if listed else "terminated")
-            self.targets.discovery_server.list(entry)
+            self.targets.discovery_server.apply_change(entry)
             await asyncio.sleep(FLAP_INTERVAL_S)
 
     async def _cut_network(self, fault: PlannedFault) -> None:
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -319,7 +319,7 @@
                 endpoint.start(cold=False)
                 entry = self.entry(endpoint, "in_service")
                 if self.listed:
-                    self.discovery_server.list(entry)
+                    self.discovery_server.apply_change(entry)
                 if self.coordination is not None:
                     self.coordination.serve(endpoint, entry)
         gate = asyncio.Semaphore(STARTS_AT_ONCE * (os.cpu_count() or 1))
--- a/millgw/scale/servers.py
+++ b/millgw/scale/servers.py
@@ -48,7 +48,7 @@
         indexes: dict[str, int] = {}
         for endpoint in endpoints:
             tier = self.tiers[endpoint.service]
-            self.server.list(
+            self.server.apply_change(
                 Entry(
                     endpoint.name,
                     tier,
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -225,7 +225,7 @@
 
     # Endpoint list
 
-    def list(self, entry: Entry) -> None:
+    def apply_change(self, entry: Entry) -> None:
         """Apply a change to the list now."""
         self.latest_entries[entry.name] = entry
         self.ledger.changes.append(Change(entry.name, entry.life, entry.status, self.clock()))
@@ -246,7 +246,7 @@
         last = self.latest_entries.get(entry.name)
         # Otherwise a late notice would undo a newer one: that of an older life, or a start after the drain.
         if last is None or (last.life, STATUS_ORDER[last.status]) < (entry.life, STATUS_ORDER[entry.status]):
-            self.list(entry)
+            self.apply_change(entry)
 
     def update_for(self, port: SidecarPort, snapshot: bool, entries: tuple[Entry, ...]) -> dict[str, object]:
         """Build the JSON value of a line or list, and record it as sent to the sidecar now."""
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -383,7 +383,7 @@
 def test_the_discovery_server_serves_lists_and_watches_and_records_what_it_sent() -> None:
     async def test() -> None:
         server = make_discovery_server()
-        server.list(make_entry("a"))
+        server.apply_change(make_entry("a"))
         watch = WatchClient(server)
         assert (await watch.start()).status == 200
         first = await watch.next_line()
@@ -411,8 +411,8 @@
 def test_an_outage_ends_watches_and_a_restart_sends_the_whole_list() -> None:
     async def test() -> None:
         server = make_discovery_server()
-        server.list(make_entry("a"))
-        server.list(make_entry("b"))
+        server.apply_change(make_entry("a"))
+        server.apply_change(make_entry("b"))
         watch = WatchClient(server)
         await watch.start()
         index = (await watch.next_line())["index"]
@@ -421,7 +421,7 @@
             await watch.next_line()
         with pytest.raises(ConnectionRefusedError):
             await watch.start()
-        server.list(make_entry("a", "terminated"))
+        server.apply_change(make_entry("a", "terminated"))
         server.come_back(history=False)
         again = WatchClient(server, since=index)
         await again.start()
@@ -437,7 +437,7 @@
 def test_a_late_notice_does_not_override_a_newer_life_or_status() -> None:
     async def test() -> None:
         server = make_discovery_server()
-        server.list(make_entry("a", life=2))
+        server.apply_change(make_entry("a", life=2))
         for stale in (make_entry("a", "terminated", life=1), make_entry("a", life=2)):
             server.notice(stale, (0.0, 0.0))
         server.notice(make_entry("a", "terminating", life=2), (5.0, 5.0))
