--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -240,7 +240,7 @@
         """Let discovery know after a while, and the coordinator what an endpoint itself would tell it."""
         entry = self.entry(endpoint, status)
         if self.listed:
-            self.discovery_server.notice(entry, late)
+            self.discovery_server.apply_late(entry, late)
         if self.coordination is not None:
             if status == "in_service":
                 self.coordination.serve(endpoint, entry)
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -237,7 +237,7 @@
                     for watch in port.watches.values():
                         watch.changed()
 
-    def notice(self, entry: Entry, late: tuple[float, float]) -> None:
+    def apply_late(self, entry: Entry, late: tuple[float, float]) -> None:
         """Apply a change after a delay (ms) drawn from `late`, unless a newer one was applied meanwhile."""
         delay = self.rng.uniform(*late) / 1000
         asyncio.get_running_loop().call_later(delay, self._apply_if_newer, entry)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -388,7 +388,7 @@
         assert (await watch.start()).status == 200
         first = await watch.next_line()
         assert first["snapshot"] and [e["name"] for e in first["endpoints"]] == ["a"]
-        server.notice(make_entry("a", "terminating"), (10.0, 20.0))
+        server.apply_late(make_entry("a", "terminating"), (10.0, 20.0))
         second = await watch.next_line()
         assert not second["snapshot"] and second["endpoints"][0]["status"] == "terminating"
         later = WatchClient(server, since=first["index"])
@@ -439,8 +439,8 @@
         server = make_discovery_server()
         server.apply_change(make_entry("a", life=2))
         for stale in (make_entry("a", "terminated", life=1), make_entry("a", life=2)):
-            server.notice(stale, (0.0, 0.0))
-        server.notice(make_entry("a", "terminating", life=2), (5.0, 5.0))
+            server.apply_late(stale, (0.0, 0.0))
+        server.apply_late(make_entry("a", "terminating", life=2), (5.0, 5.0))
         await wait_until(lambda: len(server.ledger.changes) == 2)
         assert [c.status for c in server.ledger.changes] == ["in_service", "terminating"]
 
