--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -27,7 +27,7 @@
     async def _outage(self, fault: PlannedFault) -> None:
         """The server is down for a while; after a restart it has lost its history of changes."""
         self.outages += 1
-        self.targets.discovery_server.go_down(fault.outage)
+        self.targets.discovery_server.start_outage(fault.outage)
         await wait_for_end(fault)
         self.outages -= 1
         if not self.outages:
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -278,7 +278,7 @@
 
     # Faults
 
-    def go_down(self, kind: OutageKind = OutageKind.REFUSED) -> None:
+    def start_outage(self, kind: OutageKind = OutageKind.REFUSED) -> None:
         """Start an outage: watches are reset, queued lines are lost, new calls are handled as `kind` says."""
         self.down = True
         self.outage_kind = kind
@@ -312,4 +312,4 @@
                 watch.silence()
 
     def close(self) -> None:
-        self.go_down()
+        self.start_outage()
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -416,7 +416,7 @@
         watch = WatchClient(server)
         await watch.start()
         index = (await watch.next_line())["index"]
-        server.go_down()
+        server.start_outage()
         with pytest.raises((ConnectionError, asyncio.IncompleteReadError, ValueError)):
             await watch.next_line()
         with pytest.raises(ConnectionRefusedError):
