--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -31,7 +31,7 @@
         await wait_for_end(fault)
         self.outages -= 1
         if not self.outages:
-            self.targets.discovery_server.come_back(history=fault.kind == "discovery-outage")
+            self.targets.discovery_server.end_outage(history=fault.kind == "discovery-outage")
 
     async def _silence_watches(self, fault: PlannedFault) -> None:
         self.targets.discovery_server.mute()
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -289,7 +289,7 @@
             for connection in list(port.connections):
                 connection.reset()
 
-    def come_back(self, history: bool = True) -> None:
+    def end_outage(self, history: bool = True) -> None:
         """End the outage; the list has all changes made meanwhile.
 
         `history=False` simulates a restart that has lost the history, so that watches get the whole list.
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -422,7 +422,7 @@
         with pytest.raises(ConnectionRefusedError):
             await watch.start()
         server.apply_change(make_entry("a", "terminated"))
-        server.come_back(history=False)
+        server.end_outage(history=False)
         again = WatchClient(server, since=index)
         await again.start()
         line = await again.next_line()
