--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -34,7 +34,7 @@
             self.targets.discovery_server.end_outage(history=fault.kind == "discovery-outage")
 
     async def _silence_watches(self, fault: PlannedFault) -> None:
-        self.targets.discovery_server.mute()
+        self.targets.discovery_server.silence_watches()
 
 
 class CoordinatorFaults:
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -305,7 +305,7 @@
         for port in self.ports.values():
             port.listener.open()
 
-    def mute(self) -> None:
+    def silence_watches(self) -> None:
         """Stop sending on all open watches; new ones are served normally."""
         for port in self.ports.values():
             for watch in port.watches.values():
