--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -130,7 +130,7 @@
 def start(folder: Path, listen: Address, endpoints: list[Endpoint], text: str) -> subprocess.Popen[bytes]:
     entries = [
         {
-            "name": e.build.name, "address": str(e.build.address), "zone": "", "group": 1,
+            "name": e.options.name, "address": str(e.options.address), "zone": "", "group": 1,
             "status": "in_service", "weight": 1.0, "since_ms": 0,
         }
         for e in endpoints
--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -47,7 +47,7 @@
 
     def _first_tier(self) -> list[tuple[Listing, bool]]:
         """The first tier's endpoints, and which of them are cold."""
-        up = (endpoint for endpoint in self.endpoints.values() if endpoint.build.tier == 1 and endpoint.up)
+        up = (endpoint for endpoint in self.endpoints.values() if endpoint.options.tier == 1 and endpoint.up)
         return list(self._with_coldness(up))
 
     def _with_coldness(self, endpoints: Iterable[Endpoint]) -> Iterable[tuple[Listing, bool]]:
@@ -55,4 +55,4 @@
             life = endpoint.ledger_life()
             cold = life.cold_ms > 0 and self.clock() < life.start + life.cold_ms
             since = float(endpoint.since_unix_ms())
-            yield Listing(endpoint_id(endpoint.build.name), started_at=since), cold
+            yield Listing(endpoint_id(endpoint.options.name), started_at=since), cold
--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -68,12 +68,12 @@
     def serve(self, endpoint: Endpoint, entry: Entry) -> None:
         """An endpoint registers; an older node of its name goes with its session."""
         node = self._node(endpoint)
-        old = self.sessions.pop(endpoint.build.name, None)
+        old = self.sessions.pop(endpoint.options.name, None)
         if old is not None:
             self.ensemble.expire(old)
         self.lapsed.discard(node)
         self.lives[node] = entry.life
-        self.sessions[endpoint.build.name] = self.ensemble.create_ephemeral(node, self._data(entry))
+        self.sessions[endpoint.options.name] = self.ensemble.create_ephemeral(node, self._data(entry))
 
     def drain(self, endpoint: Endpoint, entry: Entry) -> None:
         node = self._node(endpoint)
@@ -82,16 +82,16 @@
 
     def leave(self, endpoint: Endpoint) -> None:
         """Its session is closed in order."""
-        session = self.sessions.pop(endpoint.build.name, None)
+        session = self.sessions.pop(endpoint.options.name, None)
         if session is not None:
             self.ensemble.expire(session)
 
     def die(self, endpoint: Endpoint) -> None:
         """Its process is gone: the node lingers until its session's time is over."""
-        session = self.sessions.get(endpoint.build.name)
+        session = self.sessions.get(endpoint.options.name)
         if session is not None:
             loop = asyncio.get_running_loop()
-            name = endpoint.build.name
+            name = endpoint.options.name
             self.handles.append(loop.call_later(self.terms.session_s, self._lapse, name, session))
 
     def _lapse(self, name: str, session: int) -> None:
@@ -101,7 +101,7 @@
 
     def expire(self, endpoint: Endpoint) -> None:
         """A fault: its session expires, whatever it does."""
-        session = self.sessions.pop(endpoint.build.name, None)
+        session = self.sessions.pop(endpoint.options.name, None)
         if session is not None:
             if endpoint.up:
                 self.lapsed.add(self._node(endpoint))
@@ -115,7 +115,7 @@
 
     @staticmethod
     def _node(endpoint: Endpoint) -> str:
-        return f"{directory(endpoint.build.tier)}/{endpoint.build.name}"
+        return f"{directory(endpoint.options.tier)}/{endpoint.options.name}"
 
     @staticmethod
     def _data(entry: Entry) -> bytes:
--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -102,7 +102,7 @@
         endpoint = await self._take_down(fault, self.targets.vanish, "terminated", self.targets.delays.silent)
         if endpoint is not None and endpoint.quiet:
             endpoint.stop()
-            build = replace(endpoint.build, name=f"s-{self.rng.getrandbits(32):08x}")
+            build = replace(endpoint.options, name=f"s-{self.rng.getrandbits(32):08x}")
             await self.targets.revive(self.targets.replace(endpoint, build))
 
     async def _flapping(self, fault: PlannedFault) -> None:
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -159,7 +159,7 @@
                 self.sidecars[name] = sidecar
                 self.operator_files.add_peer(sidecar)
                 if stage:
-                    self.own[self.tiers[stage - 1][index].build.name] = sidecar
+                    self.own[self.tiers[stage - 1][index].options.name] = sidecar
         if self.coordination is None:
             for name, sidecar in self.sidecars.items():
                 sidecar.operator = self.operator(name)
@@ -230,7 +230,7 @@
         return self.operator_files.text(self.sidecars[sidecar], without)
 
     def entry(self, endpoint: Endpoint, status: str) -> Entry:
-        build, since = endpoint.build, endpoint.since_unix_ms()
+        build, since = endpoint.options, endpoint.since_unix_ms()
         return Entry(
             build.name, build.tier, endpoint.lives, str(build.address), build.cell, status, since_ms=since,
             zone=build.zone,
@@ -260,26 +260,26 @@
         self._kill_own(endpoint)
 
     def _kill_own(self, endpoint: Endpoint) -> None:
-        sidecar = self.own.get(endpoint.build.name)
+        sidecar = self.own.get(endpoint.options.name)
         if sidecar is not None:
             sidecar.kill()
             sidecar.desk.close()
 
     def _fell(self, endpoint: Endpoint) -> None:
-        self.say(f"{endpoint.build.name} fell over")
+        self.say(f"{endpoint.options.name} fell over")
         self._kill_own(endpoint)
         self.notice(endpoint, "terminated", self.delays.notice)
 
     async def revive(self, endpoint: Endpoint) -> None:
         """Start an endpoint cold, once its own sidecar serves."""
-        sidecar = self.own.get(endpoint.build.name)
+        sidecar = self.own.get(endpoint.options.name)
         if sidecar is not None:
             await sidecar.ended.wait()
             await sidecar.start()
             if sidecar.pid is None:
                 return  # hit again meanwhile
         endpoint.start(cold=True)
-        self.say(f"{endpoint.build.name} is back, cold")
+        self.say(f"{endpoint.options.name} is back, cold")
         self.notice(endpoint, "in_service", self.delays.add)
 
     def replace(self, old: Endpoint, build: Build) -> Endpoint:
@@ -297,8 +297,8 @@
             self._fell,
         )
         self.endpoints[build.name] = made
-        if old.build.name in self.own:
-            self.own[build.name] = self.own.pop(old.build.name)
+        if old.options.name in self.own:
+            self.own[build.name] = self.own.pop(old.options.name)
         return made
 
     # The day
@@ -340,14 +340,14 @@
     async def _day(self) -> None:
         scenario = self.scenario
         planned = schedule(scenario)
-        endpoints = [(e.build.name, e.build.tier) for tier in self.tiers for e in tier]
+        endpoints = [(e.options.name, e.options.tier) for tier in self.tiers for e in tier]
         front = [name for name, s in self.sidecars.items() if s.stage == 0]
         injector = FaultInjector(self)
         # Otherwise the rig itself pauses: a look through a whole ledger takes it some tenths of a second.
         gc.collect()
         gc.disable()
         self.zero = self.clock()
-        zones = {e.build.name: e.build.zone for tier in self.tiers for e in tier}
+        zones = {e.options.name: e.options.zone for tier in self.tiers for e in tier}
         injector.schedule(plan(scenario, endpoints, front, scenario.seed, zones))
         sampler = asyncio.create_task(Sampler(self.ledger, self.clock, list(self.sidecars.values())).run())
         playing = asyncio.create_task(self.clients.play(planned, self.zero))
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -50,7 +50,7 @@
         next_tier: NextTier | None = None,
         on_crash: Callable[[Endpoint], None] = lambda _: None,
     ) -> None:
-        self.build = options
+        self.options = options
         self.tasks = class_costs
         self.group = group
         self.ledger = ledger
@@ -94,7 +94,7 @@
     def start(self, cold: bool) -> Life:
         """Begin a new life; connections left from the previous one are reset."""
         self.stop()
-        b, now = self.build, self.clock()
+        b, now = self.options, self.clock()
         self.lives += 1
         share, ms = (b.cold_share, b.cold_ms) if cold else (1.0, 0.0)
         self.life = self.last_life = Life(b.name, self.lives, b.tier, b.cell, now, b.speed, share, ms)
@@ -142,8 +142,8 @@
         self.listener.close()
         for connection in list(self.connections):
             connection.reset()
-        self.cpu = Cpu(self.life, self.build.cores, self.ills.slowness, self.clock)
-        self.admission = AdmissionQueue(self.build.slots, self.build.waiting)
+        self.cpu = Cpu(self.life, self.options.cores, self.ills.slowness, self.clock)
+        self.admission = AdmissionQueue(self.options.slots, self.options.waiting)
         self.quiet = False
         self.listener.open()
 
@@ -167,10 +167,12 @@
 
     def opened(self, connection: ServerConnection) -> None:
         self.connections.add(connection)
-        self.ledger.handshakes.append(Handshake(self.build.name, self.lives, self.clock()))
-        self.idle_times[connection] = self.build.idle * (self.rng.random() if self.build.idle_random else 1.0)
-        if self.up and self.build.handshake_work > 0:
-            self.cpu.add(self.build.handshake_work)
+        self.ledger.handshakes.append(Handshake(self.options.name, self.lives, self.clock()))
+        self.idle_times[connection] = self.options.idle * (
+            self.rng.random() if self.options.idle_random else 1.0
+        )
+        if self.up and self.options.handshake_work > 0:
+            self.cpu.add(self.options.handshake_work)
 
     def bytes_came(self, connection: ServerConnection) -> bool:
         return True
@@ -183,7 +185,7 @@
             # A request whose last byte never arrived: only its headers are known.
             self._record(connection.message, complete=False)
         waiting = self.queued_turns.pop(connection, None)
-        if waiting is not None and self.build.drops_waiting and self.admission.remove(waiting):
+        if waiting is not None and self.options.drops_waiting and self.admission.remove(waiting):
             waiting.cancel()
 
     def _close_idle(self) -> None:
@@ -207,9 +209,9 @@
         call = self.ledger.asked_for.get(trace)
         attempt = Attempt(
             trace=trace,
-            endpoint=self.build.name,
+            endpoint=self.options.name,
             life=self.lives,
-            cell=self.build.cell,
+            cell=self.options.cell,
             # A request that no simulated client sent may come from a person trying a demo.
             cls=call.cls if call is not None else headers.get("x-qos", ""),
             key=headers.get("idempotency-key", ""),
@@ -226,9 +228,9 @@
 
     def asked(self, connection: ServerConnection, message: Message) -> None:
         path, trace = message.first.split()[1], message.headers.get("x-trace-id", "")
-        if path == HEALTH and self.build.probing:
+        if path == HEALTH and self.options.probing:
             if self.up:
-                unhealthy = self.draining and not self.build.drains_healthy
+                unhealthy = self.draining and not self.options.drains_healthy
                 connection.write(status(503) if unhealthy else ok())
                 connection.answered()
             return
@@ -252,16 +254,16 @@
         if task is None or attempt.why:
             attempt.why = attempt.why or f"{attempt.cls!r} is no class of this tier"
             self._send_answer(connection, attempt, Told.UNUSABLE, status(400))
-        elif self._rejects() or len(self.connections) > self.build.connections:
+        elif self._rejects() or len(self.connections) > self.options.connections:
             self._send_answer(connection, attempt, Told.NEVER_RAN, status(503, NEVER_RAN))
         else:
             self._admit(connection, message, attempt, task)
 
     def _rejects(self) -> bool:
-        return self.draining and not self.build.drains_serving
+        return self.draining and not self.options.drains_serving
 
     def _admit(self, connection: ServerConnection, message: Message, attempt: Attempt, task: Task) -> None:
-        rng = random.Random(f"{self.seed} {attempt.trace} {self.build.name}")
+        rng = random.Random(f"{self.seed} {attempt.trace} {self.options.name}")
         if self._time_left(message, attempt, task) <= 0:
             self._send_answer(connection, attempt, Told.NEVER_RAN, status(504, NEVER_RAN))
         elif rng.random() < self.ills.resetting:
@@ -294,7 +296,7 @@
         rng: random.Random,
     ) -> None:
         if not message.reused:
-            await asyncio.sleep(self.build.handshake_ms / 1000)
+            await asyncio.sleep(self.options.handshake_ms / 1000)
         await turn
         self.queued_turns.pop(connection, None)
         admission = self.admission
@@ -352,7 +354,7 @@
         attempt.ended = self.clock()
         if not served:
             return None
-        body = f"{attempt.trace} {self.build.name} {next(self.answer_numbers)}\n".encode()
+        body = f"{attempt.trace} {self.options.name} {next(self.answer_numbers)}\n".encode()
         return body + b"." * rng.randrange(16, 400)
 
     def _time_left(self, message: Message, attempt: Attempt, task: Task) -> float:
@@ -378,7 +380,7 @@
             return
         connection.write(data)
         connection.answered()
-        if self.build.uses and connection.requests >= self.build.uses:
+        if self.options.uses and connection.requests >= self.options.uses:
             connection.close()
 
     async def _send_paced(
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -61,7 +61,7 @@
         self.numbers = iter(range(1, 1000))
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        address = self.endpoint.build.address
+        address = self.endpoint.options.address
         return await asyncio.open_connection(address.host, address.port)
 
     def request(self, cls: str = "codigo", key: str = "", left: int = 4000, trace: str = "") -> bytes:
@@ -491,7 +491,7 @@
     async def test() -> None:
         bench = EndpointBench()
         bench.endpoint.start(cold=False)
-        client = SidecarClient("n0", bench.endpoint.build.address, bench.clock)
+        client = SidecarClient("n0", bench.endpoint.options.address, bench.clock)
         request = make_call(patience=5000.0)
         request.cls = "report"
         bench.ledger.book(request)
@@ -512,7 +512,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.bench, self.timed_out = EndpointBench(), asyncio.Event()
         self.bench.endpoint.start(cold=False)
-        self.client = SidecarClient("n0", self.bench.endpoint.build.address, self.bench.clock)
+        self.client = SidecarClient("n0", self.bench.endpoint.options.address, self.bench.clock)
         self.call = make_call()
         self.call.cls = "report"
         self.bench.ledger.book(self.call)
