--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -149,7 +149,7 @@
 
     @staticmethod
     def _apply_degradation(endpoint: Endpoint, degradation: Degradation) -> None:
-        endpoint.ills.failing = max(degradation.failing, default=0.0)
-        endpoint.ills.resetting = max(degradation.resetting, default=0.0)
-        endpoint.ills.spoiling = max(degradation.spoiling, default=0.0)
+        endpoint.faults.failing = max(degradation.failing, default=0.0)
+        endpoint.faults.resetting = max(degradation.resetting, default=0.0)
+        endpoint.faults.spoiling = max(degradation.spoiling, default=0.0)
         endpoint.slow(max(degradation.slowness, default=1.0))
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -59,7 +59,7 @@
         self.seed = seed
         self.next_tier = next_tier
         self.on_crash = on_crash
-        self.ills = EndpointFaults()
+        self.faults = EndpointFaults()
         self.lives = 0
         self.life: Life | None = None
         self.draining = False
@@ -99,7 +99,7 @@
         share, ms = (b.cold_share, b.cold_ms) if cold else (1.0, 0.0)
         self.life = self.last_life = Life(b.name, self.lives, b.tier, b.cell, now, b.speed, share, ms)
         self.ledger.lives.append(self.life)
-        self.cpu = Cpu(self.life, b.cores, self.ills.slowness, self.clock)
+        self.cpu = Cpu(self.life, b.cores, self.faults.slowness, self.clock)
         self.admission = AdmissionQueue(b.slots, b.waiting)
         self.budget = ColdBudget(self.life, self.rule.multiple, self.rule.window, self.mean_work)
         self.draining = self.quiet = False
@@ -142,7 +142,7 @@
         self.listener.close()
         for connection in list(self.connections):
             connection.reset()
-        self.cpu = Cpu(self.life, self.options.cores, self.ills.slowness, self.clock)
+        self.cpu = Cpu(self.life, self.options.cores, self.faults.slowness, self.clock)
         self.admission = AdmissionQueue(self.options.slots, self.options.waiting)
         self.quiet = False
         self.listener.open()
@@ -151,7 +151,7 @@
         self.draining = True
 
     def slow(self, times: float) -> None:
-        self.ills.slowness = times
+        self.faults.slowness = times
         if self.life is not None:
             self.cpu.slow(times)
 
@@ -266,9 +266,9 @@
         rng = random.Random(f"{self.seed} {attempt.trace} {self.options.name}")
         if self._time_left(message, attempt, task) <= 0:
             self._send_answer(connection, attempt, Told.NEVER_RAN, status(504, NEVER_RAN))
-        elif rng.random() < self.ills.resetting:
+        elif rng.random() < self.faults.resetting:
             self._send_answer(connection, attempt, Told.RESET, b"")
-        elif rng.random() < self.ills.failing:
+        elif rng.random() < self.faults.failing:
             self._send_answer(connection, attempt, Told.ERROR, status(500))
         else:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -308,7 +308,7 @@
                 following.set_result(None)
         if body is None:
             self._send_answer(connection, attempt, Told.ERROR, status(500))
-        elif rng.random() < self.ills.spoiling:
+        elif rng.random() < self.faults.spoiling:
             await self._send_malformed(connection, attempt, body, rng.choice(MALFORMATIONS))
         elif task.answer:
             await self._send_paced(
@@ -340,7 +340,7 @@
         sigma = math.sqrt(math.log(1 + task.cv**2))
         work = task.work * min(MAX_WORK_FACTOR, rng.lognormvariate(-sigma * sigma / 2, sigma))
         await self.cpu.run(work / 2)
-        await asyncio.sleep(task.wait * rng.uniform(0.5, 1.5) * self.ills.slowness / 1000)
+        await asyncio.sleep(task.wait * rng.uniform(0.5, 1.5) * self.faults.slowness / 1000)
         served = True
         if self.next_tier is not None:
             whole, part = divmod(task.calls, 1.0)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -223,7 +223,7 @@
 def test_faults_are_recorded_as_what_the_caller_saw(fault: str) -> None:
     async def test() -> None:
         bench = EndpointBench()
-        setattr(bench.endpoint.ills, fault, 1.0)
+        setattr(bench.endpoint.faults, fault, 1.0)
         bench.endpoint.start(cold=False)
         for _ in range(6):
             with suppress(TimeoutError, asyncio.IncompleteReadError, ConnectionError, ValueError):
