--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -291,7 +291,7 @@
             old.group,
             self.ledger,
             self.clock,
-            old.rule,
+            old.cold_rule,
             self.scenario.seed,
             caller,
             self._fell,
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -55,7 +55,7 @@
         self.group = group
         self.ledger = ledger
         self.clock = clock
-        self.rule = cold_rule
+        self.cold_rule = cold_rule
         self.seed = seed
         self.next_tier = next_tier
         self.on_crash = on_crash
@@ -101,7 +101,7 @@
         self.ledger.lives.append(self.life)
         self.cpu = Cpu(self.life, b.cores, self.faults.slowness, self.clock)
         self.admission = AdmissionQueue(b.slots, b.waiting)
-        self.budget = ColdBudget(self.life, self.rule.multiple, self.rule.window, self.mean_work)
+        self.budget = ColdBudget(self.life, self.cold_rule.multiple, self.cold_rule.window, self.mean_work)
         self.draining = self.quiet = False
         self.listener.open()
         self.idle_timer = asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL, self._close_idle)
