--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -63,7 +63,7 @@
         self.lives = 0
         self.life: Life | None = None
         self.draining = False
-        self.quiet = False
+        self.unreachable = False
         self.forgets_after = math.inf  # ms idle after which a simulated middlebox drops a connection
         self.idle_times: dict[ServerConnection, float] = {}
         self.rng = random.Random(f"idle {seed} {options.name}")
@@ -80,7 +80,7 @@
 
     @property
     def up(self) -> bool:
-        return self.life is not None and not self.quiet
+        return self.life is not None and not self.unreachable
 
     def ledger_life(self) -> Life:
         """Return the current life, or else the last one."""
@@ -102,7 +102,7 @@
         self.cpu = Cpu(self.life, b.cores, self.faults.slowness, self.clock)
         self.admission = AdmissionQueue(b.slots, b.waiting)
         self.budget = ColdBudget(self.life, self.cold_rule.multiple, self.cold_rule.window, self.mean_work)
-        self.draining = self.quiet = False
+        self.draining = self.unreachable = False
         self.listener.open()
         self.idle_timer = asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL, self._close_idle)
         return self.life
@@ -118,12 +118,12 @@
         if self.life is not None and self.life.until is None:
             self.life.until = self.clock()
         self.life = None
-        self.quiet = False
+        self.unreachable = False
 
     def silence(self) -> None:
         """Let the machine vanish: nothing is answered, new connections time out, running work is lost."""
         if self.life is not None:
-            self.quiet = True
+            self.unreachable = True
             self._discard_work()
             self.listener.silence()
             self.life.until = self.clock()
@@ -131,20 +131,20 @@
     def part(self) -> None:
         """Partition the network: it looks like a vanished machine, but the process keeps running."""
         if self.life is not None:
-            self.quiet = True
+            self.unreachable = True
             self._discard_work()
             self.listener.silence()
 
     def rejoin(self) -> None:
         """End the partition: old connections are reset, and it is as warm as it was."""
-        if self.life is None or not self.quiet:
+        if self.life is None or not self.unreachable:
             return
         self.listener.close()
         for connection in list(self.connections):
             connection.reset()
         self.cpu = Cpu(self.life, self.options.cores, self.faults.slowness, self.clock)
         self.admission = AdmissionQueue(self.options.slots, self.options.waiting)
-        self.quiet = False
+        self.unreachable = False
         self.listener.open()
 
     def drain(self) -> None:
