--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -107,7 +107,7 @@
         endpoint = Endpoint(build, tasks, DeduplicationGroup(), ledger, clock, rule, seed)
         endpoint.start(cold=False)
         if regime.forgets is not None:
-            endpoint.forgets_after = regime.forgets
+            endpoint.middlebox_timeout = regime.forgets
         endpoints.append(endpoint)
     listen = free_address()
     with tempfile.TemporaryDirectory() as folder:
--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -132,9 +132,9 @@
     async def _middlebox(self, fault: PlannedFault) -> None:
         """A middlebox drops the state of connections idle for `size` s: what is written to them is lost."""
         endpoint = self.targets.endpoints[fault.target]
-        endpoint.forgets_after = fault.size * 1000
+        endpoint.middlebox_timeout = fault.size * 1000
         await wait_for_end(fault)
-        endpoint.forgets_after = math.inf
+        endpoint.middlebox_timeout = math.inf
 
     async def _degrade(self, fault: PlannedFault) -> None:
         """Fail, reset or spoil a share of the requests, or slow them; the worst fault of a kind counts."""
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -64,7 +64,7 @@
         self.life: Life | None = None
         self.draining = False
         self.unreachable = False
-        self.forgets_after = math.inf  # ms idle after which a simulated middlebox drops a connection
+        self.middlebox_timeout = math.inf  # ms idle after which a simulated middlebox drops a connection
         self.idle_times: dict[ServerConnection, float] = {}
         self.rng = random.Random(f"idle {seed} {options.name}")
         self.listener = listener(options.address, self)
@@ -194,7 +194,7 @@
             if connection.busy or connection.message is not None or connection.blackholed:
                 continue
             idle = now - connection.idle_since
-            if idle > self.forgets_after:
+            if idle > self.middlebox_timeout:
                 connection.forget()
             elif idle > self.idle_times[connection]:
                 connection.close()
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -276,7 +276,7 @@
     async def test() -> None:
         bench = EndpointBench()
         bench.endpoint.start(cold=False)
-        bench.endpoint.forgets_after = 50.0
+        bench.endpoint.middlebox_timeout = 50.0
         reader, writer = await bench.connect()
         writer.write(bench.request())
         assert (await read_message(reader)).status == 200
