--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -52,7 +52,7 @@
 
     def _with_coldness(self, endpoints: Iterable[Endpoint]) -> Iterable[tuple[Listing, bool]]:
         for endpoint in endpoints:
-            life = endpoint.ledger_life()
+            life = endpoint.latest_life()
             cold = life.cold_ms > 0 and self.clock() < life.start + life.cold_ms
             since = float(endpoint.since_unix_ms())
             yield Listing(endpoint_id(endpoint.options.name), started_at=since), cold
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -82,13 +82,13 @@
     def up(self) -> bool:
         return self.life is not None and not self.unreachable
 
-    def ledger_life(self) -> Life:
+    def latest_life(self) -> Life:
         """Return the current life, or else the last one."""
         return self.life or self.last_life
 
     def since_unix_ms(self) -> int:
         """Return the start of its life as discovery lists it: 0 if it started warm."""
-        life = self.ledger_life()
+        life = self.latest_life()
         return self.clock.unix(life.start) if life.cold_ms > 0 else 0
 
     def start(self, cold: bool) -> Life:
