--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -124,7 +124,7 @@
         if not endpoint.up:
             return
         life = endpoint.lives
-        endpoint.part()
+        endpoint.partition()
         await wait_for_end(fault)
         if endpoint.lives == life:
             endpoint.rejoin()
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -128,7 +128,7 @@
             self.listener.silence()
             self.life.until = self.clock()
 
-    def part(self) -> None:
+    def partition(self) -> None:
         """Partition the network: it looks like a vanished machine, but the process keeps running."""
         if self.life is not None:
             self.unreachable = True
