--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -127,7 +127,7 @@
         endpoint.partition()
         await wait_for_end(fault)
         if endpoint.lives == life:
-            endpoint.rejoin()
+            endpoint.end_partition()
 
     async def _middlebox(self, fault: PlannedFault) -> None:
         """A middlebox drops the state of connections idle for `size` s: what is written to them is lost."""
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -135,7 +135,7 @@
             self._discard_work()
             self.listener.silence()
 
-    def rejoin(self) -> None:
+    def end_partition(self) -> None:
         """End the partition: old connections are reset, and it is as warm as it was."""
         if self.life is None or not self.unreachable:
             return
