--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -46,7 +46,7 @@
 from millgw.standins.caller import SidecarClient, ready
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.endpoint import Endpoint
-from millgw.standins.endpoint_options import Build, ColdRule, Task
+from millgw.standins.endpoint_options import ColdRule, EndpointOptions, Task
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End, Ledger
 
@@ -101,7 +101,7 @@
     endpoints = []
     for i in range(ENDPOINTS):
         build = replace(
-            Build(f"e{i}", 1, 0, free_address(), handshake_work=0.2, slots=200, idle=TOLD_IDLE),
+            EndpointOptions(f"e{i}", 1, 0, free_address(), handshake_work=0.2, slots=200, idle=TOLD_IDLE),
             **regime.build,
         )
         endpoint = Endpoint(build, tasks, DeduplicationGroup(), ledger, clock, rule, seed)
--- a/millgw/rehearsal/faults/targets.py
+++ b/millgw/rehearsal/faults/targets.py
@@ -14,7 +14,7 @@
 from millgw.rehearsal.sidecars import Sidecar
 from millgw.standins.discovery_server import Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint
-from millgw.standins.endpoint_options import Build
+from millgw.standins.endpoint_options import EndpointOptions
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger
@@ -52,7 +52,7 @@
 
     async def revive(self, endpoint: Endpoint) -> None: ...
 
-    def replace(self, old: Endpoint, build: Build) -> Endpoint: ...
+    def replace(self, old: Endpoint, build: EndpointOptions) -> Endpoint: ...
 
 
 async def wait_for_end(fault: PlannedFault) -> None:
--- a/millgw/rehearsal/fleet.py
+++ b/millgw/rehearsal/fleet.py
@@ -6,7 +6,7 @@
 
 from millgw.rehearsal.scenario import Class, Scenario
 from millgw.standins.address import free_address
-from millgw.standins.endpoint_options import ONE_ZONE, Build, Task
+from millgw.standins.endpoint_options import ONE_ZONE, EndpointOptions, Task
 
 
 def tier_sizes(scenario: Scenario) -> tuple[int, ...]:
@@ -41,16 +41,16 @@
     )
 
 
-def builds_of_tier(scenario: Scenario, tier: int, size: int) -> list[Build]:
+def builds_of_tier(scenario: Scenario, tier: int, size: int) -> list[EndpointOptions]:
     """The endpoints of a tier, drawn from the scenario's seed."""
     rng = random.Random(f"tier {scenario.seed} {tier}")
     return [_build(scenario, tier, index, rng) for index in range(size)]
 
 
-def _build(scenario: Scenario, tier: int, index: int, rng: random.Random) -> Build:
+def _build(scenario: Scenario, tier: int, index: int, rng: random.Random) -> EndpointOptions:
     fleet = scenario.fleet
     weights = [kind.share for kind in fleet.kinds]
-    return Build(
+    return EndpointOptions(
         name=f"s-{rng.getrandbits(32):08x}",
         tier=tier,
         cell=index // fleet.group,
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -31,7 +31,7 @@
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint, NextTier
-from millgw.standins.endpoint_options import Build, ColdRule, Task
+from millgw.standins.endpoint_options import ColdRule, EndpointOptions, Task
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock, Message
 from millgw.standins.ledger import Attempt, Call, End, Ledger, shift
@@ -282,7 +282,7 @@
         self.say(f"{endpoint.options.name} is back, cold")
         self.notice(endpoint, "in_service", self.delays.add)
 
-    def replace(self, old: Endpoint, build: Build) -> Endpoint:
+    def replace(self, old: Endpoint, build: EndpointOptions) -> Endpoint:
         """Another machine at an endpoint's address, with the group and the sidecar of the old one's place."""
         caller = self._caller(build.name, build.tier) if old.next_tier is not None else None
         made = Endpoint(
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -16,7 +16,7 @@
 from millgw.standins.capacity import AdmissionQueue, ColdBudget, mean_work
 from millgw.standins.cpu import Cpu
 from millgw.standins.deduplication import DeduplicationGroup
-from millgw.standins.endpoint_options import Build, ColdRule, EndpointFaults, Task
+from millgw.standins.endpoint_options import ColdRule, EndpointFaults, EndpointOptions, Task
 from millgw.standins.http import NEVER_RAN, Clock, Message, ServerConnection, listener, ok, status
 from millgw.standins.ledger import Attempt, Handshake, Ledger, Life, Told
 from millgw.standins.request_check import answer_digest, describe_difference, make_body
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        options: Build,
+        options: EndpointOptions,
         class_costs: dict[str, Task],
         group: DeduplicationGroup,
         ledger: Ledger,
--- a/millgw/standins/endpoint_options.py
+++ b/millgw/standins/endpoint_options.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Build:
+class EndpointOptions:
     """The fixed parameters of an endpoint, the same in all its lives. Times are in ms."""
 
     name: str
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -21,7 +21,7 @@
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint
-from millgw.standins.endpoint_options import Build, ColdRule, Task
+from millgw.standins.endpoint_options import ColdRule, EndpointOptions, Task
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock, Listener, Message, ok
 from millgw.standins.ledger import Call, End, Ledger, Told
@@ -48,7 +48,7 @@
     ) -> None:
         self.ledger = Ledger() if ledger is None else ledger
         self.clock = Clock()
-        default = Build("e1", 1, 0, free_address(), handshake_work=0.0)
+        default = EndpointOptions("e1", 1, 0, free_address(), handshake_work=0.0)
         self.endpoint = Endpoint(
             replace(default, **options),
             TASKS,
