--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -46,7 +46,7 @@
 from millgw.standins.caller import SidecarClient, ready
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.endpoint import Endpoint
-from millgw.standins.endpoint_options import ColdRule, EndpointOptions, Task
+from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointOptions
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End, Ledger
 
@@ -96,7 +96,7 @@
 
 async def one_run(regime: Regime, way: str, seconds: float, rate: float, seed: int) -> Run:
     clock, ledger, run = Clock(), Ledger(), Run()
-    tasks = {name: Task(work=0.05, wait=2.0, cv=0.5, deadline=2000.0) for name in CLASSES}
+    tasks = {name: ClassCost(work=0.05, wait=2.0, cv=0.5, deadline=2000.0) for name in CLASSES}
     rule = ColdRule()
     endpoints = []
     for i in range(ENDPOINTS):
--- a/millgw/rehearsal/fleet.py
+++ b/millgw/rehearsal/fleet.py
@@ -6,7 +6,7 @@
 
 from millgw.rehearsal.scenario import Class, Scenario
 from millgw.standins.address import free_address
-from millgw.standins.endpoint_options import ONE_ZONE, EndpointOptions, Task
+from millgw.standins.endpoint_options import ONE_ZONE, ClassCost, EndpointOptions
 
 
 def tier_sizes(scenario: Scenario) -> tuple[int, ...]:
@@ -19,15 +19,15 @@
     return bool(scenario.services) or tier == len(scenario.fleet.tiers)
 
 
-def tasks_of_tier(scenario: Scenario, tier: int) -> dict[str, Task]:
+def tasks_of_tier(scenario: Scenario, tier: int) -> dict[str, ClassCost]:
     """What each class costs an endpoint of a tier."""
     return {cls.name: _task(scenario, tier, cls) for cls in scenario.classes}
 
 
-def _task(scenario: Scenario, tier: int, cls: Class) -> Task:
+def _task(scenario: Scenario, tier: int, cls: Class) -> ClassCost:
     share = scenario.work_shares()[tier - 1]
     last = is_last_tier(scenario, tier)
-    return Task(
+    return ClassCost(
         work=cls.work_ms * share,
         wait=cls.wait_ms * share,
         cv=cls.cv,
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -31,7 +31,7 @@
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint, NextTier
-from millgw.standins.endpoint_options import ColdRule, EndpointOptions, Task
+from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointOptions
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock, Message
 from millgw.standins.ledger import Attempt, Call, End, Ledger, shift
@@ -191,7 +191,7 @@
         numbers = iter(range(1 << 60))
         tag = random.Random(f"caller {self.scenario.seed} {endpoint}").getrandbits(24)
 
-        async def call(message: Message, attempt: Attempt, task: Task, left: float) -> bool:
+        async def call(message: Message, attempt: Attempt, task: ClassCost, left: float) -> bool:
             asked = self.ledger.asked_for.get(attempt.trace)
             trace = f"{tier:02x}{tag:06x}{next(numbers):08x}"
             made = Call(
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -16,7 +16,7 @@
 from millgw.standins.capacity import AdmissionQueue, ColdBudget, mean_work
 from millgw.standins.cpu import Cpu
 from millgw.standins.deduplication import DeduplicationGroup
-from millgw.standins.endpoint_options import ColdRule, EndpointFaults, EndpointOptions, Task
+from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointFaults, EndpointOptions
 from millgw.standins.http import NEVER_RAN, Clock, Message, ServerConnection, listener, ok, status
 from millgw.standins.ledger import Attempt, Handshake, Ledger, Life, Told
 from millgw.standins.request_check import answer_digest, describe_difference, make_body
@@ -31,7 +31,7 @@
 
 HEALTH = "/health"  # path of health probes
 
-NextTier = Callable[[Message, Attempt, Task, float], Awaitable[bool]]
+NextTier = Callable[[Message, Attempt, ClassCost, float], Awaitable[bool]]
 """Makes one call to the next tier for an attempt, with the ms left; returns whether it succeeded."""
 
 
@@ -41,7 +41,7 @@
     def __init__(
         self,
         options: EndpointOptions,
-        class_costs: dict[str, Task],
+        class_costs: dict[str, ClassCost],
         group: DeduplicationGroup,
         ledger: Ledger,
         clock: Clock,
@@ -262,7 +262,9 @@
     def _rejects(self) -> bool:
         return self.draining and not self.options.drains_serving
 
-    def _admit(self, connection: ServerConnection, message: Message, attempt: Attempt, task: Task) -> None:
+    def _admit(
+        self, connection: ServerConnection, message: Message, attempt: Attempt, task: ClassCost
+    ) -> None:
         rng = random.Random(f"{self.seed} {attempt.trace} {self.options.name}")
         if self._time_left(message, attempt, task) <= 0:
             self._send_answer(connection, attempt, Told.NEVER_RAN, status(504, NEVER_RAN))
@@ -291,7 +293,7 @@
         connection: ServerConnection,
         message: Message,
         attempt: Attempt,
-        task: Task,
+        task: ClassCost,
         turn: asyncio.Future[None],
         rng: random.Random,
     ) -> None:
@@ -319,7 +321,7 @@
             self._send_answer(connection, attempt, Told.OK, ok(body))
 
     async def _answer_body(
-        self, message: Message, attempt: Attempt, task: Task, rng: random.Random
+        self, message: Message, attempt: Attempt, task: ClassCost, rng: random.Random
     ) -> bytes | None:
         """Return the body of a 200, from its own run or that of the request it repeats; None on failure."""
         if not task.keyed:
@@ -335,7 +337,9 @@
             run.ended.set()
         return run.body
 
-    async def _run(self, message: Message, attempt: Attempt, task: Task, rng: random.Random) -> bytes | None:
+    async def _run(
+        self, message: Message, attempt: Attempt, task: ClassCost, rng: random.Random
+    ) -> bytes | None:
         attempt.began = self.clock()
         sigma = math.sqrt(math.log(1 + task.cv**2))
         work = task.work * min(MAX_WORK_FACTOR, rng.lognormvariate(-sigma * sigma / 2, sigma))
@@ -357,7 +361,7 @@
         body = f"{attempt.trace} {self.options.name} {next(self.answer_numbers)}\n".encode()
         return body + b"." * rng.randrange(16, 400)
 
-    def _time_left(self, message: Message, attempt: Attempt, task: Task) -> float:
+    def _time_left(self, message: Message, attempt: Attempt, task: ClassCost) -> float:
         """Return the ms left by `X-Expires-In-Ms`, or by the client's record if that is unusable."""
         header = message.headers.get("x-expires-in-ms", "")
         if header.isascii() and header.isdigit():
--- a/millgw/standins/endpoint_options.py
+++ b/millgw/standins/endpoint_options.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Task:
+class ClassCost:
     """Cost of one class at an endpoint of a tier. `work` is in core-ms of a reference core; times in ms."""
 
     work: float
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -21,7 +21,7 @@
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint
-from millgw.standins.endpoint_options import ColdRule, EndpointOptions, Task
+from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointOptions
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock, Listener, Message, ok
 from millgw.standins.ledger import Call, End, Ledger, Told
@@ -33,10 +33,10 @@
 pytestmark = skip_if_pure
 
 TASKS = {
-    "codigo": Task(work=2.0, wait=0.0, cv=0.0, deadline=5000.0),
-    "campanha": Task(work=2.0, wait=20.0, cv=0.0, deadline=5000.0, keyed=True, window=300.0),
-    "slow": Task(work=1.0, wait=2000.0, cv=0.0, deadline=5000.0),
-    "report": Task(work=1.0, wait=0.0, cv=0.0, deadline=5000.0, answer=1 << 21, pace=1 << 10),
+    "codigo": ClassCost(work=2.0, wait=0.0, cv=0.0, deadline=5000.0),
+    "campanha": ClassCost(work=2.0, wait=20.0, cv=0.0, deadline=5000.0, keyed=True, window=300.0),
+    "slow": ClassCost(work=1.0, wait=2000.0, cv=0.0, deadline=5000.0),
+    "report": ClassCost(work=1.0, wait=0.0, cv=0.0, deadline=5000.0, answer=1 << 21, pace=1 << 10),
 }
 
 
