--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -230,7 +230,7 @@
         self.latest_entries[entry.name] = entry
         self.ledger.changes.append(Change(entry.name, entry.life, entry.status, self.clock()))
         registry = self.registry(entry.tier)
-        registry.change(entry)
+        registry.apply(entry)
         if not self.down:
             for port in self.ports.values():
                 if port.registry is registry:
--- a/millgw/standins/endpoint_registry.py
+++ b/millgw/standins/endpoint_registry.py
@@ -38,7 +38,7 @@
         self.entries: dict[str, Entry] = {}
         self.history: deque[tuple[int, Entry]] = deque(maxlen=MAX_HISTORY)
 
-    def change(self, entry: Entry) -> None:
+    def apply(self, entry: Entry) -> None:
         """Apply a change; status `terminated` removes the entry from the list."""
         self.index += 1
         if entry.status == "terminated":
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -291,7 +291,7 @@
     registry = EndpointRegistry()
     views: dict[int, dict[str, Entry]] = {registry.index: {}}
     for name, status in steps:
-        registry.change(Entry(name, 1, 1, "127.0.0.1:1", 0, status))
+        registry.apply(Entry(name, 1, 1, "127.0.0.1:1", 0, status))
         views[registry.index] = dict(registry.entries)
     for index, view in views.items():
         whole, entries = registry.since(index)
