--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -97,7 +97,7 @@
             self.watches[connection] = watch
         else:
             asked.until = asked.at
-        _, entries = self.registry.since(index if watch else None)
+        _, entries = self.registry.changes_since(index if watch else None)
         if self.discovery_server.down:
             self._handle_outage(connection)
             return
@@ -160,7 +160,7 @@
         discovery_server = self.port.discovery_server
         if self.connection.closed or discovery_server.down or self.silenced:
             return
-        snapshot, entries = self.port.registry.since(self.index)
+        snapshot, entries = self.port.registry.changes_since(self.index)
         if first or snapshot or entries:
             self.index = self.port.registry.index
             line = json.dumps(discovery_server.update_for(self.port, snapshot, entries)).encode() + b"\n"
--- a/millgw/standins/endpoint_registry.py
+++ b/millgw/standins/endpoint_registry.py
@@ -51,7 +51,7 @@
         """Clear the history, as a restart does: who asks for changes gets the whole list."""
         self.history.clear()
 
-    def since(self, index: int | None) -> tuple[bool, tuple[Entry, ...]]:
+    def changes_since(self, index: int | None) -> tuple[bool, tuple[Entry, ...]]:
         """Return whether this is the whole list, and the entries: all, or the latest of each changed one."""
         oldest = self.history[0][0] if self.history else self.index + 1
         if index is None or index > self.index or index < oldest - 1:
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -294,7 +294,7 @@
         registry.apply(Entry(name, 1, 1, "127.0.0.1:1", 0, status))
         views[registry.index] = dict(registry.entries)
     for index, view in views.items():
-        whole, entries = registry.since(index)
+        whole, entries = registry.changes_since(index)
         assert not whole
         for entry in entries:
             if entry.status == "terminated":
@@ -303,10 +303,10 @@
                 view[entry.name] = entry
         assert view == registry.entries
     for unknown in (None, registry.index + 1):
-        assert registry.since(unknown) == (True, tuple(registry.entries.values()))
+        assert registry.changes_since(unknown) == (True, tuple(registry.entries.values()))
     if steps:
         registry.forget_history()
-        assert registry.since(registry.index - 1)[0] and not registry.since(registry.index)[0]
+        assert registry.changes_since(registry.index - 1)[0] and not registry.changes_since(registry.index)[0]
 
 
 # Summary
