--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -196,7 +196,7 @@
             trace = f"{tier:02x}{tag:06x}{next(numbers):08x}"
             made = Call(
                 trace=trace,
-                root=message.first.split()[1].partition("k=")[2],
+                root=message.first_line.split()[1].partition("k=")[2],
                 stage=tier,
                 cls=attempt.cls,
                 tenant=asked.tenant if asked is not None else message.headers.get("x-customer", ""),
@@ -204,7 +204,7 @@
                 sidecar="",
                 due=self.clock(),
                 patience=float(int(left)),
-                method=message.first.split()[0],
+                method=message.first_line.split()[0],
             )
             made = await ask(self.own[endpoint].desk, made, self.ledger)
             return made.status == 200 and made.end is End.ANSWERED
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -81,7 +81,7 @@
             watch.end()
 
     def asked(self, connection: ServerConnection, message: Message) -> None:
-        method, target, _ = message.first.split(" ", 2)
+        method, target, _ = message.first_line.split(" ", 2)
         url = urlsplit(target)
         if method != "GET" or url.path != "/v1/endpoints":
             connection.write(status(404))
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -227,7 +227,7 @@
         return attempt
 
     def asked(self, connection: ServerConnection, message: Message) -> None:
-        path, trace = message.first.split()[1], message.headers.get("x-trace-id", "")
+        path, trace = message.first_line.split()[1], message.headers.get("x-trace-id", "")
         if path == HEALTH and self.options.probing:
             if self.up:
                 unhealthy = self.draining and not self.options.drains_healthy
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -47,7 +47,7 @@
 class Message:
     """A message as read from a socket: first line, headers by lower-case name, body, arrival times (ms)."""
 
-    first: str
+    first_line: str
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
     first_byte: float = 0.0
@@ -56,7 +56,7 @@
 
     @property
     def status(self) -> int:
-        return int(self.first.split()[1])
+        return int(self.first_line.split()[1])
 
 
 def ok(body: bytes = b"done", more: str = "") -> bytes:
@@ -151,7 +151,7 @@
 
     def on_url(self, url: bytes) -> None:
         assert self.message is not None
-        self.message.first += url.decode("latin-1")
+        self.message.first_line += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         assert self.message is not None
@@ -165,7 +165,7 @@
         assert self.message is not None and self.parser is not None
         message, self.message = self.message, None
         method = self.parser.get_method().decode()
-        message.first = f"{method} {message.first} HTTP/{self.parser.get_http_version()}"
+        message.first_line = f"{method} {message.first_line} HTTP/{self.parser.get_http_version()}"
         message.last_byte = self.received_at
         self.requests += 1
         self.waiting.append(message)
--- a/millgw/standins/request_check.py
+++ b/millgw/standins/request_check.py
@@ -10,7 +10,7 @@
 
 def describe_difference(message: Message, call: Call) -> str:
     """Describe how an attempt differs from its client's request, by the protocol; empty if it does not."""
-    method, target = message.first.split()[:2]
+    method, target = message.first_line.split()[:2]
     if method != call.method:
         return f"the method is {method}, the client's {call.method}"
     if target != call.target:
--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -57,12 +57,12 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             message = await read_message(reader)
-            if message.first.startswith("POST /v1/configuration/reports "):
+            if message.first_line.startswith("POST /v1/configuration/reports "):
                 self.reports.append(json.loads(message.body))
                 writer.write(self.report_answer)
                 writer.close()
                 return
-            self.watch_targets.append(message.first.split()[1])
+            self.watch_targets.append(message.first_line.split()[1])
             self.open_watches.append(writer)
             if self.manual:
                 self.watches.put_nowait((message, writer))
--- a/tests/probe_proofs.py
+++ b/tests/probe_proofs.py
@@ -38,7 +38,7 @@
 
         async def answer(message: Message, endpoint: ScriptedEndpoint) -> bytes:
             response = await script(message, endpoint)
-            if message.first.startswith("GET /health"):
+            if message.first_line.startswith("GET /health"):
                 self.answered.append(time.monotonic())
             return response
 
--- a/tests/sidecar_process.py
+++ b/tests/sidecar_process.py
@@ -30,7 +30,7 @@
     calls: list[float] = field(default_factory=list)  # arrival times, monotonic s
 
     async def answer(self, message: Message, _: ScriptedEndpoint) -> bytes:
-        if message.first.startswith("GET /health"):
+        if message.first_line.startswith("GET /health"):
             return status(503) if self.draining and not self.healthy else ok()
         self.calls.append(time.monotonic())
         return ok()
--- a/tests/test_configuration_transport.py
+++ b/tests/test_configuration_transport.py
@@ -47,7 +47,7 @@
     def asked(self, connection: ServerConnection, message: HttpMessage) -> None:
         epoch = decode(message.body).header.epoch
         self.epochs.append(epoch)
-        self.paths.add(message.first)
+        self.paths.add(message.first_line)
         answer = self.answer(epoch)
         if answer is not None:
             connection.write(answer)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -198,7 +198,7 @@
             await wait_until(lambda: bool(made.received))
             made.discovery.move(other.address)
             call, later = await other.calls.get()
-            assert call.first.split()[1].endswith("from=1")
+            assert call.first_line.split()[1].endswith("from=1")
             writer.write(chunk(DRAIN))
             await wait_until(lambda: bool(made.drained()))
             assert made.discovery.index == 1, "updates of the new server would be skipped"
@@ -504,7 +504,7 @@
             disconnect(client, "reset")
             while (await rig.ask(again)).status == 409:
                 pass
-            assert not [m for m in endpoint.got if m.first.startswith("POST")]
+            assert not [m for m in endpoint.got if m.first_line.startswith("POST")]
 
     run(test)
 
@@ -623,7 +623,7 @@
             for client in clients:
                 client.settimeout(0.0)
                 assert client.recv(4096).startswith(b"HTTP/1.1 503")
-            assert not [m for m in endpoint.got if m.first.startswith("POST")]
+            assert not [m for m in endpoint.got if m.first_line.startswith("POST")]
         for client in clients:
             client.close()
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -235,7 +235,7 @@
             assert (await node.ask(b"GET /ready/x HTTP/1.1\r\nHost: n\r\n\r\n")).status == 404
         assert {m.headers["x-qos"] for m in login.got} == {"pay"} and len(login.got) == 6
         assert {m.headers["x-qos"] for m in campaign.got} == {"write"} and len(campaign.got) == 5
-        assert login.got[-1].first == "POST /api?k=7 HTTP/1.1", "an endpoint is asked for a path"
+        assert login.got[-1].first_line == "POST /api?k=7 HTTP/1.1", "an endpoint is asked for a path"
 
     run(test)
 
@@ -449,7 +449,7 @@
         async with operator_sidecar(tmp_path, text, str(discovery_server.address)):
             for asked in (discovery_server, other):
                 call, _ = await asked.calls.get()
-                assert call.first.startswith("GET /v1/endpoints?watch=1")
+                assert call.first_line.startswith("GET /v1/endpoints?watch=1")
 
     run(test)
 
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -55,7 +55,7 @@
             assert (got.status, got.body) == (200, b"\x00body\xff")
             assert got.headers["content-type"] == "x/y"
         (sent,) = endpoint.got
-        assert sent.first == "POST /api?k=a%20b HTTP/1.1" and sent.body == b"\x01in\xfe"
+        assert sent.first_line == "POST /api?k=a%20b HTTP/1.1" and sent.body == b"\x01in\xfe"
         assert sent.headers["idempotency-key"] == "key-1" and sent.headers["x-props"] == "a=1"
         assert 0 < int(sent.headers["x-expires-in-ms"]) < 20_000
 
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -48,7 +48,7 @@
         async with sidecar() as rig:
             assert (await rig.ask(READY)).status == 503
             call, writer = await rig.discovery.calls.get()
-            assert call.first == "GET /v1/endpoints?watch=1&from=1 HTTP/1.1"
+            assert call.first_line == "GET /v1/endpoints?watch=1&from=1 HTTP/1.1"
             lines = line(2, []) + b"\n" + line(3, [endpoint.entry()])
             data = STREAM + chunk(lines[:9]) + chunk(lines[9:])
             for at in range(len(data)):
@@ -89,7 +89,7 @@
                 writer.write(end)
             assert (await rig.ask(request())).status == 200, "the earlier list is no longer used"
             call, writer = await rig.discovery.calls.get()
-            assert call.first.split()[1] == "/v1/endpoints?watch=1&from=1"
+            assert call.first_line.split()[1] == "/v1/endpoints?watch=1&from=1"
             writer.write(STREAM + chunk(line(9, [other.entry()], snapshot=True)))
             while not other.got:
                 await rig.ask(request())
@@ -111,7 +111,7 @@
             last = line(3, [old.entry("terminating", weight="?")])[:-1]
             writer.write(STREAM + chunk(line(2, [new.entry()]) + b"{broken\n" + last) + b"0\r\n\r\n")
             call, _ = await rig.discovery.calls.get()
-            assert call.first.split()[1].endswith("from=2"), "the unreadable line is requested again"
+            assert call.first_line.split()[1].endswith("from=2"), "the unreadable line is requested again"
             for _ in range(5):
                 assert (await rig.ask(request())).status == 200
         assert len(new.got) == 5 and not old.got
@@ -138,7 +138,7 @@
     async def test() -> None:
         async with sidecar(known={"surprise": 1}) as rig:
             call, _ = await rig.discovery.calls.get()
-            assert call.first.split()[1] == "/v1/endpoints?watch=1"
+            assert call.first_line.split()[1] == "/v1/endpoints?watch=1"
 
     run(test)
 
@@ -147,7 +147,7 @@
     async def test(known: object) -> None:
         async with sidecar(known=known) as rig:
             call, _ = await rig.discovery.calls.get()
-            assert call.first.split()[1] == "/v1/endpoints?watch=1"
+            assert call.first_line.split()[1] == "/v1/endpoints?watch=1"
 
     run(lambda: test(None))
     assert "known" not in caplog.text
@@ -348,7 +348,7 @@
         assert await ask() == 200
         await hup(file | {"discovery": str(new.address)})
         call, writer = await new.calls.get()
-        assert call.first.split()[1].endswith("from=5"), "what was heard before the move was lost"
+        assert call.first_line.split()[1].endswith("from=5"), "what was heard before the move was lost"
         assert await ask() == 200, "the list was lost"
         writer.write(STREAM + chunk(line(6, [endpoint.entry("terminating")])))
         while await ask() == 200:
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -85,7 +85,7 @@
 
 async def slowly(message: Message, _: ScriptedEndpoint) -> bytes:
     """It serves on while it drains, and says so only where it is asked."""
-    if message.first.startswith("GET /health"):
+    if message.first_line.startswith("GET /health"):
         return status(503)
     await asyncio.sleep(SLOWER)
     return ok()
@@ -104,7 +104,7 @@
 
 
 def calls_of(endpoint: ScriptedEndpoint) -> int:
-    return sum(" /api" in message.first for message in endpoint.got)
+    return sum(" /api" in message.first_line for message in endpoint.got)
 
 
 async def last_served_by(rig: RunningSidecar, last: ScriptedEndpoint, before: ScriptedEndpoint) -> None:
@@ -180,7 +180,7 @@
     """No first byte comes to an endpoint that has a kept connection, but those of a later caller."""
     await all_read(rig)
     await asyncio.sleep(CALLER_GONE)
-    assert not [message for message in endpoint.got if LEFT in message.first]
+    assert not [message for message in endpoint.got if LEFT in message.first_line]
     assert endpoint.connections == 1, "an attempt that began was broken off"
 
 
@@ -328,7 +328,7 @@
                     lambda: endpoint.lost_connections == 1
                 )  # the attempt that has begun is given up
             await asyncio.sleep(RETRY_WAIT)
-            assert not [m for m in endpoint.got if LEFT in m.first] and endpoint.connections == begun
+            assert not [m for m in endpoint.got if LEFT in m.first_line] and endpoint.connections == begun
             client.close()
 
     run(test)
