--- a/millgw/load/sender.py
+++ b/millgw/load/sender.py
@@ -193,7 +193,7 @@
             return f"{self.cls.method} {path} HTTP/1.1\r\nHost: {host}\r\n{length}\r\n".encode() + body
         trace = f"{orders.tag:06x}{arrival.number:08x}{self.number:02x}"
         target = path if "?" in path else f"{path}?k={arrival.about}"
-        return http.ask(
+        return http.encode_request(
             self.cls.method, target, host, trace, arrival.cls, arrival.tenant, arrival.key, left, body
         )
 
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -26,7 +26,7 @@
 
 def encode_call(call: Call, patience: int) -> bytes:
     """Encode a request as the protocol documentation describes it."""
-    return http.ask(
+    return http.encode_request(
         call.method, call.target, call.host, call.trace, call.cls, call.tenant, call.key, patience,
         make_body(call.trace, call.body),
     )  # fmt: skip
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -67,7 +67,7 @@
     return f"HTTP/1.1 {code} X\r\n{extra_headers}Content-Length: 0\r\n\r\n".encode()
 
 
-def ask(
+def encode_request(
     method: str,
     target: str,
     host: str,
