--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -59,8 +59,8 @@
         return int(self.first_line.split()[1])
 
 
-def ok(body: bytes = b"done", more: str = "") -> bytes:
-    return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (more.encode(), len(body), body)
+def ok(body: bytes = b"done", extra_headers: str = "") -> bytes:
+    return b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (extra_headers.encode(), len(body), body)
 
 
 def status(code: int, extra_headers: str = "") -> bytes:
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -87,7 +87,7 @@
 
 def test_a_connection_that_the_endpoint_ends_is_not_used_again() -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", answering(ok(more="Connection: close\r\n")))
+        endpoint = ScriptedEndpoint("e1", answering(ok(extra_headers="Connection: close\r\n")))
         async with sidecar(endpoint) as rig:
             for _ in range(2):
                 assert (await rig.ask(request("pay"))).status == 200
