--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -75,7 +75,7 @@
 
     def asked(self, connection: ServerConnection, message: Message) -> None:
         connection.write(ok())
-        connection.answered()
+        connection.request_done()
 
 
 async def removals() -> None:
--- a/millgw/scale/servers.py
+++ b/millgw/scale/servers.py
@@ -87,7 +87,7 @@
     def asked(self, connection: ServerConnection, message: Message) -> None:
         """Answer one request."""
         connection.write(ok())
-        connection.answered()
+        connection.request_done()
 
 
 async def discovery() -> None:
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -85,7 +85,7 @@
         url = urlsplit(target)
         if method != "GET" or url.path != "/v1/endpoints":
             connection.write(status(404))
-            connection.answered()
+            connection.request_done()
             return
         query = parse_qs(url.query)
         since = query.get("from", [""])[0]
@@ -132,7 +132,7 @@
             self.discovery_server.update_for(self, True, tuple(self.registry.entries.values()))
         ).encode()
         connection.write(ok(body, "Content-Type: application/json\r\n"))
-        connection.answered()
+        connection.request_done()
 
 
 class Watch:
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -232,11 +232,11 @@
             if self.up:
                 unhealthy = self.draining and not self.options.drains_healthy
                 connection.write(status(503) if unhealthy else ok())
-                connection.answered()
+                connection.request_done()
             return
         if not trace or not path.startswith("/api"):
             connection.write(status(404))
-            connection.answered()
+            connection.request_done()
             return
         attempt = self._record(message)
         attempt.last = message.last_byte
@@ -383,7 +383,7 @@
             connection.reset()
             return
         connection.write(data)
-        connection.answered()
+        connection.request_done()
         if self.options.uses and connection.requests >= self.options.uses:
             connection.close()
 
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -179,7 +179,7 @@
             self.busy = True
             self.site.asked(self, self.waiting.popleft())
 
-    def answered(self) -> None:
+    def request_done(self) -> None:
         """Mark the current request as done, and pass on the next one."""
         self.busy = False
         self.idle_since = self.site.clock()
--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -84,7 +84,7 @@
             connection.reset()
         else:
             connection.write(answer)
-            connection.answered()
+            connection.request_done()
 
     def lost(self, connection: ServerConnection) -> None:
         self.lost_connections += 1
--- a/tests/test_configuration_transport.py
+++ b/tests/test_configuration_transport.py
@@ -51,7 +51,7 @@
         answer = self.answer(epoch)
         if answer is not None:
             connection.write(answer)
-            connection.answered()
+            connection.request_done()
 
 
 def reply_response(epoch: int) -> bytes:
