--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -195,7 +195,7 @@
                 continue
             idle = now - connection.idle_since
             if idle > self.middlebox_timeout:
-                connection.forget()
+                connection.blackhole()
             elif idle > self.idle_times[connection]:
                 connection.close()
         self.idle_timer = asyncio.get_running_loop().call_later(IDLE_CHECK_INTERVAL, self._close_idle)
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -200,7 +200,7 @@
             self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             self.transport.abort()
 
-    def forget(self) -> None:
+    def blackhole(self) -> None:
         """Drop all that arrives from now on, unacknowledged, like a middlebox that lost its state.
 
         A socket filter drops the segments before TCP sees them.
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -109,7 +109,7 @@
         async with operator_sidecar(tmp_path, operator_file(FORGOTTEN, endpoint)) as rig:
             assert (await rig.ask(request(cls))).status == 200
             (old,) = endpoint.served
-            old.forget()
+            old.blackhole()
             await asyncio.sleep(0.15)
             assert (await rig.ask(request(cls, expires_in=3000))).status == 200
             seen = await counts(rig)
@@ -127,7 +127,7 @@
         await endpoint.start()
         async with operator_sidecar(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
-            endpoint.served[0].forget()
+            endpoint.served[0].blackhole()
             assert (await rig.ask(request("pay", expires_in=600))).status == 502
 
     run(test)
