--- a/millgw/load/lines.py
+++ b/millgw/load/lines.py
@@ -69,7 +69,7 @@
         if job is None:
             self.abort()
             return
-        if self.reader is not None and self.reader.keep:
+        if self.reader is not None and self.reader.keep_alive:
             self.lines.free(self)
         else:
             self.abort()
--- a/millgw/standins/caller.py
+++ b/millgw/standins/caller.py
@@ -164,7 +164,7 @@
             return
         if b"retry-after" in headers:
             call.retry_after = float(headers[b"retry-after"]) * 1000
-        keep = self.reader is not None and self.reader.keep
+        keep = self.reader is not None and self.reader.keep_alive
         self._end(End.ANSWERED)
         if keep:
             self.client.idle.append(self)
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -327,7 +327,7 @@
             self.on_answer(self.status, self.headers, bytes(self.body))
 
     @property
-    def keep(self) -> bool:
+    def keep_alive(self) -> bool:
         return bool(self.parser.should_keep_alive())
 
 
