--- a/millgw/rehearsal/audit/auditor.py
+++ b/millgw/rehearsal/audit/auditor.py
@@ -18,7 +18,7 @@
 from millgw.rehearsal.audit.effects import audit_effects
 from millgw.rehearsal.audit.findings import Audit, Finding
 from millgw.rehearsal.audit.rules import AuditRules
-from millgw.standins.ledger import End, Ledger, Told
+from millgw.standins.ledger import AttemptOutcome, End, Ledger
 
 MIN_SERVED_SHARE = 0.02  # of the requests; a day that serves less tests no rule
 
@@ -47,7 +47,7 @@
     if not firsts or len(served) >= MIN_SERVED_SHARE * len(firsts):
         return ""
     served_text = f"{len(served)} of {len(firsts)} requests were served"
-    causes = Counter(a.why for a in records.ledger.attempts if a.told is Told.UNUSABLE)
+    causes = Counter(a.why for a in records.ledger.attempts if a.told is AttemptOutcome.UNUSABLE)
     if causes:
         cause, count = causes.most_common(1)[0]
         return f"{served_text}: endpoints answered {causes.total()} attempts with 400, {count} as {cause}"
--- a/millgw/rehearsal/audit/day_records.py
+++ b/millgw/rehearsal/audit/day_records.py
@@ -8,7 +8,7 @@
 from millgw.rehearsal.audit.findings import Evidence, Finding
 from millgw.rehearsal.audit.lateness import Lateness
 from millgw.rehearsal.audit.rules import AuditRules
-from millgw.standins.ledger import Attempt, Ledger, Told
+from millgw.standins.ledger import Attempt, AttemptOutcome, Ledger
 
 SOCKET_MARGIN_MS = 50.0  # added to every time limit when measured on sockets (protocol page)
 MAX_ALLOWED_PAUSE_MS = 150.0  # how long a process may be stopped: deadlines allow for that (standing page)
@@ -69,4 +69,4 @@
 
 def known_not_to_have_run(attempt: Attempt, by: float) -> bool:
     """Whether a sidecar could know at `by` that a completely received attempt did not run."""
-    return attempt.told is Told.NEVER_RAN and attempt.told_at is not None and attempt.told_at <= by
+    return attempt.told is AttemptOutcome.NEVER_RAN and attempt.told_at is not None and attempt.told_at <= by
--- a/millgw/rehearsal/audit/effects.py
+++ b/millgw/rehearsal/audit/effects.py
@@ -10,7 +10,7 @@
 from millgw.rehearsal.audit.day_records import SOCKET_MARGIN_MS, DayRecords, known_not_to_have_run
 from millgw.rehearsal.audit.findings import Evidence, Finding
 from millgw.rehearsal.audit.rules import ClassRules, Repeats
-from millgw.standins.ledger import Attempt, Told
+from millgw.standins.ledger import Attempt, AttemptOutcome
 
 REFUSAL_STATUSES = frozenset({429, 503})
 
@@ -24,7 +24,7 @@
         if cls is None or not trace:
             continue
         # A request that succeeded at its first attempt gave no occasion for a repeat.
-        if any(a.told is not Told.OK for a in attempts) or len(received) > 1:
+        if any(a.told is not AttemptOutcome.OK for a in attempts) or len(received) > 1:
             finding.checked += 1
         if len(received) > records.rules.max_attempts:
             finding.add(
--- a/millgw/rehearsal/demo.py
+++ b/millgw/rehearsal/demo.py
@@ -13,7 +13,7 @@
 from millgw.rehearsal.scenario import Discovery, Fault, Fleet, Scenario, Traffic
 from millgw.rehearsal.scenario_checks import check
 from millgw.rehearsal.testbed import Testbed
-from millgw.standins.ledger import Told
+from millgw.standins.ledger import AttemptOutcome
 
 ONCE_S = 14.0
 LONG_S = 3600.0
@@ -91,7 +91,7 @@
         attempts = [a for a in testbed.ledger.attempts if a.last is not None and a.last >= since]
         served = sum(c.status == 200 for c in calls)
         refused = sum(c.status in (429, 503) for c in calls)
-        silent = sum(a.told is Told.NOTHING and a.began is None for a in attempts)
+        silent = sum(a.told is AttemptOutcome.NOTHING and a.began is None for a in attempts)
         print(
             f"{(testbed.clock() - testbed.zero) / 1000:5.0f} s: {served} served, {refused} refused,"
             f" {len(calls) - served - refused} failed; {len(attempts)} attempts, {silent} at a silent server",
--- a/millgw/rehearsal/summary.py
+++ b/millgw/rehearsal/summary.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from millgw.rehearsal.audit.lateness import quantile
-from millgw.standins.ledger import Call, End, Ledger, Told
+from millgw.standins.ledger import AttemptOutcome, Call, End, Ledger
 
 
 @dataclass(slots=True, frozen=True)
@@ -185,9 +185,11 @@
 def _count_attempts(ledger: Ledger, summary: Summary) -> None:
     tiers = {life.endpoint: life.tier for life in ledger.lives}
     for attempt in ledger.attempts:
-        of_tier = summary.attempts.setdefault(tiers.get(attempt.endpoint, 0), {t.value: 0 for t in Told})
+        of_tier = summary.attempts.setdefault(
+            tiers.get(attempt.endpoint, 0), {t.value: 0 for t in AttemptOutcome}
+        )
         of_tier[attempt.told.value] += 1
-        if attempt.told is Told.UNUSABLE:
+        if attempt.told is AttemptOutcome.UNUSABLE:
             summary.unusable[attempt.why] = summary.unusable.get(attempt.why, 0) + 1
         if attempt.last is not None and 0 <= int(attempt.last / 1000) < len(summary.seconds):
             summary.seconds[int(attempt.last / 1000)].attempts += 1
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -18,7 +18,7 @@
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointFaults, EndpointOptions
 from millgw.standins.http import NEVER_RAN, Clock, Message, ServerConnection, listener, ok, status
-from millgw.standins.ledger import Attempt, Handshake, Ledger, Life, Told
+from millgw.standins.ledger import Attempt, AttemptOutcome, Handshake, Ledger, Life
 from millgw.standins.request_check import answer_digest, describe_difference, make_body
 
 MAX_WORK_FACTOR = 6.0  # upper bound of a request's random work, in multiples of its class's mean
@@ -253,9 +253,9 @@
             return
         if task is None or attempt.why:
             attempt.why = attempt.why or f"{attempt.cls!r} is no class of this tier"
-            self._send_answer(connection, attempt, Told.UNUSABLE, status(400))
+            self._send_answer(connection, attempt, AttemptOutcome.UNUSABLE, status(400))
         elif self._rejects() or len(self.connections) > self.options.connections:
-            self._send_answer(connection, attempt, Told.NEVER_RAN, status(503, NEVER_RAN))
+            self._send_answer(connection, attempt, AttemptOutcome.NEVER_RAN, status(503, NEVER_RAN))
         else:
             self._admit(connection, message, attempt, task)
 
@@ -267,16 +267,16 @@
     ) -> None:
         rng = random.Random(f"{self.seed} {attempt.trace} {self.options.name}")
         if self._time_left(message, attempt, task) <= 0:
-            self._send_answer(connection, attempt, Told.NEVER_RAN, status(504, NEVER_RAN))
+            self._send_answer(connection, attempt, AttemptOutcome.NEVER_RAN, status(504, NEVER_RAN))
         elif rng.random() < self.faults.resetting:
-            self._send_answer(connection, attempt, Told.RESET, b"")
+            self._send_answer(connection, attempt, AttemptOutcome.RESET, b"")
         elif rng.random() < self.faults.failing:
-            self._send_answer(connection, attempt, Told.ERROR, status(500))
+            self._send_answer(connection, attempt, AttemptOutcome.ERROR, status(500))
         else:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             entered = self.admission.enter(turn)
             if entered is None:
-                self._send_answer(connection, attempt, Told.NEVER_RAN, status(503, NEVER_RAN))
+                self._send_answer(connection, attempt, AttemptOutcome.NEVER_RAN, status(503, NEVER_RAN))
                 return
             if entered:
                 turn.set_result(None)
@@ -309,7 +309,7 @@
             if isinstance(following, asyncio.Future) and not following.done():
                 following.set_result(None)
         if body is None:
-            self._send_answer(connection, attempt, Told.ERROR, status(500))
+            self._send_answer(connection, attempt, AttemptOutcome.ERROR, status(500))
         elif rng.random() < self.faults.spoiling:
             await self._send_malformed(connection, attempt, body, rng.choice(MALFORMATIONS))
         elif task.answer:
@@ -318,7 +318,7 @@
             )
         else:
             attempt.token = answer_digest(body)
-            self._send_answer(connection, attempt, Told.OK, ok(body))
+            self._send_answer(connection, attempt, AttemptOutcome.OK, ok(body))
 
     async def _answer_body(
         self, message: Message, attempt: Attempt, task: ClassCost, rng: random.Random
@@ -374,12 +374,12 @@
     # Answers
 
     def _send_answer(
-        self, connection: ServerConnection, attempt: Attempt, outcome: Told, data: bytes
+        self, connection: ServerConnection, attempt: Attempt, outcome: AttemptOutcome, data: bytes
     ) -> None:
         if self.attempts.pop(connection, None) is None:
             return  # the sidecar has closed the connection
         attempt.told, attempt.told_at = outcome, self.clock()
-        if outcome is Told.RESET:
+        if outcome is AttemptOutcome.RESET:
             connection.reset()
             return
         connection.write(data)
@@ -401,7 +401,7 @@
             connection.write(data[at : at + WRITE_SIZE])
             if pace:
                 await asyncio.sleep(WRITE_SIZE / pace)
-        self._send_answer(connection, attempt, Told.OK, b"")
+        self._send_answer(connection, attempt, AttemptOutcome.OK, b"")
 
     async def _send_malformed(
         self, connection: ServerConnection, attempt: Attempt, body: bytes, how: str
@@ -410,12 +410,12 @@
         if how == "doubled":
             # The first answer is valid and counts; the second one belongs to no request.
             attempt.token = answer_digest(body)
-            self._send_answer(connection, attempt, Told.OK, whole + ok(b"nobody's"))
+            self._send_answer(connection, attempt, AttemptOutcome.OK, whole + ok(b"nobody's"))
             return
         data = {"short": whole[:-5], "garbled": b"HTTP/1.1 2x0 ?\r\n" + whole, "stalled": whole[:-9]}[how]
         if self.attempts.get(connection) is not attempt:
             return
-        attempt.told, attempt.told_at = Told.SPOILT, self.clock()
+        attempt.told, attempt.told_at = AttemptOutcome.SPOILT, self.clock()
         connection.write(data)
         if how == "stalled":
             await asyncio.sleep(STALLED_ANSWER_TIME)
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -12,7 +12,7 @@
 from millgw.standins.configuration_ledger import ControlLife, ProposedVersion, VersionLook, VersionReport
 
 
-class Told(Enum):
+class AttemptOutcome(Enum):
     """How an endpoint answered an attempt, as the sidecar could see it."""
 
     NOTHING = "nothing"
@@ -54,7 +54,7 @@
     work: float = 0.0
     began: float | None = None
     ended: float | None = None
-    told: Told = Told.NOTHING
+    told: AttemptOutcome = AttemptOutcome.NOTHING
     told_at: float | None = None
     token: str = ""
     repeat_of: str = ""  # the trace whose run answered this one, if it was deduplicated
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -17,6 +17,7 @@
 from millgw.standins.ledger import (
     Asked,
     Attempt,
+    AttemptOutcome,
     Call,
     Change,
     End,
@@ -27,7 +28,6 @@
     SentAway,
     SidecarLife,
     SidecarPause,
-    Told,
     Word,
 )
 from tests.kinds import skip_if_pure
@@ -73,14 +73,14 @@
     def allowed_endpoints(self, sidecar: str) -> list[str]:
         return [e for e in CELLS if (sidecar, e) not in self.banned]
 
-    def add_attempt(self, call: Call, endpoint: str, told: Told, answered: bool = True) -> Attempt:
+    def add_attempt(self, call: Call, endpoint: str, told: AttemptOutcome, answered: bool = True) -> Attempt:
         self.now += self.rng.uniform(0.1, 20.0)
         attempt = Attempt(
             call.trace, endpoint, 1, CELLS[endpoint], call.cls, call.key, self.now, self.now + 1.0, WORK
         )
         self.now += self.rng.uniform(1.5, 60.0)
         attempt.told, attempt.told_at = told, self.now if answered else None
-        if told is Told.OK:
+        if told is AttemptOutcome.OK:
             attempt.began, attempt.ended, attempt.token = (
                 attempt.last,
                 self.now,
@@ -106,12 +106,20 @@
             allowed = [e for e in free if not cells or CELLS[e] in cells]
             if not allowed:
                 break
-            told = rng.choice((Told.OK, Told.ERROR, Told.NEVER_RAN, Told.RESET, Told.NOTHING))
-            attempt = self.add_attempt(call, rng.choice(allowed), told, told is not Told.NOTHING)
-            if told is Told.OK:
+            told = rng.choice(
+                (
+                    AttemptOutcome.OK,
+                    AttemptOutcome.ERROR,
+                    AttemptOutcome.NEVER_RAN,
+                    AttemptOutcome.RESET,
+                    AttemptOutcome.NOTHING,
+                )
+            )
+            attempt = self.add_attempt(call, rng.choice(allowed), told, told is not AttemptOutcome.NOTHING)
+            if told is AttemptOutcome.OK:
                 call.token, call.status = attempt.token, 200
                 break
-            if told is not Told.NEVER_RAN:
+            if told is not AttemptOutcome.NEVER_RAN:
                 may_refuse = may_refuse and cls == "status"
                 if cls == "codigo":
                     break
@@ -200,7 +208,7 @@
 
 def another_requests_answer(writer: LedgerWriter) -> None:
     first = answered_call(writer, "status")
-    token = writer.add_attempt(first, "a", Told.OK).token
+    token = writer.add_attempt(first, "a", AttemptOutcome.OK).token
     answer_call(writer, first, 200, token)
     second = answered_call(writer, "codigo")
     answer_call(writer, second, 200, token)
@@ -210,7 +218,7 @@
     call = answered_call(writer, "status")
     answer_call(writer, call)
     writer.now += 80.0
-    writer.add_attempt(call, "a", Told.OK)
+    writer.add_attempt(call, "a", AttemptOutcome.OK)
 
 
 def sidecar_crashed(writer: LedgerWriter) -> None:
@@ -220,51 +228,51 @@
 
 def fragile_again(writer: LedgerWriter) -> None:
     call = answered_call(writer, "codigo")
-    writer.add_attempt(call, "a", Told.ERROR)
-    writer.add_attempt(call, "b", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
+    writer.add_attempt(call, "b", AttemptOutcome.ERROR)
     answer_call(writer, call)
 
 
 def fragile_again_after_silence(writer: LedgerWriter) -> None:
     call = answered_call(writer, "codigo")
-    writer.add_attempt(call, "a", Told.NOTHING, answered=False)
-    token = writer.add_attempt(call, "b", Told.OK).token
+    writer.add_attempt(call, "a", AttemptOutcome.NOTHING, answered=False)
+    token = writer.add_attempt(call, "b", AttemptOutcome.OK).token
     answer_call(writer, call, 200, token)
 
 
 def rejection_known_only_later(writer: LedgerWriter) -> None:
     call = answered_call(writer, "codigo")
-    first = writer.add_attempt(call, "a", Told.NEVER_RAN)
-    second = writer.add_attempt(call, "b", Told.ERROR)
+    first = writer.add_attempt(call, "a", AttemptOutcome.NEVER_RAN)
+    second = writer.add_attempt(call, "b", AttemptOutcome.ERROR)
     first.told_at = (second.last or 0.0) + 1.0
     answer_call(writer, call)
 
 
 def keyed_in_another_group(writer: LedgerWriter) -> None:
     call = answered_call(writer, "campanha")
-    writer.add_attempt(call, "a", Told.ERROR)
-    writer.add_attempt(call, "c", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
+    writer.add_attempt(call, "c", AttemptOutcome.ERROR)
     answer_call(writer, call)
 
 
 def keyed_too_late(writer: LedgerWriter) -> None:
     call = answered_call(writer, "campanha")
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     writer.now += 2100.0
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
 
 
 def refused_what_may_have_run(writer: LedgerWriter) -> None:
     call = answered_call(writer, "codigo")
-    writer.add_attempt(call, "a", Told.RESET)
+    writer.add_attempt(call, "a", AttemptOutcome.RESET)
     answer_call(writer, call, 503)
 
 
 def too_many_attempts(writer: LedgerWriter) -> None:
     call = answered_call(writer, "status")
     for _ in range(4):
-        writer.add_attempt(call, "a", Told.ERROR)
+        writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
 
 
@@ -272,7 +280,7 @@
     call = answered_call(writer, "status")
     writer.ledger.words.append(Word("n0", "a", 1, "terminating", writer.now))
     writer.now += 600.0
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
 
 
@@ -282,7 +290,7 @@
     writer.ledger.changes.append(Change("a", 1, "terminating", writer.now + 1.0))
     writer.now += 6700.0
     call = answered_call(writer, "status")
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
 
 
@@ -304,7 +312,7 @@
 
 def long_answer_cut_off_by_the_sidecar(writer: LedgerWriter) -> None:
     call = answered_call(writer, "status")
-    writer.add_attempt(call, "a", Told.NOTHING, answered=False).token = "half"
+    writer.add_attempt(call, "a", AttemptOutcome.NOTHING, answered=False).token = "half"
     call.begun, call.closed = writer.now, writer.now + 100.0
     call.status, call.end, call.answered = 0, End.BROKEN, None
 
@@ -315,7 +323,7 @@
     writer.ledger.sidecars.append(SidecarLife("n0", 0, writer.now, writer.now + 100.0, beside=True))
     writer.now += 200.0
     call = answered_call(writer, "status")
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
 
 
@@ -326,7 +334,7 @@
         call = Call(f"push{i}", f"push{i}", 0, "status", "t", "", "n0", writer.now, writer.now, 3000.0)
         writer.now += 2.0
         attempt = Attempt(
-            call.trace, "e", 1, 0, "status", "", writer.now, writer.now + 0.5, WORK, told=Told.ERROR
+            call.trace, "e", 1, 0, "status", "", writer.now, writer.now + 0.5, WORK, told=AttemptOutcome.ERROR
         )
         writer.ledger.attempts.append(attempt)
         writer.ledger.calls.append(call)
@@ -399,7 +407,7 @@
     long_answer_cut_off_by_the_sidecar(writer)
     call = writer.ledger.calls[-1]
     writer.ledger.attempts[-1].endpoint = "b"
-    writer.add_attempt(call, "a", Told.NOTHING, answered=False)
+    writer.add_attempt(call, "a", AttemptOutcome.NOTHING, answered=False)
     (life,) = (x for x in writer.ledger.lives if x.endpoint == "a")
     life.until = (call.closed or 0.0) - 10.0
     call.closed = writer.now
@@ -412,7 +420,7 @@
         call = answered_call(writer, "status")
         call.end, call.closed = End.CROSSED, (call.sent or 0.0) + after
         if read:
-            writer.add_attempt(call, "a", Told.ERROR)
+            writer.add_attempt(call, "a", AttemptOutcome.ERROR)
         resent = Call(call.trace, call.root, 0, "status", "t", "", "n0", call.due, writer.now + 30.0, 3000.0)
         resent.end, resent.status, resent.answered = End.ANSWERED, 502, writer.now + 40.0
         writer.ledger.calls.append(resent)
@@ -428,7 +436,7 @@
             writer.ledger.sidecars.append(SidecarLife("n0", 0, 300.0, 400.0))
         writer.now = 1000.0
         call = answered_call(writer, "status")
-        writer.add_attempt(call, "a", Told.ERROR)
+        writer.add_attempt(call, "a", AttemptOutcome.ERROR)
         answer_call(writer, call)
         assert broken_rules(writer.ledger) == (set() if restarted else {3})
 
@@ -440,12 +448,12 @@
     writer.ledger.changes.append(Change("a", 1, "terminating", 1000.0))
     writer.now = 25_000.0
     call = answered_call(writer, "status")
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
     assert not broken_rules(writer.ledger)
     writer.now = 27_000.0
     after = answered_call(writer, "codigo")
-    writer.add_attempt(after, "a", Told.ERROR)
+    writer.add_attempt(after, "a", AttemptOutcome.ERROR)
     answer_call(writer, after)
     assert broken_rules(writer.ledger) == {3}
 
@@ -460,7 +468,7 @@
         writer.ledger.changes.append(Change("a", 2, "in_service", 4000.0))
     writer.now = 8000.0
     call = answered_call(writer, "status")
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
     assert broken_rules(writer.ledger) == (set() if returned else {3})
 
@@ -475,7 +483,7 @@
     writer.ledger.changes.append(Change("a", 1, "terminating", 1000.0))
     writer.now = 12_000.0
     call = answered_call(writer, "status")
-    writer.add_attempt(call, "a", Told.ERROR)
+    writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
     writer.ledger.samples = [Sample(at, lag) for at in range(0, 14_000, 1550)]
     found = run_audit(writer.ledger)
@@ -585,7 +593,7 @@
 def left_before_an_attempt(writer: LedgerWriter, late: float) -> None:
     """Add a call whose caller left `late` ms before the attempt of its request began."""
     call = answered_call(writer, "status")
-    attempt = writer.add_attempt(call, "a", Told.OK)
+    attempt = writer.add_attempt(call, "a", AttemptOutcome.OK)
     call.end, call.closed, call.answered, call.status = End.LEFT, attempt.first - late, None, 0
 
 
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -26,7 +26,17 @@
 from millgw.standins.capacity import AdmissionQueue, Processor
 from millgw.standins.discovery_server import OutageKind
 from millgw.standins.endpoint_registry import EndpointRegistry, Entry
-from millgw.standins.ledger import Attempt, Call, End, InjectedFault, Ledger, Life, Told, Upgrade, shift
+from millgw.standins.ledger import (
+    Attempt,
+    AttemptOutcome,
+    Call,
+    End,
+    InjectedFault,
+    Ledger,
+    Life,
+    Upgrade,
+    shift,
+)
 from tests.kinds import skip_if_pure
 
 pytestmark = skip_if_pure
@@ -326,7 +336,7 @@
     call("c", 0, 1500.0, 502, 10.0)
     life = Life("e", 1, 2, 0, 0.0, 1.0)
     ledger.lives.append(life)
-    ledger.attempts.append(Attempt("a0", "e", 1, 0, "c", "", 110.0, 111.0, 1.0, told=Told.OK))
+    ledger.attempts.append(Attempt("a0", "e", 1, 0, "c", "", 110.0, 111.0, 1.0, told=AttemptOutcome.OK))
     summary = summarize(ledger, {"c": Worth(500.0, 1000.0, 4.0, 0.25)})
     assert summary.service == pytest.approx((4 + 1 + 0) / 12)
     assert (summary.asked, summary.tries, summary.served, summary.refused, summary.failed) == (3, 4, 2, 1, 1)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -24,7 +24,7 @@
 from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointOptions
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock, Listener, Message, ok
-from millgw.standins.ledger import Call, End, Ledger, Told
+from millgw.standins.ledger import AttemptOutcome, Call, End, Ledger
 from millgw.standins.request_check import answer_digest
 from millgw.standins.scripted import ScriptedEndpoint, answering, read_message, silent
 from tests.kinds import skip_if_pure
@@ -88,7 +88,7 @@
         answer = await bench.send(bench.request(trace="abc"))
         (attempt,) = bench.ledger.attempts
         assert answer.status == 200 and answer_digest(answer.body) == attempt.token
-        assert (attempt.trace, attempt.told, attempt.endpoint) == ("abc", Told.OK, "e1")
+        assert (attempt.trace, attempt.told, attempt.endpoint) == ("abc", AttemptOutcome.OK, "e1")
         assert attempt.began is not None and attempt.ended is not None and attempt.last is not None
         assert attempt.first <= attempt.last <= attempt.began <= attempt.ended
         assert (await bench.send(b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n")).status == 404
@@ -112,7 +112,10 @@
             await wait_until(lambda: any(a.began for a in bench.ledger.attempts))
         answer = await bench.send(bench.request(left=0 if condition == "over" else 4000))
         assert answer.status in (503, 504) and answer.headers["x-never-ran"] == "1"
-        assert bench.ledger.attempts[-1].told is Told.NEVER_RAN and bench.ledger.attempts[-1].began is None
+        assert (
+            bench.ledger.attempts[-1].told is AttemptOutcome.NEVER_RAN
+            and bench.ledger.attempts[-1].began is None
+        )
 
     run(test)
 
@@ -172,7 +175,9 @@
             async with asyncio.timeout(0.3):
                 await bench.connect()
         unheard = bench.ledger.attempts[-1]
-        assert unheard.trace == "unheard" and unheard.last is not None and unheard.told is Told.NOTHING
+        assert (
+            unheard.trace == "unheard" and unheard.last is not None and unheard.told is AttemptOutcome.NOTHING
+        )
         life = bench.endpoint.start(cold=True)
         with pytest.raises(ConnectionResetError):
             await reader.read(1)
@@ -195,7 +200,9 @@
             await reader.read(1)
         with pytest.raises(ConnectionRefusedError):
             await bench.connect()
-        assert bench.ledger.attempts[0].told is Told.NOTHING and bench.ledger.attempts[0].ended is None
+        assert (
+            bench.ledger.attempts[0].told is AttemptOutcome.NOTHING and bench.ledger.attempts[0].ended is None
+        )
 
     run(test)
 
@@ -229,13 +236,15 @@
             with suppress(TimeoutError, asyncio.IncompleteReadError, ConnectionError, ValueError):
                 async with asyncio.timeout(0.2):
                     await bench.send(bench.request())
-        await wait_until(lambda: all(a.told is not Told.NOTHING for a in bench.ledger.attempts))
+        await wait_until(lambda: all(a.told is not AttemptOutcome.NOTHING for a in bench.ledger.attempts))
         told = {a.told for a in bench.ledger.attempts}
-        expected = {"failing": {Told.ERROR}, "resetting": {Told.RESET}, "spoiling": {Told.SPOILT, Told.OK}}[
-            fault
-        ]
+        expected = {
+            "failing": {AttemptOutcome.ERROR},
+            "resetting": {AttemptOutcome.RESET},
+            "spoiling": {AttemptOutcome.SPOILT, AttemptOutcome.OK},
+        }[fault]
         # An answer followed by a second one is malformed too, but the first one is complete and counts.
-        assert told <= expected and told - {Told.OK}
+        assert told <= expected and told - {AttemptOutcome.OK}
 
     run(test)
 
