--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -16,7 +16,7 @@
 from millgw.standins.endpoint import Endpoint
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock
-from millgw.standins.ledger import Ledger, Word
+from millgw.standins.ledger import Ledger, SentStatus
 
 
 def directory(tier: int) -> str:
@@ -131,7 +131,7 @@
             above, _, name = path.rpartition("/")
             if path in self.lives:
                 status = json.loads(data)["status"]
-                book(Word(sidecar, name, self.lives[path], status, now))
+                book(SentStatus(sidecar, name, self.lives[path], status, now))
                 if status == "in_service":
                     self.known.setdefault((sidecar, above), set()).add(name)
             return
@@ -140,4 +140,4 @@
             known.discard(name)
             node = f"{path}/{name}"
             if node not in self.lapsed:
-                book(Word(sidecar, name, self.lives[node], "terminated", now))
+                book(SentStatus(sidecar, name, self.lives[node], "terminated", now))
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -18,7 +18,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.endpoint_registry import EndpointRegistry, Entry
 from millgw.standins.http import Clock, Listener, Message, ServerConnection, listener, ok, status
-from millgw.standins.ledger import Asked, Change, Ledger, Outage, Word
+from millgw.standins.ledger import Asked, Change, Ledger, Outage, SentStatus
 
 HEARTBEAT = 2.0  # s between the empty lines that keep a watch alive
 STATUS_ORDER = {"in_service": 0, "terminating": 1, "terminated": 2}
@@ -252,12 +252,12 @@
         """Build the JSON value of a line or list, and record it as sent to the sidecar now."""
         now, record = self.clock(), self.ledger.words.append
         for entry in entries:
-            record(Word(port.sidecar, entry.name, entry.life, entry.status, now))
+            record(SentStatus(port.sidecar, entry.name, entry.life, entry.status, now))
         if snapshot:
             names = {entry.name for entry in entries}
             for last in self.latest_entries.values():
                 if last.name not in names and self.registry(last.tier) is port.registry:
-                    record(Word(port.sidecar, last.name, last.life, "terminated", now))
+                    record(SentStatus(port.sidecar, last.name, last.life, "terminated", now))
         return {
             "index": port.registry.index,
             "snapshot": snapshot,
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -100,7 +100,7 @@
 
 
 @dataclass(slots=True)
-class Word:
+class SentStatus:
     """An endpoint's status as the discovery server sent it to a sidecar."""
 
     sidecar: str
@@ -251,7 +251,7 @@
 
     attempts: list[Attempt] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
-    words: list[Word] = field(default_factory=list)
+    words: list[SentStatus] = field(default_factory=list)
     changes: list[Change] = field(default_factory=list)
     asked: list[Asked] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
@@ -279,7 +279,7 @@
 TIME_FIELDS: dict[type, tuple[str, ...]] = {
     Attempt: ("first", "last", "began", "ended", "told_at"),
     Call: ("due", "began", "sent", "begun", "answered", "closed"),
-    Word: ("at",),
+    SentStatus: ("at",),
     Change: ("at",),
     Asked: ("at", "until"),
     Outage: ("at", "until"),
