--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -18,7 +18,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.endpoint_registry import EndpointRegistry, Entry
 from millgw.standins.http import Clock, Listener, Message, ServerConnection, listener, ok, status
-from millgw.standins.ledger import Asked, Change, Ledger, Outage, SentStatus
+from millgw.standins.ledger import Change, DiscoveryQuery, Ledger, Outage, SentStatus
 
 HEARTBEAT = 2.0  # s between the empty lines that keep a watch alive
 STATUS_ORDER = {"in_service": 0, "terminating": 1, "terminated": 2}
@@ -90,7 +90,7 @@
         query = parse_qs(url.query)
         since = query.get("from", [""])[0]
         index = int(since) if since.isdigit() else None
-        asked = Asked(self.sidecar, self.clock(), tier=self.tier)
+        asked = DiscoveryQuery(self.sidecar, self.clock(), tier=self.tier)
         self.discovery_server.ledger.asked.append(asked)
         watch = Watch(self, connection, index, asked) if query.get("watch") == ["1"] else None
         if watch is not None:
@@ -139,7 +139,7 @@
     """One watch: a stream of lines with changes, and of empty lines as heartbeats."""
 
     def __init__(
-        self, port: SidecarPort, connection: ServerConnection, index: int | None, asked: Asked
+        self, port: SidecarPort, connection: ServerConnection, index: int | None, asked: DiscoveryQuery
     ) -> None:
         self.port = port
         self.connection = connection
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -121,7 +121,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class DiscoveryQuery:
     """A sidecar's list request or watch at the discovery server; `until` is None while a watch is open."""
 
     sidecar: str
@@ -253,7 +253,7 @@
     calls: list[Call] = field(default_factory=list)
     words: list[SentStatus] = field(default_factory=list)
     changes: list[Change] = field(default_factory=list)
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[DiscoveryQuery] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     lives: list[Life] = field(default_factory=list)
     handshakes: list[Handshake] = field(default_factory=list)
@@ -281,7 +281,7 @@
     Call: ("due", "began", "sent", "begun", "answered", "closed"),
     SentStatus: ("at",),
     Change: ("at",),
-    Asked: ("at", "until"),
+    DiscoveryQuery: ("at", "until"),
     Outage: ("at", "until"),
     Life: ("start", "until", "fell"),
     Handshake: ("at",),
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -15,11 +15,11 @@
 from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
 from millgw.standins.capacity import ColdBudget
 from millgw.standins.ledger import (
-    Asked,
     Attempt,
     AttemptOutcome,
     Call,
     Change,
+    DiscoveryQuery,
     End,
     Ledger,
     Life,
@@ -60,7 +60,7 @@
             self.ledger.lives.append(Life(name, 1, 1, CELLS[name], -1000.0, 1.0))
         for name in SIDECARS:
             self.ledger.sidecars.append(SidecarLife(name, 0, -500.0, -400.0))
-            self.ledger.asked.append(Asked(name, -400.0))
+            self.ledger.asked.append(DiscoveryQuery(name, -400.0))
         self.ledger.samples = [Sample(t * 50.0, 1.0) for t in range(2000)]
 
     def add_discovery_line(self, sidecar: str, endpoint: str, status: str) -> None:
@@ -462,7 +462,7 @@
 def test_a_call_that_discovery_turned_away_delays_no_drain(returned: bool) -> None:
     writer = LedgerWriter(random.Random(1))
     writer.ledger.asked[0].until = 0.0
-    writer.ledger.asked.append(Asked("n0", 3000.0, 5000.0))
+    writer.ledger.asked.append(DiscoveryQuery("n0", 3000.0, 5000.0))
     writer.ledger.changes.append(Change("a", 1, "terminating", 1000.0))
     if returned:
         writer.ledger.changes.append(Change("a", 2, "in_service", 4000.0))
