--- a/millgw/rehearsal/audit/drains.py
+++ b/millgw/rehearsal/audit/drains.py
@@ -16,7 +16,7 @@
 
 from millgw.rehearsal.audit.day_records import SOCKET_MARGIN_MS, DayRecords
 from millgw.rehearsal.audit.findings import Evidence, Finding
-from millgw.standins.ledger import Attempt, Call, Change
+from millgw.standins.ledger import Attempt, Call, StatusChange
 
 
 @dataclass(slots=True, frozen=True)
@@ -119,7 +119,7 @@
                 yield name, change.endpoint, due
 
 
-def _back_in_service(records: DayRecords, change: Change, by: float) -> bool:
+def _back_in_service(records: DayRecords, change: StatusChange, by: float) -> bool:
     """Whether the endpoint is in service again at `by`."""
     return any(
         later.endpoint == change.endpoint and later.status == "in_service" and change.at <= later.at <= by
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -18,7 +18,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.endpoint_registry import EndpointRegistry, Entry
 from millgw.standins.http import Clock, Listener, Message, ServerConnection, listener, ok, status
-from millgw.standins.ledger import Change, DiscoveryQuery, Ledger, Outage, SentStatus
+from millgw.standins.ledger import DiscoveryQuery, Ledger, Outage, SentStatus, StatusChange
 
 HEARTBEAT = 2.0  # s between the empty lines that keep a watch alive
 STATUS_ORDER = {"in_service": 0, "terminating": 1, "terminated": 2}
@@ -228,7 +228,7 @@
     def apply_change(self, entry: Entry) -> None:
         """Apply a change to the list now."""
         self.latest_entries[entry.name] = entry
-        self.ledger.changes.append(Change(entry.name, entry.life, entry.status, self.clock()))
+        self.ledger.changes.append(StatusChange(entry.name, entry.life, entry.status, self.clock()))
         registry = self.registry(entry.tier)
         registry.apply(entry)
         if not self.down:
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -111,7 +111,7 @@
 
 
 @dataclass(slots=True)
-class Change:
+class StatusChange:
     """A change of an endpoint's status, at the time when the discovery server noticed it."""
 
     endpoint: str
@@ -252,7 +252,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
     words: list[SentStatus] = field(default_factory=list)
-    changes: list[Change] = field(default_factory=list)
+    changes: list[StatusChange] = field(default_factory=list)
     asked: list[DiscoveryQuery] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     lives: list[Life] = field(default_factory=list)
@@ -280,7 +280,7 @@
     Attempt: ("first", "last", "began", "ended", "told_at"),
     Call: ("due", "began", "sent", "begun", "answered", "closed"),
     SentStatus: ("at",),
-    Change: ("at",),
+    StatusChange: ("at",),
     DiscoveryQuery: ("at", "until"),
     Outage: ("at", "until"),
     Life: ("start", "until", "fell"),
