--- a/millgw/rehearsal/audit/drains.py
+++ b/millgw/rehearsal/audit/drains.py
@@ -72,7 +72,7 @@
 def _bans(records: DayRecords) -> dict[tuple[str, str], list[Ban]]:
     """For each sidecar and endpoint: the times from a reported drain or end until a reported start."""
     words: dict[tuple[str, str], list[tuple[float, bool, bool]]] = defaultdict(list)
-    for word in records.ledger.words:
+    for word in records.ledger.sent_statuses:
         words[word.sidecar, word.endpoint].append((word.at, word.status != "in_service", False))
     for sidecar, endpoint, at in list(_unwritten_changes(records, words)):
         words[sidecar, endpoint].append((at, True, True))
--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -126,7 +126,7 @@
     # What sidecars were told
 
     def _told(self, sidecar: str, path: str, names: tuple[str, ...] | None, data: bytes) -> None:
-        now, book = self.clock(), self.ledger.words.append
+        now, book = self.clock(), self.ledger.sent_statuses.append
         if names is None:
             above, _, name = path.rpartition("/")
             if path in self.lives:
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -250,7 +250,7 @@
 
     def update_for(self, port: SidecarPort, snapshot: bool, entries: tuple[Entry, ...]) -> dict[str, object]:
         """Build the JSON value of a line or list, and record it as sent to the sidecar now."""
-        now, record = self.clock(), self.ledger.words.append
+        now, record = self.clock(), self.ledger.sent_statuses.append
         for entry in entries:
             record(SentStatus(port.sidecar, entry.name, entry.life, entry.status, now))
         if snapshot:
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -64,7 +64,7 @@
         self.ledger.samples = [Sample(t * 50.0, 1.0) for t in range(2000)]
 
     def add_discovery_line(self, sidecar: str, endpoint: str, status: str) -> None:
-        self.ledger.words.append(SentStatus(sidecar, endpoint, 1, status, self.now))
+        self.ledger.sent_statuses.append(SentStatus(sidecar, endpoint, 1, status, self.now))
         if status == "in_service":
             self.banned.pop((sidecar, endpoint), None)
         else:
@@ -278,7 +278,7 @@
 
 def after_a_drain(writer: LedgerWriter) -> None:
     call = answered_call(writer, "status")
-    writer.ledger.words.append(SentStatus("n0", "a", 1, "terminating", writer.now))
+    writer.ledger.sent_statuses.append(SentStatus("n0", "a", 1, "terminating", writer.now))
     writer.now += 600.0
     writer.add_attempt(call, "a", AttemptOutcome.ERROR)
     answer_call(writer, call)
@@ -318,7 +318,7 @@
 
 
 def after_a_drain_that_the_process_before_was_told(writer: LedgerWriter) -> None:
-    writer.ledger.words.append(SentStatus("n0", "a", 1, "terminating", writer.now))
+    writer.ledger.sent_statuses.append(SentStatus("n0", "a", 1, "terminating", writer.now))
     writer.now += 400.0
     writer.ledger.sidecars.append(SidecarLife("n0", 0, writer.now, writer.now + 100.0, beside=True))
     writer.now += 200.0
@@ -430,7 +430,7 @@
 def test_what_a_process_was_told_does_not_bind_the_next_one_of_its_name() -> None:
     for restarted in (False, True):
         writer = LedgerWriter(random.Random(1))
-        writer.ledger.words.append(SentStatus("n0", "a", 1, "terminated", 100.0))
+        writer.ledger.sent_statuses.append(SentStatus("n0", "a", 1, "terminated", 100.0))
         if restarted:
             writer.ledger.sidecars[0].kill = writer.ledger.sidecars[0].ended = 200.0
             writer.ledger.sidecars.append(SidecarLife("n0", 0, 300.0, 400.0))
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -407,7 +407,7 @@
         writer.write(b"GET /v1/endpoints HTTP/1.1\r\nHost: c\r\n\r\n")
         whole = json.loads((await read_message(reader)).body)
         assert whole["snapshot"] and whole["index"] == second["index"]
-        sent = [(w.endpoint, w.status) for w in server.ledger.words]
+        sent = [(w.endpoint, w.status) for w in server.ledger.sent_statuses]
         assert sent == [("a", "in_service"), ("a", "terminating"), ("a", "terminating"), ("a", "terminating")]
         assert [(c.endpoint, c.status) for c in server.ledger.changes] == [
             ("a", "in_service"),
@@ -436,7 +436,7 @@
         await again.start()
         line = await again.next_line()
         assert line["snapshot"] and [e["name"] for e in line["endpoints"]] == ["b"]
-        gone = [w for w in server.ledger.words if w.status == "terminated"]
+        gone = [w for w in server.ledger.sent_statuses if w.status == "terminated"]
         assert [w.endpoint for w in gone] == ["a"], "endpoints missing from a whole list count as terminated"
         assert server.ledger.outages[0].until is not None
 
