--- a/millgw/rehearsal/audit/drains.py
+++ b/millgw/rehearsal/audit/drains.py
@@ -103,7 +103,7 @@
     """
     asked = {(record.sidecar, record.tier) for record in records.ledger.asked}
     tiers = {life.endpoint: life.tier for life in records.ledger.lives}
-    for change in records.ledger.changes:
+    for change in records.ledger.status_changes:
         if change.status == "in_service":
             continue
         since = _reachable_from(records, change.at)
@@ -123,7 +123,7 @@
     """Whether the endpoint is in service again at `by`."""
     return any(
         later.endpoint == change.endpoint and later.status == "in_service" and change.at <= later.at <= by
-        for later in records.ledger.changes
+        for later in records.ledger.status_changes
     )
 
 
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -228,7 +228,7 @@
     def apply_change(self, entry: Entry) -> None:
         """Apply a change to the list now."""
         self.latest_entries[entry.name] = entry
-        self.ledger.changes.append(StatusChange(entry.name, entry.life, entry.status, self.clock()))
+        self.ledger.status_changes.append(StatusChange(entry.name, entry.life, entry.status, self.clock()))
         registry = self.registry(entry.tier)
         registry.apply(entry)
         if not self.down:
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -287,7 +287,7 @@
 def drain_never_asked_for(writer: LedgerWriter) -> None:
     """A sidecar that neither watches nor polls discovery counts as told after the time limit."""
     writer.ledger.asked[0].until = writer.now
-    writer.ledger.changes.append(StatusChange("a", 1, "terminating", writer.now + 1.0))
+    writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", writer.now + 1.0))
     writer.now += 6700.0
     call = answered_call(writer, "status")
     writer.add_attempt(call, "a", AttemptOutcome.ERROR)
@@ -445,7 +445,7 @@
     writer = LedgerWriter(random.Random(1))
     writer.ledger.asked[0].until = 0.0
     writer.ledger.outages.append(Outage(0.0, 20_000.0))
-    writer.ledger.changes.append(StatusChange("a", 1, "terminating", 1000.0))
+    writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", 1000.0))
     writer.now = 25_000.0
     call = answered_call(writer, "status")
     writer.add_attempt(call, "a", AttemptOutcome.ERROR)
@@ -463,9 +463,9 @@
     writer = LedgerWriter(random.Random(1))
     writer.ledger.asked[0].until = 0.0
     writer.ledger.asked.append(DiscoveryQuery("n0", 3000.0, 5000.0))
-    writer.ledger.changes.append(StatusChange("a", 1, "terminating", 1000.0))
+    writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", 1000.0))
     if returned:
-        writer.ledger.changes.append(StatusChange("a", 2, "in_service", 4000.0))
+        writer.ledger.status_changes.append(StatusChange("a", 2, "in_service", 4000.0))
     writer.now = 8000.0
     call = answered_call(writer, "status")
     writer.add_attempt(call, "a", AttemptOutcome.ERROR)
@@ -480,7 +480,7 @@
     """The discovery server runs in the rig's loop, so it is unreachable while the loop lags."""
     writer = LedgerWriter(random.Random(1))
     writer.ledger.asked[0].until = 0.0
-    writer.ledger.changes.append(StatusChange("a", 1, "terminating", 1000.0))
+    writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", 1000.0))
     writer.now = 12_000.0
     call = answered_call(writer, "status")
     writer.add_attempt(call, "a", AttemptOutcome.ERROR)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -409,7 +409,7 @@
         assert whole["snapshot"] and whole["index"] == second["index"]
         sent = [(w.endpoint, w.status) for w in server.ledger.sent_statuses]
         assert sent == [("a", "in_service"), ("a", "terminating"), ("a", "terminating"), ("a", "terminating")]
-        assert [(c.endpoint, c.status) for c in server.ledger.changes] == [
+        assert [(c.endpoint, c.status) for c in server.ledger.status_changes] == [
             ("a", "in_service"),
             ("a", "terminating"),
         ]
@@ -450,8 +450,8 @@
         for stale in (make_entry("a", "terminated", life=1), make_entry("a", life=2)):
             server.apply_late(stale, (0.0, 0.0))
         server.apply_late(make_entry("a", "terminating", life=2), (5.0, 5.0))
-        await wait_until(lambda: len(server.ledger.changes) == 2)
-        assert [c.status for c in server.ledger.changes] == ["in_service", "terminating"]
+        await wait_until(lambda: len(server.ledger.status_changes) == 2)
+        assert [c.status for c in server.ledger.status_changes] == ["in_service", "terminating"]
 
     run(test)
 
