--- a/millgw/rehearsal/audit/drains.py
+++ b/millgw/rehearsal/audit/drains.py
@@ -101,7 +101,7 @@
     `words` are the changes that were written, by sidecar and endpoint, each starting with its time.
     A discovery call that was refused, rejected or never answered in between does not extend the limit.
     """
-    asked = {(record.sidecar, record.tier) for record in records.ledger.asked}
+    asked = {(record.sidecar, record.tier) for record in records.ledger.discovery_queries}
     tiers = {life.endpoint: life.tier for life in records.ledger.lives}
     for change in records.ledger.status_changes:
         if change.status == "in_service":
--- a/millgw/standins/discovery_server.py
+++ b/millgw/standins/discovery_server.py
@@ -91,7 +91,7 @@
         since = query.get("from", [""])[0]
         index = int(since) if since.isdigit() else None
         asked = DiscoveryQuery(self.sidecar, self.clock(), tier=self.tier)
-        self.discovery_server.ledger.asked.append(asked)
+        self.discovery_server.ledger.discovery_queries.append(asked)
         watch = Watch(self, connection, index, asked) if query.get("watch") == ["1"] else None
         if watch is not None:
             self.watches[connection] = watch
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -253,7 +253,7 @@
     calls: list[Call] = field(default_factory=list)
     sent_statuses: list[SentStatus] = field(default_factory=list)
     status_changes: list[StatusChange] = field(default_factory=list)
-    asked: list[DiscoveryQuery] = field(default_factory=list)
+    discovery_queries: list[DiscoveryQuery] = field(default_factory=list)
     outages: list[Outage] = field(default_factory=list)
     lives: list[Life] = field(default_factory=list)
     handshakes: list[Handshake] = field(default_factory=list)
@@ -301,7 +301,7 @@
 def shift(ledger: Ledger, by: float) -> None:
     """Shift all times by `by` ms, as the stand-ins start before the rehearsal's time 0 is known."""
     for records in (
-        ledger.attempts, ledger.calls, ledger.sent_statuses, ledger.status_changes, ledger.asked, ledger.outages,
+        ledger.attempts, ledger.calls, ledger.sent_statuses, ledger.status_changes, ledger.discovery_queries, ledger.outages,
         ledger.lives, ledger.handshakes, ledger.sidecars, ledger.samples, ledger.injected,
         ledger.sent_away, ledger.upgrades, ledger.control, ledger.proposed, ledger.version_looks,
         ledger.version_reports,
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -60,7 +60,7 @@
             self.ledger.lives.append(Life(name, 1, 1, CELLS[name], -1000.0, 1.0))
         for name in SIDECARS:
             self.ledger.sidecars.append(SidecarLife(name, 0, -500.0, -400.0))
-            self.ledger.asked.append(DiscoveryQuery(name, -400.0))
+            self.ledger.discovery_queries.append(DiscoveryQuery(name, -400.0))
         self.ledger.samples = [Sample(t * 50.0, 1.0) for t in range(2000)]
 
     def add_discovery_line(self, sidecar: str, endpoint: str, status: str) -> None:
@@ -286,7 +286,7 @@
 
 def drain_never_asked_for(writer: LedgerWriter) -> None:
     """A sidecar that neither watches nor polls discovery counts as told after the time limit."""
-    writer.ledger.asked[0].until = writer.now
+    writer.ledger.discovery_queries[0].until = writer.now
     writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", writer.now + 1.0))
     writer.now += 6700.0
     call = answered_call(writer, "status")
@@ -443,7 +443,7 @@
 
 def test_a_drain_told_during_an_outage_counts_from_its_end() -> None:
     writer = LedgerWriter(random.Random(1))
-    writer.ledger.asked[0].until = 0.0
+    writer.ledger.discovery_queries[0].until = 0.0
     writer.ledger.outages.append(Outage(0.0, 20_000.0))
     writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", 1000.0))
     writer.now = 25_000.0
@@ -461,8 +461,8 @@
 @pytest.mark.parametrize("returned", [False, True])
 def test_a_call_that_discovery_turned_away_delays_no_drain(returned: bool) -> None:
     writer = LedgerWriter(random.Random(1))
-    writer.ledger.asked[0].until = 0.0
-    writer.ledger.asked.append(DiscoveryQuery("n0", 3000.0, 5000.0))
+    writer.ledger.discovery_queries[0].until = 0.0
+    writer.ledger.discovery_queries.append(DiscoveryQuery("n0", 3000.0, 5000.0))
     writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", 1000.0))
     if returned:
         writer.ledger.status_changes.append(StatusChange("a", 2, "in_service", 4000.0))
@@ -479,7 +479,7 @@
 ) -> None:
     """The discovery server runs in the rig's loop, so it is unreachable while the loop lags."""
     writer = LedgerWriter(random.Random(1))
-    writer.ledger.asked[0].until = 0.0
+    writer.ledger.discovery_queries[0].until = 0.0
     writer.ledger.status_changes.append(StatusChange("a", 1, "terminating", 1000.0))
     writer.now = 12_000.0
     call = answered_call(writer, "status")
