--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -192,7 +192,7 @@
         tag = random.Random(f"caller {self.scenario.seed} {endpoint}").getrandbits(24)
 
         async def call(message: Message, attempt: Attempt, task: ClassCost, left: float) -> bool:
-            asked = self.ledger.asked_for.get(attempt.trace)
+            asked = self.ledger.calls_by_trace.get(attempt.trace)
             trace = f"{tier:02x}{tag:06x}{next(numbers):08x}"
             made = Call(
                 trace=trace,
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -206,7 +206,7 @@
         """Record an attempt. An incomplete one is not checked, as its request line may be missing."""
         headers = message.headers
         trace = headers.get("x-trace-id", "")
-        call = self.ledger.asked_for.get(trace)
+        call = self.ledger.calls_by_trace.get(trace)
         attempt = Attempt(
             trace=trace,
             endpoint=self.options.name,
@@ -366,7 +366,7 @@
         header = message.headers.get("x-expires-in-ms", "")
         if header.isascii() and header.isdigit():
             return float(header) - (self.clock() - message.last_byte)
-        call = self.ledger.asked_for.get(attempt.trace)
+        call = self.ledger.calls_by_trace.get(attempt.trace)
         if call is not None and call.sent is not None:
             return call.sent + call.patience - self.clock()
         return task.deadline - (self.clock() - message.last_byte)
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -268,12 +268,12 @@
     version_looks: list[VersionLook] = field(default_factory=list)
     version_reports: list[VersionReport] = field(default_factory=list)
     late: list[tuple[float, float]] = field(default_factory=list)  # requests: when due, ms sent late
-    asked_for: dict[str, Call] = field(default_factory=dict)  # the last call recorded for each trace
+    calls_by_trace: dict[str, Call] = field(default_factory=dict)  # the last call recorded for each trace
 
     def book(self, call: Call) -> None:
         """Record a call as it is sent; endpoints look it up by its trace."""
         self.calls.append(call)
-        self.asked_for[call.trace] = call
+        self.calls_by_trace[call.trace] = call
 
 
 TIME_FIELDS: dict[type, tuple[str, ...]] = {
