--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -162,7 +162,7 @@
             f"{rng.getrandbits(48):012x}{number:06x}", f"{number:x}", 0, cls, "", "", "n", due,
             patience=2000.0, method="GET" if CLASSES[cls] == "retryable" else "POST",
         )  # fmt: skip
-        ledger.book(call)
+        ledger.add_call(call)
         await desk.send_call(call)
         if call.end is End.CROSSED:
             await desk.send_call(call, fresh=True)
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -173,7 +173,7 @@
         desk = self.front.pick()
         if desk is None:
             call.end = End.NOT_TAKEN
-            self.ledger.book(call)
+            self.ledger.add_call(call)
             return call
         task = asyncio.get_running_loop().create_task(ask(desk, call, self.ledger))
         handle = asyncio.get_running_loop().call_later(leaves / 1000, task.cancel) if leaves else None
@@ -191,12 +191,12 @@
 async def ask(desk: SidecarClient, call: Call, ledger: Ledger) -> Call:
     """Make a call; one that a close has crossed goes once more. Returns the last record of it."""
     call.sidecar = desk.name
-    ledger.book(call)
+    ledger.add_call(call)
     await desk.send_call(call)
     if call.end is not End.CROSSED:
         return call
     again = copy(call, call.due, call.patience)
-    ledger.book(again)
+    ledger.add_call(again)
     await desk.send_call(again, fresh=True)
     return again
 
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -270,7 +270,7 @@
     late: list[tuple[float, float]] = field(default_factory=list)  # requests: when due, ms sent late
     calls_by_trace: dict[str, Call] = field(default_factory=dict)  # the last call recorded for each trace
 
-    def book(self, call: Call) -> None:
+    def add_call(self, call: Call) -> None:
         """Record a call as it is sent; endpoints look it up by its trace."""
         self.calls.append(call)
         self.calls_by_trace[call.trace] = call
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -305,7 +305,7 @@
         bench = EndpointBench()
         bench.endpoint.start(cold=False)
         request = bench.request(trace="cut")
-        bench.ledger.book(Call("cut", "r", 0, "codigo", "", "", "n", 0.0))
+        bench.ledger.add_call(Call("cut", "r", 0, "codigo", "", "", "n", 0.0))
         _, writer = await bench.connect()
         writer.write(request[:-1])
         await asyncio.sleep(0.05)
@@ -503,7 +503,7 @@
         client = SidecarClient("n0", bench.endpoint.options.address, bench.clock)
         request = make_call(patience=5000.0)
         request.cls = "report"
-        bench.ledger.book(request)
+        bench.ledger.add_call(request)
         call_task = asyncio.create_task(client.send_call(request))
         await wait_until(lambda: any(connection.answer_started for connection in client.connections))
         bench.endpoint.stop()
@@ -524,7 +524,7 @@
         self.client = SidecarClient("n0", self.bench.endpoint.options.address, self.bench.clock)
         self.call = make_call()
         self.call.cls = "report"
-        self.bench.ledger.book(self.call)
+        self.bench.ledger.add_call(self.call)
         monkeypatch.setattr(self.client, "_wait_until_timeout", self._time_out)
         self.call_task = asyncio.create_task(self.client.send_call(self.call))
 
