--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -34,7 +34,7 @@
 from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointOptions
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock, Message
-from millgw.standins.ledger import Attempt, Call, End, Ledger, shift
+from millgw.standins.ledger import Attempt, Call, End, Ledger, shift_times
 
 STARTS_AT_ONCE = 2  # sidecars started at the same time for each core: more only wait for each other
 SETTLE = 1.0  # s between the last sidecar's start and the day's first request
@@ -115,7 +115,7 @@
             keeper.close()
         if self.error is not None:
             raise self.error
-        shift(self.ledger, -self.zero)
+        shift_times(self.ledger, -self.zero)
         return self.ledger, facts
 
     def stop(self) -> None:
--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -298,7 +298,7 @@
 """The fields of each record type that are times."""
 
 
-def shift(ledger: Ledger, by: float) -> None:
+def shift_times(ledger: Ledger, by: float) -> None:
     """Shift all times by `by` ms, as the stand-ins start before the rehearsal's time 0 is known."""
     for records in (
         ledger.attempts, ledger.calls, ledger.sent_statuses, ledger.status_changes, ledger.discovery_queries, ledger.outages,
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -35,7 +35,7 @@
     Ledger,
     Life,
     Upgrade,
-    shift,
+    shift_times,
 )
 from tests.kinds import skip_if_pure
 
@@ -361,7 +361,7 @@
 def test_a_shift_moves_every_time_and_leaves_what_never_happened() -> None:
     ledger = Ledger(lives=[Life("e", 1, 1, 0, 5.0, 1.0)], injected=[InjectedFault("x", 1.0, 2.0, (), 0.0)])
     ledger.calls.append(Call("a", "a", 0, "c", "t", "", "n0", 7.0))
-    shift(ledger, -5.0)
+    shift_times(ledger, -5.0)
     assert ledger.lives[0].start == 0.0 and ledger.lives[0].until is None
     assert ledger.calls[0].due == 2.0 and ledger.calls[0].sent is None and ledger.injected[0].until == -3.0
 
