--- a/millgw/standins/network.py
+++ b/millgw/standins/network.py
@@ -58,10 +58,10 @@
         self.paused.pop(name, None)
 
     def pause(self, name: str) -> None:
-        """Pause a node; datagrams for it are kept until `go_on`."""
+        """Pause a node; datagrams for it are kept until `resume`."""
         self.paused[name] = []
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         node, waiting = self.nodes[name], self.paused.pop(name)
         for sender, message in waiting:
             self._send(name, node.receive(self.now, sender, message))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -92,7 +92,7 @@
     fleet.network.pause("n5")
     fleet.network.run(fleet.network.now + 30 * PERIOD)
     assert fleet.count_with_status("n5", Status.DEAD) == 29
-    fleet.network.go_on("n5")
+    fleet.network.resume("n5")
     paused = fleet.nodes["n5"]
     for _ in range(20):
         fleet.network.run(fleet.network.now + PERIOD / 4)
