--- a/benchmarks/peers_parted.py
+++ b/benchmarks/peers_parted.py
@@ -63,11 +63,11 @@
     fleet.periods(fleet.all_known)
     rest = bytes_a_node(fleet, REST)
     first, second = fleet.nodes[: count // 2], fleet.nodes[count // 2 :]
-    fleet.network.split([node.name for node in second])
+    fleet.network.partition([node.name for node in second])
     parted = bytes_a_node(fleet, seconds)
     held_dead = share_held_dead(first, second)
     own_dead = share_held_dead(first, first)
-    fleet.network.split()
+    fleet.network.partition()
     whole_at = fleet.network.now
     before = fleet.network.bytes
     joined = fleet.periods(fleet.all_known) * fleet.terms.period / 1000
--- a/millgw/standins/network.py
+++ b/millgw/standins/network.py
@@ -67,7 +67,7 @@
             self._send(name, node.receive(self.now, sender, message))
         self._tick(node)
 
-    def split(self, *groups: Sequence[str]) -> None:
+    def partition(self, *groups: Sequence[str]) -> None:
         """Partition the network: only nodes of the same group reach each other. No groups: all do."""
         self.groups = [set(group) for group in groups]
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -158,12 +158,12 @@
 def test_observations_converge_after_a_network_partition() -> None:
     fleet = Fleet(16, 5)
     fleet.run(3000.0)
-    fleet.network.split(fleet.names[:8], fleet.names[8:])
+    fleet.network.partition(fleet.names[:8], fleet.names[8:])
     for name in fleet.names[:3]:
         fleet.unhealthy[name] = {"e4"}
     fleet.run(4000.0)
     assert fleet.count_assuming_failure("e4") == 8
-    fleet.network.split()
+    fleet.network.partition()
     fleet.run(4000.0)
     assert fleet.count_assuming_failure("e4") == 16
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -106,10 +106,10 @@
     fleet = Fleet(24, 4)
     fleet.wait_for_agreement(30)
     names = sorted(fleet.nodes)
-    fleet.network.split(names[:10], names[10:])
+    fleet.network.partition(names[:10], names[10:])
     fleet.network.run(fleet.network.now + 40 * PERIOD)
     assert all(set(fleet.nodes[n].alive()) <= set(names[:10]) for n in names[:10])
-    fleet.network.split()
+    fleet.network.partition()
     fleet.wait_for_agreement(80)
 
 
@@ -118,9 +118,9 @@
     fleet.wait_for_agreement(30)
     names = sorted(fleet.nodes)
     for cycle in range(20):
-        fleet.network.split(*((names[:8], names[8:]) if cycle % 2 else ()))
+        fleet.network.partition(*((names[:8], names[8:]) if cycle % 2 else ()))
         fleet.network.run(fleet.network.now + 3 * PERIOD)
-    fleet.network.split()
+    fleet.network.partition()
     fleet.wait_for_agreement(40)
 
 
