--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -156,7 +156,7 @@
             await asyncio.sleep(0.02)
         for task in tasks:
             task.cancel()
-        told(f"door, {callers} callers, {sum(crowd.seen.values()) / (seconds + 1):.0f} calls/s", times)
+        told(f"door, {callers} callers, {sum(crowd.outcomes.values()) / (seconds + 1):.0f} calls/s", times)
 
 
 async def turns(seconds: float, endpoints: int) -> None:
@@ -204,7 +204,7 @@
             process = after
         for task in tasks:
             task.cancel()
-        seen = crowd.seen
+        seen = crowd.outcomes
         hit = seen["refused"] + seen["broken"]
         print(f"{count} upgrades: {sum(seen.values())} requests, {hit} hit; {dict(seen)}", flush=True)
         told("SIGTERM to the old one's end", ends)
--- a/millgw/standins/repeating_clients.py
+++ b/millgw/standins/repeating_clients.py
@@ -19,7 +19,7 @@
     def __init__(self, listen: Address, make_request: Callable[[bool], bytes]) -> None:
         self.listen = listen
         self.make_request = make_request
-        self.seen: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
         self.sent = 0
 
     async def client(self, pause: float, kept: bool = True) -> None:
@@ -31,7 +31,7 @@
             try:
                 reader, writer = await asyncio.open_connection(self.listen.host, self.listen.port)
             except OSError:
-                self.seen["refused"] += 1
+                self.outcomes["refused"] += 1
                 continue
             again = True
             while again:
@@ -39,10 +39,10 @@
                 try:
                     writer.write(self.make_request(kept))
                     answer = await read_message(reader)
-                    self.seen[str(answer.status)] += 1
+                    self.outcomes[str(answer.status)] += 1
                     again = answer.headers.get("connection") != "close"
                 except (OSError, asyncio.IncompleteReadError, ValueError):
-                    self.seen["broken"] += 1
+                    self.outcomes["broken"] += 1
                     again = False
                 except asyncio.CancelledError:
                     writer.close()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -334,11 +334,11 @@
     """
     seen = Counter({"503": 1})
     while seen["503"]:
-        crowd.seen.clear()
-        await wait_until(lambda: crowd.seen["200"] >= WARM_UP_CALLS)
-        seen = Counter(crowd.seen)
+        crowd.outcomes.clear()
+        await wait_until(lambda: crowd.outcomes["200"] >= WARM_UP_CALLS)
+        seen = Counter(crowd.outcomes)
         assert set(seen) <= {"200", "503"}, seen
-    crowd.seen.clear()
+    crowd.outcomes.clear()
 
 
 def test_upgrades_under_load_fail_no_request_and_send_none_twice(tmp_path: Path) -> None:
@@ -356,8 +356,8 @@
             for each in clients:
                 each.cancel()
             await asyncio.gather(*clients, return_exceptions=True)
-            assert set(crowd.seen) == {"200"}, crowd.seen
-            assert crowd.seen["200"] > 200
+            assert set(crowd.outcomes) == {"200"}, crowd.outcomes
+            assert crowd.outcomes["200"] > 200
             traces = Counter(m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.got)
             assert max(traces.values()) == 1, "an unsafe request was sent twice"
             log = (tmp_path / "log").read_text()
@@ -382,7 +382,7 @@
             for each in clients:
                 each.cancel()
             await asyncio.gather(*clients, return_exceptions=True)
-            assert set(crowd.seen) == {"200"}, crowd.seen
+            assert set(crowd.outcomes) == {"200"}, crowd.outcomes
             traces = Counter(m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.got)
             assert max(traces.values()) == 1, "an unsafe request was sent twice"
 
