--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -20,7 +20,7 @@
     return ok()
 
 
-async def silent(_: Message, __: ScriptedEndpoint) -> bytes:
+async def never_answer(_: Message, __: ScriptedEndpoint) -> bytes:
     await asyncio.Event().wait()
     return b""
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -24,7 +24,7 @@
 from millgw.platform.config import Address, ConfigError, read_config
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok, status
-from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line, read_message, silent
+from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line, never_answer, read_message
 from tests.rig import SETTINGS, RunningSidecar, request, run, sidecar, wait_until
 
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
@@ -261,7 +261,7 @@
 
 def test_metrics_of_open_requests_listed_endpoints_and_out_of_rotation() -> None:
     async def test() -> None:
-        endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
+        endpoints = [ScriptedEndpoint(f"e{i}", never_answer) for i in range(4)]
         async with sidecar(*endpoints, control=free_address()) as rig:
             control = control_address(rig)
             clients = [await rig.connect() for _ in range(3)]
@@ -355,7 +355,7 @@
 
 def test_a_full_sidecar_answers_control_calls_and_can_be_drained() -> None:
     async def test() -> None:
-        endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(4)]
+        endpoints = [ScriptedEndpoint(f"e{i}", never_answer) for i in range(4)]
         async with sidecar(*endpoints, sockets=32 + 13, control=free_address()) as rig:  # 8 callers, 6 calls
             control = control_address(rig)
             answering = asyncio.create_task(answer_discovery_calls(rig, endpoints))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -46,7 +46,7 @@
     answering,
     chunk,
     line,
-    silent,
+    never_answer,
 )
 from tests.rig import SETTINGS, operator_sidecar, request, run, sidecar, wait_until
 
@@ -460,7 +460,7 @@
     """The endpoint must not be marked unhealthy for it: it serves the next call at once."""
 
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", silent)
+        endpoint = ScriptedEndpoint("e1", never_answer)
         async with sidecar(endpoint) as rig:
             for number in range(1, 4):
                 client = connect_blocking(rig.listen)
@@ -476,7 +476,7 @@
 
 def test_a_body_that_nobody_takes_is_given_up_when_its_caller_leaves() -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", silent)
+        endpoint = ScriptedEndpoint("e1", never_answer)
         async with sidecar(endpoint) as rig:
             first = asyncio.Event()
 
@@ -746,7 +746,7 @@
 
 def test_a_200_that_comes_before_the_request_is_whole_is_not_its_answer() -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", silent)
+        endpoint = ScriptedEndpoint("e1", never_answer)
 
         def answer_early(connection: ServerConnection) -> bool:
             if connection.message is not None and connection.message.body:
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -30,7 +30,7 @@
 from millgw.operator.file import OperatorError, parse
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
-from millgw.standins.scripted import ScriptedEndpoint, answering, silent
+from millgw.standins.scripted import ScriptedEndpoint, answering, never_answer
 from millgw.top import door
 from millgw.top.show import as_json
 from millgw.top.standing import Standing as Sidecar
@@ -366,7 +366,7 @@
                 await asyncio.sleep(0.1)
             assert not any(e.got for e in c), "no call goes to another region"
             for endpoint in a:
-                endpoint.script = silent
+                endpoint.script = never_answer
             waiting = [asyncio.create_task(node.ask(request("read", expires_in=8000))) for _ in range(12)]
             await asyncio.sleep(0.6)
             served = [await node.ask(request("read", expires_in=3000)) for _ in range(40)]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -29,8 +29,8 @@
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     answering,
+    never_answer,
     read_message,
-    silent,
 )
 from tests.outside import loaded
 from tests.rig import Client, OperatorSidecar, operator_sidecar, request, run, wait_until
@@ -244,7 +244,7 @@
     """With 256 sockets: one pool's endpoint never answers and its calls pile up; the other serves all."""
 
     async def test() -> None:
-        login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c", silent)
+        login, campaign = ScriptedEndpoint("l"), ScriptedEndpoint("c", never_answer)
         async with operator_sidecar(tmp_path, await two_services(login, campaign)) as node:
             flood = [await node.connect() for _ in range(90)]
             for client in flood:
@@ -306,7 +306,7 @@
         login, campaign, unresponsive = (
             ScriptedEndpoint("l"),
             ScriptedEndpoint("c"),
-            ScriptedEndpoint("m", silent),
+            ScriptedEndpoint("m", never_answer),
         )
         await unresponsive.start()
         text = (
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -23,7 +23,7 @@
 from millgw.pool.pool import Pool
 from millgw.settings import to_settings
 from millgw.standins.http import Message, ok
-from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line, read_message, silent
+from millgw.standins.scripted import STREAM, ScriptedEndpoint, chunk, line, never_answer, read_message
 from tests.rig import SETTINGS, request, run, sidecar, wait_until
 
 T = TypeVar("T")
@@ -154,7 +154,7 @@
 
 def test_counts_in_flight_follow_the_sockets_when_the_whole_list_is_replaced() -> None:
     async def test() -> None:
-        old, new = ScriptedEndpoint("old", silent), ScriptedEndpoint("new")
+        old, new = ScriptedEndpoint("old", never_answer), ScriptedEndpoint("new")
         await new.start()
         async with sidecar(old) as rig:
             driver = only_instance(Driver)
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -40,8 +40,8 @@
     answering,
     chunk,
     line,
+    never_answer,
     read_message,
-    silent,
 )
 from tests.kinds import skip_if_compiled
 from tests.rig import EXPIRES_IN, SETTINGS, TEST_TIMEOUT, Client, request, run, sidecar, wait_until
@@ -313,7 +313,7 @@
     monkeypatch.setattr(driver_module, "ANSWER_MARGIN_MS", 4500.0)  # ms; wide, for a busy machine
 
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", silent)
+        endpoint = ScriptedEndpoint("e1", never_answer)
         async with sidecar(endpoint) as rig:
             begun = time.monotonic()
             assert (await rig.ask(request("pay", expires_in=5000))).status == 502
@@ -335,7 +335,7 @@
         async with sidecar(endpoint) as rig:
             got = await asyncio.gather(*(rig.ask(request("pay")) for _ in range(2)))
             assert {reply.status for reply in got} == {200} and endpoint.connections == 2
-            endpoint.script = silent
+            endpoint.script = never_answer
             assert (await rig.ask(request("pay", expires_in=300))).status == 502
             await wait_until(lambda: endpoint.lost_connections == 2)
             endpoint.script = always_ok
@@ -349,7 +349,7 @@
 
 def test_a_client_that_leaves_ends_its_attempt_and_nothing_more_is_sent() -> None:
     async def test() -> None:
-        endpoint, other = ScriptedEndpoint("e1", silent), ScriptedEndpoint("e2", silent)
+        endpoint, other = ScriptedEndpoint("e1", never_answer), ScriptedEndpoint("e2", never_answer)
         async with sidecar(endpoint, other) as rig:
             client = await rig.connect()
             client.writer.write(request("read"))
@@ -560,7 +560,7 @@
     raw = SETTINGS | {"classes": [SETTINGS["classes"][2] | {"deadline": 300.0}]}
 
     async def test() -> None:
-        async with sidecar(ScriptedEndpoint("e1", silent), settings=to_settings(raw)) as rig:
+        async with sidecar(ScriptedEndpoint("e1", never_answer), settings=to_settings(raw)) as rig:
             assert (await rig.ask(request("pay", expires_in=999_999_999))).status == 502
 
     run(test)
@@ -592,7 +592,7 @@
 
 def test_calls_over_the_cap_are_refused_and_idle_callers_give_way() -> None:
     async def test() -> None:
-        endpoints = [ScriptedEndpoint(f"e{i}", silent) for i in range(5)]
+        endpoints = [ScriptedEndpoint(f"e{i}", never_answer) for i in range(5)]
         async with sidecar(*endpoints, sockets=32 + 13) as rig:  # 6 calls, with an attempt each
             busy = [await rig.connect() for _ in range(6)]
             for i, client in enumerate(busy):
@@ -738,7 +738,7 @@
     """The driver answers every call once and in time, even if the balancer module has a fault."""
 
     async def test() -> None:
-        async with sidecar(ScriptedEndpoint("e1", silent)) as rig:
+        async with sidecar(ScriptedEndpoint("e1", never_answer)) as rig:
             with pytest.MonkeyPatch.context() as patch:
                 patch.setattr("millgw.decide.Balancer._attempt_ended", lambda *_: None)
                 assert (await rig.ask(request("read", expires_in=200))).status == 502
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -28,8 +28,8 @@
     answering,
     chunk,
     line,
+    never_answer,
     read_message,
-    silent,
 )
 from tests.rig import SETTINGS, RunningSidecar, request, run, sidecar, wait_until
 
@@ -305,7 +305,7 @@
 
 def test_after_sigterm_what_is_not_answered_in_time_fails_and_it_ends(tmp_path: Path) -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", silent)
+        endpoint = ScriptedEndpoint("e1", never_answer)
         process, listen = await start_serving_sidecar(endpoint, tmp_path)
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
         writer.write(request("pay"))
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -26,7 +26,7 @@
 from millgw.standins.http import Clock, Listener, Message, ok
 from millgw.standins.ledger import AttemptOutcome, Call, End, Ledger
 from millgw.standins.request_check import answer_digest
-from millgw.standins.scripted import ScriptedEndpoint, answering, read_message, silent
+from millgw.standins.scripted import ScriptedEndpoint, answering, never_answer, read_message
 from tests.kinds import skip_if_pure
 from tests.rig import run, wait_until
 
@@ -583,7 +583,7 @@
         twice = make_call()
         await client.send_call(twice)
         await wait_until(lambda: twice.extra > 0)
-        endpoint.script = silent
+        endpoint.script = never_answer
         lost = make_call(50.0)
         await client.send_call(lost)
         assert lost.end is End.LOST
