--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -25,7 +25,7 @@
     return b""
 
 
-def answering(answer: bytes | None, after: asyncio.Event | None = None) -> Script:
+def answer_with(answer: bytes | None, after: asyncio.Event | None = None) -> Script:
     async def script(_: Message, __: ScriptedEndpoint) -> bytes | None:
         if after is not None:
             await after.wait()
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -51,7 +51,7 @@
     STREAM,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
-    answering,
+    answer_with,
     chunk,
     line,
     read_message,
@@ -798,7 +798,7 @@
         await control.start()
         slow = asyncio.Event()
         endpoints = [ScriptedEndpoint("e0"), ScriptedEndpoint("e1")]
-        stuck = ScriptedEndpoint("e2", script=answering(ok(), slow))
+        stuck = ScriptedEndpoint("e2", script=answer_with(ok(), slow))
         data = {
             "name": "n3", "listen": str(free_address()), "control": str(free_address()),
             "discovery": "127.0.0.1:9", "seed": "1", "limits": {"sockets": 256, "memory_mb": 32},
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -43,7 +43,7 @@
     STREAM,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
-    answering,
+    answer_with,
     chunk,
     line,
     never_answer,
@@ -442,7 +442,7 @@
 def test_a_request_behind_another_is_not_taken_for_a_caller_that_left(how: str) -> None:
     async def test() -> None:
         go = asyncio.Event()
-        endpoint = ScriptedEndpoint("e1", answering(ok(), after=go))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(), after=go))
         async with sidecar(endpoint) as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("read"))
@@ -468,7 +468,7 @@
                 await wait_until(lambda number=number: len(endpoint.got) == number)  # type: ignore[misc]
                 client.close()
                 await wait_until(lambda number=number: endpoint.lost_connections == number)  # type: ignore[misc]
-            endpoint.script = answering(ok())
+            endpoint.script = answer_with(ok())
             assert (await rig.ask(request("pay", expires_in=1500))).status == 200
 
     run(test)
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -30,7 +30,7 @@
 from millgw.operator.file import OperatorError, parse
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
-from millgw.standins.scripted import ScriptedEndpoint, answering, never_answer
+from millgw.standins.scripted import ScriptedEndpoint, answer_with, never_answer
 from millgw.top import door
 from millgw.top.show import as_json
 from millgw.top.standing import Standing as Sidecar
@@ -327,7 +327,7 @@
 
 
 async def start_endpoints(prefix: str, count: int) -> list[ScriptedEndpoint]:
-    endpoints = [ScriptedEndpoint(f"{prefix}{i}", answering(ok())) for i in range(count)]
+    endpoints = [ScriptedEndpoint(f"{prefix}{i}", answer_with(ok())) for i in range(count)]
     for endpoint in endpoints:
         await endpoint.start()
     return endpoints
@@ -378,7 +378,7 @@
             sidecar.take(0.0, await door.look(control))
             assert as_json([sidecar])["zones"]["a"] == {"lost": 1}
             for endpoint in a:
-                endpoint.script = answering(ok())
+                endpoint.script = answer_with(ok())
             before = sum(len(e.got) for e in a)
             deadline = asyncio.get_running_loop().time() + 20.0
             while (await door.look(control)).figures.locality["app"].zones["a"].standing != "serving":
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -31,7 +31,7 @@
 from millgw.log.start import LibraryLogHandler, Log
 from millgw.log.table import COMMON_FIELDS, DETAIL_LINES_PER_SECOND, EVENTS
 from millgw.log.writer import Writer
-from millgw.standins.scripted import ScriptedEndpoint, answering
+from millgw.standins.scripted import ScriptedEndpoint, answer_with
 from tests.rig import TEST_TIMEOUT, request, run, sidecar
 
 ROOT = Path(millgw.__file__).parent.parent
@@ -368,7 +368,7 @@
 
     async def test() -> None:
         invalid = ScriptedEndpoint(
-            "e1", answering(f"HTTP/1.1 200 {mark}\r\nContent-Length: {mark}\r\n\r\n".encode())
+            "e1", answer_with(f"HTTP/1.1 200 {mark}\r\nContent-Length: {mark}\r\n\r\n".encode())
         )
         async with sidecar(invalid) as rig:
             events.set_handler(pipe.log)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -28,7 +28,7 @@
 from millgw.standins.scripted import (
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
-    answering,
+    answer_with,
     never_answer,
     read_message,
 )
@@ -271,7 +271,7 @@
 ) -> None:
     async def test() -> None:
         gate = asyncio.Event()
-        endpoints = [ScriptedEndpoint(name, answering(ok(), gate)) for name in "abc"]
+        endpoints = [ScriptedEndpoint(name, answer_with(ok(), gate)) for name in "abc"]
         for endpoint in endpoints:
             await endpoint.start()
         one = static_service("all", endpoints[0]) + '[[routes]]\nto = "all"\n'
@@ -392,7 +392,7 @@
         async with operator_sidecar(tmp_path, text) as node:
             kept = await node.connect()
             assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
-            campaign.script = answering(ok(b"late"), after=go)
+            campaign.script = answer_with(ok(b"late"), after=go)
             waiting = [await node.connect() for _ in range(3)]
             for client in waiting:
                 client.writer.write(request("write", Host="a.campanha.example.org"))
@@ -413,7 +413,7 @@
             assert login.connections == 1, "the reload closed a connection of an unchanged service"
             await wait_until(lambda: campaign.lost_connections == campaign.connections)
             await node.reload(text)
-            campaign.script = answering(ok(b"again"))
+            campaign.script = answer_with(ok(b"again"))
             assert (await node.ask(request("write", Host="a.campanha.example.org"))).body == b"again"
 
     run(test)
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -37,7 +37,7 @@
     STREAM,
     ScriptedEndpoint,
     always_ok,
-    answering,
+    answer_with,
     chunk,
     line,
     never_answer,
@@ -49,7 +49,7 @@
 
 def test_a_call_goes_on_unchanged_and_its_answer_comes_back() -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", answering(ok(b"\x00body\xff", "Content-Type: x/y\r\n")))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(b"\x00body\xff", "Content-Type: x/y\r\n")))
         async with sidecar(endpoint) as rig:
             got = await rig.ask(request("write", b"\x01in\xfe", target="/api?k=a%20b", X_Props="a=1"))
             assert (got.status, got.body) == (200, b"\x00body\xff")
@@ -87,7 +87,7 @@
 
 def test_a_connection_that_the_endpoint_ends_is_not_used_again() -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", answering(ok(extra_headers="Connection: close\r\n")))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(extra_headers="Connection: close\r\n")))
         async with sidecar(endpoint) as rig:
             for _ in range(2):
                 assert (await rig.ask(request("pay"))).status == 200
@@ -133,7 +133,7 @@
 )
 def test_the_first_whole_answer_counts_and_nothing_behind_it(behind: bytes) -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", answering(ok(b"first") + behind))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(b"first") + behind))
         async with sidecar(endpoint) as rig:
             for _ in range(3):
                 reply = await rig.ask(request("pay"))
@@ -216,11 +216,11 @@
 def test_nothing_of_a_1xx_answer_gets_into_the_final_one(early: str) -> None:
     async def test() -> None:
         ahead = f"HTTP/1.1 {early}\r\nX-Never-Ran: 1\r\nLink: </early>\r\n\r\n".encode()
-        endpoint = ScriptedEndpoint("e1", answering(ahead + ahead + ok()))
+        endpoint = ScriptedEndpoint("e1", answer_with(ahead + ahead + ok()))
         async with sidecar(endpoint) as rig:
             reply = await rig.ask(request("pay"))
             assert reply.status == 200 and "link" not in reply.headers
-            endpoint.script = answering(ahead + status(503))
+            endpoint.script = answer_with(ahead + status(503))
             assert (await rig.ask(request("pay"))).status == 502, "X-Never-Ran of a 1xx was used"
 
     run(test)
@@ -267,14 +267,14 @@
     monkeypatch.setattr(connection_module, "ANSWER_DATA_TIMEOUT", 2 * TEST_TIMEOUT)
 
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", answering(ok(b"x" * 30_000)))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(b"x" * 30_000)))
         async with sidecar(endpoint, memory=30_000 * 32.0) as rig:
             for _ in range(5):
                 assert len((await rig.ask(request("pay"))).body) == 30_000
             hosts = [h for h in gc.get_objects() if isinstance(h, Host) and h.address == endpoint.address]
             (kept,) = hosts[0].idle
             assert kept.owner.answer_bytes == 0 and kept.core is not None and not kept.core.body
-            endpoint.script = answering(ok(b"x" * 30_000)[:-1])
+            endpoint.script = answer_with(ok(b"x" * 30_000)[:-1])
             asked = [await rig.connect() for _ in range(5)]
             for client in asked:
                 client.writer.write(request("pay"))
@@ -478,7 +478,7 @@
 def test_an_id_that_is_open_is_not_served_twice_and_its_first_request_not_disturbed() -> None:
     async def test() -> None:
         go = asyncio.Event()
-        endpoint = ScriptedEndpoint("e1", answering(ok(), after=go))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(), after=go))
         async with sidecar(endpoint) as rig:
             first = await rig.connect()
             first.writer.write(request("pay", X_Trace_Id="same"))
@@ -508,7 +508,7 @@
 def test_a_flood_of_requests_is_parsed_only_as_it_is_served() -> None:
     async def test() -> None:
         go = asyncio.Event()
-        endpoint = ScriptedEndpoint("e1", answering(ok(), after=go))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(), after=go))
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             client.writer.write(b"".join(request("pay") for _ in range(300)))
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -25,7 +25,7 @@
     STREAM,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
-    answering,
+    answer_with,
     chunk,
     line,
     never_answer,
@@ -275,7 +275,7 @@
 
     async def test() -> None:
         go = asyncio.Event()
-        endpoint = ScriptedEndpoint("e1", answering(ok(b"late"), after=go))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(b"late"), after=go))
         async with sidecar(endpoint) as rig:
             idle, before, late = [await rig.connect() for _ in range(3)]
             before.writer.write(request("pay"))
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -33,7 +33,7 @@
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     always_ok,
-    answering,
+    answer_with,
     chunk,
     line,
 )
@@ -391,7 +391,7 @@
 def test_a_request_that_waited_unread_behind_another_tells_what_is_left() -> None:
     async def test() -> None:
         go = asyncio.Event()
-        endpoint = ScriptedEndpoint("e1", answering(ok(), after=go))
+        endpoint = ScriptedEndpoint("e1", answer_with(ok(), after=go))
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             client.writer.write(request("read") + request("read"))
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -26,7 +26,7 @@
 from millgw.standins.http import Clock, Listener, Message, ok
 from millgw.standins.ledger import AttemptOutcome, Call, End, Ledger
 from millgw.standins.request_check import answer_digest
-from millgw.standins.scripted import ScriptedEndpoint, answering, never_answer, read_message
+from millgw.standins.scripted import ScriptedEndpoint, answer_with, never_answer, read_message
 from tests.kinds import skip_if_pure
 from tests.rig import run, wait_until
 
@@ -485,7 +485,7 @@
 )
 def test_a_caller_records_how_its_call_ended(answer: bytes | None, end: End, status: int) -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e", answering(answer))
+        endpoint = ScriptedEndpoint("e", answer_with(answer))
         await endpoint.start()
         client, request = SidecarClient("n0", endpoint.address, Clock()), make_call()
         await client.send_call(request)
@@ -579,7 +579,7 @@
         await client.send_call(request)
         assert request.end is End.ANSWERED and request.sent is not None and request.answered is not None
         assert request.answered > request.sent + request.patience
-        endpoint.script = answering(ok(b"x") + ok(b"x"))
+        endpoint.script = answer_with(ok(b"x") + ok(b"x"))
         twice = make_call()
         await client.send_call(twice)
         await wait_until(lambda: twice.extra > 0)
--- a/tests/test_top.py
+++ b/tests/test_top.py
@@ -15,7 +15,7 @@
 
 from millgw.platform.config import Address
 from millgw.standins.http import ok, status
-from millgw.standins.scripted import ScriptedEndpoint, answering
+from millgw.standins.scripted import ScriptedEndpoint, answer_with
 from millgw.top import door
 from millgw.top.command import verdict
 from millgw.top.door import Trouble
@@ -240,8 +240,8 @@
     from millgw.standins.address import free_address
 
     async def test() -> None:
-        bad = ScriptedEndpoint("bad", answering(status(500)))
-        good = [ScriptedEndpoint(f"good{i}", answering(ok())) for i in range(4)]
+        bad = ScriptedEndpoint("bad", answer_with(status(500)))
+        good = [ScriptedEndpoint(f"good{i}", answer_with(ok())) for i in range(4)]
         async with sidecar(bad, *good, control=free_address()) as rig:
             control = rig.config.control
             assert control is not None
