--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -45,7 +45,7 @@
     name: str
     script: Script = always_ok
     cut: Callable[[int], bool] = lambda _: False
-    got: list[Message] = field(default_factory=list)
+    requests: list[Message] = field(default_factory=list)
     connections: int = 0
     lost_connections: int = 0
     served: list[ServerConnection] = field(default_factory=list)
@@ -75,7 +75,7 @@
         return True
 
     def asked(self, connection: ServerConnection, message: Message) -> None:
-        self.got.append(message)
+        self.requests.append(message)
         self.scripts[connection] = asyncio.create_task(self._answer(connection, message))
 
     async def _answer(self, connection: ServerConnection, message: Message) -> None:
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -853,7 +853,7 @@
             callers = [asyncio.create_task(calls()) for _ in range(4)]
             reader, writer = await asyncio.open_connection(listen.host, listen.port)
             writer.write(request(Host="stuck.example.org"))
-            await wait_until(lambda: len(stuck.got) == 1)
+            await wait_until(lambda: len(stuck.requests) == 1)
             classes = [dict(c, deadline=25_000.0) for c in CLASSES]
             for change in (
                 {"classes": classes},
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -40,7 +40,7 @@
 
 
 def traces(endpoint: ScriptedEndpoint) -> list[str]:
-    return [m.headers["x-trace-id"] for m in endpoint.got]
+    return [m.headers["x-trace-id"] for m in endpoint.requests]
 
 
 def test_connections_that_end_long_before_their_time_cost_no_unsafe_call(tmp_path: Path) -> None:
@@ -64,7 +64,7 @@
                 await asyncio.sleep(0.02 * (i % 9))
             seen = await counts(rig)
         closing.cancel()
-        assert len(set(traces(endpoint))) == len(endpoint.got) == 25
+        assert len(set(traces(endpoint))) == len(endpoint.requests) == 25
         assert seen.get("failed-on-reuse-unsafe", 0) == 0
         # The timeout of 0.1 s (60 s are promised) is learned from the first few connections that ended.
         assert seen["ended-idle"] + seen.get("moved-unsafe", 0) <= 6 and seen["given-up-idle"] >= 5
@@ -84,7 +84,7 @@
             for _ in range(60):
                 assert (await client.ask(request("pay"))).status == 200
             seen = await counts(rig)
-        assert len(set(traces(endpoint))) == len(endpoint.got) == 60
+        assert len(set(traces(endpoint))) == len(endpoint.requests) == 60
         # Two ends establish the limit. If a stall delays an end after its answer, it is taken for a timeout.
         believed = seen["moved-unsafe"]
         assert 2 <= believed <= 2 + len(stood_still)
@@ -113,7 +113,7 @@
             await asyncio.sleep(0.15)
             assert (await rig.ask(request(cls, expires_in=3000))).status == 200
             seen = await counts(rig)
-        assert len(set(traces(endpoint))) == len(endpoint.got) == 2
+        assert len(set(traces(endpoint))) == len(endpoint.requests) == 2
         assert [n for n in seen if n.startswith("moved")] and endpoint.served[0] is old
 
     run(test)
@@ -149,7 +149,7 @@
             for _ in range(3):
                 assert (await rig.ask(request("pay"))).status == 200
             assert (await counts(rig))["moved-unsafe"] == 1
-        assert len(endpoint.got) == 3
+        assert len(endpoint.requests) == 3
 
     run(test)
 
@@ -177,7 +177,7 @@
             endpoint.listener.open()
             while (await rig.ask(request("pay"))).status != 200:
                 await asyncio.sleep(0.05)
-        assert len(endpoint.got) == 1
+        assert len(endpoint.requests) == 1
 
     # The one endpoint is more than half of all: in panic mode, all are tried.
     run(test)
@@ -200,7 +200,7 @@
                 await asyncio.sleep(0.05)
             assert got.count(200) >= 15  # a call or two finds no token left in the retry budget
         # With waits of 100 ms to 2 s between handshakes; without them only the machine's speed is a limit.
-        assert 1 <= bad.connections <= 15 and not bad.got
+        assert 1 <= bad.connections <= 15 and not bad.requests
 
     run(test)
 
@@ -264,7 +264,7 @@
             for _ in range(10):
                 assert (await rig.ask(request("pay"))).status == 200
             await asyncio.sleep(0.3)
-        assert not leaves.got and leaves.connections == leaves.lost_connections
+        assert not leaves.requests and leaves.connections == leaves.lost_connections
 
     run(test)
 
@@ -303,7 +303,7 @@
                 assert (await rig.ask(request("read"))).status == 200
             seen = await counts(rig)
         assert (cold.connections > 0) is shown and ("not_yet_shown" not in seen) is shown
-        assert shown or not cold.got
+        assert shown or not cold.requests
 
     run(test)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -254,7 +254,7 @@
         for kind in ("fulfilled", "throttled", "faulted"):
             assert metrics[kind] == {cls: seen[kind, cls] for cls in ("read", "write", "pay")}
         assert seen["faulted", "pay"] and metrics["open_requests"] == 0
-        assert metrics["relayed"] == sum(len(endpoint.got) for endpoint in endpoints)
+        assert metrics["relayed"] == sum(len(endpoint.requests) for endpoint in endpoints)
 
     run(test)
 
@@ -267,7 +267,7 @@
             clients = [await rig.connect() for _ in range(3)]
             for client in clients:
                 client.writer.write(request())
-            await wait_until(lambda: sum(len(endpoint.got) for endpoint in endpoints) == 3)
+            await wait_until(lambda: sum(len(endpoint.requests) for endpoint in endpoints) == 3)
             metrics = await read_metrics(control)
             assert (metrics["open_requests"], metrics["registry_entries"], metrics["out_of_rotation"]) == (
                 3,
@@ -362,7 +362,7 @@
             callers = [await rig.connect() for _ in range(30)]
             for client in callers:
                 client.writer.write(request("pay"))
-            await wait_until(lambda: sum(len(endpoint.got) for endpoint in endpoints) >= 4)
+            await wait_until(lambda: sum(len(endpoint.requests) for endpoint in endpoints) >= 4)
             assert (await read_metrics(control))["open_requests"] >= 4
             assert (await call_control(control, "PUT", "/-/drain"))[0] == 200
             for client in callers:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -405,9 +405,9 @@
         async with sidecar(endpoint, other) as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + behind)
-            await wait_until(lambda: bool(endpoint.got or other.got))
+            await wait_until(lambda: bool(endpoint.requests or other.requests))
             await asyncio.sleep(RETRY_WAIT)
-            assert len(endpoint.got) + len(other.got) == 1
+            assert len(endpoint.requests) + len(other.requests) == 1
             client.close()
 
     run(test)
@@ -431,9 +431,9 @@
         async with operator_sidecar(tmp_path, f'[services.s]\n{listed}[[routes]]\nto = "s"\n') as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("pay"))
-            await wait_until(lambda: bool(endpoint.got or other.got))
+            await wait_until(lambda: bool(endpoint.requests or other.requests))
             await asyncio.sleep(RETRY_WAIT)
-            assert len(endpoint.got) + len(other.got) == 1
+            assert len(endpoint.requests) + len(other.requests) == 1
 
     run(test)
 
@@ -446,11 +446,11 @@
         async with sidecar(endpoint) as rig:
             client = connect_blocking(rig.listen)
             client.sendall(request("pay") + request("read"))
-            await wait_until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.requests) == 1)
             disconnect(client, how)
             go.set()
             assert (await rig.ask(request("read"))).status == 200
-            assert len(endpoint.got) == 2, "only the first request and the other caller's"
+            assert len(endpoint.requests) == 2, "only the first request and the other caller's"
             client.close()
 
     run(test)
@@ -465,7 +465,7 @@
             for number in range(1, 4):
                 client = connect_blocking(rig.listen)
                 client.sendall(request("pay") + request("pay"))
-                await wait_until(lambda number=number: len(endpoint.got) == number)  # type: ignore[misc]
+                await wait_until(lambda number=number: len(endpoint.requests) == number)  # type: ignore[misc]
                 client.close()
                 await wait_until(lambda number=number: endpoint.lost_connections == number)  # type: ignore[misc]
             endpoint.script = answer_with(ok())
@@ -504,7 +504,7 @@
             disconnect(client, "reset")
             while (await rig.ask(again)).status == 409:
                 pass
-            assert not [m for m in endpoint.got if m.first_line.startswith("POST")]
+            assert not [m for m in endpoint.requests if m.first_line.startswith("POST")]
 
     run(test)
 
@@ -623,7 +623,7 @@
             for client in clients:
                 client.settimeout(0.0)
                 assert client.recv(4096).startswith(b"HTTP/1.1 503")
-            assert not [m for m in endpoint.got if m.first_line.startswith("POST")]
+            assert not [m for m in endpoint.requests if m.first_line.startswith("POST")]
         for client in clients:
             client.close()
 
@@ -723,7 +723,7 @@
                 answer = await client.ask(request(cls, b"body"))
                 assert answer.status == 200 and answer.body == b"done", answer
         assert endpoint.strays == 0, "the last byte was never sent separately"
-        assert endpoint.connections == 2 and len(endpoint.got) == 50
+        assert endpoint.connections == 2 and len(endpoint.requests) == 50
 
     run(test)
 
@@ -832,7 +832,7 @@
         mark.then()
         assert ended == ([] if what == "left" else [Outcome.CONNECT_FAILED]) and not mark.left
         await wait_until(lambda: endpoint.lost_connections == 1)
-        assert not endpoint.got
+        assert not endpoint.requests
         upstream.stop()
 
     run(test)
@@ -952,7 +952,7 @@
         await wait_until(lambda: bool(ended))
         assert ended == [Outcome.NOT_SENT] and not mark.left
         await wait_until(lambda: endpoint.lost_connections == 1)
-        assert not endpoint.got
+        assert not endpoint.requests
         upstream.stop()
 
     run(test)
@@ -975,7 +975,7 @@
             async with sidecar(first, settings=to_settings(SETTINGS | {"classes": classes})) as rig:
                 watch.append((await rig.discovery.calls.get())[1])
                 asked = asyncio.create_task(rig.ask(request("write", b"body")))
-                await wait_until(lambda: bool(first.got))
+                await wait_until(lambda: bool(first.requests))
                 await asyncio.sleep(RETRY_WAIT)  # the first SYN is lost by now, and sent again after a second
                 late.accept_handshakes()
                 read = await late.read(await late.accept())
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -358,7 +358,9 @@
             await asyncio.gather(*clients, return_exceptions=True)
             assert set(crowd.outcomes) == {"200"}, crowd.outcomes
             assert crowd.outcomes["200"] > 200
-            traces = Counter(m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.got)
+            traces = Counter(
+                m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.requests
+            )
             assert max(traces.values()) == 1, "an unsafe request was sent twice"
             log = (tmp_path / "log").read_text()
             assert log.count("successor") == 4 and "handover-unusable" not in log
@@ -383,7 +385,9 @@
                 each.cancel()
             await asyncio.gather(*clients, return_exceptions=True)
             assert set(crowd.outcomes) == {"200"}, crowd.outcomes
-            traces = Counter(m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.got)
+            traces = Counter(
+                m.headers["x-trace-id"] for endpoint in fleet.endpoints for m in endpoint.requests
+            )
             assert max(traces.values()) == 1, "an unsafe request was sent twice"
 
     run(test)
@@ -495,7 +499,7 @@
                 endpoint.script = slow
             reader, writer = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
             writer.write(request("pay", expires_in=3000))
-            await wait_until(lambda: sum(len(endpoint.got) for endpoint in fleet.endpoints) == 1)
+            await wait_until(lambda: sum(len(endpoint.requests) for endpoint in fleet.endpoints) == 1)
             assert (await call_control(control, "PUT", "/-/drain"))[0] == 200
             _, second = await fleet.start()
             asked, writing = await asyncio.open_connection(fleet.listen.host, fleet.listen.port)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -235,7 +235,7 @@
                 second = await ask_once_listening(node, "aa01")
                 assert second[0] == 502 and b"sent before" in second[1]
         assert first[0] == 502, "the second process must know of the call"
-        assert [m.headers["x-trace-id"] for m in endpoint.got] == ["aa01"] and seen == [True]
+        assert [m.headers["x-trace-id"] for m in endpoint.requests] == ["aa01"] and seen == [True]
         async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path)) as node:
             assert (await ask_once_listening(node, "bb02", "read"))[0] == 200
             assert (await ask_once_listening(node, "bb02", "read"))[0] == 200, "safe calls are not marked"
@@ -259,7 +259,7 @@
             assert b"sent before" in (await ask_once_listening(node, "aa01"))[1]
             assert (await ask_once_listening(node, "bb02"))[0] == 503, "turned away"
             assert (await ask_once_listening(node, "bb02"))[0] == 200, "it never ran"
-            traces = [m.headers["x-trace-id"] for m in endpoint.got]
+            traces = [m.headers["x-trace-id"] for m in endpoint.requests]
             assert traces.count("aa01") == 1 and traces.count("bb02") == 3
 
     run(test)
@@ -277,7 +277,7 @@
         await endpoint.start()
         async with operator_sidecar(tmp_path, operator_toml(endpoint, tmp_path, 'key = "X-Order"')) as node:
             first = asyncio.create_task(ask_once_listening(node, "aa01", X_Order="7"))
-            while not endpoint.got:
+            while not endpoint.requests:
                 await asyncio.sleep(0.005)
             assert (await ask_once_listening(node, "aa02", X_Order="7"))[0] == 409
             gate.set()
@@ -304,11 +304,11 @@
                 asyncio.create_task(ask_once_listening(node, trace)) for trace in ("aa03", "aa04", "sent")
             ]
             await asyncio.sleep(0.2)
-            assert len(endpoint.got) == 1
+            assert len(endpoint.requests) == 1
             other.append([Item(b"a\0trace\0sent")])
             other.close()
             assert [(await wait)[0] for wait in waits] == [200, 200, 502]
-        assert sorted(m.headers["x-trace-id"] for m in endpoint.got) == ["aa01", "aa03", "aa04"]
+        assert sorted(m.headers["x-trace-id"] for m in endpoint.requests) == ["aa01", "aa03", "aa04"]
 
     run(test)
 
@@ -333,7 +333,7 @@
             status, body = await ask_once_listening(node, "aa03")
             assert status == 502 and b"can't be proven" in body
             assert (await ask_once_listening(node, "aa04", "read"))[0] == 200
-        assert [m.headers["x-trace-id"] for m in endpoint.got] == ["aa02", "aa04"]
+        assert [m.headers["x-trace-id"] for m in endpoint.requests] == ["aa02", "aa04"]
 
     run(test)
 
@@ -351,7 +351,7 @@
             assert got == [200, 200, 200, 503, 503], "refused before they ran, so they may be repeated"
             while (await ask_once_listening(node, "aa07"))[0] != 200:
                 await asyncio.sleep(0.05)
-        assert len(endpoint.got) == 4
+        assert len(endpoint.requests) == 4
 
     run(test)
 
--- a/tests/test_locality.py
+++ b/tests/test_locality.py
@@ -359,12 +359,12 @@
             near = 0
             while near < 45:
                 assert asyncio.get_running_loop().time() < deadline, "the own zone is not preferred"
-                before = sum(len(e.got) for e in a)
+                before = sum(len(e.requests) for e in a)
                 for _ in range(50):
                     await node.ask(request("read"))
-                near = sum(len(e.got) for e in a) - before
+                near = sum(len(e.requests) for e in a) - before
                 await asyncio.sleep(0.1)
-            assert not any(e.got for e in c), "no call goes to another region"
+            assert not any(e.requests for e in c), "no call goes to another region"
             for endpoint in a:
                 endpoint.script = never_answer
             waiting = [asyncio.create_task(node.ask(request("read", expires_in=8000))) for _ in range(12)]
@@ -379,13 +379,13 @@
             assert as_json([sidecar])["zones"]["a"] == {"lost": 1}
             for endpoint in a:
                 endpoint.script = answer_with(ok())
-            before = sum(len(e.got) for e in a)
+            before = sum(len(e.requests) for e in a)
             deadline = asyncio.get_running_loop().time() + 20.0
             while (await door.look(control)).figures.locality["app"].zones["a"].standing != "serving":
                 assert asyncio.get_running_loop().time() < deadline, "the zone is never probed"
                 await node.ask(request("read"))
                 await asyncio.sleep(0.02)
-            assert sum(len(e.got) for e in a) - before <= 8, "the zone is probed by single calls"
+            assert sum(len(e.requests) for e in a) - before <= 8, "the zone is probed by single calls"
             for task in waiting:
                 task.cancel()
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -121,15 +121,15 @@
                         *(node.ask(request("pay")) for _ in range(INITIAL_CONCURRENCY))
                     )
                     assert {answer.status for answer in answers} == {200}
-                assert all(e.got for e in made)
+                assert all(e.requests for e in made)
                 zk.remove(f"{PATH}/a")
                 await wait_for_endpoints(node, 2)
                 zk.write(f"{PATH}/b", entry("b", made[1].address, "terminating"))
                 await wait_for_endpoints(node, 1)
-                before = [len(e.got) for e in made]
+                before = [len(e.requests) for e in made]
                 for _ in range(20):
                     assert (await node.ask(request("pay"))).status == 200
-                assert [len(e.got) for e in made] == [before[0], before[1], before[2] + 20]
+                assert [len(e.requests) for e in made] == [before[0], before[1], before[2] + 20]
                 ready = await node.ask(b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n")
                 assert b"login: ready" in ready.body
 
@@ -208,7 +208,7 @@
                 await wait_for_endpoints(node, 2)
                 zk.remove(f"{PATH}/a")
                 await wait_for_endpoints(node, 1)
-                assert (await node.ask(request("pay"))).status == 200 and len(c.got) == 1
+                assert (await node.ask(request("pay"))).status == 200 and len(c.requests) == 1
                 writer.close()
                 zk.write(
                     f"{PATH}/b", entry("b", b.address, "terminating")
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -233,9 +233,9 @@
             one = await node.ask(b"GET /ready/login HTTP/1.1\r\nHost: n\r\n\r\n")
             assert one.status == 200 and b"campaign" not in one.body
             assert (await node.ask(b"GET /ready/x HTTP/1.1\r\nHost: n\r\n\r\n")).status == 404
-        assert {m.headers["x-qos"] for m in login.got} == {"pay"} and len(login.got) == 6
-        assert {m.headers["x-qos"] for m in campaign.got} == {"write"} and len(campaign.got) == 5
-        assert login.got[-1].first_line == "POST /api?k=7 HTTP/1.1", "an endpoint is asked for a path"
+        assert {m.headers["x-qos"] for m in login.requests} == {"pay"} and len(login.requests) == 6
+        assert {m.headers["x-qos"] for m in campaign.requests} == {"write"} and len(campaign.requests) == 5
+        assert login.requests[-1].first_line == "POST /api?k=7 HTTP/1.1", "an endpoint is asked for a path"
 
     run(test)
 
@@ -249,7 +249,7 @@
             flood = [await node.connect() for _ in range(90)]
             for client in flood:
                 client.writer.write(request("write", b"x" * 8000, Host="a.campanha.example.org"))
-            await wait_until(lambda: len(campaign.got) > 3)
+            await wait_until(lambda: len(campaign.requests) > 3)
             calm = await node.connect()
             for _ in range(60):
                 answer = await calm.ask(request("pay", Host="login.example.org"))
@@ -260,8 +260,8 @@
                     async with asyncio.timeout(0.01):
                         answer = await read_message(client.reader)
                         refused += answer.status == 503 and float(answer.headers["retry-after"]) > 0
-            assert refused > 0 and refused + len(campaign.got) <= len(flood)
-        assert len(login.got) == 60
+            assert refused > 0 and refused + len(campaign.requests) <= len(flood)
+        assert len(login.requests) == 60
 
     run(test)
 
@@ -284,7 +284,7 @@
             async def ask(wanted: tuple[int, int, int], *hosts: str) -> None:
                 for host in hosts:
                     asked.append(asyncio.create_task(node.ask(request("pay", Host=host))))
-                await wait_until(lambda: tuple(len(endpoint.got) for endpoint in endpoints) == wanted)
+                await wait_until(lambda: tuple(len(endpoint.requests) for endpoint in endpoints) == wanted)
 
             await ask((2, 0, 0), "x.org", "two.org")
             await node.reload(three)
@@ -293,7 +293,7 @@
             await ask((5, 2, 1), "two.org", "three.org")
             gate.set()
             assert [answer.status for answer in await asyncio.gather(*asked)] == [200] * 8
-            traces = [m.headers["x-trace-id"] for endpoint in endpoints for m in endpoint.got]
+            traces = [m.headers["x-trace-id"] for endpoint in endpoints for m in endpoint.requests]
             assert len(traces) == len(set(traces)) == 8, "a request was sent twice"
 
     run(test)
@@ -330,7 +330,9 @@
                     assert (await read_message(pipe.reader)).status in (200, 503), (
                         "a pipelined request has no answer"
                     )
-        assert len(login.got) == 50 and {m.headers["host"] for m in unresponsive.got} <= {"status.org"}
+        assert len(login.requests) == 50 and {m.headers["host"] for m in unresponsive.requests} <= {
+            "status.org"
+        }
 
     run(test)
 
@@ -396,7 +398,7 @@
             waiting = [await node.connect() for _ in range(3)]
             for client in waiting:
                 client.writer.write(request("write", Host="a.campanha.example.org"))
-            await wait_until(lambda: len(campaign.got) == 3)
+            await wait_until(lambda: len(campaign.requests) == 3)
             await node.reload("[services.login\n")
             assert (await kept.ask(request("pay", Host="login.example.org"))).status == 200
             only = static_service("login", login) + '[[routes]]\nto = "login"\nhost = "login.example.org"\n'
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -146,7 +146,7 @@
         async with sidecar(*endpoints) as rig:
             driver = only_instance(Driver)
             assert (await rig.ask(request("write"))).status == 400
-            assert sum(len(e.got) for e in endpoints) == 1, "tried again elsewhere"
+            assert sum(len(e.requests) for e in endpoints) == 1, "tried again elsewhere"
             assert not any(s.failure_rate or s.in_flight for s in driver.balancer.servers.values())
 
     run(test)
@@ -161,9 +161,9 @@
             _, writer = await rig.discovery.calls.get()
             waiting = await rig.connect()
             waiting.writer.write(request("pay"))
-            await wait_until(lambda: len(old.got) == 1)
+            await wait_until(lambda: len(old.requests) == 1)
             writer.write(STREAM + chunk(line(2, [new.entry()], snapshot=True)))
-            while (await rig.ask(request("pay"))).status != 200 or not new.got:
+            while (await rig.ask(request("pay"))).status != 200 or not new.requests:
                 pass
             assert [len(s.in_flight) for s in driver.balancer.servers.values()] == [0]
             assert len(driver.balancer.in_flight) == 1, "the call that is still in flight at the old endpoint"
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -54,7 +54,7 @@
             got = await rig.ask(request("write", b"\x01in\xfe", target="/api?k=a%20b", X_Props="a=1"))
             assert (got.status, got.body) == (200, b"\x00body\xff")
             assert got.headers["content-type"] == "x/y"
-        (sent,) = endpoint.got
+        (sent,) = endpoint.requests
         assert sent.first_line == "POST /api?k=a%20b HTTP/1.1" and sent.body == b"\x01in\xfe"
         assert sent.headers["idempotency-key"] == "key-1" and sent.headers["x-props"] == "a=1"
         assert 0 < int(sent.headers["x-expires-in-ms"]) < 20_000
@@ -69,7 +69,7 @@
             client = await rig.connect()
             for _ in range(3):
                 assert (await client.ask(request())).status == 200
-        assert endpoint.connections == 1 and len(endpoint.got) == 3
+        assert endpoint.connections == 1 and len(endpoint.requests) == 3
 
     run(test)
 
@@ -91,7 +91,7 @@
         async with sidecar(endpoint) as rig:
             for _ in range(2):
                 assert (await rig.ask(request("pay"))).status == 200
-        assert endpoint.connections == 2 and len(endpoint.got) == 2
+        assert endpoint.connections == 2 and len(endpoint.requests) == 2
 
     run(test)
 
@@ -149,7 +149,7 @@
         async with sidecar(endpoint) as rig:
             for _ in range(5):
                 assert (await rig.ask(request("pay", b"body"))).status == 200
-        assert len(endpoint.got) == endpoint.connections == 5
+        assert len(endpoint.requests) == endpoint.connections == 5
 
     run(test)
 
@@ -160,7 +160,7 @@
         async with sidecar(cut, other) as rig:
             while not cut.connections:
                 assert (await rig.ask(request("pay", b"body"))).status == 200
-            assert not cut.got
+            assert not cut.requests
 
     run(test)
 
@@ -250,7 +250,7 @@
 
     async def test() -> None:
         async def spoilt_once(_: Message, endpoint: ScriptedEndpoint) -> bytes:
-            return answer if len(endpoint.got) == 1 else ok()
+            return answer if len(endpoint.requests) == 1 else ok()
 
         endpoint = ScriptedEndpoint("e1", spoilt_once)
         async with sidecar(endpoint) as rig:
@@ -328,7 +328,7 @@
 def test_kept_connections_are_not_trusted_after_silence_or_a_restart() -> None:
     async def test() -> None:
         async def slow(message: Message, endpoint: ScriptedEndpoint) -> bytes:
-            await wait_until(lambda: len(endpoint.got) >= 2)
+            await wait_until(lambda: len(endpoint.requests) >= 2)
             return ok()
 
         endpoint = ScriptedEndpoint("e1", slow)
@@ -353,12 +353,12 @@
         async with sidecar(endpoint, other) as rig:
             client = await rig.connect()
             client.writer.write(request("read"))
-            await wait_until(lambda: len(endpoint.got) + len(other.got) == 1)
+            await wait_until(lambda: len(endpoint.requests) + len(other.requests) == 1)
             client.writer.close()
             await wait_until(lambda: endpoint.lost_connections + other.lost_connections == 1)
             endpoint.script = other.script = always_ok
             assert (await rig.ask(request("read"))).status == 200
-        assert len(endpoint.got) + len(other.got) == 2
+        assert len(endpoint.requests) + len(other.requests) == 2
 
     run(test)
 
@@ -422,7 +422,7 @@
         endpoint = ScriptedEndpoint("e1")
         async with sidecar(endpoint) as rig:
             assert (await rig.ask(data)).status == code
-            assert not endpoint.got and not endpoint.connections
+            assert not endpoint.requests and not endpoint.connections
             assert (await rig.ask(request("pay", b"x" * 64 * 1024))).status == 200
 
     run(test)
@@ -442,7 +442,7 @@
                 assert (await client.ask(request(X_Expires_In_Ms="0"))).status == 503
                 assert (await client.ask(request("pay", expires_in=200))).status == 200
             assert time.monotonic() - begun < caller_module.BAD_REQUEST_PAUSE
-            assert len(endpoint.got) == 5, "a call with no time left was sent"
+            assert len(endpoint.requests) == 5, "a call with no time left was sent"
 
     run(test)
 
@@ -470,7 +470,7 @@
             client = await rig.connect()
             both = request("pay", Content_Length="200", Transfer_Encoding="chunked")
             assert (await client.ask(both + b"0\r\n\r\n" + request("pay"))).status == 400
-            assert await client.reader.read() == b"" and not endpoint.got
+            assert await client.reader.read() == b"" and not endpoint.requests
 
     run(test)
 
@@ -482,11 +482,11 @@
         async with sidecar(endpoint) as rig:
             first = await rig.connect()
             first.writer.write(request("pay", X_Trace_Id="same"))
-            await wait_until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.requests) == 1)
             for _ in range(3):
                 assert (await rig.ask(request("pay", X_Trace_Id="same"))).status == 409
             go.set()
-            assert (await read_message(first.reader)).status == 200 and len(endpoint.got) == 1
+            assert (await read_message(first.reader)).status == 200 and len(endpoint.requests) == 1
             assert (await rig.ask(request("pay", X_Trace_Id="same"))).status == 200, "it is no longer open"
 
     run(test)
@@ -512,7 +512,7 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             client.writer.write(b"".join(request("pay") for _ in range(300)))
-            await wait_until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.requests) == 1)
             assert (await rig.ask(b"GET /ready HTTP/1.1\r\n\r\n")).status == 200
             assert sum(isinstance(thing, Head) for thing in gc.get_objects()) < 20
             go.set()
@@ -572,7 +572,7 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             reply = await client.ask(request("pay", Connection="Upgrade", Upgrade="h2c"))
-            assert reply.status == 200 and len(endpoint.got) == 1
+            assert reply.status == 200 and len(endpoint.requests) == 1
             assert await client.reader.read() == b"", "answered twice"
 
     run(test)
@@ -597,7 +597,7 @@
             busy = [await rig.connect() for _ in range(6)]
             for i, client in enumerate(busy):
                 client.writer.write(request("read"))
-                await wait_until(lambda i=i: sum(len(e.got) for e in endpoints) == i + 1)  # type: ignore[misc]
+                await wait_until(lambda i=i: sum(len(e.requests) for e in endpoints) == i + 1)  # type: ignore[misc]
             assert (await rig.ask(request("read"))).status == 503, "no descriptor is left for its attempt"
             for _ in range(30):
                 await rig.connect()
@@ -757,7 +757,7 @@
         async with sidecar(endpoint, known=known, settings=to_settings(raw)) as rig:
             sent = [asyncio.create_task(rig.ask(request("pay", expires_in=1500))) for _ in range(20)]
             got = [(await task).status for task in sent]
-        assert got.count(200) == len(endpoint.got) <= 3 and set(got) == {200, 503}
+        assert got.count(200) == len(endpoint.requests) <= 3 and set(got) == {200, 503}
 
     run(test)
 
@@ -800,6 +800,6 @@
         await asyncio.get_running_loop().create_connection(lambda: made, address.host, address.port)
         await wait_until(lambda: endpoint.lost_connections == 1)
         await wait_until(lambda: upstream.open == 0)
-        assert not endpoint.got and not ended
+        assert not endpoint.requests and not ended
 
     run(test)
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -91,13 +91,13 @@
             call, writer = await rig.discovery.calls.get()
             assert call.first_line.split()[1] == "/v1/endpoints?watch=1&from=1"
             writer.write(STREAM + chunk(line(9, [other.entry()], snapshot=True)))
-            while not other.got:
+            while not other.requests:
                 await rig.ask(request())
             _, writer = await rig.discovery.calls.get()  # silent again after the list was replaced
-            before = len(endpoint.got)
+            before = len(endpoint.requests)
             for _ in range(5):
                 assert (await rig.ask(request())).status == 200
-            assert len(endpoint.got) == before, "a call to an endpoint that the complete list omits"
+            assert len(endpoint.requests) == before, "a call to an endpoint that the complete list omits"
 
     run(test)
 
@@ -114,7 +114,7 @@
             assert call.first_line.split()[1].endswith("from=2"), "the unreadable line is requested again"
             for _ in range(5):
                 assert (await rig.ask(request())).status == 200
-        assert len(new.got) == 5 and not old.got
+        assert len(new.requests) == 5 and not old.requests
 
     run(test)
 
@@ -129,7 +129,7 @@
             writer.write(STREAM + chunk(line(2, [new.entry()])))
             await wait_until(lambda: old.lost_connections == 1)
             assert (await rig.ask(request())).status == 200
-        assert len(old.got) == len(new.got) == 1
+        assert len(old.requests) == len(new.requests) == 1
 
     run(test)
 
@@ -279,7 +279,7 @@
         async with sidecar(endpoint) as rig:
             idle, before, late = [await rig.connect() for _ in range(3)]
             before.writer.write(request("pay"))
-            await wait_until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.requests) == 1)
             os.kill(os.getpid(), signal.SIGTERM)
             while (await rig.ask(READY)).status != 503:
                 pass
@@ -291,7 +291,7 @@
             late.writer.write(request("pay"))
             after = await rig.connect()
             after.writer.write(request("pay"))
-            await wait_until(lambda: len(endpoint.got) == 3)
+            await wait_until(lambda: len(endpoint.requests) == 3)
             assert await idle.reader.read() == b"", "closed between requests"
             go.set()
             for client in (before, late, after):
@@ -309,7 +309,7 @@
         process, listen = await start_serving_sidecar(endpoint, tmp_path)
         reader, writer = await asyncio.open_connection(listen.host, listen.port)
         writer.write(request("pay"))
-        await wait_until(lambda: len(endpoint.got) == 1)
+        await wait_until(lambda: len(endpoint.requests) == 1)
         process.send_signal(signal.SIGTERM)
         assert (await reader.readline()).startswith(b"HTTP/1.1 502")
         assert await asyncio.to_thread(process.wait) == 0
@@ -371,7 +371,7 @@
         async with sidecar(old, settings=ask_late) as rig:
             _, writer = await rig.discovery.calls.get()
             writer.write(STREAM + chunk(line(2, [new.entry()])))
-            while not new.got:
+            while not new.requests:
                 assert (await rig.ask(request())).status == 200
             whole = line(3, [old.entry("terminating"), new.entry()])
             broken = whole[: whole.index(b"e2")]
@@ -381,10 +381,10 @@
                 await asyncio.sleep(0.05)
                 writer.transport.abort()
             await asyncio.sleep(0.4)
-            before = len(old.got)
+            before = len(old.requests)
             answers = await asyncio.gather(*(rig.ask(request()) for _ in range(20)))
             assert all(answer.status == 200 for answer in answers)
-            assert len(old.got) == before, "the drain was in the received part of the line"
+            assert len(old.requests) == before, "the drain was in the received part of the line"
 
     run(test)
 
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -104,7 +104,7 @@
 
 
 def calls_of(endpoint: ScriptedEndpoint) -> int:
-    return sum(" /api" in message.first_line for message in endpoint.got)
+    return sum(" /api" in message.first_line for message in endpoint.requests)
 
 
 async def last_served_by(rig: RunningSidecar, last: ScriptedEndpoint, before: ScriptedEndpoint) -> None:
@@ -180,7 +180,7 @@
     """No first byte comes to an endpoint that has a kept connection, but those of a later caller."""
     await all_read(rig)
     await asyncio.sleep(CALLER_GONE)
-    assert not [message for message in endpoint.got if LEFT in message.first_line]
+    assert not [message for message in endpoint.requests if LEFT in message.first_line]
     assert endpoint.connections == 1, "an attempt that began was broken off"
 
 
@@ -276,7 +276,7 @@
         mark.then()
         assert ended == [Outcome.NOT_SENT] and not mark.left
         await wait_until(lambda: endpoint.lost_connections == 1)
-        assert not endpoint.got
+        assert not endpoint.requests
         upstream.stop()
 
     run(test)
@@ -303,7 +303,9 @@
             client.sendall(request("pay") + request("pay"))
             await wait_until(lambda: endpoint.connections + other.connections == 1)
             await asyncio.sleep(RETRY_WAIT)
-            assert endpoint.connections + other.connections == 1 and not endpoint.got and not other.got
+            assert (
+                endpoint.connections + other.connections == 1 and not endpoint.requests and not other.requests
+            )
             client.close()
 
     run(test)
@@ -328,7 +330,9 @@
                     lambda: endpoint.lost_connections == 1
                 )  # the attempt that has begun is given up
             await asyncio.sleep(RETRY_WAIT)
-            assert not [m for m in endpoint.got if LEFT in m.first_line] and endpoint.connections == begun
+            assert (
+                not [m for m in endpoint.requests if LEFT in m.first_line] and endpoint.connections == begun
+            )
             client.close()
 
     run(test)
@@ -358,11 +362,11 @@
             client.sendall(request("read", expires_in=5000, target=LEFT))
             await asyncio.sleep(WAITED)
             full = False
-            await wait_until(lambda: len(endpoint.got) == 2)
-            assert told(endpoint.got[1]) <= 5000 - 1000 * WAITED + TOLD_MORE
+            await wait_until(lambda: len(endpoint.requests) == 2)
+            assert told(endpoint.requests[1]) <= 5000 - 1000 * WAITED + TOLD_MORE
             client.close()
             await all_read(rig)
-            assert told(endpoint.got[2]) > EXPIRES_IN - 1000 * WAITED, "it did not wait itself"
+            assert told(endpoint.requests[2]) > EXPIRES_IN - 1000 * WAITED, "it did not wait itself"
 
     run(test)
 
@@ -395,12 +399,12 @@
         async with sidecar(endpoint) as rig:
             client = await rig.connect()
             client.writer.write(request("read") + request("read"))
-            await wait_until(lambda: len(endpoint.got) == 1)
+            await wait_until(lambda: len(endpoint.requests) == 1)
             client.writer.write(request("read", expires_in=5000, target=LEFT))
             await asyncio.sleep(WAITED)
             go.set()
-            await wait_until(lambda: len(endpoint.got) == 3)
-            assert told(endpoint.got[2]) <= 5000 - 1000 * WAITED + TOLD_MORE
+            await wait_until(lambda: len(endpoint.requests) == 3)
+            assert told(endpoint.requests[2]) <= 5000 - 1000 * WAITED + TOLD_MORE
 
     run(test)
 
@@ -487,9 +491,9 @@
                 _, watch = await discovery.calls.get()
             watch.write(STREAM + chunk(line(2, [old.entry("terminating"), new.entry()])))
             await asyncio.sleep(0.6)
-            before = len(old.got)
+            before = len(old.requests)
             await served_within(listen, 5.0)
-            assert new.got and len(old.got) == before
+            assert new.requests and len(old.requests) == before
             crowd.leave()
         finally:
             process.kill()
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -143,7 +143,7 @@
                 dict(zip(STOP_POINTS, outcomes, strict=True)), {row: n for row, (n, _) in STOP_POINTS.items()}
             )
             await wait_for_no_open_requests(rig)
-            assert not [message for message in endpoint.got if message.first_line.startswith("POST")]
+            assert not [message for message in endpoint.requests if message.first_line.startswith("POST")]
 
     run(test, extra_time=LISTEN_TIME)
 
