--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -44,7 +44,7 @@
 
     name: str
     script: Script = always_ok
-    cut: Callable[[int], bool] = lambda _: False
+    resets_after: Callable[[int], bool] = lambda _: False
     requests: list[Message] = field(default_factory=list)
     connections: int = 0
     lost_connections: int = 0
@@ -69,7 +69,7 @@
         self.served.append(connection)
 
     def bytes_came(self, connection: ServerConnection) -> bool:
-        if self.cut(connection.requests):
+        if self.resets_after(connection.requests):
             connection.reset()
             return False
         return True
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -74,7 +74,7 @@
 
 def test_the_limit_of_an_endpoint_that_ends_connections_after_some_answers_is_learned(tmp_path: Path) -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", cut=lambda requests: requests >= 4)
+        endpoint = ScriptedEndpoint("e1", resets_after=lambda requests: requests >= 4)
         await endpoint.start()
         async with (
             operator_sidecar(tmp_path, operator_file("", endpoint)) as rig,
@@ -143,7 +143,7 @@
                 return True
             return False
 
-        endpoint = ScriptedEndpoint("e1", cut=cut)
+        endpoint = ScriptedEndpoint("e1", resets_after=cut)
         await endpoint.start()
         async with operator_sidecar(tmp_path, operator_file("", endpoint)) as rig:
             for _ in range(3):
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -145,7 +145,7 @@
 
 def test_a_kept_connection_that_is_reset_at_the_next_request_costs_no_call() -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", cut=lambda requests: requests >= 1)
+        endpoint = ScriptedEndpoint("e1", resets_after=lambda requests: requests >= 1)
         async with sidecar(endpoint) as rig:
             for _ in range(5):
                 assert (await rig.ask(request("pay", b"body"))).status == 200
@@ -156,7 +156,7 @@
 
 def test_a_new_connection_that_is_reset_while_the_request_comes_has_not_run_it() -> None:
     async def test() -> None:
-        cut, other = ScriptedEndpoint("e1", cut=lambda _: True), ScriptedEndpoint("e2")
+        cut, other = ScriptedEndpoint("e1", resets_after=lambda _: True), ScriptedEndpoint("e2")
         async with sidecar(cut, other) as rig:
             while not cut.connections:
                 assert (await rig.ask(request("pay", b"body"))).status == 200
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -594,7 +594,7 @@
 def test_a_close_that_crosses_a_request_is_distinguished_from_a_lost_answer() -> None:
     async def test() -> None:
         cut: Callable[[int], bool] = lambda requests: requests > 0  # noqa: E731
-        endpoint = ScriptedEndpoint("e", cut=cut)
+        endpoint = ScriptedEndpoint("e", resets_after=cut)
         await endpoint.start()
         client = SidecarClient("n0", endpoint.address, Clock())
         first, second, third = make_call(), make_call(), make_call()
