--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -48,7 +48,7 @@
     requests: list[Message] = field(default_factory=list)
     connections: int = 0
     lost_connections: int = 0
-    served: list[ServerConnection] = field(default_factory=list)
+    server_connections: list[ServerConnection] = field(default_factory=list)
     address: Address = field(default_factory=free_address)
     clock: Clock = field(default_factory=Clock)
     scripts: dict[ServerConnection, asyncio.Task[None]] = field(default_factory=dict)
@@ -66,7 +66,7 @@
 
     def opened(self, connection: ServerConnection) -> None:
         self.connections += 1
-        self.served.append(connection)
+        self.server_connections.append(connection)
 
     def bytes_came(self, connection: ServerConnection) -> bool:
         if self.resets_after(connection.requests):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -51,7 +51,7 @@
         async def close_idle() -> None:
             while True:
                 await asyncio.sleep(0.01)
-                for connection in endpoint.served:
+                for connection in endpoint.server_connections:
                     if connection.busy or connection.message is not None:
                         continue
                     if endpoint.clock() - connection.idle_since > 100:
@@ -89,8 +89,8 @@
         believed = seen["moved-unsafe"]
         assert 2 <= believed <= 2 + len(stood_still)
         # The last calls may be divided between two connections, neither of which reaches the limit then.
-        used_up = [connection for connection in endpoint.served if connection.requests == 4]
-        assert max(connection.requests for connection in endpoint.served) == 4
+        used_up = [connection for connection in endpoint.server_connections if connection.requests == 4]
+        assert max(connection.requests for connection in endpoint.server_connections) == 4
         assert seen["given-up-uses"] == len(used_up) - believed and len(used_up) >= 14, seen
 
     run(test)
@@ -108,13 +108,13 @@
         await endpoint.start()
         async with operator_sidecar(tmp_path, operator_file(FORGOTTEN, endpoint)) as rig:
             assert (await rig.ask(request(cls))).status == 200
-            (old,) = endpoint.served
+            (old,) = endpoint.server_connections
             old.blackhole()
             await asyncio.sleep(0.15)
             assert (await rig.ask(request(cls, expires_in=3000))).status == 200
             seen = await counts(rig)
         assert len(set(traces(endpoint))) == len(endpoint.requests) == 2
-        assert [n for n in seen if n.startswith("moved")] and endpoint.served[0] is old
+        assert [n for n in seen if n.startswith("moved")] and endpoint.server_connections[0] is old
 
     run(test)
 
@@ -127,7 +127,7 @@
         await endpoint.start()
         async with operator_sidecar(tmp_path, operator_file("", endpoint)) as rig:
             assert (await rig.ask(request("pay"))).status == 200
-            endpoint.served[0].blackhole()
+            endpoint.server_connections[0].blackhole()
             assert (await rig.ask(request("pay", expires_in=600))).status == 502
 
     run(test)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -736,7 +736,7 @@
         upstream.send(1, Attempt(lambda: request("read"), end, Repeat.SAFE))
         await wait_until(lambda: bool(ended))
         assert upstream.stray_bytes_until == 0.0
-        endpoint.served[0].write(ok(b"stray"))
+        endpoint.server_connections[0].write(ok(b"stray"))
         await wait_until(lambda: endpoint.lost_connections == 1)
         assert upstream.stray_bytes_until > time.monotonic() * 1000
         upstream.stop()
@@ -769,7 +769,7 @@
         async def drip(_: Message, endpoint: ScriptedEndpoint) -> bytes:
             async def go_on() -> None:
                 while True:
-                    endpoint.served[-1].write(chunk(b"more"))
+                    endpoint.server_connections[-1].write(chunk(b"more"))
                     await asyncio.sleep(0.02)
 
             dripping.append(asyncio.create_task(go_on()))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -153,7 +153,7 @@
                     assert (await node.ask(request("read"))).status == 200
                 await wait_for_endpoints(node, 6)
                 made[0].listener.close()
-                for connection in made[0].served:
+                for connection in made[0].server_connections:
                     connection.reset()
                 while await ready_endpoints(node) != 5:  # its session is gone and it refuses connections
                     asked = [node.ask(request("read")) for _ in range(12)]
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -167,7 +167,7 @@
                 pass
             assert [len(s.in_flight) for s in driver.balancer.servers.values()] == [0]
             assert len(driver.balancer.in_flight) == 1, "the call that is still in flight at the old endpoint"
-            old.served[0].write(ok(b"late"))
+            old.server_connections[0].write(ok(b"late"))
             assert (await read_message(waiting.reader)).body == b"late"
             assert not driver.balancer.in_flight and driver.upstream.open == 1
 
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -176,8 +176,8 @@
             assert (await rig.ask(request("pay"))).status == 200
             client = await rig.connect()
             client.writer.write(request("pay"))
-            await wait_until(lambda: endpoint.served[0].message is not None)
-            endpoint.served[0].write(ok(b"stale"))
+            await wait_until(lambda: endpoint.server_connections[0].message is not None)
+            endpoint.server_connections[0].write(ok(b"stale"))
             reply = await read_message(client.reader)
             assert (reply.status, reply.body) == (200, b"done") and endpoint.connections == 2
 
@@ -202,7 +202,7 @@
         assert (await ended.get())[1].body == b"done"
         (kept,) = upstream.hosts[1].idle
         kept.transport.pause_reading()  # type: ignore[union-attr]
-        endpoint.served[0].write(ok(b"stale"))
+        endpoint.server_connections[0].write(ok(b"stale"))
         await wait_until(lambda: has_unread(kept.transport))  # type: ignore[arg-type]
         send()
         assert (await ended.get())[1].body == b"done" and endpoint.connections == 2
