--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -95,7 +95,7 @@
 STREAM = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -21,7 +21,7 @@
 from millgw.sidecar.__main__ import serve
 from millgw.standins.address import free_address
 from millgw.standins.http import Message
-from millgw.standins.scripted import ScriptedDiscoveryServer, ScriptedEndpoint, chunk, read_message
+from millgw.standins.scripted import ScriptedDiscoveryServer, ScriptedEndpoint, encode_chunk, read_message
 
 TEST_TIMEOUT = 30.0  # s, limit for a whole test: far above what one takes on a busy machine
 BLOCKED_LOOP_TIMEOUT = (
@@ -92,7 +92,7 @@
     """Send heartbeats on a watch for that many seconds."""
     end = asyncio.get_running_loop().time() + seconds
     while asyncio.get_running_loop().time() < end:
-        watch.write(chunk(b"\n"))
+        watch.write(encode_chunk(b"\n"))
         await asyncio.sleep(HEARTBEAT_INTERVAL)
 
 
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -19,7 +19,7 @@
 from millgw.configuration.last_good import LastGoodFile
 from millgw.standins.address import free_address
 from millgw.standins.http import status
-from millgw.standins.scripted import STREAM, chunk
+from millgw.standins.scripted import STREAM, encode_chunk
 from tests.control_instance import NO_CONTENT_RESPONSE, ControlInstance, snapshot_line
 from tests.rig import run, wait_until
 
@@ -77,16 +77,16 @@
         _, writer = await control.watches.get()
         data = (
             STREAM
-            + chunk(b"\n")
-            + chunk(snapshot_line(VERSIONS[4])[:20])
-            + chunk(snapshot_line(VERSIONS[4])[20:])
+            + encode_chunk(b"\n")
+            + encode_chunk(snapshot_line(VERSIONS[4])[:20])
+            + encode_chunk(snapshot_line(VERSIONS[4])[20:])
         )
         for at in range(len(data)):
             writer.write(data[at : at + 1])
             await asyncio.sleep(0)
         await beginning
         await wait_until(lambda: target.ticks == [4])
-        writer.write(chunk(encode_delta(VERSIONS[5])))
+        writer.write(encode_chunk(encode_delta(VERSIONS[5])))
         await wait_until(lambda: target.ticks == [4, 5])
         assert control.watch_targets == ["/v1/configuration?watch=1&name=n%203%2F%C3%A9"]
         await wait_until(lambda: bool(control.reports) and control.reports[-1]["index"] == 5)
@@ -96,7 +96,7 @@
         await wait_until(lambda: client.traffic.reports == len(control.reports))
         figures = client.figures()
         assert figures["index"] == 5 and figures["digest"] == VERSIONS[5].digest()
-        assert figures["bytes_in"] == len(data) + len(chunk(encode_delta(VERSIONS[5]))) + len(
+        assert figures["bytes_in"] == len(data) + len(encode_chunk(encode_delta(VERSIONS[5]))) + len(
             NO_CONTENT_RESPONSE
         ) * len(control.reports)
         client.stop()
@@ -111,7 +111,9 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
-        writer.write(STREAM + chunk(snapshot_line(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9]))))
+        writer.write(
+            STREAM + encode_chunk(snapshot_line(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9])))
+        )
         await beginning
         assert target.ticks == [8]
         client.stop()
@@ -126,12 +128,12 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
-        writer.write(STREAM + chunk(snapshot_line(VERSIONS[6])))
+        writer.write(STREAM + encode_chunk(snapshot_line(VERSIONS[6])))
         await beginning
         writer.write(
-            chunk(snapshot_line(VERSIONS[2]))
-            + chunk(encode_delta(VERSIONS[5]))
-            + chunk(encode_delta(VERSIONS[7]))
+            encode_chunk(snapshot_line(VERSIONS[2]))
+            + encode_chunk(encode_delta(VERSIONS[5]))
+            + encode_chunk(encode_delta(VERSIONS[7]))
         )
         await wait_until(lambda: target.ticks == [6, 7])
         assert client.follower.contradictions == 0 and len(control.watch_targets) == 1
@@ -174,7 +176,7 @@
         beginning = asyncio.create_task(client.start())
         _, writer = await wrong.watches.get()
         corrupted = snapshot_line(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
-        writer.write(STREAM + chunk(corrupted))
+        writer.write(STREAM + encode_chunk(corrupted))
         await beginning
         await wait_until(lambda: target.ticks == [4])
         client.stop()
@@ -189,23 +191,23 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
-        writer.write(STREAM + chunk(snapshot_line(VERSIONS[4])))
+        writer.write(STREAM + encode_chunk(snapshot_line(VERSIONS[4])))
         await beginning
         missed = VERSIONS[5].copy()
         missed.apply(6, 1, [Change("other", {"x": 1})])
         writer.write(
-            chunk(encode_line(WatchLine(6, 1, False, missed.digest(), (Change("other", {"x": 1}),))))
+            encode_chunk(encode_line(WatchLine(6, 1, False, missed.digest(), (Change("other", {"x": 1}),))))
         )
         _, writer = await control.watches.get()
         assert "from=" not in control.watch_targets[-1]
-        writer.write(STREAM + chunk(snapshot_line(missed)))
+        writer.write(STREAM + encode_chunk(snapshot_line(missed)))
         await wait_until(lambda: target.ticks == [4, 5])
         client.stop()
 
     run(test)
 
 
-END = STREAM + chunk(b"\n") + b"0\r\n\r\n"
+END = STREAM + encode_chunk(b"\n") + b"0\r\n\r\n"
 
 
 @pytest.mark.parametrize(
@@ -213,12 +215,12 @@
     [
         status(503),
         END,
-        STREAM + chunk(b"{broken\n"),
+        STREAM + encode_chunk(b"{broken\n"),
         b"220 mail\r\n",
         None,  # a reset
         b"",  # it never answers
-        STREAM + chunk(b"\n"),  # then silence
-        STREAM + chunk(b"x" * (MAX_LINE_BYTES + 1)),  # a line that is too long
+        STREAM + encode_chunk(b"\n"),  # then silence
+        STREAM + encode_chunk(b"x" * (MAX_LINE_BYTES + 1)),  # a line that is too long
     ],
 )
 def test_another_instance_is_tried_however_a_watch_ends(
@@ -367,7 +369,7 @@
         await control.start()
         _, writer = await control.watches.get()
         assert "from=3&" in control.watch_targets[-1]
-        writer.write(STREAM + chunk(encode_delta(VERSIONS[5])))
+        writer.write(STREAM + encode_chunk(encode_delta(VERSIONS[5])))
         await wait_until(lambda: target.ticks == [3, 5])
         await wait_saved(last_good, 5)
         assert sorted(os.listdir(tmp_path / "state")) == [last_good.path.name], "no temporary file is left"
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -38,7 +38,7 @@
     STREAM,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
-    chunk,
+    encode_chunk,
     line,
     read_message,
 )
@@ -297,7 +297,7 @@
     async def answer_watches() -> None:
         while True:
             _, writer = await discovery.calls.get()
-            writer.write(STREAM + chunk(line(2, [])))
+            writer.write(STREAM + encode_chunk(line(2, [])))
             watches.append(writer)
 
     async def heartbeats() -> None:
@@ -306,7 +306,7 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL)
             for writer in watches:
                 if not writer.is_closing():
-                    writer.write(chunk(b"\n"))
+                    writer.write(encode_chunk(b"\n"))
 
     serving = [asyncio.create_task(answer_watches()), asyncio.create_task(heartbeats())]
     try:
