--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -41,7 +41,7 @@
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     encode_chunk,
-    line,
+    encode_line,
     read_message,
 )
 
@@ -89,7 +89,7 @@
     async def watched(self) -> None:
         while True:
             _, writer = await self.discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(line(2, [])))
+            writer.write(STREAM + encode_chunk(encode_line(2, [])))
             self.watchers.append(writer)
 
     async def daemon(self, core: int | None = None) -> tuple[subprocess.Popen[bytes], Address]:
@@ -166,7 +166,7 @@
 
         def changed(index: int) -> bytes:
             status = "in_service" if index % 2 else "terminating"
-            return encode_chunk(line(index, [e | {"status": status} for e in made.others]))
+            return encode_chunk(encode_line(index, [e | {"status": status} for e in made.others]))
 
         # Before, as this process must not be what is measured.
         changes = [changed(index) for index in range(3, int(2 * seconds) + 5)]
--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -99,7 +99,7 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def line(index: int, entries: list[dict[str, Any]], snapshot: bool = False) -> bytes:
+def encode_line(index: int, entries: list[dict[str, Any]], snapshot: bool = False) -> bytes:
     """Encode one line of a list or watch."""
     return json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}).encode() + b"\n"
 
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -53,7 +53,7 @@
     ScriptedEndpoint,
     answer_with,
     encode_chunk,
-    line,
+    encode_line,
     read_message,
 )
 from tests import rig
@@ -712,7 +712,7 @@
         text = await operator_text(control, more="[connections]\nkeep_least = 1\n")
         async with rig.operator_sidecar(tmp_path, text, str(discovery.address)) as node:
             _, writer = await discovery.calls.get()
-            writer.write(STREAM + encode_chunk(line(1, [endpoint.entry()], snapshot=True)))
+            writer.write(STREAM + encode_chunk(encode_line(1, [endpoint.entry()], snapshot=True)))
             (pool,) = live_pools()
             await wait_until(lambda: bool(pool.driver.ready))
             assert (await node.ask(request())).status == 200
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -18,7 +18,7 @@
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     encode_chunk,
-    line,
+    encode_line,
 )
 from tests.outside import loaded
 from tests.rig import SidecarClient, loop_stalls, operator_sidecar, request, run, wait_until
@@ -242,7 +242,7 @@
 ) -> asyncio.StreamWriter:
     """Answer the sidecar's watch with a complete list, and leave the watch open."""
     _, writer = await discovery_server.calls.get()
-    writer.write(STREAM + encode_chunk(line(2, list(entries), snapshot=True)))
+    writer.write(STREAM + encode_chunk(encode_line(2, list(entries), snapshot=True)))
     return writer
 
 
@@ -258,7 +258,7 @@
         async with operator_sidecar(tmp_path, text, str(discovery_server.address)) as rig:
             writer = await answer_watch(discovery_server, stays.entry(), leaves.entry())
             await wait_until(lambda: stays.connections == 2)
-            writer.write(encode_chunk(line(3, [leaves.entry("terminating")])))
+            writer.write(encode_chunk(encode_line(3, [leaves.entry("terminating")])))
             await asyncio.sleep(0.05)
             leaves.listener.open()
             for _ in range(10):
@@ -297,7 +297,7 @@
             _, writer = await discovery_server.calls.get()
             since = int(time.time() * 1000)  # set as late as possible: a turn expires 0.1 s after it is due
             entries = [*(e.entry() for e in warm), cold.entry(since_ms=since)]
-            writer.write(STREAM + encode_chunk(line(2, entries, snapshot=True)))
+            writer.write(STREAM + encode_chunk(encode_line(2, entries, snapshot=True)))
             await asyncio.sleep(1.0)
             for _ in range(10):
                 assert (await rig.ask(request("read"))).status == 200
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -24,7 +24,14 @@
 from millgw.platform.config import Address, ConfigError, read_config
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok, status
-from millgw.standins.scripted import STREAM, ScriptedEndpoint, encode_chunk, line, never_answer, read_message
+from millgw.standins.scripted import (
+    STREAM,
+    ScriptedEndpoint,
+    encode_chunk,
+    encode_line,
+    never_answer,
+    read_message,
+)
 from tests.rig import SETTINGS, RunningSidecar, request, run, sidecar, wait_until
 
 READY = b"GET /ready HTTP/1.1\r\nHost: n1\r\n\r\n"
@@ -275,11 +282,11 @@
                 0,
             )
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(line(2, [endpoints[0].entry("terminating")])))
+            writer.write(STREAM + encode_chunk(encode_line(2, [endpoints[0].entry("terminating")])))
             while (metrics := await read_metrics(control))["out_of_rotation"] != 1:
                 pass
             assert metrics["registry_entries"] == 4, "a draining endpoint stays in the list"
-            writer.write(encode_chunk(line(3, [endpoints[0].entry("terminated")])))
+            writer.write(encode_chunk(encode_line(3, [endpoints[0].entry("terminated")])))
             while (metrics := await read_metrics(control))["out_of_rotation"] != 0:
                 pass
             assert metrics["registry_entries"] == 3
@@ -351,7 +358,7 @@
     while True:
         _, watch = await rig.discovery.calls.get()
         watch.write(
-            STREAM + encode_chunk(line(1, [endpoint.entry() for endpoint in endpoints], snapshot=True))
+            STREAM + encode_chunk(encode_line(1, [endpoint.entry() for endpoint in endpoints], snapshot=True))
         )
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -45,7 +45,7 @@
     ScriptedEndpoint,
     answer_with,
     encode_chunk,
-    line,
+    encode_line,
     never_answer,
 )
 from tests.rig import SETTINGS, operator_sidecar, request, run, sidecar, wait_until
@@ -152,7 +152,7 @@
 
 
 E1, E2 = ScriptedEndpoint("e1"), ScriptedEndpoint("e2")
-DRAIN = line(2, [E1.entry("terminating")])
+DRAIN = encode_line(2, [E1.entry("terminating")])
 
 
 # Endpoint lists
@@ -169,7 +169,9 @@
         await other.start()
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
-            write_now(writer, STREAM + encode_chunk(line(1, [E1.entry()])) if then == "moved" else STREAM)
+            write_now(
+                writer, STREAM + encode_chunk(encode_line(1, [E1.entry()])) if then == "moved" else STREAM
+            )
             if then == "moved":
                 await wait_until(lambda: bool(made.received))
             write_now(writer, written)
@@ -194,7 +196,7 @@
         await other.start()
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(line(1, [E1.entry(), E2.entry()])))
+            writer.write(STREAM + encode_chunk(encode_line(1, [E1.entry(), E2.entry()])))
             await wait_until(lambda: bool(made.received))
             made.discovery.move(other.address)
             call, later = await other.calls.get()
@@ -202,11 +204,11 @@
             writer.write(encode_chunk(DRAIN))
             await wait_until(lambda: bool(made.drained()))
             assert made.discovery.index == 1, "updates of the new server would be skipped"
-            writer.write(encode_chunk(line(3, [E2.entry("terminated")])[:-3]))
+            writer.write(encode_chunk(encode_line(3, [E2.entry("terminated")])[:-3]))
             await writer.drain()
             writer.transport.close()
             await wait_until(lambda: len(made.drained()) == 2)
-            later.write(STREAM + encode_chunk(line(4, [E1.entry()])))
+            later.write(STREAM + encode_chunk(encode_line(4, [E1.entry()])))
             await wait_until(lambda: made.discovery.index == 4)
             assert not made.discovery.abandoned
             assert ListKind.FAILED not in [kind for kind, _ in made.received], "it was left, not lost"
@@ -230,9 +232,9 @@
             made.discovery.start(known)
             _, writer = await discovery_server.calls.get()
             if spoken:
-                writer.write(STREAM + encode_chunk(line(1, [])))
+                writer.write(STREAM + encode_chunk(encode_line(1, [])))
                 await wait_until(lambda: len(made.received) > 1)
-            whole = encode_chunk(line(index, [E2.entry()], snapshot=True))
+            whole = encode_chunk(encode_line(index, [E2.entry()], snapshot=True))
             writer.write(whole[:40] if spoken else STREAM + whole[:40])
             await wait_until(
                 lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport)
@@ -256,10 +258,12 @@
             _, writer = await discovery_server.calls.get()
             made.discovery.move(other.address)
             _, later = await other.calls.get()
-            later.write(STREAM + encode_chunk(line(5, [E1.entry(), E2.entry()], snapshot=True)))
+            later.write(STREAM + encode_chunk(encode_line(5, [E1.entry(), E2.entry()], snapshot=True)))
             await wait_until(lambda: made.discovery.index == 5)
-            writer.write(STREAM + encode_chunk(line(4, [E2.entry()], snapshot=True)) + encode_chunk(b"\n"))
-            writer.write(encode_chunk(line(4, [E2.entry("terminating")])))
+            writer.write(
+                STREAM + encode_chunk(encode_line(4, [E2.entry()], snapshot=True)) + encode_chunk(b"\n")
+            )
+            writer.write(encode_chunk(encode_line(4, [E2.entry("terminating")])))
             await wait_until(lambda: bool(made.drained()))
             assert made.drained() == {endpoint_id("e2")}, "only an explicit drain counts"
 
@@ -276,19 +280,19 @@
         await other.start()
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(line(2, [E1.entry(), E2.entry()])))
+            writer.write(STREAM + encode_chunk(encode_line(2, [E1.entry(), E2.entry()])))
             await wait_until(lambda: bool(made.received))
             made.discovery.move(other.address)
             _, later = await other.calls.get()
-            drain = line(3, [E1.entry("terminating")])
+            drain = encode_line(3, [E1.entry("terminating")])
             writer.write(encode_chunk(drain[:-3] if torn else drain))
             if torn:
                 writer.transport.close()
             await wait_until(lambda: made.drained() == {endpoint_id("e1")})
-            later.write(STREAM + encode_chunk(line(2, [E1.entry(), E2.entry()], snapshot=True)))
+            later.write(STREAM + encode_chunk(encode_line(2, [E1.entry(), E2.entry()], snapshot=True)))
             await wait_until(lambda: made.received[-1][0] is ListKind.FULL)
             assert [e.endpoint.id for e in made.received[-1][1]] == [endpoint_id("e2")]
-            later.write(encode_chunk(line(4, [E1.entry()])))
+            later.write(encode_chunk(encode_line(4, [E1.entry()])))
             await wait_until(lambda: made.received[-1][0] is ListKind.DELTA and bool(made.received[-1][1]))
             assert [e.endpoint.id for e in made.received[-1][1]] == [endpoint_id("e1")], "a newer list counts"
 
@@ -320,7 +324,10 @@
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(
-                STREAM + encode_chunk(b"\n") + encode_chunk(line(1, [E1.entry()])) + encode_chunk(b"\n")
+                STREAM
+                + encode_chunk(b"\n")
+                + encode_chunk(encode_line(1, [E1.entry()]))
+                + encode_chunk(b"\n")
             )
             await wait_until(lambda: len(made.received) == 2)
             assert made.received[1] == (ListKind.DELTA, ())
@@ -339,7 +346,7 @@
         await discovery_server.start()
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(line(1, [E1.entry()])))
+            writer.write(STREAM + encode_chunk(encode_line(1, [E1.entry()])))
             await wait_until(lambda: bool(made.received))
             write_now(writer, encode_chunk(DRAIN))
             time.sleep(0.3)
@@ -364,14 +371,14 @@
             async with asyncio.timeout(discovery_module.FIRST_LINE_TIMEOUT):
                 for _ in range(4):  # each of them silent
                     _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(line(1, [one.entry()])))
+            writer.write(STREAM + encode_chunk(encode_line(1, [one.entry()])))
             await writer.drain()
             async with asyncio.timeout(5 * freshness.RETRY_WAIT_MS / 1000):  # s; under 5 retry delays
                 for index in range(5):
                     await asyncio.sleep(0)
                     writer.transport.abort()
                     _, writer = await rig.discovery.calls.get()
-                    writer.write(STREAM + encode_chunk(line(2 + index, [one.entry()])))
+                    writer.write(STREAM + encode_chunk(encode_line(2 + index, [one.entry()])))
                     await writer.drain()
 
     run(test)
@@ -970,7 +977,9 @@
             moved = ScriptedEndpoint("e2", address=late.address)
 
             async def reset(_: Message, endpoint: ScriptedEndpoint) -> None:
-                watch[0].write(STREAM + encode_chunk(line(2, [endpoint.entry("terminating"), moved.entry()])))
+                watch[0].write(
+                    STREAM + encode_chunk(encode_line(2, [endpoint.entry("terminating"), moved.entry()]))
+                )
                 await watch[0].drain()
 
             first = ScriptedEndpoint("e1", reset)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -39,7 +39,7 @@
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     encode_chunk,
-    line,
+    encode_line,
     read_message,
 )
 from tests.rig import SETTINGS, config, request, run, wait_until
@@ -297,7 +297,7 @@
     async def answer_watches() -> None:
         while True:
             _, writer = await discovery.calls.get()
-            writer.write(STREAM + encode_chunk(line(2, [])))
+            writer.write(STREAM + encode_chunk(encode_line(2, [])))
             watches.append(writer)
 
     async def heartbeats() -> None:
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -23,7 +23,14 @@
 from millgw.pool.pool import Pool
 from millgw.settings import to_settings
 from millgw.standins.http import Message, ok
-from millgw.standins.scripted import STREAM, ScriptedEndpoint, encode_chunk, line, never_answer, read_message
+from millgw.standins.scripted import (
+    STREAM,
+    ScriptedEndpoint,
+    encode_chunk,
+    encode_line,
+    never_answer,
+    read_message,
+)
 from tests.rig import SETTINGS, request, run, sidecar, wait_until
 
 T = TypeVar("T")
@@ -64,7 +71,7 @@
                 for endpoint in endpoints:
                     endpoint.name = f"{endpoint.address.host}-{turn}"
                 entries = [endpoint.entry(since_ms=turn) for endpoint in endpoints]
-                writer.write(encode_chunk(line(turn, entries, snapshot=turn % 2 == 0)))
+                writer.write(encode_chunk(encode_line(turn, entries, snapshot=turn % 2 == 0)))
                 await asyncio.gather(*(rig.ask(request("write" if i % 2 else "pay")) for i in range(each)))
                 leaving = await rig.connect()
                 leaving.writer.write(request("pay")[:-9] if turn % 2 else request("pay"))
@@ -124,13 +131,15 @@
                 assert (await rig.ask(request("pay"))).status == 200
             (old,) = driver.balancer.servers.values()
             endpoint.name = "new"
-            writer.write(STREAM + encode_chunk(line(2, [endpoint.entry(since_ms=int(time.time() * 1000))])))
+            writer.write(
+                STREAM + encode_chunk(encode_line(2, [endpoint.entry(since_ms=int(time.time() * 1000))]))
+            )
             await wait_until(lambda: endpoint.lost_connections == 1)  # its idle connection is closed
             (new,) = driver.balancer.servers.values()
             assert new.info.id != old.info.id and not new.served_calls and driver.balancer.ring == [new]
             endpoint.name = "old"  # a late list entry, from before the new endpoint
-            writer.write(encode_chunk(line(3, [endpoint.entry(since_ms=1)])))
-            writer.write(encode_chunk(line(4, [])))
+            writer.write(encode_chunk(encode_line(3, [endpoint.entry(since_ms=1)])))
+            writer.write(encode_chunk(encode_line(4, [])))
             assert (await rig.ask(request("pay"))).status == 200
             assert driver.balancer.ring == [new]
 
@@ -162,7 +171,7 @@
             waiting = await rig.connect()
             waiting.writer.write(request("pay"))
             await wait_until(lambda: len(old.requests) == 1)
-            writer.write(STREAM + encode_chunk(line(2, [new.entry()], snapshot=True)))
+            writer.write(STREAM + encode_chunk(encode_line(2, [new.entry()], snapshot=True)))
             while (await rig.ask(request("pay"))).status != 200 or not new.requests:
                 pass
             assert [len(s.in_flight) for s in driver.balancer.servers.values()] == [0]
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -39,7 +39,7 @@
     always_ok,
     answer_with,
     encode_chunk,
-    line,
+    encode_line,
     never_answer,
     read_message,
 )
@@ -341,7 +341,7 @@
             endpoint.script = always_ok
             assert (await rig.ask(request("pay"))).status == 200 and endpoint.connections == 3
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(line(2, [endpoint.entry(since_ms=1)])))
+            writer.write(STREAM + encode_chunk(encode_line(2, [endpoint.entry(since_ms=1)])))
             await wait_until(lambda: endpoint.lost_connections == 3)
 
     run(test)
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -27,7 +27,7 @@
     ScriptedEndpoint,
     answer_with,
     encode_chunk,
-    line,
+    encode_line,
     never_answer,
     read_message,
 )
@@ -49,14 +49,14 @@
             assert (await rig.ask(READY)).status == 503
             call, writer = await rig.discovery.calls.get()
             assert call.first_line == "GET /v1/endpoints?watch=1&from=1 HTTP/1.1"
-            lines = line(2, []) + b"\n" + line(3, [endpoint.entry()])
+            lines = encode_line(2, []) + b"\n" + encode_line(3, [endpoint.entry()])
             data = STREAM + encode_chunk(lines[:9]) + encode_chunk(lines[9:])
             for at in range(len(data)):
                 writer.write(data[at : at + 1])
                 await asyncio.sleep(0)
             await wait_for_ready_status(rig, 200)
             assert (await rig.ask(request())).status == 200
-            writer.write(encode_chunk(line(4, [endpoint.entry("terminating")])))
+            writer.write(encode_chunk(encode_line(4, [endpoint.entry("terminating")])))
             await wait_for_ready_status(rig, 503)
 
     run(test)
@@ -90,7 +90,7 @@
             assert (await rig.ask(request())).status == 200, "the earlier list is no longer used"
             call, writer = await rig.discovery.calls.get()
             assert call.first_line.split()[1] == "/v1/endpoints?watch=1&from=1"
-            writer.write(STREAM + encode_chunk(line(9, [other.entry()], snapshot=True)))
+            writer.write(STREAM + encode_chunk(encode_line(9, [other.entry()], snapshot=True)))
             while not other.requests:
                 await rig.ask(request())
             _, writer = await rig.discovery.calls.get()  # silent again after the list was replaced
@@ -108,8 +108,10 @@
         await new.start()
         async with sidecar(old) as rig:
             _, writer = await rig.discovery.calls.get()
-            last = line(3, [old.entry("terminating", weight="?")])[:-1]
-            writer.write(STREAM + encode_chunk(line(2, [new.entry()]) + b"{broken\n" + last) + b"0\r\n\r\n")
+            last = encode_line(3, [old.entry("terminating", weight="?")])[:-1]
+            writer.write(
+                STREAM + encode_chunk(encode_line(2, [new.entry()]) + b"{broken\n" + last) + b"0\r\n\r\n"
+            )
             call, _ = await rig.discovery.calls.get()
             assert call.first_line.split()[1].endswith("from=2"), "the unreadable line is requested again"
             for _ in range(5):
@@ -126,7 +128,7 @@
         async with sidecar(old) as rig:
             assert (await rig.ask(request())).status == 200
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(line(2, [new.entry()])))
+            writer.write(STREAM + encode_chunk(encode_line(2, [new.entry()])))
             await wait_until(lambda: old.lost_connections == 1)
             assert (await rig.ask(request())).status == 200
         assert len(old.requests) == len(new.requests) == 1
@@ -325,7 +327,7 @@
         process, listen = await start_serving_sidecar(endpoint, tmp_path, discovery=str(old.address))
         assert process.stderr is not None
         _, writer = await old.calls.get()
-        writer.write(STREAM + encode_chunk(line(5, [endpoint.entry()])))
+        writer.write(STREAM + encode_chunk(encode_line(5, [endpoint.entry()])))
 
         async def ask() -> int:
             reader, asking = await asyncio.open_connection(listen.host, listen.port)
@@ -350,7 +352,7 @@
         call, writer = await new.calls.get()
         assert call.first_line.split()[1].endswith("from=5"), "what was heard before the move was lost"
         assert await ask() == 200, "the list was lost"
-        writer.write(STREAM + encode_chunk(line(6, [endpoint.entry("terminating")])))
+        writer.write(STREAM + encode_chunk(encode_line(6, [endpoint.entry("terminating")])))
         while await ask() == 200:
             pass
         process.send_signal(signal.SIGTERM)
@@ -370,10 +372,10 @@
         ask_late = to_settings(SETTINGS | {"rules": SETTINGS["rules"] | {"askWithin": 200_000.0}})
         async with sidecar(old, settings=ask_late) as rig:
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(line(2, [new.entry()])))
+            writer.write(STREAM + encode_chunk(encode_line(2, [new.entry()])))
             while not new.requests:
                 assert (await rig.ask(request())).status == 200
-            whole = line(3, [old.entry("terminating"), new.entry()])
+            whole = encode_line(3, [old.entry("terminating"), new.entry()])
             broken = whole[: whole.index(b"e2")]
             writer.write(encode_chunk(broken + b"\xff\n" if cut == "unreadable" else broken))
             if cut == "lost":
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -35,7 +35,7 @@
     always_ok,
     answer_with,
     encode_chunk,
-    line,
+    encode_line,
 )
 from tests.probe_proofs import ProbeRecord, TimedAnswer
 from tests.rig import EXPIRES_IN, SETTINGS, RunningSidecar, request, run, sidecar, wait_until
@@ -126,7 +126,7 @@
     settings = to_settings(ASK_LATE | {"limits": ASK_LATE["limits"] | {"probing": probing}})
     async with sidecar(drains, stays, settings=settings) as rig:
         _, watch = await rig.discovery.calls.get()
-        watch.write(STREAM + encode_chunk(line(1, [drains.entry(), stays.entry()])))
+        watch.write(STREAM + encode_chunk(encode_line(1, [drains.entry(), stays.entry()])))
         watch.transport.abort()
         if how == "refused":
             rig.discovery.stop()
@@ -489,7 +489,7 @@
             await discovery.start()
             async with asyncio.timeout(10.0):
                 _, watch = await discovery.calls.get()
-            watch.write(STREAM + encode_chunk(line(2, [old.entry("terminating"), new.entry()])))
+            watch.write(STREAM + encode_chunk(encode_line(2, [old.entry("terminating"), new.entry()])))
             await asyncio.sleep(0.6)
             before = len(old.requests)
             await served_within(listen, 5.0)
