--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -37,7 +37,7 @@
 from millgw.standins.caller import REQUEST_PORT_READY, ready
 from millgw.standins.repeating_clients import RepeatingClients
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     encode_chunk,
@@ -89,7 +89,7 @@
     async def watched(self) -> None:
         while True:
             _, writer = await self.discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(2, [])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [])))
             self.watchers.append(writer)
 
     async def daemon(self, core: int | None = None) -> tuple[subprocess.Popen[bytes], Address]:
--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -92,7 +92,7 @@
             self.scripts.pop(connection).cancel()
 
 
-STREAM = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def encode_chunk(data: bytes) -> bytes:
--- a/tests/control_instance.py
+++ b/tests/control_instance.py
@@ -12,7 +12,7 @@
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
 from millgw.standins.http import Message
-from millgw.standins.scripted import STREAM, encode_chunk, read_message
+from millgw.standins.scripted import CHUNKED_HEAD, encode_chunk, read_message
 
 HEARTBEAT_INTERVAL = 2.0  # s
 NO_CONTENT_RESPONSE = b"HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"
@@ -67,7 +67,7 @@
             if self.manual:
                 self.watches.put_nowait((message, writer))
             else:
-                writer.write(STREAM + encode_chunk(snapshot_line(self.document)))
+                writer.write(CHUNKED_HEAD + encode_chunk(snapshot_line(self.document)))
 
     def commit(self, entries: Mapping[str, Mapping[str, Any] | None], epoch: int | None = None) -> int:
         """Commit a version and send it to every watch; returns its index."""
--- a/tests/test_configuration_apply.py
+++ b/tests/test_configuration_apply.py
@@ -48,7 +48,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import ok
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     answer_with,
@@ -712,7 +712,7 @@
         text = await operator_text(control, more="[connections]\nkeep_least = 1\n")
         async with rig.operator_sidecar(tmp_path, text, str(discovery.address)) as node:
             _, writer = await discovery.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(1, [endpoint.entry()], snapshot=True)))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [endpoint.entry()], snapshot=True)))
             (pool,) = live_pools()
             await wait_until(lambda: bool(pool.driver.ready))
             assert (await node.ask(request())).status == 200
@@ -737,7 +737,7 @@
     run(test)
 
 
-@pytest.mark.parametrize("answers", [b"", STREAM, None])
+@pytest.mark.parametrize("answers", [b"", CHUNKED_HEAD, None])
 def test_a_start_is_ready_soon_even_if_control_does_not_respond(
     answers: bytes | None, tmp_path: Path
 ) -> None:
--- a/tests/test_configuration_client.py
+++ b/tests/test_configuration_client.py
@@ -19,7 +19,7 @@
 from millgw.configuration.last_good import LastGoodFile
 from millgw.standins.address import free_address
 from millgw.standins.http import status
-from millgw.standins.scripted import STREAM, encode_chunk
+from millgw.standins.scripted import CHUNKED_HEAD, encode_chunk
 from tests.control_instance import NO_CONTENT_RESPONSE, ControlInstance, snapshot_line
 from tests.rig import run, wait_until
 
@@ -76,7 +76,7 @@
         beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
         data = (
-            STREAM
+            CHUNKED_HEAD
             + encode_chunk(b"\n")
             + encode_chunk(snapshot_line(VERSIONS[4])[:20])
             + encode_chunk(snapshot_line(VERSIONS[4])[20:])
@@ -112,7 +112,8 @@
         beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
         writer.write(
-            STREAM + encode_chunk(snapshot_line(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9])))
+            CHUNKED_HEAD
+            + encode_chunk(snapshot_line(VERSIONS[2]) + b"".join(map(encode_delta, VERSIONS[3:9])))
         )
         await beginning
         assert target.ticks == [8]
@@ -128,7 +129,7 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
-        writer.write(STREAM + encode_chunk(snapshot_line(VERSIONS[6])))
+        writer.write(CHUNKED_HEAD + encode_chunk(snapshot_line(VERSIONS[6])))
         await beginning
         writer.write(
             encode_chunk(snapshot_line(VERSIONS[2]))
@@ -176,7 +177,7 @@
         beginning = asyncio.create_task(client.start())
         _, writer = await wrong.watches.get()
         corrupted = snapshot_line(VERSIONS[7]).replace(b'"tick":7', b'"tick":6')
-        writer.write(STREAM + encode_chunk(corrupted))
+        writer.write(CHUNKED_HEAD + encode_chunk(corrupted))
         await beginning
         await wait_until(lambda: target.ticks == [4])
         client.stop()
@@ -191,7 +192,7 @@
         client, target = make_client(control)
         beginning = asyncio.create_task(client.start())
         _, writer = await control.watches.get()
-        writer.write(STREAM + encode_chunk(snapshot_line(VERSIONS[4])))
+        writer.write(CHUNKED_HEAD + encode_chunk(snapshot_line(VERSIONS[4])))
         await beginning
         missed = VERSIONS[5].copy()
         missed.apply(6, 1, [Change("other", {"x": 1})])
@@ -200,14 +201,14 @@
         )
         _, writer = await control.watches.get()
         assert "from=" not in control.watch_targets[-1]
-        writer.write(STREAM + encode_chunk(snapshot_line(missed)))
+        writer.write(CHUNKED_HEAD + encode_chunk(snapshot_line(missed)))
         await wait_until(lambda: target.ticks == [4, 5])
         client.stop()
 
     run(test)
 
 
-END = STREAM + encode_chunk(b"\n") + b"0\r\n\r\n"
+END = CHUNKED_HEAD + encode_chunk(b"\n") + b"0\r\n\r\n"
 
 
 @pytest.mark.parametrize(
@@ -215,12 +216,12 @@
     [
         status(503),
         END,
-        STREAM + encode_chunk(b"{broken\n"),
+        CHUNKED_HEAD + encode_chunk(b"{broken\n"),
         b"220 mail\r\n",
         None,  # a reset
         b"",  # it never answers
-        STREAM + encode_chunk(b"\n"),  # then silence
-        STREAM + encode_chunk(b"x" * (MAX_LINE_BYTES + 1)),  # a line that is too long
+        CHUNKED_HEAD + encode_chunk(b"\n"),  # then silence
+        CHUNKED_HEAD + encode_chunk(b"x" * (MAX_LINE_BYTES + 1)),  # a line that is too long
     ],
 )
 def test_another_instance_is_tried_however_a_watch_ends(
@@ -369,7 +370,7 @@
         await control.start()
         _, writer = await control.watches.get()
         assert "from=3&" in control.watch_targets[-1]
-        writer.write(STREAM + encode_chunk(encode_delta(VERSIONS[5])))
+        writer.write(CHUNKED_HEAD + encode_chunk(encode_delta(VERSIONS[5])))
         await wait_until(lambda: target.ticks == [3, 5])
         await wait_saved(last_good, 5)
         assert sorted(os.listdir(tmp_path / "state")) == [last_good.path.name], "no temporary file is left"
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -14,7 +14,7 @@
 from millgw.platform.discovery import endpoint_id
 from millgw.standins.http import ServerConnection
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     encode_chunk,
@@ -242,7 +242,7 @@
 ) -> asyncio.StreamWriter:
     """Answer the sidecar's watch with a complete list, and leave the watch open."""
     _, writer = await discovery_server.calls.get()
-    writer.write(STREAM + encode_chunk(encode_line(2, list(entries), snapshot=True)))
+    writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, list(entries), snapshot=True)))
     return writer
 
 
@@ -297,7 +297,7 @@
             _, writer = await discovery_server.calls.get()
             since = int(time.time() * 1000)  # set as late as possible: a turn expires 0.1 s after it is due
             entries = [*(e.entry() for e in warm), cold.entry(since_ms=since)]
-            writer.write(STREAM + encode_chunk(encode_line(2, entries, snapshot=True)))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, entries, snapshot=True)))
             await asyncio.sleep(1.0)
             for _ in range(10):
                 assert (await rig.ask(request("read"))).status == 200
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -25,7 +25,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok, status
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedEndpoint,
     encode_chunk,
     encode_line,
@@ -282,7 +282,7 @@
                 0,
             )
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(2, [endpoints[0].entry("terminating")])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [endpoints[0].entry("terminating")])))
             while (metrics := await read_metrics(control))["out_of_rotation"] != 1:
                 pass
             assert metrics["registry_entries"] == 4, "a draining endpoint stays in the list"
@@ -358,7 +358,8 @@
     while True:
         _, watch = await rig.discovery.calls.get()
         watch.write(
-            STREAM + encode_chunk(encode_line(1, [endpoint.entry() for endpoint in endpoints], snapshot=True))
+            CHUNKED_HEAD
+            + encode_chunk(encode_line(1, [endpoint.entry() for endpoint in endpoints], snapshot=True))
         )
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -40,7 +40,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import NEVER_RAN, Message, ServerConnection, ok, status
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     answer_with,
@@ -170,7 +170,10 @@
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             write_now(
-                writer, STREAM + encode_chunk(encode_line(1, [E1.entry()])) if then == "moved" else STREAM
+                writer,
+                CHUNKED_HEAD + encode_chunk(encode_line(1, [E1.entry()]))
+                if then == "moved"
+                else CHUNKED_HEAD,
             )
             if then == "moved":
                 await wait_until(lambda: bool(made.received))
@@ -196,7 +199,7 @@
         await other.start()
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(1, [E1.entry(), E2.entry()])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [E1.entry(), E2.entry()])))
             await wait_until(lambda: bool(made.received))
             made.discovery.move(other.address)
             call, later = await other.calls.get()
@@ -208,7 +211,7 @@
             await writer.drain()
             writer.transport.close()
             await wait_until(lambda: len(made.drained()) == 2)
-            later.write(STREAM + encode_chunk(encode_line(4, [E1.entry()])))
+            later.write(CHUNKED_HEAD + encode_chunk(encode_line(4, [E1.entry()])))
             await wait_until(lambda: made.discovery.index == 4)
             assert not made.discovery.abandoned
             assert ListKind.FAILED not in [kind for kind, _ in made.received], "it was left, not lost"
@@ -232,10 +235,10 @@
             made.discovery.start(known)
             _, writer = await discovery_server.calls.get()
             if spoken:
-                writer.write(STREAM + encode_chunk(encode_line(1, [])))
+                writer.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [])))
                 await wait_until(lambda: len(made.received) > 1)
             whole = encode_chunk(encode_line(index, [E2.entry()], snapshot=True))
-            writer.write(whole[:40] if spoken else STREAM + whole[:40])
+            writer.write(whole[:40] if spoken else CHUNKED_HEAD + whole[:40])
             await wait_until(
                 lambda: made.discovery.watch is not None and bool(made.discovery.watch.transport)
             )
@@ -258,10 +261,10 @@
             _, writer = await discovery_server.calls.get()
             made.discovery.move(other.address)
             _, later = await other.calls.get()
-            later.write(STREAM + encode_chunk(encode_line(5, [E1.entry(), E2.entry()], snapshot=True)))
+            later.write(CHUNKED_HEAD + encode_chunk(encode_line(5, [E1.entry(), E2.entry()], snapshot=True)))
             await wait_until(lambda: made.discovery.index == 5)
             writer.write(
-                STREAM + encode_chunk(encode_line(4, [E2.entry()], snapshot=True)) + encode_chunk(b"\n")
+                CHUNKED_HEAD + encode_chunk(encode_line(4, [E2.entry()], snapshot=True)) + encode_chunk(b"\n")
             )
             writer.write(encode_chunk(encode_line(4, [E2.entry("terminating")])))
             await wait_until(lambda: bool(made.drained()))
@@ -280,7 +283,7 @@
         await other.start()
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(2, [E1.entry(), E2.entry()])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [E1.entry(), E2.entry()])))
             await wait_until(lambda: bool(made.received))
             made.discovery.move(other.address)
             _, later = await other.calls.get()
@@ -289,7 +292,7 @@
             if torn:
                 writer.transport.close()
             await wait_until(lambda: made.drained() == {endpoint_id("e1")})
-            later.write(STREAM + encode_chunk(encode_line(2, [E1.entry(), E2.entry()], snapshot=True)))
+            later.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [E1.entry(), E2.entry()], snapshot=True)))
             await wait_until(lambda: made.received[-1][0] is ListKind.FULL)
             assert [e.endpoint.id for e in made.received[-1][1]] == [endpoint_id("e2")]
             later.write(encode_chunk(encode_line(4, [E1.entry()])))
@@ -324,7 +327,7 @@
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
             writer.write(
-                STREAM
+                CHUNKED_HEAD
                 + encode_chunk(b"\n")
                 + encode_chunk(encode_line(1, [E1.entry()]))
                 + encode_chunk(b"\n")
@@ -346,7 +349,7 @@
         await discovery_server.start()
         with recording_watch(discovery_server) as made:
             _, writer = await discovery_server.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(1, [E1.entry()])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [E1.entry()])))
             await wait_until(lambda: bool(made.received))
             write_now(writer, encode_chunk(DRAIN))
             time.sleep(0.3)
@@ -371,14 +374,14 @@
             async with asyncio.timeout(discovery_module.FIRST_LINE_TIMEOUT):
                 for _ in range(4):  # each of them silent
                     _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(1, [one.entry()])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [one.entry()])))
             await writer.drain()
             async with asyncio.timeout(5 * freshness.RETRY_WAIT_MS / 1000):  # s; under 5 retry delays
                 for index in range(5):
                     await asyncio.sleep(0)
                     writer.transport.abort()
                     _, writer = await rig.discovery.calls.get()
-                    writer.write(STREAM + encode_chunk(encode_line(2 + index, [one.entry()])))
+                    writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2 + index, [one.entry()])))
                     await writer.drain()
 
     run(test)
@@ -782,7 +785,7 @@
                     await asyncio.sleep(0.02)
 
             dripping.append(asyncio.create_task(go_on()))
-            return STREAM
+            return CHUNKED_HEAD
 
         endpoint = ScriptedEndpoint("e1", drip)
         async with sidecar(endpoint) as rig:
@@ -978,7 +981,8 @@
 
             async def reset(_: Message, endpoint: ScriptedEndpoint) -> None:
                 watch[0].write(
-                    STREAM + encode_chunk(encode_line(2, [endpoint.entry("terminating"), moved.entry()]))
+                    CHUNKED_HEAD
+                    + encode_chunk(encode_line(2, [endpoint.entry("terminating"), moved.entry()]))
                 )
                 await watch[0].drain()
 
--- a/tests/test_held_up.py
+++ b/tests/test_held_up.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from millgw.standins.http import Message
-from millgw.standins.scripted import STREAM, ScriptedEndpoint, encode_chunk, encode_line, read_message
+from millgw.standins.scripted import CHUNKED_HEAD, ScriptedEndpoint, encode_chunk, encode_line, read_message
 from tests.rig import request, run
 from tests.sidecar_process import sidecar_process
 
@@ -34,7 +34,7 @@
         endpoint = ScriptedEndpoint("e1", never_answer)
         async with sidecar_process(tmp_path, [endpoint]) as sidecar:
             _, watch = await sidecar.discovery.calls.get()
-            watch.write(STREAM + encode_chunk(encode_line(1, [endpoint.entry()], snapshot=True)))
+            watch.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [endpoint.entry()], snapshot=True)))
             reader, writer = await asyncio.open_connection(sidecar.listen.host, sidecar.listen.port)
             writer.write(request("read", expires_in=int(DEADLINE * 1000)))
             sent = time.monotonic()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -35,7 +35,7 @@
 from millgw.standins.http import ok
 from millgw.standins.repeating_clients import RepeatingClients
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     encode_chunk,
@@ -297,7 +297,7 @@
     async def answer_watches() -> None:
         while True:
             _, writer = await discovery.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(2, [])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [])))
             watches.append(writer)
 
     async def heartbeats() -> None:
--- a/tests/test_incident_discovery_returned.py
+++ b/tests/test_incident_discovery_returned.py
@@ -14,7 +14,7 @@
 import pytest
 
 from millgw.standins.http import status
-from millgw.standins.scripted import STREAM, ScriptedDiscoveryServer, encode_chunk, encode_line
+from millgw.standins.scripted import CHUNKED_HEAD, ScriptedDiscoveryServer, encode_chunk, encode_line
 from tests.rig import heartbeats, run
 from tests.sidecar_process import draining_endpoint, sidecar_process
 
@@ -53,7 +53,9 @@
         async with sidecar_process(tmp_path, scripted, probing=probing) as sidecar:
             discovery = sidecar.discovery
             _, watch = await discovery.calls.get()
-            watch.write(STREAM + encode_chunk(encode_line(1, [e.entry() for e in scripted], snapshot=True)))
+            watch.write(
+                CHUNKED_HEAD + encode_chunk(encode_line(1, [e.entry() for e in scripted], snapshot=True))
+            )
             await heartbeats(watch, WATCH_TIME)
             discovery.stop()
             watch.transport.abort()
--- a/tests/test_incident_unheard_drain.py
+++ b/tests/test_incident_unheard_drain.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from millgw.standins.scripted import STREAM, encode_chunk, encode_line
+from millgw.standins.scripted import CHUNKED_HEAD, encode_chunk, encode_line
 from tests.rig import heartbeats, run
 from tests.sidecar_process import draining_endpoint, sidecar_process
 
@@ -39,7 +39,9 @@
         scripted = [leaving.scripted, staying.scripted]
         async with sidecar_process(tmp_path, scripted, probing=probing) as sidecar:
             _, watch = await sidecar.discovery.calls.get()
-            watch.write(STREAM + encode_chunk(encode_line(1, [e.entry() for e in scripted], snapshot=True)))
+            watch.write(
+                CHUNKED_HEAD + encode_chunk(encode_line(1, [e.entry() for e in scripted], snapshot=True))
+            )
             await heartbeats(watch, WATCH_TIME)
             leaving.draining = True
             watch.transport.abort()
@@ -66,7 +68,9 @@
             over = {status for at, status in answers if at > ended + TOLD_AFTER_END + GRACE}
             assert held == {200} and over == {503}, "refused only once the drain counts as told"
 
-            watch.write(STREAM + encode_chunk(encode_line(2, [staying.scripted.entry()], snapshot=True)))
+            watch.write(
+                CHUNKED_HEAD + encode_chunk(encode_line(2, [staying.scripted.entry()], snapshot=True))
+            )
             while await sidecar.call() != 200:
                 await asyncio.sleep(BETWEEN_CALLS)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -32,7 +32,7 @@
 from millgw.standins.coordinator.ensemble import Ensemble
 from millgw.standins.coordinator.tree import ChangeEvent
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     encode_chunk,
@@ -208,7 +208,9 @@
             text = service_config(zk, 'membership = "union"')
             async with operator_sidecar(tmp_path, text, str(discovery_server.address)) as node:
                 _, writer = await discovery_server.calls.get()
-                writer.write(STREAM + encode_chunk(encode_line(1, [b.entry(), c.entry()], snapshot=True)))
+                writer.write(
+                    CHUNKED_HEAD + encode_chunk(encode_line(1, [b.entry(), c.entry()], snapshot=True))
+                )
                 await wait_for_endpoints(node, 3)
                 writer.write(encode_chunk(encode_line(2, [b.entry("terminating")])))
                 await wait_for_endpoints(node, 2)
@@ -220,7 +222,7 @@
                     f"{PATH}/b", entry("b", b.address, "terminating")
                 )  # reported by the coordinator, not by discovery
                 _, writer = await discovery_server.calls.get()
-                writer.write(STREAM + encode_chunk(encode_line(2, [c.entry()], snapshot=True)))
+                writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [c.entry()], snapshot=True)))
                 writer.write(
                     encode_chunk(encode_line(3, [a.entry(since_ms=int(time.time() * 1000) + 60_000)]))
                 )
--- a/tests/test_sidecar_books.py
+++ b/tests/test_sidecar_books.py
@@ -24,7 +24,7 @@
 from millgw.settings import to_settings
 from millgw.standins.http import Message, ok
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedEndpoint,
     encode_chunk,
     encode_line,
@@ -63,7 +63,7 @@
         endpoints = [ScriptedEndpoint(f"endpoint{i}", mixed) for i in range(4)]
         async with sidecar(*endpoints) as rig:
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM)
+            writer.write(CHUNKED_HEAD)
             server, driver = only_instance(Server), only_instance(Driver)
             gc.disable()  # so that objects in reference cycles stay and are found below
             for turn in range(rounds):
@@ -132,7 +132,8 @@
             (old,) = driver.balancer.servers.values()
             endpoint.name = "new"
             writer.write(
-                STREAM + encode_chunk(encode_line(2, [endpoint.entry(since_ms=int(time.time() * 1000))]))
+                CHUNKED_HEAD
+                + encode_chunk(encode_line(2, [endpoint.entry(since_ms=int(time.time() * 1000))]))
             )
             await wait_until(lambda: endpoint.lost_connections == 1)  # its idle connection is closed
             (new,) = driver.balancer.servers.values()
@@ -171,7 +172,7 @@
             waiting = await rig.connect()
             waiting.writer.write(request("pay"))
             await wait_until(lambda: len(old.requests) == 1)
-            writer.write(STREAM + encode_chunk(encode_line(2, [new.entry()], snapshot=True)))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [new.entry()], snapshot=True)))
             while (await rig.ask(request("pay"))).status != 200 or not new.requests:
                 pass
             assert [len(s.in_flight) for s in driver.balancer.servers.values()] == [0]
--- a/tests/test_sidecar_calls.py
+++ b/tests/test_sidecar_calls.py
@@ -34,7 +34,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok, status
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedEndpoint,
     always_ok,
     answer_with,
@@ -341,7 +341,7 @@
             endpoint.script = always_ok
             assert (await rig.ask(request("pay"))).status == 200 and endpoint.connections == 3
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(2, [endpoint.entry(since_ms=1)])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [endpoint.entry(since_ms=1)])))
             await wait_until(lambda: endpoint.lost_connections == 3)
 
     run(test)
--- a/tests/test_sidecar_process.py
+++ b/tests/test_sidecar_process.py
@@ -22,7 +22,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import ok, status
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     answer_with,
@@ -50,7 +50,7 @@
             call, writer = await rig.discovery.calls.get()
             assert call.first_line == "GET /v1/endpoints?watch=1&from=1 HTTP/1.1"
             lines = encode_line(2, []) + b"\n" + encode_line(3, [endpoint.entry()])
-            data = STREAM + encode_chunk(lines[:9]) + encode_chunk(lines[9:])
+            data = CHUNKED_HEAD + encode_chunk(lines[:9]) + encode_chunk(lines[9:])
             for at in range(len(data)):
                 writer.write(data[at : at + 1])
                 await asyncio.sleep(0)
@@ -66,11 +66,11 @@
     "end",
     [
         status(503),
-        STREAM + encode_chunk(b"\n") + b"0\r\n\r\n",
-        STREAM + encode_chunk(b"not JSON\n"),
+        CHUNKED_HEAD + encode_chunk(b"\n") + b"0\r\n\r\n",
+        CHUNKED_HEAD + encode_chunk(b"not JSON\n"),
         b"220 mail\r\n",
         None,  # a reset
-        STREAM + encode_chunk(b"\n"),  # then silence
+        CHUNKED_HEAD + encode_chunk(b"\n"),  # then silence
     ],
 )
 def test_after_each_end_of_a_watch_the_next_starts_from_the_known_version(
@@ -90,7 +90,7 @@
             assert (await rig.ask(request())).status == 200, "the earlier list is no longer used"
             call, writer = await rig.discovery.calls.get()
             assert call.first_line.split()[1] == "/v1/endpoints?watch=1&from=1"
-            writer.write(STREAM + encode_chunk(encode_line(9, [other.entry()], snapshot=True)))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(9, [other.entry()], snapshot=True)))
             while not other.requests:
                 await rig.ask(request())
             _, writer = await rig.discovery.calls.get()  # silent again after the list was replaced
@@ -110,7 +110,9 @@
             _, writer = await rig.discovery.calls.get()
             last = encode_line(3, [old.entry("terminating", weight="?")])[:-1]
             writer.write(
-                STREAM + encode_chunk(encode_line(2, [new.entry()]) + b"{broken\n" + last) + b"0\r\n\r\n"
+                CHUNKED_HEAD
+                + encode_chunk(encode_line(2, [new.entry()]) + b"{broken\n" + last)
+                + b"0\r\n\r\n"
             )
             call, _ = await rig.discovery.calls.get()
             assert call.first_line.split()[1].endswith("from=2"), "the unreadable line is requested again"
@@ -128,7 +130,7 @@
         async with sidecar(old) as rig:
             assert (await rig.ask(request())).status == 200
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(2, [new.entry()])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [new.entry()])))
             await wait_until(lambda: old.lost_connections == 1)
             assert (await rig.ask(request())).status == 200
         assert len(old.requests) == len(new.requests) == 1
@@ -327,7 +329,7 @@
         process, listen = await start_serving_sidecar(endpoint, tmp_path, discovery=str(old.address))
         assert process.stderr is not None
         _, writer = await old.calls.get()
-        writer.write(STREAM + encode_chunk(encode_line(5, [endpoint.entry()])))
+        writer.write(CHUNKED_HEAD + encode_chunk(encode_line(5, [endpoint.entry()])))
 
         async def ask() -> int:
             reader, asking = await asyncio.open_connection(listen.host, listen.port)
@@ -352,7 +354,7 @@
         call, writer = await new.calls.get()
         assert call.first_line.split()[1].endswith("from=5"), "what was heard before the move was lost"
         assert await ask() == 200, "the list was lost"
-        writer.write(STREAM + encode_chunk(encode_line(6, [endpoint.entry("terminating")])))
+        writer.write(CHUNKED_HEAD + encode_chunk(encode_line(6, [endpoint.entry("terminating")])))
         while await ask() == 200:
             pass
         process.send_signal(signal.SIGTERM)
@@ -372,7 +374,7 @@
         ask_late = to_settings(SETTINGS | {"rules": SETTINGS["rules"] | {"askWithin": 200_000.0}})
         async with sidecar(old, settings=ask_late) as rig:
             _, writer = await rig.discovery.calls.get()
-            writer.write(STREAM + encode_chunk(encode_line(2, [new.entry()])))
+            writer.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [new.entry()])))
             while not new.requests:
                 assert (await rig.ask(request())).status == 200
             whole = encode_line(3, [old.entry("terminating"), new.entry()])
--- a/tests/test_standing_terms.py
+++ b/tests/test_standing_terms.py
@@ -29,7 +29,7 @@
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ServerConnection, ok, status
 from millgw.standins.scripted import (
-    STREAM,
+    CHUNKED_HEAD,
     ScriptedDiscoveryServer,
     ScriptedEndpoint,
     always_ok,
@@ -71,9 +71,9 @@
         elif how == "reset":
             writer.transport.abort()
         elif how == "ends at once":
-            writer.write(STREAM + b"0\r\n\r\n")
+            writer.write(CHUNKED_HEAD + b"0\r\n\r\n")
         elif how == "unreadable":
-            writer.write(STREAM + encode_chunk(b"{]\n"))
+            writer.write(CHUNKED_HEAD + encode_chunk(b"{]\n"))
         # Else it is silent: the sidecar gives the call up.
 
 
@@ -126,7 +126,7 @@
     settings = to_settings(ASK_LATE | {"limits": ASK_LATE["limits"] | {"probing": probing}})
     async with sidecar(drains, stays, settings=settings) as rig:
         _, watch = await rig.discovery.calls.get()
-        watch.write(STREAM + encode_chunk(encode_line(1, [drains.entry(), stays.entry()])))
+        watch.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [drains.entry(), stays.entry()])))
         watch.transport.abort()
         if how == "refused":
             rig.discovery.stop()
@@ -489,7 +489,7 @@
             await discovery.start()
             async with asyncio.timeout(10.0):
                 _, watch = await discovery.calls.get()
-            watch.write(STREAM + encode_chunk(encode_line(2, [old.entry("terminating"), new.entry()])))
+            watch.write(CHUNKED_HEAD + encode_chunk(encode_line(2, [old.entry("terminating"), new.entry()])))
             await asyncio.sleep(0.6)
             before = len(old.requests)
             await served_within(listen, 5.0)
--- a/tests/test_stopped_clients.py
+++ b/tests/test_stopped_clients.py
@@ -21,7 +21,7 @@
 from millgw.callers import write_stall
 from millgw.standins.address import free_address
 from millgw.standins.http import Message, ok
-from millgw.standins.scripted import STREAM, ScriptedEndpoint, encode_chunk, encode_line
+from millgw.standins.scripted import CHUNKED_HEAD, ScriptedEndpoint, encode_chunk, encode_line
 from tests.rig import Client, RunningSidecar, heartbeats, loop_stalls, request, run, sidecar
 from tests.test_control import call_control, read_metrics
 
@@ -219,7 +219,7 @@
         endpoint = ScriptedEndpoint("e1")
         async with running_sidecar(endpoint) as rig:
             _, watch = await rig.discovery.calls.get()
-            watch.write(STREAM + encode_chunk(encode_line(1, [endpoint.entry()])))
+            watch.write(CHUNKED_HEAD + encode_chunk(encode_line(1, [endpoint.entry()])))
             beating = asyncio.create_task(heartbeats(watch, 2 * LISTEN_TIME))
             slow = [
                 one_by_one(rig, body_part(12, 0), [b"b"] * 12, SLOW_BYTE),
