--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -287,7 +287,7 @@
         caller = self._caller(build.name, build.tier) if old.next_tier is not None else None
         made = Endpoint(
             build,
-            old.tasks,
+            old.class_costs,
             old.group,
             self.ledger,
             self.clock,
--- a/millgw/standins/endpoint.py
+++ b/millgw/standins/endpoint.py
@@ -51,7 +51,7 @@
         on_crash: Callable[[Endpoint], None] = lambda _: None,
     ) -> None:
         self.options = options
-        self.tasks = class_costs
+        self.class_costs = class_costs
         self.group = group
         self.ledger = ledger
         self.clock = clock
@@ -221,7 +221,7 @@
             attempt.why = ""
         elif call is not None:
             attempt.why = describe_difference(message, call)
-        elif attempt.cls not in self.tasks:
+        elif attempt.cls not in self.class_costs:
             attempt.why = "X-Trace-Id is that of no client's request, and X-Qos names no class"
         self.ledger.attempts.append(attempt)
         return attempt
@@ -240,7 +240,7 @@
             return
         attempt = self._record(message)
         attempt.last = message.last_byte
-        task = self.tasks.get(attempt.cls)
+        task = self.class_costs.get(attempt.cls)
         attempt.work = task.work if task is not None else 0.0
         self.attempts[connection] = attempt
         if not self.up:
