--- a/millgw/rehearsal/audit/lateness.py
+++ b/millgw/rehearsal/audit/lateness.py
@@ -12,7 +12,7 @@
 
 from millgw.standins.ledger import Sample
 
-LAG_BOUND = 100.0  # ms that the rig's loop may lag, in all but LATE_SHARE of the samples
+MAX_LOOP_LAG_MS = 100.0  # ms that the rig's loop may lag, in all but LATE_SHARE of the samples
 MAX_ARRIVAL_DELAY_MS = 100.0  # how late an arrival may be sent, in all but LATE_SHARE of them
 MAX_CORE_WAIT_SHARE = 0.25  # that sidecars may wait for a core, on average over all
 LATE_SHARE = 0.01
@@ -56,7 +56,7 @@
 
     def total_lag(self, start: float, end: float) -> float:
         """For how many ms of this time the rig's loop lagged; lags within the bound don't count."""
-        return sum(sample.lag for sample in self._samples_around(start, end) if sample.lag > LAG_BOUND)
+        return sum(sample.lag for sample in self._samples_around(start, end) if sample.lag > MAX_LOOP_LAG_MS)
 
     def core_wait(self, start: float, end: float, sidecar: str) -> float:
         """How many ms a sidecar waited for a core around this time."""
@@ -81,8 +81,8 @@
         busy = sum(s.busy for s in self.samples) / len(self.samples) if self.samples else 0.0
         lag, arrival = quantile(lags, 1 - LATE_SHARE), quantile(self.arrival_delays, 1 - LATE_SHARE)
         reasons = []
-        if lag > LAG_BOUND:
-            reasons.append(f"the rig's loop lagged {lag:.0f} ms (p99; bound {LAG_BOUND:.0f})")
+        if lag > MAX_LOOP_LAG_MS:
+            reasons.append(f"the rig's loop lagged {lag:.0f} ms (p99; bound {MAX_LOOP_LAG_MS:.0f})")
         if arrival > MAX_ARRIVAL_DELAY_MS:
             reasons.append(
                 f"arrivals were sent {arrival:.0f} ms late (p99; bound {MAX_ARRIVAL_DELAY_MS:.0f})"
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -11,7 +11,7 @@
 
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.findings import Audit, Verdict
-from millgw.rehearsal.audit.lateness import LAG_BOUND
+from millgw.rehearsal.audit.lateness import MAX_LOOP_LAG_MS
 from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
 from millgw.standins.capacity import ColdBudget
 from millgw.standins.ledger import (
@@ -487,7 +487,7 @@
     answer_call(writer, call)
     writer.ledger.samples = [Sample(at, lag) for at in range(0, 14_000, 1550)]
     found = run_audit(writer.ledger)
-    assert found.broken == (lag < LAG_BOUND) and found.findings[2].excused == (lag > LAG_BOUND)
+    assert found.broken == (lag < MAX_LOOP_LAG_MS) and found.findings[2].excused == (lag > MAX_LOOP_LAG_MS)
 
 
 def test_lateness_of_the_rig_excuses_what_its_loop_timed_and_nothing_else() -> None:
@@ -548,7 +548,7 @@
     writer = correct_ledger(3, 5)
     assert run_audit(writer.ledger).exit_code == 0
     for sample in writer.ledger.samples[::20]:
-        sample.lag = LAG_BOUND + 1
+        sample.lag = MAX_LOOP_LAG_MS + 1
     found = run_audit(writer.ledger)
     assert found.exit_code == 3 and "lagged" in found.rig.reasons[0]
     writer.ledger.samples = [Sample(t * 50.0, 1.0) for t in range(100)]
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -12,7 +12,7 @@
 import uvloop
 from msgspec.structs import replace
 
-from millgw.rehearsal.audit.lateness import LAG_BOUND
+from millgw.rehearsal.audit.lateness import MAX_LOOP_LAG_MS
 from millgw.rehearsal.report import Day, judge
 from millgw.rehearsal.scenario import Class, Discovery, Fault, Fleet, Rules, Scenario, Speed, Store, Traffic
 from millgw.rehearsal.scenario_checks import check
@@ -261,7 +261,7 @@
 def test_a_rig_that_is_late_accuses_no_honest_sidecar(name: str) -> None:
     """Otherwise what the rig read, wrote or closed late is held against the sidecar."""
     day = late_rig_days()[name]
-    assert day.audit.rig.lag_most > LAG_BOUND, "the rig was not late"
+    assert day.audit.rig.lag_most > MAX_LOOP_LAG_MS, "the rig was not late"
     assert not broken(day), broken(day)
     assert day.conclusion == "INCONCLUSIVE" and day.summary.served > 0
 
