--- a/millgw/rehearsal/audit/findings.py
+++ b/millgw/rehearsal/audit/findings.py
@@ -77,7 +77,7 @@
 
     findings: tuple[Finding, ...]
     rig: RigMeasurements
-    unserved: str = ""
+    unserved_reason: str = ""
 
     @property
     def broken(self) -> bool:
@@ -91,7 +91,7 @@
     @property
     def reasons(self) -> tuple[str, ...]:
         """Why the day can't be judged; empty if it can."""
-        return (*self.rig.reasons, self.unserved) if self.unserved else self.rig.reasons
+        return (*self.rig.reasons, self.unserved_reason) if self.unserved_reason else self.rig.reasons
 
     @property
     def exit_code(self) -> int:
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -162,7 +162,7 @@
 def test_a_ledger_that_keeps_the_rules_has_no_breach(seed: int, requests: int) -> None:
     found = run_audit(correct_ledger(seed, requests).ledger)
     assert not found.broken, [str(e) for f in found.findings for e in f.evidence]
-    assert found.exit_code == (3 if found.unserved else 0) and found.findings[0].checked == requests
+    assert found.exit_code == (3 if found.unserved_reason else 0) and found.findings[0].checked == requests
 
 
 def answered_call(writer: LedgerWriter, cls: str, sidecar: str = "n0") -> Call:
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -283,7 +283,9 @@
     day = wrong_days()["misspells"]
     assert day.conclusion == "INCONCLUSIVE" and day.audit.exit_code == 3 and not day.summary.served
     assert any("?q=" in why for why in day.summary.unusable)
-    assert "0 of" in day.audit.unserved and "the target is not the client's" in day.audit.unserved
+    assert (
+        "0 of" in day.audit.unserved_reason and "the target is not the client's" in day.audit.unserved_reason
+    )
 
 
 @pytest.mark.parametrize("name", [*SHIPPED, *CROSSING, *SERVICES, "all classes"])
