--- a/millgw/rehearsal/audit/effects.py
+++ b/millgw/rehearsal/audit/effects.py
@@ -9,7 +9,7 @@
 
 from millgw.rehearsal.audit.day_records import SOCKET_MARGIN_MS, DayRecords, known_not_to_have_run
 from millgw.rehearsal.audit.findings import Evidence, Finding
-from millgw.rehearsal.audit.rules import ClassRules, Repeats
+from millgw.rehearsal.audit.rules import ClassRules, RepeatPolicy
 from millgw.standins.ledger import Attempt, AttemptOutcome
 
 REFUSAL_STATUSES = frozenset({429, 503})
@@ -44,10 +44,10 @@
     for i, attempt in enumerate(received):
         last = attempt.last or 0.0
         may_have_run = [a for a in received[:i] if not known_not_to_have_run(a, last)]
-        if not may_have_run or cls.repeat is Repeats.RETRYABLE:
+        if not may_have_run or cls.repeat is RepeatPolicy.RETRYABLE:
             continue
         sidecar = records.calls[trace][-1].sidecar if trace in records.calls else ""
-        if cls.repeat is Repeats.FRAGILE:
+        if cls.repeat is RepeatPolicy.FRAGILE:
             what = "a fragile request sent again that may have run"
             finding.add(Evidence(what, last, trace, attempt.endpoint, sidecar))
             continue
@@ -68,7 +68,7 @@
 def _audit_refusals(
     records: DayRecords, finding: Finding, cls: ClassRules, trace: str, received: list[Attempt]
 ) -> None:
-    if cls.repeat is Repeats.RETRYABLE or (cls.repeat is Repeats.DEDUP and cls.tier_is_one_group):
+    if cls.repeat is RepeatPolicy.RETRYABLE or (cls.repeat is RepeatPolicy.DEDUP and cls.tier_is_one_group):
         return
     for call in records.calls.get(trace, ()):
         if call.status in REFUSAL_STATUSES and call.answered is not None:
--- a/millgw/rehearsal/audit/rules.py
+++ b/millgw/rehearsal/audit/rules.py
@@ -12,7 +12,7 @@
 MAX_NOTIFICATION_DELAY_MS = 6000.0  # a change counts as told by then, whatever the settings
 
 
-class Repeats(Enum):
+class RepeatPolicy(Enum):
     """How far requests of a class may be repeated, by the operators' names."""
 
     RETRYABLE = "retryable"
@@ -27,7 +27,7 @@
     `tier_is_one_group`: all endpoints of a tier drop each other's repeats.
     """
 
-    repeat: Repeats
+    repeat: RepeatPolicy
     window: float = 0.0
     tier_is_one_group: bool = False
 
@@ -50,7 +50,7 @@
 def audit_rules(scenario: Scenario) -> AuditRules:
     """The limits that a scenario sets."""
     return AuditRules(
-        classes={c.name: ClassRules(Repeats(c.repeat), c.window_ms) for c in scenario.classes},
+        classes={c.name: ClassRules(RepeatPolicy(c.repeat), c.window_ms) for c in scenario.classes},
         drain_grace=scenario.rules.drain_grace_ms,
         fall_multiple=scenario.rules.fall_multiple,
         fall_window=scenario.rules.fall_ms,
--- a/tests/test_rehearsal_auditor.py
+++ b/tests/test_rehearsal_auditor.py
@@ -12,7 +12,7 @@
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.findings import Audit, Verdict
 from millgw.rehearsal.audit.lateness import MAX_LOOP_LAG_MS
-from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
+from millgw.rehearsal.audit.rules import AuditRules, ClassRules, RepeatPolicy
 from millgw.standins.capacity import ColdBudget
 from millgw.standins.ledger import (
     Attempt,
@@ -36,9 +36,9 @@
 
 RULES = AuditRules(
     classes={
-        "status": ClassRules(Repeats.RETRYABLE),
-        "campanha": ClassRules(Repeats.DEDUP, window=2000.0),
-        "codigo": ClassRules(Repeats.FRAGILE),
+        "status": ClassRules(RepeatPolicy.RETRYABLE),
+        "campanha": ClassRules(RepeatPolicy.DEDUP, window=2000.0),
+        "codigo": ClassRules(RepeatPolicy.FRAGILE),
     },
     mean_work={1: 20.0},
 )
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -15,7 +15,7 @@
 
 from millgw.http.message import has_unacknowledged
 from millgw.rehearsal.audit.auditor import audit
-from millgw.rehearsal.audit.rules import AuditRules, ClassRules, Repeats
+from millgw.rehearsal.audit.rules import AuditRules, ClassRules, RepeatPolicy
 from millgw.standins.address import free_address
 from millgw.standins.caller import LATE_ANSWER_TIME, STALL_CHECKS, SidecarClient, ready
 from millgw.standins.deduplication import DeduplicationGroup
@@ -509,7 +509,9 @@
         bench.endpoint.stop()
         await call_task
         assert request.end is End.BROKEN and request.begun is not None
-        (answers, *_) = audit(bench.ledger, AuditRules({"report": ClassRules(Repeats.RETRYABLE)})).findings
+        (answers, *_) = audit(
+            bench.ledger, AuditRules({"report": ClassRules(RepeatPolicy.RETRYABLE)})
+        ).findings
         assert answers.checked == 1 and not answers.broken, answers.evidence
 
     run(test)
