--- a/millgw/rehearsal/audit/configuration_versions.py
+++ b/millgw/rehearsal/audit/configuration_versions.py
@@ -111,7 +111,7 @@
         seen.add(look.refused)
         finding.checked += 1
         version = f"version {look.refused}"
-        if name not in records.rules.refusing:
+        if name not in records.rules.refusing_sidecars:
             what = f"a version was refused that others apply: {look.cause}"
             finding.add(Evidence(what, look.answered, version, "", name))
         if look.index >= look.refused:
--- a/millgw/rehearsal/audit/rules.py
+++ b/millgw/rehearsal/audit/rules.py
@@ -44,7 +44,7 @@
     max_attempts: int = 3
     mean_work: Mapping[int, float] = field(default_factory=dict)
     distributed: bool = False  # whether sidecars follow a distributed configuration
-    refusing: frozenset[str] = frozenset()  # sidecars that can't apply some of its versions
+    refusing_sidecars: frozenset[str] = frozenset()  # sidecars that can't apply some of its versions
 
 
 def audit_rules(scenario: Scenario) -> AuditRules:
@@ -63,5 +63,5 @@
             for tier, part in enumerate(scenario.work_shares(), 1)
         },
         distributed=scenario.configuration is not None,
-        refusing=refusing_sidecars(scenario),
+        refusing_sidecars=refusing_sidecars(scenario),
     )
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -43,7 +43,7 @@
 
 EVERY = 200.0  # ms between two looks of the books
 SECONDS = 30
-RULES = AuditRules(classes={}, distributed=True, refusing=frozenset({"b"}))
+RULES = AuditRules(classes={}, distributed=True, refusing_sidecars=frozenset({"b"}))
 TINY = """
 seconds = 6.0
 [fleet]
