--- a/millgw/rehearsal/audit/configuration_versions.py
+++ b/millgw/rehearsal/audit/configuration_versions.py
@@ -23,7 +23,7 @@
 
 RULE_NUMBER = 5
 TITLE = "committed versions are in force"
-IN_FORCE_WITHIN = 5000.0  # ms from a commit, while a majority of the control instances runs
+IN_FORCE_WITHIN_MS = 5000.0  # ms from a commit, while a majority of the control instances runs
 LOOK_MARGIN_MS = 300.0  # the interval between two looks at a sidecar, plus a margin
 READY_WITHIN = 10_000.0  # ms until a sidecar is ready that starts while no control instance runs
 KEPT_WITHIN = 1000.0  # ms within which a version in force is stored on a sidecar's disk
@@ -81,7 +81,7 @@
         if version.index is None:
             continue
         since = max(version.answered, process.life.ready)
-        deadline = history.deadline(since, IN_FORCE_WITHIN)
+        deadline = history.deadline(since, IN_FORCE_WITHIN_MS)
         look = process.first_look_at(version.index)
         if deadline is None or (
             look is None and deadline + LOOK_MARGIN_MS + SOCKET_MARGIN_MS > process.until
@@ -92,9 +92,9 @@
         excess = at - deadline - LOOK_MARGIN_MS - SOCKET_MARGIN_MS
         if excess > 0:
             what = "a committed version never came" if look is None else "a committed version came late"
-            begun = deadline - IN_FORCE_WITHIN
+            begun = deadline - IN_FORCE_WITHIN_MS
             evidence = Evidence(
-                what, at, f"version {version.index}", "", process.life.name, at - begun, IN_FORCE_WITHIN
+                what, at, f"version {version.index}", "", process.life.name, at - begun, IN_FORCE_WITHIN_MS
             )
             records.add_timed(finding, evidence, excess, begun, process.life.name)
 
@@ -127,7 +127,7 @@
     look: VersionLook,
 ) -> None:
     """Audit that the control instances learn of a refusal, or of a later version, in time."""
-    deadline = history.deadline(look.answered, IN_FORCE_WITHIN)
+    deadline = history.deadline(look.answered, IN_FORCE_WITHIN_MS)
     if deadline is None or deadline + LOOK_MARGIN_MS + SOCKET_MARGIN_MS > process.until:
         return
     reports = (
@@ -138,10 +138,10 @@
     at = min(reports, default=process.until)
     excess = at - deadline - LOOK_MARGIN_MS - SOCKET_MARGIN_MS
     if excess > 0:
-        begun = deadline - IN_FORCE_WITHIN
+        begun = deadline - IN_FORCE_WITHIN_MS
         what = "control was not told of a refusal in time"
         evidence = Evidence(
-            what, at, f"version {look.refused}", "", look.sidecar, at - begun, IN_FORCE_WITHIN
+            what, at, f"version {look.refused}", "", look.sidecar, at - begun, IN_FORCE_WITHIN_MS
         )
         records.add_timed(finding, evidence, excess, begun, look.sidecar)
 
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -17,7 +17,7 @@
 from millgw.cli.exits import INTERRUPTED
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.configuration_versions import (
-    IN_FORCE_WITHIN,
+    IN_FORCE_WITHIN_MS,
     KEPT_WITHIN,
     READY_WITHIN,
     Distribution,
@@ -122,7 +122,7 @@
     assert finding.kinds == {"a committed version never came": 4}
     assert all(evidence.sidecar == "a" for evidence in finding.evidence)
     first = finding.evidence[0]
-    assert first.request == "version 1" and first.bound == IN_FORCE_WITHIN and (first.figure or 0) > 20_000
+    assert first.request == "version 1" and first.bound == IN_FORCE_WITHIN_MS and (first.figure or 0) > 20_000
 
 
 def test_a_late_version_is_told_with_how_late_it_was() -> None:
