--- a/millgw/rehearsal/audit/configuration_versions.py
+++ b/millgw/rehearsal/audit/configuration_versions.py
@@ -25,7 +25,7 @@
 TITLE = "committed versions are in force"
 IN_FORCE_WITHIN_MS = 5000.0  # ms from a commit, while a majority of the control instances runs
 LOOK_MARGIN_MS = 300.0  # the interval between two looks at a sidecar, plus a margin
-READY_WITHIN = 10_000.0  # ms until a sidecar is ready that starts while no control instance runs
+READY_WITHIN_MS = 10_000.0  # ms until a sidecar is ready that starts while no control instance runs
 KEPT_WITHIN = 1000.0  # ms within which a version in force is stored on a sidecar's disk
 
 
@@ -154,13 +154,13 @@
     if not history.away(life.start):
         return
     at = process.until if life.ready is None else life.ready
-    if life.ready is None and process.until < life.start + READY_WITHIN:
+    if life.ready is None and process.until < life.start + READY_WITHIN_MS:
         return
     finding.checked += 1
-    excess = at - life.start - READY_WITHIN
+    excess = at - life.start - READY_WITHIN_MS
     if excess > 0:
         what = "a start without control was not ready in time"
-        evidence = Evidence(what, at, "", "", life.name, at - life.start, READY_WITHIN)
+        evidence = Evidence(what, at, "", "", life.name, at - life.start, READY_WITHIN_MS)
         records.add_timed(finding, evidence, excess, life.start, life.name)
 
 
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -19,7 +19,7 @@
 from millgw.rehearsal.audit.configuration_versions import (
     IN_FORCE_WITHIN_MS,
     KEPT_WITHIN,
-    READY_WITHIN,
+    READY_WITHIN_MS,
     Distribution,
     distribution,
 )
@@ -222,7 +222,7 @@
     finding = found(ledger)
     if away:
         assert finding.kinds == {"a start without control was not ready in time": 1}
-        assert finding.evidence[0].sidecar == "c" and (finding.evidence[0].figure or 0) > READY_WITHIN
+        assert finding.evidence[0].sidecar == "c" and (finding.evidence[0].figure or 0) > READY_WITHIN_MS
     else:
         assert finding.verdict is Verdict.HELD
 
