--- a/millgw/rehearsal/audit/configuration_versions.py
+++ b/millgw/rehearsal/audit/configuration_versions.py
@@ -26,7 +26,7 @@
 IN_FORCE_WITHIN_MS = 5000.0  # ms from a commit, while a majority of the control instances runs
 LOOK_MARGIN_MS = 300.0  # the interval between two looks at a sidecar, plus a margin
 READY_WITHIN_MS = 10_000.0  # ms until a sidecar is ready that starts while no control instance runs
-KEPT_WITHIN = 1000.0  # ms within which a version in force is stored on a sidecar's disk
+PERSISTED_WITHIN_MS = 1000.0  # ms within which a version in force is stored on a sidecar's disk
 
 
 @dataclass(slots=True)
@@ -176,7 +176,9 @@
                 finding.add(Evidence(what, look.answered, f"version {look.index} after {newest}", "", name))
                 break
             newest = max(newest, look.index)
-        on_disk = (look.index for look in process.looks if look.answered <= process.until - KEPT_WITHIN)
+        on_disk = (
+            look.index for look in process.looks if look.answered <= process.until - PERSISTED_WITHIN_MS
+        )
         kept[name] = max([kept.get(name, 0), *on_disk])
 
 
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -18,7 +18,7 @@
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.configuration_versions import (
     IN_FORCE_WITHIN_MS,
-    KEPT_WITHIN,
+    PERSISTED_WITHIN_MS,
     READY_WITHIN_MS,
     Distribution,
     distribution,
@@ -168,7 +168,9 @@
     assert finding.evidence[0].request == "version 3 after 4" and finding.evidence[0].sidecar == "a"
 
 
-@pytest.mark.parametrize(("before_kill", "broken"), [(KEPT_WITHIN / 2, 0), (2 * KEPT_WITHIN, 1)])
+@pytest.mark.parametrize(
+    ("before_kill", "broken"), [(PERSISTED_WITHIN_MS / 2, 0), (2 * PERSISTED_WITHIN_MS, 1)]
+)
 def test_a_restarted_sidecar_begins_with_what_must_have_been_on_its_disk(
     before_kill: float, broken: int
 ) -> None:
