--- a/millgw/rehearsal/audit/configuration_versions.py
+++ b/millgw/rehearsal/audit/configuration_versions.py
@@ -151,7 +151,7 @@
 ) -> None:
     """Audit that a sidecar that starts while no control instance runs still becomes ready."""
     life = process.life
-    if not history.away(life.start):
+    if not history.none_running(life.start):
         return
     at = process.until if life.ready is None else life.ready
     if life.ready is None and process.until < life.start + READY_WITHIN_MS:
--- a/millgw/rehearsal/audit/control_history.py
+++ b/millgw/rehearsal/audit/control_history.py
@@ -39,6 +39,6 @@
                 return max(begun, since) + within
         return None
 
-    def away(self, at: float) -> bool:
+    def none_running(self, at: float) -> bool:
         """Whether no instance ran at a time."""
         return not any(start <= at < until and running for start, until, running in self.spans)
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -234,7 +234,7 @@
     lives.append(ControlLife("b", 150.0, 200.0))
     history = ControlHistory(lives)
     assert [history.deadline(since, 60.0) for since in (0.0, 30.0, 50.0, 300.0)] == [80.0, 90.0, 260.0, 360.0]
-    assert history.away(5.0) and not history.away(150.0)
+    assert history.none_running(5.0) and not history.none_running(150.0)
 
 
 def test_changes_keep_within_what_the_day_allows() -> None:
