--- a/millgw/rehearsal/report.py
+++ b/millgw/rehearsal/report.py
@@ -17,7 +17,7 @@
 from millgw.rehearsal.audit.rules import audit_rules
 from millgw.rehearsal.scenario import Scenario
 from millgw.rehearsal.scenario_files import to_toml
-from millgw.rehearsal.summary import Summary, Worth, summarize
+from millgw.rehearsal.summary import AnswerWorth, Summary, summarize
 from millgw.rehearsal.testbed import Facts
 from millgw.standins.ledger import InjectedFault, Ledger, SentAway, Upgrade
 
@@ -52,7 +52,7 @@
 
 def judge(name: str, scenario: Scenario, ledger: Ledger, facts: Facts) -> Day:
     """Audit and summarize the day that a ledger records."""
-    worths = {c.name: Worth(c.aim_ms, c.deadline_ms, c.worth, c.late_worth) for c in scenario.classes}
+    worths = {c.name: AnswerWorth(c.aim_ms, c.deadline_ms, c.worth, c.late_worth) for c in scenario.classes}
     rules = audit_rules(scenario)
     verdict = audit(ledger, rules)
     distributed = distribution(DayRecords(ledger, rules)) if rules.distributed else None
--- a/millgw/rehearsal/summary.py
+++ b/millgw/rehearsal/summary.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Worth:
+class AnswerWorth:
     """The value of an answer of a class. Times are ms from the request's due time.
 
     It is `worth` up to `aim`, and `worth * late_worth` from there up to `deadline`.
@@ -87,7 +87,7 @@
 WORST_SPAN_S = 5
 
 
-def summarize(ledger: Ledger, worths: Mapping[str, Worth]) -> Summary:
+def summarize(ledger: Ledger, worths: Mapping[str, AnswerWorth]) -> Summary:
     """Compute the figures of a ledger whose day begins at 0."""
     by_root: dict[str, list[Call]] = {}
     for call in ledger.calls:
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -21,7 +21,7 @@
 from millgw.rehearsal.scenario_files import load, parse, shipped, to_toml
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
 from millgw.rehearsal.soak_schedules import AFTER, draw_soak
-from millgw.rehearsal.summary import Worth, hit_by_upgrades, summarize
+from millgw.rehearsal.summary import AnswerWorth, hit_by_upgrades, summarize
 from millgw.rehearsal.traffic import schedule
 from millgw.standins.capacity import AdmissionQueue, Processor
 from millgw.standins.discovery_server import OutageKind
@@ -337,7 +337,7 @@
     life = Life("e", 1, 2, 0, 0.0, 1.0)
     ledger.lives.append(life)
     ledger.attempts.append(Attempt("a0", "e", 1, 0, "c", "", 110.0, 111.0, 1.0, told=AttemptOutcome.OK))
-    summary = summarize(ledger, {"c": Worth(500.0, 1000.0, 4.0, 0.25)})
+    summary = summarize(ledger, {"c": AnswerWorth(500.0, 1000.0, 4.0, 0.25)})
     assert summary.service == pytest.approx((4 + 1 + 0) / 12)
     assert (summary.asked, summary.tries, summary.served, summary.refused, summary.failed) == (3, 4, 2, 1, 1)
     assert [s.asked for s in summary.seconds] == [2, 1] and summary.attempts[2]["ok"] == 1
