--- a/millgw/rehearsal/summary.py
+++ b/millgw/rehearsal/summary.py
@@ -81,7 +81,7 @@
     unusable: dict[str, int] = field(default_factory=dict)  # attempts answered with 400, by cause
     handshakes: int = 0  # at all endpoints, over the day
     cold_handshakes: int = 0  # most at one cold endpoint within one second
-    hit_by_upgrades: int = 0  # requests; see the function `hit_by_upgrades`
+    hit_by_upgrades: int = 0  # requests; see the function `count_hit_by_upgrades`
 
 
 WORST_SPAN_S = 5
@@ -133,7 +133,7 @@
     _count_attempts(ledger, summary)
     summary.handshakes = sum(h.at >= 0 for h in ledger.handshakes)
     summary.cold_handshakes = max_cold_handshakes(ledger)
-    summary.hit_by_upgrades = hit_by_upgrades(ledger)
+    summary.hit_by_upgrades = count_hit_by_upgrades(ledger)
     if sum(offered) > 0:
         summary.service = sum(earned) / sum(offered)
     spans = range(max(1, len(seconds) - WORST_SPAN_S + 1))
@@ -165,7 +165,7 @@
     return most
 
 
-def hit_by_upgrades(ledger: Ledger) -> int:
+def count_hit_by_upgrades(ledger: Ledger) -> int:
     """Count requests that met a refused, reset or unread connection while two processes of a sidecar ran.
 
     A caller that left by itself does not count.
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -21,7 +21,7 @@
 from millgw.rehearsal.scenario_files import load, parse, shipped, to_toml
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
 from millgw.rehearsal.soak_schedules import AFTER, draw_soak
-from millgw.rehearsal.summary import AnswerWorth, hit_by_upgrades, summarize
+from millgw.rehearsal.summary import AnswerWorth, count_hit_by_upgrades, summarize
 from millgw.rehearsal.traffic import schedule
 from millgw.standins.capacity import AdmissionQueue, Processor
 from millgw.standins.discovery_server import OutageKind
@@ -355,7 +355,7 @@
         for end in End:
             call("n0", due, end)
             call("n1", due, end)
-    assert hit_by_upgrades(ledger) == 2 * 4  # refused, crossed, broken, lost; at n0, from 100 to 900
+    assert count_hit_by_upgrades(ledger) == 2 * 4  # refused, crossed, broken, lost; at n0, from 100 to 900
 
 
 def test_a_shift_moves_every_time_and_leaves_what_never_happened() -> None:
