--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -26,7 +26,7 @@
 from millgw.rehearsal.fault_schedules import SMALL
 from millgw.rehearsal.fault_search import FaultSearch, SearchOutcome
 from millgw.rehearsal.page import page
-from millgw.rehearsal.report import Day, exit_code, judge, show, to_json
+from millgw.rehearsal.report import PlayedDay, exit_code, judge, show, to_json
 from millgw.rehearsal.scenario import Scenario, ScenarioError
 from millgw.rehearsal.scenario_files import load, parse, shipped
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
@@ -178,7 +178,7 @@
     todo = [_load(name, args) for name in names]
     page_to = None if args.html is None else Kept(args.html, "--html")
     try:
-        days: list[Day] = []
+        days: list[PlayedDay] = []
         for name, scenario in todo:
             logs = Path(args.logs) / name if args.logs else None
             work = _play_day(name, scenario, args.run or DEFAULT_RUN, logs)
@@ -191,7 +191,7 @@
     return out.end(exit_code(days), to_json(days), show=lambda: show(days))
 
 
-async def _play_day(name: str, scenario: Scenario, run: str, logs: Path | None) -> Day:
+async def _play_day(name: str, scenario: Scenario, run: str, logs: Path | None) -> PlayedDay:
     """Play one day and show its progress on standard error."""
     console = Console(stderr=True)
     columns = (
--- a/millgw/rehearsal/demo.py
+++ b/millgw/rehearsal/demo.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from millgw.platform.config import Address
-from millgw.rehearsal.report import Day, judge
+from millgw.rehearsal.report import PlayedDay, judge
 from millgw.rehearsal.scenario import Discovery, Fault, Fleet, Scenario, Traffic
 from millgw.rehearsal.scenario_checks import check
 from millgw.rehearsal.testbed import Testbed
@@ -45,7 +45,7 @@
     )
 
 
-def play(once: bool, port: int) -> Day:
+def play(once: bool, port: int) -> PlayedDay:
     """Show it, and what the auditor says of it."""
     return uvloop.run(_show(once, _free(port)))
 
@@ -63,7 +63,7 @@
     raise OSError(f"--port {port}: neither it nor the next ones are free on 127.0.0.1")
 
 
-async def _show(once: bool, address: Address) -> Day:
+async def _show(once: bool, address: Address) -> PlayedDay:
     made = scenario(once)
     testbed = Testbed(made, say=lambda what: print(f"    -- {what}", flush=True), listen=address)
     loop = asyncio.get_running_loop()
--- a/millgw/rehearsal/page.py
+++ b/millgw/rehearsal/page.py
@@ -6,7 +6,7 @@
 from html import escape
 
 from millgw.rehearsal.audit.findings import Verdict
-from millgw.rehearsal.report import Day
+from millgw.rehearsal.report import PlayedDay
 from millgw.rehearsal.summary import SecondFigures
 from millgw.standins.ledger import InjectedFault
 
@@ -33,7 +33,7 @@
 CSS_CLASSES = {Verdict.HELD: "held", Verdict.BROKEN: "broken", Verdict.NOT_EXERCISED: "not"}
 
 
-def page(days: Sequence[Day], title: str = "Rehearsal") -> str:
+def page(days: Sequence[PlayedDay], title: str = "Rehearsal") -> str:
     """Render the whole document."""
     body = "".join(_day_section(day) for day in days)
     return (
@@ -43,7 +43,7 @@
     )
 
 
-def _overview(days: Sequence[Day]) -> str:
+def _overview(days: Sequence[PlayedDay]) -> str:
     judged = max((d.audit.findings for d in days), key=len, default=())
     rows = "".join(
         f"<tr><td><a href='#{escape(d.name)}'>{escape(d.name)}</a>"
@@ -60,7 +60,7 @@
     return f"<table><tr><th>day{heads}<th>service<th>worst 5 s<th>{rows}</table>"
 
 
-def _day_section(day: Day) -> str:
+def _day_section(day: PlayedDay) -> str:
     s = day.summary
     rig = day.audit.rig
     facts = (
@@ -80,7 +80,7 @@
     )
 
 
-def _evidence(day: Day) -> str:
+def _evidence(day: PlayedDay) -> str:
     out = []
     for finding in day.audit.findings:
         if finding.evidence:
--- a/millgw/rehearsal/report.py
+++ b/millgw/rehearsal/report.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Day:
+class PlayedDay:
     """One day that was played and audited."""
 
     name: str
@@ -50,19 +50,19 @@
         return "no rule broke"
 
 
-def judge(name: str, scenario: Scenario, ledger: Ledger, facts: Facts) -> Day:
+def judge(name: str, scenario: Scenario, ledger: Ledger, facts: Facts) -> PlayedDay:
     """Audit and summarize the day that a ledger records."""
     worths = {c.name: AnswerWorth(c.aim_ms, c.deadline_ms, c.worth, c.late_worth) for c in scenario.classes}
     rules = audit_rules(scenario)
     verdict = audit(ledger, rules)
     distributed = distribution(DayRecords(ledger, rules)) if rules.distributed else None
-    return Day(
+    return PlayedDay(
         name, scenario.about, scenario, facts, summarize(ledger, worths), verdict, tuple(ledger.injected),
         tuple(ledger.upgrades), tuple(ledger.sent_away), distributed,
     )  # fmt: skip
 
 
-def show(days: Sequence[Day]) -> None:
+def show(days: Sequence[PlayedDay]) -> None:
     """Print a row for each day, then details of broken rules and of the rig itself."""
     console = Console()
     if not console.is_terminal:
@@ -94,7 +94,7 @@
         _print_details(day, console)
 
 
-def _print_details(day: Day, console: Console) -> None:
+def _print_details(day: PlayedDay, console: Console) -> None:
     for finding in day.audit.findings:
         if finding.broken:
             console.print(
@@ -154,12 +154,12 @@
     return f"{away.sidecar} was told to send clients away: no {no}, yes again {yes}"
 
 
-def to_json(days: Sequence[Day]) -> dict[str, Any]:
+def to_json(days: Sequence[PlayedDay]) -> dict[str, Any]:
     """The whole report for other programs. `exit` is the exit code of the command."""
     return {"exit": exit_code(days), "days": [_day_json(day) for day in days]}
 
 
-def _day_json(day: Day) -> dict[str, Any]:
+def _day_json(day: PlayedDay) -> dict[str, Any]:
     s = day.summary
     return {
         "name": day.name,
@@ -212,7 +212,7 @@
     }  # fmt: skip
 
 
-def exit_code(days: Sequence[Day]) -> int:
+def exit_code(days: Sequence[PlayedDay]) -> int:
     """1 if a rule broke on any day, else 3 if any day can't be judged, else 0."""
     codes = {day.audit.exit_code for day in days}
     return 1 if 1 in codes else 3 if 3 in codes else 0
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -28,7 +28,7 @@
 from millgw.rehearsal.audit.findings import Finding, Verdict
 from millgw.rehearsal.audit.rules import AuditRules
 from millgw.rehearsal.configuration_changes import CLASSES_EVERY, change
-from millgw.rehearsal.report import Day, judge, show, to_json
+from millgw.rehearsal.report import PlayedDay, judge, show, to_json
 from millgw.rehearsal.scenario import ScenarioError
 from millgw.rehearsal.scenario_files import parse
 from millgw.rehearsal.testbed import Testbed
@@ -266,7 +266,7 @@
 # Real processes
 
 
-def played(text: str) -> tuple[Day, Ledger]:
+def played(text: str) -> tuple[PlayedDay, Ledger]:
     scenario = parse(text, "tiny")
     ledger, facts = uvloop.run(Testbed(scenario).play())
     return judge("tiny", scenario, ledger, facts), ledger
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -13,7 +13,7 @@
 from msgspec.structs import replace
 
 from millgw.rehearsal.audit.lateness import MAX_LOOP_LAG_MS
-from millgw.rehearsal.report import Day, judge
+from millgw.rehearsal.report import PlayedDay, judge
 from millgw.rehearsal.scenario import Class, Discovery, Fault, Fleet, Rules, Scenario, Speed, Store, Traffic
 from millgw.rehearsal.scenario_checks import check
 from millgw.rehearsal.scenario_files import load
@@ -97,7 +97,7 @@
 
 
 @cache
-def wrong_days() -> dict[str, Day]:
+def wrong_days() -> dict[str, PlayedDay]:
     """All wrong sidecars' days, played side by side once: one day is mostly waiting."""
     kinds = ["right", "bare", "misspells", *RULES]
     return asyncio_days({kind: (wrong_scenario(kind), wrong_run(kind)) for kind in kinds})
@@ -116,7 +116,7 @@
 
 
 @cache
-def daemon_days() -> dict[str, Day]:
+def daemon_days() -> dict[str, PlayedDay]:
     days = {name: (short(name), DEFAULT_RUN) for name in SHIPPED + CROSSING}
     for name in SERVICES:
         scenario = changed(load(name)[1], seconds=SHIPPED_SECONDS, rate=20.0)
@@ -126,34 +126,34 @@
 
 
 @cache
-def stopped_day() -> Day:
+def stopped_day() -> PlayedDay:
     return asyncio_days({"stopped": (short("sidecars-stopped"), DEFAULT_RUN)})["stopped"]
 
 
 @cache
-def soaked_days() -> dict[str, Day]:
+def soaked_days() -> dict[str, PlayedDay]:
     return asyncio_days({str(seed): (draw_soak(seed, SOAK_LONGEST), DEFAULT_RUN) for seed in SOAKED})
 
 
 @cache
-def coordinated_days() -> dict[str, Day]:
+def coordinated_days() -> dict[str, PlayedDay]:
     return asyncio_days({name: (short(name), DEFAULT_RUN) for name in COORDINATED})
 
 
 @cache
-def tended_days() -> dict[str, Day]:
+def tended_days() -> dict[str, PlayedDay]:
     return asyncio_days({name: (short(name), DEFAULT_RUN) for name in TENDED})
 
 
 @cache
-def marked_days() -> dict[str, Day]:
+def marked_days() -> dict[str, PlayedDay]:
     scenario = changed(load("login-codes-survive")[1], seconds=SHIPPED_SECONDS)
     plain = changed(scenario, without=["store"])
     return asyncio_days({"marked": (scenario, DEFAULT_RUN), "plain": (plain, DEFAULT_RUN)})
 
 
 @cache
-def peered_days() -> dict[str, Day]:
+def peered_days() -> dict[str, PlayedDay]:
     days = {}
     for name in PEERED:
         made = changed(load(name)[1], seconds=SHIPPED_SECONDS, rate=40.0, sidecars=6, endpoints=5)
@@ -162,14 +162,14 @@
 
 
 @cache
-def zoned_days() -> dict[str, Day]:
+def zoned_days() -> dict[str, PlayedDay]:
     return asyncio_days(
         {name: (changed(load(name)[1], seconds=ZONED_SECONDS), DEFAULT_RUN) for name in ZONED}
     )
 
 
 @cache
-def daily_days() -> dict[str, Day]:
+def daily_days() -> dict[str, PlayedDay]:
     days = {name: (short(name), DEFAULT_RUN) for name in DAILY[:2]}
     days["upgrade, marked"] = (check(replace(short("upgrade"), store=Store())), DEFAULT_RUN)
     days["long-bodies"] = (changed(load("long-bodies")[1], seconds=SHIPPED_SECONDS), DEFAULT_RUN)
@@ -177,7 +177,7 @@
 
 
 @cache
-def late_rig_days() -> dict[str, Day]:
+def late_rig_days() -> dict[str, PlayedDay]:
     """Wrong sidecars, a right one and the daemon on a rig that stands still for half of the time."""
     kinds = ("right", *FOUND_BY_A_LATE_RIG, *NEVER_CLEARED_BY_A_LATE_RIG)
     days = {kind: (wrong_scenario(kind), wrong_run(kind)) for kind in kinds}
@@ -210,9 +210,9 @@
     ]
 
 
-def asyncio_days(days: dict[str, tuple[Scenario, str]], late: bool = False) -> dict[str, Day]:
-    async def play() -> list[Day]:
-        async def one(name: str, scenario: Scenario, run: str) -> Day:
+def asyncio_days(days: dict[str, tuple[Scenario, str]], late: bool = False) -> dict[str, PlayedDay]:
+    async def play() -> list[PlayedDay]:
+        async def one(name: str, scenario: Scenario, run: str) -> PlayedDay:
             ledger, facts = await Testbed(scenario, run).play()
             ledgers[name] = ledger
             return judge(name, scenario, ledger, facts)
@@ -228,7 +228,7 @@
         return {day.name: day for day in uvloop.run(play())}
 
 
-def broken(day: Day) -> dict[int, list[str]]:
+def broken(day: PlayedDay) -> dict[int, list[str]]:
     return {f.rule: [str(e) for e in f.evidence[:3]] for f in day.audit.findings if f.broken}
 
 
