--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -26,7 +26,7 @@
 from millgw.rehearsal.fault_schedules import SMALL
 from millgw.rehearsal.fault_search import FaultSearch, SearchOutcome
 from millgw.rehearsal.page import page
-from millgw.rehearsal.report import PlayedDay, exit_code, judge, show, to_json
+from millgw.rehearsal.report import PlayedDay, exit_code, judge, print_report, to_json
 from millgw.rehearsal.scenario import Scenario, ScenarioError
 from millgw.rehearsal.scenario_files import load, parse, shipped
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
@@ -157,7 +157,7 @@
 def demo_(out: Out, once: bool, port: int) -> int:
     """A small fleet to try out: a curl line, one fault, a verdict."""
     days = [demo.play(once, port)]
-    return out.end(exit_code(days), to_json(days), show=lambda: show(days))
+    return out.end(exit_code(days), to_json(days), show=lambda: print_report(days))
 
 
 def _first_leaf(error: BaseException) -> BaseException:
@@ -188,7 +188,7 @@
     finally:
         if page_to is not None:
             page_to.drop()
-    return out.end(exit_code(days), to_json(days), show=lambda: show(days))
+    return out.end(exit_code(days), to_json(days), show=lambda: print_report(days))
 
 
 async def _play_day(name: str, scenario: Scenario, run: str, logs: Path | None) -> PlayedDay:
--- a/millgw/rehearsal/report.py
+++ b/millgw/rehearsal/report.py
@@ -62,7 +62,7 @@
     )  # fmt: skip
 
 
-def show(days: Sequence[PlayedDay]) -> None:
+def print_report(days: Sequence[PlayedDay]) -> None:
     """Print a row for each day, then details of broken rules and of the rig itself."""
     console = Console()
     if not console.is_terminal:
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -28,7 +28,7 @@
 from millgw.rehearsal.audit.findings import Finding, Verdict
 from millgw.rehearsal.audit.rules import AuditRules
 from millgw.rehearsal.configuration_changes import CLASSES_EVERY, change
-from millgw.rehearsal.report import PlayedDay, judge, show, to_json
+from millgw.rehearsal.report import PlayedDay, judge, print_report, to_json
 from millgw.rehearsal.scenario import ScenarioError
 from millgw.rehearsal.scenario_files import parse
 from millgw.rehearsal.testbed import Testbed
@@ -284,7 +284,7 @@
     (told,) = to_json([day])["days"]
     assert [rule["rule"] for rule in told["rules"]] == [1, 2, 3, 4, 5]
     assert told["configuration"]["committed"] == day.distribution.committed
-    show([day])
+    print_report([day])
     assert "in force at the last sidecar after" in capsys.readouterr().out
 
 
