--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -25,7 +25,7 @@
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.rehearsal.fault_schedules import SMALL
 from millgw.rehearsal.fault_search import FaultSearch, SearchOutcome
-from millgw.rehearsal.page import page
+from millgw.rehearsal.page import render_page
 from millgw.rehearsal.report import PlayedDay, exit_code, judge, print_report, to_json
 from millgw.rehearsal.scenario import Scenario, ScenarioError
 from millgw.rehearsal.scenario_files import load, parse, shipped
@@ -184,7 +184,7 @@
             work = _play_day(name, scenario, args.run or DEFAULT_RUN, logs)
             days.append(uvloop.run(cancel_on_signals(work)))
         if page_to is not None:
-            page_to.write(page(days))
+            page_to.write(render_page(days))
     finally:
         if page_to is not None:
             page_to.drop()
--- a/millgw/rehearsal/page.py
+++ b/millgw/rehearsal/page.py
@@ -33,7 +33,7 @@
 CSS_CLASSES = {Verdict.HELD: "held", Verdict.BROKEN: "broken", Verdict.NOT_EXERCISED: "not"}
 
 
-def page(days: Sequence[PlayedDay], title: str = "Rehearsal") -> str:
+def render_page(days: Sequence[PlayedDay], title: str = "Rehearsal") -> str:
     """Render the whole document."""
     body = "".join(_day_section(day) for day in days)
     return (
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -15,7 +15,7 @@
 from millgw.load import arrivals
 from millgw.rehearsal import fault_schedules
 from millgw.rehearsal.fault_plan import crowds, plan
-from millgw.rehearsal.page import page
+from millgw.rehearsal.page import render_page
 from millgw.rehearsal.scenario import Fault, Scenario, ScenarioError
 from millgw.rehearsal.scenario_checks import check
 from millgw.rehearsal.scenario_files import load, parse, shipped, to_toml
@@ -367,7 +367,7 @@
 
 
 def test_a_page_without_days_is_a_page() -> None:
-    assert page([]).startswith("<!doctype html>")
+    assert render_page([]).startswith("<!doctype html>")
 
 
 # The search
