--- a/millgw/rehearsal/fault_plan.py
+++ b/millgw/rehearsal/fault_plan.py
@@ -31,7 +31,7 @@
 NO_ZONES: Mapping[str, str] = {}
 
 
-def plan(
+def plan_faults(
     scenario: Scenario,
     endpoints: Sequence[tuple[str, int]],
     front: Sequence[str],
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -18,7 +18,7 @@
 from millgw.rehearsal.configuration_looks import ConfigurationLooks
 from millgw.rehearsal.control_instances import ControlInstances
 from millgw.rehearsal.coordination import Coordination
-from millgw.rehearsal.fault_plan import plan
+from millgw.rehearsal.fault_plan import plan_faults
 from millgw.rehearsal.faults.injector import FaultInjector
 from millgw.rehearsal.fleet import builds_of_tier, is_last_tier, tasks_of_tier, tier_sizes
 from millgw.rehearsal.front import Clients, Front, ask
@@ -348,7 +348,7 @@
         gc.disable()
         self.zero = self.clock()
         zones = {e.options.name: e.options.zone for tier in self.tiers for e in tier}
-        injector.schedule(plan(scenario, endpoints, front, scenario.seed, zones))
+        injector.schedule(plan_faults(scenario, endpoints, front, scenario.seed, zones))
         sampler = asyncio.create_task(Sampler(self.ledger, self.clock, list(self.sidecars.values())).run())
         playing = asyncio.create_task(self.clients.play(planned, self.zero))
         stopped = asyncio.create_task(self.over.wait())
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -14,7 +14,7 @@
 
 from millgw.load import arrivals
 from millgw.rehearsal import fault_schedules
-from millgw.rehearsal.fault_plan import crowds, plan
+from millgw.rehearsal.fault_plan import crowds, plan_faults
 from millgw.rehearsal.page import render_page
 from millgw.rehearsal.scenario import Fault, Scenario, ScenarioError
 from millgw.rehearsal.scenario_checks import check
@@ -209,8 +209,8 @@
         Scenario(),
         faults=(Fault(kind="silence", start_s=1, share=share, tier=1), Fault(kind="crowd", start_s=2)),
     )
-    planned = plan(day, endpoints, ["n0"], seed)
-    assert planned == plan(day, endpoints, ["n0"], seed)
+    planned = plan_faults(day, endpoints, ["n0"], seed)
+    assert planned == plan_faults(day, endpoints, ["n0"], seed)
     hit = {fault.target for fault in planned if fault.kind == "silence"}
     first = {name for name, tier in endpoints if tier == 1}
     assert hit and hit <= first and (share == 1 or hit < first)
