--- a/millgw/rehearsal/fault_plan.py
+++ b/millgw/rehearsal/fault_plan.py
@@ -77,7 +77,7 @@
     return tuple(_crowd(f) for f in scenario.faults if f.kind == "crowd" and f.cls is None)
 
 
-def floods(scenario: Scenario) -> tuple[tuple[str, Crowd], ...]:
+def class_crowds(scenario: Scenario) -> tuple[tuple[str, Crowd], ...]:
     """The flash crowds of a single class, each with the class's name."""
     return tuple((f.cls, _crowd(f)) for f in scenario.faults if f.kind == "crowd" and f.cls is not None)
 
--- a/millgw/rehearsal/traffic.py
+++ b/millgw/rehearsal/traffic.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from millgw.load import arrivals
-from millgw.rehearsal.fault_plan import crowds, floods
+from millgw.rehearsal.fault_plan import class_crowds, crowds
 from millgw.rehearsal.scenario import Scenario
 
 FLOOD_NUMBERS = 1 << 24  # requests of one schedule at the most: the next one's numbers begin there
@@ -27,7 +27,7 @@
     )
     shares = [(t.name, t.share) for t in scenario.tenants]
     planned = list(arrivals.arrivals(moments, kinds, shares, habits, scenario.seed))
-    for i, (name, crowd) in enumerate(floods(scenario), 1):
+    for i, (name, crowd) in enumerate(class_crowds(scenario), 1):
         (kind,) = (k for k in kinds if k.name == name)
         rate = traffic.rate * kind.share / sum(k.share for k in kinds)
         more = arrivals.times(
