--- a/millgw/rehearsal/fault_schedules.py
+++ b/millgw/rehearsal/fault_schedules.py
@@ -23,7 +23,7 @@
     "crowd": (1.5, 3.0),
     "connections": (50, 400),
 }
-FEWEST, MAX_FAULTS = 3, 5  # faults in a drawn schedule
+MIN_FAULTS, MAX_FAULTS = 3, 5  # faults in a drawn schedule
 MIN_LENGTH_S = 0.5  # the shortest fault that shrinking tries
 MIN_DAY_S = 2.0  # the shortest day that shrinking tries
 
@@ -44,7 +44,7 @@
     rng = random.Random(f"search {seed}")
     pivot = base.seconds * rng.uniform(0.3, 0.6)
     faults = []
-    for _ in range(rng.randint(FEWEST, MAX_FAULTS)):
+    for _ in range(rng.randint(MIN_FAULTS, MAX_FAULTS)):
         kind = rng.choice(DRAWN_KINDS)
         before, after = rng.uniform(0.05, 0.28) * base.seconds, rng.uniform(0.05, 0.3) * base.seconds
         start = max(0.2, pivot - before)
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -378,7 +378,8 @@
 def test_drawn_faults_all_overlap_and_apart_none_do(seed: int) -> None:
     day = fault_schedules.draw(fault_schedules.SMALL, seed)
     assert (
-        day == fault_schedules.draw(fault_schedules.SMALL, seed) and len(day.faults) >= fault_schedules.FEWEST
+        day == fault_schedules.draw(fault_schedules.SMALL, seed)
+        and len(day.faults) >= fault_schedules.MIN_FAULTS
     )
     assert max(f.start_s for f in day.faults) < min(f.until_s for f in day.faults)
     alone = fault_schedules.one_at_a_time(day)
