--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -23,7 +23,7 @@
 from millgw.cli.report import FileReporting, Out, Reporting
 from millgw.rehearsal import demo
 from millgw.rehearsal.audit.lateness import quantile
-from millgw.rehearsal.fault_schedules import SMALL
+from millgw.rehearsal.fault_schedules import BASE_DAY
 from millgw.rehearsal.fault_search import FaultSearch, SearchOutcome
 from millgw.rehearsal.page import render_page
 from millgw.rehearsal.report import PlayedDay, exit_code, judge, print_report, to_json
@@ -226,7 +226,7 @@
 
 
 def _search(out: Out, args: SimpleNamespace) -> int:
-    base = load(args.base)[1] if args.base else SMALL
+    base = load(args.base)[1] if args.base else BASE_DAY
 
     async def search() -> SearchOutcome:
         fault_search = FaultSearch(base, args.run, args.jobs, Path(args.into), args.steps, _print_progress)
--- a/millgw/rehearsal/fault_schedules.py
+++ b/millgw/rehearsal/fault_schedules.py
@@ -27,7 +27,7 @@
 MIN_LENGTH_S = 0.5  # the shortest fault that shrinking tries
 MIN_DAY_S = 2.0  # the shortest day that shrinking tries
 
-SMALL = Scenario(
+BASE_DAY = Scenario(
     about="",
     seconds=8.0,
     fleet=Fleet(
