--- a/millgw/rehearsal/fault_schedules.py
+++ b/millgw/rehearsal/fault_schedules.py
@@ -39,7 +39,7 @@
 """The day that schedules are drawn into: a small fleet in two tiers, with short delays of discovery."""
 
 
-def draw(base: Scenario, seed: int) -> Scenario:
+def draw_schedule(base: Scenario, seed: int) -> Scenario:
     """The base day with three to five random faults that all overlap at one moment."""
     rng = random.Random(f"search {seed}")
     pivot = base.seconds * rng.uniform(0.3, 0.6)
--- a/millgw/rehearsal/fault_search.py
+++ b/millgw/rehearsal/fault_search.py
@@ -12,7 +12,7 @@
 from msgspec.structs import replace
 
 from millgw.rehearsal.day_process import UNPLAYED, DayPlayer, PlayResult
-from millgw.rehearsal.fault_schedules import draw, one_at_a_time, shrink
+from millgw.rehearsal.fault_schedules import draw_schedule, one_at_a_time, shrink
 from millgw.rehearsal.scenario import Scenario
 from millgw.rehearsal.scenario_files import to_toml
 
@@ -69,7 +69,7 @@
         return self.outcome
 
     async def _search_seed(self, seed: int) -> None:
-        scenario = draw(self.base, seed)
+        scenario = draw_schedule(self.base, seed)
         played = await self.days.play(scenario)
         if played is UNPLAYED:
             return
--- a/tests/test_rehearsal_command.py
+++ b/tests/test_rehearsal_command.py
@@ -17,7 +17,7 @@
 
 from millgw.__main__ import main
 from millgw.cli.exits import INTERRUPTED
-from millgw.rehearsal.fault_schedules import draw
+from millgw.rehearsal.fault_schedules import draw_schedule
 from millgw.rehearsal.report import judge, to_json
 from millgw.rehearsal.scenario_files import parse, shipped
 from millgw.rehearsal.testbed import Testbed
@@ -220,7 +220,7 @@
     script = ROOT / "tests" / "wrong" / "sidecar.py"
     base = tmp_path / "base.toml"
     base.write_text(TINY.replace("rate = 20.0", "rate = 60.0").replace("2.0\n[fleet]", "3.0\n[fleet]", 1))
-    days = ((seed, draw(parse(base.read_text(), "base"), seed)) for seed in range(100))
+    days = ((seed, draw_schedule(parse(base.read_text(), "base"), seed)) for seed in range(100))
     seed, drawn = next((s, d) for s, d in days if "resets" in [f.kind for f in d.faults])
     search = start_rehearse(
         "search", "--base", str(base), "--count", "1", "--jobs", "6", "--seed", str(seed),
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -182,7 +182,7 @@
 @given(SEEDS)
 @settings(max_examples=60, deadline=None)
 def test_what_is_written_is_read_back_the_same(seed: int) -> None:
-    day = fault_schedules.draw(fault_schedules.BASE_DAY, seed)
+    day = fault_schedules.draw_schedule(fault_schedules.BASE_DAY, seed)
     assert parse(to_toml(day, "found\nby chance"), "x") == day
     for simpler in fault_schedules.simpler(day):
         assert parse(to_toml(simpler), "x") == check(simpler)
@@ -376,9 +376,9 @@
 @given(SEEDS)
 @settings(max_examples=80, deadline=None)
 def test_drawn_faults_all_overlap_and_apart_none_do(seed: int) -> None:
-    day = fault_schedules.draw(fault_schedules.BASE_DAY, seed)
+    day = fault_schedules.draw_schedule(fault_schedules.BASE_DAY, seed)
     assert (
-        day == fault_schedules.draw(fault_schedules.BASE_DAY, seed)
+        day == fault_schedules.draw_schedule(fault_schedules.BASE_DAY, seed)
         and len(day.faults) >= fault_schedules.MIN_FAULTS
     )
     assert max(f.start_s for f in day.faults) < min(f.until_s for f in day.faults)
@@ -393,7 +393,7 @@
 def test_shrinking_keeps_the_harm_and_leaves_nothing_that_is_not_needed(
     seed: int, data: st.DataObject
 ) -> None:
-    day = fault_schedules.draw(fault_schedules.BASE_DAY, seed)
+    day = fault_schedules.draw_schedule(fault_schedules.BASE_DAY, seed)
     needed = set(data.draw(st.sets(st.integers(0, len(day.faults) - 1), min_size=1)))
     guilty = [day.faults[i].kind for i in needed]
 
@@ -410,7 +410,7 @@
     async def harms(_: Scenario) -> bool:
         return False
 
-    day = fault_schedules.draw(fault_schedules.BASE_DAY, 1)
+    day = fault_schedules.draw_schedule(fault_schedules.BASE_DAY, 1)
     assert asyncio.run(fault_schedules.shrink(day, harms, most=2)) == (day, 2)
 
 
