--- a/millgw/rehearsal/fault_schedules.py
+++ b/millgw/rehearsal/fault_schedules.py
@@ -74,7 +74,7 @@
     return check(replace(scenario, about=about, seconds=at, faults=tuple(faults)))
 
 
-def simpler(scenario: Scenario) -> Iterator[Scenario]:
+def simplifications(scenario: Scenario) -> Iterator[Scenario]:
     """Scenarios that are one step simpler, the largest steps first."""
     faults = scenario.faults
     for i in range(len(faults)):
@@ -107,7 +107,7 @@
     asked, again = 0, True
     while again:
         again = False
-        steps = list(simpler(scenario))
+        steps = list(simplifications(scenario))
         while steps and not again:
             some, steps = steps[:at_once][: most - asked], steps[at_once:]
             if not some:
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -184,7 +184,7 @@
 def test_what_is_written_is_read_back_the_same(seed: int) -> None:
     day = fault_schedules.draw_schedule(fault_schedules.BASE_DAY, seed)
     assert parse(to_toml(day, "found\nby chance"), "x") == day
-    for simpler in fault_schedules.simpler(day):
+    for simpler in fault_schedules.simplifications(day):
         assert parse(to_toml(simpler), "x") == check(simpler)
 
 
