--- a/millgw/rehearsal/soak_schedules.py
+++ b/millgw/rehearsal/soak_schedules.py
@@ -12,7 +12,9 @@
 
 FIRST_FAULT_AFTER_S = (2.0, 6.0)  # before the first fault
 OUTAGE_LENGTH_S = (5.0, 40.0)  # the day is long enough for the outage to end
-AFTER = 14.0  # s of the day after the outage: drains count as told 6 s after the end of the outage
+DAY_AFTER_OUTAGE_S = (
+    14.0  # s of the day after the outage: drains count as told 6 s after the end of the outage
+)
 DRAIN_BEFORE_END_S = (-3.0, 4.0)  # when endpoints drain; below 0: after the outage's end
 TERM_SPACING_S = (0.2, 1.5)  # between the SIGTERMs of two sidecars
 STOP_MS = 140.0  # how long a sidecar is stopped at a time
@@ -49,7 +51,7 @@
     about = f"{length:.0f} s of outage ({outage}), " + ", ".join(f.kind for f in faults)
     return check(
         replace(
-            BASE_DAY, about=about, seed=seed, seconds=round(ends + AFTER, 1), fleet=fleet,
+            BASE_DAY, about=about, seed=seed, seconds=round(ends + DAY_AFTER_OUTAGE_S, 1), fleet=fleet,
             faults=tuple(faults), limits=Limits(probing=probing, retry_after_ms=rng.choice((0.0, 1000.0))),
         )
     )  # fmt: skip
@@ -57,7 +59,7 @@
 
 def _extra_fault(rng: random.Random, begins: float, ends: float) -> Fault:
     """A fault of another kind, between the start of the outage and some seconds after its end."""
-    at = rng.uniform(begins, ends + AFTER / 2)
+    at = rng.uniform(begins, ends + DAY_AFTER_OUTAGE_S / 2)
     return rng.choice(
         (
             Fault(
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -20,7 +20,7 @@
 from millgw.rehearsal.scenario_checks import check
 from millgw.rehearsal.scenario_files import load, parse, shipped, to_toml
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
-from millgw.rehearsal.soak_schedules import AFTER, draw_soak
+from millgw.rehearsal.soak_schedules import DAY_AFTER_OUTAGE_S, draw_soak
 from millgw.rehearsal.summary import AnswerWorth, count_hit_by_upgrades, summarize
 from millgw.rehearsal.traffic import schedule
 from millgw.standins.capacity import AdmissionQueue, Processor
@@ -423,7 +423,7 @@
     assert day == draw_soak(seed, longest) == parse(to_toml(day, ""), "day")
     (outage,) = (fault for fault in day.faults if fault.kind == "discovery-outage")
     assert outage.outage in tuple(OutageKind) and 5.0 <= outage.length_s <= longest + 0.01
-    assert day.seconds - outage.until_s >= AFTER - 0.1
+    assert day.seconds - outage.until_s >= DAY_AFTER_OUTAGE_S - 0.1
     assert any(fault.kind == "drain" for fault in day.faults)
 
 
