--- a/millgw/standins/byzantine_peer.py
+++ b/millgw/standins/byzantine_peer.py
@@ -52,7 +52,7 @@
             for e, cold in self.endpoints()
         ]
 
-    def hear(self, event: PeerReports) -> None:
+    def handle_peer_reports(self, event: PeerReports) -> None:
         """Ignore the reports of other peers."""
 
 
