--- a/millgw/store/recovery.py
+++ b/millgw/store/recovery.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 
 from millgw.store import clock as clocks
-from millgw.store import mark as marks
-from millgw.store.mark import HighWaterMark
+from millgw.store import high_water_mark as marks
+from millgw.store.high_water_mark import HighWaterMark
 from millgw.store.record import HEADER_SIZE, FormatError, Record, SegmentHeader, SegmentScan, scan_segment
 
 SEGMENT_NAME = re.compile(r"^seg-(\d{8})-(\d{8})-(\d{8})\.log$")
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -20,10 +20,10 @@
 from enum import Enum
 
 from millgw.store import clock as clocks
-from millgw.store import mark as marks
+from millgw.store import high_water_mark as marks
 from millgw.store.clock import ClockOffset
 from millgw.store.files import DirectoryContents, Files, Handle
-from millgw.store.mark import HighWaterMark
+from millgw.store.high_water_mark import HighWaterMark
 from millgw.store.record import (
     DELETE,
     END,
--- a/tests/test_configuration_durable.py
+++ b/tests/test_configuration_durable.py
@@ -22,7 +22,7 @@
 from millgw.configuration.log import Entry, Snapshot
 from millgw.configuration.state import State
 from millgw.store.faulty import Crash, FaultyFiles, FaultyHandle, Inode
-from millgw.store.mark import FILE_NAMES
+from millgw.store.high_water_mark import FILE_NAMES
 from tests.kinds import pure_run_only
 from tests.replica_cluster import Cluster, Node
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from millgw.store import mark as marks
+from millgw.store import high_water_mark as marks
 from millgw.store import store as store_module
 from millgw.store.faulty import Crash, FaultyFiles, Inode, faulty_mirrors
 from millgw.store.files import DirectoryContents, RealFiles, RealHandle, StoreLocked
