--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -29,7 +29,7 @@
 
 from benchmarks.connections import SETTINGS
 from millgw.membership.client import Client
-from millgw.membership.judge import DepartureSettings
+from millgw.membership.member_tracker import DepartureSettings
 from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.servers import read_connect
 from millgw.membership.source import DirectoryLocation, WatchedDirectory
@@ -360,7 +360,7 @@
 """
 MILLGW = """
 import threading
-from millgw.membership.judge import Terms
+from millgw.membership.member_tracker import Terms
 from millgw.membership.servers import read_connect
 from millgw.membership.source import Directory, Where
 made, known = time.monotonic() - t, set()
--- a/millgw/membership/source.py
+++ b/millgw/membership/source.py
@@ -18,7 +18,7 @@
 from millgw.log.events import log_event
 from millgw.membership.client import Client
 from millgw.membership.follower import DirectoryFollower
-from millgw.membership.judge import (
+from millgw.membership.member_tracker import (
     DepartureSettings,
     EndpointEvidence,
     MemberNode,
--- a/millgw/services/builders.py
+++ b/millgw/services/builders.py
@@ -26,7 +26,7 @@
     from millgw.connections.manager import ConnectionManager
     from millgw.connections.settings import ConnectionSettings
     from millgw.intents.store_log import Intents
-    from millgw.membership.judge import DepartureSettings as JudgeTerms
+    from millgw.membership.member_tracker import DepartureSettings as JudgeTerms
     from millgw.membership.source import DirectoryLocation
     from millgw.peers.node import Peers
 
@@ -97,7 +97,7 @@
     service: Service, coordinator: Coordinator, config: Config, seed: int
 ) -> Callable[[UpdateCallback, EndpointObserver], EndpointSource]:
     # Imported here: without a coordinator these modules must not be loaded.
-    from millgw.membership.judge import DepartureSettings
+    from millgw.membership.member_tracker import DepartureSettings
     from millgw.membership.merge import Merger, Mode
     from millgw.membership.source import CoordinatorSource, MergedSource
 
@@ -147,9 +147,9 @@
 
     meeting = None
     if table.coordinator is not None:
-        from millgw.membership import judge
+        from millgw.membership import member_tracker
 
-        meeting = _coordinator_directory(table.coordinator, judge.DepartureSettings())
+        meeting = _coordinator_directory(table.coordinator, member_tracker.DepartureSettings())
     join = tuple(map(read_address, table.join))
     terms = PeerSettings(read_address(table.listen), join, table.keys, table.within_ms, meeting)
     try:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
 from millgw.membership import jute
 from millgw.membership.client import Client
 from millgw.membership.follower import MAX_NODES
-from millgw.membership.judge import DepartureSettings
+from millgw.membership.member_tracker import DepartureSettings
 from millgw.membership.protocol import Operation, Reply, Request, WatchEvent
 from millgw.membership.registrar import Entry, Registrar
 from millgw.membership.source import DirectoryLocation, WatchedDirectory
--- a/tests/test_membership_pure.py
+++ b/tests/test_membership_pure.py
@@ -17,7 +17,8 @@
 from millgw.interface import Condition, Endpoint
 from millgw.membership import jute
 from millgw.membership.follower import RECHECK_INTERVAL, DirectoryFollower
-from millgw.membership.judge import (
+from millgw.membership.jute import BadRecord, Stat
+from millgw.membership.member_tracker import (
     ASIDE_AFTER,
     FLAPS,
     DepartureSettings,
@@ -26,7 +27,6 @@
     MembershipTracker,
     MemberState,
 )
-from millgw.membership.jute import BadRecord, Stat
 from millgw.membership.merge import COORDINATOR, DISCOVERY, Merger, Mode, changes
 from millgw.membership.nodes import NodeData, read_node
 from millgw.membership.protocol import (
--- a/tests/test_peer_node.py
+++ b/tests/test_peer_node.py
@@ -23,7 +23,7 @@
     RequestClass,
     Settings,
 )
-from millgw.membership import judge
+from millgw.membership import member_tracker
 from millgw.membership.servers import read_connect
 from millgw.membership.source import DirectoryLocation
 from millgw.peers import node, peer_transport, wire
@@ -344,7 +344,7 @@
     async def test() -> None:
         async with running_ensemble() as zk, fleet(tmp_path) as fleet_of_peers:
             servers, _ = read_connect(zk.connect_string)
-            directory = DirectoryLocation(servers, "/sidecars", 4000.0, judge.DepartureSettings())
+            directory = DirectoryLocation(servers, "/sidecars", 4000.0, member_tracker.DepartureSettings())
             first, _ = await fleet_of_peers.start(coordinator=directory)
             assert first.peer_discovery is not None
             await first.peer_discovery.registrar.registered.wait()
@@ -362,7 +362,9 @@
 def test_an_unreachable_coordinator_does_not_delay_the_start(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path) as fleet_of_peers:
-            directory = DirectoryLocation((free_address(),), "/sidecars", 4000.0, judge.DepartureSettings())
+            directory = DirectoryLocation(
+                (free_address(),), "/sidecars", 4000.0, member_tracker.DepartureSettings()
+            )
             peers, _ = fleet_of_peers.make(within=50.0, coordinator=directory)
             await peers.start()
             assert peers.snapshots == 0
