--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -34,7 +34,6 @@
 from millgw.platform.config import Address
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.standins.address import free_address
-from millgw.standins.caller import REQUEST_PORT_READY, ready
 from millgw.standins.repeating_clients import RepeatingClients
 from millgw.standins.scripted import (
     CHUNKED_HEAD,
@@ -44,6 +43,7 @@
     encode_line,
     read_message,
 )
+from millgw.standins.sidecar_client import REQUEST_PORT_READY, ready
 
 SETTINGS = {
     "classes": [{"name": "read", "deadline": 3000.0, "slo": 500.0, "repeat": "retryable"}],
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -36,9 +36,9 @@
 from millgw.platform.config import Address
 from millgw.platform.discovery import ListedEndpoint
 from millgw.standins.address import free_address
-from millgw.standins.caller import ready
 from millgw.standins.coordinator.ensemble import Ensemble
 from millgw.standins.http import Clock, Message, ServerConnection, listener, ok
+from millgw.standins.sidecar_client import ready
 
 PATH = "/services/login"
 RATE = 1000.0  # calls a second at the daemon
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -30,9 +30,9 @@
 from millgw.rehearsal.scenario import Fault
 from millgw.rehearsal.scenario_files import load, to_toml
 from millgw.standins.address import free_address
-from millgw.standins.caller import SidecarClient
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End
+from millgw.standins.sidecar_client import SidecarClient
 
 FLOODS = (0, 1, 2, 5)
 SECONDS, RUNS = 3.0, 3
--- a/benchmarks/services_of_one.py
+++ b/benchmarks/services_of_one.py
@@ -32,11 +32,11 @@
 from millgw.cli.tree import run as carry_out
 from millgw.platform.config import Address
 from millgw.standins.address import free_address
-from millgw.standins.caller import ready
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger
+from millgw.standins.sidecar_client import ready
 
 START_S = 30.0  # within which a sidecar is ready
 SETTLE_S = 3.0  # after that, before anything is counted
--- a/benchmarks/tending.py
+++ b/benchmarks/tending.py
@@ -43,12 +43,12 @@
 from millgw.rehearsal.audit.lateness import quantile
 from millgw.rehearsal.scenario_files import load, to_toml
 from millgw.standins.address import free_address
-from millgw.standins.caller import SidecarClient, ready
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.endpoint import Endpoint
 from millgw.standins.endpoint_options import ClassCost, ColdRule, EndpointOptions
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End, Ledger
+from millgw.standins.sidecar_client import SidecarClient, ready
 
 ENDPOINTS = 40
 TOLD_IDLE = 4000.0  # ms that endpoints promise to keep idle connections
--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -8,8 +8,8 @@
 from millgw.rehearsal.fault_plan import PlannedFault
 from millgw.rehearsal.faults.targets import FaultTargets, Injection, wait_for_end
 from millgw.rehearsal.sidecars import NotReady
-from millgw.standins.caller import answers_ok
 from millgw.standins.ledger import Sample, SentAway, SidecarPause, Upgrade
+from millgw.standins.sidecar_client import answers_ok
 
 MAX_DEADLINE_WAIT_S = 3.0  # the part of a deadline that is waited for between SIGTERM and SIGKILL
 KILL_MARGIN_S = 0.7  # added to that wait
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -10,9 +10,9 @@
 from millgw.load.arrivals import Arrival
 from millgw.rehearsal.scenario import Class
 from millgw.rehearsal.sidecars import Sidecar
-from millgw.standins.caller import SidecarClient, ready
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End, Ledger, SentAway
+from millgw.standins.sidecar_client import SidecarClient, ready
 
 NOTICE = (1.2, 3.7)  # s after which the front notices that a sidecar has died
 LEAVING = (0.2, 0.4)  # s after SIGTERM for which new connections go on coming
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -20,11 +20,11 @@
 from millgw.rehearsal.processes import spawn
 from millgw.rehearsal.scenario import Scenario
 from millgw.standins.address import free_address
-from millgw.standins.caller import REQUEST_PORT_READY, SidecarClient, ready
 from millgw.standins.endpoint_options import ONE_ZONE
 from millgw.standins.endpoint_registry import Entry
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger, SidecarLife, SidecarPause, Upgrade
+from millgw.standins.sidecar_client import REQUEST_PORT_READY, SidecarClient, ready
 
 ROOT = Path(__file__).resolve().parents[2]
 DEFAULT_RUN = f"exec {sys.executable} -B -m millgw.sidecar"
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -17,7 +17,6 @@
 from millgw.rehearsal.audit.auditor import audit
 from millgw.rehearsal.audit.rules import AuditRules, ClassRules, RepeatPolicy
 from millgw.standins.address import free_address
-from millgw.standins.caller import LATE_ANSWER_TIME, STALL_CHECKS, SidecarClient, ready
 from millgw.standins.deduplication import DeduplicationGroup
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint
@@ -27,6 +26,7 @@
 from millgw.standins.ledger import AttemptOutcome, Call, End, Ledger
 from millgw.standins.request_check import answer_digest
 from millgw.standins.scripted import ScriptedEndpoint, answer_with, never_answer, read_message
+from millgw.standins.sidecar_client import LATE_ANSWER_TIME, STALL_CHECKS, SidecarClient, ready
 from tests.kinds import skip_if_pure
 from tests.rig import run, wait_until
 
