--- a/millgw/standins/ledger.py
+++ b/millgw/standins/ledger.py
@@ -301,7 +301,8 @@
 def shift_times(ledger: Ledger, by: float) -> None:
     """Shift all times by `by` ms, as the stand-ins start before the rehearsal's time 0 is known."""
     for records in (
-        ledger.attempts, ledger.calls, ledger.sent_statuses, ledger.status_changes, ledger.discovery_queries, ledger.outages,
+        ledger.attempts, ledger.calls, ledger.sent_statuses, ledger.status_changes, ledger.discovery_queries,
+        ledger.outages,
         ledger.lives, ledger.handshakes, ledger.sidecars, ledger.samples, ledger.injected,
         ledger.sent_away, ledger.upgrades, ledger.control, ledger.proposed, ledger.version_looks,
         ledger.version_reports,
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -194,7 +194,7 @@
 
 
 def test_a_sidecar_that_refuses_what_it_should_apply_is_found() -> None:
-    finding = found(books(), replace(RULES, refusing=frozenset()))
+    finding = found(books(), replace(RULES, refusing_sidecars=frozenset()))
     assert finding.kinds == {"a version was refused that others apply: no": 1}
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -89,7 +89,7 @@
 class NoGaps(Freshness):
     """As it was next: what changes between a watch and the next call, or under that, was not thought of."""
 
-    def _word_holds_until(self) -> float:
+    def _last_message_valid_until(self) -> float:
         return max(self.heard_at, self.watch_lost_at) + KNOWN_AFTER_MS
 
 
@@ -110,7 +110,7 @@
 class LateFailure(Freshness):
     """A call that failed lengthened what was over by then."""
 
-    def _word_holds_until(self) -> float:
+    def _last_message_valid_until(self) -> float:
         if self.failures and not self.moved:
             return self.heard_at + KNOWN_AFTER_MS
         return super()._last_message_valid_until()
