--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -1,4 +1,4 @@
-"""Peers that hold the key and send false reports to the sidecars at the front."""
+"""Byzantine peers: they hold the shared key and send false reports to the front sidecars."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ByzantinePeers:
-    """The false peers of one day, and the endpoints that they report on."""
+    """The byzantine peers of one day, and the endpoints that they report on."""
 
     def __init__(
         self, scenario: Scenario, files: OperatorFiles, endpoints: dict[str, Endpoint], clock: Clock
@@ -30,7 +30,7 @@
         self.running: list[Peers] = []
 
     async def start(self) -> None:
-        """Let them join the sidecars at the front."""
+        """Start the peers and join them to the front sidecars."""
         peers = self.scenario.peers
         if peers is None:
             return
@@ -46,7 +46,7 @@
             peer.stop()
 
     def _first_tier(self) -> list[tuple[Listing, bool]]:
-        """The first tier's endpoints, and which of them are cold."""
+        """The running endpoints of the first tier, each with whether it is cold."""
         up = (endpoint for endpoint in self.endpoints.values() if endpoint.build.tier == 1 and endpoint.up)
         return list(self._with_coldness(up))
 
--- a/millgw/rehearsal/configuration_changes.py
+++ b/millgw/rehearsal/configuration_changes.py
@@ -1,4 +1,4 @@
-"""The versions that are proposed during a day: bounds within what the day allows."""
+"""Proposes configuration versions during a day, within the limits that the scenario allows."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from millgw.standins.ledger import Ledger
 
 ENTRY = "settings"
-CLASSES_EVERY = 3  # each third version names the classes, which some sidecars may refuse
-LONGER = 0.01  # of a deadline, by which the versions that name the classes differ
-DIFFERENT = 5  # deadlines that are proposed in turn
-PROPOSAL_TIME = 5.0  # s for a proposal to be committed, after which the next one follows
+CLASSES_EVERY = 3  # each third version sets the classes, which some sidecars reject
+LONGER = 0.01  # share of a deadline by which successive versions that set the classes differ
+DIFFERENT = 5  # number of distinct deadlines, proposed in rotation
+PROPOSAL_TIME = 5.0  # s to wait for a commit before the next proposal
 AUTHOR = "rehearsal"
 
 
 def change(scenario: Scenario, number: int) -> Change:
-    """The change of a day's proposal: one attempt less or as many as the day has, or longer deadlines."""
+    """The change of a proposal: the scenario's attempts or one less, and on each third longer deadlines."""
     attempts = max(1, scenario.limits.attempts - number % 2)
     value: dict[str, Any] = {"limits": {"tryLimit": attempts}}
     if number % CLASSES_EVERY == CLASSES_EVERY - 1:
@@ -35,7 +35,7 @@
 
 
 class Proposer:
-    """Proposes versions at the scenario's pace, and books how each ended."""
+    """Proposes versions at the scenario's rate and records the outcome of each."""
 
     def __init__(self, scenario: Scenario, control: ControlInstances, ledger: Ledger, clock: Clock) -> None:
         assert scenario.configuration is not None
@@ -46,7 +46,7 @@
         self.interval = 60_000 / scenario.configuration.changes_per_minute  # ms
 
     async def run(self) -> None:
-        """Propose until cancelled. One that is not committed in time is booked as that and not repeated."""
+        """Propose until cancelled. A proposal that is not committed in time is recorded and not repeated."""
         begun = self.clock()
         number = 0
         while True:
--- a/millgw/rehearsal/configuration_looks.py
+++ b/millgw/rehearsal/configuration_looks.py
@@ -1,4 +1,4 @@
-"""Looks at which version is in force at each sidecar, and at what control instances know of them."""
+"""Polls the version in force at each sidecar, and the control instances' reports about sidecars."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from millgw.standins.ledger import Ledger
 from millgw.top.door import Trouble, ask
 
-EVERY = 0.2  # s between two looks
+EVERY = 0.2  # s between two polls
 FIGURES_PATH = "/-/metrics"
 
 
 class ConfigurationLooks:
-    """Books what each sidecar's door tells, and each change of what control knows."""
+    """Records the version at each sidecar's control address, and each change in the control's reports."""
 
     def __init__(
         self, control: ControlInstances, sidecars: Mapping[str, Sidecar], ledger: Ledger, clock: Clock
@@ -32,7 +32,7 @@
         self.reported: dict[str, tuple[int, int]] = {}  # applied and refused, by sidecar
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Poll until cancelled."""
         while True:
             begun = self.clock()
             await asyncio.gather(self._control(), *(self._look(each) for each in self.sidecars.values()))
@@ -45,7 +45,7 @@
         asked = self.clock()
         try:
             status, answer = await ask(current.door, FIGURES_PATH)
-        except Trouble:  # it is about to end, or not up yet: the next look tells
+        except Trouble:  # ending or not up yet: the next poll tries again
             return
         figures = _configuration(answer) if status == 200 else None
         if figures is None:
@@ -69,6 +69,6 @@
 
 
 def _configuration(answer: bytes) -> dict[str, Any] | None:
-    """The figures of the configuration, where the door tells any."""
+    """The configuration section of a metrics answer, or None where it has none."""
     figures: dict[str, Any] | None = json.loads(answer).get("configuration")
     return figures
--- a/millgw/rehearsal/control_instances.py
+++ b/millgw/rehearsal/control_instances.py
@@ -1,4 +1,4 @@
-"""A day's control instances: real processes on loopback, each with its store in the run's folder."""
+"""A day's control instances: real processes on loopback, each with its store in the day's directory."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger
 
-ANSWER_TIME = 1.0  # s for an instance's status
+ANSWER_TIME = 1.0  # s to wait for an instance's status
 LEADER = "leader"
 
 
@@ -35,7 +35,7 @@
 
 
 class ControlInstances:
-    """The voters of one day. They are ended by SIGKILL only, and start again on the stores that they had."""
+    """The voters of one day. They are only ever ended by SIGKILL, and restart on their existing stores."""
 
     def __init__(self, count: int, folder: Path, keeper: Keeper, ledger: Ledger, clock: Clock) -> None:
         self.addresses = {f"control-{number}": free_address() for number in range(1, count + 1)}
@@ -44,25 +44,25 @@
         self.ledger = ledger
         self.clock = clock
         self.running: dict[str, ControlProcess] = {}
-        self.known: set[str] = set()  # those that were started before: their stores are made
+        self.known: set[str] = set()  # started before, so their stores exist and --create is not passed
 
     @property
     def all(self) -> tuple[Address, ...]:
-        """Where all instances are found, also those that don't run."""
+        """The addresses of all instances, including those that are not running."""
         return tuple(self.addresses.values())
 
     async def start_all(self) -> None:
-        """Start those that don't run and wait until one leads; a NotReady tells that none does."""
+        """Start those that are not running and wait for a leader; raises NotReady if none emerges."""
         await asyncio.gather(*(self.start(name) for name in self.addresses))
         try:
             async with asyncio.timeout(READY_TIME):
                 while await self.leader() is None:
                     await asyncio.sleep(READY_EVERY)
         except TimeoutError:
-            raise NotReady(f"no control instance leads after {READY_TIME:.0f} s") from None
+            raise NotReady(f"no control instance became leader within {READY_TIME:.0f} s") from None
 
     async def start(self, name: str) -> None:
-        """Start an instance, unless it runs, and wait until it answers or is killed."""
+        """Start an instance, unless it is running, and wait until it answers or is killed."""
         if name in self.running:
             return
         directory = self.folder / name
@@ -98,7 +98,7 @@
                 life.ready = self.clock()
                 return
             if name not in self.running or self.clock() > end:
-                raise NotReady(f"{name} does not serve")
+                raise NotReady(f"control instance {name} does not answer")
             await asyncio.sleep(READY_EVERY)
 
     async def _wait(self, name: str, process: asyncio.subprocess.Process) -> None:
@@ -107,18 +107,18 @@
         self.running.pop(name, None)
 
     async def leader(self) -> str | None:
-        """The name of the instance that leads with a quorum, if one says so."""
+        """The name of the instance that reports that it leads with a quorum, if there is one."""
         status = await self.status()
         leading = [each.name for each in status.instances if each.role == LEADER and each.quorum]
         return leading[0] if leading else None
 
     async def status(self) -> FleetStatus:
-        """What those that run tell together."""
+        """The merged status of the running instances."""
         running = [self.addresses[name] for name in self.running]
         return await fetch_status(running, ANSWER_TIME)
 
     async def kill(self, name: str) -> None:
-        """SIGKILL, and its end."""
+        """Send SIGKILL and wait for the exit."""
         killed = self.running.get(name)
         if killed is None:
             return
@@ -129,7 +129,7 @@
         await asyncio.wait([killed.waiter])
 
     async def kill_all(self) -> list[str]:
-        """SIGKILL to all that run; returns their names."""
+        """Send SIGKILL to all running instances; returns their names."""
         names = list(self.running)
         await asyncio.gather(*(self.kill(name) for name in names))
         return names
--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -1,9 +1,9 @@
-"""A day's coordinator: endpoints register at a stand-in, and what it tells each sidecar is booked.
+"""A day's coordinator: a simulated ensemble where endpoints register, with a record of each sidecar's reads.
 
-Each sidecar connects at addresses of its own, so that the ledger knows who was told what. A node that ends by
-its owner's wish or death is word of an end once a list without it was written to a sidecar. One whose session
-a fault expired, while its owner serves, is none: no sidecar can know which, and the auditor holds nobody to
-it.
+Each sidecar connects at its own addresses, so that the ledger knows which sidecar received what. When a node
+goes because its owner left or died, the endpoint counts as reported terminated to a sidecar once a list
+without the node was written to that sidecar. A node whose session a fault expired while its owner serves does
+not count: sidecars can't tell the two cases apart, so the auditor doesn't hold them to it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Coordination:
-    """The coordinator of one day, and the sessions of the endpoints at it."""
+    """The coordinator of one day, and the endpoints' sessions with it."""
 
     def __init__(self, terms: Coordinator, ledger: Ledger, clock: Clock, seed: int) -> None:
         self.terms = terms
@@ -35,7 +35,7 @@
         self.sessions: dict[str, int] = {}
         self.lives: dict[str, int] = {}  # by node
         self.known: dict[tuple[str, str], set[str]] = {}  # by sidecar and directory
-        self.lapsed: set[str] = set()  # nodes of endpoints that serve, whose sessions a fault has expired
+        self.lapsed: set[str] = set()  # nodes of serving endpoints whose sessions a fault has expired
         self.connects: dict[str, str] = {}
         self.handles: list[asyncio.TimerHandle] = []
 
@@ -52,7 +52,7 @@
         await self.ensemble.stop()
 
     def operator(self, sidecar: str, tier: int) -> str:
-        """The operator's file of a sidecar that takes its membership from here."""
+        """The services part of the operator's file for a sidecar that uses this coordinator."""
         lines = ["[services.all]"]
         if self.terms.membership != "alone":
             lines.append(f'membership = "{self.terms.membership}"')
@@ -63,10 +63,10 @@
         ]  # fmt: skip
         return "\n".join(lines) + "\n"
 
-    # What endpoints do
+    # Actions of endpoints, and faults at their sessions
 
     def serve(self, endpoint: Endpoint, entry: Entry) -> None:
-        """An endpoint registers; an older node of its name goes with its session."""
+        """Register an endpoint; expires an older session of the same name, and its node with it."""
         node = self._node(endpoint)
         old = self.sessions.pop(endpoint.build.name, None)
         if old is not None:
@@ -81,13 +81,13 @@
             self.ensemble.write(node, self._data(entry))
 
     def leave(self, endpoint: Endpoint) -> None:
-        """Its session is closed in order."""
+        """Close an endpoint's session: its node is removed at once."""
         session = self.sessions.pop(endpoint.build.name, None)
         if session is not None:
             self.ensemble.expire(session)
 
     def die(self, endpoint: Endpoint) -> None:
-        """Its process is gone: the node lingers until its session's time is over."""
+        """An endpoint's process is gone: its node stays until the session times out."""
         session = self.sessions.get(endpoint.build.name)
         if session is not None:
             loop = asyncio.get_running_loop()
@@ -100,7 +100,7 @@
             self.ensemble.expire(session)
 
     def expire(self, endpoint: Endpoint) -> None:
-        """A fault: its session expires, whatever it does."""
+        """A fault: an endpoint's session expires, even while it serves."""
         session = self.sessions.pop(endpoint.build.name, None)
         if session is not None:
             if endpoint.up:
@@ -108,7 +108,7 @@
             self.ensemble.expire(session)
 
     def forget_all(self) -> None:
-        """A fault: it restarts with nothing; who serves has to register again."""
+        """A fault: the coordinator restarts empty; serving endpoints have to register again."""
         self.lapsed |= {node for node in self.lives if node in self.ensemble.tree.nodes}
         self.sessions.clear()
         self.ensemble.restart_empty()
@@ -119,11 +119,12 @@
 
     @staticmethod
     def _data(entry: Entry) -> bytes:
-        # Warm ones started long ago, which 0 does not say: it leaves the start to the node's creation.
+        # Warm endpoints have since_ms 0, which readers replace by the node's creation time and so take them
+        # for cold; 1 says that they started long ago.
         said = {"since_ms": max(1, entry.since_ms), "instance": f"{entry.name} {entry.life}"}
         return json.dumps(entry.json() | said).encode()
 
-    # What sidecars were told
+    # Records of what sidecars received
 
     def _told(self, sidecar: str, path: str, names: tuple[str, ...] | None, data: bytes) -> None:
         now, book = self.clock(), self.ledger.words.append
--- a/millgw/rehearsal/day_process.py
+++ b/millgw/rehearsal/day_process.py
@@ -1,4 +1,4 @@
-"""Plays days in processes of their own, several at once."""
+"""Plays days in child processes, several at once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PlayResult:
-    """What one play came to: its exit code, service, broken rules and the first kind of breach."""
+    """The result of one play: exit code, service, broken rules and the first kind of breach."""
 
     code: int
     service: float
@@ -26,18 +26,18 @@
 
 
 UNPLAYED = PlayResult(4, 1.0, frozenset(), "")
-"""In the place of a play that came to nothing."""
+"""The result of a play that could not be carried out."""
 
 
 class DayPlayer:
-    """Plays at most `jobs` days at once; `run` starts a sidecar, None for the daemon."""
+    """Plays at most `jobs` days at once; `run` is the command of a sidecar, None for the daemon."""
 
     def __init__(self, run: str | None, jobs: int, say: Callable[[str], None]) -> None:
         self.run = run
         self.gate = asyncio.Semaphore(jobs)
         self.say = say
         self.plays = 0
-        self.unplayed: list[str] = []  # why
+        self.unplayed: list[str] = []  # the reason of each
 
     async def play(self, scenario: Scenario, logs: Path | None = None) -> PlayResult:
         """Play a day; its sidecars' logs are kept in `logs`."""
@@ -53,14 +53,14 @@
                     command += ["--logs", str(logs)]
                 code, said = await self._start(command)
                 if code not in (0, 1, 3):
-                    # One day that can't be played says nothing, and must not end a long search.
+                    # A day that can't be played proves nothing, and must not end a long search.
                     self.unplayed.append(said.strip().split("\n")[-1])
                     self.say(f"could not be played: {self.unplayed[-1]}")
                     return UNPLAYED
                 return _read(code, json.loads(report.read_text())["days"][0])
 
     async def _start(self, command: list[str]) -> tuple[int, str]:
-        """Run it to its end; its exit code and what it wrote to standard error."""
+        """Run a command to its end; returns its exit code and standard error."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, *command, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE
         )
--- a/millgw/rehearsal/demo.py
+++ b/millgw/rehearsal/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: a small fleet on one machine that a person can call, with one fault to watch."""
+"""The demo command: a small local fleet that a user can send requests to, with one fault to watch."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def scenario(once: bool) -> Scenario:
-    """Six endpoints of one tier behind one sidecar; one of them falls silent and comes back cold."""
+    """Six endpoints of one tier behind one sidecar; one of them stops answering and comes back cold."""
     return check(
         Scenario(
             about="one of six endpoints falls silent for five seconds and comes back cold",
@@ -38,7 +38,7 @@
 
 
 def curl(address: Address) -> str:
-    """A line that works as pasted, as often as one likes."""
+    """A curl command line that can be pasted repeatedly: each run gets a new trace id."""
     return (
         f"curl -i -X POST 'http://{address}/api?k=me' -H 'X-Qos: codigo-acesso' -H 'X-Customer: rede-pampa'"
         " -H 'X-Expires-In-Ms: 2000' -H \"X-Trace-Id: $(date +%s%N)\""
@@ -46,12 +46,12 @@
 
 
 def play(once: bool, port: int) -> Day:
-    """Show it, and what the auditor says of it."""
+    """Play the demo day and return it with its audit."""
     return uvloop.run(_show(once, _free(port)))
 
 
 def _free(port: int) -> Address:
-    """The address asked for, or the next one that is free; an OSError where none is near."""
+    """The requested port or the next free one of 20; raises OSError if there is none."""
     for number in range(port, min(port + 20, 65536)):
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -79,7 +79,7 @@
 
 
 async def _tell(testbed: Testbed, address: Address, once: bool) -> None:
-    """A line a second on what callers got."""
+    """Print a line each second on the results of calls and attempts."""
     while not testbed.zero:
         await asyncio.sleep(0.05)
     end = f"it ends by itself after {ONCE_S:g} s" if once else "Ctrl-C ends it"
--- a/millgw/rehearsal/fleet.py
+++ b/millgw/rehearsal/fleet.py
@@ -1,4 +1,4 @@
-"""What the stand-in endpoints of a scenario's tiers are made of."""
+"""Builds the options of the simulated endpoints of a scenario's tiers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def tier_sizes(scenario: Scenario) -> tuple[int, ...]:
-    """Endpoints of each tier. Services are tiers beside each other: no endpoint calls another's."""
+    """Number of endpoints per tier. Services are parallel tiers: no service's endpoints call another's."""
     return tuple(service.endpoints for service in scenario.services) or scenario.fleet.tier_sizes()
 
 
@@ -20,7 +20,7 @@
 
 
 def tasks_of_tier(scenario: Scenario, tier: int) -> dict[str, Task]:
-    """What each class costs an endpoint of a tier."""
+    """What a request of each class costs an endpoint of a tier."""
     return {cls.name: _task(scenario, tier, cls) for cls in scenario.classes}
 
 
--- a/millgw/rehearsal/former_names.py
+++ b/millgw/rehearsal/former_names.py
@@ -1,4 +1,4 @@
-"""Names that scenario files and commands used before, accepted for one release."""
+"""Deprecated names in scenario files and commands, still accepted for one release."""
 
 from __future__ import annotations
 
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -1,4 +1,4 @@
-"""The plain front layer, and the clients behind it: who goes where, and what they do about failures."""
+"""The simulated front load balancer, and the clients behind it with their retry behaviour."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Call, End, Ledger, SentAway
 
-NOTICE = (1.2, 3.7)  # s after which the front notices that a sidecar has died
-LEAVING = (0.2, 0.4)  # s after SIGTERM for which new connections go on coming
-LOOK_EVERY = 0.1  # s between two looks at /ready of a sidecar that was told to send clients away
-HEEDED = 0.2  # s after a no until no new connections come
-LEAST = 20.0  # ms that must be left for a try to be made
-INSIST_EVERY = 150.0  # ms between two tries of a client that insists
-PAUSE = 50.0  # ms before a client that found no connection tries again
+NOTICE = (1.2, 3.7)  # s (range) until the front notices that a sidecar has died
+LEAVING = (0.2, 0.4)  # s (range) after SIGTERM during which new connections still arrive
+LOOK_EVERY = 0.1  # s between two checks of /ready of a sidecar that is draining its clients
+HEEDED = 0.2  # s after /ready says no until new connections stop
+LEAST = 20.0  # ms that must be left before the deadline for an attempt to be made
+INSIST_EVERY = 150.0  # ms between two attempts of a client that repeats at the same sidecar
+PAUSE = 50.0  # ms before a client that got no connection tries again
 
 
 class Front:
-    """Deals out connections among the sidecars that it holds to be in service."""
+    """Distributes requests at random among the sidecars that it considers in service."""
 
     def __init__(self, sidecars: Sequence[Sidecar], seed: int) -> None:
         self.rng = random.Random(f"front {seed}")
@@ -37,19 +37,19 @@
         self._later(NOTICE, lambda: self._notice(sidecar.desk))
 
     def _notice(self, desk: Desk) -> None:
-        """Otherwise one that is back before it was missed would never be put back."""
+        """Drop a sidecar unless it is back already: nothing would put it into service a second time."""
         if desk in self.dead:
             self._drop(desk)
 
     def leaves(self, sidecar: Sidecar) -> None:
-        """It was told to end: clients go on using the connections that they have."""
+        """A sidecar got SIGTERM: clients keep using the connections that they have."""
         self.leaving.append(sidecar.desk)
         self._later(LEAVING, lambda: self._drop(sidecar.desk))
 
     async def watch(self, sidecar: Sidecar, seen: SentAway, clock: Clock) -> None:
-        """Look at /ready of a sidecar that sends clients away until it takes them again.
+        """Poll /ready of a sidecar that sends clients away until it accepts them again.
 
-        Clients go on using the connections that they have.
+        Clients keep using the connections that they have.
         """
         while seen.until is None or seen.yes_at is None:
             said = await ready(sidecar.listen)
@@ -81,14 +81,14 @@
         asyncio.get_running_loop().call_later(self.rng.uniform(*after), do)
 
     def pick(self) -> Desk | None:
-        """Where the next request goes."""
+        """The sidecar for the next request; None if there is none."""
         held = [d for d in self.leaving if d.idle and d not in self.taking]
         among = self.taking + held
         return self.rng.choice(among) if among else None
 
 
 class Clients:
-    """All clients: each arrival is a request with its retries, and waits for no other."""
+    """All clients: each arrival is a request with its retries, independent of the others."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
         self.journeys: set[asyncio.Task[None]] = set()
 
     async def play(self, arrivals: Sequence[Arrival], zero: float) -> None:
-        """Send each arrival at its time; the open loop waits for nothing but the clock."""
+        """Send each arrival at its time (open-loop load: earlier requests are not waited for)."""
         loop = asyncio.get_running_loop()
         for arrival in arrivals:
             due = zero + arrival.at
@@ -162,7 +162,7 @@
         return random.Random(f"insists {self.seed} {arrival.number}").random() < self.insist
 
     async def _again_and_again(self, call: Call, end: float) -> None:
-        """Ask the same sidecar for the same request until it answers, as a client may who heard nothing."""
+        """Repeat a request at the same sidecar until it answers, as a client may that got no answer."""
         desks = [d for d in (*self.front.taking, *self.front.leaving) if d.name == call.sidecar]
         while desks and call.end in (End.BROKEN, End.NOT_TAKEN) and end - self.clock() > 2 * INSIST_EVERY:
             await asyncio.sleep(INSIST_EVERY / 1000)
@@ -189,7 +189,7 @@
 
 
 async def ask(desk: Desk, call: Call, ledger: Ledger) -> Call:
-    """Make a call; one that a close has crossed goes once more. Returns the last record of it."""
+    """Make a call, once more if a close crossed the request; returns the last record of it."""
     call.sidecar = desk.name
     ledger.book(call)
     await desk.ask(call)
@@ -202,7 +202,7 @@
 
 
 def copy(call: Call, due: float, patience: float) -> Call:
-    """The same request, to be made once more."""
+    """The same request as a new call."""
     return Call(
         call.trace, call.root, call.stage, call.cls, call.tenant, call.key, call.sidecar, due,
         patience=float(int(patience)), method=call.method, number=call.number, host=call.host,
@@ -211,7 +211,7 @@
 
 
 def again(call: Call, cls: Class) -> bool:
-    """Whether a client tries again: what may have run only where that does no harm."""
+    """Whether a client retries: what may have run is retried only if its class allows repeats."""
     if call.end is End.LEFT:
         return False
     if call.end is End.NOT_TAKEN or call.status in (429, 503):
--- a/millgw/rehearsal/keeper.py
+++ b/millgw/rehearsal/keeper.py
@@ -1,7 +1,7 @@
-"""The keeper: outlives the rig by a moment and ends what it started, however the rig ended.
+"""Cleanup process: kills the rig's remaining child processes after the rig has ended, however it ended.
 
-It reads `+PID` and `-PID` lines from the rig. At the end of its input, also that of a rig that was killed, it
-kills the process groups that are left and removes the rig's folder.
+It reads `+PID` and `-PID` lines from the rig. At the end of its input, which comes even when the rig is
+killed, it kills the remaining process groups and removes the rig's directory.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class Keeper:
-    """The rig's side: a pipe to the keeper's process."""
+    """The rig's side: a pipe to the cleanup process."""
 
     def __init__(self, folder: str) -> None:
         self.process = subprocess.Popen(
             [sys.executable, "-S", "-E", __file__, folder],
             stdin=subprocess.PIPE,
             stdout=subprocess.DEVNULL,
-            start_new_session=True,  # guards against a Ctrl-C that reaches it too
+            start_new_session=True,  # otherwise a Ctrl-C ends it along with the rig
         )
         assert self.process.stdin is not None
         self.pipe: IO[bytes] = self.process.stdin
@@ -39,7 +39,7 @@
         self.pipe.flush()
 
     def close(self) -> None:
-        """End all that is left and the folder, and wait for that."""
+        """Kill the remaining processes, remove the directory, and wait until that is done."""
         self.pipe.close()
         self.process.wait()
 
--- a/millgw/rehearsal/operator_files.py
+++ b/millgw/rehearsal/operator_files.py
@@ -1,4 +1,4 @@
-"""The operator's files that a day's sidecars are started with."""
+"""Generates the operator's file that each sidecar of a day is started with."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from millgw.standins.address import free_address
 from millgw.standins.discovery_server import DiscoveryServer
 
-DOMAIN = "rehearsal.example"  # of the services' hosts
-JOIN = 3  # sidecars of its stage that each is told to learn from
+DOMAIN = "rehearsal.example"  # domain of the services' host names
+JOIN = 3  # number of peers of the same stage that each sidecar is given to join
 
 
 class OperatorFiles:
-    """Writes the file of each sidecar: connections, services at the front, peers, store, configuration.
+    """Generates the file of each sidecar: connections, services, peers, store, configuration, places.
 
-    `control` are the control instances of a day that has some.
+    `control` holds the addresses of the day's control instances, if it has any.
     """
 
     def __init__(
@@ -34,22 +34,22 @@
         self.scenario = scenario
         self.control = tuple(control)
         self.discovery_server = discovery_server
-        self.peers: dict[int, dict[str, Address]] = {}  # where sidecars find each other, by stage
+        self.peers: dict[int, dict[str, Address]] = {}  # peer addresses by stage and sidecar
         self.key = folder / "peers.key"
         if scenario.peers is not None:
             self.key.write_text(random.Random(f"key {scenario.seed}").randbytes(16).hex())
 
     def add_peer(self, sidecar: Sidecar) -> None:
-        """Give a sidecar an address where its peers find it, on a day with peers."""
+        """Allocate a sidecar's peer address, on a day with peers."""
         if self.scenario.peers is not None:
             self.peers.setdefault(sidecar.stage, {})[sidecar.name] = free_address()
 
     def joined(self, stage: int) -> tuple[Address, ...]:
-        """The peers that each sidecar of a stage is told to learn from."""
+        """The peer addresses that each sidecar of a stage is given to join."""
         return tuple(list(self.peers[stage].values())[:JOIN])
 
     def text(self, sidecar: Sidecar, without: str = "") -> str:
-        """The file of a sidecar, with all services but the one named by `without`."""
+        """The file of a sidecar, with all services except `without`."""
         lines = [
             connections_toml(self.scenario),
             self._peers_toml(sidecar),
@@ -66,7 +66,7 @@
         return "\n".join(lines)
 
     def _peers_toml(self, sidecar: Sidecar) -> str:
-        """How a sidecar learns from those of its stage."""
+        """The [peers] table: sidecars learn from those of their own stage."""
         peers = self.scenario.peers
         if peers is None:
             return ""
@@ -82,7 +82,7 @@
         )
 
     def _store_toml(self, sidecar: Sidecar) -> str:
-        """Where a sidecar marks unsafe calls, through all its processes."""
+        """The [store] table: where a sidecar records unsafe calls, across all its processes."""
         store = self.scenario.store
         if store is None:
             return ""
@@ -90,7 +90,7 @@
         return f'[store]\ndirectories = {json.dumps(directories)}\nsync = "{store.sync}"'
 
     def _places_toml(self, sidecar: Sidecar) -> str:
-        """Where a sidecar is: in the zone of its endpoint, or in one of the front's."""
+        """The [places] table: the zone of the sidecar's endpoint, or one of the front's zones."""
         zones = self.scenario.zones
         if zones is None or not zones.places:
             return ""
@@ -99,7 +99,7 @@
         return "\n".join(["[places]", f'zone = "{zone}"', "[places.regions]", *regions])
 
     def _configuration_toml(self, sidecar: Sidecar) -> str:
-        """Whose versions a sidecar follows, and where it keeps the last good one."""
+        """The [configuration] table: the control instances, and where the last good version is kept."""
         if not self.control:
             return ""
         instances = [str(address) for address in self.control]
--- a/millgw/rehearsal/processes.py
+++ b/millgw/rehearsal/processes.py
@@ -1,4 +1,4 @@
-"""How the rig starts a process that never outlives it."""
+"""Starts child processes that never outlive the rig."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from millgw.rehearsal.keeper import Keeper
 
 HELD_BACK = 'read -r go && exec /bin/sh -c "$1" </dev/null'
-"""Waits for a line before it becomes the program. Where the rig is killed before the keeper knows of the
-process, nothing comes and the process ends by itself."""
+"""Waits for a line before it execs the program. If the rig is killed before the cleanup process knows of this
+one, no line arrives and the process exits by itself."""
 
 
 async def spawn(
     command: str, environ: Mapping[str, str], log: Path, keeper: Keeper
 ) -> asyncio.subprocess.Process:
-    """Start a shell command as a process group of its own that the keeper knows of; `log` is appended to."""
+    """Start a shell command as a process group known to the cleanup process; output is appended to `log`."""
     with log.open("ab") as output:
         process = await asyncio.create_subprocess_exec(
             "/bin/sh", "-c", HELD_BACK, "rig", command, env=environ, stdin=asyncio.subprocess.PIPE,
--- a/millgw/rehearsal/sampler.py
+++ b/millgw/rehearsal/sampler.py
@@ -1,4 +1,4 @@
-"""What the rig measures of itself and of the machine while a day is on."""
+"""Samples event-loop lag, CPU starvation of sidecars and CPU use while a day runs."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger, Sample
 
-EVERY = 0.05  # s between two looks at the loop's lag
-CORES_EVERY = 10  # of them, between two looks at cores and processes
+EVERY = 0.05  # s between two samples of the event loop's lag
+CORES_EVERY = 10  # samples of the lag for each sample of cores and processes
 
 
 class Sampler:
-    """Books a `Sample` at each look. `lag` is how much later than asked the loop woke it."""
+    """Records a `Sample` at each interval. `lag` is how much later than requested the event loop woke it."""
 
     def __init__(self, ledger: Ledger, clock: Clock, sidecars: Sequence[Sidecar]) -> None:
         self.ledger = ledger
@@ -42,7 +42,7 @@
         return self.ledger.samples[-1].busy if self.ledger.samples else 0.0
 
     def _starved(self) -> dict[str, float]:
-        """How long each sidecar waited for a core since the look before (ms)."""
+        """How long each sidecar waited for a core since the last sample (ms)."""
         starved: dict[str, float] = {}
         for sidecar in self.sidecars:
             if sidecar.pid is None:
@@ -60,7 +60,7 @@
 
 
 def _ticks() -> tuple[int, int]:
-    """Ticks of all cores in use, and all, since the machine began."""
+    """Busy and total CPU ticks of all cores since boot."""
     try:
         figures = [int(x) for x in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:9]]
     except (OSError, ValueError):
@@ -69,7 +69,7 @@
 
 
 def own_memory() -> int:
-    """The most that this process has held (kB)."""
+    """Peak resident memory of this process (kB)."""
     try:
         for line in Path(f"/proc/{os.getpid()}/status").read_text().splitlines():
             if line.startswith("VmHWM:"):
--- a/millgw/rehearsal/scenario.py
+++ b/millgw/rehearsal/scenario.py
@@ -1,7 +1,7 @@
-"""What a scenario file says: fleet, traffic, discovery and faults, as typed tables.
+"""Schema of scenario files: fleet, traffic, discovery and faults, as typed tables.
 
-Shares are of 1, `_s` fields are seconds, `_ms` fields milliseconds. A file that can't be used raises a
-`ScenarioError` with its name, the line where that can be known, the key's path and what is wrong.
+Shares are fractions of 1, `_s` fields are seconds, `_ms` fields milliseconds. An invalid file raises a
+`ScenarioError` with the file's name, the line where it is known, the key's path and what is wrong.
 """
 
 from __future__ import annotations
@@ -68,23 +68,23 @@
 
 
 class ScenarioError(FileError):
-    """The scenario can't be played; the text names file, line and key."""
+    """The scenario is invalid; the text names file, line and key."""
 
 
 class Speed(Table, frozen=True, kw_only=True):
-    """A kind of endpoint: its share of each tier and its speed against the yardstick."""
+    """A kind of endpoint: its share of each tier, and its speed relative to the reference speed of 1."""
 
     share: Part
     speed: Positive
 
 
 class Fleet(Table, frozen=True, kw_only=True):
-    """Endpoints in the first tier, the tiers' sizes against it, and the sidecars of all stages together.
+    """Endpoints in the first tier, the tiers' sizes relative to it, and the sidecars of all stages together.
 
-    Each endpoint of every tier but the last has a sidecar of its own; the others stand at the front.
-    `idle_s` is what sidecars are told that idle connections are kept for; endpoints really do so for
-    `idle_part` of it, or a random part of that, and close one without a word after `uses` answers (0: never
-    for that).
+    Each endpoint of every tier but the last has its own sidecar; the remaining sidecars are at the front.
+    `idle_s` is the idle timeout of connections that sidecars are given. Endpoints really keep idle
+    connections for `idle_part` of it, or a random part of that, and close a connection without notice after
+    `uses` answers (0: no limit).
     """
 
     endpoints: Count = 6
@@ -118,15 +118,15 @@
         return tuple(max(1, round(self.endpoints * size)) for size in self.tiers)
 
     def owned(self) -> int:
-        """Sidecars that belong to endpoints."""
+        """The number of sidecars that belong to endpoints."""
         return sum(self.tier_sizes()[:-1])
 
 
 class Class(Table, frozen=True, kw_only=True):
-    """A class of requests, in the operators' words: `retryable`, `dedup` (carries a key) or `fragile`.
+    """A class of requests. `repeat` is `retryable`, `dedup` (carries a key) or `fragile` (must not repeat).
 
-    `body_kb` and `answer_kb` are of its requests' bodies and the first tier's answers; clients write the one
-    and read the other, and endpoints write it, at `pace_kb_s` (0: as fast as it goes).
+    `body_kb` and `answer_kb` are the sizes of its request bodies and of the first tier's answers. Clients
+    write bodies and read answers, and endpoints write answers, at `pace_kb_s` (0: unlimited).
     """
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]*$", max_length=64)]
@@ -151,10 +151,10 @@
 
 
 class Traffic(Table, frozen=True, kw_only=True):
-    """What clients ask and do. `rate` is in first tries a second.
+    """Client behaviour. `rate` is in first attempts per second.
 
-    A share `insist` of the clients of `fragile` requests, whose connection ended without an answer, ask the
-    same sidecar for the same one again, under its trace, until it answers or their time is over.
+    Of the clients whose `fragile` request ended with a lost connection and no answer, the share `insist`
+    repeats it at the same sidecar, under the same trace id, until it answers or the deadline passes.
     """
 
     rate: Positive = 40.0
@@ -170,7 +170,7 @@
 
 
 class Discovery(Table, frozen=True, kw_only=True):
-    """How late the discovery server is, and what it can do."""
+    """Delays and capacity of the discovery server."""
 
     notice_s: Range = (0.5, 2.0)
     silent_s: Range = (3.0, 6.0)
@@ -183,7 +183,8 @@
 class Coordinator(Table, frozen=True, kw_only=True):
     """A ZooKeeper-style coordinator at which endpoints register, and sidecars' sessions at it.
 
-    `membership` is how sidecars use it: `alone`, or beside discovery as the operator's file words it.
+    `membership` is how sidecars use it: `alone`, or combined with discovery by that value of the operator's
+    file.
     """
 
     faces: Annotated[int, Meta(ge=1, le=3)] = 3
@@ -192,9 +193,10 @@
 
 
 class Peers(Table, frozen=True, kw_only=True):
-    """Sidecars of one stage learn from each other (docs/peers.md); `byzantine` others hold the key too.
+    """Sidecars of one stage learn from each other (docs/peers.md).
 
-    `within_ms` is what a start waits to learn.
+    `byzantine` is the number of further peers that hold the key and send false reports. `within_ms` is how
+    long a starting sidecar waits for its peers' state.
     """
 
     within_ms: NotNegative = 300.0
@@ -202,7 +204,7 @@
 
 
 class Store(Table, frozen=True, kw_only=True):
-    """Each sidecar marks unsafe calls in a store of its own before they are sent (docs/store.md)."""
+    """Each sidecar records unsafe calls in its own store before it sends them (docs/store.md)."""
 
     sync: Literal["each", "group", "interval"] = "group"
     mirrors: Annotated[int, Meta(ge=1, le=2)] = 1
@@ -211,7 +213,7 @@
 class Configuration(Table, frozen=True, kw_only=True):
     """Control instances whose versions all sidecars follow (docs/configuration.md), and changes to them.
 
-    Some sidecars at the front (`refusing`) can't apply a version that names the classes.
+    The first `refusing` front sidecars can't apply a version that sets the classes.
     """
 
     instances: Annotated[int, Meta(ge=1, le=7)] = 3
@@ -223,9 +225,10 @@
 
 
 class Zones(Table, frozen=True, kw_only=True):
-    """Where endpoints stand, zone by zone in turn, each with its sidecar; the front's in `front`, or alike.
+    """Endpoints, each with its sidecar, are assigned to `names` in turn; front sidecars to `front`.
 
-    Sidecars are told so by `[places]` (docs/locality.md), or with `places = false` are not.
+    An empty `front` means `names` too. With `places = false`, sidecars get no `[places]` table
+    (docs/locality.md).
     """
 
     names: Annotated[tuple[ZoneName, ...], Meta(min_length=1, max_length=64)] = ("a",)
@@ -238,13 +241,13 @@
         return self.names[index % len(self.names)]
 
     def of_front(self, index: int) -> str:
-        """The zone of a sidecar at the front."""
+        """The zone of a front sidecar."""
         zones = self.front or self.names
         return zones[index % len(zones)]
 
 
 class Limits(Table, frozen=True, kw_only=True):
-    """What each sidecar is given."""
+    """Resource and attempt limits of each sidecar."""
 
     memory_mb: Positive = 64.0
     sockets: Annotated[int, Meta(ge=64, le=65_536)] = 1024
@@ -256,7 +259,7 @@
 
 
 class Rules(Table, frozen=True, kw_only=True):
-    """The figures of the four rules."""
+    """The bounds that the four rules are judged by."""
 
     drain_grace_ms: Positive = 500.0
     fall_multiple: Positive = 2.5
@@ -267,11 +270,12 @@
 class Fault(Table, frozen=True, kw_only=True, rename={"cls": "class"}):
     """One fault. `share` is of the endpoints of `tier` (0: all) in `zone`, or of the front's sidecars.
 
-    `size` is the share of requests hit (fast-failure, resets, spoilt), times as slow (slowdown), times the
-    rate (crowd, of one class where `class` names it), connections to each sidecar (connections) or seconds
-    idle after which a connection is forgotten on the way, without a word (middlebox). With
-    `spacing_s` those hit follow one another. A reload takes the `service` that it names away and back.
-    `outage` is what calls to the discovery server meet while it is down.
+    The meaning of `size` depends on the kind: the share of requests hit (fast-failure, resets, spoilt), the
+    slowdown factor (slowdown), the rate factor (crowd, of the class named by `class` if there is one),
+    connections to each sidecar (connections), or seconds of idleness after which a middlebox silently drops
+    a connection's state (middlebox). With `spacing_s`, targets are hit one after the other. A reload removes
+    the `service` that it names and adds it back. `outage` is how calls to the discovery server fail while it
+    is down.
     """
 
     kind: FaultKind
@@ -292,7 +296,7 @@
 
 
 class Service(Table, frozen=True, kw_only=True):
-    """One of several services of a day: its classes, and endpoints of its own (0: none ever come)."""
+    """One of several services of a day: its classes and the number of its endpoints (0: never any)."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_-]*$", max_length=64)]
     classes: Annotated[tuple[str, ...], Meta(min_length=1)]
@@ -309,11 +313,11 @@
     "connections": (100.0, 10_000.0),
     "middlebox": (1.0, 600.0),
 }
-"""Kinds that have a size: what it is by default, and at the most."""
+"""Fault kinds that have a size: the default and the maximum."""
 
 
 class Scenario(Table, frozen=True, kw_only=True):
-    """A whole day."""
+    """A whole scenario: everything that one day is played from."""
 
     about: str = ""
     seconds: Annotated[float, Meta(ge=1.0, le=86_400.0)] = 20.0
@@ -353,16 +357,16 @@
     faults: tuple[Fault, ...] = ()
 
     def work_shares(self) -> tuple[float, ...]:
-        """The share of the work that each tier does; services beside each other do all of theirs."""
+        """The share of a request's work that each tier does; parallel services have the same share each."""
         return self.fleet.work[:1] * len(self.services) or self.fleet.work
 
     def request_share(self, cls: Class, tier: int) -> float:
-        """The share of a tier's requests that are of a class, against the other classes'."""
+        """The relative share of a class in a tier's requests; 0 where another service has the class."""
         elsewhere = self.services and cls.name not in self.services[tier - 1].classes
         return 0.0 if elsewhere else cls.share
 
 
 def refusing_sidecars(scenario: Scenario) -> frozenset[str]:
-    """The sidecars at the front that can't apply a version that names the classes."""
+    """The front sidecars that can't apply a version that sets the classes."""
     count = 0 if scenario.configuration is None else scenario.configuration.refusing
     return frozenset(f"n0-{number}" for number in range(count))
--- a/millgw/rehearsal/scenario_checks.py
+++ b/millgw/rehearsal/scenario_checks.py
@@ -1,4 +1,4 @@
-"""What no single field of a scenario can tell: how its tables fit together."""
+"""Validates a scenario across its tables, beyond what the types of single fields express."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 def check(scenario: Scenario) -> Scenario:
-    """What no single field can tell; a ValueError says it as `path: what`."""
+    """Return the scenario if it is consistent; otherwise raise ValueError as `path: problem`."""
     fleet = scenario.fleet
     sizes = len(fleet.tiers)
     if len(fleet.work) != sizes:
-        raise ValueError(f"fleet.work: has {len(fleet.work)} parts for {sizes} tiers")
+        raise ValueError(f"fleet.work: has {len(fleet.work)} shares for {sizes} tiers")
     if len(fleet.calls) < sizes - 1:
-        raise ValueError(f"fleet.calls: has {len(fleet.calls)} figures for the calls between {sizes} tiers")
+        raise ValueError(f"fleet.calls: has {len(fleet.calls)} numbers for the calls between {sizes} tiers")
     if fleet.sidecars <= fleet.owned():
         raise ValueError(
-            f"fleet.sidecars: {fleet.sidecars} leave none for the front: {fleet.owned()} belong to endpoints"
+            f"fleet.sidecars: {fleet.sidecars} leaves none for the front: {fleet.owned()} belong to endpoints"
         )
     for path, names in (
         ("classes", [c.name for c in scenario.classes]),
@@ -26,10 +26,10 @@
                 raise ValueError(f"{path}[{i}].name: {name!r} is given twice")
     for i, cls in enumerate(scenario.classes):
         if cls.aim_ms > cls.deadline_ms:
-            raise ValueError(f"classes[{i}].aim_ms: is over the deadline_ms of {cls.deadline_ms:g}")
+            raise ValueError(f"classes[{i}].aim_ms: exceeds the deadline_ms of {cls.deadline_ms:g}")
         if cls.repeat == "dedup" and cls.window_ms <= 0:
             raise ValueError(
-                f"classes[{i}].window_ms: a dedup class needs the time its repeats are known for"
+                f"classes[{i}].window_ms: a dedup class needs the time for which repeats are recognized"
             )
     _check_services(scenario)
     _check_configuration(scenario)
@@ -42,7 +42,7 @@
         ("discovery.add_s", scenario.discovery.add_s),
     ):
         if low > high:
-            raise ValueError(f"{path}: {low:g} to {high:g} is no range")
+            raise ValueError(f"{path}: {low:g} to {high:g} is not a range: the first is larger")
     for i, fault in enumerate(scenario.faults):
         _check_fault(f"faults[{i}]", fault, scenario)
     return scenario
@@ -59,12 +59,14 @@
             if name not in classes:
                 raise ValueError(f"services[{i}].classes[{j}]: there is no class {name!r}")
             if name in seen:
-                raise ValueError(f"services[{i}].classes[{j}]: {name!r} has a service already")
+                raise ValueError(f"services[{i}].classes[{j}]: {name!r} belongs to another service already")
             seen.add(name)
         if service.name in [s.name for s in scenario.services[:i]]:
             raise ValueError(f"services[{i}].name: {service.name!r} is given twice")
     if scenario.services and len(seen) < len(classes):
-        raise ValueError(f"services: class {next(c for c in classes if c not in seen)!r} has none")
+        raise ValueError(
+            f"services: class {next(c for c in classes if c not in seen)!r} belongs to no service"
+        )
 
 
 def _check_configuration(scenario: Scenario) -> None:
@@ -72,10 +74,12 @@
     if told is None or not told.refusing:
         return
     if scenario.services:
-        raise ValueError("configuration.refusing: a day with services has no sidecar with a class of its own")
+        raise ValueError("configuration.refusing: not supported on a day with services")
     front = scenario.fleet.sidecars - scenario.fleet.owned()
     if told.refusing >= front:
-        raise ValueError(f"configuration.refusing: {told.refusing} leave none of the front's {front}")
+        raise ValueError(
+            f"configuration.refusing: {told.refusing} must be less than the number of front sidecars, {front}"
+        )
 
 
 def _check_zones(scenario: Scenario) -> None:
@@ -87,7 +91,7 @@
     ).items():
         for name in names:
             if name not in zones.names:
-                raise ValueError(f"zones.{path}: {name!r} is none of the names")
+                raise ValueError(f"zones.{path}: {name!r} is not one of the names")
 
 
 def _check_fault(path: str, fault: Fault, scenario: Scenario) -> None:
@@ -96,9 +100,9 @@
     if fault.kind in SIZES:
         most = SIZES[fault.kind][1]
         if fault.size is not None and fault.size > most:
-            raise ValueError(f"{path}.size: {fault.kind} takes {most:g} at the most")
+            raise ValueError(f"{path}.size: {fault.kind} takes at most {most:g}")
         if fault.size is not None and fault.kind in ("slowdown", "crowd") and fault.size < 1:
-            raise ValueError(f"{path}.size: {fault.kind} takes 1 or more")
+            raise ValueError(f"{path}.size: {fault.kind} takes at least 1")
     elif fault.size is not None:
         raise ValueError(f"{path}.size: {fault.kind} has no size")
     tiers = len(scenario.services) or len(scenario.fleet.tiers)
@@ -108,17 +112,17 @@
         fault.kind != "crowd" or fault.cls not in [c.name for c in scenario.classes]
     ):
         raise ValueError(
-            f"{path}.class: names a class of a crowd, which {fault.cls!r} of {fault.kind} is not"
+            f"{path}.class: only a crowd takes a class, one of the scenario's; {fault.kind} has {fault.cls!r}"
         )
     named = fault.service in [s.name for s in scenario.services]
     if (fault.kind == "reload") != named or (fault.service is not None and not named):
-        raise ValueError(f"{path}.service: a reload names one of the services, and nothing else does")
+        raise ValueError(f"{path}.service: a reload names one of the services; other faults name none")
     if fault.kind.startswith("zk-") and scenario.coordinator is None:
         raise ValueError(f"{path}.kind: {fault.kind} hits a coordinator, and the day has none")
     if fault.kind in ON_CONTROL and scenario.configuration is None:
         raise ValueError(f"{path}.kind: {fault.kind} hits control instances, and the day has none")
     if fault.outage is not None and fault.kind not in OUTAGES:
-        raise ValueError(f"{path}.outage: {fault.kind} is no outage of the discovery server")
+        raise ValueError(f"{path}.outage: {fault.kind} is not an outage of the discovery server")
     if fault.zone is not None:
         if fault.kind not in ON_ENDPOINTS:
             raise ValueError(f"{path}.zone: {fault.kind} does not hit endpoints")
--- a/millgw/rehearsal/scenario_files.py
+++ b/millgw/rehearsal/scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenarios as TOML files: shipped ones and others are read, any is written."""
+"""Reads scenarios from TOML files, shipped or given by path, and writes them."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def parse(text: str, name: str) -> Scenario:
-    """A scenario from its text; `name` is what errors call it."""
+    """Parse a scenario; `name` is the file name for error messages."""
     current = former_names.with_current_names(text)
     return read(current, name, Scenario, check, ScenarioError)
 
 
 def shipped() -> dict[str, str]:
-    """The scenarios that come with the program: name and text."""
+    """The scenarios that come with the program: text by name."""
     folder = resources.files("millgw.rehearsal") / "scenarios"
     return {
         entry.name.removesuffix(".toml"): entry.read_text(encoding="utf-8")
@@ -31,7 +31,7 @@
 
 
 def load(name: str) -> tuple[str, Scenario]:
-    """A scenario by its shipped name or its file, with the name to show."""
+    """Load a scenario by its shipped name or its path; returns the display name with it."""
     known = shipped()
     name = former_names.SCENARIOS.get(name, name)
     if name in known:
@@ -47,7 +47,7 @@
 
 
 def connections_toml(scenario: Scenario) -> str:
-    """How the day's sidecars tend connections, as a table of the operator's file; empty for not at all."""
+    """The [connections] table of the operator's file; empty if the scenario has none."""
     told = scenario.connections
     if told is None:
         return ""
@@ -55,7 +55,7 @@
 
 
 def to_toml(scenario: Scenario, comment: str = "") -> str:
-    """The file that `parse` reads back as this scenario; what stands at its default is left out."""
+    """The file that `parse` reads back as this scenario; default values are left out."""
     lines = [f"# {line}".rstrip() for line in comment.splitlines()]
     tables: list[str] = []
     standard = Scenario()
--- a/millgw/rehearsal/scenario_overrides.py
+++ b/millgw/rehearsal/scenario_overrides.py
@@ -1,4 +1,4 @@
-"""What a command line changes in a scenario."""
+"""Applies command-line overrides to a scenario."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from millgw.rehearsal.scenario_checks import check
 
 OPTIONAL = ("connections", "peers", "places", "store")
-"""What sidecars are told without which a day can be played too, to compare."""
+"""Tables of the sidecars' operator file that `--without` can leave out, for comparison."""
 
-PLACES = "places"  # the zones of the day stay where they are, and sidecars are not told
+PLACES = "places"  # leaves the endpoints' zones as they are, and only drops the sidecars' table
 
 SCALES: dict[str, tuple[int, int, float]] = {"today": (17, 67, 170.0), "to-come": (60, 365, 620.0)}
-"""Endpoints of the first tier, sidecars, first tries a second."""
+"""Endpoints of the first tier, sidecars, first attempts per second."""
 
 
 def changed(
@@ -29,9 +29,9 @@
     scale: str | None = None,
     without: Sequence[str] = (),
 ) -> Scenario:
-    """The scenario with what the command line says; faults keep their places in a day of another length.
+    """The scenario with the given overrides; with another length, the times of faults scale with it.
 
-    `without` names what sidecars are told beyond the platform and is left out: tables, or that of places.
+    `without` names the tables of `OPTIONAL` that are left out of the sidecars' operator files.
     """
     fleet, traffic = scenario.fleet, scenario.traffic
     if scale is not None:
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -1,4 +1,4 @@
-"""Real sidecars as processes: started by the deployment contract, killed, restarted, watched."""
+"""Sidecar processes: starts them by the deployment contract, and kills, restarts and upgrades them."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 DEFAULT_RUN = f"exec {sys.executable} -B -m millgw.sidecar"
-READY_EVERY = 0.05  # s between two looks whether a sidecar serves
+READY_EVERY = 0.05  # s between two checks whether a sidecar serves
 READY_TIME = 60.0  # s for a sidecar to serve after its start
-OWN_CLASS = "of-its-own"  # a class that one sidecar alone has
-LOG_TAIL = 400  # bytes of a log that a message quotes
+OWN_CLASS = "of-its-own"  # name of the class that only sidecars that reject versions have
+LOG_TAIL = 400  # bytes at the end of a log that are searched for the last line to quote
 
 
 class NotReady(Exception):
-    """A sidecar that does not come up: the run line or the machine is at fault, no rule is judged."""
+    """A process did not become ready: the command or the machine is at fault, and no rule is judged."""
 
 
 def class_settings(scenario: Scenario) -> list[dict[str, Any]]:
-    """The classes of all sidecars, as the platform words them."""
+    """The classes of all sidecars, in the platform's settings format."""
     return [
         {
             "name": c.name, "repeat": c.repeat, "deadline": c.deadline_ms, "slo": c.aim_ms,
@@ -50,7 +50,7 @@
 
 
 def settings(scenario: Scenario, stage: int, index: int, siblings: int) -> dict[str, Any]:
-    """The settings object of one sidecar, as the platform words it."""
+    """The settings object of one sidecar, in the platform's format."""
     limits, rules, fleet = scenario.limits, scenario.rules, scenario.fleet
     return {
         "me": index,
@@ -77,24 +77,24 @@
 
 
 def with_class_of_its_own(settings: dict[str, Any]) -> dict[str, Any]:
-    """The settings with one more class, so that a version that names the others can't be applied here."""
+    """The settings with one more class, so that a version that sets the classes can't be applied here."""
     own = {**settings["classes"][0], "name": OWN_CLASS}
     return settings | {"classes": [*settings["classes"], own]}
 
 
 @dataclass(eq=False)
 class Process:
-    """One process of a sidecar, from its start to its end. `door` is where operators find it, if anywhere."""
+    """One process of a sidecar, from start to exit. `door` is its control address, if it has one."""
 
     process: asyncio.subprocess.Process
     life: SidecarLife
     door: Address | None
-    number: int  # 1 for the first one of its sidecar
+    number: int  # 1 for its sidecar's first process
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class Sidecar:
-    """One sidecar under its name and address, through all its processes: `current` is the newest of them."""
+    """One sidecar with its name and address, across all its processes; `current` is the newest of them."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         clock: Clock,
     ) -> None:
         self.name = name
-        self.index = int(name.rpartition("-")[2])  # among those of its stage
+        self.index = int(name.rpartition("-")[2])  # within its stage
         self.stage = stage
         self.discovery = discovery
         self.settings = settings
@@ -125,27 +125,28 @@
         self.clock = clock
         self.listen_at(free_address())
         self.current: Process | None = None
-        self.before: Process | None = None  # the one that an upgrade is to end
-        self.door = False  # whether its processes are told a door
+        self.before: Process | None = None  # the process that a running upgrade replaces
+        self.door = False  # whether its processes are given a control address
         self.starts = 0
-        self.operator = ""  # the text of its operator's file, if it is given one
-        self.most_memory = 0  # kB, the most that any of its processes held
+        self.operator = ""  # text of its operator's file; empty for none
+        self.most_memory = 0  # kB, the peak of all its processes
         self.waiters: list[asyncio.Task[None]] = []
 
     def listen_at(self, address: Address) -> None:
-        """Where callers find it; before its first start."""
+        """Set the address that callers use; only before the first start."""
         self.listen = address
         self.desk = Desk(self.name, address, self.clock)
 
     async def start(self) -> None:
-        """Start a process and wait until it serves; a NotReady tells why it does not."""
+        """Start a process and wait until it serves; raises NotReady with the reason if it does not."""
         started = self.current = await self._spawn()
         await self._until(started, lambda: ready(self.listen))
 
     async def upgrade(self, upgrade: Upgrade, within: float) -> None:
-        """Start a second process beside the running one, and end that once the new one says yes.
+        """Start a second process beside the running one, and end the old one once the new one is ready.
 
-        The old one has `within` s from SIGTERM on. A NotReady tells that the new one never said yes.
+        The old process has `within` s from SIGTERM on before it is killed. Raises NotReady if the new one
+        never becomes ready.
         """
         old = self.current
         assert old is not None
@@ -229,14 +230,14 @@
         started.ended.set()
 
     def tail(self) -> str:
-        """The last line of its log."""
+        """The last line of its log that is not blank."""
         with contextlib.suppress(OSError):
             lines = (self.folder / "log").read_bytes()[-LOG_TAIL:].decode(errors="replace").split("\n")
-            return next((line for line in reversed(lines) if line.strip()), "it said nothing")
-        return "it said nothing"
+            return next((line for line in reversed(lines) if line.strip()), "the log is empty")
+        return "the log is empty"
 
     def kill(self) -> None:
-        """SIGKILL to it and all it started."""
+        """Send SIGKILL to the process groups of all its processes."""
         self.note_memory()
         for started in (self.before, self.current):
             if started is not None:
@@ -256,16 +257,16 @@
                 os.kill(started.process.pid, number)
 
     def term(self) -> None:
-        """SIGTERM to the program that `run` started."""
+        """Send SIGTERM to the newest process."""
         if self.current is not None and self.pid is not None:
             self.note_memory()
             self.current.life.term = self.clock()
             self._signal(self.current, signal.SIGTERM)
 
     def pause(self, seconds: float) -> SidecarPause | None:
-        """SIGSTOP, and SIGCONT after so long: it stands still wherever it is. None where no process runs.
+        """Stop the newest process by SIGSTOP for `seconds`, at whatever point it is. None if there is none.
 
-        Blocks its thread meanwhile.
+        Blocks the calling thread meanwhile.
         """
         held = self.current
         if held is None:
@@ -279,7 +280,7 @@
         return SidecarPause(self.name, begun, self.clock())
 
     def reload(self, operator: str) -> None:
-        """Give it another operator's file, and SIGHUP."""
+        """Replace its operator's file and send SIGHUP."""
         self.operator = operator
         if self.current is not None and self.pid is not None:
             (self.folder / "operator.toml").write_text(operator)
@@ -287,7 +288,7 @@
 
     @property
     def ended(self) -> asyncio.Event:
-        """The end of its newest process."""
+        """Set when its newest process has exited."""
         assert self.current is not None
         return self.current.ended
 
@@ -298,7 +299,7 @@
         return self.current.process.pid
 
     def waited(self) -> float:
-        """ms that its process has waited for a core so far; 0 where that can't be known."""
+        """ms that its newest process has waited for a core so far; 0 if that can't be read."""
         try:
             return int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1]) / 1e6
         except (OSError, ValueError, IndexError):
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -1,4 +1,4 @@
-"""Plays a day: stand-ins and sidecars up, traffic and faults in time, all down again; a ledger out."""
+"""Plays a day: starts stand-ins and sidecars, runs traffic and faults, stops all; returns a ledger."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 from millgw.standins.http import Clock, Message
 from millgw.standins.ledger import Attempt, Call, End, Ledger, shift
 
-STARTS_AT_ONCE = 2  # sidecars started at the same time for each core: more only wait for each other
+STARTS_AT_ONCE = 2  # sidecars started concurrently per core: more only compete for the cores
 SETTLE = 1.0  # s between the last sidecar's start and the day's first request
-TAIL = 1.0  # s more than the longest deadline for which calls that are out are waited for
+TAIL = 1.0  # s beyond the longest deadline to wait for calls in flight
 
 
 @dataclass(slots=True, frozen=True)
 class Facts:
-    """What a day took on this machine. Memory in kB: the rig's, and the most and the sum of the sidecars'."""
+    """Size and cost of a day. Memory is the peak in kB: of the rig, the largest sidecar, all sidecars."""
 
     endpoints: int
     sidecars: int
@@ -60,7 +60,7 @@
 
 
 class Testbed:
-    """One day. `say` is told what happens, for a person who watches; `logs` keeps the sidecars' logs."""
+    """One day. `say` gets progress messages; the sidecars' logs are copied into `logs`."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self.run = run
         self.say = say
         self.logs = logs
-        self.listen = listen  # of the first sidecar at the front; by itself it finds a free one
+        self.listen = listen  # address of the first front sidecar; None: any free one
         self.clock = Clock()
         self.ledger = Ledger()
         known = scenario.discovery
@@ -89,7 +89,7 @@
         self.control: ControlInstances | None = None
         self.endpoints: dict[str, Endpoint] = {}
         self.sidecars: dict[str, Sidecar] = {}
-        self.own: dict[str, Sidecar] = {}  # endpoints' own, by the endpoint's name
+        self.own: dict[str, Sidecar] = {}  # sidecars that belong to endpoints, by the endpoint's name
         self.byzantine_peers: ByzantinePeers | None = None
         self.front: Front
         self.clients: Clients
@@ -98,7 +98,7 @@
         self.zero = 0.0
 
     async def play(self) -> tuple[Ledger, Facts]:
-        """Play the whole day; a NotReady or OSError tells that it could not be played."""
+        """Play the whole day; raises NotReady or OSError if it could not be played."""
         folder = Path(tempfile.mkdtemp(prefix="millgw-rehearsal-"))
         keeper = Keeper(str(folder))
         begun = self.clock()
@@ -119,11 +119,11 @@
         return self.ledger, facts
 
     def stop(self) -> None:
-        """End the day now, whatever is still to come."""
+        """End the day now, without what is still scheduled."""
         self.over.set()
 
     def failed(self, error: BaseException) -> None:
-        """Something could not be carried out as the scenario wants: the day is not worth judging."""
+        """Report that the scenario could not be carried out: the day ends and is not judged."""
         self.error = self.error or error
         self.over.set()
 
@@ -187,7 +187,7 @@
         return made
 
     def _caller(self, endpoint: str, tier: int) -> NextTier:
-        """How an endpoint calls the next tier: through the sidecar of its own."""
+        """How an endpoint calls the next tier: through its own sidecar."""
         numbers = iter(range(1 << 60))
         tag = random.Random(f"caller {self.scenario.seed} {endpoint}").getrandbits(24)
 
@@ -218,15 +218,15 @@
 
         return known
 
-    # Its parts, as targets of faults
+    # Actions on parts of the testbed, used by faults
 
     @property
     def listed(self) -> bool:
-        """Whether discovery knows of endpoints: sidecars may take them from a coordinator alone."""
+        """Whether discovery lists endpoints; it does not where sidecars use a coordinator alone."""
         return self.scenario.coordinator is None or self.scenario.coordinator.membership != "alone"
 
     def operator(self, sidecar: str, without: str = "") -> str:
-        """The operator's file of a sidecar, with all services but the one named by `without`."""
+        """The operator's file of a sidecar, with all services except `without`."""
         return self.operator_files.text(self.sidecars[sidecar], without)
 
     def entry(self, endpoint: Endpoint, status: str) -> Entry:
@@ -237,7 +237,7 @@
         )  # fmt: skip
 
     def notice(self, endpoint: Endpoint, status: str, late: tuple[float, float]) -> None:
-        """Let discovery know after a while, and the coordinator what an endpoint itself would tell it."""
+        """Update discovery after the delay `late`, and the coordinator as the endpoint itself would."""
         entry = self.entry(endpoint, status)
         if self.listed:
             self.discovery_server.notice(entry, late)
@@ -266,24 +266,24 @@
             sidecar.desk.close()
 
     def _fell(self, endpoint: Endpoint) -> None:
-        self.say(f"{endpoint.build.name} fell over")
+        self.say(f"{endpoint.build.name} failed from overload")
         self._kill_own(endpoint)
         self.notice(endpoint, "terminated", self.delays.notice)
 
     async def revive(self, endpoint: Endpoint) -> None:
-        """Start an endpoint cold, once its own sidecar serves."""
+        """Start an endpoint cold, after its own sidecar if it has one."""
         sidecar = self.own.get(endpoint.build.name)
         if sidecar is not None:
             await sidecar.ended.wait()
             await sidecar.start()
             if sidecar.pid is None:
-                return  # hit again meanwhile
+                return  # another fault hit it meanwhile
         endpoint.start(cold=True)
         self.say(f"{endpoint.build.name} is back, cold")
         self.notice(endpoint, "in_service", self.delays.add)
 
     def replace(self, old: Endpoint, build: Build) -> Endpoint:
-        """Another machine at an endpoint's address, with the group and the sidecar of the old one's place."""
+        """A new endpoint at an old one's address, with the old one's group and sidecar."""
         caller = self._caller(build.name, build.tier) if old.next_tier is not None else None
         made = Endpoint(
             build,
@@ -301,7 +301,7 @@
             self.own[build.name] = self.own.pop(old.build.name)
         return made
 
-    # The day
+    # Playing the day
 
     async def _start(self) -> None:
         if self.control is not None:
@@ -343,7 +343,7 @@
         endpoints = [(e.build.name, e.build.tier) for tier in self.tiers for e in tier]
         front = [name for name, s in self.sidecars.items() if s.stage == 0]
         injector = FaultInjector(self)
-        # Otherwise the rig itself pauses: a look through a whole ledger takes it some tenths of a second.
+        # Otherwise garbage collection pauses the rig: traversing a whole ledger takes tenths of a second.
         gc.collect()
         gc.disable()
         self.zero = self.clock()
@@ -368,7 +368,7 @@
             gc.enable()
 
     def _distribute(self) -> list[asyncio.Task[None]]:
-        """Propose versions and look where they are in force, on a day with control instances."""
+        """On a day with control instances, start to propose versions and to poll where they are in force."""
         if self.control is None:
             return []
         proposer = Proposer(self.scenario, self.control, self.ledger, self.clock)
--- a/millgw/rehearsal/traffic.py
+++ b/millgw/rehearsal/traffic.py
@@ -1,4 +1,4 @@
-"""The requests of a day: arrivals drawn from a scenario's traffic, crowds and floods. Pure."""
+"""Draws the arrivals of a day from a scenario's traffic, crowds and floods; no I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from millgw.rehearsal.fault_plan import crowds, floods
 from millgw.rehearsal.scenario import Scenario
 
-FLOOD_NUMBERS = 1 << 24  # requests of one schedule at the most: the next one's numbers begin there
+FLOOD_NUMBERS = 1 << 24  # numbers reserved for one flood's requests, so that request numbers stay unique
 
 
 def schedule(scenario: Scenario) -> list[arrivals.Arrival]:
-    """The day's arrivals."""
+    """The day's arrivals, by time."""
     traffic, length = scenario.traffic, scenario.seconds * 1000
     course = arrivals.shape(traffic.shape, traffic.swing, length, scenario.seed)
     moments = arrivals.times(traffic.rate, course, crowds(scenario), traffic.swing, length, scenario.seed)
