--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -34,21 +34,27 @@
         peers = self.scenario.peers
         if peers is None:
             return
-        front = len(self.files.peers[0])
+        siblings = len(self.files.peers[0])
         for number in range(peers.byzantine):
-            made = to_settings(settings(self.scenario, 0, 0, front))
-            terms = PeerSettings(free_address(), self.files.joined(0), (str(self.files.key),), 0.0)
-            self.running.append(byzantine_peer(terms, made, self._first_tier, self.scenario.seed + number))
+            sidecar_settings = to_settings(settings(self.scenario, 0, 0, siblings))
+            peer_settings = PeerSettings(free_address(), self.files.joined(0), (str(self.files.key),), 0.0)
+            self.running.append(
+                byzantine_peer(
+                    peer_settings, sidecar_settings, self._first_tier_coldness, self.scenario.seed + number
+                )
+            )
             await self.running[-1].start()
 
     def stop(self) -> None:
         for peer in self.running:
             peer.stop()
 
-    def _first_tier(self) -> list[tuple[Listing, bool]]:
+    def _first_tier_coldness(self) -> list[tuple[Listing, bool]]:
         """The running endpoints of the first tier, each with whether it is cold."""
-        up = (endpoint for endpoint in self.endpoints.values() if endpoint.build.tier == 1 and endpoint.up)
-        return list(self._with_coldness(up))
+        serving = (
+            endpoint for endpoint in self.endpoints.values() if endpoint.build.tier == 1 and endpoint.up
+        )
+        return list(self._with_coldness(serving))
 
     def _with_coldness(self, endpoints: Iterable[Endpoint]) -> Iterable[tuple[Listing, bool]]:
         for endpoint in endpoints:
--- a/millgw/rehearsal/configuration_changes.py
+++ b/millgw/rehearsal/configuration_changes.py
@@ -14,24 +14,24 @@
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger
 
-ENTRY = "settings"
-CLASSES_EVERY = 3  # each third version sets the classes, which some sidecars reject
-LONGER = 0.01  # share of a deadline by which successive versions that set the classes differ
-DIFFERENT = 5  # number of distinct deadlines, proposed in rotation
-PROPOSAL_TIME = 5.0  # s to wait for a commit before the next proposal
+SETTINGS_ENTRY = "settings"
+CLASSES_INTERVAL = 3  # each third version sets the classes, which some sidecars reject
+DEADLINE_STEP = 0.01  # share of a deadline by which successive versions that set the classes differ
+DISTINCT_DEADLINES = 5  # number of distinct deadlines, proposed in rotation
+PROPOSAL_TIMEOUT_S = 5.0  # to wait for a commit before the next proposal
 AUTHOR = "rehearsal"
 
 
-def change(scenario: Scenario, number: int) -> Change:
+def change_to_propose(scenario: Scenario, number: int) -> Change:
     """The change of a proposal: the scenario's attempts or one less, and on each third longer deadlines."""
     attempts = max(1, scenario.limits.attempts - number % 2)
     value: dict[str, Any] = {"limits": {"tryLimit": attempts}}
-    if number % CLASSES_EVERY == CLASSES_EVERY - 1:
-        factor = 1 + LONGER * (1 + number % DIFFERENT)
+    if number % CLASSES_INTERVAL == CLASSES_INTERVAL - 1:
+        factor = 1 + DEADLINE_STEP * (1 + number % DISTINCT_DEADLINES)
         value["classes"] = [
             fields | {"deadline": fields["deadline"] * factor} for fields in class_settings(scenario)
         ]
-    return Change(ENTRY, value)
+    return Change(SETTINGS_ENTRY, value)
 
 
 class Proposer:
@@ -43,21 +43,23 @@
         self.control = control
         self.ledger = ledger
         self.clock = clock
-        self.interval = 60_000 / scenario.configuration.changes_per_minute  # ms
+        self.interval_ms = 60_000 / scenario.configuration.changes_per_minute
 
     async def run(self) -> None:
         """Propose until cancelled. A proposal that is not committed in time is recorded and not repeated."""
-        begun = self.clock()
+        start = self.clock()
         number = 0
         while True:
-            due = begun + (number + 0.5) * self.interval
+            due = start + (number + 0.5) * self.interval_ms
             await asyncio.sleep(max(0.0, due - self.clock()) / 1000)
             await self._propose(number)
             number += 1
 
     async def _propose(self, number: int) -> None:
-        at = self.clock()
-        changes = (change(self.scenario, number),)
-        result = await propose(self.control.all, changes, AUTHOR, f"change {number}", None, PROPOSAL_TIME)
+        proposed_at = self.clock()
+        changes = (change_to_propose(self.scenario, number),)
+        result = await propose(
+            self.control.all_addresses, changes, AUTHOR, f"change {number}", None, PROPOSAL_TIMEOUT_S
+        )
         index = result.index if result.outcome is Outcome.COMMITTED else None
-        self.ledger.proposed.append(ProposedVersion(at, self.clock(), result.outcome.value, index))
+        self.ledger.proposed.append(ProposedVersion(proposed_at, self.clock(), result.outcome.value, index))
--- a/millgw/rehearsal/configuration_looks.py
+++ b/millgw/rehearsal/configuration_looks.py
@@ -15,11 +15,11 @@
 from millgw.standins.ledger import Ledger
 from millgw.top.door import Trouble, ask
 
-EVERY = 0.2  # s between two polls
-FIGURES_PATH = "/-/metrics"
+POLL_INTERVAL_S = 0.2  # s between two polls
+METRICS_PATH = "/-/metrics"
 
 
-class ConfigurationLooks:
+class ConfigurationPoller:
     """Records the version at each sidecar's control address, and each change in the control's reports."""
 
     def __init__(
@@ -29,46 +29,48 @@
         self.sidecars = sidecars
         self.ledger = ledger
         self.clock = clock
-        self.reported: dict[str, tuple[int, int]] = {}  # applied and refused, by sidecar
+        self.last_reported: dict[str, tuple[int, int]] = {}  # applied and refused, by sidecar
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
-            begun = self.clock()
-            await asyncio.gather(self._control(), *(self._look(each) for each in self.sidecars.values()))
-            await asyncio.sleep(max(0.0, EVERY - (self.clock() - begun) / 1000))
+            start = self.clock()
+            await asyncio.gather(
+                self._poll_control(), *(self._poll_sidecar(each) for each in self.sidecars.values())
+            )
+            await asyncio.sleep(max(0.0, POLL_INTERVAL_S - (self.clock() - start) / 1000))
 
-    async def _look(self, sidecar: Sidecar) -> None:
+    async def _poll_sidecar(self, sidecar: Sidecar) -> None:
         current = sidecar.current
         if sidecar.pid is None or current is None or current.door is None:
             return
-        asked = self.clock()
+        asked_at = self.clock()
         try:
-            status, answer = await ask(current.door, FIGURES_PATH)
+            status, answer = await ask(current.door, METRICS_PATH)
         except Trouble:  # ending or not up yet: the next poll tries again
             return
-        figures = _configuration(answer) if status == 200 else None
-        if figures is None:
+        metrics = _configuration_metrics(answer) if status == 200 else None
+        if metrics is None:
             return
-        refused = figures["refused"]
+        refused = metrics["refused"]
         self.ledger.version_looks.append(
             VersionLook(
-                sidecar.name, current.number, asked, self.clock(), figures["index"], figures["digest"],
+                sidecar.name, current.number, asked_at, self.clock(), metrics["index"], metrics["digest"],
                 refused.get("index", 0), refused.get("cause", ""),
             )
         )  # fmt: skip
 
-    async def _control(self) -> None:
+    async def _poll_control(self) -> None:
         status = await self.control.status()
         for sidecar in merge(instance.sidecars for instance in status.instances):
-            seen = (sidecar.applied, sidecar.refused)
-            if self.reported.get(sidecar.name) != seen:
-                self.reported[sidecar.name] = seen
+            versions = (sidecar.applied, sidecar.refused)
+            if self.last_reported.get(sidecar.name) != versions:
+                self.last_reported[sidecar.name] = versions
                 report = VersionReport(sidecar.name, self.clock(), sidecar.applied, sidecar.refused)
                 self.ledger.version_reports.append(report)
 
 
-def _configuration(answer: bytes) -> dict[str, Any] | None:
+def _configuration_metrics(answer: bytes) -> dict[str, Any] | None:
     """The configuration section of a metrics answer, or None where it has none."""
-    figures: dict[str, Any] | None = json.loads(answer).get("configuration")
-    return figures
+    metrics: dict[str, Any] | None = json.loads(answer).get("configuration")
+    return metrics
--- a/millgw/rehearsal/control_instances.py
+++ b/millgw/rehearsal/control_instances.py
@@ -21,7 +21,7 @@
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger
 
-ANSWER_TIME = 1.0  # s to wait for an instance's status
+STATUS_TIMEOUT_S = 1.0  # s to wait for an instance's status
 LEADER = "leader"
 
 
@@ -39,15 +39,15 @@
 
     def __init__(self, count: int, folder: Path, keeper: Keeper, ledger: Ledger, clock: Clock) -> None:
         self.addresses = {f"control-{number}": free_address() for number in range(1, count + 1)}
-        self.folder = folder
+        self.directory = folder
         self.keeper = keeper
         self.ledger = ledger
         self.clock = clock
         self.running: dict[str, ControlProcess] = {}
-        self.known: set[str] = set()  # started before, so their stores exist and --create is not passed
+        self.started_before: set[str] = set()  # their stores exist: --create is not passed again
 
     @property
-    def all(self) -> tuple[Address, ...]:
+    def all_addresses(self) -> tuple[Address, ...]:
         """The addresses of all instances, including those that are not running."""
         return tuple(self.addresses.values())
 
@@ -65,43 +65,43 @@
         """Start an instance, unless it is running, and wait until it answers or is killed."""
         if name in self.running:
             return
-        directory = self.folder / name
+        directory = self.directory / name
         directory.mkdir(parents=True, exist_ok=True)
         life = ControlLife(name, self.clock())
         process = await spawn(self._command(name), self._environ(), directory / "log", self.keeper)
-        self.known.add(name)
+        self.started_before.add(name)
         self.ledger.control.append(life)
-        waiter = asyncio.get_running_loop().create_task(self._wait(name, process))
+        waiter = asyncio.get_running_loop().create_task(self._wait_for_exit(name, process))
         self.running[name] = ControlProcess(process, life, waiter)
-        await self._until_ready(name, life)
+        await self._wait_until_ready(name, life)
 
     def _command(self, name: str) -> str:
         voters = ",".join(f"{voter}={address}" for voter, address in self.addresses.items())
-        words = [
+        arguments = [
             sys.executable, "-B", "-m", "millgw", "configuration", "serve", "--name", name,
-            "--voters", voters, "--store", str(self.folder / name / "store"), "--log", "json",
+            "--voters", voters, "--store", str(self.directory / name / "store"), "--log", "json",
         ]  # fmt: skip
-        if name not in self.known:
-            words.append("--create")
-        return f"exec {shlex.join(words)}"
+        if name not in self.started_before:
+            arguments.append("--create")
+        return f"exec {shlex.join(arguments)}"
 
     @staticmethod
     def _environ() -> dict[str, str]:
         paths = [str(ROOT), *filter(None, [os.environ.get("PYTHONPATH")])]
         return os.environ | {"PYTHONPATH": os.pathsep.join(paths)}
 
-    async def _until_ready(self, name: str, life: ControlLife) -> None:
-        end = self.clock() + READY_TIME * 1000
+    async def _wait_until_ready(self, name: str, life: ControlLife) -> None:
+        deadline = self.clock() + READY_TIME * 1000
         while life.kill is None:
-            status = await fetch_status([self.addresses[name]], ANSWER_TIME)
+            status = await fetch_status([self.addresses[name]], STATUS_TIMEOUT_S)
             if status.instances and life.kill is None:
                 life.ready = self.clock()
                 return
-            if name not in self.running or self.clock() > end:
+            if name not in self.running or self.clock() > deadline:
                 raise NotReady(f"control instance {name} does not answer")
             await asyncio.sleep(READY_EVERY)
 
-    async def _wait(self, name: str, process: asyncio.subprocess.Process) -> None:
+    async def _wait_for_exit(self, name: str, process: asyncio.subprocess.Process) -> None:
         await process.wait()
         self.keeper.ended(process.pid)
         self.running.pop(name, None)
@@ -115,18 +115,18 @@
     async def status(self) -> FleetStatus:
         """The merged status of the running instances."""
         running = [self.addresses[name] for name in self.running]
-        return await fetch_status(running, ANSWER_TIME)
+        return await fetch_status(running, STATUS_TIMEOUT_S)
 
     async def kill(self, name: str) -> None:
         """Send SIGKILL and wait for the exit."""
-        killed = self.running.get(name)
-        if killed is None:
+        instance = self.running.get(name)
+        if instance is None:
             return
-        if killed.life.kill is None:
-            killed.life.kill = self.clock()
+        if instance.life.kill is None:
+            instance.life.kill = self.clock()
         with contextlib.suppress(ProcessLookupError):
-            os.killpg(killed.process.pid, signal.SIGKILL)
-        await asyncio.wait([killed.waiter])
+            os.killpg(instance.process.pid, signal.SIGKILL)
+        await asyncio.wait([instance.waiter])
 
     async def kill_all(self) -> list[str]:
         """Send SIGKILL to all running instances; returns their names."""
--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -19,46 +19,46 @@
 from millgw.standins.ledger import Ledger, Word
 
 
-def directory(tier: int) -> str:
+def tier_path(tier: int) -> str:
     return f"/tier-{tier}"
 
 
 class Coordination:
     """The coordinator of one day, and the endpoints' sessions with it."""
 
-    def __init__(self, terms: Coordinator, ledger: Ledger, clock: Clock, seed: int) -> None:
-        self.terms = terms
+    def __init__(self, settings: Coordinator, ledger: Ledger, clock: Clock, seed: int) -> None:
+        self.settings = settings
         self.ledger = ledger
         self.clock = clock
-        self.ensemble = Ensemble(faces=terms.faces, seed=seed)
-        self.ensemble.told = self._told
+        self.ensemble = Ensemble(faces=settings.faces, seed=seed)
+        self.ensemble.told = self._record_read
         self.sessions: dict[str, int] = {}
-        self.lives: dict[str, int] = {}  # by node
-        self.known: dict[tuple[str, str], set[str]] = {}  # by sidecar and directory
-        self.lapsed: set[str] = set()  # nodes of serving endpoints whose sessions a fault has expired
-        self.connects: dict[str, str] = {}
-        self.handles: list[asyncio.TimerHandle] = []
+        self.life_numbers: dict[str, int] = {}  # by node
+        self.known_members: dict[tuple[str, str], set[str]] = {}  # by sidecar and directory
+        self.expired_while_serving: set[str] = set()  # nodes whose sessions a fault has expired
+        self.connect_addresses: dict[str, str] = {}
+        self.expiry_timers: list[asyncio.TimerHandle] = []
 
     async def start(self, sidecars: list[str], tiers: int) -> None:
         await self.ensemble.start()
         for tier in range(1, tiers + 1):
-            self.ensemble.put(directory(tier))
+            self.ensemble.put(tier_path(tier))
         for sidecar in sidecars:
-            self.connects[sidecar] = await self.ensemble.window(sidecar)
+            self.connect_addresses[sidecar] = await self.ensemble.window(sidecar)
 
     async def stop(self) -> None:
-        for handle in self.handles:
-            handle.cancel()
+        for timer in self.expiry_timers:
+            timer.cancel()
         await self.ensemble.stop()
 
-    def operator(self, sidecar: str, tier: int) -> str:
+    def operator_text(self, sidecar: str, tier: int) -> str:
         """The services part of the operator's file for a sidecar that uses this coordinator."""
         lines = ["[services.all]"]
-        if self.terms.membership != "alone":
-            lines.append(f'membership = "{self.terms.membership}"')
+        if self.settings.membership != "alone":
+            lines.append(f'membership = "{self.settings.membership}"')
         lines += [
-            "[services.all.coordinator]", f'connect = "{self.connects[sidecar]}"',
-            f'path = "{directory(tier)}"', f"session_s = {self.terms.session_s:g}",
+            "[services.all.coordinator]", f'connect = "{self.connect_addresses[sidecar]}"',
+            f'path = "{tier_path(tier)}"', f"session_s = {self.settings.session_s:g}",
             "[[routes]]", 'to = "all"',
         ]  # fmt: skip
         return "\n".join(lines) + "\n"
@@ -67,34 +67,36 @@
 
     def serve(self, endpoint: Endpoint, entry: Entry) -> None:
         """Register an endpoint; expires an older session of the same name, and its node with it."""
-        node = self._node(endpoint)
+        node = self._node_path(endpoint)
         old = self.sessions.pop(endpoint.build.name, None)
         if old is not None:
             self.ensemble.expire(old)
-        self.lapsed.discard(node)
-        self.lives[node] = entry.life
-        self.sessions[endpoint.build.name] = self.ensemble.own(node, self._data(entry))
+        self.expired_while_serving.discard(node)
+        self.life_numbers[node] = entry.life
+        self.sessions[endpoint.build.name] = self.ensemble.own(node, self._node_data(entry))
 
     def drain(self, endpoint: Endpoint, entry: Entry) -> None:
-        node = self._node(endpoint)
+        node = self._node_path(endpoint)
         if node in self.ensemble.tree.nodes:
-            self.ensemble.write(node, self._data(entry))
+            self.ensemble.write(node, self._node_data(entry))
 
-    def leave(self, endpoint: Endpoint) -> None:
+    def close_session(self, endpoint: Endpoint) -> None:
         """Close an endpoint's session: its node is removed at once."""
         session = self.sessions.pop(endpoint.build.name, None)
         if session is not None:
             self.ensemble.expire(session)
 
-    def die(self, endpoint: Endpoint) -> None:
+    def expire_after_timeout(self, endpoint: Endpoint) -> None:
         """An endpoint's process is gone: its node stays until the session times out."""
         session = self.sessions.get(endpoint.build.name)
         if session is not None:
             loop = asyncio.get_running_loop()
             name = endpoint.build.name
-            self.handles.append(loop.call_later(self.terms.session_s, self._lapse, name, session))
+            self.expiry_timers.append(
+                loop.call_later(self.settings.session_s, self._expire_session, name, session)
+            )
 
-    def _lapse(self, name: str, session: int) -> None:
+    def _expire_session(self, name: str, session: int) -> None:
         if self.sessions.get(name) == session:
             del self.sessions[name]
             self.ensemble.expire(session)
@@ -104,41 +106,41 @@
         session = self.sessions.pop(endpoint.build.name, None)
         if session is not None:
             if endpoint.up:
-                self.lapsed.add(self._node(endpoint))
+                self.expired_while_serving.add(self._node_path(endpoint))
             self.ensemble.expire(session)
 
     def forget_all(self) -> None:
         """A fault: the coordinator restarts empty; serving endpoints have to register again."""
-        self.lapsed |= {node for node in self.lives if node in self.ensemble.tree.nodes}
+        self.expired_while_serving |= {node for node in self.life_numbers if node in self.ensemble.tree.nodes}
         self.sessions.clear()
         self.ensemble.restart_empty()
 
     @staticmethod
-    def _node(endpoint: Endpoint) -> str:
-        return f"{directory(endpoint.build.tier)}/{endpoint.build.name}"
+    def _node_path(endpoint: Endpoint) -> str:
+        return f"{tier_path(endpoint.build.tier)}/{endpoint.build.name}"
 
     @staticmethod
-    def _data(entry: Entry) -> bytes:
+    def _node_data(entry: Entry) -> bytes:
         # Warm endpoints have since_ms 0, which readers replace by the node's creation time and so take them
         # for cold; 1 says that they started long ago.
-        said = {"since_ms": max(1, entry.since_ms), "instance": f"{entry.name} {entry.life}"}
-        return json.dumps(entry.json() | said).encode()
+        fields = {"since_ms": max(1, entry.since_ms), "instance": f"{entry.name} {entry.life}"}
+        return json.dumps(entry.json() | fields).encode()
 
     # Records of what sidecars received
 
-    def _told(self, sidecar: str, path: str, names: tuple[str, ...] | None, data: bytes) -> None:
-        now, book = self.clock(), self.ledger.words.append
+    def _record_read(self, sidecar: str, path: str, names: tuple[str, ...] | None, data: bytes) -> None:
+        now, record = self.clock(), self.ledger.words.append
         if names is None:
-            above, _, name = path.rpartition("/")
-            if path in self.lives:
+            parent, _, name = path.rpartition("/")
+            if path in self.life_numbers:
                 status = json.loads(data)["status"]
-                book(Word(sidecar, name, self.lives[path], status, now))
+                record(Word(sidecar, name, self.life_numbers[path], status, now))
                 if status == "in_service":
-                    self.known.setdefault((sidecar, above), set()).add(name)
+                    self.known_members.setdefault((sidecar, parent), set()).add(name)
             return
-        known = self.known.setdefault((sidecar, path), set())
-        for name in known - set(names):
-            known.discard(name)
+        members = self.known_members.setdefault((sidecar, path), set())
+        for name in members - set(names):
+            members.discard(name)
             node = f"{path}/{name}"
-            if node not in self.lapsed:
-                book(Word(sidecar, name, self.lives[node], "terminated", now))
+            if node not in self.expired_while_serving:
+                record(Word(sidecar, name, self.life_numbers[node], "terminated", now))
--- a/millgw/rehearsal/day_process.py
+++ b/millgw/rehearsal/day_process.py
@@ -34,47 +34,47 @@
 
     def __init__(self, run: str | None, jobs: int, say: Callable[[str], None]) -> None:
         self.run = run
-        self.gate = asyncio.Semaphore(jobs)
+        self.semaphore = asyncio.Semaphore(jobs)
         self.say = say
         self.plays = 0
         self.unplayed: list[str] = []  # the reason of each
 
     async def play(self, scenario: Scenario, logs: Path | None = None) -> PlayResult:
         """Play a day; its sidecars' logs are kept in `logs`."""
-        async with self.gate:
+        async with self.semaphore:
             self.plays += 1
-            with tempfile.TemporaryDirectory(prefix="millgw-day-") as folder:
-                day, report = Path(folder) / "day.toml", Path(folder) / "report.json"
+            with tempfile.TemporaryDirectory(prefix="millgw-day-") as directory:
+                day, report = Path(directory) / "day.toml", Path(directory) / "report.json"
                 day.write_text(to_toml(scenario))
                 command = ["-m", "millgw", "rehearse", "run", str(day), "--json", str(report)]
                 if self.run is not None:
                     command += ["--run", self.run]
                 if logs is not None:
                     command += ["--logs", str(logs)]
-                code, said = await self._start(command)
-                if code not in (0, 1, 3):
+                exit_code, errors = await self._run_command(command)
+                if exit_code not in (0, 1, 3):
                     # A day that can't be played proves nothing, and must not end a long search.
-                    self.unplayed.append(said.strip().split("\n")[-1])
+                    self.unplayed.append(errors.strip().split("\n")[-1])
                     self.say(f"could not be played: {self.unplayed[-1]}")
                     return UNPLAYED
-                return _read(code, json.loads(report.read_text())["days"][0])
+                return _play_result(exit_code, json.loads(report.read_text())["days"][0])
 
-    async def _start(self, command: list[str]) -> tuple[int, str]:
+    async def _run_command(self, command: list[str]) -> tuple[int, str]:
         """Run a command to its end; returns its exit code and standard error."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, *command, stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE
         )
         try:
-            _, said = await process.communicate()
+            _, errors = await process.communicate()
         except asyncio.CancelledError:
             process.terminate()
             await process.wait()
             raise
         assert process.returncode is not None
-        return process.returncode, said.decode(errors="replace")
+        return process.returncode, errors.decode(errors="replace")
 
 
-def _read(code: int, day: dict[str, Any]) -> PlayResult:
+def _play_result(exit_code: int, day: dict[str, Any]) -> PlayResult:
     broken = {r["rule"]: r for r in day["rules"] if r["verdict"] == "BROKEN"}
     first = next(iter(broken[min(broken)]["kinds"])) if broken else ""
-    return PlayResult(code, day["service"], frozenset(broken), first)
+    return PlayResult(exit_code, day["service"], frozenset(broken), first)
--- a/millgw/rehearsal/demo.py
+++ b/millgw/rehearsal/demo.py
@@ -15,10 +15,10 @@
 from millgw.rehearsal.testbed import Testbed
 from millgw.standins.ledger import Told
 
-ONCE_S = 14.0
-LONG_S = 3600.0
-STRIKES_AT = 5.0
-SAYS_EVERY = 1.0
+SINGLE_RUN_S = 14.0
+INTERACTIVE_RUN_S = 3600.0
+FAULT_START_S = 5.0
+STATUS_INTERVAL_S = 1.0
 
 
 def scenario(once: bool) -> Scenario:
@@ -26,18 +26,18 @@
     return check(
         Scenario(
             about="one of six endpoints falls silent for five seconds and comes back cold",
-            seconds=ONCE_S if once else LONG_S,
+            seconds=SINGLE_RUN_S if once else INTERACTIVE_RUN_S,
             fleet=Fleet(
                 endpoints=6, tiers=(1.0,), work=(0.6,), calls=(), sidecars=1, cold_s=6.0, idle_s=30.0
             ),
             traffic=Traffic(rate=12.0, shape="steady"),
             discovery=Discovery(notice_s=(0.5, 1.0), silent_s=(2.0, 3.0), add_s=(0.2, 0.5)),
-            faults=(Fault(kind="silence", start_s=STRIKES_AT, length_s=5.0, share=0.12),),
+            faults=(Fault(kind="silence", start_s=FAULT_START_S, length_s=5.0, share=0.12),),
         )
     )
 
 
-def curl(address: Address) -> str:
+def curl_command(address: Address) -> str:
     """A curl command line that can be pasted repeatedly: each run gets a new trace id."""
     return (
         f"curl -i -X POST 'http://{address}/api?k=me' -H 'X-Qos: codigo-acesso' -H 'X-Customer: rede-pampa'"
@@ -47,10 +47,10 @@
 
 def play(once: bool, port: int) -> Day:
     """Play the demo day and return it with its audit."""
-    return uvloop.run(_show(once, _free(port)))
+    return uvloop.run(_play(once, _free_address_from(port)))
 
 
-def _free(port: int) -> Address:
+def _free_address_from(port: int) -> Address:
     """The requested port or the next free one of 20; raises OSError if there is none."""
     for number in range(port, min(port + 20, 65536)):
         with socket.socket() as probe:
@@ -63,37 +63,37 @@
     raise OSError(f"--port {port}: neither it nor the next ones are free on 127.0.0.1")
 
 
-async def _show(once: bool, address: Address) -> Day:
-    made = scenario(once)
-    testbed = Testbed(made, say=lambda what: print(f"    -- {what}", flush=True), listen=address)
+async def _play(once: bool, address: Address) -> Day:
+    demo_scenario = scenario(once)
+    testbed = Testbed(demo_scenario, say=lambda what: print(f"    -- {what}", flush=True), listen=address)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, testbed.stop)
     print("a discovery server, six stand-in servers and one sidecar are starting", flush=True)
-    telling = asyncio.create_task(_tell(testbed, address, once))
+    status_task = asyncio.create_task(_print_status(testbed, address, once))
     try:
         ledger, facts = await testbed.play()
     finally:
-        telling.cancel()
-    return judge("demo", made, ledger, facts)
+        status_task.cancel()
+    return judge("demo", demo_scenario, ledger, facts)
 
 
-async def _tell(testbed: Testbed, address: Address, once: bool) -> None:
+async def _print_status(testbed: Testbed, address: Address, once: bool) -> None:
     """Print a line each second on the results of calls and attempts."""
     while not testbed.zero:
         await asyncio.sleep(0.05)
-    end = f"it ends by itself after {ONCE_S:g} s" if once else "Ctrl-C ends it"
-    print(f"ready; {end}; paste this into another terminal:\n\n{curl(address)}\n", flush=True)
+    how_it_ends = f"it ends by itself after {SINGLE_RUN_S:g} s" if once else "Ctrl-C ends it"
+    print(f"ready; {how_it_ends}; paste this into another terminal:\n\n{curl_command(address)}\n", flush=True)
     while True:
         since = testbed.clock()
-        await asyncio.sleep(SAYS_EVERY)
+        await asyncio.sleep(STATUS_INTERVAL_S)
         calls = [c for c in testbed.ledger.calls if c.answered is not None and c.answered >= since]
         attempts = [a for a in testbed.ledger.attempts if a.last is not None and a.last >= since]
         served = sum(c.status == 200 for c in calls)
         refused = sum(c.status in (429, 503) for c in calls)
-        silent = sum(a.told is Told.NOTHING and a.began is None for a in attempts)
+        unanswered = sum(a.told is Told.NOTHING and a.began is None for a in attempts)
         print(
             f"{(testbed.clock() - testbed.zero) / 1000:5.0f} s: {served} served, {refused} refused,"
-            f" {len(calls) - served - refused} failed; {len(attempts)} attempts, {silent} at a silent server",
+            f" {len(calls) - served - refused} failed; {len(attempts)} attempts, {unanswered} unanswered",
             flush=True,
         )
--- a/millgw/rehearsal/keeper.py
+++ b/millgw/rehearsal/keeper.py
@@ -18,9 +18,9 @@
 class Keeper:
     """The rig's side: a pipe to the cleanup process."""
 
-    def __init__(self, folder: str) -> None:
+    def __init__(self, directory: str) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-S", "-E", __file__, folder],
+            [sys.executable, "-S", "-E", __file__, directory],
             stdin=subprocess.PIPE,
             stdout=subprocess.DEVNULL,
             start_new_session=True,  # otherwise a Ctrl-C ends it along with the rig
@@ -29,12 +29,12 @@
         self.pipe: IO[bytes] = self.process.stdin
 
     def started(self, pid: int) -> None:
-        self._say(f"+{pid}\n")
+        self._send(f"+{pid}\n")
 
     def ended(self, pid: int) -> None:
-        self._say(f"-{pid}\n")
+        self._send(f"-{pid}\n")
 
-    def _say(self, line: str) -> None:
+    def _send(self, line: str) -> None:
         self.pipe.write(line.encode())
         self.pipe.flush()
 
@@ -44,14 +44,14 @@
         self.process.wait()
 
 
-def main(folder: str) -> None:
+def main(directory: str) -> None:
     groups: set[int] = set()
     for line in sys.stdin:
         (groups.add if line[0] == "+" else groups.discard)(int(line[1:]))
     for group in groups:
         with contextlib.suppress(ProcessLookupError, PermissionError):
             os.killpg(group, signal.SIGKILL)
-    shutil.rmtree(folder, ignore_errors=True)
+    shutil.rmtree(directory, ignore_errors=True)
 
 
 if __name__ == "__main__":
--- a/millgw/rehearsal/scenario_checks.py
+++ b/millgw/rehearsal/scenario_checks.py
@@ -112,7 +112,7 @@
         fault.kind != "crowd" or fault.cls not in [c.name for c in scenario.classes]
     ):
         raise ValueError(
-            f"{path}.class: only a crowd takes a class, one of the scenario's; {fault.kind} has {fault.cls!r}"
+            f"{path}.class: only a crowd takes a class, a known one; not {fault.cls!r} of {fault.kind}"
         )
     named = fault.service in [s.name for s in scenario.services]
     if (fault.kind == "reload") != named or (fault.service is not None and not named):
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -15,13 +15,13 @@
 from millgw.platform.config import Address
 from millgw.rehearsal.byzantine_peers import ByzantinePeers
 from millgw.rehearsal.configuration_changes import Proposer
-from millgw.rehearsal.configuration_looks import ConfigurationLooks
+from millgw.rehearsal.configuration_looks import ConfigurationPoller
 from millgw.rehearsal.control_instances import ControlInstances
 from millgw.rehearsal.coordination import Coordination
 from millgw.rehearsal.fault_plan import plan
 from millgw.rehearsal.faults.injector import FaultInjector
 from millgw.rehearsal.fleet import builds_of_tier, is_last_tier, tasks_of_tier, tier_sizes
-from millgw.rehearsal.front import Clients, Front, ask
+from millgw.rehearsal.front import Clients, Front, send_call
 from millgw.rehearsal.keeper import Keeper
 from millgw.rehearsal.operator_files import DOMAIN, OperatorFiles
 from millgw.rehearsal.sampler import Sampler, own_memory
@@ -134,7 +134,7 @@
         if scenario.configuration is not None:
             count = scenario.configuration.instances
             self.control = ControlInstances(count, folder, keeper, self.ledger, self.clock)
-        addresses = () if self.control is None else self.control.all
+        addresses = () if self.control is None else self.control.all_addresses
         self.operator_files = OperatorFiles(scenario, self.discovery_server, folder, addresses)
         self.byzantine_peers = ByzantinePeers(scenario, self.operator_files, self.endpoints, self.clock)
         sizes = tier_sizes(scenario)
@@ -206,7 +206,7 @@
                 patience=float(int(left)),
                 method=message.first.split()[0],
             )
-            made = await ask(self.own[endpoint].desk, made, self.ledger)
+            made = await send_call(self.own[endpoint].desk, made, self.ledger)
             return made.status == 200 and made.end is End.ANSWERED
 
         return call
@@ -247,9 +247,9 @@
             elif status == "terminating":
                 self.coordination.drain(endpoint, entry)
             elif endpoint.draining:
-                self.coordination.leave(endpoint)
+                self.coordination.close_session(endpoint)
             else:
-                self.coordination.die(endpoint)
+                self.coordination.expire_after_timeout(endpoint)
 
     def vanish(self, endpoint: Endpoint) -> None:
         endpoint.silence()
@@ -306,11 +306,11 @@
     async def _start(self) -> None:
         if self.control is not None:
             await self.control.start_all()
-            self.say(f"{len(self.control.all)} control instances serve")
+            self.say(f"{len(self.control.all_addresses)} control instances serve")
         if self.coordination is not None:
             await self.coordination.start(list(self.sidecars), len(self.tiers))
             for sidecar in self.sidecars.values():
-                own = self.coordination.operator(sidecar.name, sidecar.stage + 1)
+                own = self.coordination.operator_text(sidecar.name, sidecar.stage + 1)
                 sidecar.operator = f"{self.operator(sidecar.name)}\n{own}"
         if self.byzantine_peers is not None:
             await self.byzantine_peers.start()
@@ -359,10 +359,10 @@
             rest = scenario.seconds - (self.clock() - self.zero) / 1000
             if rest > 0 and not self.over.is_set():
                 await asyncio.wait([stopped], timeout=rest)
-            if self.clients.journeys and not self.over.is_set():
-                await asyncio.wait(list(self.clients.journeys), timeout=longest)
+            if self.clients.request_tasks and not self.over.is_set():
+                await asyncio.wait(list(self.clients.request_tasks), timeout=longest)
         finally:
-            for task in (sampler, playing, stopped, *distributing, *self.clients.journeys):
+            for task in (sampler, playing, stopped, *distributing, *self.clients.request_tasks):
                 task.cancel()
             injector.close()
             gc.enable()
@@ -372,7 +372,7 @@
         if self.control is None:
             return []
         proposer = Proposer(self.scenario, self.control, self.ledger, self.clock)
-        looks = ConfigurationLooks(self.control, self.sidecars, self.ledger, self.clock)
+        looks = ConfigurationPoller(self.control, self.sidecars, self.ledger, self.clock)
         tasks = [asyncio.create_task(proposer.run()), asyncio.create_task(looks.run())]
         for task in tasks:
             task.add_done_callback(self._distribution_ended)
--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -27,7 +27,7 @@
 from millgw.rehearsal.audit.day_records import DayRecords
 from millgw.rehearsal.audit.findings import Finding, Verdict
 from millgw.rehearsal.audit.rules import AuditRules
-from millgw.rehearsal.configuration_changes import CLASSES_EVERY, change
+from millgw.rehearsal.configuration_changes import CLASSES_INTERVAL, change_to_propose
 from millgw.rehearsal.report import Day, judge, show, to_json
 from millgw.rehearsal.scenario import ScenarioError
 from millgw.rehearsal.scenario_files import parse
@@ -238,12 +238,12 @@
 def test_changes_keep_within_what_the_day_allows() -> None:
     scenario = parse(TINY, "tiny")
     classes = {c.name: c.deadline_ms for c in scenario.classes}
-    values = [change(scenario, number).value for number in range(20)]
+    values = [change_to_propose(scenario, number).value for number in range(20)]
     assert len({str(value) for value in values}) > 4
     for number, value in enumerate(values):
         assert value is not None
         assert 1 <= value["limits"]["tryLimit"] <= scenario.limits.attempts
-        assert ("classes" in value) == (number % CLASSES_EVERY == CLASSES_EVERY - 1)
+        assert ("classes" in value) == (number % CLASSES_INTERVAL == CLASSES_INTERVAL - 1)
         for fields in value.get("classes", ()):
             assert 1 < fields["deadline"] / classes[fields["name"]] < 1.1
 
@@ -311,7 +311,7 @@
         if sidecar != "n0-1":
             return text
         assert testbed.control is not None
-        for address in testbed.control.all:
+        for address in testbed.control.all_addresses:
             text = text.replace(str(address), f"127.0.0.1:{address.port % 7 + 1}")
         return text
 
