--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -34,10 +34,12 @@
         peers = self.scenario.peers
         if peers is None:
             return
-        siblings = len(self.files.peers[0])
+        siblings = len(self.files.peer_addresses[0])
         for number in range(peers.byzantine):
             sidecar_settings = to_settings(settings(self.scenario, 0, 0, siblings))
-            peer_settings = PeerSettings(free_address(), self.files.joined(0), (str(self.files.key),), 0.0)
+            peer_settings = PeerSettings(
+                free_address(), self.files.join_addresses(0), (str(self.files.key_file),), 0.0
+            )
             self.running.append(
                 byzantine_peer(
                     peer_settings, sidecar_settings, self._first_tier_coldness, self.scenario.seed + number
--- a/millgw/rehearsal/control_instances.py
+++ b/millgw/rehearsal/control_instances.py
@@ -15,7 +15,7 @@
 from millgw.platform.config import Address
 from millgw.rehearsal.keeper import Keeper
 from millgw.rehearsal.processes import spawn
-from millgw.rehearsal.sidecars import READY_EVERY, READY_TIME, ROOT, NotReady
+from millgw.rehearsal.sidecars import READY_CHECK_INTERVAL_S, READY_TIMEOUT_S, ROOT, NotReady
 from millgw.standins.address import free_address
 from millgw.standins.configuration_ledger import ControlLife
 from millgw.standins.http import Clock
@@ -37,10 +37,10 @@
 class ControlInstances:
     """The voters of one day. They are only ever ended by SIGKILL, and restart on their existing stores."""
 
-    def __init__(self, count: int, folder: Path, keeper: Keeper, ledger: Ledger, clock: Clock) -> None:
+    def __init__(self, count: int, directory: Path, cleanup: Keeper, ledger: Ledger, clock: Clock) -> None:
         self.addresses = {f"control-{number}": free_address() for number in range(1, count + 1)}
-        self.directory = folder
-        self.keeper = keeper
+        self.directory = directory
+        self.cleanup = cleanup
         self.ledger = ledger
         self.clock = clock
         self.running: dict[str, ControlProcess] = {}
@@ -55,11 +55,11 @@
         """Start those that are not running and wait for a leader; raises NotReady if none emerges."""
         await asyncio.gather(*(self.start(name) for name in self.addresses))
         try:
-            async with asyncio.timeout(READY_TIME):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 while await self.leader() is None:
-                    await asyncio.sleep(READY_EVERY)
+                    await asyncio.sleep(READY_CHECK_INTERVAL_S)
         except TimeoutError:
-            raise NotReady(f"no control instance became leader within {READY_TIME:.0f} s") from None
+            raise NotReady(f"no control instance became leader within {READY_TIMEOUT_S:.0f} s") from None
 
     async def start(self, name: str) -> None:
         """Start an instance, unless it is running, and wait until it answers or is killed."""
@@ -68,7 +68,7 @@
         directory = self.directory / name
         directory.mkdir(parents=True, exist_ok=True)
         life = ControlLife(name, self.clock())
-        process = await spawn(self._command(name), self._environ(), directory / "log", self.keeper)
+        process = await spawn(self._command(name), self._environ(), directory / "log", self.cleanup)
         self.started_before.add(name)
         self.ledger.control.append(life)
         waiter = asyncio.get_running_loop().create_task(self._wait_for_exit(name, process))
@@ -91,7 +91,7 @@
         return os.environ | {"PYTHONPATH": os.pathsep.join(paths)}
 
     async def _wait_until_ready(self, name: str, life: ControlLife) -> None:
-        deadline = self.clock() + READY_TIME * 1000
+        deadline = self.clock() + READY_TIMEOUT_S * 1000
         while life.kill is None:
             status = await fetch_status([self.addresses[name]], STATUS_TIMEOUT_S)
             if status.instances and life.kill is None:
@@ -99,11 +99,11 @@
                 return
             if name not in self.running or self.clock() > deadline:
                 raise NotReady(f"control instance {name} does not answer")
-            await asyncio.sleep(READY_EVERY)
+            await asyncio.sleep(READY_CHECK_INTERVAL_S)
 
     async def _wait_for_exit(self, name: str, process: asyncio.subprocess.Process) -> None:
         await process.wait()
-        self.keeper.ended(process.pid)
+        self.cleanup.ended(process.pid)
         self.running.pop(name, None)
 
     async def leader(self) -> str | None:
--- a/millgw/rehearsal/operator_files.py
+++ b/millgw/rehearsal/operator_files.py
@@ -14,8 +14,8 @@
 from millgw.standins.address import free_address
 from millgw.standins.discovery_server import DiscoveryServer
 
-DOMAIN = "rehearsal.example"  # domain of the services' host names
-JOIN = 3  # number of peers of the same stage that each sidecar is given to join
+SERVICE_DOMAIN = "rehearsal.example"  # domain of the services' host names
+JOIN_PEERS = 3  # number of peers of the same stage that each sidecar is given to join
 
 
 class OperatorFiles:
@@ -32,21 +32,21 @@
         control: Sequence[Address] = (),
     ) -> None:
         self.scenario = scenario
-        self.control = tuple(control)
+        self.control_addresses = tuple(control)
         self.discovery_server = discovery_server
-        self.peers: dict[int, dict[str, Address]] = {}  # peer addresses by stage and sidecar
-        self.key = folder / "peers.key"
+        self.peer_addresses: dict[int, dict[str, Address]] = {}  # peer addresses by stage and sidecar
+        self.key_file = folder / "peers.key"
         if scenario.peers is not None:
-            self.key.write_text(random.Random(f"key {scenario.seed}").randbytes(16).hex())
+            self.key_file.write_text(random.Random(f"key {scenario.seed}").randbytes(16).hex())
 
     def add_peer(self, sidecar: Sidecar) -> None:
         """Allocate a sidecar's peer address, on a day with peers."""
         if self.scenario.peers is not None:
-            self.peers.setdefault(sidecar.stage, {})[sidecar.name] = free_address()
+            self.peer_addresses.setdefault(sidecar.stage, {})[sidecar.name] = free_address()
 
-    def joined(self, stage: int) -> tuple[Address, ...]:
+    def join_addresses(self, stage: int) -> tuple[Address, ...]:
         """The peer addresses that each sidecar of a stage is given to join."""
-        return tuple(list(self.peers[stage].values())[:JOIN])
+        return tuple(list(self.peer_addresses[stage].values())[:JOIN_PEERS])
 
     def text(self, sidecar: Sidecar, without: str = "") -> str:
         """The file of a sidecar, with all services except `without`."""
@@ -62,7 +62,7 @@
                 address = self.discovery_server.window(sidecar.name, tier)
                 classes = ", ".join(f'"{name}"' for name in service.classes)
                 lines += [f"[services.{service.name}]", f'discovery = "{address}"', f"classes = [{classes}]"]
-                lines += ["[[routes]]", f'to = "{service.name}"', f'host = "{service.name}.{DOMAIN}"']
+                lines += ["[[routes]]", f'to = "{service.name}"', f'host = "{service.name}.{SERVICE_DOMAIN}"']
         return "\n".join(lines)
 
     def _peers_toml(self, sidecar: Sidecar) -> str:
@@ -70,13 +70,13 @@
         peers = self.scenario.peers
         if peers is None:
             return ""
-        joined = [str(address) for address in self.joined(sidecar.stage)]
+        join = [str(address) for address in self.join_addresses(sidecar.stage)]
         return "\n".join(
             [
                 "[peers]",
-                f'listen = "{self.peers[sidecar.stage][sidecar.name]}"',
-                f"join = {json.dumps(joined)}",
-                f"keys = {json.dumps([str(self.key)])}",
+                f'listen = "{self.peer_addresses[sidecar.stage][sidecar.name]}"',
+                f"join = {json.dumps(join)}",
+                f"keys = {json.dumps([str(self.key_file)])}",
                 f"within_ms = {peers.within_ms:g}",
             ]
         )
@@ -86,7 +86,7 @@
         store = self.scenario.store
         if store is None:
             return ""
-        directories = [str(sidecar.folder / f"store-{number}") for number in range(store.mirrors)]
+        directories = [str(sidecar.directory / f"store-{number}") for number in range(store.mirrors)]
         return f'[store]\ndirectories = {json.dumps(directories)}\nsync = "{store.sync}"'
 
     def _places_toml(self, sidecar: Sidecar) -> str:
@@ -100,8 +100,8 @@
 
     def _configuration_toml(self, sidecar: Sidecar) -> str:
         """The [configuration] table: the control instances, and where the last good version is kept."""
-        if not self.control:
+        if not self.control_addresses:
             return ""
-        instances = [str(address) for address in self.control]
-        directory = str(sidecar.folder / "configuration")
+        instances = [str(address) for address in self.control_addresses]
+        directory = str(sidecar.directory / "configuration")
         return f"[configuration]\ninstances = {json.dumps(instances)}\ndirectory = {json.dumps(directory)}"
--- a/millgw/rehearsal/sampler.py
+++ b/millgw/rehearsal/sampler.py
@@ -11,8 +11,8 @@
 from millgw.standins.http import Clock
 from millgw.standins.ledger import Ledger, Sample
 
-EVERY = 0.05  # s between two samples of the event loop's lag
-CORES_EVERY = 10  # samples of the lag for each sample of cores and processes
+LAG_INTERVAL_S = 0.05  # s between two samples of the event loop's lag
+SAMPLES_PER_CORE_SAMPLE = 10  # samples of the lag for each sample of cores and processes
 
 
 class Sampler:
@@ -22,44 +22,44 @@
         self.ledger = ledger
         self.clock = clock
         self.sidecars = sidecars
-        self.waited: dict[tuple[str, int | None], float] = {}
-        self.ticks = _ticks()
+        self.last_core_wait_ms: dict[tuple[str, int | None], float] = {}
+        self.ticks = _cpu_ticks()
 
     async def run(self) -> None:
         count = 0
-        self._starved()
+        self._core_waits()
         while True:
-            due = self.clock() + EVERY * 1000
-            await asyncio.sleep(EVERY)
+            due = self.clock() + LAG_INTERVAL_S * 1000
+            await asyncio.sleep(LAG_INTERVAL_S)
             sample = Sample(self.clock(), max(0.0, self.clock() - due))
             count += 1
-            if count % CORES_EVERY == 0:
-                sample.starved = self._starved()
-            sample.busy = self._busy() if count % CORES_EVERY == 0 else self._last_busy()
+            if count % SAMPLES_PER_CORE_SAMPLE == 0:
+                sample.starved = self._core_waits()
+            sample.busy = self._cpu_use() if count % SAMPLES_PER_CORE_SAMPLE == 0 else self._last_cpu_use()
             self.ledger.samples.append(sample)
 
-    def _last_busy(self) -> float:
+    def _last_cpu_use(self) -> float:
         return self.ledger.samples[-1].busy if self.ledger.samples else 0.0
 
-    def _starved(self) -> dict[str, float]:
+    def _core_waits(self) -> dict[str, float]:
         """How long each sidecar waited for a core since the last sample (ms)."""
-        starved: dict[str, float] = {}
+        core_waits: dict[str, float] = {}
         for sidecar in self.sidecars:
             if sidecar.pid is None:
                 continue
-            waited, key = sidecar.waited(), (sidecar.name, sidecar.pid)
-            starved[sidecar.name] = max(0.0, waited - self.waited.get(key, waited))
-            self.waited[key] = waited
-            sidecar.note_memory()
-        return starved
+            waited, key = sidecar.core_wait_ms(), (sidecar.name, sidecar.pid)
+            core_waits[sidecar.name] = max(0.0, waited - self.last_core_wait_ms.get(key, waited))
+            self.last_core_wait_ms[key] = waited
+            sidecar.record_peak_memory()
+        return core_waits
 
-    def _busy(self) -> float:
-        before, self.ticks = self.ticks, _ticks()
-        whole = self.ticks[1] - before[1]
-        return (self.ticks[0] - before[0]) / whole if whole else 0.0
+    def _cpu_use(self) -> float:
+        before, self.ticks = self.ticks, _cpu_ticks()
+        total = self.ticks[1] - before[1]
+        return (self.ticks[0] - before[0]) / total if total else 0.0
 
 
-def _ticks() -> tuple[int, int]:
+def _cpu_ticks() -> tuple[int, int]:
     """Busy and total CPU ticks of all cores since boot."""
     try:
         figures = [int(x) for x in Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:9]]
@@ -68,7 +68,7 @@
     return sum(figures) - figures[3] - figures[4], sum(figures)
 
 
-def own_memory() -> int:
+def own_peak_memory_kb() -> int:
     """Peak resident memory of this process (kB)."""
     try:
         for line in Path(f"/proc/{os.getpid()}/status").read_text().splitlines():
--- a/millgw/rehearsal/scenario.py
+++ b/millgw/rehearsal/scenario.py
@@ -15,13 +15,13 @@
 from millgw.standins.discovery_server import OutageKind
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
-Part = Annotated[float, Meta(gt=0.0, le=1.0)]
+PositiveShare = Annotated[float, Meta(gt=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0, le=1e6)]
 NotNegative = Annotated[float, Meta(ge=0.0, le=1e6)]
 Count = Annotated[int, Meta(ge=1, le=10_000)]
-Size = Annotated[float, Meta(ge=0.0, le=32_768.0)]
+SizeKb = Annotated[float, Meta(ge=0.0, le=32_768.0)]
 Range = tuple[NotNegative, NotNegative]
-Shape = Literal["steady", "bursty", "wave", "ramp"]
+TrafficShape = Literal["steady", "bursty", "wave", "ramp"]
 FaultKind = Literal[
     "silence",
     "restart",
@@ -59,11 +59,12 @@
         "zk-expire", "middlebox", "parted",
     }
 )  # fmt: skip
-OUTAGES: frozenset[str] = frozenset({"discovery-outage", "discovery-restart"})
-AT_THE_DOOR: frozenset[str] = frozenset({"sidecar-upgrade", "sidecar-drain"})
-ON_CONTROL: frozenset[str] = frozenset({"control-instance-lost", "control-all-lost"})
+OUTAGE_FAULTS: frozenset[str] = frozenset({"discovery-outage", "discovery-restart"})
+CONTROL_ADDRESS_FAULTS: frozenset[str] = frozenset({"sidecar-upgrade", "sidecar-drain"})
+CONTROL_FAULTS: frozenset[str] = frozenset({"control-instance-lost", "control-all-lost"})
 ON_SIDECARS: frozenset[str] = (
-    frozenset({"sidecar-killed", "sidecar-restart", "sidecar-stopped", "connections"}) | AT_THE_DOOR
+    frozenset({"sidecar-killed", "sidecar-restart", "sidecar-stopped", "connections"})
+    | CONTROL_ADDRESS_FAULTS
 )
 
 
@@ -71,10 +72,10 @@
     """The scenario is invalid; the text names file, line and key."""
 
 
-class Speed(Table, frozen=True, kw_only=True):
+class EndpointKind(Table, frozen=True, kw_only=True):
     """A kind of endpoint: its share of each tier, and its speed relative to the reference speed of 1."""
 
-    share: Part
+    share: PositiveShare
     speed: Positive
 
 
@@ -92,10 +93,10 @@
     work: Annotated[tuple[Positive, ...], Meta(min_length=1, max_length=4)] = (0.36, 0.27, 0.37)
     calls: tuple[Positive, ...] = (1.25, 1.5)
     sidecars: Count = 16
-    kinds: Annotated[tuple[Speed, ...], Meta(min_length=1)] = (
-        Speed(share=0.26, speed=1.6),
-        Speed(share=0.26, speed=0.98),
-        Speed(share=0.48, speed=0.6),
+    kinds: Annotated[tuple[EndpointKind, ...], Meta(min_length=1)] = (
+        EndpointKind(share=0.26, speed=1.6),
+        EndpointKind(share=0.26, speed=0.98),
+        EndpointKind(share=0.48, speed=0.6),
     )
     group: Count = 5
     cores: Count = 1
@@ -105,10 +106,10 @@
     handshake_work_ms: NotNegative = 1.0
     handshake_ms: NotNegative = 0.6
     idle_s: Positive = 30.0
-    idle_part: Part = 1.0
+    idle_part: PositiveShare = 1.0
     idle_random: bool = False
     uses: Annotated[int, Meta(ge=0, le=1_000_000)] = 0
-    cold_share: Part = 0.2
+    cold_share: PositiveShare = 0.2
     cold_s: NotNegative = 14.0
     drops_waiting: bool = True
     drains_serving: bool = False
@@ -117,7 +118,7 @@
     def tier_sizes(self) -> tuple[int, ...]:
         return tuple(max(1, round(self.endpoints * size)) for size in self.tiers)
 
-    def owned(self) -> int:
+    def endpoint_sidecars(self) -> int:
         """The number of sidecars that belong to endpoints."""
         return sum(self.tier_sizes()[:-1])
 
@@ -130,7 +131,7 @@
     """
 
     name: Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]*$", max_length=64)]
-    share: Part
+    share: PositiveShare
     repeat: Literal["retryable", "dedup", "fragile"]
     work_ms: Positive
     wait_ms: NotNegative = 0.0
@@ -140,14 +141,14 @@
     worth: Positive = 1.0
     late_worth: Share = 0.3
     window_ms: NotNegative = 0.0
-    body_kb: Size = 0.0
-    answer_kb: Size = 0.0
+    body_kb: SizeKb = 0.0
+    answer_kb: SizeKb = 0.0
     pace_kb_s: NotNegative = 0.0
 
 
 class Tenant(Table, frozen=True, kw_only=True):
     name: Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9_.-]*$", max_length=64)]
-    share: Part
+    share: PositiveShare
 
 
 class Traffic(Table, frozen=True, kw_only=True):
@@ -158,10 +159,10 @@
     """
 
     rate: Positive = 40.0
-    shape: Shape = "bursty"
+    shape: TrafficShape = "bursty"
     swing: Share = 0.25
     retries: Annotated[int, Meta(ge=0, le=10)] = 3
-    try_share: tuple[Part, Part] = (0.5, 0.6)
+    try_share: tuple[PositiveShare, PositiveShare] = (0.5, 0.6)
     wait_ms: Range = (75.0, 600.0)
     at_once: Share = 0.5
     honour: Share = 0.3
@@ -281,7 +282,7 @@
     kind: FaultKind
     start_s: NotNegative
     length_s: NotNegative = 5.0
-    share: Part = 0.12
+    share: PositiveShare = 0.12
     size: Positive | None = None
     tier: Annotated[int, Meta(ge=0, le=4)] = 0
     spacing_s: NotNegative = 0.0
--- a/millgw/rehearsal/scenario_checks.py
+++ b/millgw/rehearsal/scenario_checks.py
@@ -2,20 +2,23 @@
 
 from __future__ import annotations
 
-from millgw.rehearsal.scenario import ON_CONTROL, ON_ENDPOINTS, OUTAGES, SIZES, Fault, Scenario
+from millgw.rehearsal.scenario import CONTROL_FAULTS, ON_ENDPOINTS, OUTAGE_FAULTS, SIZES, Fault, Scenario
 
 
 def check(scenario: Scenario) -> Scenario:
     """Return the scenario if it is consistent; otherwise raise ValueError as `path: problem`."""
     fleet = scenario.fleet
-    sizes = len(fleet.tiers)
-    if len(fleet.work) != sizes:
-        raise ValueError(f"fleet.work: has {len(fleet.work)} shares for {sizes} tiers")
-    if len(fleet.calls) < sizes - 1:
-        raise ValueError(f"fleet.calls: has {len(fleet.calls)} numbers for the calls between {sizes} tiers")
-    if fleet.sidecars <= fleet.owned():
+    tier_count = len(fleet.tiers)
+    if len(fleet.work) != tier_count:
+        raise ValueError(f"fleet.work: has {len(fleet.work)} shares for {tier_count} tiers")
+    if len(fleet.calls) < tier_count - 1:
         raise ValueError(
-            f"fleet.sidecars: {fleet.sidecars} leaves none for the front: {fleet.owned()} belong to endpoints"
+            f"fleet.calls: has {len(fleet.calls)} numbers for the calls between {tier_count} tiers"
+        )
+    if fleet.sidecars <= fleet.endpoint_sidecars():
+        raise ValueError(
+            f"fleet.sidecars: {fleet.sidecars} leaves none for the front:"
+            f" {fleet.endpoint_sidecars()} belong to endpoints"
         )
     for path, names in (
         ("classes", [c.name for c in scenario.classes]),
@@ -70,15 +73,15 @@
 
 
 def _check_configuration(scenario: Scenario) -> None:
-    told = scenario.configuration
-    if told is None or not told.refusing:
+    configuration = scenario.configuration
+    if configuration is None or not configuration.refusing:
         return
     if scenario.services:
         raise ValueError("configuration.refusing: not supported on a day with services")
-    front = scenario.fleet.sidecars - scenario.fleet.owned()
-    if told.refusing >= front:
+    front = scenario.fleet.sidecars - scenario.fleet.endpoint_sidecars()
+    if configuration.refusing >= front:
         raise ValueError(
-            f"configuration.refusing: {told.refusing} must be less than the number of front sidecars, {front}"
+            f"configuration.refusing: {configuration.refusing} must be less than the {front} front sidecars"
         )
 
 
@@ -98,9 +101,9 @@
     if fault.start_s >= scenario.seconds:
         raise ValueError(f"{path}.start_s: {fault.start_s:g} is past the day's {scenario.seconds:g} seconds")
     if fault.kind in SIZES:
-        most = SIZES[fault.kind][1]
-        if fault.size is not None and fault.size > most:
-            raise ValueError(f"{path}.size: {fault.kind} takes at most {most:g}")
+        maximum = SIZES[fault.kind][1]
+        if fault.size is not None and fault.size > maximum:
+            raise ValueError(f"{path}.size: {fault.kind} takes at most {maximum:g}")
         if fault.size is not None and fault.kind in ("slowdown", "crowd") and fault.size < 1:
             raise ValueError(f"{path}.size: {fault.kind} takes at least 1")
     elif fault.size is not None:
@@ -114,14 +117,14 @@
         raise ValueError(
             f"{path}.class: only a crowd takes a class, a known one; not {fault.cls!r} of {fault.kind}"
         )
-    named = fault.service in [s.name for s in scenario.services]
-    if (fault.kind == "reload") != named or (fault.service is not None and not named):
+    is_service = fault.service in [s.name for s in scenario.services]
+    if (fault.kind == "reload") != is_service or (fault.service is not None and not is_service):
         raise ValueError(f"{path}.service: a reload names one of the services; other faults name none")
     if fault.kind.startswith("zk-") and scenario.coordinator is None:
         raise ValueError(f"{path}.kind: {fault.kind} hits a coordinator, and the day has none")
-    if fault.kind in ON_CONTROL and scenario.configuration is None:
+    if fault.kind in CONTROL_FAULTS and scenario.configuration is None:
         raise ValueError(f"{path}.kind: {fault.kind} hits control instances, and the day has none")
-    if fault.outage is not None and fault.kind not in OUTAGES:
+    if fault.outage is not None and fault.kind not in OUTAGE_FAULTS:
         raise ValueError(f"{path}.outage: {fault.kind} is not an outage of the discovery server")
     if fault.zone is not None:
         if fault.kind not in ON_ENDPOINTS:
--- a/millgw/rehearsal/scenario_files.py
+++ b/millgw/rehearsal/scenario_files.py
@@ -48,49 +48,58 @@
 
 def connections_toml(scenario: Scenario) -> str:
     """The [connections] table of the operator's file; empty if the scenario has none."""
-    told = scenario.connections
-    if told is None:
+    connections = scenario.connections
+    if connections is None:
         return ""
-    return "\n".join(["[connections]", *(f"{k} = {_toml(getattr(told, k))}" for k in told.__struct_fields__)])
+    return "\n".join(
+        [
+            "[connections]",
+            *(f"{k} = {_toml_value(getattr(connections, k))}" for k in connections.__struct_fields__),
+        ]
+    )
 
 
 def to_toml(scenario: Scenario, comment: str = "") -> str:
     """The file that `parse` reads back as this scenario; default values are left out."""
     lines = [f"# {line}".rstrip() for line in comment.splitlines()]
     tables: list[str] = []
-    standard = Scenario()
+    defaults = Scenario()
     for field in Scenario.__struct_fields__:
         value = getattr(scenario, field)
-        if value == getattr(standard, field):
+        if value == getattr(defaults, field):
             continue
         if isinstance(value, Table):
-            usual = getattr(standard, field) or type(value)()
-            inner = [
-                f"{key} = {_toml(getattr(value, key))}"
+            default = getattr(defaults, field) or type(value)()
+            rows = [
+                f"{key} = {_toml_value(getattr(value, key))}"
                 for key in value.__struct_fields__
-                if getattr(value, key) != getattr(usual, key)
+                if getattr(value, key) != getattr(default, key)
             ]
-            tables += ["", f"[{field}]", *inner]
+            tables += ["", f"[{field}]", *rows]
         elif isinstance(value, tuple):
             for entry in value:
                 names = zip(entry.__struct_fields__, entry.__struct_encode_fields__, strict=True)
-                given = [(word, getattr(entry, name)) for name, word in names]
-                rows = [f"{word} = {_toml(v)}" for word, v in given if v is not None]
+                values = [(key, getattr(entry, name)) for name, key in names]
+                rows = [f"{key} = {_toml_value(v)}" for key, v in values if v is not None]
                 tables += ["", f"[[{field}]]", *rows]
         else:
-            lines.append(f"{field} = {_toml(value)}")
+            lines.append(f"{field} = {_toml_value(value)}")
     return "\n".join([*lines, *tables]) + "\n"
 
 
-def _toml(value: Any) -> str:
+def _toml_value(value: Any) -> str:
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, str):
         return msgspec.json.encode(value).decode()
     if isinstance(value, tuple):
-        return "[" + ", ".join(map(_toml, value)) + "]"
+        return "[" + ", ".join(map(_toml_value, value)) + "]"
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{_toml(k)} = {_toml(v)}" for k, v in value.items()) + " }"
+        return "{ " + ", ".join(f"{_toml_value(k)} = {_toml_value(v)}" for k, v in value.items()) + " }"
     if isinstance(value, Table):
-        return "{ " + ", ".join(f"{k} = {_toml(getattr(value, k))}" for k in value.__struct_fields__) + " }"
+        return (
+            "{ "
+            + ", ".join(f"{k} = {_toml_value(getattr(value, k))}" for k in value.__struct_fields__)
+            + " }"
+        )
     return repr(value)
--- a/millgw/rehearsal/scenario_overrides.py
+++ b/millgw/rehearsal/scenario_overrides.py
@@ -35,31 +35,31 @@
     """
     fleet, traffic = scenario.fleet, scenario.traffic
     if scale is not None:
-        of_scale = SCALES[scale]
-        endpoints = of_scale[0] if endpoints is None else endpoints
-        sidecars = of_scale[1] if sidecars is None else sidecars
-        rate = of_scale[2] if rate is None else rate
+        scaled = SCALES[scale]
+        endpoints = scaled[0] if endpoints is None else endpoints
+        sidecars = scaled[1] if sidecars is None else sidecars
+        rate = scaled[2] if rate is None else rate
     if endpoints is not None:
-        front = fleet.sidecars - fleet.owned()
+        front = fleet.sidecars - fleet.endpoint_sidecars()
         fleet = msgspec.structs.replace(fleet, endpoints=endpoints)
         if sidecars is None:
-            sidecars = fleet.owned() + front
+            sidecars = fleet.endpoint_sidecars() + front
     if sidecars is not None:
         fleet = msgspec.structs.replace(fleet, sidecars=sidecars)
     if rate is not None:
         traffic = msgspec.structs.replace(traffic, rate=rate)
     faults: Sequence[Fault] = scenario.faults
     if seconds is not None:
-        part = seconds / scenario.seconds
+        factor = seconds / scenario.seconds
         faults = [
             msgspec.structs.replace(
-                f, start_s=f.start_s * part, length_s=f.length_s * part, spacing_s=f.spacing_s * part
+                f, start_s=f.start_s * factor, length_s=f.length_s * factor, spacing_s=f.spacing_s * factor
             )
             for f in faults
         ]
-    left_out: dict[str, object] = dict.fromkeys(name for name in without if name != PLACES)
+    removed: dict[str, object] = dict.fromkeys(name for name in without if name != PLACES)
     if PLACES in without and scenario.zones is not None:
-        left_out["zones"] = msgspec.structs.replace(scenario.zones, places=False)
+        removed["zones"] = msgspec.structs.replace(scenario.zones, places=False)
     try:
         return check(
             msgspec.structs.replace(
@@ -69,7 +69,7 @@
                 faults=tuple(faults),
                 seed=scenario.seed if seed is None else seed,
                 seconds=scenario.seconds if seconds is None else seconds,
-                **left_out,
+                **removed,
             )
         )
     except ValueError as error:
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -28,10 +28,10 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 DEFAULT_RUN = f"exec {sys.executable} -B -m millgw.sidecar"
-READY_EVERY = 0.05  # s between two checks whether a sidecar serves
-READY_TIME = 60.0  # s for a sidecar to serve after its start
-OWN_CLASS = "of-its-own"  # name of the class that only sidecars that reject versions have
-LOG_TAIL = 400  # bytes at the end of a log that are searched for the last line to quote
+READY_CHECK_INTERVAL_S = 0.05  # s between two checks whether a sidecar serves
+READY_TIMEOUT_S = 60.0  # s for a sidecar to serve after its start
+EXTRA_CLASS = "of-its-own"  # name of the class that only sidecars that reject versions have
+LOG_TAIL_BYTES = 400  # bytes at the end of a log that are searched for the last line to quote
 
 
 class NotReady(Exception):
@@ -76,10 +76,10 @@
     }  # fmt: skip
 
 
-def with_class_of_its_own(settings: dict[str, Any]) -> dict[str, Any]:
+def with_extra_class(settings: dict[str, Any]) -> dict[str, Any]:
     """The settings with one more class, so that a version that sets the classes can't be applied here."""
-    own = {**settings["classes"][0], "name": OWN_CLASS}
-    return settings | {"classes": [*settings["classes"], own]}
+    extra = {**settings["classes"][0], "name": EXTRA_CLASS}
+    return settings | {"classes": [*settings["classes"], extra]}
 
 
 @dataclass(eq=False)
@@ -103,10 +103,10 @@
         discovery: Address,
         settings: dict[str, Any],
         scenario: Scenario,
-        known: Callable[[], tuple[int, tuple[Entry, ...]]],
-        run: str,
-        folder: Path,
-        keeper: Keeper,
+        known_endpoints: Callable[[], tuple[int, tuple[Entry, ...]]],
+        command: str,
+        directory: Path,
+        cleanup: Keeper,
         ledger: Ledger,
         clock: Clock,
     ) -> None:
@@ -117,22 +117,22 @@
         self.settings = settings
         self.limits = scenario.limits
         self.seed = scenario.seed
-        self.known = known
-        self.run = run
-        self.folder = folder / name
-        self.keeper = keeper
+        self.known_endpoints = known_endpoints
+        self.command = command
+        self.directory = directory / name
+        self.cleanup = cleanup
         self.ledger = ledger
         self.clock = clock
-        self.listen_at(free_address())
+        self.set_listen_address(free_address())
         self.current: Process | None = None
         self.before: Process | None = None  # the process that a running upgrade replaces
-        self.door = False  # whether its processes are given a control address
+        self.has_control_address = False
         self.starts = 0
-        self.operator = ""  # text of its operator's file; empty for none
-        self.most_memory = 0  # kB, the peak of all its processes
+        self.operator_file = ""  # text of its operator's file; empty for none
+        self.peak_memory_kb = 0  # of all its processes
         self.waiters: list[asyncio.Task[None]] = []
 
-    def listen_at(self, address: Address) -> None:
+    def set_listen_address(self, address: Address) -> None:
         """Set the address that callers use; only before the first start."""
         self.listen = address
         self.desk = Desk(self.name, address, self.clock)
@@ -140,9 +140,9 @@
     async def start(self) -> None:
         """Start a process and wait until it serves; raises NotReady with the reason if it does not."""
         started = self.current = await self._spawn()
-        await self._until(started, lambda: ready(self.listen))
+        await self._wait_until_ready(started, lambda: ready(self.listen))
 
-    async def upgrade(self, upgrade: Upgrade, within: float) -> None:
+    async def upgrade(self, upgrade: Upgrade, grace_s: float) -> None:
         """Start a second process beside the running one, and end the old one once the new one is ready.
 
         The old process has `within` s from SIGTERM on before it is killed. Raises NotReady if the new one
@@ -154,13 +154,13 @@
         new.life.beside = True
         self.before, self.current = old, new
         assert new.door is not None
-        door = new.door
-        await self._until(new, lambda: ready(door, DOOR_READY))
+        control_address = new.door
+        await self._wait_until_ready(new, lambda: ready(control_address, DOOR_READY))
         upgrade.yes_at = self.clock()
         old.life.term = upgrade.term = upgrade.yes_at
         self._signal(old, signal.SIGTERM)
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(grace_s):
                 await old.ended.wait()
         except TimeoutError:
             self._kill(old)
@@ -171,32 +171,36 @@
     async def _spawn(self) -> Process:
         self.starts += 1
         number = self.starts
-        door = free_address() if self.door else None
+        control_address = free_address() if self.has_control_address else None
         life = SidecarLife(self.name, self.stage, self.clock())
-        environ = self._environ(door)
-        process = await spawn(self.run, environ, self.folder / "log", self.keeper)
-        started = Process(process, life, door, number)
+        environ = self._environ(control_address)
+        process = await spawn(self.command, environ, self.directory / "log", self.cleanup)
+        started = Process(process, life, control_address, number)
         self.ledger.sidecars.append(life)
-        self.waiters.append(asyncio.get_running_loop().create_task(self._wait(started)))
+        self.waiters.append(asyncio.get_running_loop().create_task(self._wait_for_exit(started)))
         return started
 
-    async def _until(self, started: Process, serves: Callable[[], Awaitable[bool]]) -> None:
+    async def _wait_until_ready(self, started: Process, serves: Callable[[], Awaitable[bool]]) -> None:
         try:
-            async with asyncio.timeout(READY_TIME):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 while not await serves():
                     if started.ended.is_set():
                         if started.life.kill is not None:
                             return
-                        raise NotReady(f"{self.name} ended with code {started.life.code}: {self.tail()}")
-                    await asyncio.sleep(READY_EVERY)
+                        raise NotReady(
+                            f"{self.name} ended with code {started.life.code}: {self.last_log_line()}"
+                        )
+                    await asyncio.sleep(READY_CHECK_INTERVAL_S)
         except TimeoutError:
-            raise NotReady(f"{self.name} is not ready after {READY_TIME:.0f} s: {self.tail()}") from None
+            raise NotReady(
+                f"{self.name} is not ready after {READY_TIMEOUT_S:.0f} s: {self.last_log_line()}"
+            ) from None
         started.life.ready = self.clock()
 
-    def _environ(self, door: Address | None) -> dict[str, str]:
-        scratch = self.folder / "tmp"
-        scratch.mkdir(parents=True, exist_ok=True)
-        index, entries = self.known()
+    def _environ(self, control_address: Address | None) -> dict[str, str]:
+        temporary = self.directory / "tmp"
+        temporary.mkdir(parents=True, exist_ok=True)
+        index, entries = self.known_endpoints()
         config = {
             "name": self.name,
             "listen": str(self.listen),
@@ -206,39 +210,41 @@
             "known": {"index": index, "snapshot": True, "endpoints": [e.json() for e in entries]},
             "settings": self.settings,
         }
-        path = self.folder / "config.json"
+        path = self.directory / "config.json"
         path.write_text(json.dumps(config))
-        given = {} if door is None else {"BALANCER_CONTROL": str(door)}
-        if self.operator:
-            (self.folder / "operator.toml").write_text(self.operator)
-            given["BALANCER_OPERATOR"] = str(self.folder / "operator.toml")
+        optional = {} if control_address is None else {"BALANCER_CONTROL": str(control_address)}
+        if self.operator_file:
+            (self.directory / "operator.toml").write_text(self.operator_file)
+            optional["BALANCER_OPERATOR"] = str(self.directory / "operator.toml")
         paths = [str(ROOT), *filter(None, [os.environ.get("PYTHONPATH")])]
         return os.environ | {
             "BALANCER_NAME": self.name,
             "BALANCER_LISTEN": str(self.listen),
             "BALANCER_DISCOVERY": str(self.discovery),
             "BALANCER_CONFIG": str(path),
-            "TMPDIR": str(scratch),
+            "TMPDIR": str(temporary),
             "PYTHONPATH": os.pathsep.join(paths),
-            **given,
+            **optional,
         }
 
-    async def _wait(self, started: Process) -> None:
+    async def _wait_for_exit(self, started: Process) -> None:
         started.life.code = await started.process.wait()
         started.life.ended = self.clock()
-        self.keeper.ended(started.process.pid)
+        self.cleanup.ended(started.process.pid)
         started.ended.set()
 
-    def tail(self) -> str:
+    def last_log_line(self) -> str:
         """The last line of its log that is not blank."""
         with contextlib.suppress(OSError):
-            lines = (self.folder / "log").read_bytes()[-LOG_TAIL:].decode(errors="replace").split("\n")
+            lines = (
+                (self.directory / "log").read_bytes()[-LOG_TAIL_BYTES:].decode(errors="replace").split("\n")
+            )
             return next((line for line in reversed(lines) if line.strip()), "the log is empty")
         return "the log is empty"
 
     def kill(self) -> None:
         """Send SIGKILL to the process groups of all its processes."""
-        self.note_memory()
+        self.record_peak_memory()
         for started in (self.before, self.current):
             if started is not None:
                 self._kill(started)
@@ -259,7 +265,7 @@
     def term(self) -> None:
         """Send SIGTERM to the newest process."""
         if self.current is not None and self.pid is not None:
-            self.note_memory()
+            self.record_peak_memory()
             self.current.life.term = self.clock()
             self._signal(self.current, signal.SIGTERM)
 
@@ -268,22 +274,22 @@
 
         Blocks the calling thread meanwhile.
         """
-        held = self.current
-        if held is None:
+        stopped = self.current
+        if stopped is None:
             return None
-        begun = self.clock()
-        self._signal(held, signal.SIGSTOP)
+        start = self.clock()
+        self._signal(stopped, signal.SIGSTOP)
         try:
             time.sleep(seconds)
         finally:
-            self._signal(held, signal.SIGCONT)
-        return SidecarPause(self.name, begun, self.clock())
+            self._signal(stopped, signal.SIGCONT)
+        return SidecarPause(self.name, start, self.clock())
 
     def reload(self, operator: str) -> None:
         """Replace its operator's file and send SIGHUP."""
-        self.operator = operator
+        self.operator_file = operator
         if self.current is not None and self.pid is not None:
-            (self.folder / "operator.toml").write_text(operator)
+            (self.directory / "operator.toml").write_text(operator)
             self._signal(self.current, signal.SIGHUP)
 
     @property
@@ -298,15 +304,15 @@
             return None
         return self.current.process.pid
 
-    def waited(self) -> float:
+    def core_wait_ms(self) -> float:
         """ms that its newest process has waited for a core so far; 0 if that can't be read."""
         try:
             return int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1]) / 1e6
         except (OSError, ValueError, IndexError):
             return 0.0
 
-    def note_memory(self) -> None:
+    def record_peak_memory(self) -> None:
         with contextlib.suppress(OSError, ValueError, IndexError):
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM:"):
-                    self.most_memory = max(self.most_memory, int(line.split()[1]))
+                    self.peak_memory_kb = max(self.peak_memory_kb, int(line.split()[1]))
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -23,11 +23,11 @@
 from millgw.rehearsal.fleet import builds_of_tier, is_last_tier, tasks_of_tier, tier_sizes
 from millgw.rehearsal.front import Clients, Front, send_call
 from millgw.rehearsal.keeper import Keeper
-from millgw.rehearsal.operator_files import DOMAIN, OperatorFiles
-from millgw.rehearsal.sampler import Sampler, own_memory
-from millgw.rehearsal.scenario import AT_THE_DOOR, Scenario, refusing_sidecars
-from millgw.rehearsal.sidecars import DEFAULT_RUN, NotReady, Sidecar, settings, with_class_of_its_own
-from millgw.rehearsal.traffic import schedule
+from millgw.rehearsal.operator_files import SERVICE_DOMAIN, OperatorFiles
+from millgw.rehearsal.sampler import Sampler, own_peak_memory_kb
+from millgw.rehearsal.scenario import CONTROL_ADDRESS_FAULTS, Scenario, refusing_sidecars
+from millgw.rehearsal.sidecars import DEFAULT_RUN, NotReady, Sidecar, settings, with_extra_class
+from millgw.rehearsal.traffic import draw_arrivals
 from millgw.standins.deduplication import Group
 from millgw.standins.discovery_server import Capacity, Delays, DiscoveryServer
 from millgw.standins.endpoint import Endpoint, NextTier
@@ -36,9 +36,9 @@
 from millgw.standins.http import Clock, Message
 from millgw.standins.ledger import Attempt, Call, End, Ledger, shift
 
-STARTS_AT_ONCE = 2  # sidecars started concurrently per core: more only compete for the cores
-SETTLE = 1.0  # s between the last sidecar's start and the day's first request
-TAIL = 1.0  # s beyond the longest deadline to wait for calls in flight
+STARTS_PER_CORE = 2  # sidecars started concurrently per core: more only compete for the cores
+SETTLE_TIME_S = 1.0  # s between the last sidecar's start and the day's first request
+FINAL_CALLS_MARGIN_S = 1.0  # s beyond the longest deadline to wait for calls in flight
 
 
 @dataclass(slots=True, frozen=True)
@@ -77,9 +77,9 @@
         self.listen = listen  # address of the first front sidecar; None: any free one
         self.clock = Clock()
         self.ledger = Ledger()
-        known = scenario.discovery
-        self.delays = Delays(_ms(known.notice_s), _ms(known.silent_s), _ms(known.add_s))
-        capacity = Capacity(known.lines_per_s, known.call_lines, known.timeout_s * 1000)
+        discovery = scenario.discovery
+        self.delays = Delays(_ms(discovery.notice_s), _ms(discovery.silent_s), _ms(discovery.add_s))
+        capacity = Capacity(discovery.lines_per_s, discovery.call_lines, discovery.timeout_s * 1000)
         self.discovery_server = DiscoveryServer(self.ledger, self.clock, scenario.seed, self.delays, capacity)
         self.coordination: Coordination | None = None
         if scenario.coordinator is not None:
@@ -89,30 +89,30 @@
         self.control: ControlInstances | None = None
         self.endpoints: dict[str, Endpoint] = {}
         self.sidecars: dict[str, Sidecar] = {}
-        self.own: dict[str, Sidecar] = {}  # sidecars that belong to endpoints, by the endpoint's name
+        self.endpoint_sidecars: dict[str, Sidecar] = {}  # by the name of the endpoint they belong to
         self.byzantine_peers: ByzantinePeers | None = None
         self.front: Front
         self.clients: Clients
         self.error: BaseException | None = None
-        self.over = asyncio.Event()
+        self.stopped = asyncio.Event()
         self.zero = 0.0
 
     async def play(self) -> tuple[Ledger, Facts]:
         """Play the whole day; raises NotReady or OSError if it could not be played."""
-        folder = Path(tempfile.mkdtemp(prefix="millgw-rehearsal-"))
-        keeper = Keeper(str(folder))
-        begun = self.clock()
+        directory = Path(tempfile.mkdtemp(prefix="millgw-rehearsal-"))
+        cleanup = Keeper(str(directory))
+        start = self.clock()
         try:
-            self._build(folder, keeper)
+            self._build(directory, cleanup)
             await self._start()
-            start_s = (self.clock() - begun) / 1000
-            await self._day()
+            start_s = (self.clock() - start) / 1000
+            await self._run_day()
             facts = self._facts(start_s)
         finally:
-            await self._down()
+            await self._stop_all()
             if self.logs is not None:
-                self._keep_logs(folder, self.logs)
-            keeper.close()
+                self._copy_logs(directory, self.logs)
+            cleanup.close()
         if self.error is not None:
             raise self.error
         shift(self.ledger, -self.zero)
@@ -120,71 +120,79 @@
 
     def stop(self) -> None:
         """End the day now, without what is still scheduled."""
-        self.over.set()
+        self.stopped.set()
 
     def failed(self, error: BaseException) -> None:
         """Report that the scenario could not be carried out: the day ends and is not judged."""
         self.error = self.error or error
-        self.over.set()
+        self.stopped.set()
 
     # Building
 
-    def _build(self, folder: Path, keeper: Keeper) -> None:
+    def _build(self, directory: Path, cleanup: Keeper) -> None:
         scenario, fleet = self.scenario, self.scenario.fleet
         if scenario.configuration is not None:
             count = scenario.configuration.instances
-            self.control = ControlInstances(count, folder, keeper, self.ledger, self.clock)
+            self.control = ControlInstances(count, directory, cleanup, self.ledger, self.clock)
         addresses = () if self.control is None else self.control.all_addresses
-        self.operator_files = OperatorFiles(scenario, self.discovery_server, folder, addresses)
+        self.operator_files = OperatorFiles(scenario, self.discovery_server, directory, addresses)
         self.byzantine_peers = ByzantinePeers(scenario, self.operator_files, self.endpoints, self.clock)
         sizes = tier_sizes(scenario)
-        self.tiers = [self._tier(i + 1, size) for i, size in enumerate(sizes)]
-        front = fleet.sidecars - fleet.owned()
+        self.tiers = [self._build_tier(i + 1, size) for i, size in enumerate(sizes)]
+        front = fleet.sidecars - fleet.endpoint_sidecars()
         refusing = refusing_sidecars(scenario)
         for stage, siblings in enumerate([front] if scenario.services else [front, *sizes[:-1]]):
             for index in range(siblings):
                 name = f"n{stage}-{index}"
                 sidecar = Sidecar(
                     name, stage, self.discovery_server.window(name, stage + 1),
-                    settings(scenario, stage, index, siblings), scenario, self._known(stage + 1), self.run,
-                    folder, keeper, self.ledger, self.clock,
+                    settings(scenario, stage, index, siblings), scenario, self._known_endpoints(stage + 1),
+                    self.run, directory, cleanup, self.ledger, self.clock,
                 )  # fmt: skip
-                sidecar.door = self.control is not None or (
-                    stage == 0 and any(f.kind in AT_THE_DOOR for f in scenario.faults)
+                sidecar.has_control_address = self.control is not None or (
+                    stage == 0 and any(f.kind in CONTROL_ADDRESS_FAULTS for f in scenario.faults)
                 )
                 if name in refusing:
-                    sidecar.settings = with_class_of_its_own(sidecar.settings)
+                    sidecar.settings = with_extra_class(sidecar.settings)
                 if self.listen is not None and not self.sidecars:
-                    sidecar.listen_at(self.listen)
+                    sidecar.set_listen_address(self.listen)
                 self.sidecars[name] = sidecar
                 self.operator_files.add_peer(sidecar)
                 if stage:
-                    self.own[self.tiers[stage - 1][index].build.name] = sidecar
+                    self.endpoint_sidecars[self.tiers[stage - 1][index].build.name] = sidecar
         if self.coordination is None:
             for name, sidecar in self.sidecars.items():
-                sidecar.operator = self.operator(name)
+                sidecar.operator_file = self.operator(name)
         self.front = Front([self.sidecars[f"n0-{i}"] for i in range(front)], scenario.seed)
-        hosts = {cls: f"{s.name}.{DOMAIN}" for s in scenario.services for cls in s.classes}
+        hosts = {cls: f"{s.name}.{SERVICE_DOMAIN}" for s in scenario.services for cls in s.classes}
         self.clients = Clients(
             self.front, scenario.classes, self.ledger, self.clock, scenario.seed, hosts,
             scenario.traffic.insist,
         )  # fmt: skip
 
-    def _tier(self, tier: int, size: int) -> list[Endpoint]:
+    def _build_tier(self, tier: int, size: int) -> list[Endpoint]:
         scenario = self.scenario
         tasks = tasks_of_tier(scenario, tier)
         rule = ColdRule(scenario.rules.fall_multiple, scenario.rules.fall_ms)
         groups: dict[int, Group] = {}
-        made = []
+        endpoints = []
         for build in builds_of_tier(scenario, tier, size):
             group = groups.setdefault(build.cell, Group())
             caller = None if is_last_tier(scenario, tier) else self._caller(build.name, tier)
             endpoint = Endpoint(
-                build, tasks, group, self.ledger, self.clock, rule, scenario.seed, caller, self._fell
+                build,
+                tasks,
+                group,
+                self.ledger,
+                self.clock,
+                rule,
+                scenario.seed,
+                caller,
+                self._endpoint_overloaded,
             )
             self.endpoints[build.name] = endpoint
-            made.append(endpoint)
-        return made
+            endpoints.append(endpoint)
+        return endpoints
 
     def _caller(self, endpoint: str, tier: int) -> NextTier:
         """How an endpoint calls the next tier: through its own sidecar."""
@@ -194,7 +202,7 @@
         async def call(message: Message, attempt: Attempt, task: Task, left: float) -> bool:
             asked = self.ledger.asked_for.get(attempt.trace)
             trace = f"{tier:02x}{tag:06x}{next(numbers):08x}"
-            made = Call(
+            outgoing = Call(
                 trace=trace,
                 root=message.first.split()[1].partition("k=")[2],
                 stage=tier,
@@ -206,12 +214,12 @@
                 patience=float(int(left)),
                 method=message.first.split()[0],
             )
-            made = await send_call(self.own[endpoint].desk, made, self.ledger)
-            return made.status == 200 and made.end is End.ANSWERED
+            outgoing = await send_call(self.endpoint_sidecars[endpoint].desk, outgoing, self.ledger)
+            return outgoing.status == 200 and outgoing.end is End.ANSWERED
 
         return call
 
-    def _known(self, tier: int) -> Callable[[], tuple[int, tuple[Entry, ...]]]:
+    def _known_endpoints(self, tier: int) -> Callable[[], tuple[int, tuple[Entry, ...]]]:
         def known() -> tuple[int, tuple[Entry, ...]]:
             registry = self.discovery_server.registry(tier)
             return registry.index, tuple(registry.entries.values())
@@ -221,7 +229,7 @@
     # Actions on parts of the testbed, used by faults
 
     @property
-    def listed(self) -> bool:
+    def discovery_lists_endpoints(self) -> bool:
         """Whether discovery lists endpoints; it does not where sidecars use a coordinator alone."""
         return self.scenario.coordinator is None or self.scenario.coordinator.membership != "alone"
 
@@ -239,7 +247,7 @@
     def notice(self, endpoint: Endpoint, status: str, late: tuple[float, float]) -> None:
         """Update discovery after the delay `late`, and the coordinator as the endpoint itself would."""
         entry = self.entry(endpoint, status)
-        if self.listed:
+        if self.discovery_lists_endpoints:
             self.discovery_server.notice(entry, late)
         if self.coordination is not None:
             if status == "in_service":
@@ -253,26 +261,26 @@
 
     def vanish(self, endpoint: Endpoint) -> None:
         endpoint.silence()
-        self._kill_own(endpoint)
+        self._kill_endpoint_sidecar(endpoint)
 
     def end(self, endpoint: Endpoint) -> None:
         endpoint.stop()
-        self._kill_own(endpoint)
+        self._kill_endpoint_sidecar(endpoint)
 
-    def _kill_own(self, endpoint: Endpoint) -> None:
-        sidecar = self.own.get(endpoint.build.name)
+    def _kill_endpoint_sidecar(self, endpoint: Endpoint) -> None:
+        sidecar = self.endpoint_sidecars.get(endpoint.build.name)
         if sidecar is not None:
             sidecar.kill()
             sidecar.desk.close()
 
-    def _fell(self, endpoint: Endpoint) -> None:
+    def _endpoint_overloaded(self, endpoint: Endpoint) -> None:
         self.say(f"{endpoint.build.name} failed from overload")
-        self._kill_own(endpoint)
+        self._kill_endpoint_sidecar(endpoint)
         self.notice(endpoint, "terminated", self.delays.notice)
 
     async def revive(self, endpoint: Endpoint) -> None:
         """Start an endpoint cold, after its own sidecar if it has one."""
-        sidecar = self.own.get(endpoint.build.name)
+        sidecar = self.endpoint_sidecars.get(endpoint.build.name)
         if sidecar is not None:
             await sidecar.ended.wait()
             await sidecar.start()
@@ -285,7 +293,7 @@
     def replace(self, old: Endpoint, build: Build) -> Endpoint:
         """A new endpoint at an old one's address, with the old one's group and sidecar."""
         caller = self._caller(build.name, build.tier) if old.next_tier is not None else None
-        made = Endpoint(
+        endpoint = Endpoint(
             build,
             old.tasks,
             old.group,
@@ -294,12 +302,12 @@
             old.rule,
             self.scenario.seed,
             caller,
-            self._fell,
+            self._endpoint_overloaded,
         )
-        self.endpoints[build.name] = made
-        if old.build.name in self.own:
-            self.own[build.name] = self.own.pop(old.build.name)
-        return made
+        self.endpoints[build.name] = endpoint
+        if old.build.name in self.endpoint_sidecars:
+            self.endpoint_sidecars[build.name] = self.endpoint_sidecars.pop(old.build.name)
+        return endpoint
 
     # Playing the day
 
@@ -310,36 +318,36 @@
         if self.coordination is not None:
             await self.coordination.start(list(self.sidecars), len(self.tiers))
             for sidecar in self.sidecars.values():
-                own = self.coordination.operator_text(sidecar.name, sidecar.stage + 1)
-                sidecar.operator = f"{self.operator(sidecar.name)}\n{own}"
+                services = self.coordination.operator_text(sidecar.name, sidecar.stage + 1)
+                sidecar.operator_file = f"{self.operator(sidecar.name)}\n{services}"
         if self.byzantine_peers is not None:
             await self.byzantine_peers.start()
         for tier in self.tiers:
             for endpoint in tier:
                 endpoint.start(cold=False)
                 entry = self.entry(endpoint, "in_service")
-                if self.listed:
+                if self.discovery_lists_endpoints:
                     self.discovery_server.list(entry)
                 if self.coordination is not None:
                     self.coordination.serve(endpoint, entry)
-        gate = asyncio.Semaphore(STARTS_AT_ONCE * (os.cpu_count() or 1))
-        up = 0
+        semaphore = asyncio.Semaphore(STARTS_PER_CORE * (os.cpu_count() or 1))
+        serving = 0
 
         async def start(sidecar: Sidecar) -> None:
-            nonlocal up
-            async with gate:
+            nonlocal serving
+            async with semaphore:
                 await sidecar.start()
-            up += 1
-            self.say(f"{up} of {len(self.sidecars)} sidecars serve")
+            serving += 1
+            self.say(f"{serving} of {len(self.sidecars)} sidecars serve")
 
         async with asyncio.TaskGroup() as group:
             for sidecar in self.sidecars.values():
                 group.create_task(start(sidecar))
-        await asyncio.sleep(SETTLE)
+        await asyncio.sleep(SETTLE_TIME_S)
 
-    async def _day(self) -> None:
+    async def _run_day(self) -> None:
         scenario = self.scenario
-        planned = schedule(scenario)
+        arrivals = draw_arrivals(scenario)
         endpoints = [(e.build.name, e.build.tier) for tier in self.tiers for e in tier]
         front = [name for name, s in self.sidecars.items() if s.stage == 0]
         injector = FaultInjector(self)
@@ -350,54 +358,60 @@
         zones = {e.build.name: e.build.zone for tier in self.tiers for e in tier}
         injector.schedule(plan(scenario, endpoints, front, scenario.seed, zones))
         sampler = asyncio.create_task(Sampler(self.ledger, self.clock, list(self.sidecars.values())).run())
-        playing = asyncio.create_task(self.clients.play(planned, self.zero))
-        stopped = asyncio.create_task(self.over.wait())
-        distributing = self._distribute()
-        longest = max(c.deadline_ms for c in scenario.classes) / 1000 + TAIL
+        traffic_task = asyncio.create_task(self.clients.play(arrivals, self.zero))
+        stop_waiter = asyncio.create_task(self.stopped.wait())
+        configuration_tasks = self._start_configuration_changes()
+        final_wait_s = max(c.deadline_ms for c in scenario.classes) / 1000 + FINAL_CALLS_MARGIN_S
         try:
-            await asyncio.wait([playing, stopped], return_when=asyncio.FIRST_COMPLETED)
-            rest = scenario.seconds - (self.clock() - self.zero) / 1000
-            if rest > 0 and not self.over.is_set():
-                await asyncio.wait([stopped], timeout=rest)
-            if self.clients.request_tasks and not self.over.is_set():
-                await asyncio.wait(list(self.clients.request_tasks), timeout=longest)
+            await asyncio.wait([traffic_task, stop_waiter], return_when=asyncio.FIRST_COMPLETED)
+            remaining = scenario.seconds - (self.clock() - self.zero) / 1000
+            if remaining > 0 and not self.stopped.is_set():
+                await asyncio.wait([stop_waiter], timeout=remaining)
+            if self.clients.request_tasks and not self.stopped.is_set():
+                await asyncio.wait(list(self.clients.request_tasks), timeout=final_wait_s)
         finally:
-            for task in (sampler, playing, stopped, *distributing, *self.clients.request_tasks):
+            for task in (
+                sampler,
+                traffic_task,
+                stop_waiter,
+                *configuration_tasks,
+                *self.clients.request_tasks,
+            ):
                 task.cancel()
             injector.close()
             gc.enable()
 
-    def _distribute(self) -> list[asyncio.Task[None]]:
+    def _start_configuration_changes(self) -> list[asyncio.Task[None]]:
         """On a day with control instances, start to propose versions and to poll where they are in force."""
         if self.control is None:
             return []
         proposer = Proposer(self.scenario, self.control, self.ledger, self.clock)
-        looks = ConfigurationPoller(self.control, self.sidecars, self.ledger, self.clock)
-        tasks = [asyncio.create_task(proposer.run()), asyncio.create_task(looks.run())]
+        poller = ConfigurationPoller(self.control, self.sidecars, self.ledger, self.clock)
+        tasks = [asyncio.create_task(proposer.run()), asyncio.create_task(poller.run())]
         for task in tasks:
-            task.add_done_callback(self._distribution_ended)
+            task.add_done_callback(self._configuration_task_ended)
         return tasks
 
-    def _distribution_ended(self, task: asyncio.Task[None]) -> None:
+    def _configuration_task_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()) is not None:
             self.failed(error)
 
     def _facts(self, start_s: float) -> Facts:
         for sidecar in self.sidecars.values():
-            sidecar.note_memory()
-        memory = [s.most_memory for s in self.sidecars.values()]
+            sidecar.record_peak_memory()
+        memory = [s.peak_memory_kb for s in self.sidecars.values()]
         return Facts(
             endpoints=sum(len(t) for t in self.tiers),
             sidecars=len(self.sidecars),
             front=sum(s.stage == 0 for s in self.sidecars.values()),
             start_s=start_s,
-            rig_memory=own_memory(),
+            rig_memory=own_peak_memory_kb(),
             sidecar_memory=max(memory),
             sidecars_memory=sum(memory),
             cores=os.cpu_count() or 1,
         )
 
-    async def _down(self) -> None:
+    async def _stop_all(self) -> None:
         if self.byzantine_peers is not None:
             self.byzantine_peers.stop()
         for sidecar in self.sidecars.values():
@@ -412,11 +426,11 @@
         if self.coordination is not None:
             await self.coordination.stop()
 
-    def _keep_logs(self, folder: Path, logs: Path) -> None:
+    def _copy_logs(self, directory: Path, logs: Path) -> None:
         logs.mkdir(parents=True, exist_ok=True)
         control = () if self.control is None else self.control.addresses
         for name in (*self.sidecars, *control):
-            source = folder / name / "log"
+            source = directory / name / "log"
             if source.exists():
                 shutil.copyfile(source, logs / f"{name}.log")
 
--- a/millgw/rehearsal/traffic.py
+++ b/millgw/rehearsal/traffic.py
@@ -8,14 +8,14 @@
 from millgw.rehearsal.fault_plan import crowds, floods
 from millgw.rehearsal.scenario import Scenario
 
-FLOOD_NUMBERS = 1 << 24  # numbers reserved for one flood's requests, so that request numbers stay unique
+NUMBERS_PER_FLOOD = 1 << 24  # numbers reserved for one flood's requests, so that request numbers stay unique
 
 
-def schedule(scenario: Scenario) -> list[arrivals.Arrival]:
+def draw_arrivals(scenario: Scenario) -> list[arrivals.Arrival]:
     """The day's arrivals, by time."""
     traffic, length = scenario.traffic, scenario.seconds * 1000
-    course = arrivals.shape(traffic.shape, traffic.swing, length, scenario.seed)
-    moments = arrivals.times(traffic.rate, course, crowds(scenario), traffic.swing, length, scenario.seed)
+    rate_curve = arrivals.shape(traffic.shape, traffic.swing, length, scenario.seed)
+    times = arrivals.times(traffic.rate, rate_curve, crowds(scenario), traffic.swing, length, scenario.seed)
     kinds = [arrivals.Kind(c.name, c.share, c.deadline_ms, c.repeat == "dedup") for c in scenario.classes]
     habits = arrivals.Habits(
         traffic.retries,
@@ -26,16 +26,18 @@
         traffic.impatient,
     )
     shares = [(t.name, t.share) for t in scenario.tenants]
-    planned = list(arrivals.arrivals(moments, kinds, shares, habits, scenario.seed))
+    planned = list(arrivals.arrivals(times, kinds, shares, habits, scenario.seed))
     for i, (name, crowd) in enumerate(floods(scenario), 1):
         (kind,) = (k for k in kinds if k.name == name)
         rate = traffic.rate * kind.share / sum(k.share for k in kinds)
-        more = arrivals.times(
-            rate, partial(_above, crowd), (), max(0.0, crowd.factor - 2), length, scenario.seed + i
+        flood_times = arrivals.times(
+            rate, partial(_rate_above_base, crowd), (), max(0.0, crowd.factor - 2), length, scenario.seed + i
+        )
+        planned += arrivals.arrivals(
+            flood_times, [kind], shares, habits, scenario.seed, i * NUMBERS_PER_FLOOD
         )
-        planned += arrivals.arrivals(more, [kind], shares, habits, scenario.seed, i * FLOOD_NUMBERS)
     return sorted(planned, key=lambda a: (a.at, a.number))
 
 
-def _above(crowd: arrivals.Crowd, t: float) -> float:
+def _rate_above_base(crowd: arrivals.Crowd, t: float) -> float:
     return crowd.at(t) - 1.0
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -22,7 +22,7 @@
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
 from millgw.rehearsal.soak_schedules import AFTER, draw_soak
 from millgw.rehearsal.summary import Worth, hit_by_upgrades, summarize
-from millgw.rehearsal.traffic import schedule
+from millgw.rehearsal.traffic import draw_arrivals
 from millgw.standins.capacity import Processor, Room
 from millgw.standins.discovery_server import OutageKind
 from millgw.standins.endpoint_registry import EndpointRegistry, Entry
@@ -41,7 +41,7 @@
 @settings(max_examples=40, deadline=None)
 def test_the_same_seed_gives_the_same_arrivals_at_about_the_rate(seed: int, shape: str, rate: float) -> None:
     day = replace(Scenario(), seed=seed, traffic=replace(Scenario().traffic, rate=rate, shape=shape))
-    one, two = schedule(day), schedule(day)
+    one, two = draw_arrivals(day), draw_arrivals(day)
     assert one == two
     assert all(a.at <= b.at for a, b in itertools.pairwise(one))
     expected = rate * day.seconds
@@ -51,9 +51,9 @@
 
 def test_another_seed_gives_others_and_a_change_of_habits_moves_no_arrival() -> None:
     day = Scenario()
-    assert schedule(day) != schedule(replace(day, seed=2))
+    assert draw_arrivals(day) != draw_arrivals(replace(day, seed=2))
     honest = replace(day, traffic=replace(day.traffic, honour=1.0, impatient=0.5))
-    pairs = list(zip(schedule(day), schedule(honest), strict=True))
+    pairs = list(zip(draw_arrivals(day), draw_arrivals(honest), strict=True))
     assert all((a.at, a.cls, a.tenant, a.key) == (b.at, b.cls, b.tenant, b.key) for a, b in pairs)
     assert any(b.leaves is not None for _, b in pairs)
 
@@ -187,7 +187,10 @@
     half = changed(day, seconds=day.seconds / 2, seed=9)
     assert half.faults[0].start_s == day.faults[0].start_s / 2 and half.seed == 9
     more = changed(day, endpoints=10)
-    assert more.fleet.sidecars - more.fleet.owned() == day.fleet.sidecars - day.fleet.owned()
+    assert (
+        more.fleet.sidecars - more.fleet.endpoint_sidecars()
+        == day.fleet.sidecars - day.fleet.endpoint_sidecars()
+    )
     with pytest.raises(ScenarioError, match=r"command line: fleet\.sidecars"):
         changed(day, sidecars=3)
 
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -14,7 +14,17 @@
 
 from millgw.rehearsal.audit.lateness import LAG_BOUND
 from millgw.rehearsal.report import Day, judge
-from millgw.rehearsal.scenario import Class, Discovery, Fault, Fleet, Rules, Scenario, Speed, Store, Traffic
+from millgw.rehearsal.scenario import (
+    Class,
+    Discovery,
+    EndpointKind,
+    Fault,
+    Fleet,
+    Rules,
+    Scenario,
+    Store,
+    Traffic,
+)
 from millgw.rehearsal.scenario_checks import check
 from millgw.rehearsal.scenario_files import load
 from millgw.rehearsal.scenario_overrides import changed
@@ -61,7 +71,7 @@
 CROWDED = replace(BASE.traffic, rate=90.0)  # enough to push a cold endpoint over
 LEAVING = replace(BASE.traffic, impatient=0.5)
 TRAFFIC = {"floods": CROWDED, "for-nobody": LEAVING}
-SLOW = replace(BASE.fleet, kinds=(Speed(share=1.0, speed=0.6),))  # so that any cold one is
+SLOW = replace(BASE.fleet, kinds=(EndpointKind(share=1.0, speed=0.6),))  # so that any cold one is
 
 SHIPPED = ("silence-and-slowdown", "overlap-three", "drain-wave", "discovery-outage", "sidecar-killed")
 CROSSING = ("callers-leave", "watches-silent", "drains-that-serve")
