--- a/tests/test_rehearsal_configuration.py
+++ b/tests/test_rehearsal_configuration.py
@@ -1,4 +1,4 @@
-"""Days with a distributed configuration: what the finding on versions sees in books, and real days."""
+"""Days with a distributed configuration: the finding on versions, on made-up ledgers and on real days."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
 pytestmark = pure_run_only
 
-EVERY = 200.0  # ms between two looks of the books
+POLL_INTERVAL_MS = 200.0  # ms between two polls in the ledger
 SECONDS = 30
 RULES = AuditRules(classes={}, distributed=True, refusing=frozenset({"b"}))
-TINY = """
+SMALL_DAY = """
 seconds = 6.0
 [fleet]
 endpoints = 2
@@ -67,18 +67,18 @@
 
 @pytest.fixture(autouse=True)
 def no_other_days() -> Iterator[None]:
-    """No days of other test runs meanwhile: what is late for want of a core tells nothing."""
+    """Run alone: if other runs take the cores, lateness proves nothing."""
     with alone():
         yield
 
 
-def books() -> Ledger:
+def version_ledger() -> Ledger:
     """Two sidecars, three instances and a version each 5 s: `a` applies all, `b` refuses the second."""
     ledger = Ledger()
     ledger.control += [ControlLife(f"c{number}", -2000.0, -1000.0) for number in range(3)]
     ledger.sidecars += [SidecarLife(name, 0, -900.0, -500.0) for name in "ab"]
     ledger.proposed += [ProposedVersion(n * 5000 - 10.0, n * 5000.0, "committed", n) for n in range(1, 5)]
-    for at in range(0, SECONDS * 1000, int(EVERY)):
+    for at in range(0, SECONDS * 1000, int(POLL_INTERVAL_MS)):
         index = min(4, at // 5000)
         ledger.version_looks.append(VersionLook("a", 1, at, at + 2.0, index, f"d{index}"))
         refused = 2 if index == 2 else 0
@@ -89,12 +89,12 @@
     return ledger
 
 
-def found(ledger: Ledger, rules: AuditRules = RULES) -> Finding:
+def version_finding(ledger: Ledger, rules: AuditRules = RULES) -> Finding:
     return audit(ledger, rules).findings[-1]
 
 
-def seen_as(ledger: Ledger, sidecar: str, since: float, index: int, digest: str = "") -> None:
-    """Let all looks at a sidecar from a time on tell another version."""
+def change_reported_version(ledger: Ledger, sidecar: str, since: float, index: int, digest: str = "") -> None:
+    """Change the version that a sidecar reports from a time on."""
     ledger.version_looks = [
         replace(look, index=index, digest=digest or f"d{index}", refused=0)
         if look.sidecar == sidecar and look.asked >= since
@@ -104,21 +104,21 @@
 
 
 def test_versions_that_spread_in_order_hold_and_are_told_in_figures() -> None:
-    ledger = books()
-    finding = found(ledger)
+    ledger = version_ledger()
+    finding = version_finding(ledger)
     assert finding.verdict is Verdict.HELD and finding.checked == 9, "four versions at two, and a refusal"
     told = distribution(DayRecords(ledger, RULES))
     assert told == Distribution(4, 4, (2.0, 2.0, 2.0, 2.0))
 
 
 def test_a_day_without_distribution_has_the_four_rules_alone() -> None:
-    assert [f.rule for f in audit(books(), AuditRules(classes={})).findings] == [1, 2, 3, 4]
+    assert [f.rule for f in audit(version_ledger(), AuditRules(classes={})).findings] == [1, 2, 3, 4]
 
 
 def test_a_sidecar_that_is_cut_off_is_named_with_each_version_that_never_came() -> None:
-    ledger = books()
-    seen_as(ledger, "a", 5000.0, 0)
-    finding = found(ledger)
+    ledger = version_ledger()
+    change_reported_version(ledger, "a", 5000.0, 0)
+    finding = version_finding(ledger)
     assert finding.kinds == {"a committed version never came": 4}
     assert all(evidence.sidecar == "a" for evidence in finding.evidence)
     first = finding.evidence[0]
@@ -126,11 +126,11 @@
 
 
 def test_a_late_version_is_told_with_how_late_it_was() -> None:
-    ledger = books()
-    seen_as(ledger, "a", 5000.0, 0)
-    seen_as(ledger, "a", 11_200.0, 2)
-    seen_as(ledger, "a", 15_000.0, 4)
-    (evidence,) = found(ledger).evidence
+    ledger = version_ledger()
+    change_reported_version(ledger, "a", 5000.0, 0)
+    change_reported_version(ledger, "a", 11_200.0, 2)
+    change_reported_version(ledger, "a", 15_000.0, 4)
+    (evidence,) = version_finding(ledger).evidence
     assert (evidence.what, evidence.sidecar, evidence.figure) == (
         "a committed version came late",
         "a",
@@ -139,31 +139,31 @@
 
 
 def test_a_version_that_comes_late_while_the_rig_lagged_as_much_is_excused() -> None:
-    ledger = books()
-    seen_as(ledger, "a", 5000.0, 0)
-    seen_as(ledger, "a", 11_200.0, 2)
-    seen_as(ledger, "a", 15_000.0, 4)
+    ledger = version_ledger()
+    change_reported_version(ledger, "a", 5000.0, 0)
+    change_reported_version(ledger, "a", 11_200.0, 2)
+    change_reported_version(ledger, "a", 15_000.0, 4)
     ledger.samples.append(Sample(9000.0, 2000.0))
-    finding = found(ledger)
+    finding = version_finding(ledger)
     assert finding.broken == 0 and finding.excused == 1
 
 
 @pytest.mark.parametrize("instances", [1, 2])
 def test_time_without_a_majority_does_not_count(instances: int) -> None:
-    """With one of three lost a version is due after 5 s; with two, 5 s after one of them is back."""
-    ledger = books()
-    seen_as(ledger, "a", 5000.0, 0)
-    seen_as(ledger, "a", 16_000.0, 4)
+    """With one of three instances down a version is due after 5 s; with two down, 5 s after one is back."""
+    ledger = version_ledger()
+    change_reported_version(ledger, "a", 5000.0, 0)
+    change_reported_version(ledger, "a", 16_000.0, 4)
     for life in list(ledger.control)[:instances]:
         life.kill = 6000.0
         ledger.control.append(ControlLife(life.instance, 11_000.0, 11_500.0))
-    assert found(ledger).broken == (2 if instances == 1 else 0)
+    assert version_finding(ledger).broken == (2 if instances == 1 else 0)
 
 
 def test_a_version_that_goes_back_is_found() -> None:
-    ledger = books()
-    seen_as(ledger, "a", 26_000.0, 3)
-    finding = found(ledger)
+    ledger = version_ledger()
+    change_reported_version(ledger, "a", 26_000.0, 3)
+    finding = version_finding(ledger)
     assert finding.kinds == {"a version went back": 1}
     assert finding.evidence[0].request == "version 3 after 4" and finding.evidence[0].sidecar == "a"
 
@@ -172,54 +172,54 @@
 def test_a_restarted_sidecar_begins_with_what_must_have_been_on_its_disk(
     before_kill: float, broken: int
 ) -> None:
-    ledger = books()
+    ledger = version_ledger()
     first = ledger.sidecars[0]
     first.kill = first.ended = 20_000.0 + before_kill
     ledger.sidecars.append(SidecarLife("a", 0, first.kill + 10, first.kill + 20))
     for look in ledger.version_looks:
         if look.sidecar == "a" and look.asked > first.kill:
             look.process = 2
-            if look.asked < first.kill + 2 * EVERY:
+            if look.asked < first.kill + 2 * POLL_INTERVAL_MS:
                 look.index, look.digest = 3, "d3"
-    finding = found(ledger)
+    finding = version_finding(ledger)
     assert finding.broken == broken and set(finding.kinds) <= {"a version went back"}
 
 
 def test_another_content_of_a_version_is_found() -> None:
-    ledger = books()
-    seen_as(ledger, "a", 20_000.0, 4, "other")
-    assert found(ledger).kinds == {"a version has another content than elsewhere": 1}
+    ledger = version_ledger()
+    change_reported_version(ledger, "a", 20_000.0, 4, "other")
+    assert version_finding(ledger).kinds == {"a version has another content than elsewhere": 1}
 
 
 def test_a_sidecar_that_refuses_what_it_should_apply_is_found() -> None:
-    finding = found(books(), replace(RULES, refusing=frozenset()))
+    finding = version_finding(version_ledger(), replace(RULES, refusing=frozenset()))
     assert finding.kinds == {"a version was refused that others apply: no": 1}
 
 
 def test_a_refused_version_in_force_is_found() -> None:
-    ledger = books()
+    ledger = version_ledger()
     for look in ledger.version_looks:
         if look.refused:
             look.index, look.digest = 2, "d2"
-    assert found(ledger).kinds == {"a refused version is in force": 1}
+    assert version_finding(ledger).kinds == {"a refused version is in force": 1}
 
 
 def test_a_refusal_that_control_never_hears_of_is_found() -> None:
-    ledger = books()
+    ledger = version_ledger()
     ledger.version_reports.clear()
-    finding = found(ledger)
+    finding = version_finding(ledger)
     assert finding.kinds == {"control was not told of a refusal in time": 1}
     assert finding.evidence[0].sidecar == "b"
 
 
 @pytest.mark.parametrize("away", [True, False])
 def test_a_start_without_control_must_be_ready_all_the_same(away: bool) -> None:
-    ledger = books()
+    ledger = version_ledger()
     if away:
         for life in ledger.control:
             life.kill = 20_000.0 - 900.0
     ledger.sidecars.append(SidecarLife("c", 0, 20_000.0 - 800.0))
-    finding = found(ledger)
+    finding = version_finding(ledger)
     if away:
         assert finding.kinds == {"a start without control was not ready in time": 1}
         assert finding.evidence[0].sidecar == "c" and (finding.evidence[0].figure or 0) > READY_WITHIN
@@ -236,7 +236,7 @@
 
 
 def test_changes_keep_within_what_the_day_allows() -> None:
-    scenario = parse(TINY, "tiny")
+    scenario = parse(SMALL_DAY, "tiny")
     classes = {c.name: c.deadline_ms for c in scenario.classes}
     values = [change_to_propose(scenario, number).value for number in range(20)]
     assert len({str(value) for value in values}) > 4
@@ -264,14 +264,14 @@
 # Real processes
 
 
-def played(text: str) -> tuple[Day, Ledger]:
+def play_day(text: str) -> tuple[Day, Ledger]:
     scenario = parse(text, "tiny")
     ledger, facts = uvloop.run(Testbed(scenario).play())
     return judge("tiny", scenario, ledger, facts), ledger
 
 
 def test_versions_spread_while_the_leader_is_killed(capsys: pytest.CaptureFixture[str]) -> None:
-    day, ledger = played(TINY + LEADER_LOST)
+    day, ledger = play_day(SMALL_DAY + LEADER_LOST)
     assert not day.audit.broken, day.audit.findings
     assert day.audit.findings[-1].verdict is Verdict.HELD
     assert day.distribution is not None and day.distribution.committed >= 3
@@ -287,12 +287,12 @@
 
 
 def test_sidecars_serve_on_and_start_without_control() -> None:
-    day, ledger = played(TINY + ALL_LOST)
+    day, ledger = play_day(SMALL_DAY + ALL_LOST)
     assert not day.audit.broken, day.audit.findings
     assert day.audit.findings[-1].verdict is Verdict.HELD
     down = next(life.kill for life in ledger.control if life.kill is not None)
     returned = [life.ready for life in ledger.control[3:] if life.ready is not None]
-    back = min(returned, default=math.inf)  # a busy machine may take the rest of the day for it
+    back = min(returned, default=math.inf)  # on a busy machine none may be back before the day ends
     assert len(ledger.control) == 6 and back - down > 2500
     restarted = [life for life in ledger.sidecars if down < life.start < back]
     assert restarted and all(life.ready is not None for life in restarted)
@@ -302,7 +302,7 @@
 
 
 def test_a_sidecar_that_asks_at_wrong_addresses_is_found() -> None:
-    scenario = parse(TINY.replace("seconds = 6.0", "seconds = 7.0"), "tiny")
+    scenario = parse(SMALL_DAY.replace("seconds = 6.0", "seconds = 7.0"), "tiny")
     testbed = Testbed(scenario)
     written = testbed.operator
 
@@ -325,7 +325,7 @@
 @pytest.mark.parametrize("end", [signal.SIGINT, signal.SIGTERM, signal.SIGKILL])
 def test_no_control_instance_is_left_however_the_rig_ends(end: signal.Signals, tmp_path: Path) -> None:
     path = tmp_path / "day.toml"
-    path.write_text(TINY)
+    path.write_text(SMALL_DAY)
     scratch = tmp_path / "scratch"
     scratch.mkdir()
     rig = subprocess.Popen(
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -1,4 +1,4 @@
-"""The kit's decisions without any socket: arrivals, scenarios, faults, capacity, the register, the search."""
+"""Rehearsal logic without sockets: arrivals, scenarios, faults, capacity, the registry, search and soak."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     assert any(b.leaves is not None for _, b in pairs)
 
 
-def test_a_crowd_comes_within_a_second_and_goes() -> None:
+def test_a_crowd_arrives_within_a_second_and_ends() -> None:
     crowd = arrivals.Crowd(2000.0, 8000.0, 4.0)
     moments = list(arrivals.times(100.0, lambda t: 1.0, [crowd], 0.0, 10_000.0, 1))
     per_second = [sum(s * 1000 <= t < (s + 1) * 1000 for t in moments) for s in range(10)]
@@ -95,8 +95,8 @@
         assert plain.zones is None or not plain.zones.places
 
 
-SERVICES = "[fleet]\ntiers=[1.0]\nwork=[1.0]\n[[services]]\nclasses = ['codigo-acesso']\nname = 'a'\n"
-FAULTS = '[[faults]]\nkind = "silence"\nstart_s = 1\n'
+ONE_SERVICE = "[fleet]\ntiers=[1.0]\nwork=[1.0]\n[[services]]\nclasses = ['codigo-acesso']\nname = 'a'\n"
+ONE_FAULT = '[[faults]]\nkind = "silence"\nstart_s = 1\n'
 
 
 @pytest.mark.parametrize(
@@ -109,30 +109,34 @@
         ("seconds = 0.1\n", 1, "seconds: Expected"),
         ("\n[traffic]\nrate = 3\nshape = 'zigzag'\n", 4, "traffic.shape"),
         ("[traffic]\ntry_share = [0.6, 0.5]\n", 2, "traffic.try_share"),
-        (FAULTS + FAULTS.replace("silence", "silent"), 5, "faults[1].kind"),
-        (FAULTS + "share = 2\n", 4, "faults[0].share"),
-        (FAULTS + "length = 2\n", 4, "faults[0].length: no such key"),
-        (FAULTS + "size = 2\n", 4, "faults[0].size: silence has no size"),
+        (ONE_FAULT + ONE_FAULT.replace("silence", "silent"), 5, "faults[1].kind"),
+        (ONE_FAULT + "share = 2\n", 4, "faults[0].share"),
+        (ONE_FAULT + "length = 2\n", 4, "faults[0].length: no such key"),
+        (ONE_FAULT + "size = 2\n", 4, "faults[0].size: silence has no size"),
         ("[[faults]]\nkind = 'silence'\n", 1, "start_s"),
         ("seconds = 3\n[[faults]]\nkind = 'resets'\nstart_s = 4\n", 4, "past the day's 3"),
         ("[[faults]]\nkind = 'fast-failure'\nsize = 1.5\nstart_s = 4\n", 3, "takes at most 1"),
         ("[[faults]]\nkind = 'slowdown'\nsize = 0.5\nstart_s = 4\n", 3, "takes at least 1"),
         ("[[faults]]\nkind = 'crowd'\ntier = 1\nstart_s = 4\n", 3, "does not hit endpoints"),
         ("[[faults]]\nkind = 'drain'\ntier = 4\nstart_s = 4\n", 3, "faults[0].tier: there are 3"),
-        (SERVICES.replace("['codigo-acesso']", "['x']"), 5, "services[0].classes[0]: there is no class 'x'"),
         (
-            SERVICES + "[[services]]\nname='b'\nclasses=['codigo-acesso']\n",
+            ONE_SERVICE.replace("['codigo-acesso']", "['x']"),
+            5,
+            "services[0].classes[0]: there is no class 'x'",
+        ),
+        (
+            ONE_SERVICE + "[[services]]\nname='b'\nclasses=['codigo-acesso']\n",
             9,
             "belongs to another service already",
         ),
-        (SERVICES, None, "services: class 'envio-campanha' belongs to no service"),
+        (ONE_SERVICE, None, "services: class 'envio-campanha' belongs to no service"),
         ("[[faults]]\nkind = 'reload'\nstart_s = 1\n", 1, "faults[0].service"),
         ("[[faults]]\nkind = 'drain'\nstart_s = 1\nclass = 'x'\n", 4, "faults[0].class"),
         ("[fleet]\nsidecars = 12\n", 2, "none for the front"),
         ("[fleet]\ntiers = [1.0]\n", 1, "fleet.work"),
         ("[discovery]\nnotice_s = [3, 1]\n", 2, "is not a range"),
         ("[cadastro]\nnotice_s = [3, 1]\n", 2, "discovery.notice_s: 3 to 1 is not a range"),
-        (FAULTS.replace("silence", "cadastro-reboot"), 2, "faults[0].kind"),
+        (ONE_FAULT.replace("silence", "cadastro-reboot"), 2, "faults[0].kind"),
         (
             "[[classes]]\nname='a'\nshare=1\nrepeat='dedup'\nwork_ms=1\naim_ms=2\ndeadline_ms=3\n",
             1,
@@ -143,7 +147,7 @@
             6,
             "classes[0].aim_ms",
         ),
-        (FAULTS + "zone = 'b'\n", 4, "faults[0].zone: the day has no zone 'b'"),
+        (ONE_FAULT + "zone = 'b'\n", 4, "faults[0].zone: the day has no zone 'b'"),
         ("[zones]\nnames = ['a']\nfront = ['b']\n", 3, "zones.front: 'b' is not one of the names"),
         ("[[tenants]]\nname='a'\nshare=1\n[[tenants]]\nname='a'\nshare=1\n", 5, "given twice"),
     ],
@@ -200,7 +204,7 @@
 
 @given(SEEDS, st.integers(2, 30), st.floats(0.01, 1.0))
 @settings(max_examples=80, deadline=None)
-def test_blows_are_the_same_for_a_seed_and_spare_one_endpoint(seed: int, size: int, share: float) -> None:
+def test_faults_are_the_same_for_a_seed_and_spare_one_endpoint(seed: int, size: int, share: float) -> None:
     endpoints = [(f"s{i}", 1 + i % 2) for i in range(size * 2)]
     day = replace(
         Scenario(),
@@ -247,7 +251,7 @@
     assert now - first >= sum(w for _, w in started.values()) / (speed * cores) - 1e-3
 
 
-def test_a_cold_endpoint_is_slower_and_becomes_warm() -> None:
+def test_a_cold_endpoint_is_slower_until_it_is_warm() -> None:
     def time_of(at: float) -> float:
         processor = Processor(Life("e", 1, 1, 0, 0.0, 1.0, 0.2, 1000.0), 1)
         processor.add(at, 10.0, "job")
@@ -263,9 +267,7 @@
     st.lists(st.sampled_from(["enter", "leave", "drop"]), max_size=80), st.integers(1, 4), st.integers(0, 4)
 )
 @settings(max_examples=150, deadline=None)
-def test_a_room_holds_no_more_than_it_may_and_forgets_nobody(
-    steps: list[str], slots: int, waiting: int
-) -> None:
+def test_a_room_respects_its_limits_and_loses_nobody(steps: list[str], slots: int, waiting: int) -> None:
     room, inside = Room(slots, waiting), 0
     outside: list[int] = []
     for number, step in enumerate(steps):
@@ -287,7 +289,7 @@
         assert room.working == inside <= slots and list(room.waiting) == outside
 
 
-# The register
+# The endpoint registry
 
 
 @given(
@@ -352,7 +354,7 @@
         for end in End:
             call("n0", due, end)
             call("n1", due, end)
-    assert hit_by_upgrades(ledger) == 2 * 4  # refused, crossed, broken, lost; at n0, from 100 to 900
+    assert hit_by_upgrades(ledger) == 2 * 4  # four kinds of failed connections, at n0, due at 100 and at 900
 
 
 def test_a_shift_moves_every_time_and_leaves_what_never_happened() -> None:
@@ -386,9 +388,7 @@
 
 @given(SEEDS, st.data())
 @settings(max_examples=40, deadline=None)
-def test_shrinking_keeps_the_harm_and_leaves_nothing_that_is_not_needed(
-    seed: int, data: st.DataObject
-) -> None:
+def test_shrinking_keeps_the_harm_and_only_the_needed_faults(seed: int, data: st.DataObject) -> None:
     day = fault_schedules.draw(fault_schedules.SMALL, seed)
     needed = set(data.draw(st.sets(st.integers(0, len(day.faults) - 1), min_size=1)))
     guilty = [day.faults[i].kind for i in needed]
@@ -412,7 +412,7 @@
 
 @given(SEEDS, st.floats(5.0, 40.0))
 @settings(max_examples=100, deadline=None)
-def test_a_soak_draws_the_same_day_from_a_seed_with_time_for_word_after_its_outage(
+def test_a_soak_draws_the_same_day_from_a_seed_with_time_for_updates_after_its_outage(
     seed: int, longest: float
 ) -> None:
     day = draw_soak(seed, longest)
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -1,4 +1,4 @@
-"""The auditor against real processes: each planted fault is found as what it is, and the daemon has none."""
+"""The auditor against real processes: it finds each planted fault under its rule, and none in the daemon."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     "after-drain": 3, "floods": 4,
 }  # fmt: skip
 
-BASE = Scenario(
+BASE_SCENARIO = Scenario(
     seconds=5.0,
     fleet=Fleet(endpoints=6, tiers=(1.0,), work=(0.25,), calls=(), sidecars=2, group=3, cold_s=6.0),
     traffic=Traffic(rate=30.0, shape="steady", retries=1, wait_ms=(50.0, 100.0)),
@@ -59,46 +59,51 @@
     rules=Rules(drain_grace_ms=300.0),
 )  # fmt: skip
 
-FAILING = (Fault(kind="fast-failure", start_s=0.5, length_s=4.0, share=0.5, size=0.6),)
+FAST_FAILURES = (Fault(kind="fast-failure", start_s=0.5, length_s=4.0, share=0.5, size=0.6),)
 RESTART = (Fault(kind="restart", start_s=0.5, length_s=0.3, share=0.17),)
 DRAIN = (Fault(kind="drain", start_s=0.5, length_s=4.0, share=0.34),)
 FAULTS = {
-    "right": FAILING + DRAIN + RESTART,
-    "resends": FAILING, "other-group": FAILING, "past-window": FAILING, "refuses": FAILING,
+    "right": FAST_FAILURES + DRAIN + RESTART,
+    "resends": FAST_FAILURES, "other-group": FAST_FAILURES, "past-window": FAST_FAILURES,
+    "refuses": FAST_FAILURES,
     "after-drain": DRAIN, "floods": RESTART,
 }  # fmt: skip
 
-CROWDED = replace(BASE.traffic, rate=90.0)  # enough to push a cold endpoint over
-LEAVING = replace(BASE.traffic, impatient=0.5)
-TRAFFIC = {"floods": CROWDED, "for-nobody": LEAVING}
-SLOW = replace(BASE.fleet, kinds=(EndpointKind(share=1.0, speed=0.6),))  # so that any cold one is
+HIGH_RATE = replace(BASE_SCENARIO.traffic, rate=90.0)  # enough to overload a cold endpoint
+IMPATIENT = replace(BASE_SCENARIO.traffic, impatient=0.5)
+TRAFFIC = {"floods": HIGH_RATE, "for-nobody": IMPATIENT}
+SLOW_FLEET = replace(
+    BASE_SCENARIO.fleet, kinds=(EndpointKind(share=1.0, speed=0.6),)
+)  # so that any cold endpoint is overloaded
 
 SHIPPED = ("silence-and-slowdown", "overlap-three", "drain-wave", "discovery-outage", "sidecar-killed")
-CROSSING = ("callers-leave", "watches-silent", "drains-that-serve")
+CONNECTION_LOSS = ("callers-leave", "watches-silent", "drains-that-serve")
 SERVICES = ("flood-one-pool", "reload-under-flood", "pool-without-servers")
-COORDINATED = (
+WITH_COORDINATOR = (
     "zk-mass-expiry", "zk-lingering", "zk-lagging-face", "zk-restart-empty", "zk-reconnect-storm",
     "zk-both-sources",
 )  # fmt: skip
-TENDED = ("stale-pools", "cold-handshake-storm", "silent-middlebox")
-PEERED = ("join-during-cold-start", "peer-lies", "peer-vanishes", "all-restart")
-SOAKED = (1, 2, 3, 4)
-SOAK_LONGEST = 9.0  # s of their outages
-DAILY = ("upgrade", "drain-and-resume", "long-bodies")
-ZONED = ("zone-lost", "regions-parted", "zone-slow")
+CONNECTION_MANAGED = ("stale-pools", "cold-handshake-storm", "silent-middlebox")
+WITH_PEERS = ("join-during-cold-start", "peer-lies", "peer-vanishes", "all-restart")
+SOAK_SEEDS = (1, 2, 3, 4)
+SOAK_LONGEST_OUTAGE_S = 9.0  # s, the longest discovery outage of a drawn day
+OPERATIONS = ("upgrade", "drain-and-resume", "long-bodies")
+WITH_ZONES = ("zone-lost", "regions-parted", "zone-slow")
 SHIPPED_SECONDS = 9.0
-STALL_S = 0.6  # for which a late rig's loop stands still and then runs, in turn
+STALL_S = 0.6  # the loop of a late rig alternately stalls and runs for this long
 FOUND_BY_A_LATE_RIG = ("loses", "twice", "late", "makes-up", "for-nobody", "resends", "after-drain")
-NEVER_CLEARED_BY_A_LATE_RIG = ("afterwards",)  # by less than the rig's lag
-ZONED_SECONDS = 16.0  # of days whose sidecars first learn to stay near
+NEVER_CLEARED_BY_A_LATE_RIG = (
+    "afterwards",
+)  # breaks its rule by less than the rig's lag, so it may be excused
+ZONES_SECONDS = 16.0  # longer: sidecars first have to learn to prefer their zone
 
 
-def short(name: str) -> Scenario:
-    """A shipped scenario as CI plays it: its faults within some seconds, a fleet of a third."""
+def shortened(name: str) -> Scenario:
+    """A shipped scenario cut down for CI: compressed to a few seconds, with a smaller fleet."""
     scenario = load(name)[1]
-    part = SHIPPED_SECONDS / scenario.seconds
+    factor = SHIPPED_SECONDS / scenario.seconds
     faults = tuple(
-        replace(f, start_s=f.start_s * part, length_s=f.length_s * part, spacing_s=f.spacing_s * part)
+        replace(f, start_s=f.start_s * factor, length_s=f.length_s * factor, spacing_s=f.spacing_s * factor)
         for f in scenario.faults
     )
     fleet = replace(scenario.fleet, endpoints=4, tiers=(1.0, 1.0), work=(0.5, 0.5), sidecars=6, cold_s=5.0)
@@ -108,106 +113,108 @@
 
 @cache
 def wrong_days() -> dict[str, Day]:
-    """All wrong sidecars' days, played side by side once: one day is mostly waiting."""
+    """The days of all wrong sidecars, played concurrently and once: a single day is mostly waiting."""
     kinds = ["right", "bare", "misspells", *RULES]
-    return asyncio_days({kind: (wrong_scenario(kind), wrong_run(kind)) for kind in kinds})
+    return play_days({kind: (wrong_scenario(kind), wrong_command(kind)) for kind in kinds})
 
 
 def wrong_scenario(kind: str) -> Scenario:
-    """The day on which a wrong sidecar's fault shows."""
-    faults, traffic = FAULTS.get(kind, ()), TRAFFIC.get(kind, BASE.traffic)
-    fleet = SLOW if kind == "floods" else BASE.fleet
-    return check(replace(BASE, faults=faults, traffic=traffic, fleet=fleet))
+    """The scenario in which a wrong sidecar's planted fault takes effect."""
+    faults, traffic = FAULTS.get(kind, ()), TRAFFIC.get(kind, BASE_SCENARIO.traffic)
+    fleet = SLOW_FLEET if kind == "floods" else BASE_SCENARIO.fleet
+    return check(replace(BASE_SCENARIO, faults=faults, traffic=traffic, fleet=fleet))
 
 
-def wrong_run(kind: str) -> str:
-    """How a wrong sidecar is started."""
+def wrong_command(kind: str) -> str:
+    """The command that starts a wrong sidecar."""
     return f"exec {sys.executable} {SCRIPT} {kind}"
 
 
 @cache
 def daemon_days() -> dict[str, Day]:
-    days = {name: (short(name), DEFAULT_RUN) for name in SHIPPED + CROSSING}
+    days = {name: (shortened(name), DEFAULT_RUN) for name in SHIPPED + CONNECTION_LOSS}
     for name in SERVICES:
         scenario = changed(load(name)[1], seconds=SHIPPED_SECONDS, rate=20.0)
         days[name] = (scenario, DEFAULT_RUN)
-    days["all classes"] = (check(replace(BASE, faults=FAULTS["right"])), DEFAULT_RUN)
-    return asyncio_days(days)
+    days["all classes"] = (check(replace(BASE_SCENARIO, faults=FAULTS["right"])), DEFAULT_RUN)
+    return play_days(days)
 
 
 @cache
-def stopped_day() -> Day:
-    return asyncio_days({"stopped": (short("sidecars-stopped"), DEFAULT_RUN)})["stopped"]
+def day_with_stopped_sidecars() -> Day:
+    return play_days({"stopped": (shortened("sidecars-stopped"), DEFAULT_RUN)})["stopped"]
 
 
 @cache
-def soaked_days() -> dict[str, Day]:
-    return asyncio_days({str(seed): (draw_soak(seed, SOAK_LONGEST), DEFAULT_RUN) for seed in SOAKED})
+def soak_days() -> dict[str, Day]:
+    return play_days(
+        {str(seed): (draw_soak(seed, SOAK_LONGEST_OUTAGE_S), DEFAULT_RUN) for seed in SOAK_SEEDS}
+    )
 
 
 @cache
-def coordinated_days() -> dict[str, Day]:
-    return asyncio_days({name: (short(name), DEFAULT_RUN) for name in COORDINATED})
+def days_with_coordinator() -> dict[str, Day]:
+    return play_days({name: (shortened(name), DEFAULT_RUN) for name in WITH_COORDINATOR})
 
 
 @cache
-def tended_days() -> dict[str, Day]:
-    return asyncio_days({name: (short(name), DEFAULT_RUN) for name in TENDED})
+def connection_managed_days() -> dict[str, Day]:
+    return play_days({name: (shortened(name), DEFAULT_RUN) for name in CONNECTION_MANAGED})
 
 
 @cache
-def marked_days() -> dict[str, Day]:
+def days_with_and_without_store() -> dict[str, Day]:
     scenario = changed(load("login-codes-survive")[1], seconds=SHIPPED_SECONDS)
     plain = changed(scenario, without=["store"])
-    return asyncio_days({"marked": (scenario, DEFAULT_RUN), "plain": (plain, DEFAULT_RUN)})
+    return play_days({"marked": (scenario, DEFAULT_RUN), "plain": (plain, DEFAULT_RUN)})
 
 
 @cache
-def peered_days() -> dict[str, Day]:
+def days_with_peers() -> dict[str, Day]:
     days = {}
-    for name in PEERED:
+    for name in WITH_PEERS:
         made = changed(load(name)[1], seconds=SHIPPED_SECONDS, rate=40.0, sidecars=6, endpoints=5)
         days[name] = (made, DEFAULT_RUN)
-    return asyncio_days(days)
+    return play_days(days)
 
 
 @cache
-def zoned_days() -> dict[str, Day]:
-    return asyncio_days(
-        {name: (changed(load(name)[1], seconds=ZONED_SECONDS), DEFAULT_RUN) for name in ZONED}
+def days_with_zones() -> dict[str, Day]:
+    return play_days(
+        {name: (changed(load(name)[1], seconds=ZONES_SECONDS), DEFAULT_RUN) for name in WITH_ZONES}
     )
 
 
 @cache
-def daily_days() -> dict[str, Day]:
-    days = {name: (short(name), DEFAULT_RUN) for name in DAILY[:2]}
-    days["upgrade, marked"] = (check(replace(short("upgrade"), store=Store())), DEFAULT_RUN)
+def operations_days() -> dict[str, Day]:
+    days = {name: (shortened(name), DEFAULT_RUN) for name in OPERATIONS[:2]}
+    days["upgrade, marked"] = (check(replace(shortened("upgrade"), store=Store())), DEFAULT_RUN)
     days["long-bodies"] = (changed(load("long-bodies")[1], seconds=SHIPPED_SECONDS), DEFAULT_RUN)
-    return asyncio_days(days)
+    return play_days(days)
 
 
 @cache
 def late_rig_days() -> dict[str, Day]:
-    """Wrong sidecars, a right one and the daemon on a rig that stands still for half of the time."""
+    """Wrong sidecars, a correct one and the daemon on a rig whose event loop stalls half of the time."""
     kinds = ("right", *FOUND_BY_A_LATE_RIG, *NEVER_CLEARED_BY_A_LATE_RIG)
-    days = {kind: (wrong_scenario(kind), wrong_run(kind)) for kind in kinds}
-    days["callers-leave"] = (short("callers-leave"), DEFAULT_RUN)
-    days["drain-wave"] = (short("drain-wave"), DEFAULT_RUN)
-    return asyncio_days(days, late=True)
+    days = {kind: (wrong_scenario(kind), wrong_command(kind)) for kind in kinds}
+    days["callers-leave"] = (shortened("callers-leave"), DEFAULT_RUN)
+    days["drain-wave"] = (shortened("drain-wave"), DEFAULT_RUN)
+    return play_days(days, late=True)
 
 
-async def stand_still() -> None:
-    """Hold the rig's loop up, again and again, while the sidecars run on."""
+async def stall_event_loop() -> None:
+    """Block the rig's event loop repeatedly, while the sidecars run on."""
     while True:
         await asyncio.sleep(STALL_S)
         time.sleep(STALL_S)
 
 
-ledgers: dict[str, Ledger] = {}  # of the days that were played, by name: what a failure is traced by
+ledgers: dict[str, Ledger] = {}  # of the days played, by name, to explain failures
 
 
-def unserved(day: str, cls: str) -> list[str]:
-    """What each try of a class's requests had that no 200 answered."""
+def unserved_attempts(day: str, cls: str) -> list[str]:
+    """Every attempt of those requests of a class that never got a 200, for assertion messages."""
     by_root: dict[str, list[Call]] = {}
     for call in ledgers[day].calls:
         if call.stage == 0 and call.cls == cls:
@@ -220,14 +227,14 @@
     ]
 
 
-def asyncio_days(days: dict[str, tuple[Scenario, str]], late: bool = False) -> dict[str, Day]:
+def play_days(days: dict[str, tuple[Scenario, str]], late: bool = False) -> dict[str, Day]:
     async def play() -> list[Day]:
         async def one(name: str, scenario: Scenario, run: str) -> Day:
             ledger, facts = await Testbed(scenario, run).play()
             ledgers[name] = ledger
             return judge(name, scenario, ledger, facts)
 
-        stalls = asyncio.create_task(stand_still()) if late else None
+        stalls = asyncio.create_task(stall_event_loop()) if late else None
         try:
             return await asyncio.gather(*(one(name, *what) for name, what in days.items()))
         finally:
@@ -238,7 +245,7 @@
         return {day.name: day for day in uvloop.run(play())}
 
 
-def broken(day: Day) -> dict[int, list[str]]:
+def broken_rules(day: Day) -> dict[int, list[str]]:
     return {f.rule: [str(e) for e in f.evidence[:3]] for f in day.audit.findings if f.broken}
 
 
@@ -246,7 +253,7 @@
 @pytest.mark.parametrize("kind", RULES)
 def test_a_wrong_sidecar_breaks_exactly_its_rule(kind: str) -> None:
     day = wrong_days()[kind]
-    assert set(broken(day)) == {RULES[kind]}, broken(day)
+    assert set(broken_rules(day)) == {RULES[kind]}, broken_rules(day)
     assert day.audit.exit_code == 1
 
 
@@ -254,7 +261,7 @@
 @pytest.mark.parametrize("kind", FOUND_BY_A_LATE_RIG)
 def test_a_wrong_sidecar_is_found_by_a_rig_that_is_late(kind: str) -> None:
     day = late_rig_days()[kind]
-    assert set(broken(day)) == {RULES[kind]}, broken(day)
+    assert set(broken_rules(day)) == {RULES[kind]}, broken_rules(day)
 
 
 @skip_if_pure
@@ -263,28 +270,28 @@
     day = late_rig_days()[kind]
     found = day.audit.findings[RULES[kind] - 1]
     assert day.audit.exit_code in (1, 3) and (found.broken or found.excused)
-    assert set(broken(day)) <= {RULES[kind]}, broken(day)
+    assert set(broken_rules(day)) <= {RULES[kind]}, broken_rules(day)
 
 
 @skip_if_pure
 @pytest.mark.parametrize("name", ["right", "callers-leave", "drain-wave"])
 def test_a_rig_that_is_late_accuses_no_honest_sidecar(name: str) -> None:
-    """Otherwise what the rig read, wrote or closed late is held against the sidecar."""
+    """A rig that reads, writes or closes late must not blame the sidecar for its own delay."""
     day = late_rig_days()[name]
     assert day.audit.rig.lag_most > LAG_BOUND, "the rig was not late"
-    assert not broken(day), broken(day)
+    assert not broken_rules(day), broken_rules(day)
     assert day.conclusion == "INCONCLUSIVE" and day.summary.served > 0
 
 
 @skip_if_pure
 def test_the_same_sidecar_with_nothing_planted_breaks_none() -> None:
-    assert not broken(wrong_days()["right"])
+    assert not broken_rules(wrong_days()["right"])
 
 
 @skip_if_pure
 def test_a_sidecar_that_sends_only_what_the_protocol_asks_for_is_served() -> None:
     day = wrong_days()["bare"]
-    assert not broken(day), broken(day)
+    assert not broken_rules(day), broken_rules(day)
     assert not day.summary.unusable and day.summary.served > day.summary.asked * 0.8
 
 
@@ -296,35 +303,35 @@
     assert "0 of" in day.audit.unserved and "the target is not the client's" in day.audit.unserved
 
 
-@pytest.mark.parametrize("name", [*SHIPPED, *CROSSING, *SERVICES, "all classes"])
+@pytest.mark.parametrize("name", [*SHIPPED, *CONNECTION_LOSS, *SERVICES, "all classes"])
 def test_the_daemon_breaks_no_rule(name: str) -> None:
     day = daemon_days()[name]
-    assert not broken(day), broken(day)
+    assert not broken_rules(day), broken_rules(day)
     assert day.summary.served > 0 and day.audit.findings[0].checked > day.summary.asked / 2
 
 
 def test_sidecars_that_are_held_up_again_and_again_break_no_rule() -> None:
-    """Wherever they are: between a look and its write, or a clock that is read and what rests on it."""
-    day = stopped_day()
-    assert not broken(day), broken(day)
+    """SIGSTOP may hit between a check and the write after it, or between reading a clock and using it."""
+    day = day_with_stopped_sidecars()
+    assert not broken_rules(day), broken_rules(day)
     assert day.summary.served > 0 and day.audit.findings[0].checked > day.summary.asked / 2
 
 
 @skip_if_pure
-@pytest.mark.parametrize("seed", SOAKED)
+@pytest.mark.parametrize("seed", SOAK_SEEDS)
 def test_the_daemon_breaks_no_rule_on_days_that_a_soak_draws(seed: int) -> None:
-    day = soaked_days()[str(seed)]
-    assert not broken(day), broken(day)
+    day = soak_days()[str(seed)]
+    assert not broken_rules(day), broken_rules(day)
     assert day.summary.served > 0 and day.audit.findings[0].checked > day.summary.asked / 2
 
 
 @skip_if_pure
-@pytest.mark.parametrize("name", COORDINATED)
-def test_the_daemon_breaks_no_rule_by_a_coordinator_s_word(name: str) -> None:
-    day = coordinated_days()[name]
-    assert not broken(day), broken(day)
+@pytest.mark.parametrize("name", WITH_COORDINATOR)
+def test_the_daemon_breaks_no_rule_with_a_coordinator(name: str) -> None:
+    day = days_with_coordinator()[name]
+    assert not broken_rules(day), broken_rules(day)
     assert day.summary.asked > 100
-    # Of what expires, lags or is lost here nothing has died: it must cost next to nothing.
+    # Sessions expire or reads lag here, but no endpoint dies: almost all requests must still be served.
     least = 0.5 if name == "zk-lingering" else 0.9
     assert day.summary.served > least * day.summary.asked
 
@@ -333,25 +340,27 @@
 def test_a_flood_or_the_lack_of_servers_in_one_pool_costs_the_other_no_request(name: str) -> None:
     day = daemon_days()[name]
     login, campaign = day.summary.classes["codigo-acesso"], day.summary.classes["envio-campanha"]
-    assert login.asked > 20 and login.in_time + login.late == login.asked, unserved(name, "codigo-acesso")
+    assert login.asked > 20 and login.in_time + login.late == login.asked, unserved_attempts(
+        name, "codigo-acesso"
+    )
     assert campaign.in_time < campaign.asked, "there was no flood"
     tiers = {a: sum(of.values()) for a, of in day.summary.attempts.items()}
     assert tiers[1] >= login.asked, "login codes went to endpoints of their own"
 
 
-def test_drains_and_cold_starts_were_put_to_the_test() -> None:
+def test_drains_and_cold_starts_were_checked() -> None:
     by_rule = {f.rule: f for f in daemon_days()["drain-wave"].audit.findings}
     assert by_rule[2].checked and by_rule[3].checked and by_rule[4].checked
 
 
 @pure_run_only
-@pytest.mark.parametrize("name", TENDED)
-def test_the_daemon_breaks_no_rule_with_its_connections_tended(name: str) -> None:
-    day = tended_days()[name]
-    assert not broken(day), broken(day)
+@pytest.mark.parametrize("name", CONNECTION_MANAGED)
+def test_the_daemon_breaks_no_rule_with_managed_connections(name: str) -> None:
+    day = connection_managed_days()[name]
+    assert not broken_rules(day), broken_rules(day)
     assert day.summary.asked > 100
     if name == "silent-middlebox":
-        # What is written to a forgotten connection has not run, and goes on another.
+        # A request on a connection that the middlebox dropped has not run, and is sent on another one.
         assert day.summary.served > 0.98 * day.summary.asked
     if name == "cold-handshake-storm":
         assert day.scenario.connections is not None
@@ -359,20 +368,20 @@
 
 
 @pure_run_only
-@pytest.mark.parametrize("name", PEERED)
-def test_sidecars_that_learn_from_each_other_break_no_rule_whoever_lies_or_vanishes(name: str) -> None:
-    day = peered_days()[name]
-    assert not broken(day), broken(day)
+@pytest.mark.parametrize("name", WITH_PEERS)
+def test_sidecars_with_peers_break_no_rule_when_peers_lie_or_vanish(name: str) -> None:
+    day = days_with_peers()[name]
+    assert not broken_rules(day), broken_rules(day)
     cold = {f.rule: f for f in day.audit.findings}[4]
     assert cold.checked and 0.0 < cold.nearest <= 1.0
     assert day.summary.asked > 100 and day.summary.served > 0.5 * day.summary.asked
 
 
 @pure_run_only
-@pytest.mark.parametrize("name", ZONED)
+@pytest.mark.parametrize("name", WITH_ZONES)
 def test_sidecars_that_choose_by_zone_break_no_rule_whatever_happens_to_zones(name: str) -> None:
-    day = zoned_days()[name]
-    assert not broken(day), broken(day)
+    day = days_with_zones()[name]
+    assert not broken_rules(day), broken_rules(day)
     assert day.scenario.zones is not None and day.scenario.zones.places
     assert day.summary.asked > 100 and day.summary.served > 0.85 * day.summary.asked
     if name == "zone-lost":
@@ -381,9 +390,9 @@
 
 
 @pure_run_only
-def test_no_login_code_is_sent_again_across_restarts_where_it_is_marked_and_is_where_it_is_not() -> None:
-    marked, plain = marked_days()["marked"], marked_days()["plain"]
-    assert not broken(marked), broken(marked)
+def test_login_codes_are_resent_across_restarts_only_without_a_store() -> None:
+    marked, plain = days_with_and_without_store()["marked"], days_with_and_without_store()["plain"]
+    assert not broken_rules(marked), broken_rules(marked)
     assert marked.summary.served > 0.8 * marked.summary.asked
     effects = {f.rule: f for f in plain.audit.findings}[2]
     assert effects.kinds["a fragile request sent again that may have run"] > 0
@@ -392,25 +401,25 @@
 @skip_if_pure
 @pytest.mark.parametrize("name", ["upgrade", "upgrade, marked"])
 def test_upgrades_hit_no_request_and_break_no_rule(name: str) -> None:
-    """The second with unsafe calls marked in a store, which one process at a time has."""
-    day = daily_days()[name]
-    assert not broken(day), broken(day)
+    """The second day also has a store for unsafe calls, which only one process at a time can hold."""
+    day = operations_days()[name]
+    assert not broken_rules(day), broken_rules(day)
     assert len(day.upgrades) >= 2 and all(u.ended is not None for u in day.upgrades)
     assert day.summary.hit_by_upgrades == 0 and day.summary.served > 0.9 * day.summary.asked
 
 
 @skip_if_pure
-def test_clients_are_sent_away_and_taken_again() -> None:
-    day = daily_days()["drain-and-resume"]
-    assert not broken(day), broken(day)
+def test_clients_are_sent_away_and_accepted_again() -> None:
+    day = operations_days()["drain-and-resume"]
+    assert not broken_rules(day), broken_rules(day)
     assert day.sent_away and all(a.judged is not None and a.yes_at is not None for a in day.sent_away)
     assert day.summary.served > 0.9 * day.summary.asked
 
 
 @skip_if_pure
 def test_long_bodies_and_answers_come_whole_within_the_memory() -> None:
-    day = daily_days()["long-bodies"]
-    assert not broken(day), broken(day)
+    day = operations_days()["long-bodies"]
+    assert not broken_rules(day), broken_rules(day)
     assert day.facts.sidecar_memory < day.scenario.limits.memory_mb * 1024
     for name in ("relatorio", "carga"):
         figures = day.summary.classes[name]
--- a/tests/wrong/__init__.py
+++ b/tests/wrong/__init__.py
@@ -1,1 +1,1 @@
-"""Wrong sidecars, each with one planted fault, which the auditor must find."""
+"""Sidecars with one planted fault each, which the auditor must find."""
--- a/tests/wrong/sidecar.py
+++ b/tests/wrong/sidecar.py
@@ -1,9 +1,8 @@
-"""A plain sidecar of the deployment contract that does one thing wrong, named by its only argument.
+"""A minimal sidecar of the deployment contract with one planted fault, named by its only argument.
 
-It decides nothing well: a random endpoint in service, one attempt on a connection of its own. `right` does no
-wrong, and `bare` none either: it leaves out of an attempt all that the protocol leaves free. `misspells`
-changes every request's target. It is what the rehearsal kit's auditor is tested on, and shares no code with
-the daemon.
+It picks a random endpoint in service and makes one attempt on a new connection. `right` has no fault, and
+neither has `bare`, which leaves out of an attempt all headers that the protocol makes optional. `misspells`
+changes every request's target. The auditor's tests use it; it shares no code with the daemon.
 """
 
 from __future__ import annotations
@@ -17,10 +16,10 @@
 from contextlib import suppress
 from typing import Any
 
-WRONG = sys.argv[1]
-FREE = (b"X-Qos", b"X-Customer", b"X-Expires-In-Ms", b"Host")
-EVERY = 8  # requests between two wrongs
-WORKING_LATE = 0.3  # s past the caller's patience
+FAULT = sys.argv[1]
+OPTIONAL_HEADERS = (b"X-Qos", b"X-Customer", b"X-Expires-In-Ms", b"Host")
+FAULT_INTERVAL = 8  # each eighth request gets the fault, for faults that hit single requests
+LATENESS_S = 0.3  # s after the caller's deadline, at which `late` answers
 
 
 class Sidecar:
@@ -29,7 +28,7 @@
         self.repeat = {c["name"]: c["repeat"] for c in config["settings"]["classes"]}
         self.discovery = config["discovery"]
         self.rng = random.Random(config["seed"])
-        self.count = 0
+        self.request_count = 0
 
     # Discovery
 
@@ -43,34 +42,36 @@
                 while size := int(await reader.readline(), 16):
                     line = (await reader.readexactly(size + 2)).strip()
                     if line:
-                        self.heard(json.loads(line))
+                        self.apply_listing(json.loads(line))
             await asyncio.sleep(0.1)
 
-    def heard(self, listing: dict[str, Any]) -> None:
-        if listing["snapshot"] and WRONG != "after-drain":
+    def apply_listing(self, listing: dict[str, Any]) -> None:
+        if listing["snapshot"] and FAULT != "after-drain":
             self.endpoints.clear()
         for entry in listing["endpoints"]:
             if entry["status"] == "in_service":
                 self.endpoints[entry["name"]] = entry
-            elif WRONG != "after-drain":
+            elif FAULT != "after-drain":
                 self.endpoints.pop(entry["name"], None)
 
     def pick(self) -> dict[str, Any]:
         entries = list(self.endpoints.values())
-        if WRONG == "floods":
+        if FAULT == "floods":
             return max(entries, key=lambda e: e["since_ms"])
-        # Cold ones are left alone: a plain sidecar that breaks no rule.
+        # Cold endpoints are avoided, so that a sidecar without a fault breaks no rule.
         warm = [e for e in entries if e["since_ms"] + 8000 < time.time() * 1000]
         return self.rng.choice(warm or entries)
 
     # Calls
 
     async def attempt(self, endpoint: dict[str, Any], request: bytes) -> tuple[int, bytes, bool]:
-        """Status (0: none came), body, and whether it surely never ran."""
+        """Make one attempt; returns status (0: none), body, and whether the request certainly did not run."""
         host, port = endpoint["address"].rsplit(":", 1)
-        if WRONG == "bare":
-            request = b"\r\n".join(line for line in request.split(b"\r\n") if not line.startswith(FREE))
-        if WRONG == "misspells":
+        if FAULT == "bare":
+            request = b"\r\n".join(
+                line for line in request.split(b"\r\n") if not line.startswith(OPTIONAL_HEADERS)
+            )
+        if FAULT == "misspells":
             request = request.replace(b"?k=", b"?q=")
         try:
             async with asyncio.timeout(0.25):
@@ -99,58 +100,60 @@
         writer.close()
 
     async def answer(self, head: bytes, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; False ends the connection."""
-        self.count += 1
-        now = self.count % EVERY == 0
+        """Answer one request; returns False to close the connection."""
+        self.request_count += 1
+        with_fault = self.request_count % FAULT_INTERVAL == 0
         lines = head.decode().split("\r\n")
         headers = dict(line.lower().split(": ", 1) for line in lines[1:] if line)
         patience = int(headers["x-expires-in-ms"]) / 1000
-        begun = time.monotonic()
+        start = time.monotonic()
         repeat = self.repeat[headers["x-qos"]]
-        if WRONG == "loses" and now:
+        if FAULT == "loses" and with_fault:
             await asyncio.sleep(0.6)
             return False
-        if WRONG == "makes-up" and now:
+        if FAULT == "makes-up" and with_fault:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nmade-u")
             return True
-        if WRONG == "for-nobody":
-            await asyncio.sleep(patience / 2)  # a wait that is not ended when the client leaves
+        if FAULT == "for-nobody":
+            await asyncio.sleep(patience / 2)  # goes on when the client disconnects
         endpoint = self.pick()
         try:
             async with asyncio.timeout(patience - 0.05):
-                status, body, never = await self.attempt(endpoint, head)
-                status, body, never = await self.again(endpoint, head, repeat, status, body, never)
+                status, body, not_run = await self.attempt(endpoint, head)
+                status, body, not_run = await self.retry_wrongly(
+                    endpoint, head, repeat, status, body, not_run
+                )
         except TimeoutError:
-            status, body, never = 0, b"", False
-        if WRONG == "late" and now:
-            await asyncio.sleep(max(0.0, patience + WORKING_LATE - (time.monotonic() - begun)))
-        refused = never or (WRONG == "refuses" and repeat == "fragile")
+            status, body, not_run = 0, b"", False
+        if FAULT == "late" and with_fault:
+            await asyncio.sleep(max(0.0, patience + LATENESS_S - (time.monotonic() - start)))
+        refused = not_run or (FAULT == "refuses" and repeat == "fragile")
         code = 200 if status == 200 else 503 if refused else 502
-        whole = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (code, len(body), body)
-        writer.write(whole)
-        if WRONG == "twice" and now:
-            writer.write(whole)
-        if WRONG == "afterwards" and now and repeat == "retryable":
+        answer = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (code, len(body), body)
+        writer.write(answer)
+        if FAULT == "twice" and with_fault:
+            writer.write(answer)
+        if FAULT == "afterwards" and with_fault and repeat == "retryable":
             await writer.drain()
             await asyncio.sleep(0.4)
             await self.attempt(self.pick(), head)
         return True
 
-    async def again(
-        self, endpoint: dict[str, Any], head: bytes, repeat: str, status: int, body: bytes, never: bool
+    async def retry_wrongly(
+        self, endpoint: dict[str, Any], head: bytes, repeat: str, status: int, body: bytes, not_run: bool
     ) -> tuple[int, bytes, bool]:
-        """The wrong ways to try again what may have run."""
-        if status == 200 or never:
-            return status, body, never
-        if WRONG == "resends" and repeat == "fragile":
+        """Forbidden retries of a request that may have run."""
+        if status == 200 or not_run:
+            return status, body, not_run
+        if FAULT == "resends" and repeat == "fragile":
             return await self.attempt(self.pick(), head)
-        if WRONG == "other-group" and repeat == "dedup":
+        if FAULT == "other-group" and repeat == "dedup":
             others = [e for e in self.endpoints.values() if e["group"] != endpoint["group"]]
             return await self.attempt(self.rng.choice(others), head)
-        if WRONG == "past-window" and repeat == "dedup":
+        if FAULT == "past-window" and repeat == "dedup":
             await asyncio.sleep(1.0)
             return await self.attempt(endpoint, head)
-        return status, body, never
+        return status, body, not_run
 
 
 async def main() -> None:
