--- a/millgw/rehearsal/scenario.py
+++ b/millgw/rehearsal/scenario.py
@@ -273,10 +273,10 @@
 
     The meaning of `size` depends on the kind: the share of requests hit (fast-failure, resets, spoilt), the
     slowdown factor (slowdown), the rate factor (crowd, of the class named by `class` if there is one),
-    connections to each sidecar (connections), or seconds of idleness after which a middlebox silently drops
-    a connection's state (middlebox). With `spacing_s`, targets are hit one after the other. A reload removes
-    the `service` that it names and adds it back. `outage` is how calls to the discovery server fail while it
-    is down.
+    connections to each sidecar (connections), milliseconds of each stop (sidecar-stopped), or seconds of
+    idleness after which a middlebox silently drops a connection's state (middlebox). With `spacing_s`,
+    targets are hit one after the other. A reload removes the `service` that it names and adds it back.
+    `outage` is how calls to the discovery server fail while it is down.
     """
 
     kind: FaultKind
