--- a/millgw/rehearsal/byzantine_peers.py
+++ b/millgw/rehearsal/byzantine_peers.py
@@ -1,4 +1,4 @@
-"""Peers that hold the key and send false reports to the sidecars at the front."""
+"""Byzantine peers: they hold the shared key and send false reports to the front sidecars."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ByzantinePeers:
-    """The false peers of one day, and the endpoints that they report on."""
+    """The byzantine peers of one day, and the endpoints that they report on."""
 
     def __init__(
         self, scenario: Scenario, files: OperatorFiles, endpoints: dict[str, Endpoint], clock: Clock
@@ -30,25 +30,33 @@
         self.running: list[Peers] = []
 
     async def start(self) -> None:
-        """Let them join the sidecars at the front."""
+        """Start the peers and join them to the front sidecars."""
         peers = self.scenario.peers
         if peers is None:
             return
-        front = len(self.files.peers[0])
+        siblings = len(self.files.peer_addresses[0])
         for number in range(peers.byzantine):
-            made = to_settings(settings(self.scenario, 0, 0, front))
-            terms = PeerSettings(free_address(), self.files.joined(0), (str(self.files.key),), 0.0)
-            self.running.append(byzantine_peer(terms, made, self._first_tier, self.scenario.seed + number))
+            sidecar_settings = to_settings(settings(self.scenario, 0, 0, siblings))
+            peer_settings = PeerSettings(
+                free_address(), self.files.join_addresses(0), (str(self.files.key_file),), 0.0
+            )
+            self.running.append(
+                byzantine_peer(
+                    peer_settings, sidecar_settings, self._first_tier_coldness, self.scenario.seed + number
+                )
+            )
             await self.running[-1].start()
 
     def stop(self) -> None:
         for peer in self.running:
             peer.stop()
 
-    def _first_tier(self) -> list[tuple[Listing, bool]]:
-        """The first tier's endpoints, and which of them are cold."""
-        up = (endpoint for endpoint in self.endpoints.values() if endpoint.options.tier == 1 and endpoint.up)
-        return list(self._with_coldness(up))
+    def _first_tier_coldness(self) -> list[tuple[Listing, bool]]:
+        """The running endpoints of the first tier, each with whether it is cold."""
+        serving = (
+            endpoint for endpoint in self.endpoints.values() if endpoint.options.tier == 1 and endpoint.up
+        )
+        return list(self._with_coldness(serving))
 
     def _with_coldness(self, endpoints: Iterable[Endpoint]) -> Iterable[tuple[Listing, bool]]:
         for endpoint in endpoints:
--- a/millgw/rehearsal/keeper.py
+++ b/millgw/rehearsal/keeper.py
@@ -1,7 +1,7 @@
-"""The keeper: outlives the rig by a moment and ends what it started, however the rig ended.
+"""Cleanup process: kills the rig's remaining child processes after the rig has ended, however it ended.
 
-It reads `+PID` and `-PID` lines from the rig. At the end of its input, also that of a rig that was killed, it
-kills the process groups that are left and removes the rig's folder.
+It reads `+PID` and `-PID` lines from the rig. At the end of its input, which comes even when the rig is
+killed, it kills the remaining process groups and removes the rig's directory.
 """
 
 from __future__ import annotations
@@ -16,42 +16,42 @@
 
 
 class Keeper:
-    """The rig's side: a pipe to the keeper's process."""
+    """The rig's side: a pipe to the cleanup process."""
 
-    def __init__(self, folder: str) -> None:
+    def __init__(self, directory: str) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, "-S", "-E", __file__, folder],
+            [sys.executable, "-S", "-E", __file__, directory],
             stdin=subprocess.PIPE,
             stdout=subprocess.DEVNULL,
-            start_new_session=True,  # guards against a Ctrl-C that reaches it too
+            start_new_session=True,  # otherwise a Ctrl-C ends it along with the rig
         )
         assert self.process.stdin is not None
         self.pipe: IO[bytes] = self.process.stdin
 
     def started(self, pid: int) -> None:
-        self._say(f"+{pid}\n")
+        self._send(f"+{pid}\n")
 
     def ended(self, pid: int) -> None:
-        self._say(f"-{pid}\n")
+        self._send(f"-{pid}\n")
 
-    def _say(self, line: str) -> None:
+    def _send(self, line: str) -> None:
         self.pipe.write(line.encode())
         self.pipe.flush()
 
     def close(self) -> None:
-        """End all that is left and the folder, and wait for that."""
+        """Kill the remaining processes, remove the directory, and wait until that is done."""
         self.pipe.close()
         self.process.wait()
 
 
-def main(folder: str) -> None:
+def main(directory: str) -> None:
     groups: set[int] = set()
     for line in sys.stdin:
         (groups.add if line[0] == "+" else groups.discard)(int(line[1:]))
     for group in groups:
         with contextlib.suppress(ProcessLookupError, PermissionError):
             os.killpg(group, signal.SIGKILL)
-    shutil.rmtree(folder, ignore_errors=True)
+    shutil.rmtree(directory, ignore_errors=True)
 
 
 if __name__ == "__main__":
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -1,4 +1,4 @@
-"""Real sidecars as processes: started by the deployment contract, killed, restarted, watched."""
+"""Sidecar processes: starts them by the deployment contract, and kills, restarts and upgrades them."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 DEFAULT_RUN = f"exec {sys.executable} -B -m millgw.sidecar"
-READY_EVERY = 0.05  # s between two looks whether a sidecar serves
-READY_TIME = 60.0  # s for a sidecar to serve after its start
-OWN_CLASS = "of-its-own"  # a class that one sidecar alone has
-LOG_TAIL = 400  # bytes of a log that a message quotes
+READY_CHECK_INTERVAL_S = 0.05  # s between two checks whether a sidecar serves
+READY_TIMEOUT_S = 60.0  # s for a sidecar to serve after its start
+EXTRA_CLASS = "of-its-own"  # name of the class that only sidecars that reject versions have
+LOG_TAIL_BYTES = 400  # bytes at the end of a log that are searched for the last line to quote
 
 
 class NotReady(Exception):
-    """A sidecar that does not come up: the run line or the machine is at fault, no rule is judged."""
+    """A process did not become ready: the command or the machine is at fault, and no rule is judged."""
 
 
 def class_settings(scenario: Scenario) -> list[dict[str, Any]]:
-    """The classes of all sidecars, as the platform words them."""
+    """The classes of all sidecars, in the platform's settings format."""
     return [
         {
             "name": c.name, "repeat": c.repeat, "deadline": c.deadline_ms, "slo": c.aim_ms,
@@ -50,7 +50,7 @@
 
 
 def settings(scenario: Scenario, stage: int, index: int, siblings: int) -> dict[str, Any]:
-    """The settings object of one sidecar, as the platform words it."""
+    """The settings object of one sidecar, in the platform's format."""
     limits, rules, fleet = scenario.limits, scenario.rules, scenario.fleet
     return {
         "me": index,
@@ -76,25 +76,25 @@
     }  # fmt: skip
 
 
-def with_class_of_its_own(settings: dict[str, Any]) -> dict[str, Any]:
-    """The settings with one more class, so that a version that names the others can't be applied here."""
-    own = {**settings["classes"][0], "name": OWN_CLASS}
-    return settings | {"classes": [*settings["classes"], own]}
+def with_extra_class(settings: dict[str, Any]) -> dict[str, Any]:
+    """The settings with one more class, so that a version that sets the classes can't be applied here."""
+    extra = {**settings["classes"][0], "name": EXTRA_CLASS}
+    return settings | {"classes": [*settings["classes"], extra]}
 
 
 @dataclass(eq=False)
 class Process:
-    """One process of a sidecar, from its start to its end. `door` is where operators find it, if anywhere."""
+    """One process of a sidecar, from start to exit. `door` is its control address, if it has one."""
 
     process: asyncio.subprocess.Process
     life: SidecarLife
     door: Address | None
-    number: int  # 1 for the first one of its sidecar
+    number: int  # 1 for its sidecar's first process
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class Sidecar:
-    """One sidecar under its name and address, through all its processes: `current` is the newest of them."""
+    """One sidecar with its name and address, across all its processes; `current` is the newest of them."""
 
     def __init__(
         self,
@@ -103,49 +103,50 @@
         discovery: Address,
         settings: dict[str, Any],
         scenario: Scenario,
-        known: Callable[[], tuple[int, tuple[Entry, ...]]],
-        run: str,
-        folder: Path,
-        keeper: Keeper,
+        known_endpoints: Callable[[], tuple[int, tuple[Entry, ...]]],
+        command: str,
+        directory: Path,
+        cleanup: Keeper,
         ledger: Ledger,
         clock: Clock,
     ) -> None:
         self.name = name
-        self.index = int(name.rpartition("-")[2])  # among those of its stage
+        self.index = int(name.rpartition("-")[2])  # within its stage
         self.stage = stage
         self.discovery = discovery
         self.settings = settings
         self.limits = scenario.limits
         self.seed = scenario.seed
-        self.known = known
-        self.run = run
-        self.folder = folder / name
-        self.keeper = keeper
+        self.known_endpoints = known_endpoints
+        self.command = command
+        self.directory = directory / name
+        self.cleanup = cleanup
         self.ledger = ledger
         self.clock = clock
-        self.listen_at(free_address())
+        self.set_listen_address(free_address())
         self.current: Process | None = None
-        self.before: Process | None = None  # the one that an upgrade is to end
-        self.door = False  # whether its processes are told a door
+        self.before: Process | None = None  # the process that a running upgrade replaces
+        self.has_control_address = False
         self.starts = 0
-        self.operator = ""  # the text of its operator's file, if it is given one
-        self.most_memory = 0  # kB, the most that any of its processes held
+        self.operator_file = ""  # text of its operator's file; empty for none
+        self.peak_memory_kb = 0  # of all its processes
         self.waiters: list[asyncio.Task[None]] = []
 
-    def listen_at(self, address: Address) -> None:
-        """Where callers find it; before its first start."""
+    def set_listen_address(self, address: Address) -> None:
+        """Set the address that callers use; only before the first start."""
         self.listen = address
         self.desk = SidecarClient(self.name, address, self.clock)
 
     async def start(self) -> None:
-        """Start a process and wait until it serves; a NotReady tells why it does not."""
+        """Start a process and wait until it serves; raises NotReady with the reason if it does not."""
         started = self.current = await self._spawn()
-        await self._until(started, lambda: ready(self.listen))
+        await self._wait_until_ready(started, lambda: ready(self.listen))
 
-    async def upgrade(self, upgrade: Upgrade, within: float) -> None:
-        """Start a second process beside the running one, and end that once the new one says yes.
+    async def upgrade(self, upgrade: Upgrade, grace_s: float) -> None:
+        """Start a second process beside the running one, and end the old one once the new one is ready.
 
-        The old one has `within` s from SIGTERM on. A NotReady tells that the new one never said yes.
+        The old process has `within` s from SIGTERM on before it is killed. Raises NotReady if the new one
+        never becomes ready.
         """
         old = self.current
         assert old is not None
@@ -153,13 +154,13 @@
         new.life.beside = True
         self.before, self.current = old, new
         assert new.door is not None
-        door = new.door
-        await self._until(new, lambda: ready(door, REQUEST_PORT_READY))
+        control_address = new.door
+        await self._wait_until_ready(new, lambda: ready(control_address, REQUEST_PORT_READY))
         upgrade.yes_at = self.clock()
         old.life.term = upgrade.term = upgrade.yes_at
         self._signal(old, signal.SIGTERM)
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(grace_s):
                 await old.ended.wait()
         except TimeoutError:
             self._kill(old)
@@ -170,32 +171,36 @@
     async def _spawn(self) -> Process:
         self.starts += 1
         number = self.starts
-        door = free_address() if self.door else None
+        control_address = free_address() if self.has_control_address else None
         life = SidecarLife(self.name, self.stage, self.clock())
-        environ = self._environ(door)
-        process = await spawn(self.run, environ, self.folder / "log", self.keeper)
-        started = Process(process, life, door, number)
+        environ = self._environ(control_address)
+        process = await spawn(self.command, environ, self.directory / "log", self.cleanup)
+        started = Process(process, life, control_address, number)
         self.ledger.sidecars.append(life)
-        self.waiters.append(asyncio.get_running_loop().create_task(self._wait(started)))
+        self.waiters.append(asyncio.get_running_loop().create_task(self._wait_for_exit(started)))
         return started
 
-    async def _until(self, started: Process, serves: Callable[[], Awaitable[bool]]) -> None:
+    async def _wait_until_ready(self, started: Process, serves: Callable[[], Awaitable[bool]]) -> None:
         try:
-            async with asyncio.timeout(READY_TIME):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 while not await serves():
                     if started.ended.is_set():
                         if started.life.kill is not None:
                             return
-                        raise NotReady(f"{self.name} ended with code {started.life.code}: {self.tail()}")
-                    await asyncio.sleep(READY_EVERY)
+                        raise NotReady(
+                            f"{self.name} ended with code {started.life.code}: {self.last_log_line()}"
+                        )
+                    await asyncio.sleep(READY_CHECK_INTERVAL_S)
         except TimeoutError:
-            raise NotReady(f"{self.name} is not ready after {READY_TIME:.0f} s: {self.tail()}") from None
+            raise NotReady(
+                f"{self.name} is not ready after {READY_TIMEOUT_S:.0f} s: {self.last_log_line()}"
+            ) from None
         started.life.ready = self.clock()
 
-    def _environ(self, door: Address | None) -> dict[str, str]:
-        scratch = self.folder / "tmp"
-        scratch.mkdir(parents=True, exist_ok=True)
-        index, entries = self.known()
+    def _environ(self, control_address: Address | None) -> dict[str, str]:
+        temporary = self.directory / "tmp"
+        temporary.mkdir(parents=True, exist_ok=True)
+        index, entries = self.known_endpoints()
         config = {
             "name": self.name,
             "listen": str(self.listen),
@@ -205,39 +210,41 @@
             "known": {"index": index, "snapshot": True, "endpoints": [e.json() for e in entries]},
             "settings": self.settings,
         }
-        path = self.folder / "config.json"
+        path = self.directory / "config.json"
         path.write_text(json.dumps(config))
-        given = {} if door is None else {"BALANCER_CONTROL": str(door)}
-        if self.operator:
-            (self.folder / "operator.toml").write_text(self.operator)
-            given["BALANCER_OPERATOR"] = str(self.folder / "operator.toml")
+        optional = {} if control_address is None else {"BALANCER_CONTROL": str(control_address)}
+        if self.operator_file:
+            (self.directory / "operator.toml").write_text(self.operator_file)
+            optional["BALANCER_OPERATOR"] = str(self.directory / "operator.toml")
         paths = [str(ROOT), *filter(None, [os.environ.get("PYTHONPATH")])]
         return os.environ | {
             "BALANCER_NAME": self.name,
             "BALANCER_LISTEN": str(self.listen),
             "BALANCER_DISCOVERY": str(self.discovery),
             "BALANCER_CONFIG": str(path),
-            "TMPDIR": str(scratch),
+            "TMPDIR": str(temporary),
             "PYTHONPATH": os.pathsep.join(paths),
-            **given,
+            **optional,
         }
 
-    async def _wait(self, started: Process) -> None:
+    async def _wait_for_exit(self, started: Process) -> None:
         started.life.code = await started.process.wait()
         started.life.ended = self.clock()
-        self.keeper.ended(started.process.pid)
+        self.cleanup.ended(started.process.pid)
         started.ended.set()
 
-    def tail(self) -> str:
-        """The last line of its log."""
+    def last_log_line(self) -> str:
+        """The last line of its log that is not blank."""
         with contextlib.suppress(OSError):
-            lines = (self.folder / "log").read_bytes()[-LOG_TAIL:].decode(errors="replace").split("\n")
-            return next((line for line in reversed(lines) if line.strip()), "it said nothing")
-        return "it said nothing"
+            lines = (
+                (self.directory / "log").read_bytes()[-LOG_TAIL_BYTES:].decode(errors="replace").split("\n")
+            )
+            return next((line for line in reversed(lines) if line.strip()), "the log is empty")
+        return "the log is empty"
 
     def kill(self) -> None:
-        """SIGKILL to it and all it started."""
-        self.note_memory()
+        """Send SIGKILL to the process groups of all its processes."""
+        self.record_peak_memory()
         for started in (self.before, self.current):
             if started is not None:
                 self._kill(started)
@@ -256,38 +263,38 @@
                 os.kill(started.process.pid, number)
 
     def term(self) -> None:
-        """SIGTERM to the program that `run` started."""
+        """Send SIGTERM to the newest process."""
         if self.current is not None and self.pid is not None:
-            self.note_memory()
+            self.record_peak_memory()
             self.current.life.term = self.clock()
             self._signal(self.current, signal.SIGTERM)
 
     def pause(self, seconds: float) -> SidecarPause | None:
-        """SIGSTOP, and SIGCONT after so long: it stands still wherever it is. None where no process runs.
+        """Stop the newest process by SIGSTOP for `seconds`, at whatever point it is. None if there is none.
 
-        Blocks its thread meanwhile.
+        Blocks the calling thread meanwhile.
         """
-        held = self.current
-        if held is None:
+        stopped = self.current
+        if stopped is None:
             return None
-        begun = self.clock()
-        self._signal(held, signal.SIGSTOP)
+        start = self.clock()
+        self._signal(stopped, signal.SIGSTOP)
         try:
             time.sleep(seconds)
         finally:
-            self._signal(held, signal.SIGCONT)
-        return SidecarPause(self.name, begun, self.clock())
+            self._signal(stopped, signal.SIGCONT)
+        return SidecarPause(self.name, start, self.clock())
 
     def reload(self, operator: str) -> None:
-        """Give it another operator's file, and SIGHUP."""
-        self.operator = operator
+        """Replace its operator's file and send SIGHUP."""
+        self.operator_file = operator
         if self.current is not None and self.pid is not None:
-            (self.folder / "operator.toml").write_text(operator)
+            (self.directory / "operator.toml").write_text(operator)
             self._signal(self.current, signal.SIGHUP)
 
     @property
     def ended(self) -> asyncio.Event:
-        """The end of its newest process."""
+        """Set when its newest process has exited."""
         assert self.current is not None
         return self.current.ended
 
@@ -297,15 +304,15 @@
             return None
         return self.current.process.pid
 
-    def waited(self) -> float:
-        """ms that its process has waited for a core so far; 0 where that can't be known."""
+    def core_wait_ms(self) -> float:
+        """ms that its newest process has waited for a core so far; 0 if that can't be read."""
         try:
             return int(Path(f"/proc/{self.pid}/schedstat").read_text().split()[1]) / 1e6
         except (OSError, ValueError, IndexError):
             return 0.0
 
-    def note_memory(self) -> None:
+    def record_peak_memory(self) -> None:
         with contextlib.suppress(OSError, ValueError, IndexError):
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM:"):
-                    self.most_memory = max(self.most_memory, int(line.split()[1]))
+                    self.peak_memory_kb = max(self.peak_memory_kb, int(line.split()[1]))
