--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -65,7 +65,7 @@
 
     # Actions of endpoints, and faults at their sessions
 
-    def serve(self, endpoint: Endpoint, entry: Entry) -> None:
+    def register(self, endpoint: Endpoint, entry: Entry) -> None:
         """Register an endpoint; expires an older session of the same name, and its node with it."""
         node = self._node_path(endpoint)
         old = self.sessions.pop(endpoint.options.name, None)
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -251,7 +251,7 @@
             self.discovery_server.apply_late(entry, late)
         if self.coordination is not None:
             if status == "in_service":
-                self.coordination.serve(endpoint, entry)
+                self.coordination.register(endpoint, entry)
             elif status == "terminating":
                 self.coordination.drain(endpoint, entry)
             elif endpoint.draining:
@@ -329,7 +329,7 @@
                 if self.discovery_lists_endpoints:
                     self.discovery_server.apply_change(entry)
                 if self.coordination is not None:
-                    self.coordination.serve(endpoint, entry)
+                    self.coordination.register(endpoint, entry)
         semaphore = asyncio.Semaphore(STARTS_PER_CORE * (os.cpu_count() or 1))
         serving = 0
 
