--- a/millgw/rehearsal/coordination.py
+++ b/millgw/rehearsal/coordination.py
@@ -109,7 +109,7 @@
                 self.expired_while_serving.add(self._node_path(endpoint))
             self.ensemble.expire(session)
 
-    def forget_all(self) -> None:
+    def restart_empty(self) -> None:
         """A fault: the coordinator restarts empty; serving endpoints have to register again."""
         self.expired_while_serving |= {node for node in self.life_numbers if node in self.ensemble.tree.nodes}
         self.sessions.clear()
--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -100,7 +100,7 @@
 
     async def _restart_empty(self, fault: PlannedFault) -> None:
         """Nodes, sessions and the order of changes are lost; serving endpoints register one after another."""
-        self._coordination.forget_all()
+        self._coordination.restart_empty()
         serving = [n for n, e in self.targets.endpoints.items() if e.up and not e.draining]
         for name in serving:
             await asyncio.sleep((fault.until - fault.at) / 1000 / len(serving))
