--- a/millgw/rehearsal/day_process.py
+++ b/millgw/rehearsal/day_process.py
@@ -25,7 +25,7 @@
     first: str
 
 
-UNPLAYED = PlayResult(4, 1.0, frozenset(), "")
+FAILED_PLAY = PlayResult(4, 1.0, frozenset(), "")
 """The result of a play that could not be carried out."""
 
 
@@ -56,7 +56,7 @@
                     # A day that can't be played proves nothing, and must not end a long search.
                     self.unplayed.append(errors.strip().split("\n")[-1])
                     self.say(f"could not be played: {self.unplayed[-1]}")
-                    return UNPLAYED
+                    return FAILED_PLAY
                 return _play_result(exit_code, json.loads(report.read_text())["days"][0])
 
     async def _run_command(self, command: list[str]) -> tuple[int, str]:
--- a/millgw/rehearsal/fault_search.py
+++ b/millgw/rehearsal/fault_search.py
@@ -11,7 +11,7 @@
 
 from msgspec.structs import replace
 
-from millgw.rehearsal.day_process import UNPLAYED, DayPlayer, PlayResult
+from millgw.rehearsal.day_process import FAILED_PLAY, DayPlayer, PlayResult
 from millgw.rehearsal.fault_schedules import draw_schedule, one_at_a_time, shrink
 from millgw.rehearsal.scenario import Scenario
 from millgw.rehearsal.scenario_files import to_toml
@@ -71,7 +71,7 @@
     async def _search_seed(self, seed: int) -> None:
         scenario = draw_schedule(self.base, seed)
         played = await self.days.play(scenario)
-        if played is UNPLAYED:
+        if played is FAILED_PLAY:
             return
         self.outcome.played += 1
         self.outcome.services.append(played.service)
