--- a/millgw/rehearsal/day_process.py
+++ b/millgw/rehearsal/day_process.py
@@ -22,7 +22,7 @@
     code: int
     service: float
     broken: frozenset[int]
-    first: str
+    first_breach: str
 
 
 FAILED_PLAY = PlayResult(4, 1.0, frozenset(), "")
--- a/millgw/rehearsal/fault_search.py
+++ b/millgw/rehearsal/fault_search.py
@@ -81,7 +81,7 @@
         harms: Callable[[Scenario], Any]
         if played.broken:
             rule = min(played.broken)
-            why = f"rule {rule} broke: {played.first}"
+            why = f"rule {rule} broke: {played.first_breach}"
 
             async def harms(candidate: Scenario) -> bool:
                 return await self._every_play(candidate, lambda p: rule in p.broken)
--- a/millgw/rehearsal/soak.py
+++ b/millgw/rehearsal/soak.py
@@ -69,7 +69,13 @@
             kept = self._save(seed, scenario, played, logs) if played.broken else ""
         verdict = VERDICTS[played.code]
         day = SoakedDay(
-            seed, scenario.about, verdict, played.service, tuple(sorted(played.broken)), played.first, kept
+            seed,
+            scenario.about,
+            verdict,
+            played.service,
+            tuple(sorted(played.broken)),
+            played.first_breach,
+            kept,
         )
         self.outcome.days.append(day)
         why = f", {day.first}" if day.first else ""
@@ -78,7 +84,7 @@
     def _save(self, seed: int, scenario: Scenario, played: PlayResult, logs: Path) -> str:
         folder = self.out / f"soak-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "day.toml").write_text(to_toml(scenario, f"Seed {seed} of a soak: {played.first}"))
+        (folder / "day.toml").write_text(to_toml(scenario, f"Seed {seed} of a soak: {played.first_breach}"))
         for log in sorted(logs.rglob("*")):
             if log.is_file():
                 (folder / log.name).write_bytes(log.read_bytes())
