--- a/millgw/rehearsal/day_process.py
+++ b/millgw/rehearsal/day_process.py
@@ -19,7 +19,7 @@
 class PlayResult:
     """The result of one play: exit code, service, broken rules and the first kind of breach."""
 
-    code: int
+    exit_code: int
     service: float
     broken: frozenset[int]
     first_breach: str
--- a/millgw/rehearsal/fault_search.py
+++ b/millgw/rehearsal/fault_search.py
@@ -76,7 +76,7 @@
         self.outcome.played += 1
         self.outcome.services.append(played.service)
         self.outcome.kinds.update(f.kind for f in scenario.faults)
-        self.outcome.inconclusive += played.code == 3
+        self.outcome.inconclusive += played.exit_code == 3
         self.say(f"{seed}: {scenario.about}: service {played.service:.3f}")
         harms: Callable[[Scenario], Any]
         if played.broken:
@@ -85,7 +85,7 @@
 
             async def harms(candidate: Scenario) -> bool:
                 return await self._every_play(candidate, lambda p: rule in p.broken)
-        elif played.code == 0 and played.service < LOW_SERVICE:
+        elif played.exit_code == 0 and played.service < LOW_SERVICE:
             alone = (await self.days.play(one_at_a_time(scenario))).service
             if alone - played.service < MIN_OVERLAP_COST:
                 return
@@ -98,7 +98,7 @@
                     await self.days.play(candidate),
                     await self.days.play(one_at_a_time(candidate)),
                 )
-                return together.code == 0 and single.service - together.service >= MIN_OVERLAP_COST
+                return together.exit_code == 0 and single.service - together.service >= MIN_OVERLAP_COST
         else:
             return
         if not await harms(scenario):
--- a/millgw/rehearsal/soak.py
+++ b/millgw/rehearsal/soak.py
@@ -67,7 +67,7 @@
             logs = Path(folder) / "logs"
             played = await self.player.play(scenario, logs)
             kept = self._save(seed, scenario, played, logs) if played.broken else ""
-        verdict = VERDICTS[played.code]
+        verdict = VERDICTS[played.exit_code]
         day = SoakedDay(
             seed,
             scenario.about,
