--- a/millgw/rehearsal/day_process.py
+++ b/millgw/rehearsal/day_process.py
@@ -37,7 +37,7 @@
         self.semaphore = asyncio.Semaphore(jobs)
         self.say = say
         self.plays = 0
-        self.unplayed: list[str] = []  # the reason of each
+        self.failures: list[str] = []  # the reason of each
 
     async def play(self, scenario: Scenario, logs: Path | None = None) -> PlayResult:
         """Play a day; its sidecars' logs are kept in `logs`."""
@@ -54,8 +54,8 @@
                 exit_code, errors = await self._run_command(command)
                 if exit_code not in (0, 1, 3):
                     # A day that can't be played proves nothing, and must not end a long search.
-                    self.unplayed.append(errors.strip().split("\n")[-1])
-                    self.say(f"could not be played: {self.unplayed[-1]}")
+                    self.failures.append(errors.strip().split("\n")[-1])
+                    self.say(f"could not be played: {self.failures[-1]}")
                     return FAILED_PLAY
                 return _play_result(exit_code, json.loads(report.read_text())["days"][0])
 
--- a/millgw/rehearsal/fault_search.py
+++ b/millgw/rehearsal/fault_search.py
@@ -65,7 +65,7 @@
             for number in range(count):
                 group.create_task(self._search_seed(seed + number))
         self.outcome.found.sort(key=lambda f: f.seed)
-        self.outcome.plays, self.outcome.unplayed = self.days.plays, self.days.unplayed
+        self.outcome.plays, self.outcome.unplayed = self.days.plays, self.days.failures
         return self.outcome
 
     async def _search_seed(self, seed: int) -> None:
--- a/millgw/rehearsal/soak.py
+++ b/millgw/rehearsal/soak.py
@@ -58,7 +58,7 @@
             for seed in range(first, first + count):
                 group.create_task(self._play_seed(seed))
         self.outcome.days.sort(key=lambda day: day.seed)
-        self.outcome.unplayed = self.player.unplayed
+        self.outcome.unplayed = self.player.failures
         return self.outcome
 
     async def _play_seed(self, seed: int) -> None:
