--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -44,7 +44,7 @@
             return
         starts = sidecar.starts
         sidecar.kill()
-        self.targets.front.died(sidecar)
+        self.targets.front.sidecar_died(sidecar)
         await wait_for_end(fault)
         if sidecar.starts == starts:
             await self._start_again(fault.target)
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -32,7 +32,7 @@
         self.draining: list[SidecarClient] = []
         self.dead: set[SidecarClient] = set()
 
-    def died(self, sidecar: Sidecar) -> None:
+    def sidecar_died(self, sidecar: Sidecar) -> None:
         self.dead.add(sidecar.desk)
         self._schedule(DEATH_NOTICE_DELAY_S, lambda: self._remove_if_still_dead(sidecar.desk))
 
