--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -56,7 +56,7 @@
             return
         starts = sidecar.starts
         sidecar.term()
-        self.targets.front.leaves(sidecar)
+        self.targets.front.sidecar_terminating(sidecar)
         try:
             async with asyncio.timeout(self._term_grace()):
                 await sidecar.ended.wait()
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -41,7 +41,7 @@
         if desk in self.dead:
             self._remove(desk)
 
-    def leaves(self, sidecar: Sidecar) -> None:
+    def sidecar_terminating(self, sidecar: Sidecar) -> None:
         """A sidecar got SIGTERM: clients keep using the connections that they have."""
         self.draining.append(sidecar.desk)
         self._schedule(TERM_REMOVAL_DELAY_S, lambda: self._remove(sidecar.desk))
