--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -126,7 +126,7 @@
         sidecar = self.targets.sidecars[name]
         await sidecar.start()
         if sidecar.pid is not None:
-            self.targets.front.back(sidecar)
+            self.targets.front.return_to_service(sidecar)
 
     async def _reload(self, fault: PlannedFault) -> None:
         """All front sidecars reload without a service by SIGHUP, and later reload with it."""
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -62,7 +62,7 @@
                 )
             if is_ready and seen.until is not None:
                 seen.yes_at = clock()
-                self.back(sidecar)
+                self.return_to_service(sidecar)
             await asyncio.sleep(READY_CHECK_INTERVAL_S)
 
     def _remove_if_still_draining(self, desk: SidecarClient, seen: SentAway) -> None:
@@ -73,7 +73,7 @@
         if desk in self.in_service:
             self.in_service.remove(desk)
 
-    def back(self, sidecar: Sidecar) -> None:
+    def return_to_service(self, sidecar: Sidecar) -> None:
         self.dead.discard(sidecar.desk)
         if sidecar.desk in self.draining:
             self.draining.remove(sidecar.desk)
