--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -89,7 +89,7 @@
             self.targets.failed(NotReady(f"{sidecar.name} rejects a drain"))
             return
         self.targets.ledger.sent_away.append(seen)
-        watching = self.loop.create_task(self.targets.front.watch(sidecar, seen, self.targets.clock))
+        watching = self.loop.create_task(self.targets.front.watch_ready(sidecar, seen, self.targets.clock))
         try:
             await asyncio.sleep(CLIENT_DRAIN_LIMIT_S)
             seen.judged = self.targets.clock()
--- a/millgw/rehearsal/front.py
+++ b/millgw/rehearsal/front.py
@@ -46,7 +46,7 @@
         self.draining.append(sidecar.desk)
         self._schedule(TERM_REMOVAL_DELAY_S, lambda: self._remove(sidecar.desk))
 
-    async def watch(self, sidecar: Sidecar, seen: SentAway, clock: Clock) -> None:
+    async def watch_ready(self, sidecar: Sidecar, seen: SentAway, clock: Clock) -> None:
         """Poll /ready of a sidecar that sends clients away until it accepts them again.
 
         Clients keep using the connections that they have.
