--- a/millgw/rehearsal/control_instances.py
+++ b/millgw/rehearsal/control_instances.py
@@ -13,7 +13,7 @@
 
 from millgw.configuration.control_client import FleetStatus, fetch_status
 from millgw.platform.config import Address
-from millgw.rehearsal.keeper import Keeper
+from millgw.rehearsal.keeper import CleanupProcess
 from millgw.rehearsal.processes import spawn
 from millgw.rehearsal.sidecars import READY_CHECK_INTERVAL_S, READY_TIMEOUT_S, ROOT, NotReady
 from millgw.standins.address import free_address
@@ -37,7 +37,9 @@
 class ControlInstances:
     """The voters of one day. They are only ever ended by SIGKILL, and restart on their existing stores."""
 
-    def __init__(self, count: int, directory: Path, cleanup: Keeper, ledger: Ledger, clock: Clock) -> None:
+    def __init__(
+        self, count: int, directory: Path, cleanup: CleanupProcess, ledger: Ledger, clock: Clock
+    ) -> None:
         self.addresses = {f"control-{number}": free_address() for number in range(1, count + 1)}
         self.directory = directory
         self.cleanup = cleanup
--- a/millgw/rehearsal/keeper.py
+++ b/millgw/rehearsal/keeper.py
@@ -15,7 +15,7 @@
 from typing import IO
 
 
-class Keeper:
+class CleanupProcess:
     """The rig's side: a pipe to the cleanup process."""
 
     def __init__(self, directory: str) -> None:
--- a/millgw/rehearsal/processes.py
+++ b/millgw/rehearsal/processes.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from millgw.rehearsal.keeper import Keeper
+from millgw.rehearsal.keeper import CleanupProcess
 
 START_ON_LINE = 'read -r go && exec /bin/sh -c "$1" </dev/null'
 """Waits for a line before it execs the program. If the rig is killed before the cleanup process knows of this
@@ -14,7 +14,7 @@
 
 
 async def spawn(
-    command: str, environ: Mapping[str, str], log: Path, cleanup: Keeper
+    command: str, environ: Mapping[str, str], log: Path, cleanup: CleanupProcess
 ) -> asyncio.subprocess.Process:
     """Start a shell command as a process group known to the cleanup process; output is appended to `log`."""
     with log.open("ab") as output:
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -22,7 +22,7 @@
 from millgw.rehearsal.faults.injector import FaultInjector
 from millgw.rehearsal.fleet import builds_of_tier, is_last_tier, tasks_of_tier, tier_sizes
 from millgw.rehearsal.front import Clients, Front, send_call
-from millgw.rehearsal.keeper import Keeper
+from millgw.rehearsal.keeper import CleanupProcess
 from millgw.rehearsal.operator_files import SERVICE_DOMAIN, OperatorFiles
 from millgw.rehearsal.sampler import Sampler, own_peak_memory_kb
 from millgw.rehearsal.scenario import CONTROL_ADDRESS_FAULTS, Scenario, refusing_sidecars
@@ -100,7 +100,7 @@
     async def play(self) -> tuple[Ledger, Facts]:
         """Play the whole day; raises NotReady or OSError if it could not be played."""
         directory = Path(tempfile.mkdtemp(prefix="millgw-rehearsal-"))
-        cleanup = Keeper(str(directory))
+        cleanup = CleanupProcess(str(directory))
         start = self.clock()
         try:
             self._build(directory, cleanup)
@@ -129,7 +129,7 @@
 
     # Building
 
-    def _build(self, directory: Path, cleanup: Keeper) -> None:
+    def _build(self, directory: Path, cleanup: CleanupProcess) -> None:
         scenario, fleet = self.scenario, self.scenario.fleet
         if scenario.configuration is not None:
             count = scenario.configuration.instances
--- a/millgw/scale/latency.py
+++ b/millgw/scale/latency.py
@@ -17,7 +17,7 @@
 
 from msgspec import Struct
 
-from millgw.rehearsal.keeper import Keeper
+from millgw.rehearsal.keeper import CleanupProcess
 from millgw.scale.processes import ROOT
 
 CALLS_A_SIDECAR = 74_000 / 670  # a second: the operators' calls, evenly over their sidecars
@@ -48,7 +48,7 @@
 
 
 async def measure(
-    sidecars: Sequence[str], endpoints: Sequence[str], seconds: float, folder: Path, keeper: Keeper
+    sidecars: Sequence[str], endpoints: Sequence[str], seconds: float, folder: Path, keeper: CleanupProcess
 ) -> Added:
     """Load both for some seconds."""
     rate = CALLS_A_SIDECAR * len(sidecars)
@@ -62,7 +62,7 @@
 
 
 async def _load(
-    targets: Sequence[str], rate: float, seconds: float, report: Path, keeper: Keeper
+    targets: Sequence[str], rate: float, seconds: float, report: Path, keeper: CleanupProcess
 ) -> dict[str, object] | None:
     """One load; its report, or None where it made none."""
     words = [
--- a/millgw/scale/processes.py
+++ b/millgw/scale/processes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from millgw.rehearsal.keeper import Keeper
+from millgw.rehearsal.keeper import CleanupProcess
 from millgw.scale.messages import Failed, Order, Seen, Word, decode_word, encode
 from millgw.scale.worker import LONGEST_ORDER
 
@@ -30,7 +30,7 @@
 class Process:
     """One of them. Sightings go to `seen`, other words to who waits for them."""
 
-    def __init__(self, name: str, folder: Path, keeper: Keeper, seen: Callable[[Seen], None]) -> None:
+    def __init__(self, name: str, folder: Path, keeper: CleanupProcess, seen: Callable[[Seen], None]) -> None:
         self.name = name
         self.log = folder / f"{name}.log"
         self.keeper = keeper
--- a/millgw/scale/run.py
+++ b/millgw/scale/run.py
@@ -12,7 +12,7 @@
 
 from msgspec import structs
 
-from millgw.rehearsal.keeper import Keeper
+from millgw.rehearsal.keeper import CleanupProcess
 from millgw.scale import chain, latency
 from millgw.scale.figures import Spent, spent
 from millgw.scale.fleet import REPLACEMENT, Fleet
@@ -94,7 +94,7 @@
 class Run:
     """One run under way."""
 
-    def __init__(self, options: Options, folder: Path, keeper: Keeper, progress: Progress) -> None:
+    def __init__(self, options: Options, folder: Path, keeper: CleanupProcess, progress: Progress) -> None:
         self.options = options
         self.layout: Layout = draw(options.sizes, options.seed)
         self.steps = plan(self.layout, options.seconds, options.fault, options.seed)
@@ -362,7 +362,7 @@
 async def play(options: Options, progress: Progress = lambda _: None) -> Result:
     """Play a run in a folder of its own; however it ends, its processes end with it."""
     folder = Path(tempfile.mkdtemp(prefix="millgw-scale-"))
-    keeper = Keeper(str(folder))
+    keeper = CleanupProcess(str(folder))
     try:
         return await Run(options, folder, keeper, progress).play()
     finally:
