--- a/millgw/rehearsal/keeper.py
+++ b/millgw/rehearsal/keeper.py
@@ -28,7 +28,7 @@
         assert self.process.stdin is not None
         self.pipe: IO[bytes] = self.process.stdin
 
-    def started(self, pid: int) -> None:
+    def process_started(self, pid: int) -> None:
         self._send(f"+{pid}\n")
 
     def ended(self, pid: int) -> None:
--- a/millgw/rehearsal/processes.py
+++ b/millgw/rehearsal/processes.py
@@ -22,7 +22,7 @@
             "/bin/sh", "-c", START_ON_LINE, "rig", command, env=environ, stdin=asyncio.subprocess.PIPE,
             stdout=output, stderr=output, start_new_session=True,
         )  # fmt: skip
-    cleanup.started(process.pid)
+    cleanup.process_started(process.pid)
     assert process.stdin is not None
     process.stdin.write(b"go\n")
     process.stdin.close()
--- a/millgw/scale/latency.py
+++ b/millgw/scale/latency.py
@@ -81,7 +81,7 @@
         cwd=ROOT,
         start_new_session=True,
     )
-    keeper.started(process.pid)
+    keeper.process_started(process.pid)
     try:
         async with asyncio.timeout(seconds + AFTER):
             await process.wait()
--- a/millgw/scale/processes.py
+++ b/millgw/scale/processes.py
@@ -56,7 +56,7 @@
                 start_new_session=True,
                 limit=LONGEST_ORDER,
             )
-        self.keeper.started(self.process.pid)
+        self.keeper.process_started(self.process.pid)
         self.reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
