--- a/millgw/rehearsal/control_instances.py
+++ b/millgw/rehearsal/control_instances.py
@@ -105,7 +105,7 @@
 
     async def _wait_for_exit(self, name: str, process: asyncio.subprocess.Process) -> None:
         await process.wait()
-        self.cleanup.ended(process.pid)
+        self.cleanup.process_ended(process.pid)
         self.running.pop(name, None)
 
     async def leader(self) -> str | None:
--- a/millgw/rehearsal/keeper.py
+++ b/millgw/rehearsal/keeper.py
@@ -31,7 +31,7 @@
     def process_started(self, pid: int) -> None:
         self._send(f"+{pid}\n")
 
-    def ended(self, pid: int) -> None:
+    def process_ended(self, pid: int) -> None:
         self._send(f"-{pid}\n")
 
     def _send(self, line: str) -> None:
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -230,7 +230,7 @@
     async def _wait_for_exit(self, started: Process) -> None:
         started.life.code = await started.process.wait()
         started.life.ended = self.clock()
-        self.cleanup.ended(started.process.pid)
+        self.cleanup.process_ended(started.process.pid)
         started.ended.set()
 
     def last_log_line(self) -> str:
--- a/millgw/scale/latency.py
+++ b/millgw/scale/latency.py
@@ -91,7 +91,7 @@
         with suppress(ProcessLookupError):
             os.killpg(process.pid, signal.SIGKILL)
         await process.wait()
-        keeper.ended(process.pid)
+        keeper.process_ended(process.pid)
     try:
         made: dict[str, object] = json.loads(report.read_bytes())
     except (OSError, ValueError):
--- a/millgw/scale/processes.py
+++ b/millgw/scale/processes.py
@@ -119,6 +119,6 @@
             with suppress(ProcessLookupError):
                 os.killpg(self.process.pid, signal.SIGKILL)
             await self.process.wait()
-        self.keeper.ended(self.process.pid)
+        self.keeper.process_ended(self.process.pid)
         if self.reading is not None:
             self.reading.cancel()
