--- a/millgw/rehearsal/fault_plan.py
+++ b/millgw/rehearsal/fault_plan.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from millgw.load.arrivals import Crowd
-from millgw.rehearsal.scenario import ON_ENDPOINTS, ON_SIDECARS, SIZES, Fault, Scenario
+from millgw.rehearsal.scenario import ENDPOINT_FAULTS, ON_SIDECARS, SIZES, Fault, Scenario
 from millgw.standins.discovery_server import OutageKind
 
 
@@ -47,7 +47,7 @@
     planned: list[PlannedFault] = []
     for number, fault in enumerate(scenario.faults):
         rng = random.Random(f"fault {seed} {number}")
-        if fault.kind in ON_ENDPOINTS:
+        if fault.kind in ENDPOINT_FAULTS:
             targets = []
             tiers = sorted({tier for _, tier in endpoints if fault.tier in (0, tier)})
             hit = [(name, t) for name, t in endpoints if fault.zone in (None, zones.get(name))]
--- a/millgw/rehearsal/scenario.py
+++ b/millgw/rehearsal/scenario.py
@@ -53,7 +53,7 @@
     "control-instance-lost",
     "control-all-lost",
 ]
-ON_ENDPOINTS: frozenset[str] = frozenset(
+ENDPOINT_FAULTS: frozenset[str] = frozenset(
     {
         "silence", "restart", "fast-failure", "slowdown", "resets", "spoilt", "drain", "replaced", "flapping",
         "zk-expire", "middlebox", "parted",
--- a/millgw/rehearsal/scenario_checks.py
+++ b/millgw/rehearsal/scenario_checks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from millgw.rehearsal.scenario import CONTROL_FAULTS, ON_ENDPOINTS, OUTAGE_FAULTS, SIZES, Fault, Scenario
+from millgw.rehearsal.scenario import CONTROL_FAULTS, ENDPOINT_FAULTS, OUTAGE_FAULTS, SIZES, Fault, Scenario
 
 
 def check(scenario: Scenario) -> Scenario:
@@ -127,9 +127,9 @@
     if fault.outage is not None and fault.kind not in OUTAGE_FAULTS:
         raise ValueError(f"{path}.outage: {fault.kind} is not an outage of the discovery server")
     if fault.zone is not None:
-        if fault.kind not in ON_ENDPOINTS:
+        if fault.kind not in ENDPOINT_FAULTS:
             raise ValueError(f"{path}.zone: {fault.kind} does not hit endpoints")
         if scenario.zones is None or fault.zone not in scenario.zones.names:
             raise ValueError(f"{path}.zone: the day has no zone {fault.zone!r}")
-    if fault.tier and fault.kind not in ON_ENDPOINTS:
+    if fault.tier and fault.kind not in ENDPOINT_FAULTS:
         raise ValueError(f"{path}.tier: {fault.kind} does not hit endpoints")
