--- a/millgw/rehearsal/fault_plan.py
+++ b/millgw/rehearsal/fault_plan.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from millgw.load.arrivals import Crowd
-from millgw.rehearsal.scenario import ENDPOINT_FAULTS, ON_SIDECARS, SIZES, Fault, Scenario
+from millgw.rehearsal.scenario import ENDPOINT_FAULTS, SIDECAR_FAULTS, SIZES, Fault, Scenario
 from millgw.standins.discovery_server import OutageKind
 
 
@@ -53,7 +53,7 @@
             hit = [(name, t) for name, t in endpoints if fault.zone in (None, zones.get(name))]
             for tier in tiers:
                 targets += _sample_targets(rng, [name for name, t in hit if t == tier], fault.share)
-        elif fault.kind in ON_SIDECARS:
+        elif fault.kind in SIDECAR_FAULTS:
             targets = _sample_targets(rng, list(front), fault.share)
         else:
             targets = [fault.service or ""]
--- a/millgw/rehearsal/scenario.py
+++ b/millgw/rehearsal/scenario.py
@@ -62,7 +62,7 @@
 OUTAGE_FAULTS: frozenset[str] = frozenset({"discovery-outage", "discovery-restart"})
 CONTROL_ADDRESS_FAULTS: frozenset[str] = frozenset({"sidecar-upgrade", "sidecar-drain"})
 CONTROL_FAULTS: frozenset[str] = frozenset({"control-instance-lost", "control-all-lost"})
-ON_SIDECARS: frozenset[str] = (
+SIDECAR_FAULTS: frozenset[str] = (
     frozenset({"sidecar-killed", "sidecar-restart", "sidecar-stopped", "connections"})
     | CONTROL_ADDRESS_FAULTS
 )
