--- a/millgw/rehearsal/fault_plan.py
+++ b/millgw/rehearsal/fault_plan.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from millgw.load.arrivals import Crowd
-from millgw.rehearsal.scenario import ENDPOINT_FAULTS, SIDECAR_FAULTS, SIZES, Fault, Scenario
+from millgw.rehearsal.scenario import ENDPOINT_FAULTS, FAULT_SIZES, SIDECAR_FAULTS, Fault, Scenario
 from millgw.standins.discovery_server import OutageKind
 
 
@@ -25,7 +25,7 @@
 
 
 def size_of(fault: Fault) -> float:
-    return fault.size if fault.size is not None else SIZES.get(fault.kind, (0.0, 0.0))[0]
+    return fault.size if fault.size is not None else FAULT_SIZES.get(fault.kind, (0.0, 0.0))[0]
 
 
 NO_ZONES: Mapping[str, str] = {}
--- a/millgw/rehearsal/scenario.py
+++ b/millgw/rehearsal/scenario.py
@@ -304,7 +304,7 @@
     endpoints: Annotated[int, Meta(ge=0, le=10_000)] = 4
 
 
-SIZES: dict[str, tuple[float, float]] = {
+FAULT_SIZES: dict[str, tuple[float, float]] = {
     "fast-failure": (0.6, 1.0),
     "resets": (0.1, 1.0),
     "spoilt": (0.1, 1.0),
--- a/millgw/rehearsal/scenario_checks.py
+++ b/millgw/rehearsal/scenario_checks.py
@@ -2,7 +2,14 @@
 
 from __future__ import annotations
 
-from millgw.rehearsal.scenario import CONTROL_FAULTS, ENDPOINT_FAULTS, OUTAGE_FAULTS, SIZES, Fault, Scenario
+from millgw.rehearsal.scenario import (
+    CONTROL_FAULTS,
+    ENDPOINT_FAULTS,
+    FAULT_SIZES,
+    OUTAGE_FAULTS,
+    Fault,
+    Scenario,
+)
 
 
 def check(scenario: Scenario) -> Scenario:
@@ -100,8 +107,8 @@
 def _check_fault(path: str, fault: Fault, scenario: Scenario) -> None:
     if fault.start_s >= scenario.seconds:
         raise ValueError(f"{path}.start_s: {fault.start_s:g} is past the day's {scenario.seconds:g} seconds")
-    if fault.kind in SIZES:
-        maximum = SIZES[fault.kind][1]
+    if fault.kind in FAULT_SIZES:
+        maximum = FAULT_SIZES[fault.kind][1]
         if fault.size is not None and fault.size > maximum:
             raise ValueError(f"{path}.size: {fault.kind} takes at most {maximum:g}")
         if fault.size is not None and fault.kind in ("slowdown", "crowd") and fault.size < 1:
