--- a/millgw/rehearsal/demo.py
+++ b/millgw/rehearsal/demo.py
@@ -11,7 +11,7 @@
 from millgw.platform.config import Address
 from millgw.rehearsal.report import PlayedDay, judge
 from millgw.rehearsal.scenario import Discovery, Fault, Fleet, Scenario, Traffic
-from millgw.rehearsal.scenario_checks import check
+from millgw.rehearsal.scenario_checks import validate
 from millgw.rehearsal.testbed import Testbed
 from millgw.standins.ledger import AttemptOutcome
 
@@ -23,7 +23,7 @@
 
 def scenario(once: bool) -> Scenario:
     """Six endpoints of one tier behind one sidecar; one of them stops answering and comes back cold."""
-    return check(
+    return validate(
         Scenario(
             about="one of six endpoints falls silent for five seconds and comes back cold",
             seconds=SINGLE_RUN_S if once else INTERACTIVE_RUN_S,
--- a/millgw/rehearsal/fault_schedules.py
+++ b/millgw/rehearsal/fault_schedules.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from millgw.rehearsal.scenario import Discovery, Fault, FaultKind, Fleet, Scenario, Traffic
-from millgw.rehearsal.scenario_checks import check
+from millgw.rehearsal.scenario_checks import validate
 
 DRAWN_KINDS: tuple[FaultKind, ...] = (
     "silence", "restart", "fast-failure", "slowdown", "resets", "spoilt", "drain", "replaced", "flapping",
@@ -60,7 +60,7 @@
         )
     faults.sort(key=lambda f: f.start_s)
     about = ", ".join(f.kind for f in faults) + ", overlapping"
-    return check(replace(base, about=about, seed=seed, faults=tuple(faults)))
+    return validate(replace(base, about=about, seed=seed, faults=tuple(faults)))
 
 
 def one_at_a_time(scenario: Scenario) -> Scenario:
@@ -71,7 +71,7 @@
         faults.append(replace(fault, start_s=round(at + fault.start_s, 2)))
         at += part
     about = f"{scenario.about}; here one at a time"
-    return check(replace(scenario, about=about, seconds=at, faults=tuple(faults)))
+    return validate(replace(scenario, about=about, seconds=at, faults=tuple(faults)))
 
 
 def simplifications(scenario: Scenario) -> Iterator[Scenario]:
--- a/millgw/rehearsal/scenario_checks.py
+++ b/millgw/rehearsal/scenario_checks.py
@@ -12,7 +12,7 @@
 )
 
 
-def check(scenario: Scenario) -> Scenario:
+def validate(scenario: Scenario) -> Scenario:
     """Return the scenario if it is consistent; otherwise raise ValueError as `path: problem`."""
     fleet = scenario.fleet
     tier_count = len(fleet.tiers)
--- a/millgw/rehearsal/scenario_files.py
+++ b/millgw/rehearsal/scenario_files.py
@@ -11,13 +11,13 @@
 from millgw.operator.toml_schema import Table, read
 from millgw.rehearsal import former_names
 from millgw.rehearsal.scenario import Scenario, ScenarioError
-from millgw.rehearsal.scenario_checks import check
+from millgw.rehearsal.scenario_checks import validate
 
 
 def parse(text: str, name: str) -> Scenario:
     """Parse a scenario; `name` is the file name for error messages."""
     current = former_names.with_current_names(text)
-    return read(current, name, Scenario, check, ScenarioError)
+    return read(current, name, Scenario, validate, ScenarioError)
 
 
 def shipped() -> dict[str, str]:
--- a/millgw/rehearsal/scenario_overrides.py
+++ b/millgw/rehearsal/scenario_overrides.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from millgw.rehearsal.scenario import Fault, Scenario, ScenarioError
-from millgw.rehearsal.scenario_checks import check
+from millgw.rehearsal.scenario_checks import validate
 
 OPTIONAL = ("connections", "peers", "places", "store")
 """Tables of the sidecars' operator file that `--without` can leave out, for comparison."""
@@ -61,7 +61,7 @@
     if PLACES in without and scenario.zones is not None:
         removed["zones"] = msgspec.structs.replace(scenario.zones, places=False)
     try:
-        return check(
+        return validate(
             msgspec.structs.replace(
                 scenario,
                 fleet=fleet,
--- a/millgw/rehearsal/soak_schedules.py
+++ b/millgw/rehearsal/soak_schedules.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from millgw.rehearsal.scenario import Discovery, Fault, Fleet, Limits, Scenario, Traffic
-from millgw.rehearsal.scenario_checks import check
+from millgw.rehearsal.scenario_checks import validate
 from millgw.standins.discovery_server import OutageKind
 
 FIRST_FAULT_AFTER_S = (2.0, 6.0)  # before the first fault
@@ -49,7 +49,7 @@
     serving, probing = rng.random() < 0.75, rng.random() < 0.6
     fleet = replace(BASE_DAY.fleet, drains_serving=serving, drains_healthy=rng.random() < 0.6)
     about = f"{length:.0f} s of outage ({outage}), " + ", ".join(f.kind for f in faults)
-    return check(
+    return validate(
         replace(
             BASE_DAY, about=about, seed=seed, seconds=round(ends + DAY_AFTER_OUTAGE_S, 1), fleet=fleet,
             faults=tuple(faults), limits=Limits(probing=probing, retry_after_ms=rng.choice((0.0, 1000.0))),
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -17,7 +17,7 @@
 from millgw.rehearsal.fault_plan import crowds, plan_faults
 from millgw.rehearsal.page import render_page
 from millgw.rehearsal.scenario import Fault, Scenario, ScenarioError
-from millgw.rehearsal.scenario_checks import check
+from millgw.rehearsal.scenario_checks import validate
 from millgw.rehearsal.scenario_files import load, parse, shipped, to_toml
 from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
 from millgw.rehearsal.soak_schedules import DAY_AFTER_OUTAGE_S, draw_soak
@@ -193,7 +193,7 @@
     day = fault_schedules.draw_schedule(fault_schedules.BASE_DAY, seed)
     assert parse(to_toml(day, "found\nby chance"), "x") == day
     for simpler in fault_schedules.simplifications(day):
-        assert parse(to_toml(simpler), "x") == check(simpler)
+        assert parse(to_toml(simpler), "x") == validate(simpler)
 
 
 def test_the_command_line_changes_what_it_says_and_keeps_the_faults_in_place() -> None:
@@ -412,7 +412,7 @@
 
     least, plays = asyncio.run(fault_schedules.shrink(day, harms, most=500))
     assert sorted(f.kind for f in least.faults) == sorted(guilty) and plays <= 500
-    check(least)
+    validate(least)
 
 
 def test_shrinking_stops_when_its_plays_are_used() -> None:
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -25,7 +25,7 @@
     Store,
     Traffic,
 )
-from millgw.rehearsal.scenario_checks import check
+from millgw.rehearsal.scenario_checks import validate
 from millgw.rehearsal.scenario_files import load
 from millgw.rehearsal.scenario_overrides import changed
 from millgw.rehearsal.sidecars import DEFAULT_RUN
@@ -108,7 +108,7 @@
     )
     fleet = replace(scenario.fleet, endpoints=4, tiers=(1.0, 1.0), work=(0.5, 0.5), sidecars=6, cold_s=5.0)
     traffic = replace(scenario.traffic, rate=20.0)
-    return check(replace(scenario, seconds=SHIPPED_SECONDS, faults=faults, fleet=fleet, traffic=traffic))
+    return validate(replace(scenario, seconds=SHIPPED_SECONDS, faults=faults, fleet=fleet, traffic=traffic))
 
 
 @cache
@@ -122,7 +122,7 @@
     """The scenario in which a wrong sidecar's planted fault takes effect."""
     faults, traffic = FAULTS.get(kind, ()), TRAFFIC.get(kind, BASE_SCENARIO.traffic)
     fleet = SLOW_FLEET if kind == "floods" else BASE_SCENARIO.fleet
-    return check(replace(BASE_SCENARIO, faults=faults, traffic=traffic, fleet=fleet))
+    return validate(replace(BASE_SCENARIO, faults=faults, traffic=traffic, fleet=fleet))
 
 
 def wrong_command(kind: str) -> str:
@@ -136,7 +136,7 @@
     for name in SERVICES:
         scenario = changed(load(name)[1], seconds=SHIPPED_SECONDS, rate=20.0)
         days[name] = (scenario, DEFAULT_RUN)
-    days["all classes"] = (check(replace(BASE_SCENARIO, faults=FAULTS["right"])), DEFAULT_RUN)
+    days["all classes"] = (validate(replace(BASE_SCENARIO, faults=FAULTS["right"])), DEFAULT_RUN)
     return play_days(days)
 
 
@@ -188,7 +188,7 @@
 @cache
 def operations_days() -> dict[str, PlayedDay]:
     days = {name: (shortened(name), DEFAULT_RUN) for name in OPERATIONS[:2]}
-    days["upgrade, marked"] = (check(replace(shortened("upgrade"), store=Store())), DEFAULT_RUN)
+    days["upgrade, marked"] = (validate(replace(shortened("upgrade"), store=Store())), DEFAULT_RUN)
     days["long-bodies"] = (changed(load("long-bodies")[1], seconds=SHIPPED_SECONDS), DEFAULT_RUN)
     return play_days(days)
 
