--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -29,7 +29,7 @@
 from millgw.rehearsal.report import PlayedDay, exit_code, judge, print_report, to_json
 from millgw.rehearsal.scenario import Scenario, ScenarioError
 from millgw.rehearsal.scenario_files import load, parse, shipped
-from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
+from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, with_overrides
 from millgw.rehearsal.sidecars import DEFAULT_RUN, NotReady
 from millgw.rehearsal.soak import VERDICTS, Soak, SoakOutcome
 from millgw.rehearsal.soak_schedules import OUTAGE_LENGTH_S
@@ -168,7 +168,7 @@
 
 def _load(name: str, args: SimpleNamespace) -> tuple[str, Scenario]:
     shown, scenario = load(name)
-    return shown, changed(
+    return shown, with_overrides(
         scenario, seed=args.seed, seconds=args.seconds, sidecars=args.sidecars, endpoints=args.endpoints,
         rate=args.rate, scale=args.scale, without=args.without,
     )  # fmt: skip
--- a/millgw/rehearsal/scenario_overrides.py
+++ b/millgw/rehearsal/scenario_overrides.py
@@ -18,7 +18,7 @@
 """Endpoints of the first tier, sidecars, first attempts per second."""
 
 
-def changed(
+def with_overrides(
     scenario: Scenario,
     *,
     seed: int | None = None,
--- a/tests/test_rehearsal_pure.py
+++ b/tests/test_rehearsal_pure.py
@@ -19,7 +19,7 @@
 from millgw.rehearsal.scenario import Fault, Scenario, ScenarioError
 from millgw.rehearsal.scenario_checks import validate
 from millgw.rehearsal.scenario_files import load, parse, shipped, to_toml
-from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, changed
+from millgw.rehearsal.scenario_overrides import OPTIONAL, SCALES, with_overrides
 from millgw.rehearsal.soak_schedules import DAY_AFTER_OUTAGE_S, draw_soak
 from millgw.rehearsal.summary import AnswerWorth, count_hit_by_upgrades, summarize
 from millgw.rehearsal.traffic import draw_arrivals
@@ -98,9 +98,9 @@
         scenario = load(name)[1]
         assert scenario.about
         for scale in SCALES:
-            assert changed(scenario, scale=scale).fleet.sidecars == SCALES[scale][1]
+            assert with_overrides(scenario, scale=scale).fleet.sidecars == SCALES[scale][1]
         assert parse(to_toml(scenario), name) == scenario
-        plain = changed(scenario, without=OPTIONAL)
+        plain = with_overrides(scenario, without=OPTIONAL)
         assert plain.peers is None and plain.connections is None and plain.faults == scenario.faults
         assert plain.zones is None or not plain.zones.places
 
@@ -198,15 +198,15 @@
 
 def test_the_command_line_changes_what_it_says_and_keeps_the_faults_in_place() -> None:
     day = load("silence")[1]
-    half = changed(day, seconds=day.seconds / 2, seed=9)
+    half = with_overrides(day, seconds=day.seconds / 2, seed=9)
     assert half.faults[0].start_s == day.faults[0].start_s / 2 and half.seed == 9
-    more = changed(day, endpoints=10)
+    more = with_overrides(day, endpoints=10)
     assert (
         more.fleet.sidecars - more.fleet.endpoint_sidecars()
         == day.fleet.sidecars - day.fleet.endpoint_sidecars()
     )
     with pytest.raises(ScenarioError, match=r"command line: fleet\.sidecars"):
-        changed(day, sidecars=3)
+        with_overrides(day, sidecars=3)
 
 
 # Faults
--- a/tests/test_rehearsal_wrong.py
+++ b/tests/test_rehearsal_wrong.py
@@ -27,7 +27,7 @@
 )
 from millgw.rehearsal.scenario_checks import validate
 from millgw.rehearsal.scenario_files import load
-from millgw.rehearsal.scenario_overrides import changed
+from millgw.rehearsal.scenario_overrides import with_overrides
 from millgw.rehearsal.sidecars import DEFAULT_RUN
 from millgw.rehearsal.soak_schedules import draw_soak
 from millgw.rehearsal.testbed import Testbed
@@ -134,7 +134,7 @@
 def daemon_days() -> dict[str, PlayedDay]:
     days = {name: (shortened(name), DEFAULT_RUN) for name in SHIPPED + CONNECTION_LOSS}
     for name in SERVICES:
-        scenario = changed(load(name)[1], seconds=SHIPPED_SECONDS, rate=20.0)
+        scenario = with_overrides(load(name)[1], seconds=SHIPPED_SECONDS, rate=20.0)
         days[name] = (scenario, DEFAULT_RUN)
     days["all classes"] = (validate(replace(BASE_SCENARIO, faults=FAULTS["right"])), DEFAULT_RUN)
     return play_days(days)
@@ -164,8 +164,8 @@
 
 @cache
 def days_with_and_without_store() -> dict[str, PlayedDay]:
-    scenario = changed(load("login-codes-survive")[1], seconds=SHIPPED_SECONDS)
-    plain = changed(scenario, without=["store"])
+    scenario = with_overrides(load("login-codes-survive")[1], seconds=SHIPPED_SECONDS)
+    plain = with_overrides(scenario, without=["store"])
     return play_days({"marked": (scenario, DEFAULT_RUN), "plain": (plain, DEFAULT_RUN)})
 
 
@@ -173,7 +173,7 @@
 def days_with_peers() -> dict[str, PlayedDay]:
     days = {}
     for name in WITH_PEERS:
-        made = changed(load(name)[1], seconds=SHIPPED_SECONDS, rate=40.0, sidecars=6, endpoints=5)
+        made = with_overrides(load(name)[1], seconds=SHIPPED_SECONDS, rate=40.0, sidecars=6, endpoints=5)
         days[name] = (made, DEFAULT_RUN)
     return play_days(days)
 
@@ -181,7 +181,7 @@
 @cache
 def days_with_zones() -> dict[str, PlayedDay]:
     return play_days(
-        {name: (changed(load(name)[1], seconds=ZONES_SECONDS), DEFAULT_RUN) for name in WITH_ZONES}
+        {name: (with_overrides(load(name)[1], seconds=ZONES_SECONDS), DEFAULT_RUN) for name in WITH_ZONES}
     )
 
 
@@ -189,7 +189,7 @@
 def operations_days() -> dict[str, PlayedDay]:
     days = {name: (shortened(name), DEFAULT_RUN) for name in OPERATIONS[:2]}
     days["upgrade, marked"] = (validate(replace(shortened("upgrade"), store=Store())), DEFAULT_RUN)
-    days["long-bodies"] = (changed(load("long-bodies")[1], seconds=SHIPPED_SECONDS), DEFAULT_RUN)
+    days["long-bodies"] = (with_overrides(load("long-bodies")[1], seconds=SHIPPED_SECONDS), DEFAULT_RUN)
     return play_days(days)
 
 
