--- a/millgw/rehearsal/configuration_looks.py
+++ b/millgw/rehearsal/configuration_looks.py
@@ -42,11 +42,11 @@
 
     async def _poll_sidecar(self, sidecar: Sidecar) -> None:
         current = sidecar.current
-        if sidecar.pid is None or current is None or current.door is None:
+        if sidecar.pid is None or current is None or current.control_address is None:
             return
         asked_at = self.clock()
         try:
-            status, answer = await ask(current.door, METRICS_PATH)
+            status, answer = await ask(current.control_address, METRICS_PATH)
         except Trouble:  # ending or not up yet: the next poll tries again
             return
         metrics = _configuration_metrics(answer) if status == 200 else None
--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -82,10 +82,10 @@
     async def _sidecar_drain(self, fault: PlannedFault) -> None:
         """Order a sidecar to drain its clients, and later to accept them again."""
         sidecar = self.targets.sidecars[fault.target]
-        if sidecar.pid is None or sidecar.current is None or sidecar.current.door is None:
+        if sidecar.pid is None or sidecar.current is None or sidecar.current.control_address is None:
             return
         seen = SentAway(sidecar.name, self.targets.clock())
-        if not await answers_ok(sidecar.current.door, "PUT", "/-/drain"):
+        if not await answers_ok(sidecar.current.control_address, "PUT", "/-/drain"):
             self.targets.failed(NotReady(f"{sidecar.name} rejects a drain"))
             return
         self.targets.ledger.sent_away.append(seen)
@@ -95,8 +95,8 @@
             seen.judged = self.targets.clock()
             seen.idle, seen.lately = sidecar.desk.count_recent(RECENT_REQUEST_MS)
             await asyncio.sleep(max(0.0, (fault.until - fault.at) / 1000 - CLIENT_DRAIN_LIMIT_S))
-            if sidecar.current.door is not None:
-                await answers_ok(sidecar.current.door, "PUT", "/-/resume")
+            if sidecar.current.control_address is not None:
+                await answers_ok(sidecar.current.control_address, "PUT", "/-/resume")
             seen.until = self.targets.clock()
             await watching
         finally:
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -88,7 +88,7 @@
 
     process: asyncio.subprocess.Process
     life: SidecarLife
-    door: Address | None
+    control_address: Address | None
     number: int  # 1 for its sidecar's first process
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -153,8 +153,8 @@
         new = await self._spawn()
         new.life.beside = True
         self.before, self.current = old, new
-        assert new.door is not None
-        control_address = new.door
+        assert new.control_address is not None
+        control_address = new.control_address
         await self._wait_until_ready(new, lambda: ready(control_address, REQUEST_PORT_READY))
         upgrade.yes_at = self.clock()
         old.life.term = upgrade.term = upgrade.yes_at
