--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -73,7 +73,7 @@
     async def _sidecar_upgrade(self, fault: PlannedFault) -> None:
         """Start a second process beside the running one, which takes over from it."""
         sidecar = self.targets.sidecars[fault.target]
-        if sidecar.pid is None or sidecar.before is not None:
+        if sidecar.pid is None or sidecar.replaced is not None:
             return
         upgrade = Upgrade(sidecar.name, self.targets.clock())
         self.targets.ledger.upgrades.append(upgrade)
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -125,7 +125,7 @@
         self.clock = clock
         self.set_listen_address(free_address())
         self.current: Process | None = None
-        self.before: Process | None = None  # the process that a running upgrade replaces
+        self.replaced: Process | None = None  # the process that a running upgrade replaces
         self.has_control_address = False
         self.starts = 0
         self.operator_file = ""  # text of its operator's file; empty for none
@@ -152,7 +152,7 @@
         assert old is not None
         new = await self._spawn()
         new.life.beside = True
-        self.before, self.current = old, new
+        self.replaced, self.current = old, new
         assert new.control_address is not None
         control_address = new.control_address
         await self._wait_until_ready(new, lambda: ready(control_address, REQUEST_PORT_READY))
@@ -166,7 +166,7 @@
             self._kill(old)
             await old.ended.wait()
         upgrade.ended = self.clock()
-        self.before = None
+        self.replaced = None
 
     async def _spawn(self) -> Process:
         self.starts += 1
@@ -245,7 +245,7 @@
     def kill(self) -> None:
         """Send SIGKILL to the process groups of all its processes."""
         self.record_peak_memory()
-        for started in (self.before, self.current):
+        for started in (self.replaced, self.current):
             if started is not None:
                 self._kill(started)
 
