--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -42,11 +42,11 @@
         sidecar = self.targets.sidecars[fault.target]
         if sidecar.pid is None:
             return
-        starts = sidecar.starts
+        starts = sidecar.start_count
         sidecar.kill()
         self.targets.front.sidecar_died(sidecar)
         await wait_for_end(fault)
-        if sidecar.starts == starts:
+        if sidecar.start_count == starts:
             await self._start_again(fault.target)
 
     async def _sidecar_restart(self, fault: PlannedFault) -> None:
@@ -54,7 +54,7 @@
         sidecar = self.targets.sidecars[fault.target]
         if sidecar.pid is None:
             return
-        starts = sidecar.starts
+        starts = sidecar.start_count
         sidecar.term()
         self.targets.front.sidecar_terminating(sidecar)
         try:
@@ -62,7 +62,7 @@
                 await sidecar.ended.wait()
         except TimeoutError:
             sidecar.kill()
-        if sidecar.starts == starts:
+        if sidecar.start_count == starts:
             await self._start_again(fault.target)
 
     def _term_grace(self) -> float:
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -127,7 +127,7 @@
         self.current: Process | None = None
         self.replaced: Process | None = None  # the process that a running upgrade replaces
         self.has_control_address = False
-        self.starts = 0
+        self.start_count = 0
         self.operator_file = ""  # text of its operator's file; empty for none
         self.peak_memory_kb = 0  # of all its processes
         self.waiters: list[asyncio.Task[None]] = []
@@ -169,8 +169,8 @@
         self.replaced = None
 
     async def _spawn(self) -> Process:
-        self.starts += 1
-        number = self.starts
+        self.start_count += 1
+        number = self.start_count
         control_address = free_address() if self.has_control_address else None
         life = SidecarLife(self.name, self.stage, self.clock())
         environ = self._environ(control_address)
@@ -205,7 +205,7 @@
             "name": self.name,
             "listen": str(self.listen),
             "discovery": str(self.discovery),
-            "seed": f"{random.Random(f'{self.seed} {self.name} {self.starts}').getrandbits(63):016x}",
+            "seed": f"{random.Random(f'{self.seed} {self.name} {self.start_count}').getrandbits(63):016x}",
             "limits": {"cores": 1.0, "memory_mb": self.limits.memory_mb, "sockets": self.limits.sockets},
             "known": {"index": index, "snapshot": True, "endpoints": [e.json() for e in entries]},
             "settings": self.settings,
