--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -55,7 +55,7 @@
         if sidecar.pid is None:
             return
         starts = sidecar.start_count
-        sidecar.term()
+        sidecar.terminate()
         self.targets.front.sidecar_terminating(sidecar)
         try:
             async with asyncio.timeout(self._term_grace()):
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -262,7 +262,7 @@
             with contextlib.suppress(ProcessLookupError):
                 os.kill(started.process.pid, number)
 
-    def term(self) -> None:
+    def terminate(self) -> None:
         """Send SIGTERM to the newest process."""
         if self.current is not None and self.pid is not None:
             self.record_peak_memory()
