--- a/millgw/rehearsal/command.py
+++ b/millgw/rehearsal/command.py
@@ -209,8 +209,8 @@
         async def advance() -> None:
             while True:
                 await asyncio.sleep(0.2)
-                if testbed.zero:
-                    progress.update(bar, completed=(testbed.clock() - testbed.zero) / 1000)
+                if testbed.start_time:
+                    progress.update(bar, completed=(testbed.clock() - testbed.start_time) / 1000)
 
         advancing = asyncio.create_task(advance())
         try:
--- a/millgw/rehearsal/demo.py
+++ b/millgw/rehearsal/demo.py
@@ -80,7 +80,7 @@
 
 async def _print_status(testbed: Testbed, address: Address, once: bool) -> None:
     """Print a line each second on the results of calls and attempts."""
-    while not testbed.zero:
+    while not testbed.start_time:
         await asyncio.sleep(0.05)
     how_it_ends = f"it ends by itself after {SINGLE_RUN_S:g} s" if once else "Ctrl-C ends it"
     print(f"ready; {how_it_ends}; paste this into another terminal:\n\n{curl_command(address)}\n", flush=True)
@@ -93,7 +93,7 @@
         refused = sum(c.status in (429, 503) for c in calls)
         unanswered = sum(a.told is AttemptOutcome.NOTHING and a.began is None for a in attempts)
         print(
-            f"{(testbed.clock() - testbed.zero) / 1000:5.0f} s: {served} served, {refused} refused,"
+            f"{(testbed.clock() - testbed.start_time) / 1000:5.0f} s: {served} served, {refused} refused,"
             f" {len(calls) - served - refused} failed; {len(attempts)} attempts, {unanswered} unanswered",
             flush=True,
         )
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -95,7 +95,7 @@
         self.clients: Clients
         self.error: BaseException | None = None
         self.stopped = asyncio.Event()
-        self.zero = 0.0
+        self.start_time = 0.0
 
     async def play(self) -> tuple[Ledger, Facts]:
         """Play the whole day; raises NotReady or OSError if it could not be played."""
@@ -115,7 +115,7 @@
             cleanup.close()
         if self.error is not None:
             raise self.error
-        shift_times(self.ledger, -self.zero)
+        shift_times(self.ledger, -self.start_time)
         return self.ledger, facts
 
     def stop(self) -> None:
@@ -354,17 +354,17 @@
         # Otherwise garbage collection pauses the rig: traversing a whole ledger takes tenths of a second.
         gc.collect()
         gc.disable()
-        self.zero = self.clock()
+        self.start_time = self.clock()
         zones = {e.options.name: e.options.zone for tier in self.tiers for e in tier}
         injector.schedule(plan_faults(scenario, endpoints, front, scenario.seed, zones))
         sampler = asyncio.create_task(Sampler(self.ledger, self.clock, list(self.sidecars.values())).run())
-        traffic_task = asyncio.create_task(self.clients.play(arrivals, self.zero))
+        traffic_task = asyncio.create_task(self.clients.play(arrivals, self.start_time))
         stop_waiter = asyncio.create_task(self.stopped.wait())
         configuration_tasks = self._start_configuration_changes()
         final_wait_s = max(c.deadline_ms for c in scenario.classes) / 1000 + FINAL_CALLS_MARGIN_S
         try:
             await asyncio.wait([traffic_task, stop_waiter], return_when=asyncio.FIRST_COMPLETED)
-            remaining = scenario.seconds - (self.clock() - self.zero) / 1000
+            remaining = scenario.seconds - (self.clock() - self.start_time) / 1000
             if remaining > 0 and not self.stopped.is_set():
                 await asyncio.wait([stop_waiter], timeout=remaining)
             if self.clients.request_tasks and not self.stopped.is_set():
