--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -259,7 +259,7 @@
             else:
                 self.coordination.expire_after_timeout(endpoint)
 
-    def vanish(self, endpoint: Endpoint) -> None:
+    def silence_endpoint(self, endpoint: Endpoint) -> None:
         endpoint.silence()
         self._kill_endpoint_sidecar(endpoint)
 
