--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -75,7 +75,9 @@
 
     async def _silence(self, fault: PlannedFault) -> None:
         """A machine stops answering, and comes back cold."""
-        endpoint = await self._take_down(fault, self.targets.vanish, "terminated", self.targets.delays.silent)
+        endpoint = await self._take_down(
+            fault, self.targets.silence_endpoint, "terminated", self.targets.delays.silent
+        )
         if endpoint is not None and endpoint.unreachable:
             await self.targets.revive(endpoint)
 
@@ -99,7 +101,9 @@
 
     async def _replaced(self, fault: PlannedFault) -> None:
         """A machine stops answering; another one starts cold at the same address, with a name of its own."""
-        endpoint = await self._take_down(fault, self.targets.vanish, "terminated", self.targets.delays.silent)
+        endpoint = await self._take_down(
+            fault, self.targets.silence_endpoint, "terminated", self.targets.delays.silent
+        )
         if endpoint is not None and endpoint.unreachable:
             endpoint.stop()
             build = replace(endpoint.options, name=f"s-{self.rng.getrandbits(32):08x}")
