--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -263,7 +263,7 @@
         endpoint.silence()
         self._kill_endpoint_sidecar(endpoint)
 
-    def end(self, endpoint: Endpoint) -> None:
+    def stop_endpoint(self, endpoint: Endpoint) -> None:
         endpoint.stop()
         self._kill_endpoint_sidecar(endpoint)
 
