--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -83,7 +83,9 @@
 
     async def _restart(self, fault: PlannedFault) -> None:
         """A process ends, and a cold one replaces it."""
-        endpoint = await self._take_down(fault, self.targets.end, "terminated", self.targets.delays.notice)
+        endpoint = await self._take_down(
+            fault, self.targets.stop_endpoint, "terminated", self.targets.delays.notice
+        )
         if endpoint is not None:
             await self.targets.revive(endpoint)
 
@@ -93,7 +95,7 @@
         if endpoint is None or not endpoint.up:
             return
         life = endpoint.lives
-        self.targets.end(endpoint)
+        self.targets.stop_endpoint(endpoint)
         self.targets.notice(endpoint, "terminated", self.targets.delays.notice)
         await asyncio.sleep(RESTART_AFTER_DRAIN_S)
         if endpoint.lives == life:
