--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -278,7 +278,7 @@
         self._kill_endpoint_sidecar(endpoint)
         self.notice(endpoint, "terminated", self.delays.notice)
 
-    async def revive(self, endpoint: Endpoint) -> None:
+    async def restart_endpoint_cold(self, endpoint: Endpoint) -> None:
         """Start an endpoint cold, after its own sidecar if it has one."""
         sidecar = self.endpoint_sidecars.get(endpoint.options.name)
         if sidecar is not None:
