--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -79,7 +79,7 @@
             fault, self.targets.silence_endpoint, "terminated", self.targets.delays.silent
         )
         if endpoint is not None and endpoint.unreachable:
-            await self.targets.revive(endpoint)
+            await self.targets.restart_endpoint_cold(endpoint)
 
     async def _restart(self, fault: PlannedFault) -> None:
         """A process ends, and a cold one replaces it."""
@@ -87,7 +87,7 @@
             fault, self.targets.stop_endpoint, "terminated", self.targets.delays.notice
         )
         if endpoint is not None:
-            await self.targets.revive(endpoint)
+            await self.targets.restart_endpoint_cold(endpoint)
 
     async def _drain(self, fault: PlannedFault) -> None:
         """An endpoint drains, ends, and comes back as a cold process."""
@@ -99,7 +99,7 @@
         self.targets.notice(endpoint, "terminated", self.targets.delays.notice)
         await asyncio.sleep(RESTART_AFTER_DRAIN_S)
         if endpoint.lives == life:
-            await self.targets.revive(endpoint)
+            await self.targets.restart_endpoint_cold(endpoint)
 
     async def _replaced(self, fault: PlannedFault) -> None:
         """A machine stops answering; another one starts cold at the same address, with a name of its own."""
@@ -109,7 +109,7 @@
         if endpoint is not None and endpoint.unreachable:
             endpoint.stop()
             build = replace(endpoint.options, name=f"s-{self.rng.getrandbits(32):08x}")
-            await self.targets.revive(self.targets.replace(endpoint, build))
+            await self.targets.restart_endpoint_cold(self.targets.replace(endpoint, build))
 
     async def _flapping(self, fault: PlannedFault) -> None:
         """Discovery repeatedly removes an endpoint that keeps serving from its list, and adds it again."""
