--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -244,7 +244,7 @@
             zone=build.zone,
         )  # fmt: skip
 
-    def notice(self, endpoint: Endpoint, status: str, late: tuple[float, float]) -> None:
+    def publish_status(self, endpoint: Endpoint, status: str, late: tuple[float, float]) -> None:
         """Update discovery after the delay `late`, and the coordinator as the endpoint itself would."""
         entry = self.entry(endpoint, status)
         if self.discovery_lists_endpoints:
@@ -276,7 +276,7 @@
     def _endpoint_overloaded(self, endpoint: Endpoint) -> None:
         self.say(f"{endpoint.options.name} failed from overload")
         self._kill_endpoint_sidecar(endpoint)
-        self.notice(endpoint, "terminated", self.delays.notice)
+        self.publish_status(endpoint, "terminated", self.delays.notice)
 
     async def restart_endpoint_cold(self, endpoint: Endpoint) -> None:
         """Start an endpoint cold, after its own sidecar if it has one."""
@@ -288,7 +288,7 @@
                 return  # another fault hit it meanwhile
         endpoint.start(cold=True)
         self.say(f"{endpoint.options.name} is back, cold")
-        self.notice(endpoint, "in_service", self.delays.add)
+        self.publish_status(endpoint, "in_service", self.delays.add)
 
     def replace(self, old: Endpoint, build: EndpointOptions) -> Endpoint:
         """A new endpoint at an old one's address, with the old one's group and sidecar."""
