--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -69,7 +69,7 @@
             return None
         life = endpoint.lives
         action(endpoint)
-        self.targets.notice(endpoint, status, delay)
+        self.targets.publish_status(endpoint, status, delay)
         await wait_for_end(fault)
         return endpoint if endpoint.lives == life else None
 
@@ -96,7 +96,7 @@
             return
         life = endpoint.lives
         self.targets.stop_endpoint(endpoint)
-        self.targets.notice(endpoint, "terminated", self.targets.delays.notice)
+        self.targets.publish_status(endpoint, "terminated", self.targets.delays.notice)
         await asyncio.sleep(RESTART_AFTER_DRAIN_S)
         if endpoint.lives == life:
             await self.targets.restart_endpoint_cold(endpoint)
