--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -122,7 +122,7 @@
         """End the day now, without what is still scheduled."""
         self.stopped.set()
 
-    def failed(self, error: BaseException) -> None:
+    def abort(self, error: BaseException) -> None:
         """Report that the scenario could not be carried out: the day ends and is not judged."""
         self.error = self.error or error
         self.stopped.set()
@@ -394,7 +394,7 @@
 
     def _configuration_task_ended(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.failed(error)
+            self.abort(error)
 
     def _facts(self, start_s: float) -> Facts:
         for sidecar in self.sidecars.values():
