--- a/millgw/rehearsal/faults/injector.py
+++ b/millgw/rehearsal/faults/injector.py
@@ -55,7 +55,7 @@
     def _task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            self.targets.failed(error)
+            self.targets.abort(error)
 
     def close(self) -> None:
         for handle in self.handles:
--- a/millgw/rehearsal/faults/sidecars.py
+++ b/millgw/rehearsal/faults/sidecars.py
@@ -86,7 +86,7 @@
             return
         seen = SentAway(sidecar.name, self.targets.clock())
         if not await answers_ok(sidecar.current.control_address, "PUT", "/-/drain"):
-            self.targets.failed(NotReady(f"{sidecar.name} rejects a drain"))
+            self.targets.abort(NotReady(f"{sidecar.name} rejects a drain"))
             return
         self.targets.ledger.sent_away.append(seen)
         watching = self.loop.create_task(self.targets.front.watch_ready(sidecar, seen, self.targets.clock))
