--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -237,7 +237,7 @@
         """The operator's file of a sidecar, with all services except `without`."""
         return self.operator_files.text(self.sidecars[sidecar], without)
 
-    def entry(self, endpoint: Endpoint, status: str) -> Entry:
+    def registry_entry(self, endpoint: Endpoint, status: str) -> Entry:
         build, since = endpoint.options, endpoint.since_unix_ms()
         return Entry(
             build.name, build.tier, endpoint.lives, str(build.address), build.cell, status, since_ms=since,
@@ -246,7 +246,7 @@
 
     def publish_status(self, endpoint: Endpoint, status: str, late: tuple[float, float]) -> None:
         """Update discovery after the delay `late`, and the coordinator as the endpoint itself would."""
-        entry = self.entry(endpoint, status)
+        entry = self.registry_entry(endpoint, status)
         if self.discovery_lists_endpoints:
             self.discovery_server.apply_late(entry, late)
         if self.coordination is not None:
@@ -325,7 +325,7 @@
         for tier in self.tiers:
             for endpoint in tier:
                 endpoint.start(cold=False)
-                entry = self.entry(endpoint, "in_service")
+                entry = self.registry_entry(endpoint, "in_service")
                 if self.discovery_lists_endpoints:
                     self.discovery_server.apply_change(entry)
                 if self.coordination is not None:
