--- a/millgw/rehearsal/faults/endpoints.py
+++ b/millgw/rehearsal/faults/endpoints.py
@@ -120,7 +120,7 @@
             if endpoint.lives != life or not endpoint.up or endpoint.draining:
                 return
             listed = not listed
-            entry = self.targets.entry(endpoint, "in_service" if listed else "terminated")
+            entry = self.targets.registry_entry(endpoint, "in_service" if listed else "terminated")
             self.targets.discovery_server.apply_change(entry)
             await asyncio.sleep(FLAP_INTERVAL_S)
 
--- a/millgw/rehearsal/faults/membership.py
+++ b/millgw/rehearsal/faults/membership.py
@@ -69,7 +69,7 @@
         """Register the endpoint that now serves under a name, unless it has a session."""
         endpoint = self.targets.endpoints[name]
         if endpoint.up and not endpoint.draining and name not in self._coordination.sessions:
-            self._coordination.register(endpoint, self.targets.entry(endpoint, "in_service"))
+            self._coordination.register(endpoint, self.targets.registry_entry(endpoint, "in_service"))
 
     async def _lag(self, fault: PlannedFault) -> None:
         """The first server stops following the others: its clients get no updates and read stale data."""
