--- a/millgw/rehearsal/control_instances.py
+++ b/millgw/rehearsal/control_instances.py
@@ -13,7 +13,7 @@
 
 from millgw.configuration.control_client import FleetStatus, fetch_status
 from millgw.platform.config import Address
-from millgw.rehearsal.keeper import CleanupProcess
+from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.rehearsal.processes import spawn
 from millgw.rehearsal.sidecars import READY_CHECK_INTERVAL_S, READY_TIMEOUT_S, ROOT, NotReady
 from millgw.standins.address import free_address
--- a/millgw/rehearsal/processes.py
+++ b/millgw/rehearsal/processes.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from millgw.rehearsal.keeper import CleanupProcess
+from millgw.rehearsal.cleanup_process import CleanupProcess
 
 START_ON_LINE = 'read -r go && exec /bin/sh -c "$1" </dev/null'
 """Waits for a line before it execs the program. If the rig is killed before the cleanup process knows of this
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from millgw.platform.config import Address
-from millgw.rehearsal.keeper import CleanupProcess
+from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.rehearsal.processes import spawn
 from millgw.rehearsal.scenario import Scenario
 from millgw.standins.address import free_address
--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -14,6 +14,7 @@
 
 from millgw.platform.config import Address
 from millgw.rehearsal.byzantine_peers import ByzantinePeers
+from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.rehearsal.configuration_changes import Proposer
 from millgw.rehearsal.configuration_looks import ConfigurationPoller
 from millgw.rehearsal.control_instances import ControlInstances
@@ -22,7 +23,6 @@
 from millgw.rehearsal.faults.injector import FaultInjector
 from millgw.rehearsal.fleet import builds_of_tier, is_last_tier, tasks_of_tier, tier_sizes
 from millgw.rehearsal.front import Clients, Front, send_call
-from millgw.rehearsal.keeper import CleanupProcess
 from millgw.rehearsal.operator_files import SERVICE_DOMAIN, OperatorFiles
 from millgw.rehearsal.sampler import Sampler, own_peak_memory_kb
 from millgw.rehearsal.scenario import CONTROL_ADDRESS_FAULTS, Scenario, refusing_sidecars
--- a/millgw/scale/fleet.py
+++ b/millgw/scale/fleet.py
@@ -13,7 +13,7 @@
 from millgw.configuration.control_client import ProposalResult, fetch_status, propose
 from millgw.configuration.document import Change
 from millgw.platform.config import read_address
-from millgw.rehearsal.keeper import CleanupProcess
+from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.scale.figures import Part, ProcessFigures
 from millgw.scale.layout import Layout, Sidecar
 from millgw.scale.messages import (
--- a/millgw/scale/latency.py
+++ b/millgw/scale/latency.py
@@ -17,7 +17,7 @@
 
 from msgspec import Struct
 
-from millgw.rehearsal.keeper import CleanupProcess
+from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.scale.processes import ROOT
 
 CALLS_A_SIDECAR = 74_000 / 670  # a second: the operators' calls, evenly over their sidecars
--- a/millgw/scale/processes.py
+++ b/millgw/scale/processes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from millgw.rehearsal.keeper import CleanupProcess
+from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.scale.messages import Failed, Order, Seen, Word, decode_word, encode
 from millgw.scale.worker import LONGEST_ORDER
 
--- a/millgw/scale/run.py
+++ b/millgw/scale/run.py
@@ -12,7 +12,7 @@
 
 from msgspec import structs
 
-from millgw.rehearsal.keeper import CleanupProcess
+from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.scale import chain, latency
 from millgw.scale.figures import Spent, spent
 from millgw.scale.fleet import REPLACEMENT, Fleet
