--- a/millgw/rehearsal/testbed.py
+++ b/millgw/rehearsal/testbed.py
@@ -16,7 +16,7 @@
 from millgw.rehearsal.byzantine_peers import ByzantinePeers
 from millgw.rehearsal.cleanup_process import CleanupProcess
 from millgw.rehearsal.configuration_changes import Proposer
-from millgw.rehearsal.configuration_looks import ConfigurationPoller
+from millgw.rehearsal.configuration_poller import ConfigurationPoller
 from millgw.rehearsal.control_instances import ControlInstances
 from millgw.rehearsal.coordination import Coordination
 from millgw.rehearsal.fault_plan import plan_faults
