--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -360,16 +360,16 @@
 """
 MILLGW = """
 import threading
-from millgw.membership.member_tracker import Terms
+from millgw.membership.member_tracker import DepartureSettings
 from millgw.membership.servers import read_connect
-from millgw.membership.source import Directory, Where
+from millgw.membership.source import DirectoryLocation, WatchedDirectory
 made, known = time.monotonic() - t, set()
 class Blind:
     seen = staticmethod(lambda endpoint: None)
     misses = staticmethod(lambda endpoint: 0)
 async def main():
-    where = Where(read_connect(sys.argv[1])[0], "/services/login", 10_000.0, Terms())
-    directory = Directory(where, (), 1, Blind, lambda ready, drains: known.update(ready))
+    where = DirectoryLocation(read_connect(sys.argv[1])[0], "/services/login", 10_000.0, DepartureSettings())
+    directory = WatchedDirectory(where, (), 1, Blind, lambda ready, drains: known.update(ready))
     directory.start()
     while len(known) < 70: await asyncio.sleep(0.001)
     print(f"| this one | {made * 1000:.0f} ms | {(time.monotonic() - t) * 1000:.0f} ms"
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -636,8 +636,8 @@
 import sys, time
 from pathlib import Path
 from millgw.store.files import RealFiles
-from millgw.store.store import Item, Options, Store
-options = Options(60_000.0, 4000)
+from millgw.store.store import Item, Store, StoreOptions
+options = StoreOptions(60_000.0, 4000)
 clocks = (lambda: time.time() * 1000, lambda: time.monotonic() * 1000)
 store = Store([RealFiles(Path(sys.argv[1]))], options, *clocks)
 number = int(sys.argv[2])
