--- a/millgw/callers/core.py
+++ b/millgw/callers/core.py
@@ -62,7 +62,8 @@
     """Parser for one connection. `assign_pool` is called for each request once its headers are read.
 
     `queue` holds requests received whole, `head` the one still being received. `requests_begun`
-    counts all, `expects` is set while the caller waits for a 100 Continue before it sends the body of `head`.
+    counts all, `expects_continue` is set while the caller waits for a 100 Continue before it sends the body
+    of `head`.
     """
 
     __slots__ = (
--- a/millgw/callers/interface.py
+++ b/millgw/callers/interface.py
@@ -18,7 +18,9 @@
     """Assigns requests to pools and turns them into calls."""
 
     def assign_pool(self, head: Head) -> None:
-        """Once the headers are read, set the request's pool, or why it has none (`wrong`) or is refused."""
+        """Once the headers are read, set the request's pool, or why it has none (`bad_request`) or is
+        refused.
+        """
 
     def make_call(self, head: Head, answer: Callable[[Answer], None]) -> Call | Answer:
         """The call made from a request, or the answer to one that needs no endpoint.
--- a/millgw/callers/lifecycle.py
+++ b/millgw/callers/lifecycle.py
@@ -5,8 +5,8 @@
     called                    while serving       while drained     while shutting down
     `drain`                   drains              unchanged         refused
     `resume`                  unchanged           serves            refused
-    `leave`                   serves for a while  ends at once      unchanged
-    `leave`, with successor   ends at once        ends at once      unchanged
+    `shut_down`               serves for a while  ends at once      unchanged
+    `shut_down`, successor    ends at once        ends at once      unchanged
 
 All changes are plain assignments, because the admin server calls from its own thread. Times are seconds on a
 monotonic clock that is passed in.
@@ -23,7 +23,9 @@
 
 
 class Lifecycle:
-    """`able` is set from outside once calls can be served. `last`: every answer closes its connection."""
+    """`can_serve` is set from outside once calls can be served. `answers_close`: every answer closes its
+    connection.
+    """
 
     def __init__(self) -> None:
         self.can_serve = False
--- a/millgw/callers/write_stall.py
+++ b/millgw/callers/write_stall.py
@@ -15,7 +15,7 @@
         self.last_change = now  # s, when that number last changed
 
     def stalled(self, now: float, unread_bytes: int) -> bool:
-        """Whether the client has read nothing for too long; `left` bytes are unread now."""
+        """Whether the client has read nothing for too long; `unread_bytes` are unread now."""
         if unread_bytes != self.unread_bytes or not unread_bytes:
             self.unread_bytes, self.last_change = unread_bytes, now
         return now > self.last_change + ANSWER_STALL
--- a/millgw/configuration/client.py
+++ b/millgw/configuration/client.py
@@ -63,7 +63,7 @@
     """Follows the distributed configuration for one sidecar.
 
     Until `serving` is set, versions are only checked: the sidecar has no pools yet, and starts with the
-    entries that `begin` returns. After that, each version is applied to the running pools.
+    entries that `start` returns. After that, each version is applied to the running pools.
     """
 
     descriptors = FILE_DESCRIPTORS
--- a/millgw/configuration/leadership.py
+++ b/millgw/configuration/leadership.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Progress:
-    """One follower: `next` is the next position to send, `match` the last one known to be on its disk."""
+    """One follower: `next_position` is the next to send, `matched_position` the last known on its disk."""
 
     next_position: int
     contact_at: float  # leader's clock (ms) when it sent the newest request that was answered
--- a/millgw/decide.py
+++ b/millgw/decide.py
@@ -423,10 +423,10 @@
     def __init__(self) -> None:
         self.per_endpoint = INITIAL_LIMIT  # calls in flight per endpoint, over all instances
         self.endpoint_share = 1.0  # usable endpoints divided by the number of instances
-        self.usual_in_flight = 0.0  # usual calls in flight, in the same unit as `each`
+        self.usual_in_flight = 0.0  # usual calls in flight, in the same unit as `per_endpoint`
         self.median_latency = 0.0  # running median of the latency, as a share of the aim
         self.slow_median = 0.0  # the same with a much longer memory
-        self.response_weight = LATENCY_WEIGHT  # average weight of one response in `late`
+        self.response_weight = LATENCY_WEIGHT  # average weight of one response in `median_latency`
         self.base_latency = MAX_BASE_LATENCY  # base latency without queueing, as a share of the aim
         self.responses = 0
         self.next_cut_at = 0.0  # from when the limit may be cut again: the effect of a cut shows only later
@@ -1182,7 +1182,7 @@
         return reports
 
     def _unremarkable(self, now: float, server: Server) -> bool:
-        """Whether peers need no report of it: `millgw.peers.gossip.mark` would call it well."""
+        """Whether peers need no report of it: `millgw.peers.gossip.classify` would call it healthy."""
         return (
             server.failure_rate < OUTLIER_FAILURE_RATE
             and server.own_slowness < OUTLIER_MULTIPLE
--- a/millgw/endpoints/attempt.py
+++ b/millgw/endpoints/attempt.py
@@ -101,7 +101,7 @@
         self.caller_disconnected: Callable[[], bool] | None = (
             None  # whether the caller is seen to have disconnected
         )
-        self.caller_checked_at = -math.inf  # ms, monotonic: when `gone` was last called
+        self.caller_checked_at = -math.inf  # ms, monotonic: when `caller_disconnected` was last called
         self.intent = intent
         self.payload = payload
         self.on_outcome = on_outcome
--- a/millgw/endpoints/host.py
+++ b/millgw/endpoints/host.py
@@ -16,7 +16,8 @@
 class Host:
     """One run of an endpoint process at one address: its kept connections, and attempts still connecting.
 
-    `missed` is when (ms, monotonic) a connect last failed, and `broken` when the endpoint last closed, reset
+    `last_connect_failure` is when (ms, monotonic) a connect failed, `last_broken` when the endpoint last
+    closed, reset
     or refused a connection. Membership asks for both when an endpoint's registration disappears.
     """
 
--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -73,7 +73,9 @@
 
 
 def make_poll(transport: asyncio.Transport) -> select.poll:
-    """The poll object for `unread` and `gone`; made once per connection, as they run for every request."""
+    """The poll object for `has_unread` and `peer_closed`; made once per connection, as they run for every
+    request.
+    """
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
     return poll
@@ -122,7 +124,7 @@
 
 
 def read_undelivered(transport: asyncio.Transport, max_bytes: int) -> bytes:
-    """Up to `most` bytes that the event loop has not delivered yet; for a connection about to be closed."""
+    """Up to `max_bytes` bytes that the event loop has not delivered yet; for a connection about to be closed."""
     if transport.is_closing():
         return b""
     descriptor = transport.get_extra_info("socket").fileno()
--- a/millgw/http/request.py
+++ b/millgw/http/request.py
@@ -73,8 +73,8 @@
 class Head:
     """First line, headers and body of one request, as they are received.
 
-    Once the headers are complete, `pool` is the pool it is for, `wrong` why it is for none, and `refused` the
-    answer to a request that is refused by its head alone; its body is read and discarded.
+    Once the headers are complete, `pool` is the pool it is for, `bad_request` why it is for none, and
+    `refusal` the answer to a request that is refused by its head alone; its body is read and discarded.
     """
 
     __slots__ = (
--- a/millgw/log/start.py
+++ b/millgw/log/start.py
@@ -99,7 +99,7 @@
 
 
 def start(kind: str, fd: int = STDERR) -> Log:
-    """Start logging to a descriptor in one of `wording.KINDS`; raises ValueError for any other kind."""
+    """Start logging to a descriptor in one of `rendering.FORMATS`; raises ValueError for any other kind."""
     writer = Writer(fd, Backlog(), lambda lines: log.render_own("lines-lost", lines=lines))
     log = Log(kind, writer)
     install(log)
--- a/millgw/membership/client.py
+++ b/millgw/membership/client.py
@@ -103,7 +103,9 @@
             connection.end(str(error) or "connection timed out")
 
     def send(self, request: Request) -> None:
-        """Send a request if a session is established; otherwise drop it, as `down` has already reported."""
+        """Send a request if a session is established; otherwise drop it, as `on_disconnected` has already
+        reported.
+        """
         if self.connected and self.connection is not None:
             self.connection.write(self.protocol.request(request))
 
--- a/millgw/peers/swim.py
+++ b/millgw/peers/swim.py
@@ -73,8 +73,8 @@
 class SwimSettings:
     """Times in ms. `helpers` members are asked to probe a member indirectly.
 
-    An update is sent `retransmit_factor` times log2 of the fleet size; a suspect has `suspicion` times log2
-    of the fleet size periods to refute.
+    An update is sent `retransmit_factor` times log2 of the fleet size; a suspect has `suspicion_factor`
+    times log2 of the fleet size periods to refute.
     """
 
     period: float = 1000.0
--- a/millgw/pool/call.py
+++ b/millgw/pool/call.py
@@ -53,7 +53,7 @@
 class Call:
     """A client request that must get one answer.
 
-    `cls` and `tenant` are indexes into the settings; `timeout` is in ms. `build_payload` returns the
+    `class_index` and `tenant` are indexes into the settings; `timeout` is in ms. `build_payload` returns the
     request bytes of an attempt, given the remaining time in ms.
     """
 
--- a/millgw/rehearsal/audit/findings.py
+++ b/millgw/rehearsal/audit/findings.py
@@ -72,7 +72,7 @@
 class Audit:
     """All findings, and the rig's measurements of itself.
 
-    `unserved` says why almost nothing was served, if that is so: such a day tested no rule.
+    `unserved_reason` says why almost nothing was served, if that is so: such a day tested no rule.
     """
 
     findings: tuple[Finding, ...]
--- a/millgw/rehearsal/sidecars.py
+++ b/millgw/rehearsal/sidecars.py
@@ -84,7 +84,7 @@
 
 @dataclass(eq=False)
 class Process:
-    """One process of a sidecar, from start to exit. `door` is its control address, if it has one."""
+    """One process of a sidecar, from start to exit; `control_address` is None without a control server."""
 
     process: asyncio.subprocess.Process
     life: SidecarLife
--- a/millgw/standins/coordinator/ensemble.py
+++ b/millgw/standins/coordinator/ensemble.py
@@ -144,7 +144,9 @@
         self._expire_overdue()
 
     async def listen_for(self, client: str) -> str:
-        """Listen on separate addresses for one client, as a connect string; `told` then reports its name."""
+        """Listen on separate addresses for one client, as a connect string; `on_read` then reports its
+        name.
+        """
         addresses = [free_address() for _ in self.servers]
         for server, address in zip(self.servers, addresses, strict=True):
             await server.listen(address, client)
--- a/millgw/standins/http.py
+++ b/millgw/standins/http.py
@@ -98,7 +98,7 @@
     def opened(self, connection: ServerConnection) -> None: ...
 
     def asked(self, connection: ServerConnection, message: Message) -> None:
-        """Handle a complete request; the next one follows after `connection.answered()`."""
+        """Handle a complete request; the next one follows after `connection.request_done()`."""
 
     def lost(self, connection: ServerConnection) -> None: ...
 
--- a/millgw/standins/repeating_clients.py
+++ b/millgw/standins/repeating_clients.py
@@ -13,7 +13,7 @@
 class RepeatingClients:
     """`make_request` returns the bytes of a request; its argument tells whether the connection is kept.
 
-    `seen` counts answers by status, `refused` connections, and requests with a `broken` connection.
+    `outcomes` counts answers by status, `refused` connections, and requests with a `broken` connection.
     """
 
     def __init__(self, listen: Address, make_request: Callable[[bool], bytes]) -> None:
--- a/millgw/standins/scripted.py
+++ b/millgw/standins/scripted.py
@@ -38,8 +38,8 @@
 class ScriptedEndpoint:
     """An endpoint whose `script` makes each answer; None resets the connection.
 
-    `cut` is called with the number of requests a connection had, and decides whether it is reset at the
-    first byte of the next one.
+    `resets_after` is called with the number of requests a connection had, and decides whether it is reset at
+    the first byte of the next one.
     """
 
     name: str
--- a/millgw/store/store.py
+++ b/millgw/store/store.py
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoreOptions:
-    """`window` (ms) is the longest lifetime of an entry; `most` is the maximum number of keys."""
+    """`window_ms` is the longest lifetime of an entry; `max_keys` is the maximum number of keys."""
 
     window_ms: float = 24 * 3_600_000.0
     segment_bytes: int = 16 * 2**20  # size at which a new segment is started
--- a/millgw/streams/upload.py
+++ b/millgw/streams/upload.py
@@ -20,7 +20,7 @@
 class Upload:
     """A body of `length` bytes (None if it is chunked), of which up to `window` bytes are buffered.
 
-    `on_space` is called when the buffer has space again, `gone` once, when the first data is taken.
+    `on_space` is called when the buffer has space again, `on_first_taken` once, when the first data is taken.
     """
 
     __slots__ = (
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -70,7 +70,7 @@
 
 @asynccontextmanager
 async def loop_stalls(threshold: float) -> AsyncIterator[list[float]]:
-    """Collect the stalls (s) of the event loop that last `over` seconds or more."""
+    """Collect the stalls (s) of the event loop that last `threshold` seconds or more."""
     loop = asyncio.get_running_loop()
     seen: list[float] = []
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -93,7 +93,8 @@
 
 
 class LossyListener:
-    """A listener whose handshakes are lost until `heal`: the kernel drops them while its backlog is full.
+    """A listener whose handshakes are lost until `accept_handshakes`: the kernel drops them while its
+    backlog is full.
 
     The connecting side's kernel retransmits a lost SYN after a second.
     """
