--- a/millgw/http/message.py
+++ b/millgw/http/message.py
@@ -124,7 +124,9 @@
 
 
 def read_undelivered(transport: asyncio.Transport, max_bytes: int) -> bytes:
-    """Up to `max_bytes` bytes that the event loop has not delivered yet; for a connection about to be closed."""
+    """Up to `max_bytes` bytes that the event loop has not delivered yet; for a connection about to be
+    closed.
+    """
     if transport.is_closing():
         return b""
     descriptor = transport.get_extra_info("socket").fileno()
